--- a/src/decision/gateway/servicelanes.h
+++ b/src/decision/gateway/servicelanes.h
@@ -15,7 +15,7 @@
 #pragma once
 
 #include "decision/gateway/grouptable.h"
-#include "decision/gateway/streamlane.h"
+#include "decision/gateway/grouptracker.h"
 #include "decision/gateway/streamqueue.h"
 #include "decision/gateway/upstreamchooser.h"
 #include "decision/gateway/upstreamturn.h"
--- a/test/decision/gateway/streamlane_test.cpp
+++ b/test/decision/gateway/streamlane_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/gateway/streamlane.h"
+#include "decision/gateway/grouptracker.h"
 
 #include <CppUTest/TestHarness.h>
 
