--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -39,7 +39,7 @@
 #include "decision/gateway/residency.h"
 #include "decision/gateway/routetable.h"
 #include "decision/gateway/sendpermits.h"
-#include "decision/gateway/servicelanes.h"
+#include "decision/gateway/groupselector.h"
 #include "decision/gateway/statedwaits.h"
 #include "decision/gateway/streamqueue.h"
 #include "decision/gateway/upstreamchooser.h"
--- a/src/decision/gateway/servicelanes.cpp
+++ b/src/decision/gateway/servicelanes.cpp
@@ -1,4 +1,4 @@
-#include "decision/gateway/servicelanes.h"
+#include "decision/gateway/groupselector.h"
 
 #include <algorithm>
 #include <tuple>
--- a/test/decision/gateway/servicelanes_test.cpp
+++ b/test/decision/gateway/servicelanes_test.cpp
@@ -1,7 +1,7 @@
 // Loads of a site whose service has several groups of engines, one in each hall. The figures are
 // those of engines that were published: ten streams a rank, passes of some 80 ms when all ranks are
 // full at even load, a pause goal of 150 ms; 42 gateways in three halls, or 149.
-#include "decision/gateway/servicelanes.h"
+#include "decision/gateway/groupselector.h"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
