--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -40,7 +40,7 @@
 #include "decision/gateway/routetable.h"
 #include "decision/gateway/sendpermits.h"
 #include "decision/gateway/groupselector.h"
-#include "decision/gateway/statedwaits.h"
+#include "decision/gateway/requestageestimator.h"
 #include "decision/gateway/streamqueue.h"
 #include "decision/gateway/upstreamchooser.h"
 #include "decision/gateway/upstreamlimits.h"
--- a/test/decision/gateway/statedwaits_test.cpp
+++ b/test/decision/gateway/statedwaits_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/gateway/statedwaits.h"
+#include "decision/gateway/requestageestimator.h"
 
 #include <CppUTest/TestHarness.h>
 
