--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -6,7 +6,7 @@
 // says whether a request is admitted, GatewayCore what becomes of it.
 #pragma once
 
-#include "decision/gateway/eventstream.h"
+#include "decision/gateway/eventsplitter.h"
 #include "decision/gateway/gatewaycore.h"
 #include "gateway/callerprotocol.h"
 #include "gateway/earlyrequests.h"
--- a/test/decision/gateway/eventstream_test.cpp
+++ b/test/decision/gateway/eventstream_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/gateway/eventstream.h"
+#include "decision/gateway/eventsplitter.h"
 
 #include <CppUTest/TestHarness.h>
 
