--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -18,7 +18,7 @@
 #include "decision/gateway/grouptracker.h"
 #include "decision/gateway/streamqueue.h"
 #include "decision/gateway/upstreamchooser.h"
-#include "decision/gateway/upstreamturn.h"
+#include "decision/gateway/hallposition.h"
 #include "seamarch/ids.h"
 #include "seamarch/units.h"
 
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -29,7 +29,7 @@
 #include "decision/gateway/sendpermits.h"
 #include "decision/gateway/upstreamlimits.h"
 #include "decision/gateway/upstreamtable.h"
-#include "decision/gateway/upstreamturn.h"
+#include "decision/gateway/hallposition.h"
 #include "decision/gateway/warmuplimits.h"
 #include "decision/retry/outlierdetector.h"
 #include "seamarch/ids.h"
--- a/src/decision/gateway/upstreamturn.cpp
+++ b/src/decision/gateway/upstreamturn.cpp
@@ -1,4 +1,4 @@
-#include "decision/gateway/upstreamturn.h"
+#include "decision/gateway/hallposition.h"
 
 #include <algorithm>
 
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -13,7 +13,7 @@
 // Pure and single-threaded.
 #pragma once
 
-#include "decision/gateway/upstreamturn.h"
+#include "decision/gateway/hallposition.h"
 #include "seamarch/ids.h"
 #include "seamarch/units.h"
 
--- a/test/decision/gateway/upstreamturn_test.cpp
+++ b/test/decision/gateway/upstreamturn_test.cpp
@@ -2,7 +2,7 @@
 // chance and stay for an exponential time; each gateway fills the upstream that it has least at.
 // Thirty gateways before 26 upstreams with six places are a hall of the users' large deployment, in
 // which some 3.3 streams run at an upstream on average.
-#include "decision/gateway/upstreamturn.h"
+#include "decision/gateway/hallposition.h"
 
 #include <algorithm>
 #include <queue>
