--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -230,7 +230,7 @@
         return; // Said before the request got as far as the group.
     }
     ServiceLanes &lanes = serviceOf(request.service).lanes;
-    StreamLane &lane = lanes.lane(request.group);
+    GroupTracker &lane = lanes.lane(request.group);
     if (kind != AnswerKind::Full) {
         if (lane.onAnswer(now)) {
             lanes.beginAnew(request.group);
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -25,22 +25,23 @@
 // while those have no upstream.
 //
 // Streams are admitted by group, because the ranks of a group make every pass together and slow
-// down, stand still and break together: each group has a lane with a bound of its own (StreamLane).
-// A stream goes to a group of the own hall while that admits it, else to another group, and waits
-// only when none does. A lane whose group stands still, refuses or cannot be reached is avoided
-// while there is another, but for a request now and then that shows when it works again.
+// down, stand still and break together: each group has a lane with a bound of its own
+// (GroupTracker). A stream goes to a group of the own hall while that admits it, else to another
+// group, and waits only when none does. A lane whose group stands still, refuses or cannot be
+// reached is avoided while there is another, but for a request now and then that shows when it
+// works again.
 //
 // The class is a pure state machine: events and the time come in, actions go out, and the shell
 // around it (src/gateway) carries them out. Single-threaded.
 #pragma once
 
+#include "decision/gateway/groupselector.h"
 #include "decision/gateway/grouptable.h"
 #include "decision/gateway/permitissuer.h"
+#include "decision/gateway/requestageestimator.h"
 #include "decision/gateway/residency.h"
 #include "decision/gateway/routetable.h"
 #include "decision/gateway/sendpermits.h"
-#include "decision/gateway/groupselector.h"
-#include "decision/gateway/requestageestimator.h"
 #include "decision/gateway/streamqueue.h"
 #include "decision/gateway/upstreamchooser.h"
 #include "decision/gateway/upstreamlimits.h"
@@ -231,7 +232,7 @@
     std::uint32_t streams(const TargetName &service) const;
     double streamLimit(const TargetName &service) const;
     // Returns the lane of one group; nothing when no request has gone there.
-    const StreamLane *lane(const TargetName &service, const GroupId &group) const;
+    const GroupTracker *lane(const TargetName &service, const GroupId &group) const;
     std::uint64_t secondAttempts() const { return secondAttempts_; }
     // Returns the upstreams that rest, and until when.
     std::map<InstanceId, TimePoint> resting(TimePoint now) const { return chooser_.resting(now); }
@@ -286,7 +287,7 @@
     std::optional<InstanceId> chooseFor(const Request &request, const std::optional<GroupId> &group,
                                         TimePoint now);
     TargetName chooseService(const RouteRule &route);
-    StreamLane &laneOf(const Request &request);
+    GroupTracker &laneOf(const Request &request);
     bool startAttempt(RequestNumber number, Request &request, const std::optional<GroupId> &group,
                       TimePoint now, GatewayActions &actions);
     void startOrWait(RequestNumber number, Request &request, const std::optional<GroupId> &group,
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -98,7 +98,7 @@
     return state;
 }
 
-StreamLane &GatewayCore::laneOf(const Request &request)
+GroupTracker &GatewayCore::laneOf(const Request &request)
 {
     return serviceOf(request.service).lanes.lane(request.group);
 }
@@ -193,7 +193,7 @@
     return limit;
 }
 
-const StreamLane *GatewayCore::lane(const TargetName &service, const GroupId &group) const
+const GroupTracker *GatewayCore::lane(const TargetName &service, const GroupId &group) const
 {
     const auto found = services_.find(service);
     if (found == services_.end()) {
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -23,31 +23,31 @@
     });
     for (const auto &[id, group] : groups) {
         // A new gateway does not know at once how many share the groups with it.
-        if (StreamLane &known = lane(id); otherShare && !known.limiter().learned()) {
+        if (GroupTracker &known = lane(id); otherShare && !known.limiter().learned()) {
             begin(known, group);
         }
     }
 }
 
-StreamLane &ServiceLanes::lane(const GroupId &group)
+GroupTracker &ServiceLanes::lane(const GroupId &group)
 {
     const auto found = lanes_.find(group);
     if (found != lanes_.end()) {
         return found->second;
     }
-    StreamLane::Settings settings = settings_.lane;
+    GroupTracker::Settings settings = settings_.lane;
     const auto known = groups_->find(group);
     if (known != groups_->end() && !known->second.inOwnHall) {
         settings.streams.tooLong *= settings_.guestPart;
         settings.streams.comfortable *= settings_.guestPart;
         settings.streams.strain *= settings_.guestPart;
     }
-    StreamLane &added = lanes_.emplace(group, StreamLane(settings)).first->second;
+    GroupTracker &added = lanes_.emplace(group, GroupTracker(settings)).first->second;
     beginAnew(group);
     return added;
 }
 
-const StreamLane *ServiceLanes::find(const GroupId &group) const
+const GroupTracker *ServiceLanes::find(const GroupId &group) const
 {
     const auto found = lanes_.find(group);
     return found == lanes_.end() ? nullptr : &found->second;
@@ -55,7 +55,7 @@
 
 // Bounds the streams at a group by an even share of its slots, until pauses tell more. Those of a
 // group in one hall are for that hall's gateways; a guest begins with the least.
-void ServiceLanes::begin(StreamLane &lane, const UpstreamChooser::Group &group) const
+void ServiceLanes::begin(GroupTracker &lane, const UpstreamChooser::Group &group) const
 {
     if (group.slots <= 0.0) {
         return;
@@ -76,7 +76,7 @@
     }
 }
 
-ServiceLanes::Trouble ServiceLanes::troubleOf(const GroupId &group, const StreamLane &lane,
+ServiceLanes::Trouble ServiceLanes::troubleOf(const GroupId &group, const GroupTracker &lane,
                                               const GroupTable &table, TimePoint now) const
 {
     const auto known = groups_->find(group); // Its last upstream may have left.
@@ -96,7 +96,7 @@
 {
     std::vector<Option> options;
     for (const auto &[id, group] : *groups_) {
-        const StreamLane &lane = lanes_.at(id);
+        const GroupTracker &lane = lanes_.at(id);
         Option option;
         option.group = id;
         option.trouble = troubleOf(id, lane, table, now);
@@ -116,7 +116,7 @@
 // engines read makes all streams late that are being written: one that can still begin in time
 // later waits for passes that are short again, and one that is late already does no harm by
 // waiting.
-bool ServiceLanes::mayStart(const StreamLane &lane, const StreamQueue::Entry &entry,
+bool ServiceLanes::mayStart(const GroupTracker &lane, const StreamQueue::Entry &entry,
                             TimePoint now) const
 {
     if (!lane.limiter().admits(lane.inFlight())) {
@@ -135,7 +135,7 @@
                                                  const GroupTable &table, TimePoint now)
 {
     for (const Option &option : options) {
-        StreamLane &lane = lanes_.at(option.group);
+        GroupTracker &lane = lanes_.at(option.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
         const bool told = closed || table.outOfTouch(option.group, now);
@@ -163,7 +163,7 @@
         }
     }
     for (const Option &option : all) {
-        const StreamLane &lane = lanes_.at(option.group);
+        const GroupTracker &lane = lanes_.at(option.group);
         if (option.trouble != all.front().trouble) {
             return std::nullopt;
         }
@@ -187,7 +187,7 @@
         return std::nullopt;
     }
     for (const Option &option : all) {
-        const StreamLane &lane = lanes_.at(option.group);
+        const GroupTracker &lane = lanes_.at(option.group);
         if (option.trouble == all.front().trouble && lane.limiter().admits(lane.inFlight())) {
             return option.group;
         }
@@ -199,7 +199,7 @@
                                                  TimePoint now) const
 {
     for (const Option &option : options(table, now)) {
-        const StreamLane &lane = lanes_.at(option.group);
+        const GroupTracker &lane = lanes_.at(option.group);
         const bool works = option.group != from || lane.speaks(now);
         if (option.trouble == Trouble::None && works && lane.limiter().admits(lane.inFlight())) {
             return option.group;
@@ -218,7 +218,7 @@
 {
     bool soon = false;
     for (const auto &[id, group] : *groups_) {
-        const StreamLane &lane = lanes_.at(id);
+        const GroupTracker &lane = lanes_.at(id);
         const bool forms = lane.mayBeForming(now) || table.forming(id, now);
         if (!forms && !lane.refuses(now) && !table.closed(id, now)) {
             return false;
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -16,9 +16,9 @@
 
 #include "decision/gateway/grouptable.h"
 #include "decision/gateway/grouptracker.h"
+#include "decision/gateway/hallposition.h"
 #include "decision/gateway/streamqueue.h"
 #include "decision/gateway/upstreamchooser.h"
-#include "decision/gateway/hallposition.h"
 #include "seamarch/ids.h"
 #include "seamarch/units.h"
 
@@ -41,7 +41,7 @@
 public:
     struct Settings
     {
-        StreamLane::Settings lane;
+        GroupTracker::Settings lane;
         // The bound at a group of another hall falls and stops rising at this part of the pauses at
         // which that of the own hall does, so that a guest leaves before those at home must.
         double guestPart = 1.0;
@@ -67,9 +67,9 @@
                                        TimePoint now) const;
 
     // Returns the lane of a group; adds one.
-    StreamLane &lane(const GroupId &group);
-    const StreamLane *find(const GroupId &group) const;
-    const std::map<GroupId, StreamLane> &all() const { return lanes_; }
+    GroupTracker &lane(const GroupId &group);
+    const GroupTracker *find(const GroupId &group) const;
+    const std::map<GroupId, GroupTracker> &all() const { return lanes_; }
 
     // The group has answered after an outage, in which callers have queued: its bound begins anew.
     void beginAnew(const GroupId &group);
@@ -96,18 +96,18 @@
         std::size_t turn = 0;
     };
 
-    Trouble troubleOf(const GroupId &group, const StreamLane &lane, const GroupTable &table,
+    Trouble troubleOf(const GroupId &group, const GroupTracker &lane, const GroupTable &table,
                       TimePoint now) const;
     std::vector<Option> options(const GroupTable &table, TimePoint now) const;
     std::optional<GroupId> laneToProbe(const std::vector<Option> &options, const GroupTable &table,
                                        TimePoint now);
-    bool mayStart(const StreamLane &lane, const StreamQueue::Entry &entry, TimePoint now) const;
-    void begin(StreamLane &lane, const UpstreamChooser::Group &group) const;
+    bool mayStart(const GroupTracker &lane, const StreamQueue::Entry &entry, TimePoint now) const;
+    void begin(GroupTracker &lane, const UpstreamChooser::Group &group) const;
 
     Settings settings_;
     const UpstreamChooser::Groups *groups_ = nullptr;
     GatewayShare share_;
-    std::map<GroupId, StreamLane> lanes_;
+    std::map<GroupId, GroupTracker> lanes_;
 };
 
 } // namespace seamarch
--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -5,7 +5,7 @@
 
 namespace seamarch {
 
-void StreamLane::onSent(TimePoint now)
+void GroupTracker::onSent(TimePoint now)
 {
     if (inFlight_ == 0) {
         quietSince_ = now;
@@ -13,33 +13,33 @@
     ++inFlight_;
 }
 
-void StreamLane::onLeft(bool spoke)
+void GroupTracker::onLeft(bool spoke)
 {
     inFlight_ -= inFlight_ > 0 ? 1 : 0;
     speaking_ -= spoke && speaking_ > 0 ? 1 : 0;
 }
 
-void StreamLane::noteWord(TimePoint now)
+void GroupTracker::noteWord(TimePoint now)
 {
     quietSince_ = now;
     standsStill_ = false;
 }
 
-void StreamLane::onFirstEvent(TimePoint now)
+void GroupTracker::onFirstEvent(TimePoint now)
 {
     ran_ = true;
     ++speaking_;
     noteWord(now);
 }
 
-void StreamLane::onPause(Duration pause, Duration goal, TimePoint now)
+void GroupTracker::onPause(Duration pause, Duration goal, TimePoint now)
 {
     goal_ = goal > Duration{} ? goal : goal_;
     noteWord(now);
     limiter_.onPause(pause, goal, now);
 }
 
-bool StreamLane::onAnswer(TimePoint now)
+bool GroupTracker::onAnswer(TimePoint now)
 {
     unreachable_ = 0;
     ran_ = true;
@@ -47,7 +47,7 @@
     return since && now - *since >= settings_.outagePatience;
 }
 
-void StreamLane::onRefusal(TimePoint sentAt, TimePoint now)
+void GroupTracker::onRefusal(TimePoint sentAt, TimePoint now)
 {
     unreachable_ = 0;
     const bool stoodStill = now - sentAt >= settings_.lateRefusal;
@@ -59,13 +59,13 @@
     refusingSince_ = std::min(since, refusingSince_.value_or(since));
 }
 
-void StreamLane::onUnreachable(TimePoint now)
+void GroupTracker::onUnreachable(TimePoint now)
 {
     ++unreachable_;
     probedAt_ = now;
 }
 
-bool StreamLane::silent(TimePoint now) const
+bool GroupTracker::silent(TimePoint now) const
 {
     if (inFlight_ == 0) {
         return false;
@@ -76,23 +76,23 @@
     return now - quietSince_ >= patience;
 }
 
-void StreamLane::onTick(std::size_t waiting, TimePoint now)
+void GroupTracker::onTick(std::size_t waiting, TimePoint now)
 {
     standsStill_ = standsStill_ || silent(now);
     limiter_.onTick(inFlight_, waiting, now);
 }
 
-bool StreamLane::refuses(TimePoint now) const
+bool GroupTracker::refuses(TimePoint now) const
 {
     return refusingSince_ && now - *refusingSince_ >= settings_.outagePatience;
 }
 
-bool StreamLane::mayBeForming(TimePoint now) const
+bool GroupTracker::mayBeForming(TimePoint now) const
 {
     return !ran_ && refusedFirst_ && now - *refusedFirst_ < settings_.formingPatience;
 }
 
-bool StreamLane::probeDue(TimePoint now) const
+bool GroupTracker::probeDue(TimePoint now) const
 {
     if (standsStill_ && inFlight_ > 0) {
         return false;
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -18,7 +18,7 @@
 
 namespace seamarch {
 
-class StreamLane
+class GroupTracker
 {
 public:
     struct Settings
@@ -54,8 +54,8 @@
         Duration unreachableProbeGap = std::chrono::milliseconds(1000);
     };
 
-    StreamLane() = default;
-    explicit StreamLane(const Settings &settings)
+    GroupTracker() = default;
+    explicit GroupTracker(const Settings &settings)
         : settings_(settings)
         , limiter_(settings.streams)
     {}
--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -135,7 +135,7 @@
     flight.attemptSpeaks = false;
     flight.resuming = flight.headSent;
     const TargetName &service = action.upstream.service;
-    const StreamLane *lane = core_.lane(service, action.group);
+    const GroupTracker *lane = core_.lane(service, action.group);
     logLine(LogLevel::Info, "attempt.started",
             {{"id", flight.facts.requestId},
              {"attempt", action.attempt},
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -309,7 +309,7 @@
                 return;
             }
             --gateway.waiting;
-            StreamLane &lane = gateway.lanes->lane(*chosen);
+            GroupTracker &lane = gateway.lanes->lane(*chosen);
             lane.onSent(at(now));
             lane.onFirstEvent(at(now));
             constexpr int kStreamMillis = 1600; // Twenty passes of 80 ms.
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -18,7 +18,7 @@
 
 TEST_GROUP(StreamLaneTest)
 {
-    StreamLane lane{StreamLane::Settings()};
+    GroupTracker lane{GroupTracker::Settings()};
 
     // A stream that has sent two events, the last at `now`.
     void speak(int now)
