--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_GROUP(StreamLaneTest)
+TEST_GROUP(GroupTrackerTest)
 {
     GroupTracker lane{GroupTracker::Settings()};
 
@@ -43,20 +43,20 @@
 
 // A group that is held, or has lost a rank, sends no event at all, and refuses nothing for a second
 // and a half. Two goals of silence are some four passes.
-TEST(StreamLaneTest, SilenceOfTwoGoalsIsAStandstill)
+TEST(GroupTrackerTest, SilenceOfTwoGoalsIsAStandstill)
 {
     speak(1000);
     const int found = foundStandingBy(1000, 2000);
     CHECK_TEXT(found >= 1300 && found <= 1325, "expected it 300 ms after the last event");
 }
 
-TEST(StreamLaneTest, LongPassesAfterAShiftAreNoStandstill)
+TEST(GroupTrackerTest, LongPassesAfterAShiftAreNoStandstill)
 {
     speak(1000);
     CHECK_TEXT(foundStandingBy(1000, 1225) > 1225, "passes of 225 ms come right after a shift");
 }
 
-TEST(StreamLaneTest, OneEventEndsAStandstill)
+TEST(GroupTrackerTest, OneEventEndsAStandstill)
 {
     speak(1000);
     foundStandingBy(1000, 2000);
@@ -66,7 +66,7 @@
 
 // Callers leave a stream that says nothing for two seconds. That the lane is empty then does not
 // mean that the group works again.
-TEST(StreamLaneTest, StandstillOutlivesItsStreams)
+TEST(GroupTrackerTest, StandstillOutlivesItsStreams)
 {
     speak(1000);
     foundStandingBy(1000, 2000);
@@ -75,7 +75,7 @@
     CHECK_TRUE(lane.standsStill());
 }
 
-TEST(StreamLaneTest, LaneThatStandsStillIsTriedOnlyOnceNoStreamIsThere)
+TEST(GroupTrackerTest, LaneThatStandsStillIsTriedOnlyOnceNoStreamIsThere)
 {
     speak(1000);
     foundStandingBy(1000, 2000);
@@ -86,7 +86,7 @@
     CHECK_FALSE(lane.probeDue(at(5100)));
 }
 
-TEST(StreamLaneTest, StreamsThatNeverBeginAreAStandstill)
+TEST(GroupTrackerTest, StreamsThatNeverBeginAreAStandstill)
 {
     lane.onSent(at(0));
     CHECK_TEXT(foundStandingBy(0, 950) > 950, "a first event may take some passes");
@@ -94,12 +94,12 @@
     CHECK_TEXT(found <= 1025, "expected it a second after the stream was sent");
 }
 
-TEST(StreamLaneTest, EmptyLaneNeverStandsStill)
+TEST(GroupTrackerTest, EmptyLaneNeverStandsStill)
 {
     CHECK_TRUE(foundStandingBy(0, 5000) > 5000);
 }
 
-TEST(StreamLaneTest, RefusalsMeanSomethingOnceNothingElseCameForAWhile)
+TEST(GroupTrackerTest, RefusalsMeanSomethingOnceNothingElseCameForAWhile)
 {
     lane.onRefusal(at(0), at(5));
     CHECK_FALSE(lane.refuses(at(100)));
@@ -109,13 +109,13 @@
 }
 
 // A group that stood still refuses all at one moment.
-TEST(StreamLaneTest, LateRefusalMeansSomethingAtOnce)
+TEST(GroupTrackerTest, LateRefusalMeansSomethingAtOnce)
 {
     lane.onRefusal(at(0), at(1500));
     CHECK_TRUE(lane.refuses(at(1500)));
 }
 
-TEST(StreamLaneTest, TwoUpstreamsInARowThatCannotBeReachedMeanThatTheWayIsCut)
+TEST(GroupTrackerTest, TwoUpstreamsInARowThatCannotBeReachedMeanThatTheWayIsCut)
 {
     lane.onUnreachable(at(0));
     CHECK_FALSE(lane.unreachable());
