--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -229,7 +229,7 @@
     if (kind == AnswerKind::WrongInstance || kind == AnswerKind::Refused) {
         return; // Said before the request got as far as the group.
     }
-    ServiceLanes &lanes = serviceOf(request.service).lanes;
+    GroupSelector &lanes = serviceOf(request.service).lanes;
     GroupTracker &lane = lanes.lane(request.group);
     if (kind != AnswerKind::Full) {
         if (lane.onAnswer(now)) {
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -156,7 +156,7 @@
         std::uint32_t maxUnsent = 3;
         RetryLimits retries;
         UpstreamChooser::Settings choice; // Its hall is set from `hall`.
-        ServiceLanes::Settings lanes;
+        GroupSelector::Settings lanes;
         CrashRecord::Settings crashes;
         UpstreamLimits::Settings limits;
         // How long a request waits for a permit, when all that it could be sent to name limits:
@@ -271,11 +271,11 @@
     // The streams in flight at one service, by group, and those that wait.
     struct ServiceState
     {
-        explicit ServiceState(const ServiceLanes::Settings &settings)
+        explicit ServiceState(const GroupSelector::Settings &settings)
             : lanes(settings)
         {}
 
-        ServiceLanes lanes;
+        GroupSelector lanes;
         std::deque<TimePoint> started; // Of the streams of the last second.
         StreamQueue waiting;
         Duration firstEvent{}; // From an attempt's start, on average of late; zero: not known.
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void ServiceLanes::setGroups(const UpstreamChooser::Groups &groups, const GatewayShare &share)
+void GroupSelector::setGroups(const UpstreamChooser::Groups &groups, const GatewayShare &share)
 {
     const bool otherShare =
         share.gateways != share_.gateways || share.place.gateways != share_.place.gateways;
@@ -29,7 +29,7 @@
     }
 }
 
-GroupTracker &ServiceLanes::lane(const GroupId &group)
+GroupTracker &GroupSelector::lane(const GroupId &group)
 {
     const auto found = lanes_.find(group);
     if (found != lanes_.end()) {
@@ -47,7 +47,7 @@
     return added;
 }
 
-const GroupTracker *ServiceLanes::find(const GroupId &group) const
+const GroupTracker *GroupSelector::find(const GroupId &group) const
 {
     const auto found = lanes_.find(group);
     return found == lanes_.end() ? nullptr : &found->second;
@@ -55,7 +55,7 @@
 
 // Bounds the streams at a group by an even share of its slots, until pauses tell more. Those of a
 // group in one hall are for that hall's gateways; a guest begins with the least.
-void ServiceLanes::begin(GroupTracker &lane, const UpstreamChooser::Group &group) const
+void GroupSelector::begin(GroupTracker &lane, const UpstreamChooser::Group &group) const
 {
     if (group.slots <= 0.0) {
         return;
@@ -68,7 +68,7 @@
     lane.limiter().begin(group.slots, static_cast<double>(sharers));
 }
 
-void ServiceLanes::beginAnew(const GroupId &group)
+void GroupSelector::beginAnew(const GroupId &group)
 {
     const auto known = groups_->find(group);
     if (known != groups_->end()) {
@@ -76,8 +76,8 @@
     }
 }
 
-ServiceLanes::Trouble ServiceLanes::troubleOf(const GroupId &group, const GroupTracker &lane,
-                                              const GroupTable &table, TimePoint now) const
+GroupSelector::Trouble GroupSelector::troubleOf(const GroupId &group, const GroupTracker &lane,
+                                                const GroupTable &table, TimePoint now) const
 {
     const auto known = groups_->find(group); // Its last upstream may have left.
     const bool foreign = known == groups_->end() || !known->second.inOwnHall;
@@ -91,8 +91,8 @@
 }
 
 // Returns the lanes of groups that have upstreams, the best first.
-std::vector<ServiceLanes::Option> ServiceLanes::options(const GroupTable &table,
-                                                        TimePoint now) const
+std::vector<GroupSelector::Option> GroupSelector::options(const GroupTable &table,
+                                                          TimePoint now) const
 {
     std::vector<Option> options;
     for (const auto &[id, group] : *groups_) {
@@ -116,8 +116,8 @@
 // engines read makes all streams late that are being written: one that can still begin in time
 // later waits for passes that are short again, and one that is late already does no harm by
 // waiting.
-bool ServiceLanes::mayStart(const GroupTracker &lane, const StreamQueue::Entry &entry,
-                            TimePoint now) const
+bool GroupSelector::mayStart(const GroupTracker &lane, const StreamQueue::Entry &entry,
+                             TimePoint now) const
 {
     if (!lane.limiter().admits(lane.inFlight())) {
         return false;
@@ -131,8 +131,8 @@
 
 // Returns an avoided lane that is to be tried. One whose own agents say that it is closed is not:
 // they will say when it opens.
-std::optional<GroupId> ServiceLanes::laneToProbe(const std::vector<Option> &options,
-                                                 const GroupTable &table, TimePoint now)
+std::optional<GroupId> GroupSelector::laneToProbe(const std::vector<Option> &options,
+                                                  const GroupTable &table, TimePoint now)
 {
     for (const Option &option : options) {
         GroupTracker &lane = lanes_.at(option.group);
@@ -148,8 +148,8 @@
     return std::nullopt;
 }
 
-std::optional<GroupId> ServiceLanes::laneFor(const StreamQueue::Entry &entry,
-                                             const GroupTable &table, TimePoint now)
+std::optional<GroupId> GroupSelector::laneFor(const StreamQueue::Entry &entry,
+                                              const GroupTable &table, TimePoint now)
 {
     const std::vector<Option> all = options(table, now);
     if (all.empty()) {
@@ -180,7 +180,7 @@
     return std::nullopt;
 }
 
-std::optional<GroupId> ServiceLanes::laneForRetry(const GroupTable &table, TimePoint now) const
+std::optional<GroupId> GroupSelector::laneForRetry(const GroupTable &table, TimePoint now) const
 {
     const std::vector<Option> all = options(table, now);
     if (all.empty()) {
@@ -195,8 +195,8 @@
     return all.front().group;
 }
 
-std::optional<GroupId> ServiceLanes::laneForMove(const GroupId &from, const GroupTable &table,
-                                                 TimePoint now) const
+std::optional<GroupId> GroupSelector::laneForMove(const GroupId &from, const GroupTable &table,
+                                                  TimePoint now) const
 {
     for (const Option &option : options(table, now)) {
         const GroupTracker &lane = lanes_.at(option.group);
@@ -208,13 +208,13 @@
     return std::nullopt;
 }
 
-bool ServiceLanes::isOut(TimePoint now) const
+bool GroupSelector::isOut(TimePoint now) const
 {
     return std::all_of(groups_->begin(), groups_->end(),
                        [&](const auto &entry) { return lanes_.at(entry.first).refuses(now); });
 }
 
-bool ServiceLanes::opensSoon(const GroupTable &table, TimePoint now) const
+bool GroupSelector::opensSoon(const GroupTable &table, TimePoint now) const
 {
     bool soon = false;
     for (const auto &[id, group] : *groups_) {
@@ -228,7 +228,7 @@
     return soon;
 }
 
-void ServiceLanes::onTick(std::size_t waiting, const GroupTable &table, TimePoint now)
+void GroupSelector::onTick(std::size_t waiting, const GroupTable &table, TimePoint now)
 {
     for (auto &[id, lane] : lanes_) {
         // A bound that nothing meets, or at a group that is avoided, need not rise.
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -36,7 +36,7 @@
     HallPlace place;
 };
 
-class ServiceLanes
+class GroupSelector
 {
 public:
     struct Settings
@@ -47,7 +47,7 @@
         double guestPart = 1.0;
     };
 
-    explicit ServiceLanes(const Settings &settings)
+    explicit GroupSelector(const Settings &settings)
         : settings_(settings)
     {}
 
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -51,10 +51,10 @@
 
 TEST_GROUP(ServiceLanesTest)
 {
-    ServiceLanes::Settings settings;
+    GroupSelector::Settings settings;
     UpstreamChooser::Groups groups = groupsSeenFrom(0, 3);
     GroupTable table;
-    ServiceLanes lanes{settings};
+    GroupSelector lanes{settings};
 
     void setup() override
     {
@@ -222,7 +222,7 @@
             for (auto &[id, seen] : *gateway.groups) {
                 seen.slots = slotsOfAGroup;
             }
-            gateway.lanes = std::make_unique<ServiceLanes>(ServiceLanes::Settings());
+            gateway.lanes = std::make_unique<GroupSelector>(GroupSelector::Settings());
             const auto place = static_cast<std::size_t>(index / groups);
             const auto hallGateways = static_cast<std::size_t>(gateways / groups);
             gateway.lanes->setGroups(*gateway.groups,
@@ -281,7 +281,7 @@
     {
         int hall = 0;
         std::unique_ptr<UpstreamChooser::Groups> groups;
-        std::unique_ptr<ServiceLanes> lanes;
+        std::unique_ptr<GroupSelector> lanes;
         std::vector<Stream> streams;
         int waiting = 0;
     };
