--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_GROUP(ServiceLanesTest)
+TEST_GROUP(GroupSelectorTest)
 {
     GroupSelector::Settings settings;
     UpstreamChooser::Groups groups = groupsSeenFrom(0, 3);
@@ -86,12 +86,12 @@
     }
 };
 
-TEST(ServiceLanesTest, OwnHallsGroupComesFirst)
+TEST(GroupSelectorTest, OwnHallsGroupComesFirst)
 {
     CHECK_TRUE(send(0) == group(0));
 }
 
-TEST(ServiceLanesTest, WhatTheOwnBoundDoesNotAdmitGoesToAnotherGroup)
+TEST(GroupSelectorTest, WhatTheOwnBoundDoesNotAdmitGoesToAnotherGroup)
 {
     for (int count = 0; count < 10; ++count) {
         CHECK_TRUE(send(0) == group(0));
@@ -102,7 +102,7 @@
 }
 
 // One group is held, cut or has lost a rank: what it would have got goes to the two others.
-TEST(ServiceLanesTest, GroupThatStandsStillGetsNothingWhileAnotherWorks)
+TEST(GroupSelectorTest, GroupThatStandsStillGetsNothingWhileAnotherWorks)
 {
     stopGroup(group(0), 2000);
     for (int count = 0; count < 6; ++count) {
@@ -111,7 +111,7 @@
     }
 }
 
-TEST(ServiceLanesTest, RefusingGroupIsTriedWithOneStreamNowAndThen)
+TEST(GroupSelectorTest, RefusingGroupIsTriedWithOneStreamNowAndThen)
 {
     lanes.lane(group(0)).onRefusal(at(0), at(1500));
     int tries = 0;
@@ -127,7 +127,7 @@
     CHECK_TEXT(tries >= 3 && tries <= 5, "expected a try each quarter of a second");
 }
 
-TEST(ServiceLanesTest, GroupThatItsAgentsCallClosedIsNotTriedAtAll)
+TEST(GroupSelectorTest, GroupThatItsAgentsCallClosedIsNotTriedAtAll)
 {
     GroupFacts closed;
     closed.group = group(0);
@@ -141,7 +141,7 @@
 
 // A hall that is cut off cannot be heard; a stream sent there would be silent until its caller
 // leaves.
-TEST(ServiceLanesTest, GroupOutOfTouchInAnotherHallIsAvoided)
+TEST(GroupSelectorTest, GroupOutOfTouchInAnotherHallIsAvoided)
 {
     GroupFacts facts;
     for (const int number : {0, 1, 2}) {
@@ -156,7 +156,7 @@
     }
 }
 
-TEST(ServiceLanesTest, WhenAllGroupsAreInTroubleTheBoundsAloneDecide)
+TEST(GroupSelectorTest, WhenAllGroupsAreInTroubleTheBoundsAloneDecide)
 {
     for (const int number : {0, 1, 2}) {
         stopGroup(group(number), 2000);
@@ -166,7 +166,7 @@
 
 // After a shift of demand passes are long in every group. A stream that left its own group for
 // that would bring a prompt into passes that the gateways of the other hall hold theirs back from.
-TEST(ServiceLanesTest, StreamWaitsAtHomeWhilePassesAreNearTheGoal)
+TEST(GroupSelectorTest, StreamWaitsAtHomeWhilePassesAreNearTheGoal)
 {
     for (int count = 0; count < 4; ++count) {
         send(0);
@@ -175,7 +175,7 @@
     CHECK_FALSE(send(20).has_value());
 }
 
-TEST(ServiceLanesTest, LaneOfAGroupWhoseUpstreamsAreGoneEndsWithItsStreams)
+TEST(GroupSelectorTest, LaneOfAGroupWhoseUpstreamsAreGoneEndsWithItsStreams)
 {
     lanes.lane(group(2)).onSent(at(0));
     const UpstreamChooser::Groups fewer = groupsSeenFrom(0, 2);
@@ -187,7 +187,7 @@
     CHECK_TRUE(lanes.find(group(2)) == nullptr);
 }
 
-TEST(ServiceLanesTest, ServiceIsOutOnlyWhenEveryGroupRefuses)
+TEST(GroupSelectorTest, ServiceIsOutOnlyWhenEveryGroupRefuses)
 {
     lanes.lane(group(0)).onRefusal(at(0), at(1500));
     lanes.lane(group(1)).onRefusal(at(0), at(1500));
@@ -196,7 +196,7 @@
     CHECK_TRUE(lanes.isOut(at(1500)));
 }
 
-TEST(ServiceLanesTest, RetryGoesToAGroupThatWorksWhateverTheBounds)
+TEST(GroupSelectorTest, RetryGoesToAGroupThatWorksWhateverTheBounds)
 {
     stopGroup(group(0), 2000);
     const auto chosen = lanes.laneForRetry(table, at(2000));
@@ -329,7 +329,7 @@
 // The pattern: one of several groups falls out, and all gateways of its hall look for another at
 // the same moment. The others have room for it in sum, so nobody should wait for long, and no group
 // should be taken far over its slots, where every stream of it is late.
-TEST(ServiceLanesTest, FallenGroupDoesNotTipTheNextOneOver)
+TEST(GroupSelectorTest, FallenGroupDoesNotTipTheNextOneOver)
 {
     struct Case
     {
