--- a/src/decision/gateway/requestageestimator.cpp
+++ b/src/decision/gateway/requestageestimator.cpp
@@ -15,12 +15,12 @@
 
 } // namespace
 
-bool StatedWaits::isFirstTry(std::uint32_t count) const
+bool RequestAgeEstimator::isFirstTry(std::uint32_t count) const
 {
     return count >= kLeastCount && count >= all_ / kLeastPart;
 }
 
-void StatedWaits::note(Duration stated)
+void RequestAgeEstimator::note(Duration stated)
 {
     ++counts_[stated];
     ++all_;
@@ -35,7 +35,7 @@
     std::erase_if(counts_, [](const auto &entry) { return entry.second == 0; });
 }
 
-Duration StatedWaits::sinceFirstTry(Duration stated)
+Duration RequestAgeEstimator::sinceFirstTry(Duration stated)
 {
     note(stated);
     const auto first = std::find_if(counts_.lower_bound(stated), counts_.end(),
--- a/src/decision/gateway/requestageestimator.h
+++ b/src/decision/gateway/requestageestimator.h
@@ -16,7 +16,7 @@
 
 namespace seamarch {
 
-class StatedWaits
+class RequestAgeEstimator
 {
 public:
     // Notes what a caller states, and returns how long ago it first asked.
--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -15,7 +15,7 @@
 
 TEST_GROUP(StatedWaitsTest)
 {
-    StatedWaits waits;
+    RequestAgeEstimator waits;
 
     void note(int stated, int times)
     {
