--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_GROUP(StatedWaitsTest)
+TEST_GROUP(RequestAgeEstimatorTest)
 {
     RequestAgeEstimator waits;
 
@@ -25,20 +25,20 @@
     }
 };
 
-TEST(StatedWaitsTest, FirstTriesAreSaidToBeNew)
+TEST(RequestAgeEstimatorTest, FirstTriesAreSaidToBeNew)
 {
     note(8000, 10);
     CHECK_TRUE(waits.sinceFirstTry(millis(8000)) == Duration{});
 }
 
-TEST(StatedWaitsTest, WhatIsMissingFromAUsualTimeHasPassed)
+TEST(RequestAgeEstimatorTest, WhatIsMissingFromAUsualTimeHasPassed)
 {
     note(8000, 10);
     CHECK_TRUE(waits.sinceFirstTry(millis(5400)) == millis(2600));
 }
 
 // A single caller must not make all others look late.
-TEST(StatedWaitsTest, OneLongTimeChangesNothing)
+TEST(RequestAgeEstimatorTest, OneLongTimeChangesNothing)
 {
     note(8000, 10);
     note(60'000, 1);
@@ -46,7 +46,7 @@
     CHECK_TRUE(waits.sinceFirstTry(millis(5400)) == millis(2600));
 }
 
-TEST(StatedWaitsTest, TellsCallersOfTwoHabitsApart)
+TEST(RequestAgeEstimatorTest, TellsCallersOfTwoHabitsApart)
 {
     for (int count = 0; count < 10; ++count) {
         note(8000, 1);
@@ -56,14 +56,14 @@
     CHECK_TRUE(waits.sinceFirstTry(millis(11'000)) == millis(1000));
 }
 
-TEST(StatedWaitsTest, WhereNoTimeRepeatsAllAreFirstTries)
+TEST(RequestAgeEstimatorTest, WhereNoTimeRepeatsAllAreFirstTries)
 {
     for (int stated = 1000; stated < 9000; stated += 7) {
         CHECK_TRUE(waits.sinceFirstTry(millis(stated)) == Duration{});
     }
 }
 
-TEST(StatedWaitsTest, ManySecondTriesDoNotHideTheFirst)
+TEST(RequestAgeEstimatorTest, ManySecondTriesDoNotHideTheFirst)
 {
     note(8000, 50);
     for (int stated = 4000; stated < 6000; stated += 3) {
