--- a/src/decision/gateway/eventsplitter.cpp
+++ b/src/decision/gateway/eventsplitter.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::string EventStream::feed(std::string_view bytes)
+std::string EventSplitter::feed(std::string_view bytes)
 {
     partial_.append(bytes);
     std::size_t done = 0;
@@ -40,7 +40,7 @@
     return whole;
 }
 
-void EventStream::takeEvent(std::string_view event)
+void EventSplitter::takeEvent(std::string_view event)
 {
     constexpr std::string_view kId = "id:";
     ++events_;
--- a/src/decision/gateway/eventsplitter.h
+++ b/src/decision/gateway/eventsplitter.h
@@ -13,7 +13,7 @@
 
 namespace seamarch {
 
-class EventStream
+class EventSplitter
 {
 public:
     // Takes bytes and returns the whole events that they complete, as they were written.
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -90,7 +90,7 @@
         bool headSent = false;
         bool attemptSpeaks = false; // The attempt under way has sent an event.
         bool resuming = false;      // Events follow those of an earlier attempt.
-        EventStream events;
+        EventSplitter events;
         TimePoint startedAt{};
         TimePoint firstEventAt{};
         TimePoint lastEventAt{};
--- a/test/decision/gateway/eventsplitter_test.cpp
+++ b/test/decision/gateway/eventsplitter_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(EventStreamTest)
 {
-    EventStream stream;
+    EventSplitter stream;
 };
 
 TEST(EventStreamTest, PassesOnlyWholeEvents)
