--- a/test/decision/gateway/eventsplitter_test.cpp
+++ b/test/decision/gateway/eventsplitter_test.cpp
@@ -4,12 +4,12 @@
 
 using namespace seamarch;
 
-TEST_GROUP(EventStreamTest)
+TEST_GROUP(EventSplitterTest)
 {
     EventSplitter stream;
 };
 
-TEST(EventStreamTest, PassesOnlyWholeEvents)
+TEST(EventSplitterTest, PassesOnlyWholeEvents)
 {
     STRCMP_EQUAL("", stream.feed("id: 1\ndata: a").c_str());
     STRCMP_EQUAL("id: 1\ndata: a\n\n", stream.feed("\n\nid: 2\n").c_str());
@@ -17,7 +17,7 @@
     CHECK_TRUE(stream.hasPartial());
 }
 
-TEST(EventStreamTest, SplitsAtEveryByte)
+TEST(EventSplitterTest, SplitsAtEveryByte)
 {
     const std::string text = "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n";
     std::string passed;
@@ -29,14 +29,14 @@
     STRCMP_EQUAL("2", stream.lastId().c_str());
 }
 
-TEST(EventStreamTest, ForgetsATornEvent)
+TEST(EventSplitterTest, ForgetsATornEvent)
 {
     stream.feed("id: 1\ndata: a\n\nid: 2\nda");
     stream.dropPartial();
     STRCMP_EQUAL("id: 2\ndata: b\n\n", stream.feed("id: 2\ndata: b\n\n").c_str());
 }
 
-TEST(EventStreamTest, LastIdInAnEventCounts)
+TEST(EventSplitterTest, LastIdInAnEventCounts)
 {
     stream.feed("data: x\nid: 7\n\ndata: no id\n\n");
     STRCMP_EQUAL("7", stream.lastId().c_str());
