--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -62,7 +62,7 @@
     }
 }
 
-void GatewayCore::setPlace(const HallPlace &place)
+void GatewayCore::setPlace(const HallPosition &place)
 {
     place_ = place;
     chooser_.setPlace(place);
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -182,7 +182,7 @@
     // Takes how many gateways share the upstreams, this one among them.
     void setGateways(std::size_t count);
     // Takes where this gateway stands among those of its hall.
-    void setPlace(const HallPlace &place);
+    void setPlace(const HallPosition &place);
     void setRetryLimits(const RetryLimits &limits);
 
     UpstreamTable &upstreams() { return upstreams_; }
@@ -336,7 +336,7 @@
     std::unordered_map<std::string, RequestAgeEstimator> statedWaits_; // By the route's name.
     std::unordered_map<RequestNumber, Request> requests_;
     std::size_t gateways_ = 1;
-    HallPlace place_;
+    HallPosition place_;
     RequestNumber nextNumber_ = 1;
     std::uint64_t secondAttempts_ = 0;
 };
--- a/src/decision/gateway/hallposition.h
+++ b/src/decision/gateway/hallposition.h
@@ -16,7 +16,7 @@
 namespace seamarch {
 
 // Where a gateway stands among those of its hall.
-struct HallPlace
+struct HallPosition
 {
     std::size_t index = 0;
     std::size_t gateways = 1;
@@ -24,6 +24,6 @@
 
 // Returns the turn of the upstream at `index` of a hall's `upstreams` in the order of the gateway;
 // zero is the first. `upstreams` is not zero.
-std::size_t upstreamTurn(std::size_t index, std::size_t upstreams, const HallPlace &place);
+std::size_t upstreamTurn(std::size_t index, std::size_t upstreams, const HallPosition &place);
 
 } // namespace seamarch
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -25,11 +25,11 @@
 #pragma once
 
 #include "decision/gateway/grouptable.h"
+#include "decision/gateway/hallposition.h"
 #include "decision/gateway/residency.h"
 #include "decision/gateway/sendpermits.h"
 #include "decision/gateway/upstreamlimits.h"
 #include "decision/gateway/upstreamtable.h"
-#include "decision/gateway/hallposition.h"
 #include "decision/gateway/warmuplimits.h"
 #include "decision/retry/outlierdetector.h"
 #include "seamarch/ids.h"
@@ -86,7 +86,7 @@
                     const WarmUpLimits &warmUps, SendPermits &permits);
 
     // Takes where this gateway stands among those of its hall.
-    void setPlace(const HallPlace &place) { place_ = place; }
+    void setPlace(const HallPosition &place) { place_ = place; }
 
     // Returns the groups of `service` that have upstreams. Valid until a table changes.
     const Groups &groupsOf(const TargetName &service);
@@ -177,7 +177,7 @@
     const WarmUpLimits &warmUps_;
     SendPermits &permits_;
     OutlierDetector outliers_;
-    HallPlace place_;
+    HallPosition place_;
     std::unordered_map<InstanceId, State> states_;
     std::unordered_map<TargetName, Grouped> grouped_;
 };
--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -166,10 +166,10 @@
     return halls;
 }
 
-HallPlace GatewayDirectory::place() const
+HallPosition GatewayDirectory::place() const
 {
     const Place own = placeOf(self_.id);
-    HallPlace place;
+    HallPosition place;
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall) {
             ++place.gateways;
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -102,7 +102,7 @@
     // Returns the halls that other gateways are in.
     std::set<HallId> halls() const;
     // Returns how many gateways of the own hall come before this one, and how many there are.
-    HallPlace place() const;
+    HallPosition place() const;
     // Returns another gateway than this one and `besides`, a different one with each call, those
     // that are passed over last.
     std::optional<InstanceId> another(const InstanceId &besides, TimePoint now);
--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -52,7 +52,7 @@
             --all[running.top().upstream];
         }
         const std::size_t gateway = anyGateway(random);
-        const HallPlace place{gateway, hall.gateways};
+        const HallPosition place{gateway, hall.gateways};
         const std::size_t chance = anyGateway(random);
         const auto order = [&](std::size_t upstream) {
             const std::size_t turn = byTurns
