--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -64,7 +64,7 @@
     Turns turns;
     for (const auto &[hall, ids] : halls) {
         for (std::size_t index = 0; index < ids.size(); ++index) {
-            const auto turn = static_cast<double>(upstreamTurn(index, ids.size(), place_));
+            const auto turn = static_cast<double>(fillPosition(index, ids.size(), place_));
             turns.emplace(ids[index], turn / static_cast<double>(ids.size()));
         }
     }
--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -56,7 +56,7 @@
         const std::size_t chance = anyGateway(random);
         const auto order = [&](std::size_t upstream) {
             const std::size_t turn = byTurns
-                                         ? upstreamTurn(upstream, hall.upstreams, place)
+                                         ? fillPosition(upstream, hall.upstreams, place)
                                          : (upstream * 7919 + chance * 104'729 + count * 31) % 1009;
             return std::pair(own[gateway][upstream], turn);
         };
@@ -80,7 +80,7 @@
 {
     std::vector<bool> seen(26, false);
     for (std::size_t index = 0; index < seen.size(); ++index) {
-        seen[upstreamTurn(index, seen.size(), {17, 30})] = true;
+        seen[fillPosition(index, seen.size(), {17, 30})] = true;
     }
     CHECK_TRUE(std::all_of(seen.begin(), seen.end(), [](bool found) { return found; }));
 }
@@ -91,7 +91,7 @@
     std::vector<int> begins(10, 0);
     for (std::size_t gateway = 0; gateway < kGateways; ++gateway) {
         for (std::size_t index = 0; index < begins.size(); ++index) {
-            begins[index] += upstreamTurn(index, begins.size(), {gateway, kGateways}) == 0 ? 1 : 0;
+            begins[index] += fillPosition(index, begins.size(), {gateway, kGateways}) == 0 ? 1 : 0;
         }
     }
     CHECK_TRUE(begins == std::vector<int>(10, 3));
