--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -74,9 +74,9 @@
 
 } // namespace
 
-TEST_GROUP(UpstreamTurnTest){};
+TEST_GROUP(HallPositionTest){};
 
-TEST(UpstreamTurnTest, EachUpstreamHasOneTurn)
+TEST(HallPositionTest, EachUpstreamHasOneTurn)
 {
     std::vector<bool> seen(26, false);
     for (std::size_t index = 0; index < seen.size(); ++index) {
@@ -85,7 +85,7 @@
     CHECK_TRUE(std::all_of(seen.begin(), seen.end(), [](bool found) { return found; }));
 }
 
-TEST(UpstreamTurnTest, AsManyGatewaysBeginAtEachUpstream)
+TEST(HallPositionTest, AsManyGatewaysBeginAtEachUpstream)
 {
     constexpr std::size_t kGateways = 30;
     std::vector<int> begins(10, 0);
@@ -97,7 +97,7 @@
     CHECK_TRUE(begins == std::vector<int>(10, 3));
 }
 
-TEST(UpstreamTurnTest, FewerStreamsMeetAFullUpstreamInALargeHall)
+TEST(HallPositionTest, FewerStreamsMeetAFullUpstreamInALargeHall)
 {
     const Hall hall{30, 26, 6, 3.3};
     const double byChance = partAtFullUpstreams(hall, false);
@@ -106,7 +106,7 @@
     CHECK_TEXT(byTurns < byChance / 3.0, "turns must spare most streams a full upstream");
 }
 
-TEST(UpstreamTurnTest, NoWorseAtOtherSizes)
+TEST(HallPositionTest, NoWorseAtOtherSizes)
 {
     for (const Hall &hall : {Hall{3, 4, 12, 7.0}, Hall{14, 8, 12, 7.0}, Hall{68, 64, 6, 3.3}}) {
         CHECK_TRUE(partAtFullUpstreams(hall, true) <= partAtFullUpstreams(hall, false) + 0.01);
