--- a/src/decision/gateway/requestageestimator.cpp
+++ b/src/decision/gateway/requestageestimator.cpp
@@ -35,7 +35,7 @@
     std::erase_if(counts_, [](const auto &entry) { return entry.second == 0; });
 }
 
-Duration RequestAgeEstimator::sinceFirstTry(Duration stated)
+Duration RequestAgeEstimator::estimateAge(Duration stated)
 {
     note(stated);
     const auto first = std::find_if(counts_.lower_bound(stated), counts_.end(),
--- a/src/decision/gateway/requestageestimator.h
+++ b/src/decision/gateway/requestageestimator.h
@@ -20,7 +20,7 @@
 {
 public:
     // Notes what a caller states, and returns how long ago it first asked.
-    Duration sinceFirstTry(Duration stated);
+    Duration estimateAge(Duration stated);
 
 private:
     void note(Duration stated);
