--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -333,7 +333,7 @@
     std::uint64_t crashesSeen_ = 0; // The state of the record that requests were held against.
     std::unordered_map<TargetName, RetryBudget> budgets_;
     std::unordered_map<TargetName, ServiceState> services_;
-    std::unordered_map<std::string, RequestAgeEstimator> statedWaits_; // By the route's name.
+    std::unordered_map<std::string, RequestAgeEstimator> ageEstimators_; // By the route's name.
     std::unordered_map<RequestNumber, Request> requests_;
     std::size_t gateways_ = 1;
     HallPosition place_;
