--- a/src/decision/gateway/requestageestimator.cpp
+++ b/src/decision/gateway/requestageestimator.cpp
@@ -20,7 +20,7 @@
     return count >= kLeastCount && count >= all_ / kLeastPart;
 }
 
-void RequestAgeEstimator::note(Duration stated)
+void RequestAgeEstimator::recordSample(Duration stated)
 {
     ++counts_[stated];
     ++all_;
@@ -37,7 +37,7 @@
 
 Duration RequestAgeEstimator::estimateAge(Duration stated)
 {
-    note(stated);
+    recordSample(stated);
     const auto first = std::find_if(counts_.lower_bound(stated), counts_.end(),
                                     [this](const auto &entry) { return isFirstTry(entry.second); });
     return first == counts_.end() ? Duration{} : first->first - stated;
--- a/src/decision/gateway/requestageestimator.h
+++ b/src/decision/gateway/requestageestimator.h
@@ -23,7 +23,7 @@
     Duration estimateAge(Duration stated);
 
 private:
-    void note(Duration stated);
+    void recordSample(Duration stated);
     bool isFirstTry(std::uint32_t count) const;
 
     std::map<Duration, std::uint32_t> counts_; // By stated time.
