--- a/src/decision/gateway/requestageestimator.cpp
+++ b/src/decision/gateway/requestageestimator.cpp
@@ -20,9 +20,9 @@
     return count >= kLeastCount && count >= all_ / kLeastPart;
 }
 
-void RequestAgeEstimator::recordSample(Duration stated)
+void RequestAgeEstimator::recordSample(Duration deadline)
 {
-    ++counts_[stated];
+    ++counts_[deadline];
     ++all_;
     if (counts_.size() <= kMostTimes) {
         return;
@@ -35,12 +35,12 @@
     std::erase_if(counts_, [](const auto &entry) { return entry.second == 0; });
 }
 
-Duration RequestAgeEstimator::estimateAge(Duration stated)
+Duration RequestAgeEstimator::estimateAge(Duration deadline)
 {
-    recordSample(stated);
-    const auto first = std::find_if(counts_.lower_bound(stated), counts_.end(),
+    recordSample(deadline);
+    const auto first = std::find_if(counts_.lower_bound(deadline), counts_.end(),
                                     [this](const auto &entry) { return isFirstTry(entry.second); });
-    return first == counts_.end() ? Duration{} : first->first - stated;
+    return first == counts_.end() ? Duration{} : first->first - deadline;
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/requestageestimator.h
+++ b/src/decision/gateway/requestageestimator.h
@@ -20,10 +20,10 @@
 {
 public:
     // Notes what a caller states, and returns how long ago it first asked.
-    Duration estimateAge(Duration stated);
+    Duration estimateAge(Duration deadline);
 
 private:
-    void recordSample(Duration stated);
+    void recordSample(Duration deadline);
     bool isFirstTry(std::uint32_t count) const;
 
     std::map<Duration, std::uint32_t> counts_; // By stated time.
