--- a/src/decision/gateway/requestageestimator.cpp
+++ b/src/decision/gateway/requestageestimator.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-bool RequestAgeEstimator::isFirstTry(std::uint32_t count) const
+bool RequestAgeEstimator::isInitialDeadline(std::uint32_t count) const
 {
     return count >= kLeastCount && count >= all_ / kLeastPart;
 }
@@ -38,8 +38,9 @@
 Duration RequestAgeEstimator::estimateAge(Duration deadline)
 {
     recordSample(deadline);
-    const auto first = std::find_if(counts_.lower_bound(deadline), counts_.end(),
-                                    [this](const auto &entry) { return isFirstTry(entry.second); });
+    const auto first =
+        std::find_if(counts_.lower_bound(deadline), counts_.end(),
+                     [this](const auto &entry) { return isInitialDeadline(entry.second); });
     return first == counts_.end() ? Duration{} : first->first - deadline;
 }
 
--- a/src/decision/gateway/requestageestimator.h
+++ b/src/decision/gateway/requestageestimator.h
@@ -24,7 +24,7 @@
 
 private:
     void recordSample(Duration deadline);
-    bool isFirstTry(std::uint32_t count) const;
+    bool isInitialDeadline(std::uint32_t count) const;
 
     std::map<Duration, std::uint32_t> counts_; // By stated time.
     std::uint32_t all_ = 0;
