--- a/src/decision/gateway/requestageestimator.cpp
+++ b/src/decision/gateway/requestageestimator.cpp
@@ -8,7 +8,7 @@
 // A time counts as that of a first try from this part of all stated ones on, and when it has come
 // several times: in a second of refusals most requests may be second tries, each with a time of its
 // own.
-constexpr std::uint32_t kLeastPart = 20;
+constexpr std::uint32_t kMinShareDivisor = 20;
 constexpr std::uint32_t kLeastCount = 3;
 // Bounds the memory, and lets old habits fade.
 constexpr std::size_t kMostTimes = 200;
@@ -17,7 +17,7 @@
 
 bool RequestAgeEstimator::isInitialDeadline(std::uint32_t count) const
 {
-    return count >= kLeastCount && count >= all_ / kLeastPart;
+    return count >= kLeastCount && count >= all_ / kMinShareDivisor;
 }
 
 void RequestAgeEstimator::recordSample(Duration deadline)
