--- a/src/decision/gateway/requestageestimator.cpp
+++ b/src/decision/gateway/requestageestimator.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint32_t kMinShareDivisor = 20;
 constexpr std::uint32_t kMinCount = 3;
 // Bounds the memory, and lets old habits fade.
-constexpr std::size_t kMostTimes = 200;
+constexpr std::size_t kMaxDeadlines = 200;
 
 } // namespace
 
@@ -24,7 +24,7 @@
 {
     ++counts_[deadline];
     ++all_;
-    if (counts_.size() <= kMostTimes) {
+    if (counts_.size() <= kMaxDeadlines) {
         return;
     }
     all_ = 0;
