--- a/src/decision/gateway/requestageestimator.cpp
+++ b/src/decision/gateway/requestageestimator.cpp
@@ -17,20 +17,20 @@
 
 bool RequestAgeEstimator::isInitialDeadline(std::uint32_t count) const
 {
-    return count >= kMinCount && count >= all_ / kMinShareDivisor;
+    return count >= kMinCount && count >= total_ / kMinShareDivisor;
 }
 
 void RequestAgeEstimator::recordSample(Duration deadline)
 {
     ++counts_[deadline];
-    ++all_;
+    ++total_;
     if (counts_.size() <= kMaxDeadlines) {
         return;
     }
-    all_ = 0;
+    total_ = 0;
     for (auto &[time, count] : counts_) {
         count /= 2;
-        all_ += count;
+        total_ += count;
     }
     std::erase_if(counts_, [](const auto &entry) { return entry.second == 0; });
 }
--- a/src/decision/gateway/requestageestimator.h
+++ b/src/decision/gateway/requestageestimator.h
@@ -27,7 +27,7 @@
     bool isInitialDeadline(std::uint32_t count) const;
 
     std::map<Duration, std::uint32_t> counts_; // By stated time.
-    std::uint32_t all_ = 0;
+    std::uint32_t total_ = 0;
 };
 
 } // namespace seamarch
