--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -15,12 +15,12 @@
 
 TEST_GROUP(RequestAgeEstimatorTest)
 {
-    RequestAgeEstimator waits;
+    RequestAgeEstimator estimator;
 
     void note(int stated, int times)
     {
         for (int count = 0; count < times; ++count) {
-            waits.estimateAge(millis(stated));
+            estimator.estimateAge(millis(stated));
         }
     }
 };
@@ -28,13 +28,13 @@
 TEST(RequestAgeEstimatorTest, FirstTriesAreSaidToBeNew)
 {
     note(8000, 10);
-    CHECK_TRUE(waits.estimateAge(millis(8000)) == Duration{});
+    CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
 }
 
 TEST(RequestAgeEstimatorTest, WhatIsMissingFromAUsualTimeHasPassed)
 {
     note(8000, 10);
-    CHECK_TRUE(waits.estimateAge(millis(5400)) == millis(2600));
+    CHECK_TRUE(estimator.estimateAge(millis(5400)) == millis(2600));
 }
 
 // A single caller must not make all others look late.
@@ -42,8 +42,8 @@
 {
     note(8000, 10);
     note(60'000, 1);
-    CHECK_TRUE(waits.estimateAge(millis(8000)) == Duration{});
-    CHECK_TRUE(waits.estimateAge(millis(5400)) == millis(2600));
+    CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
+    CHECK_TRUE(estimator.estimateAge(millis(5400)) == millis(2600));
 }
 
 TEST(RequestAgeEstimatorTest, TellsCallersOfTwoHabitsApart)
@@ -52,14 +52,14 @@
         note(8000, 1);
         note(12'000, 1);
     }
-    CHECK_TRUE(waits.estimateAge(millis(8000)) == Duration{});
-    CHECK_TRUE(waits.estimateAge(millis(11'000)) == millis(1000));
+    CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
+    CHECK_TRUE(estimator.estimateAge(millis(11'000)) == millis(1000));
 }
 
 TEST(RequestAgeEstimatorTest, WhereNoTimeRepeatsAllAreFirstTries)
 {
     for (int stated = 1000; stated < 9000; stated += 7) {
-        CHECK_TRUE(waits.estimateAge(millis(stated)) == Duration{});
+        CHECK_TRUE(estimator.estimateAge(millis(stated)) == Duration{});
     }
 }
 
@@ -67,9 +67,9 @@
 {
     note(8000, 50);
     for (int stated = 4000; stated < 6000; stated += 3) {
-        waits.estimateAge(millis(stated));
+        estimator.estimateAge(millis(stated));
         note(8000, stated % 2);
     }
-    CHECK_TRUE(waits.estimateAge(millis(8000)) == Duration{});
-    CHECK_TRUE(waits.estimateAge(millis(5001)) == millis(2999));
+    CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
+    CHECK_TRUE(estimator.estimateAge(millis(5001)) == millis(2999));
 }
