--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -17,7 +17,7 @@
 {
     RequestAgeEstimator estimator;
 
-    void note(int stated, int times)
+    void observe(int stated, int times)
     {
         for (int count = 0; count < times; ++count) {
             estimator.estimateAge(millis(stated));
@@ -27,21 +27,21 @@
 
 TEST(RequestAgeEstimatorTest, FirstTriesAreSaidToBeNew)
 {
-    note(8000, 10);
+    observe(8000, 10);
     CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
 }
 
 TEST(RequestAgeEstimatorTest, WhatIsMissingFromAUsualTimeHasPassed)
 {
-    note(8000, 10);
+    observe(8000, 10);
     CHECK_TRUE(estimator.estimateAge(millis(5400)) == millis(2600));
 }
 
 // A single caller must not make all others look late.
 TEST(RequestAgeEstimatorTest, OneLongTimeChangesNothing)
 {
-    note(8000, 10);
-    note(60'000, 1);
+    observe(8000, 10);
+    observe(60'000, 1);
     CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
     CHECK_TRUE(estimator.estimateAge(millis(5400)) == millis(2600));
 }
@@ -49,8 +49,8 @@
 TEST(RequestAgeEstimatorTest, TellsCallersOfTwoHabitsApart)
 {
     for (int count = 0; count < 10; ++count) {
-        note(8000, 1);
-        note(12'000, 1);
+        observe(8000, 1);
+        observe(12'000, 1);
     }
     CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
     CHECK_TRUE(estimator.estimateAge(millis(11'000)) == millis(1000));
@@ -65,10 +65,10 @@
 
 TEST(RequestAgeEstimatorTest, ManySecondTriesDoNotHideTheFirst)
 {
-    note(8000, 50);
+    observe(8000, 50);
     for (int stated = 4000; stated < 6000; stated += 3) {
         estimator.estimateAge(millis(stated));
-        note(8000, stated % 2);
+        observe(8000, stated % 2);
     }
     CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
     CHECK_TRUE(estimator.estimateAge(millis(5001)) == millis(2999));
