--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -17,10 +17,10 @@
 {
     RequestAgeEstimator estimator;
 
-    void observe(int stated, int times)
+    void observe(int deadline, int times)
     {
         for (int count = 0; count < times; ++count) {
-            estimator.estimateAge(millis(stated));
+            estimator.estimateAge(millis(deadline));
         }
     }
 };
@@ -58,17 +58,17 @@
 
 TEST(RequestAgeEstimatorTest, WhereNoTimeRepeatsAllAreFirstTries)
 {
-    for (int stated = 1000; stated < 9000; stated += 7) {
-        CHECK_TRUE(estimator.estimateAge(millis(stated)) == Duration{});
+    for (int deadline = 1000; deadline < 9000; deadline += 7) {
+        CHECK_TRUE(estimator.estimateAge(millis(deadline)) == Duration{});
     }
 }
 
 TEST(RequestAgeEstimatorTest, ManySecondTriesDoNotHideTheFirst)
 {
     observe(8000, 50);
-    for (int stated = 4000; stated < 6000; stated += 3) {
-        estimator.estimateAge(millis(stated));
-        observe(8000, stated % 2);
+    for (int deadline = 4000; deadline < 6000; deadline += 3) {
+        estimator.estimateAge(millis(deadline));
+        observe(8000, deadline % 2);
     }
     CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
     CHECK_TRUE(estimator.estimateAge(millis(5001)) == millis(2999));
