--- a/src/decision/gateway/eventsplitter.cpp
+++ b/src/decision/gateway/eventsplitter.cpp
@@ -32,7 +32,7 @@
         if (size == 0) {
             break;
         }
-        takeEvent(text.substr(done, size));
+        parseEvent(text.substr(done, size));
         done += size;
     }
     std::string whole = partial_.substr(0, done);
@@ -40,7 +40,7 @@
     return whole;
 }
 
-void EventSplitter::takeEvent(std::string_view event)
+void EventSplitter::parseEvent(std::string_view event)
 {
     constexpr std::string_view kId = "id:";
     ++events_;
--- a/src/decision/gateway/eventsplitter.h
+++ b/src/decision/gateway/eventsplitter.h
@@ -27,7 +27,7 @@
     bool hasPartial() const { return !partial_.empty(); }
 
 private:
-    void takeEvent(std::string_view event);
+    void parseEvent(std::string_view event);
 
     std::string partial_;
     std::string lastId_;
