--- a/src/decision/gateway/eventsplitter.h
+++ b/src/decision/gateway/eventsplitter.h
@@ -19,7 +19,7 @@
     // Takes bytes and returns the whole events that they complete, as they were written.
     std::string feed(std::string_view bytes);
     // The upstream broke off: forgets the event that was begun.
-    void dropPartial() { partial_.clear(); }
+    void discardPartial() { partial_.clear(); }
 
     // Returns the id of the last whole event; empty when there was none.
     const std::string &lastId() const { return lastId_; }
--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -163,7 +163,7 @@
     Flight &flight = found->second;
     client_->cancel(std::exchange(flight.call, 0));
     if (action.silent) {
-        flight.events.dropPartial();
+        flight.events.discardPartial();
         logLine(LogLevel::Info, "attempt.silent",
                 {{"id", flight.facts.requestId},
                  {"attempt", flight.attempt},
@@ -292,7 +292,7 @@
              {"headSent", flight->headSent},
              {"events", flight->events.events()},
              {"ms", toMillis(loop_.now() - flight->startedAt)}});
-    flight->events.dropPartial();
+    flight->events.discardPartial();
     if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
         askAfterUpstream(number, *flight);
         return;
--- a/test/decision/gateway/eventsplitter_test.cpp
+++ b/test/decision/gateway/eventsplitter_test.cpp
@@ -32,7 +32,7 @@
 TEST(EventSplitterTest, ForgetsATornEvent)
 {
     stream.feed("id: 1\ndata: a\n\nid: 2\nda");
-    stream.dropPartial();
+    stream.discardPartial();
     STRCMP_EQUAL("id: 2\ndata: b\n\n", stream.feed("id: 2\ndata: b\n\n").c_str());
 }
 
