--- a/src/decision/gateway/eventsplitter.cpp
+++ b/src/decision/gateway/eventsplitter.cpp
@@ -25,18 +25,18 @@
 std::string EventSplitter::feed(std::string_view bytes)
 {
     partial_.append(bytes);
-    std::size_t done = 0;
+    std::size_t consumed = 0;
     const std::string_view text(partial_);
     for (;;) {
-        const std::size_t size = firstEventSize(text.substr(done));
+        const std::size_t size = firstEventSize(text.substr(consumed));
         if (size == 0) {
             break;
         }
-        parseEvent(text.substr(done, size));
-        done += size;
+        parseEvent(text.substr(consumed, size));
+        consumed += size;
     }
-    std::string whole = partial_.substr(0, done);
-    partial_.erase(0, done);
+    std::string whole = partial_.substr(0, consumed);
+    partial_.erase(0, consumed);
     return whole;
 }
 
