--- a/test/decision/gateway/eventsplitter_test.cpp
+++ b/test/decision/gateway/eventsplitter_test.cpp
@@ -6,15 +6,15 @@
 
 TEST_GROUP(EventSplitterTest)
 {
-    EventSplitter stream;
+    EventSplitter splitter;
 };
 
 TEST(EventSplitterTest, PassesOnlyWholeEvents)
 {
-    STRCMP_EQUAL("", stream.feed("id: 1\ndata: a").c_str());
-    STRCMP_EQUAL("id: 1\ndata: a\n\n", stream.feed("\n\nid: 2\n").c_str());
-    STRCMP_EQUAL("1", stream.lastId().c_str());
-    CHECK_TRUE(stream.hasPartial());
+    STRCMP_EQUAL("", splitter.feed("id: 1\ndata: a").c_str());
+    STRCMP_EQUAL("id: 1\ndata: a\n\n", splitter.feed("\n\nid: 2\n").c_str());
+    STRCMP_EQUAL("1", splitter.lastId().c_str());
+    CHECK_TRUE(splitter.hasPartial());
 }
 
 TEST(EventSplitterTest, SplitsAtEveryByte)
@@ -22,23 +22,23 @@
     const std::string text = "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n";
     std::string passed;
     for (const char &letter : text) {
-        passed += stream.feed({&letter, 1});
+        passed += splitter.feed({&letter, 1});
     }
     STRCMP_EQUAL(text.c_str(), passed.c_str());
-    LONGS_EQUAL(2, stream.events());
-    STRCMP_EQUAL("2", stream.lastId().c_str());
+    LONGS_EQUAL(2, splitter.events());
+    STRCMP_EQUAL("2", splitter.lastId().c_str());
 }
 
 TEST(EventSplitterTest, ForgetsATornEvent)
 {
-    stream.feed("id: 1\ndata: a\n\nid: 2\nda");
-    stream.discardPartial();
-    STRCMP_EQUAL("id: 2\ndata: b\n\n", stream.feed("id: 2\ndata: b\n\n").c_str());
+    splitter.feed("id: 1\ndata: a\n\nid: 2\nda");
+    splitter.discardPartial();
+    STRCMP_EQUAL("id: 2\ndata: b\n\n", splitter.feed("id: 2\ndata: b\n\n").c_str());
 }
 
 TEST(EventSplitterTest, LastIdInAnEventCounts)
 {
-    stream.feed("data: x\nid: 7\n\ndata: no id\n\n");
-    STRCMP_EQUAL("7", stream.lastId().c_str());
-    LONGS_EQUAL(2, stream.events());
+    splitter.feed("data: x\nid: 7\n\ndata: no id\n\n");
+    STRCMP_EQUAL("7", splitter.lastId().c_str());
+    LONGS_EQUAL(2, splitter.events());
 }
