--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -122,7 +122,7 @@
     if (!lane.limiter().admits(lane.inFlight())) {
         return false;
     }
-    const bool fewest = lane.inFlight() < settings_.lane.streams.least;
+    const bool fewest = lane.inFlight() < settings_.lane.streams.minLimit;
     if (fewest || !lane.limiter().strained(now)) {
         return true;
     }
--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -24,13 +24,13 @@
 void StreamLimiter::begin(double slots, double gateways)
 {
     const double share =
-        std::clamp(settings_.shareAtFirst * slots / gateways, settings_.least, settings_.most);
+        std::clamp(settings_.shareAtFirst * slots / gateways, settings_.minLimit, settings_.most);
     limit_ = learned() ? std::min(limit_, share) : share;
 }
 
 void StreamLimiter::beginLeast()
 {
-    limit_ = settings_.least;
+    limit_ = settings_.minLimit;
 }
 
 void StreamLimiter::onTick(std::uint32_t inFlight, std::size_t waiting, TimePoint now)
@@ -42,7 +42,7 @@
     const bool silent = inFlight > 0 && heardAt_ && now - *heardAt_ >= settings_.silence;
     if (heard_ && longest_ > settings_.tooLong) {
         const double held = std::min(limit_, static_cast<double>(inFlight));
-        limit_ = std::max(settings_.least, held * settings_.decrease);
+        limit_ = std::max(settings_.minLimit, held * settings_.decrease);
     } else if (waiting > 0 && !silent && (!heard_ || longest_ < settings_.comfortable)) {
         const double more =
             settings_.increase + settings_.increasePerWaiting * static_cast<double>(waiting);
