--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -23,8 +23,8 @@
 
 void StreamLimiter::begin(double slots, double gateways)
 {
-    const double share =
-        std::clamp(settings_.shareAtFirst * slots / gateways, settings_.minLimit, settings_.most);
+    const double share = std::clamp(settings_.shareAtFirst * slots / gateways, settings_.minLimit,
+                                    settings_.maxLimit);
     limit_ = learned() ? std::min(limit_, share) : share;
 }
 
@@ -46,7 +46,7 @@
     } else if (waiting > 0 && !silent && (!heard_ || longest_ < settings_.comfortable)) {
         const double more =
             settings_.increase + settings_.increasePerWaiting * static_cast<double>(waiting);
-        limit_ = std::min(settings_.most, limit_ + more);
+        limit_ = std::min(settings_.maxLimit, limit_ + more);
     }
     heard_ = false;
     longest_ = 0.0;
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -27,7 +27,7 @@
         // more callers than others, and those that need more get it within a second.
         double shareAtFirst = 0.6;
         double minLimit = 3.0; // Below it a gateway would learn nothing of the pauses.
-        double most = 200.0;
+        double maxLimit = 200.0;
         // Parts of the goal: above the first the bound falls, below the second it may rise.
         double tooLong = 0.92;
         double comfortable = 0.75;
