--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -38,7 +38,7 @@
     GroupTracker::Settings settings = settings_.lane;
     const auto known = groups_->find(group);
     if (known != groups_->end() && !known->second.inOwnHall) {
-        settings.streams.tooLong *= settings_.guestPart;
+        settings.streams.decreaseAbove *= settings_.guestPart;
         settings.streams.comfortable *= settings_.guestPart;
         settings.streams.strain *= settings_.guestPart;
     }
--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -40,7 +40,7 @@
     }
     adaptedAt_ = now;
     const bool silent = inFlight > 0 && heardAt_ && now - *heardAt_ >= settings_.silence;
-    if (heard_ && longest_ > settings_.tooLong) {
+    if (heard_ && longest_ > settings_.decreaseAbove) {
         const double held = std::min(limit_, static_cast<double>(inFlight));
         limit_ = std::max(settings_.minLimit, held * settings_.decrease);
     } else if (waiting > 0 && !silent && (!heard_ || longest_ < settings_.comfortable)) {
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -29,7 +29,7 @@
         double minLimit = 3.0; // Below it a gateway would learn nothing of the pauses.
         double maxLimit = 200.0;
         // Parts of the goal: above the first the bound falls, below the second it may rise.
-        double tooLong = 0.92;
+        double decreaseAbove = 0.92;
         double comfortable = 0.75;
         double decrease = 0.88;
         double increase = 1.0;
