--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -39,7 +39,7 @@
     const auto known = groups_->find(group);
     if (known != groups_->end() && !known->second.inOwnHall) {
         settings.streams.decreaseAbove *= settings_.guestPart;
-        settings.streams.comfortable *= settings_.guestPart;
+        settings.streams.increaseBelow *= settings_.guestPart;
         settings.streams.strain *= settings_.guestPart;
     }
     GroupTracker &added = lanes_.emplace(group, GroupTracker(settings)).first->second;
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -30,7 +30,7 @@
         double maxLimit = 200.0;
         // Parts of the goal: above the first the bound falls, below the second it may rise.
         double decreaseAbove = 0.92;
-        double comfortable = 0.75;
+        double increaseBelow = 0.75;
         double decrease = 0.88;
         double increase = 1.0;
         // Added to the increase for each request that waits, so that gateways share by demand.
