--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -40,7 +40,7 @@
     if (known != groups_->end() && !known->second.inOwnHall) {
         settings.streams.decreaseAbove *= settings_.guestPart;
         settings.streams.increaseBelow *= settings_.guestPart;
-        settings.streams.strain *= settings_.guestPart;
+        settings.streams.nearGoalRatio *= settings_.guestPart;
     }
     GroupTracker &added = lanes_.emplace(group, GroupTracker(settings)).first->second;
     beginAnew(group);
--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -14,7 +14,7 @@
     heardAt_ = now;
     const double part = toSeconds(pause) / toSeconds(goal);
     longest_ = std::max(longest_, part);
-    if (part >= settings_.strain) {
+    if (part >= settings_.nearGoalRatio) {
         strainedAt_ = now;
     } else if (strainedAt_ && now > *strainedAt_) {
         strainedAt_.reset(); // A later pass was short again.
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -37,7 +37,7 @@
         double increasePerWaiting = 0.3;
         // From this part of the goal on a pause strains: reading a prompt takes a tenth to a fifth
         // of a pass.
-        double strain = 0.8;
+        double nearGoalRatio = 0.8;
         // Pauses are heard at the end of each pass: longer than the goal nothing need be waited
         // for.
         Duration strainLife = std::chrono::milliseconds(150);
