--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -40,7 +40,7 @@
         double nearGoalRatio = 0.8;
         // Pauses are heard at the end of each pass: longer than the goal nothing need be waited
         // for.
-        Duration strainLife = std::chrono::milliseconds(150);
+        Duration nearGoalTtl = std::chrono::milliseconds(150);
         // While streams are in flight and none has said a word for this long, the engines stand
         // still, and that nobody complains of long pauses says nothing: engines that wait for a
         // lost one give up after some 1.5 s.
@@ -71,7 +71,7 @@
     // passes may take them over it.
     bool strained(TimePoint now) const
     {
-        return strainedAt_ && now - *strainedAt_ < settings_.strainLife;
+        return strainedAt_ && now - *strainedAt_ < settings_.nearGoalTtl;
     }
 
     bool admits(std::uint32_t inFlight) const { return inFlight + 1.0 <= limit_ + 0.5; }
--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -72,7 +72,7 @@
 TEST(StreamLimiterTest, StrainDoesNotOutlastItsPasses)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
-    CHECK_FALSE(limiter.strained(at(1000) + StreamLimiter::Settings().strainLife));
+    CHECK_FALSE(limiter.strained(at(1000) + StreamLimiter::Settings().nearGoalTtl));
 }
 
 // The pattern: 149 gateways before 129 ranks with six places each. A bound of a twelfth of a small
