--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -69,7 +69,7 @@
 
     // Tells whether the last pauses came so near the goal that a prompt more in the engines' next
     // passes may take them over it.
-    bool strained(TimePoint now) const
+    bool nearGoal(TimePoint now) const
     {
         return strainedAt_ && now - *strainedAt_ < settings_.nearGoalTtl;
     }
--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -64,15 +64,15 @@
 TEST(StreamLimiterTest, IsStrainedByAPauseNearTheGoalUntilAShortOne)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
-    CHECK_TRUE(limiter.strained(at(1050)));
+    CHECK_TRUE(limiter.nearGoal(at(1050)));
     limiter.onPause(std::chrono::milliseconds(60), kGoal, at(1060));
-    CHECK_FALSE(limiter.strained(at(1060)));
+    CHECK_FALSE(limiter.nearGoal(at(1060)));
 }
 
 TEST(StreamLimiterTest, StrainDoesNotOutlastItsPasses)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
-    CHECK_FALSE(limiter.strained(at(1000) + StreamLimiter::Settings().nearGoalTtl));
+    CHECK_FALSE(limiter.nearGoal(at(1000) + StreamLimiter::Settings().nearGoalTtl));
 }
 
 // The pattern: 149 gateways before 129 ranks with six places each. A bound of a twelfth of a small
