--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -123,7 +123,7 @@
         return false;
     }
     const bool fewest = lane.inFlight() < settings_.lane.streams.minLimit;
-    if (fewest || !lane.limiter().strained(now)) {
+    if (fewest || !lane.limiter().nearGoal(now)) {
         return true;
     }
     return now <= entry.startBy && now + kStartSlack >= entry.startBy;
