--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -15,9 +15,9 @@
     const double part = toSeconds(pause) / toSeconds(goal);
     longest_ = std::max(longest_, part);
     if (part >= settings_.nearGoalRatio) {
-        strainedAt_ = now;
-    } else if (strainedAt_ && now > *strainedAt_) {
-        strainedAt_.reset(); // A later pass was short again.
+        nearGoalAt_ = now;
+    } else if (nearGoalAt_ && now > *nearGoalAt_) {
+        nearGoalAt_.reset(); // A later pass was short again.
     }
 }
 
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -71,7 +71,7 @@
     // passes may take them over it.
     bool nearGoal(TimePoint now) const
     {
-        return strainedAt_ && now - *strainedAt_ < settings_.nearGoalTtl;
+        return nearGoalAt_ && now - *nearGoalAt_ < settings_.nearGoalTtl;
     }
 
     bool admits(std::uint32_t inFlight) const { return inFlight + 1.0 <= limit_ + 0.5; }
@@ -84,7 +84,7 @@
     bool heard_ = false;
     std::optional<TimePoint> heardAt_; // A pause, of any length.
     TimePoint adaptedAt_{};
-    std::optional<TimePoint> strainedAt_;
+    std::optional<TimePoint> nearGoalAt_;
 };
 
 } // namespace seamarch
