--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -23,7 +23,7 @@
 
 void StreamLimiter::begin(double slots, double gateways)
 {
-    const double share = std::clamp(settings_.shareAtFirst * slots / gateways, settings_.minLimit,
+    const double share = std::clamp(settings_.initialShare * slots / gateways, settings_.minLimit,
                                     settings_.maxLimit);
     limit_ = learned() ? std::min(limit_, share) : share;
 }
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -25,7 +25,7 @@
         double initial = 12.0;
         // Of an even share of the upstreams' slots, which the bound begins with: some gateways have
         // more callers than others, and those that need more get it within a second.
-        double shareAtFirst = 0.6;
+        double initialShare = 0.6;
         double minLimit = 3.0; // Below it a gateway would learn nothing of the pauses.
         double maxLimit = 200.0;
         // Parts of the goal: above the first the bound falls, below the second it may rise.
