--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -39,7 +39,7 @@
         return;
     }
     adaptedAt_ = now;
-    const bool silent = inFlight > 0 && heardAt_ && now - *heardAt_ >= settings_.silence;
+    const bool silent = inFlight > 0 && heardAt_ && now - *heardAt_ >= settings_.stallTimeout;
     if (heard_ && longest_ > settings_.decreaseAbove) {
         const double held = std::min(limit_, static_cast<double>(inFlight));
         limit_ = std::max(settings_.minLimit, held * settings_.decrease);
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -44,7 +44,7 @@
         // While streams are in flight and none has said a word for this long, the engines stand
         // still, and that nobody complains of long pauses says nothing: engines that wait for a
         // lost one give up after some 1.5 s.
-        Duration silence = std::chrono::milliseconds(1500);
+        Duration stallTimeout = std::chrono::milliseconds(1500);
         // How often the bound changes: some passes long, so that a change shows before the next.
         Duration period = std::chrono::milliseconds(200);
     };
