--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -35,7 +35,7 @@
 
 void StreamLimiter::onTick(std::uint32_t inFlight, std::size_t waiting, TimePoint now)
 {
-    if (now - adaptedAt_ < settings_.period) {
+    if (now - adaptedAt_ < settings_.adaptPeriod) {
         return;
     }
     adaptedAt_ = now;
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -46,7 +46,7 @@
         // lost one give up after some 1.5 s.
         Duration stallTimeout = std::chrono::milliseconds(1500);
         // How often the bound changes: some passes long, so that a change shows before the next.
-        Duration period = std::chrono::milliseconds(200);
+        Duration adaptPeriod = std::chrono::milliseconds(200);
     };
 
     StreamLimiter() = default;
