--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -42,7 +42,7 @@
     const bool stalled = inFlight > 0 && heardAt_ && now - *heardAt_ >= settings_.stallTimeout;
     if (heard_ && longest_ > settings_.decreaseAbove) {
         const double held = std::min(limit_, static_cast<double>(inFlight));
-        limit_ = std::max(settings_.minLimit, held * settings_.decrease);
+        limit_ = std::max(settings_.minLimit, held * settings_.decreaseFactor);
     } else if (waiting > 0 && !stalled && (!heard_ || longest_ < settings_.increaseBelow)) {
         const double more =
             settings_.increase + settings_.increasePerWaiting * static_cast<double>(waiting);
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -31,7 +31,7 @@
         // Parts of the goal: above the first the bound falls, below the second it may rise.
         double decreaseAbove = 0.92;
         double increaseBelow = 0.75;
-        double decrease = 0.88;
+        double decreaseFactor = 0.88;
         double increase = 1.0;
         // Added to the increase for each request that waits, so that gateways share by demand.
         double increasePerWaiting = 0.3;
