--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -32,7 +32,7 @@
         double decreaseAbove = 0.92;
         double increaseBelow = 0.75;
         double decreaseFactor = 0.88;
-        double increase = 1.0;
+        double increaseStep = 1.0;
         // Added to the increase for each request that waits, so that gateways share by demand.
         double increasePerWaiting = 0.3;
         // From this part of the goal on a pause strains: reading a prompt takes a tenth to a fifth
