--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -45,7 +45,7 @@
         limit_ = std::max(settings_.minLimit, held * settings_.decreaseFactor);
     } else if (waiting > 0 && !stalled && (!heard_ || longest_ < settings_.increaseBelow)) {
         const double more =
-            settings_.increaseStep + settings_.increasePerWaiting * static_cast<double>(waiting);
+            settings_.increaseStep + settings_.increasePerQueued * static_cast<double>(waiting);
         limit_ = std::min(settings_.maxLimit, limit_ + more);
     }
     heard_ = false;
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -34,7 +34,7 @@
         double decreaseFactor = 0.88;
         double increaseStep = 1.0;
         // Added to the increase for each request that waits, so that gateways share by demand.
-        double increasePerWaiting = 0.3;
+        double increasePerQueued = 0.3;
         // From this part of the goal on a pause strains: reading a prompt takes a tenth to a fifth
         // of a pass.
         double nearGoalRatio = 0.8;
