--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -21,7 +21,7 @@
     }
 }
 
-void StreamLimiter::begin(double slots, double gateways)
+void StreamLimiter::resetToShare(double slots, double gateways)
 {
     const double share = std::clamp(settings_.initialShare * slots / gateways, settings_.minLimit,
                                     settings_.maxLimit);
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -59,7 +59,7 @@
     void onPause(Duration pause, Duration goal, TimePoint now);
     // Begins with an even share of `slots` among `gateways`, where the bound is above it or no
     // pause was heard yet: the engines are new, or have stood still while callers queued.
-    void begin(double slots, double gateways);
+    void resetToShare(double slots, double gateways);
     // Begins with the fewest streams.
     void beginLeast();
     // Tells whether any pause was heard; until then the bound is a guess.
--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -81,13 +81,13 @@
 {
     constexpr double kGateways = 149.0;
     constexpr double kSlots = 129.0 * 6.0;
-    limiter.begin(kSlots, kGateways);
+    limiter.resetToShare(kSlots, kGateways);
     CHECK_TRUE(limiter.limit() * kGateways <= kSlots);
 }
 
 TEST(StreamLimiterTest, GatewaysOfASmallSiteBeginAsBefore)
 {
-    limiter.begin(144.0, 7.0);
+    limiter.resetToShare(144.0, 7.0);
     CHECK_TRUE(limiter.limit() >= 12.0);
     CHECK_TRUE(limiter.limit() * 7.0 <= 144.0);
 }
@@ -106,14 +106,14 @@
 
 TEST(StreamLimiterTest, AnOutageEndsWithAnEvenShareAtMost)
 {
-    limiter.begin(144.0, 6.0);
+    limiter.resetToShare(144.0, 6.0);
     for (int millis = 1000; millis < 9000; millis += 200) {
         limiter.onTick(0, 20, at(millis));
     }
-    limiter.begin(144.0, 6.0);
+    limiter.resetToShare(144.0, 6.0);
     CHECK_TRUE(limiter.limit() <= 24.0);
     limiter.onPause(std::chrono::milliseconds(119), kGoal, at(9100));
     limiter.onTick(8, 0, at(9200));
-    limiter.begin(144.0, 6.0);
+    limiter.resetToShare(144.0, 6.0);
     CHECK_TRUE(limiter.limit() < 8.0);
 }
