--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -65,7 +65,7 @@
         return;
     }
     const std::size_t sharers = group.inManyHalls ? share_.gateways : share_.place.gateways;
-    lane.limiter().begin(group.slots, static_cast<double>(sharers));
+    lane.limiter().resetToShare(group.slots, static_cast<double>(sharers));
 }
 
 void GroupSelector::beginAnew(const GroupId &group)
