--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -61,7 +61,7 @@
         return;
     }
     if (!group.inOwnHall) {
-        lane.limiter().beginLeast();
+        lane.limiter().resetToMinimum();
         return;
     }
     const std::size_t sharers = group.inManyHalls ? share_.gateways : share_.place.gateways;
--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -28,7 +28,7 @@
     limit_ = learned() ? std::min(limit_, share) : share;
 }
 
-void StreamLimiter::beginLeast()
+void StreamLimiter::resetToMinimum()
 {
     limit_ = settings_.minLimit;
 }
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -61,7 +61,7 @@
     // pause was heard yet: the engines are new, or have stood still while callers queued.
     void resetToShare(double slots, double gateways);
     // Begins with the fewest streams.
-    void beginLeast();
+    void resetToMinimum();
     // Tells whether any pause was heard; until then the bound is a guess.
     bool learned() const { return heardAt_.has_value(); }
     // Adapts the bound. `waiting` is the number of requests that wait for it.
