--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -23,7 +23,7 @@
     });
     for (const auto &[id, group] : groups) {
         // A new gateway does not know at once how many share the groups with it.
-        if (GroupTracker &known = lane(id); otherShare && !known.limiter().learned()) {
+        if (GroupTracker &known = lane(id); otherShare && !known.limiter().hasSamples()) {
             begin(known, group);
         }
     }
--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -25,7 +25,7 @@
 {
     const double share = std::clamp(settings_.initialShare * slots / gateways, settings_.minLimit,
                                     settings_.maxLimit);
-    limit_ = learned() ? std::min(limit_, share) : share;
+    limit_ = hasSamples() ? std::min(limit_, share) : share;
 }
 
 void StreamLimiter::resetToMinimum()
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -63,7 +63,7 @@
     // Begins with the fewest streams.
     void resetToMinimum();
     // Tells whether any pause was heard; until then the bound is a guess.
-    bool learned() const { return heardAt_.has_value(); }
+    bool hasSamples() const { return heardAt_.has_value(); }
     // Adapts the bound. `waiting` is the number of requests that wait for it.
     void onTick(std::uint32_t inFlight, std::size_t waiting, TimePoint now);
 
