--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -10,7 +10,7 @@
     if (goal <= Duration{}) {
         return;
     }
-    heard_ = true;
+    sampledInPeriod_ = true;
     heardAt_ = now;
     const double part = toSeconds(pause) / toSeconds(goal);
     longest_ = std::max(longest_, part);
@@ -40,15 +40,16 @@
     }
     adaptedAt_ = now;
     const bool stalled = inFlight > 0 && heardAt_ && now - *heardAt_ >= settings_.stallTimeout;
-    if (heard_ && longest_ > settings_.decreaseAbove) {
+    if (sampledInPeriod_ && longest_ > settings_.decreaseAbove) {
         const double held = std::min(limit_, static_cast<double>(inFlight));
         limit_ = std::max(settings_.minLimit, held * settings_.decreaseFactor);
-    } else if (waiting > 0 && !stalled && (!heard_ || longest_ < settings_.increaseBelow)) {
+    } else if (waiting > 0 && !stalled
+               && (!sampledInPeriod_ || longest_ < settings_.increaseBelow)) {
         const double more =
             settings_.increaseStep + settings_.increasePerQueued * static_cast<double>(waiting);
         limit_ = std::min(settings_.maxLimit, limit_ + more);
     }
-    heard_ = false;
+    sampledInPeriod_ = false;
     longest_ = 0.0;
 }
 
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -81,7 +81,7 @@
     Settings settings_;
     double limit_ = Settings().initial;
     double longest_ = 0.0; // Of the period's pauses, in parts of the goal.
-    bool heard_ = false;
+    bool sampledInPeriod_ = false;
     std::optional<TimePoint> heardAt_; // A pause, of any length.
     TimePoint adaptedAt_{};
     std::optional<TimePoint> nearGoalAt_;
