--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -11,7 +11,7 @@
         return;
     }
     sampledInPeriod_ = true;
-    heardAt_ = now;
+    sampledAt_ = now;
     const double part = toSeconds(pause) / toSeconds(goal);
     longest_ = std::max(longest_, part);
     if (part >= settings_.nearGoalRatio) {
@@ -39,7 +39,7 @@
         return;
     }
     adaptedAt_ = now;
-    const bool stalled = inFlight > 0 && heardAt_ && now - *heardAt_ >= settings_.stallTimeout;
+    const bool stalled = inFlight > 0 && sampledAt_ && now - *sampledAt_ >= settings_.stallTimeout;
     if (sampledInPeriod_ && longest_ > settings_.decreaseAbove) {
         const double held = std::min(limit_, static_cast<double>(inFlight));
         limit_ = std::max(settings_.minLimit, held * settings_.decreaseFactor);
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -63,7 +63,7 @@
     // Begins with the fewest streams.
     void resetToMinimum();
     // Tells whether any pause was heard; until then the bound is a guess.
-    bool hasSamples() const { return heardAt_.has_value(); }
+    bool hasSamples() const { return sampledAt_.has_value(); }
     // Adapts the bound. `waiting` is the number of requests that wait for it.
     void onTick(std::uint32_t inFlight, std::size_t waiting, TimePoint now);
 
@@ -82,7 +82,7 @@
     double limit_ = Settings().initial;
     double longest_ = 0.0; // Of the period's pauses, in parts of the goal.
     bool sampledInPeriod_ = false;
-    std::optional<TimePoint> heardAt_; // A pause, of any length.
+    std::optional<TimePoint> sampledAt_; // A pause, of any length.
     TimePoint adaptedAt_{};
     std::optional<TimePoint> nearGoalAt_;
 };
