--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -13,7 +13,7 @@
     sampledInPeriod_ = true;
     sampledAt_ = now;
     const double part = toSeconds(pause) / toSeconds(goal);
-    longest_ = std::max(longest_, part);
+    maxRatio_ = std::max(maxRatio_, part);
     if (part >= settings_.nearGoalRatio) {
         nearGoalAt_ = now;
     } else if (nearGoalAt_ && now > *nearGoalAt_) {
@@ -40,17 +40,17 @@
     }
     adaptedAt_ = now;
     const bool stalled = inFlight > 0 && sampledAt_ && now - *sampledAt_ >= settings_.stallTimeout;
-    if (sampledInPeriod_ && longest_ > settings_.decreaseAbove) {
+    if (sampledInPeriod_ && maxRatio_ > settings_.decreaseAbove) {
         const double held = std::min(limit_, static_cast<double>(inFlight));
         limit_ = std::max(settings_.minLimit, held * settings_.decreaseFactor);
     } else if (waiting > 0 && !stalled
-               && (!sampledInPeriod_ || longest_ < settings_.increaseBelow)) {
+               && (!sampledInPeriod_ || maxRatio_ < settings_.increaseBelow)) {
         const double more =
             settings_.increaseStep + settings_.increasePerQueued * static_cast<double>(waiting);
         limit_ = std::min(settings_.maxLimit, limit_ + more);
     }
     sampledInPeriod_ = false;
-    longest_ = 0.0;
+    maxRatio_ = 0.0;
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -80,7 +80,7 @@
 private:
     Settings settings_;
     double limit_ = Settings().initial;
-    double longest_ = 0.0; // Of the period's pauses, in parts of the goal.
+    double maxRatio_ = 0.0; // Of the period's pauses, in parts of the goal.
     bool sampledInPeriod_ = false;
     std::optional<TimePoint> sampledAt_; // A pause, of any length.
     TimePoint adaptedAt_{};
