--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -12,9 +12,9 @@
     }
     sampledInPeriod_ = true;
     sampledAt_ = now;
-    const double part = toSeconds(pause) / toSeconds(goal);
-    maxRatio_ = std::max(maxRatio_, part);
-    if (part >= settings_.nearGoalRatio) {
+    const double ratio = toSeconds(pause) / toSeconds(goal);
+    maxRatio_ = std::max(maxRatio_, ratio);
+    if (ratio >= settings_.nearGoalRatio) {
         nearGoalAt_ = now;
     } else if (nearGoalAt_ && now > *nearGoalAt_) {
         nearGoalAt_.reset(); // A later pass was short again.
