--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -41,8 +41,8 @@
     adaptedAt_ = now;
     const bool stalled = inFlight > 0 && sampledAt_ && now - *sampledAt_ >= settings_.stallTimeout;
     if (sampledInPeriod_ && maxRatio_ > settings_.decreaseAbove) {
-        const double held = std::min(limit_, static_cast<double>(inFlight));
-        limit_ = std::max(settings_.minLimit, held * settings_.decreaseFactor);
+        const double used = std::min(limit_, static_cast<double>(inFlight));
+        limit_ = std::max(settings_.minLimit, used * settings_.decreaseFactor);
     } else if (waiting > 0 && !stalled
                && (!sampledInPeriod_ || maxRatio_ < settings_.increaseBelow)) {
         const double more =
