--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -45,9 +45,9 @@
         limit_ = std::max(settings_.minLimit, used * settings_.decreaseFactor);
     } else if (waiting > 0 && !stalled
                && (!sampledInPeriod_ || maxRatio_ < settings_.increaseBelow)) {
-        const double more =
+        const double step =
             settings_.increaseStep + settings_.increasePerQueued * static_cast<double>(waiting);
-        limit_ = std::min(settings_.maxLimit, limit_ + more);
+        limit_ = std::min(settings_.maxLimit, limit_ + step);
     }
     sampledInPeriod_ = false;
     maxRatio_ = 0.0;
