--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -20,7 +20,7 @@
     StreamQueue::Entry entry;
     entry.number = number;
     entry.priority = request.request.priority;
-    entry.cameBack = request.arrivedAt - request.firstAskedAt >= kShortestComeBack;
+    entry.isRetry = request.arrivedAt - request.firstAskedAt >= kShortestComeBack;
     // Without a goal there is no moment from which on the caller would be worse off.
     entry.startBy =
         goal > Duration{} ? request.firstAskedAt + goal - service.firstEvent : request.giveUpAt;
--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -10,7 +10,7 @@
     if (now <= entry.startBy) {
         return {entry.priority, Standing::InTime, entry.number};
     }
-    const Standing late = entry.cameBack ? Standing::LateAfterReturn : Standing::Late;
+    const Standing late = entry.isRetry ? Standing::LateAfterReturn : Standing::Late;
     return {entry.priority, late, entry.number};
 }
 
--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -21,9 +21,9 @@
     StreamQueue queue;
 
     void add(RequestNumber number, int startBy, std::uint8_t priority = kUsual,
-             bool cameBack = false)
+             bool isRetry = false)
     {
-        queue.add({number, priority, cameBack, at(startBy)}, at(0));
+        queue.add({number, priority, isRetry, at(startBy)}, at(0));
     }
 
     void checkNext(RequestNumber expected, int now)
