--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -8,9 +8,9 @@
 StreamQueue::Key StreamQueue::keyOf(const Entry &entry, TimePoint now)
 {
     if (now <= entry.startBy) {
-        return {entry.priority, Standing::InTime, entry.number};
+        return {entry.priority, Timeliness::InTime, entry.number};
     }
-    const Standing late = entry.isRetry ? Standing::LateAfterReturn : Standing::Late;
+    const Timeliness late = entry.isRetry ? Timeliness::LateAfterReturn : Timeliness::Late;
     return {entry.priority, late, entry.number};
 }
 
--- a/src/decision/gateway/streamqueue.h
+++ b/src/decision/gateway/streamqueue.h
@@ -46,9 +46,9 @@
 
 private:
     // What a stream may still expect, the best first.
-    enum class Standing : std::uint8_t { InTime, LateAfterReturn, Late };
+    enum class Timeliness : std::uint8_t { InTime, LateAfterReturn, Late };
 
-    using Key = std::tuple<std::uint8_t, Standing, RequestNumber>;
+    using Key = std::tuple<std::uint8_t, Timeliness, RequestNumber>;
 
     static Key keyOf(const Entry &entry, TimePoint now);
     void demoteLate(TimePoint now);
