--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -10,7 +10,7 @@
     if (now <= entry.startBy) {
         return {entry.priority, Timeliness::InTime, entry.number};
     }
-    const Timeliness late = entry.isRetry ? Timeliness::LateAfterReturn : Timeliness::Late;
+    const Timeliness late = entry.isRetry ? Timeliness::LateRetry : Timeliness::Late;
     return {entry.priority, late, entry.number};
 }
 
--- a/src/decision/gateway/streamqueue.h
+++ b/src/decision/gateway/streamqueue.h
@@ -46,7 +46,7 @@
 
 private:
     // What a stream may still expect, the best first.
-    enum class Timeliness : std::uint8_t { InTime, LateAfterReturn, Late };
+    enum class Timeliness : std::uint8_t { InTime, LateRetry, Late };
 
     using Key = std::tuple<std::uint8_t, Timeliness, RequestNumber>;
 
