--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -17,9 +17,9 @@
 // Moves the streams whose time to begin has passed behind those that can still be in time.
 void StreamQueue::demoteLate(TimePoint now)
 {
-    while (!hopeful_.empty() && hopeful_.begin()->first < now) {
-        const RequestNumber number = hopeful_.begin()->second;
-        hopeful_.erase(hopeful_.begin());
+    while (!startDeadlines_.empty() && startDeadlines_.begin()->first < now) {
+        const RequestNumber number = startDeadlines_.begin()->second;
+        startDeadlines_.erase(startDeadlines_.begin());
         const Entry &entry = entries_.at(number);
         order_.erase(keyOf(entry, entry.startBy));
         order_.emplace(keyOf(entry, now), number);
@@ -31,7 +31,7 @@
     entries_.emplace(entry.number, entry);
     order_.emplace(keyOf(entry, now), entry.number);
     if (now <= entry.startBy) {
-        hopeful_.emplace(entry.startBy, entry.number);
+        startDeadlines_.emplace(entry.startBy, entry.number);
     }
 }
 
@@ -42,14 +42,14 @@
         return;
     }
     const Entry &entry = found->second;
-    const auto [begin, end] = hopeful_.equal_range(entry.startBy);
+    const auto [begin, end] = startDeadlines_.equal_range(entry.startBy);
     const auto hope = std::find_if(
         begin, end, [number](const auto &hopeful) { return hopeful.second == number; });
     if (hope == end) {
         order_.erase(keyOf(entry, TimePoint::max()));
     } else {
         order_.erase(keyOf(entry, entry.startBy));
-        hopeful_.erase(hope);
+        startDeadlines_.erase(hope);
     }
     entries_.erase(found);
 }
--- a/src/decision/gateway/streamqueue.h
+++ b/src/decision/gateway/streamqueue.h
@@ -56,7 +56,7 @@
     std::unordered_map<RequestNumber, Entry> entries_;
     std::map<Key, RequestNumber> order_;
     // Streams that could begin in time when they were last looked at, by the end of that.
-    std::multimap<TimePoint, RequestNumber> hopeful_;
+    std::multimap<TimePoint, RequestNumber> startDeadlines_;
 };
 
 } // namespace seamarch
