--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -44,7 +44,7 @@
     const Entry &entry = found->second;
     const auto [begin, end] = startDeadlines_.equal_range(entry.startBy);
     const auto hope = std::find_if(
-        begin, end, [number](const auto &hopeful) { return hopeful.second == number; });
+        begin, end, [number](const auto &waiting) { return waiting.second == number; });
     if (hope == end) {
         order_.erase(keyOf(entry, TimePoint::max()));
     } else {
