--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -43,13 +43,13 @@
     }
     const Entry &entry = found->second;
     const auto [begin, end] = startDeadlines_.equal_range(entry.startBy);
-    const auto hope = std::find_if(
+    const auto deadline = std::find_if(
         begin, end, [number](const auto &waiting) { return waiting.second == number; });
-    if (hope == end) {
+    if (deadline == end) {
         order_.erase(keyOf(entry, TimePoint::max()));
     } else {
         order_.erase(keyOf(entry, entry.startBy));
-        startDeadlines_.erase(hope);
+        startDeadlines_.erase(deadline);
     }
     entries_.erase(found);
 }
