--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -70,7 +70,7 @@
     return entry->number;
 }
 
-std::size_t StreamQueue::ahead(const Entry &entry, TimePoint now)
+std::size_t StreamQueue::countAhead(const Entry &entry, TimePoint now)
 {
     demoteLate(now);
     return static_cast<std::size_t>(
--- a/src/decision/gateway/streamqueue.h
+++ b/src/decision/gateway/streamqueue.h
@@ -40,7 +40,7 @@
     // Takes it out.
     std::optional<RequestNumber> takeNext(TimePoint now);
     // Returns how many would go before `entry`.
-    std::size_t ahead(const Entry &entry, TimePoint now);
+    std::size_t countAhead(const Entry &entry, TimePoint now);
     std::size_t size() const { return entries_.size(); }
     bool empty() const { return entries_.empty(); }
 
--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -70,9 +70,9 @@
 {
     add(1, 100);
     add(2, 400);
-    LONGS_EQUAL(2, queue.ahead({3, kUsual, false, at(300)}, at(50)));
-    LONGS_EQUAL(1, queue.ahead({3, kUsual, false, at(300)}, at(200)));
-    LONGS_EQUAL(0, queue.ahead({3, kUrgent, false, at(300)}, at(200)));
+    LONGS_EQUAL(2, queue.countAhead({3, kUsual, false, at(300)}, at(50)));
+    LONGS_EQUAL(1, queue.countAhead({3, kUsual, false, at(300)}, at(200)));
+    LONGS_EQUAL(0, queue.countAhead({3, kUrgent, false, at(300)}, at(200)));
 }
 
 TEST(StreamQueueTest, RemovedOnesLeaveNoTrace)
@@ -80,7 +80,7 @@
     add(1, 100);
     add(2, 100);
     queue.remove(1);
-    LONGS_EQUAL(1, queue.ahead({3, kUsual, false, at(-1)}, at(200)));
+    LONGS_EQUAL(1, queue.countAhead({3, kUsual, false, at(-1)}, at(200)));
     queue.remove(2);
     queue.remove(2);
     CHECK_TRUE(queue.empty());
