--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -111,7 +111,7 @@
     while (!service.started.empty() && now - service.started.front() > kWindow) {
         service.started.pop_front();
     }
-    const auto ahead = static_cast<Duration::rep>(service.waiting.ahead(entry, now));
+    const auto ahead = static_cast<Duration::rep>(service.waiting.countAhead(entry, now));
     const auto pace = static_cast<Duration::rep>(std::max<std::size_t>(1, service.started.size()));
     return kWindow * (ahead + 1) / pace;
 }
