--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -22,7 +22,7 @@
     entry.priority = request.request.priority;
     entry.isRetry = request.arrivedAt - request.firstAskedAt >= kShortestComeBack;
     // Without a goal there is no moment from which on the caller would be worse off.
-    entry.startBy =
+    entry.startDeadline =
         goal > Duration{} ? request.firstAskedAt + goal - service.firstEvent : request.giveUpAt;
     return entry;
 }
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -126,7 +126,7 @@
     if (fewest || !lane.limiter().nearGoal(now)) {
         return true;
     }
-    return now <= entry.startBy && now + kStartSlack >= entry.startBy;
+    return now <= entry.startDeadline && now + kStartSlack >= entry.startDeadline;
 }
 
 // Returns an avoided lane that is to be tried. One whose own agents say that it is closed is not:
--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -7,7 +7,7 @@
 
 StreamQueue::Key StreamQueue::keyOf(const Entry &entry, TimePoint now)
 {
-    if (now <= entry.startBy) {
+    if (now <= entry.startDeadline) {
         return {entry.priority, Timeliness::InTime, entry.number};
     }
     const Timeliness late = entry.isRetry ? Timeliness::LateRetry : Timeliness::Late;
@@ -21,7 +21,7 @@
         const RequestNumber number = startDeadlines_.begin()->second;
         startDeadlines_.erase(startDeadlines_.begin());
         const Entry &entry = entries_.at(number);
-        order_.erase(keyOf(entry, entry.startBy));
+        order_.erase(keyOf(entry, entry.startDeadline));
         order_.emplace(keyOf(entry, now), number);
     }
 }
@@ -30,8 +30,8 @@
 {
     entries_.emplace(entry.number, entry);
     order_.emplace(keyOf(entry, now), entry.number);
-    if (now <= entry.startBy) {
-        startDeadlines_.emplace(entry.startBy, entry.number);
+    if (now <= entry.startDeadline) {
+        startDeadlines_.emplace(entry.startDeadline, entry.number);
     }
 }
 
@@ -42,13 +42,13 @@
         return;
     }
     const Entry &entry = found->second;
-    const auto [begin, end] = startDeadlines_.equal_range(entry.startBy);
+    const auto [begin, end] = startDeadlines_.equal_range(entry.startDeadline);
     const auto deadline = std::find_if(
         begin, end, [number](const auto &waiting) { return waiting.second == number; });
     if (deadline == end) {
         order_.erase(keyOf(entry, TimePoint::max()));
     } else {
-        order_.erase(keyOf(entry, entry.startBy));
+        order_.erase(keyOf(entry, entry.startDeadline));
         startDeadlines_.erase(deadline);
     }
     entries_.erase(found);
--- a/src/decision/gateway/streamqueue.h
+++ b/src/decision/gateway/streamqueue.h
@@ -29,8 +29,8 @@
     {
         RequestNumber number = 0; // Rises with arrival.
         std::uint8_t priority = 0;
-        bool isRetry = false; // Its caller was refused before.
-        TimePoint startBy{};  // A start after this is too late for the caller's goal.
+        bool isRetry = false;      // Its caller was refused before.
+        TimePoint startDeadline{}; // A start after this is too late for the caller's goal.
     };
 
     void add(const Entry &entry, TimePoint now);
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -40,10 +40,10 @@
     return groups;
 }
 
-StreamQueue::Entry entry(int startBy = 1000)
+StreamQueue::Entry entry(int startDeadline = 1000)
 {
     StreamQueue::Entry entry;
-    entry.startBy = at(startBy);
+    entry.startDeadline = at(startDeadline);
     return entry;
 }
 
--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -20,10 +20,10 @@
 {
     StreamQueue queue;
 
-    void add(RequestNumber number, int startBy, std::uint8_t priority = kUsual,
+    void add(RequestNumber number, int startDeadline, std::uint8_t priority = kUsual,
              bool isRetry = false)
     {
-        queue.add({number, priority, isRetry, at(startBy)}, at(0));
+        queue.add({number, priority, isRetry, at(startDeadline)}, at(0));
     }
 
     void checkNext(RequestNumber expected, int now)
