--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -5,7 +5,7 @@
 
 namespace seamarch {
 
-StreamQueue::Key StreamQueue::keyOf(const Entry &entry, TimePoint now)
+StreamQueue::Key StreamQueue::sortKey(const Entry &entry, TimePoint now)
 {
     if (now <= entry.startDeadline) {
         return {entry.priority, Timeliness::InTime, entry.number};
@@ -21,15 +21,15 @@
         const RequestNumber number = startDeadlines_.begin()->second;
         startDeadlines_.erase(startDeadlines_.begin());
         const Entry &entry = entries_.at(number);
-        order_.erase(keyOf(entry, entry.startDeadline));
-        order_.emplace(keyOf(entry, now), number);
+        order_.erase(sortKey(entry, entry.startDeadline));
+        order_.emplace(sortKey(entry, now), number);
     }
 }
 
 void StreamQueue::add(const Entry &entry, TimePoint now)
 {
     entries_.emplace(entry.number, entry);
-    order_.emplace(keyOf(entry, now), entry.number);
+    order_.emplace(sortKey(entry, now), entry.number);
     if (now <= entry.startDeadline) {
         startDeadlines_.emplace(entry.startDeadline, entry.number);
     }
@@ -46,9 +46,9 @@
     const auto deadline = std::find_if(
         begin, end, [number](const auto &waiting) { return waiting.second == number; });
     if (deadline == end) {
-        order_.erase(keyOf(entry, TimePoint::max()));
+        order_.erase(sortKey(entry, TimePoint::max()));
     } else {
-        order_.erase(keyOf(entry, entry.startDeadline));
+        order_.erase(sortKey(entry, entry.startDeadline));
         startDeadlines_.erase(deadline);
     }
     entries_.erase(found);
@@ -74,7 +74,7 @@
 {
     demoteLate(now);
     return static_cast<std::size_t>(
-        std::distance(order_.begin(), order_.lower_bound(keyOf(entry, now))));
+        std::distance(order_.begin(), order_.lower_bound(sortKey(entry, now))));
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/streamqueue.h
+++ b/src/decision/gateway/streamqueue.h
@@ -50,7 +50,7 @@
 
     using Key = std::tuple<std::uint8_t, Timeliness, RequestNumber>;
 
-    static Key keyOf(const Entry &entry, TimePoint now);
+    static Key sortKey(const Entry &entry, TimePoint now);
     void demoteLate(TimePoint now);
 
     std::unordered_map<RequestNumber, Entry> entries_;
