--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint8_t kUrgent = 1;
-constexpr std::uint8_t kUsual = 5;
+constexpr std::uint8_t kNormal = 5;
 
 TimePoint at(int millis)
 {
@@ -20,7 +20,7 @@
 {
     StreamQueue queue;
 
-    void add(RequestNumber number, int startDeadline, std::uint8_t priority = kUsual,
+    void add(RequestNumber number, int startDeadline, std::uint8_t priority = kNormal,
              bool isRetry = false)
     {
         queue.add({number, priority, isRetry, at(startDeadline)}, at(0));
@@ -61,7 +61,7 @@
 TEST(StreamQueueTest, CallerThatCameBackGoesFirstAmongTheLate)
 {
     add(1, 100);
-    add(2, -500, kUsual, true);
+    add(2, -500, kNormal, true);
     checkNext(2, 200);
     checkNext(1, 200);
 }
@@ -70,8 +70,8 @@
 {
     add(1, 100);
     add(2, 400);
-    LONGS_EQUAL(2, queue.countAhead({3, kUsual, false, at(300)}, at(50)));
-    LONGS_EQUAL(1, queue.countAhead({3, kUsual, false, at(300)}, at(200)));
+    LONGS_EQUAL(2, queue.countAhead({3, kNormal, false, at(300)}, at(50)));
+    LONGS_EQUAL(1, queue.countAhead({3, kNormal, false, at(300)}, at(200)));
     LONGS_EQUAL(0, queue.countAhead({3, kUrgent, false, at(300)}, at(200)));
 }
 
@@ -80,7 +80,7 @@
     add(1, 100);
     add(2, 100);
     queue.remove(1);
-    LONGS_EQUAL(1, queue.countAhead({3, kUsual, false, at(-1)}, at(200)));
+    LONGS_EQUAL(1, queue.countAhead({3, kNormal, false, at(-1)}, at(200)));
     queue.remove(2);
     queue.remove(2);
     CHECK_TRUE(queue.empty());
