--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -13,7 +13,7 @@
     ++inFlight_;
 }
 
-void GroupTracker::onLeft(bool spoke)
+void GroupTracker::onStreamEnd(bool spoke)
 {
     inFlight_ -= inFlight_ > 0 ? 1 : 0;
     speaking_ -= spoke && speaking_ > 0 ? 1 : 0;
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -119,9 +119,9 @@
         const auto chosen = send(now);
         if (chosen == group(0)) {
             ++tries;
-            lanes.lane(group(0)).onLeft(false);
+            lanes.lane(group(0)).onStreamEnd(false);
         } else if (chosen) {
-            lanes.lane(*chosen).onLeft(false);
+            lanes.lane(*chosen).onStreamEnd(false);
         }
     }
     CHECK_TEXT(tries >= 3 && tries <= 5, "expected a try each quarter of a second");
@@ -182,7 +182,7 @@
     lanes.setGroups(fewer, {42, {0, 14}});
     lanes.onTick(1, table, at(100));
     CHECK_TRUE(lanes.find(group(2)) != nullptr);
-    lanes.lane(group(2)).onLeft(false);
+    lanes.lane(group(2)).onStreamEnd(false);
     lanes.setGroups(fewer, {42, {0, 14}});
     CHECK_TRUE(lanes.find(group(2)) == nullptr);
 }
@@ -292,7 +292,7 @@
             // Callers leave a stream that is silent for two seconds.
             const bool over = now >= stream.endsAt + (stream.group == down ? 2000 : 0);
             if (over) {
-                gateway.lanes->lane(group(stream.group)).onLeft(true);
+                gateway.lanes->lane(group(stream.group)).onStreamEnd(true);
             }
             return over;
         });
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -70,7 +70,7 @@
 {
     speak(1000);
     foundStandingBy(1000, 2000);
-    lane.onLeft(true);
+    lane.onStreamEnd(true);
     lane.onTick(0, at(3000));
     CHECK_TRUE(lane.standsStill());
 }
@@ -80,7 +80,7 @@
     speak(1000);
     foundStandingBy(1000, 2000);
     CHECK_FALSE(lane.probeDue(at(5000)));
-    lane.onLeft(true);
+    lane.onStreamEnd(true);
     CHECK_TRUE(lane.probeDue(at(5000)));
     lane.onProbe(at(5000));
     CHECK_FALSE(lane.probeDue(at(5100)));
