--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -216,7 +216,7 @@
 {
     chooser_.onLeft(request.upstream);
     if (request.request.route->streamed) {
-        laneOf(request).onLeft(request.speaks);
+        laneOf(request).onStreamEnd(request.speaks);
     }
     request.upstream = InstanceId();
     request.speaks = false;
