--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -5,7 +5,7 @@
 
 namespace seamarch {
 
-void GroupTracker::onSent(TimePoint now)
+void GroupTracker::onStreamStart(TimePoint now)
 {
     if (inFlight_ == 0) {
         quietSince_ = now;
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -65,7 +65,7 @@
     std::uint32_t inFlight() const { return inFlight_; }
 
     // A stream was sent there.
-    void onSent(TimePoint now);
+    void onStreamStart(TimePoint now);
     // It is there no more; `spoke`: it had sent events.
     void onStreamEnd(bool spoke);
     // A stream has sent its first event.
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -66,7 +66,7 @@
     {
         auto chosen = lanes.laneFor(entry(now + 400), table, at(now));
         if (chosen) {
-            lanes.lane(*chosen).onSent(at(now));
+            lanes.lane(*chosen).onStreamStart(at(now));
         }
         return chosen;
     }
@@ -80,7 +80,7 @@
 
     void stopGroup(const GroupId &id, int now)
     {
-        lanes.lane(id).onSent(at(now - 1000));
+        lanes.lane(id).onStreamStart(at(now - 1000));
         pass(id, kShort, now - 1000);
         lanes.onTick(0, table, at(now));
     }
@@ -177,7 +177,7 @@
 
 TEST(GroupSelectorTest, LaneOfAGroupWhoseUpstreamsAreGoneEndsWithItsStreams)
 {
-    lanes.lane(group(2)).onSent(at(0));
+    lanes.lane(group(2)).onStreamStart(at(0));
     const UpstreamChooser::Groups fewer = groupsSeenFrom(0, 2);
     lanes.setGroups(fewer, {42, {0, 14}});
     lanes.onTick(1, table, at(100));
@@ -310,7 +310,7 @@
             }
             --gateway.waiting;
             GroupTracker &lane = gateway.lanes->lane(*chosen);
-            lane.onSent(at(now));
+            lane.onStreamStart(at(now));
             lane.onFirstEvent(at(now));
             constexpr int kStreamMillis = 1600; // Twenty passes of 80 ms.
             gateway.streams.push_back({std::stoi(chosen->value().substr(1)), now + kStreamMillis});
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -23,7 +23,7 @@
     // A stream that has sent two events, the last at `now`.
     void speak(int now)
     {
-        lane.onSent(at(now - 160));
+        lane.onStreamStart(at(now - 160));
         lane.onFirstEvent(at(now - 80));
         lane.onPause(kPass, kGoal, at(now));
     }
@@ -88,7 +88,7 @@
 
 TEST(GroupTrackerTest, StreamsThatNeverBeginAreAStandstill)
 {
-    lane.onSent(at(0));
+    lane.onStreamStart(at(0));
     CHECK_TEXT(foundStandingBy(0, 950) > 950, "a first event may take some passes");
     const int found = foundStandingBy(975, 2000);
     CHECK_TEXT(found <= 1025, "expected it a second after the stream was sent");
