--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -195,7 +195,7 @@
     ++request.attempts;
     chooser_.onSent(upstream, now);
     if (request.request.route->streamed) {
-        laneOf(request).onSent(now);
+        laneOf(request).onStreamStart(now);
     }
     actions.push_back(StartAttempt{number, request.attempts + request.unsent, upstream,
                                    request.group, request.giveUpAt - now, mayRepeat(request)});
