--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -13,10 +13,10 @@
     ++inFlight_;
 }
 
-void GroupTracker::onStreamEnd(bool spoke)
+void GroupTracker::onStreamEnd(bool hadEvents)
 {
     inFlight_ -= inFlight_ > 0 ? 1 : 0;
-    speaking_ -= spoke && speaking_ > 0 ? 1 : 0;
+    speaking_ -= hadEvents && speaking_ > 0 ? 1 : 0;
 }
 
 void GroupTracker::noteWord(TimePoint now)
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -67,7 +67,7 @@
     // A stream was sent there.
     void onStreamStart(TimePoint now);
     // It is there no more; `spoke`: it had sent events.
-    void onStreamEnd(bool spoke);
+    void onStreamEnd(bool hadEvents);
     // A stream has sent its first event.
     void onFirstEvent(TimePoint now);
     // An event came `pause` after the one before it on the same stream; `goal` is its route's.
