--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -19,7 +19,7 @@
     speaking_ -= hadEvents && speaking_ > 0 ? 1 : 0;
 }
 
-void GroupTracker::noteWord(TimePoint now)
+void GroupTracker::recordProgress(TimePoint now)
 {
     quietSince_ = now;
     standsStill_ = false;
@@ -29,13 +29,13 @@
 {
     ran_ = true;
     ++speaking_;
-    noteWord(now);
+    recordProgress(now);
 }
 
 void GroupTracker::onPause(Duration pause, Duration goal, TimePoint now)
 {
     goal_ = goal > Duration{} ? goal : goal_;
-    noteWord(now);
+    recordProgress(now);
     limiter_.onPause(pause, goal, now);
 }
 
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -108,7 +108,7 @@
     bool probeDue(TimePoint now) const;
 
 private:
-    void noteWord(TimePoint now);
+    void recordProgress(TimePoint now);
     bool silent(TimePoint now) const;
 
     Settings settings_;
