--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -65,7 +65,7 @@
     probedAt_ = now;
 }
 
-bool GroupTracker::silent(TimePoint now) const
+bool GroupTracker::exceedsStallTimeout(TimePoint now) const
 {
     if (inFlight_ == 0) {
         return false;
@@ -78,7 +78,7 @@
 
 void GroupTracker::onTick(std::size_t waiting, TimePoint now)
 {
-    standsStill_ = standsStill_ || silent(now);
+    standsStill_ = standsStill_ || exceedsStallTimeout(now);
     limiter_.onTick(inFlight_, waiting, now);
 }
 
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -109,7 +109,7 @@
 
 private:
     void recordProgress(TimePoint now);
-    bool silent(TimePoint now) const;
+    bool exceedsStallTimeout(TimePoint now) const;
 
     Settings settings_;
     StreamLimiter limiter_;
