--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -200,7 +200,7 @@
 {
     for (const Option &option : options(table, now)) {
         const GroupTracker &lane = lanes_.at(option.group);
-        const bool works = option.group != from || lane.speaks(now);
+        const bool works = option.group != from || lane.hasRecentEvent(now);
         if (option.trouble == Trouble::None && works && lane.limiter().admits(lane.inFlight())) {
             return option.group;
         }
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -97,7 +97,7 @@
         return speaking_ == 0 || now - quietSince_ >= settings_.firstEventPatience;
     }
     // Tells whether some stream there has had an event within the last passes.
-    bool speaks(TimePoint now) const
+    bool hasRecentEvent(TimePoint now) const
     {
         return speaking_ > 0 && now - quietSince_ < settings_.wordLife;
     }
