--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -92,7 +92,7 @@
     bool refuses(TimePoint now) const;
     bool unreachable() const { return unreachable_ >= settings_.unreachableAfter; }
     // Tells whether no stream there has sent an event for a while, or there is none.
-    bool quiet(TimePoint now) const
+    bool isQuiet(TimePoint now) const
     {
         return speaking_ == 0 || now - quietSince_ >= settings_.firstEventPatience;
     }
