--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -87,7 +87,7 @@
     if (lane.refuses(now) || lane.mayBeForming(now) || table.closed(group, now)) {
         return Trouble::Refuses;
     }
-    return lane.standsStill() ? Trouble::StandsStill : Trouble::None;
+    return lane.isStalled() ? Trouble::StandsStill : Trouble::None;
 }
 
 // Returns the lanes of groups that have upstreams, the best first.
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -88,7 +88,7 @@
     void onTick(std::size_t waiting, TimePoint now);
 
     // Tells whether the group was found to stand still, and nothing was heard of it since.
-    bool standsStill() const { return standsStill_; }
+    bool isStalled() const { return standsStill_; }
     bool refuses(TimePoint now) const;
     bool unreachable() const { return unreachable_ >= settings_.unreachableAfter; }
     // Tells whether no stream there has sent an event for a while, or there is none.
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -33,7 +33,7 @@
     {
         for (int now = from; now <= until; now += 25) {
             lane.onTick(0, at(now));
-            if (lane.standsStill()) {
+            if (lane.isStalled()) {
                 return now;
             }
         }
@@ -61,7 +61,7 @@
     speak(1000);
     foundStandingBy(1000, 2000);
     lane.onPause(std::chrono::seconds(1), kGoal, at(2000));
-    CHECK_FALSE(lane.standsStill());
+    CHECK_FALSE(lane.isStalled());
 }
 
 // Callers leave a stream that says nothing for two seconds. That the lane is empty then does not
@@ -72,7 +72,7 @@
     foundStandingBy(1000, 2000);
     lane.onStreamEnd(true);
     lane.onTick(0, at(3000));
-    CHECK_TRUE(lane.standsStill());
+    CHECK_TRUE(lane.isStalled());
 }
 
 TEST(GroupTrackerTest, LaneThatStandsStillIsTriedOnlyOnceNoStreamIsThere)
