--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -22,7 +22,7 @@
 void GroupTracker::recordProgress(TimePoint now)
 {
     quietSince_ = now;
-    standsStill_ = false;
+    stalled_ = false;
 }
 
 void GroupTracker::onFirstEvent(TimePoint now)
@@ -78,7 +78,7 @@
 
 void GroupTracker::onTick(std::size_t waiting, TimePoint now)
 {
-    standsStill_ = standsStill_ || exceedsStallTimeout(now);
+    stalled_ = stalled_ || exceedsStallTimeout(now);
     limiter_.onTick(inFlight_, waiting, now);
 }
 
@@ -94,7 +94,7 @@
 
 bool GroupTracker::probeDue(TimePoint now) const
 {
-    if (standsStill_ && inFlight_ > 0) {
+    if (stalled_ && inFlight_ > 0) {
         return false;
     }
     return now - probedAt_ >= (unreachable() ? settings_.unreachableProbeGap : settings_.probeGap);
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -88,7 +88,7 @@
     void onTick(std::size_t waiting, TimePoint now);
 
     // Tells whether the group was found to stand still, and nothing was heard of it since.
-    bool isStalled() const { return standsStill_; }
+    bool isStalled() const { return stalled_; }
     bool refuses(TimePoint now) const;
     bool unreachable() const { return unreachable_ >= settings_.unreachableAfter; }
     // Tells whether no stream there has sent an event for a while, or there is none.
@@ -117,7 +117,7 @@
     std::uint32_t speaking_ = 0; // Of those, that have sent events.
     Duration goal_{};            // Of the pauses, as last told.
     TimePoint quietSince_{};     // The last event of any stream, or the first stream after none.
-    bool standsStill_ = false;
+    bool stalled_ = false;
     bool ran_ = false;                       // The group has taken a request, at any time.
     std::optional<TimePoint> refusingSince_; // No upstream has answered otherwise since.
     std::optional<TimePoint> refusedFirst_;  // The first time that one refused.
