--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -16,7 +16,7 @@
 void GroupTracker::onStreamEnd(bool hadEvents)
 {
     inFlight_ -= inFlight_ > 0 ? 1 : 0;
-    speaking_ -= hadEvents && speaking_ > 0 ? 1 : 0;
+    producing_ -= hadEvents && producing_ > 0 ? 1 : 0;
 }
 
 void GroupTracker::recordProgress(TimePoint now)
@@ -28,7 +28,7 @@
 void GroupTracker::onFirstEvent(TimePoint now)
 {
     ran_ = true;
-    ++speaking_;
+    ++producing_;
     recordProgress(now);
 }
 
@@ -72,7 +72,7 @@
     }
     const Duration goals = fromSeconds(toSeconds(goal_) * settings_.standstillGoals);
     const Duration patience =
-        speaking_ > 0 ? std::max(goals, settings_.leastStandstill) : settings_.firstEventPatience;
+        producing_ > 0 ? std::max(goals, settings_.leastStandstill) : settings_.firstEventPatience;
     return now - quietSince_ >= patience;
 }
 
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -94,12 +94,12 @@
     // Tells whether no stream there has sent an event for a while, or there is none.
     bool isQuiet(TimePoint now) const
     {
-        return speaking_ == 0 || now - quietSince_ >= settings_.firstEventPatience;
+        return producing_ == 0 || now - quietSince_ >= settings_.firstEventPatience;
     }
     // Tells whether some stream there has had an event within the last passes.
     bool hasRecentEvent(TimePoint now) const
     {
-        return speaking_ > 0 && now - quietSince_ < settings_.wordLife;
+        return producing_ > 0 && now - quietSince_ < settings_.wordLife;
     }
     // Tells whether the group refuses, and probably because it has just started.
     bool mayBeForming(TimePoint now) const;
@@ -114,9 +114,9 @@
     Settings settings_;
     StreamLimiter limiter_;
     std::uint32_t inFlight_ = 0;
-    std::uint32_t speaking_ = 0; // Of those, that have sent events.
-    Duration goal_{};            // Of the pauses, as last told.
-    TimePoint quietSince_{};     // The last event of any stream, or the first stream after none.
+    std::uint32_t producing_ = 0; // Of those, that have sent events.
+    Duration goal_{};             // Of the pauses, as last told.
+    TimePoint quietSince_{};      // The last event of any stream, or the first stream after none.
     bool stalled_ = false;
     bool ran_ = false;                       // The group has taken a request, at any time.
     std::optional<TimePoint> refusingSince_; // No upstream has answered otherwise since.
