--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -34,7 +34,7 @@
 
 void GroupTracker::onPause(Duration pause, Duration goal, TimePoint now)
 {
-    goal_ = goal > Duration{} ? goal : goal_;
+    pauseGoal_ = goal > Duration{} ? goal : pauseGoal_;
     recordProgress(now);
     limiter_.onPause(pause, goal, now);
 }
@@ -70,7 +70,7 @@
     if (inFlight_ == 0) {
         return false;
     }
-    const Duration goals = fromSeconds(toSeconds(goal_) * settings_.standstillGoals);
+    const Duration goals = fromSeconds(toSeconds(pauseGoal_) * settings_.standstillGoals);
     const Duration patience =
         producing_ > 0 ? std::max(goals, settings_.leastStandstill) : settings_.firstEventPatience;
     return now - quietSince_ >= patience;
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -115,7 +115,7 @@
     StreamLimiter limiter_;
     std::uint32_t inFlight_ = 0;
     std::uint32_t producing_ = 0; // Of those, that have sent events.
-    Duration goal_{};             // Of the pauses, as last told.
+    Duration pauseGoal_{};        // Of the pauses, as last told.
     TimePoint quietSince_{};      // The last event of any stream, or the first stream after none.
     bool stalled_ = false;
     bool ran_ = false;                       // The group has taken a request, at any time.
