--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -70,9 +70,9 @@
     if (inFlight_ == 0) {
         return false;
     }
-    const Duration goals = fromSeconds(toSeconds(pauseGoal_) * settings_.standstillGoals);
-    const Duration patience =
-        producing_ > 0 ? std::max(goals, settings_.leastStandstill) : settings_.firstEventPatience;
+    const Duration goalTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.standstillGoals);
+    const Duration patience = producing_ > 0 ? std::max(goalTimeout, settings_.leastStandstill)
+                                             : settings_.firstEventPatience;
     return now - quietSince_ >= patience;
 }
 
