--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -71,9 +71,9 @@
         return false;
     }
     const Duration goalTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.standstillGoals);
-    const Duration patience = producing_ > 0 ? std::max(goalTimeout, settings_.leastStandstill)
-                                             : settings_.firstEventPatience;
-    return now - quietSince_ >= patience;
+    const Duration timeout = producing_ > 0 ? std::max(goalTimeout, settings_.leastStandstill)
+                                            : settings_.firstEventPatience;
+    return now - quietSince_ >= timeout;
 }
 
 void GroupTracker::onTick(std::size_t waiting, TimePoint now)
