--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -8,7 +8,7 @@
 void GroupTracker::onStreamStart(TimePoint now)
 {
     if (inFlight_ == 0) {
-        quietSince_ = now;
+        progressAt_ = now;
     }
     ++inFlight_;
 }
@@ -21,7 +21,7 @@
 
 void GroupTracker::recordProgress(TimePoint now)
 {
-    quietSince_ = now;
+    progressAt_ = now;
     stalled_ = false;
 }
 
@@ -73,7 +73,7 @@
     const Duration goalTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.standstillGoals);
     const Duration timeout = producing_ > 0 ? std::max(goalTimeout, settings_.leastStandstill)
                                             : settings_.firstEventPatience;
-    return now - quietSince_ >= timeout;
+    return now - progressAt_ >= timeout;
 }
 
 void GroupTracker::onTick(std::size_t waiting, TimePoint now)
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -94,12 +94,12 @@
     // Tells whether no stream there has sent an event for a while, or there is none.
     bool isQuiet(TimePoint now) const
     {
-        return producing_ == 0 || now - quietSince_ >= settings_.firstEventPatience;
+        return producing_ == 0 || now - progressAt_ >= settings_.firstEventPatience;
     }
     // Tells whether some stream there has had an event within the last passes.
     bool hasRecentEvent(TimePoint now) const
     {
-        return producing_ > 0 && now - quietSince_ < settings_.wordLife;
+        return producing_ > 0 && now - progressAt_ < settings_.wordLife;
     }
     // Tells whether the group refuses, and probably because it has just started.
     bool mayBeForming(TimePoint now) const;
@@ -116,7 +116,7 @@
     std::uint32_t inFlight_ = 0;
     std::uint32_t producing_ = 0; // Of those, that have sent events.
     Duration pauseGoal_{};        // Of the pauses, as last told.
-    TimePoint quietSince_{};      // The last event of any stream, or the first stream after none.
+    TimePoint progressAt_{};      // The last event of any stream, or the first stream after none.
     bool stalled_ = false;
     bool ran_ = false;                       // The group has taken a request, at any time.
     std::optional<TimePoint> refusingSince_; // No upstream has answered otherwise since.
