--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -27,7 +27,7 @@
 
 void GroupTracker::onFirstEvent(TimePoint now)
 {
-    ran_ = true;
+    hasServed_ = true;
     ++producing_;
     recordProgress(now);
 }
@@ -42,7 +42,7 @@
 bool GroupTracker::onAnswer(TimePoint now)
 {
     unreachable_ = 0;
-    ran_ = true;
+    hasServed_ = true;
     const auto since = std::exchange(refusingSince_, std::nullopt);
     return since && now - *since >= settings_.outagePatience;
 }
@@ -53,7 +53,7 @@
     const bool stoodStill = now - sentAt >= settings_.lateRefusal;
     // A group that forms refuses at once; one that took a request before it refused has lost a
     // rank.
-    ran_ = ran_ || stoodStill;
+    hasServed_ = hasServed_ || stoodStill;
     refusedFirst_ = refusedFirst_.value_or(now);
     const TimePoint since = stoodStill ? now - settings_.outagePatience : now;
     refusingSince_ = std::min(since, refusingSince_.value_or(since));
@@ -89,7 +89,7 @@
 
 bool GroupTracker::mayBeForming(TimePoint now) const
 {
-    return !ran_ && refusedFirst_ && now - *refusedFirst_ < settings_.formingPatience;
+    return !hasServed_ && refusedFirst_ && now - *refusedFirst_ < settings_.formingPatience;
 }
 
 bool GroupTracker::probeDue(TimePoint now) const
