--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -50,12 +50,12 @@
 void GroupTracker::onRefusal(TimePoint sentAt, TimePoint now)
 {
     unreachable_ = 0;
-    const bool stoodStill = now - sentAt >= settings_.lateRefusal;
+    const bool stalled = now - sentAt >= settings_.lateRefusal;
     // A group that forms refuses at once; one that took a request before it refused has lost a
     // rank.
-    hasServed_ = hasServed_ || stoodStill;
+    hasServed_ = hasServed_ || stalled;
     refusedFirst_ = refusedFirst_.value_or(now);
-    const TimePoint since = stoodStill ? now - settings_.outagePatience : now;
+    const TimePoint since = stalled ? now - settings_.outagePatience : now;
     refusingSince_ = std::min(since, refusingSince_.value_or(since));
 }
 
