--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -54,7 +54,7 @@
     // A group that forms refuses at once; one that took a request before it refused has lost a
     // rank.
     hasServed_ = hasServed_ || stalled;
-    refusedFirst_ = refusedFirst_.value_or(now);
+    firstRefusalAt_ = firstRefusalAt_.value_or(now);
     const TimePoint since = stalled ? now - settings_.outagePatience : now;
     refusingSince_ = std::min(since, refusingSince_.value_or(since));
 }
@@ -89,7 +89,7 @@
 
 bool GroupTracker::mayBeForming(TimePoint now) const
 {
-    return !hasServed_ && refusedFirst_ && now - *refusedFirst_ < settings_.formingPatience;
+    return !hasServed_ && firstRefusalAt_ && now - *firstRefusalAt_ < settings_.formingPatience;
 }
 
 bool GroupTracker::probeDue(TimePoint now) const
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -118,10 +118,10 @@
     Duration pauseGoal_{};        // Of the pauses, as last told.
     TimePoint progressAt_{};      // The last event of any stream, or the first stream after none.
     bool stalled_ = false;
-    bool hasServed_ = false;                 // The group has taken a request, at any time.
-    std::optional<TimePoint> refusingSince_; // No upstream has answered otherwise since.
-    std::optional<TimePoint> refusedFirst_;  // The first time that one refused.
-    std::uint32_t unreachable_ = 0;          // Attempts in a row that could not connect.
+    bool hasServed_ = false;                  // The group has taken a request, at any time.
+    std::optional<TimePoint> refusingSince_;  // No upstream has answered otherwise since.
+    std::optional<TimePoint> firstRefusalAt_; // The first time that one refused.
+    std::uint32_t unreachable_ = 0;           // Attempts in a row that could not connect.
     TimePoint probedAt_{};
 };
 
