--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -41,7 +41,7 @@
 
 bool GroupTracker::onAnswer(TimePoint now)
 {
-    unreachable_ = 0;
+    connectFailures_ = 0;
     hasServed_ = true;
     const auto since = std::exchange(refusingSince_, std::nullopt);
     return since && now - *since >= settings_.outagePatience;
@@ -49,7 +49,7 @@
 
 void GroupTracker::onRefusal(TimePoint sentAt, TimePoint now)
 {
-    unreachable_ = 0;
+    connectFailures_ = 0;
     const bool stalled = now - sentAt >= settings_.lateRefusal;
     // A group that forms refuses at once; one that took a request before it refused has lost a
     // rank.
@@ -61,7 +61,7 @@
 
 void GroupTracker::onUnreachable(TimePoint now)
 {
-    ++unreachable_;
+    ++connectFailures_;
     probedAt_ = now;
 }
 
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -90,7 +90,7 @@
     // Tells whether the group was found to stand still, and nothing was heard of it since.
     bool isStalled() const { return stalled_; }
     bool refuses(TimePoint now) const;
-    bool unreachable() const { return unreachable_ >= settings_.unreachableAfter; }
+    bool unreachable() const { return connectFailures_ >= settings_.unreachableAfter; }
     // Tells whether no stream there has sent an event for a while, or there is none.
     bool isQuiet(TimePoint now) const
     {
@@ -121,7 +121,7 @@
     bool hasServed_ = false;                  // The group has taken a request, at any time.
     std::optional<TimePoint> refusingSince_;  // No upstream has answered otherwise since.
     std::optional<TimePoint> firstRefusalAt_; // The first time that one refused.
-    std::uint32_t unreachable_ = 0;           // Attempts in a row that could not connect.
+    std::uint32_t connectFailures_ = 0;       // Attempts in a row that could not connect.
     TimePoint probedAt_{};
 };
 
