--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -81,7 +81,7 @@
 {
     const auto known = groups_->find(group); // Its last upstream may have left.
     const bool foreign = known == groups_->end() || !known->second.inOwnHall;
-    if (lane.unreachable() || (foreign && table.outOfTouch(group, now) && lane.isQuiet(now))) {
+    if (lane.isUnreachable() || (foreign && table.outOfTouch(group, now) && lane.isQuiet(now))) {
         return Trouble::Unreachable;
     }
     if (lane.refuses(now) || lane.mayBeForming(now) || table.closed(group, now)) {
--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -97,7 +97,8 @@
     if (stalled_ && inFlight_ > 0) {
         return false;
     }
-    return now - probedAt_ >= (unreachable() ? settings_.unreachableProbeGap : settings_.probeGap);
+    return now - probedAt_
+           >= (isUnreachable() ? settings_.unreachableProbeGap : settings_.probeGap);
 }
 
 } // namespace seamarch
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -118,11 +118,11 @@
 TEST(GroupTrackerTest, TwoUpstreamsInARowThatCannotBeReachedMeanThatTheWayIsCut)
 {
     lane.onUnreachable(at(0));
-    CHECK_FALSE(lane.unreachable());
+    CHECK_FALSE(lane.isUnreachable());
     lane.onUnreachable(at(400));
-    CHECK_TRUE(lane.unreachable());
+    CHECK_TRUE(lane.isUnreachable());
     CHECK_FALSE(lane.probeDue(at(1000)));
     CHECK_TRUE(lane.probeDue(at(1400)));
     lane.onAnswer(at(1500));
-    CHECK_FALSE(lane.unreachable());
+    CHECK_FALSE(lane.isUnreachable());
 }
