--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -84,7 +84,7 @@
     if (lane.isUnreachable() || (foreign && table.outOfTouch(group, now) && lane.isQuiet(now))) {
         return Trouble::Unreachable;
     }
-    if (lane.refuses(now) || lane.mayBeForming(now) || table.closed(group, now)) {
+    if (lane.isRefusing(now) || lane.mayBeForming(now) || table.closed(group, now)) {
         return Trouble::Refuses;
     }
     return lane.isStalled() ? Trouble::StandsStill : Trouble::None;
@@ -211,7 +211,7 @@
 bool GroupSelector::isOut(TimePoint now) const
 {
     return std::all_of(groups_->begin(), groups_->end(),
-                       [&](const auto &entry) { return lanes_.at(entry.first).refuses(now); });
+                       [&](const auto &entry) { return lanes_.at(entry.first).isRefusing(now); });
 }
 
 bool GroupSelector::opensSoon(const GroupTable &table, TimePoint now) const
@@ -220,7 +220,7 @@
     for (const auto &[id, group] : *groups_) {
         const GroupTracker &lane = lanes_.at(id);
         const bool forms = lane.mayBeForming(now) || table.forming(id, now);
-        if (!forms && !lane.refuses(now) && !table.closed(id, now)) {
+        if (!forms && !lane.isRefusing(now) && !table.closed(id, now)) {
             return false;
         }
         soon = soon || forms;
--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -82,7 +82,7 @@
     limiter_.onTick(inFlight_, waiting, now);
 }
 
-bool GroupTracker::refuses(TimePoint now) const
+bool GroupTracker::isRefusing(TimePoint now) const
 {
     return refusingSince_ && now - *refusingSince_ >= settings_.outagePatience;
 }
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -89,7 +89,7 @@
 
     // Tells whether the group was found to stand still, and nothing was heard of it since.
     bool isStalled() const { return stalled_; }
-    bool refuses(TimePoint now) const;
+    bool isRefusing(TimePoint now) const;
     bool isUnreachable() const { return connectFailures_ >= settings_.unreachableAfter; }
     // Tells whether no stream there has sent an event for a while, or there is none.
     bool isQuiet(TimePoint now) const
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -102,17 +102,17 @@
 TEST(GroupTrackerTest, RefusalsMeanSomethingOnceNothingElseCameForAWhile)
 {
     lane.onRefusal(at(0), at(5));
-    CHECK_FALSE(lane.refuses(at(100)));
-    CHECK_TRUE(lane.refuses(at(305)));
+    CHECK_FALSE(lane.isRefusing(at(100)));
+    CHECK_TRUE(lane.isRefusing(at(305)));
     CHECK_TRUE(lane.onAnswer(at(400)));
-    CHECK_FALSE(lane.refuses(at(400)));
+    CHECK_FALSE(lane.isRefusing(at(400)));
 }
 
 // A group that stood still refuses all at one moment.
 TEST(GroupTrackerTest, LateRefusalMeansSomethingAtOnce)
 {
     lane.onRefusal(at(0), at(1500));
-    CHECK_TRUE(lane.refuses(at(1500)));
+    CHECK_TRUE(lane.isRefusing(at(1500)));
 }
 
 TEST(GroupTrackerTest, TwoUpstreamsInARowThatCannotBeReachedMeanThatTheWayIsCut)
