--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -27,7 +27,7 @@
         // A group whose streams have all been silent for so many times their pause goal stands
         // still. After a shift of demand passes take up to two and a half times as long as before,
         // which stays below; a hold that is released in time lasts as long as one or two passes.
-        double standstillGoals = 2.0;
+        double stallGoalFactor = 2.0;
         // Shorter silences happen on a lossy link, where a lost packet is sent again after a fifth
         // of a second.
         Duration leastStandstill = std::chrono::milliseconds(250);
