--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -71,7 +71,7 @@
         return false;
     }
     const Duration goalTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.stallGoalFactor);
-    const Duration timeout = producing_ > 0 ? std::max(goalTimeout, settings_.leastStandstill)
+    const Duration timeout = producing_ > 0 ? std::max(goalTimeout, settings_.minStallTimeout)
                                             : settings_.firstEventPatience;
     return now - progressAt_ >= timeout;
 }
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -30,7 +30,7 @@
         double stallGoalFactor = 2.0;
         // Shorter silences happen on a lossy link, where a lost packet is sent again after a fifth
         // of a second.
-        Duration leastStandstill = std::chrono::milliseconds(250);
+        Duration minStallTimeout = std::chrono::milliseconds(250);
         // While no stream has sent an event yet, the first may take this long: some passes, in
         // which the prompt is read, behind a few others.
         Duration firstEventPatience = std::chrono::milliseconds(1000);
