--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -72,7 +72,7 @@
     }
     const Duration goalTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.stallGoalFactor);
     const Duration timeout = producing_ > 0 ? std::max(goalTimeout, settings_.minStallTimeout)
-                                            : settings_.firstEventPatience;
+                                            : settings_.firstEventTimeout;
     return now - progressAt_ >= timeout;
 }
 
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -33,7 +33,7 @@
         Duration minStallTimeout = std::chrono::milliseconds(250);
         // While no stream has sent an event yet, the first may take this long: some passes, in
         // which the prompt is read, behind a few others.
-        Duration firstEventPatience = std::chrono::milliseconds(1000);
+        Duration firstEventTimeout = std::chrono::milliseconds(1000);
         // A group that has refused everything for this long is out.
         Duration outagePatience = std::chrono::milliseconds(300);
         // Engines that have just started refuse until their group has formed. Where the group has
@@ -94,7 +94,7 @@
     // Tells whether no stream there has sent an event for a while, or there is none.
     bool isQuiet(TimePoint now) const
     {
-        return producing_ == 0 || now - progressAt_ >= settings_.firstEventPatience;
+        return producing_ == 0 || now - progressAt_ >= settings_.firstEventTimeout;
     }
     // Tells whether some stream there has had an event within the last passes.
     bool hasRecentEvent(TimePoint now) const
