--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -44,7 +44,7 @@
     connectFailures_ = 0;
     hasServed_ = true;
     const auto since = std::exchange(refusingSince_, std::nullopt);
-    return since && now - *since >= settings_.outagePatience;
+    return since && now - *since >= settings_.outageDelay;
 }
 
 void GroupTracker::onRefusal(TimePoint sentAt, TimePoint now)
@@ -55,7 +55,7 @@
     // rank.
     hasServed_ = hasServed_ || stalled;
     firstRefusalAt_ = firstRefusalAt_.value_or(now);
-    const TimePoint since = stalled ? now - settings_.outagePatience : now;
+    const TimePoint since = stalled ? now - settings_.outageDelay : now;
     refusingSince_ = std::min(since, refusingSince_.value_or(since));
 }
 
@@ -84,7 +84,7 @@
 
 bool GroupTracker::isRefusing(TimePoint now) const
 {
-    return refusingSince_ && now - *refusingSince_ >= settings_.outagePatience;
+    return refusingSince_ && now - *refusingSince_ >= settings_.outageDelay;
 }
 
 bool GroupTracker::mayBeForming(TimePoint now) const
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -35,7 +35,7 @@
         // which the prompt is read, behind a few others.
         Duration firstEventTimeout = std::chrono::milliseconds(1000);
         // A group that has refused everything for this long is out.
-        Duration outagePatience = std::chrono::milliseconds(300);
+        Duration outageDelay = std::chrono::milliseconds(300);
         // Engines that have just started refuse until their group has formed. Where the group has
         // never taken a request from here, that is held for the reason this long: starting takes a
         // second or two, and forming what the configuration says, less than one.
