--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -89,7 +89,7 @@
 
 bool GroupTracker::mayBeForming(TimePoint now) const
 {
-    return !hasServed_ && firstRefusalAt_ && now - *firstRefusalAt_ < settings_.formingPatience;
+    return !hasServed_ && firstRefusalAt_ && now - *firstRefusalAt_ < settings_.formingTimeout;
 }
 
 bool GroupTracker::probeDue(TimePoint now) const
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -39,7 +39,7 @@
         // Engines that have just started refuse until their group has formed. Where the group has
         // never taken a request from here, that is held for the reason this long: starting takes a
         // second or two, and forming what the configuration says, less than one.
-        Duration formingPatience = std::chrono::seconds(3);
+        Duration formingTimeout = std::chrono::seconds(3);
         // A group whose streams have had an event within this time makes its passes: they are some
         // 50 to 200 ms apart.
         Duration wordLife = std::chrono::milliseconds(300);
