--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -42,7 +42,7 @@
         Duration formingTimeout = std::chrono::seconds(3);
         // A group whose streams have had an event within this time makes its passes: they are some
         // 50 to 200 ms apart.
-        Duration wordLife = std::chrono::milliseconds(300);
+        Duration recentEventWindow = std::chrono::milliseconds(300);
         // An upstream without room refuses at once. One that refuses only after so long had taken
         // the request and stood still: its whole group does, and says so to all at this moment.
         Duration lateRefusal = std::chrono::milliseconds(1000);
@@ -99,7 +99,7 @@
     // Tells whether some stream there has had an event within the last passes.
     bool hasRecentEvent(TimePoint now) const
     {
-        return producing_ > 0 && now - progressAt_ < settings_.wordLife;
+        return producing_ > 0 && now - progressAt_ < settings_.recentEventWindow;
     }
     // Tells whether the group refuses, and probably because it has just started.
     bool mayBeForming(TimePoint now) const;
