--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -50,7 +50,7 @@
 void GroupTracker::onRefusal(TimePoint sentAt, TimePoint now)
 {
     connectFailures_ = 0;
-    const bool stalled = now - sentAt >= settings_.lateRefusal;
+    const bool stalled = now - sentAt >= settings_.lateRefusalAge;
     // A group that forms refuses at once; one that took a request before it refused has lost a
     // rank.
     hasServed_ = hasServed_ || stalled;
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -45,7 +45,7 @@
         Duration recentEventWindow = std::chrono::milliseconds(300);
         // An upstream without room refuses at once. One that refuses only after so long had taken
         // the request and stood still: its whole group does, and says so to all at this moment.
-        Duration lateRefusal = std::chrono::milliseconds(1000);
+        Duration lateRefusalAge = std::chrono::milliseconds(1000);
         // So many upstreams in a row that could not be connected to: the way to the group is cut.
         std::uint32_t unreachableAfter = 2;
         // How often a lane that should be avoided is tried with one request all the same.
