--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -47,7 +47,7 @@
         // the request and stood still: its whole group does, and says so to all at this moment.
         Duration lateRefusalAge = std::chrono::milliseconds(1000);
         // So many upstreams in a row that could not be connected to: the way to the group is cut.
-        std::uint32_t unreachableAfter = 2;
+        std::uint32_t unreachableThreshold = 2;
         // How often a lane that should be avoided is tried with one request all the same.
         Duration probeGap = std::chrono::milliseconds(250);
         // A try costs its request the time of a connection that is not made.
@@ -90,7 +90,7 @@
     // Tells whether the group was found to stand still, and nothing was heard of it since.
     bool isStalled() const { return stalled_; }
     bool isRefusing(TimePoint now) const;
-    bool isUnreachable() const { return connectFailures_ >= settings_.unreachableAfter; }
+    bool isUnreachable() const { return connectFailures_ >= settings_.unreachableThreshold; }
     // Tells whether no stream there has sent an event for a while, or there is none.
     bool isQuiet(TimePoint now) const
     {
