--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -49,7 +49,7 @@
         // So many upstreams in a row that could not be connected to: the way to the group is cut.
         std::uint32_t unreachableThreshold = 2;
         // How often a lane that should be avoided is tried with one request all the same.
-        Duration probeGap = std::chrono::milliseconds(250);
+        Duration probeInterval = std::chrono::milliseconds(250);
         // A try costs its request the time of a connection that is not made.
         Duration unreachableProbeGap = std::chrono::milliseconds(1000);
     };
