--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -98,7 +98,7 @@
         return false;
     }
     return now - probedAt_
-           >= (isUnreachable() ? settings_.unreachableProbeGap : settings_.probeInterval);
+           >= (isUnreachable() ? settings_.unreachableProbeInterval : settings_.probeInterval);
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -51,7 +51,7 @@
         // How often a lane that should be avoided is tried with one request all the same.
         Duration probeInterval = std::chrono::milliseconds(250);
         // A try costs its request the time of a connection that is not made.
-        Duration unreachableProbeGap = std::chrono::milliseconds(1000);
+        Duration unreachableProbeInterval = std::chrono::milliseconds(1000);
     };
 
     GroupTracker() = default;
