--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -18,22 +18,22 @@
 
 TEST_GROUP(GroupTrackerTest)
 {
-    GroupTracker lane{GroupTracker::Settings()};
+    GroupTracker tracker{GroupTracker::Settings()};
 
     // A stream that has sent two events, the last at `now`.
     void speak(int now)
     {
-        lane.onStreamStart(at(now - 160));
-        lane.onFirstEvent(at(now - 80));
-        lane.onPause(kPass, kGoal, at(now));
+        tracker.onStreamStart(at(now - 160));
+        tracker.onFirstEvent(at(now - 80));
+        tracker.onPause(kPass, kGoal, at(now));
     }
 
     // Looks every 25 ms, as its owner does, and returns when a standstill was found.
     int foundStandingBy(int from, int until)
     {
         for (int now = from; now <= until; now += 25) {
-            lane.onTick(0, at(now));
-            if (lane.isStalled()) {
+            tracker.onTick(0, at(now));
+            if (tracker.isStalled()) {
                 return now;
             }
         }
@@ -60,8 +60,8 @@
 {
     speak(1000);
     foundStandingBy(1000, 2000);
-    lane.onPause(std::chrono::seconds(1), kGoal, at(2000));
-    CHECK_FALSE(lane.isStalled());
+    tracker.onPause(std::chrono::seconds(1), kGoal, at(2000));
+    CHECK_FALSE(tracker.isStalled());
 }
 
 // Callers leave a stream that says nothing for two seconds. That the lane is empty then does not
@@ -70,25 +70,25 @@
 {
     speak(1000);
     foundStandingBy(1000, 2000);
-    lane.onStreamEnd(true);
-    lane.onTick(0, at(3000));
-    CHECK_TRUE(lane.isStalled());
+    tracker.onStreamEnd(true);
+    tracker.onTick(0, at(3000));
+    CHECK_TRUE(tracker.isStalled());
 }
 
 TEST(GroupTrackerTest, LaneThatStandsStillIsTriedOnlyOnceNoStreamIsThere)
 {
     speak(1000);
     foundStandingBy(1000, 2000);
-    CHECK_FALSE(lane.probeDue(at(5000)));
-    lane.onStreamEnd(true);
-    CHECK_TRUE(lane.probeDue(at(5000)));
-    lane.onProbe(at(5000));
-    CHECK_FALSE(lane.probeDue(at(5100)));
+    CHECK_FALSE(tracker.probeDue(at(5000)));
+    tracker.onStreamEnd(true);
+    CHECK_TRUE(tracker.probeDue(at(5000)));
+    tracker.onProbe(at(5000));
+    CHECK_FALSE(tracker.probeDue(at(5100)));
 }
 
 TEST(GroupTrackerTest, StreamsThatNeverBeginAreAStandstill)
 {
-    lane.onStreamStart(at(0));
+    tracker.onStreamStart(at(0));
     CHECK_TEXT(foundStandingBy(0, 950) > 950, "a first event may take some passes");
     const int found = foundStandingBy(975, 2000);
     CHECK_TEXT(found <= 1025, "expected it a second after the stream was sent");
@@ -101,28 +101,28 @@
 
 TEST(GroupTrackerTest, RefusalsMeanSomethingOnceNothingElseCameForAWhile)
 {
-    lane.onRefusal(at(0), at(5));
-    CHECK_FALSE(lane.isRefusing(at(100)));
-    CHECK_TRUE(lane.isRefusing(at(305)));
-    CHECK_TRUE(lane.onAnswer(at(400)));
-    CHECK_FALSE(lane.isRefusing(at(400)));
+    tracker.onRefusal(at(0), at(5));
+    CHECK_FALSE(tracker.isRefusing(at(100)));
+    CHECK_TRUE(tracker.isRefusing(at(305)));
+    CHECK_TRUE(tracker.onAnswer(at(400)));
+    CHECK_FALSE(tracker.isRefusing(at(400)));
 }
 
 // A group that stood still refuses all at one moment.
 TEST(GroupTrackerTest, LateRefusalMeansSomethingAtOnce)
 {
-    lane.onRefusal(at(0), at(1500));
-    CHECK_TRUE(lane.isRefusing(at(1500)));
+    tracker.onRefusal(at(0), at(1500));
+    CHECK_TRUE(tracker.isRefusing(at(1500)));
 }
 
 TEST(GroupTrackerTest, TwoUpstreamsInARowThatCannotBeReachedMeanThatTheWayIsCut)
 {
-    lane.onUnreachable(at(0));
-    CHECK_FALSE(lane.isUnreachable());
-    lane.onUnreachable(at(400));
-    CHECK_TRUE(lane.isUnreachable());
-    CHECK_FALSE(lane.probeDue(at(1000)));
-    CHECK_TRUE(lane.probeDue(at(1400)));
-    lane.onAnswer(at(1500));
-    CHECK_FALSE(lane.isUnreachable());
+    tracker.onUnreachable(at(0));
+    CHECK_FALSE(tracker.isUnreachable());
+    tracker.onUnreachable(at(400));
+    CHECK_TRUE(tracker.isUnreachable());
+    CHECK_FALSE(tracker.probeDue(at(1000)));
+    CHECK_TRUE(tracker.probeDue(at(1400)));
+    tracker.onAnswer(at(1500));
+    CHECK_FALSE(tracker.isUnreachable());
 }
