--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -21,7 +21,7 @@
     GroupTracker tracker{GroupTracker::Settings()};
 
     // A stream that has sent two events, the last at `now`.
-    void speak(int now)
+    void startProducing(int now)
     {
         tracker.onStreamStart(at(now - 160));
         tracker.onFirstEvent(at(now - 80));
@@ -45,20 +45,20 @@
 // and a half. Two goals of silence are some four passes.
 TEST(GroupTrackerTest, SilenceOfTwoGoalsIsAStandstill)
 {
-    speak(1000);
+    startProducing(1000);
     const int found = foundStandingBy(1000, 2000);
     CHECK_TEXT(found >= 1300 && found <= 1325, "expected it 300 ms after the last event");
 }
 
 TEST(GroupTrackerTest, LongPassesAfterAShiftAreNoStandstill)
 {
-    speak(1000);
+    startProducing(1000);
     CHECK_TEXT(foundStandingBy(1000, 1225) > 1225, "passes of 225 ms come right after a shift");
 }
 
 TEST(GroupTrackerTest, OneEventEndsAStandstill)
 {
-    speak(1000);
+    startProducing(1000);
     foundStandingBy(1000, 2000);
     tracker.onPause(std::chrono::seconds(1), kGoal, at(2000));
     CHECK_FALSE(tracker.isStalled());
@@ -68,7 +68,7 @@
 // mean that the group works again.
 TEST(GroupTrackerTest, StandstillOutlivesItsStreams)
 {
-    speak(1000);
+    startProducing(1000);
     foundStandingBy(1000, 2000);
     tracker.onStreamEnd(true);
     tracker.onTick(0, at(3000));
@@ -77,7 +77,7 @@
 
 TEST(GroupTrackerTest, LaneThatStandsStillIsTriedOnlyOnceNoStreamIsThere)
 {
-    speak(1000);
+    startProducing(1000);
     foundStandingBy(1000, 2000);
     CHECK_FALSE(tracker.probeDue(at(5000)));
     tracker.onStreamEnd(true);
