--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -29,7 +29,7 @@
     }
 
     // Looks every 25 ms, as its owner does, and returns when a standstill was found.
-    int foundStandingBy(int from, int until)
+    int detectStall(int from, int until)
     {
         for (int now = from; now <= until; now += 25) {
             tracker.onTick(0, at(now));
@@ -46,20 +46,20 @@
 TEST(GroupTrackerTest, SilenceOfTwoGoalsIsAStandstill)
 {
     startProducing(1000);
-    const int found = foundStandingBy(1000, 2000);
+    const int found = detectStall(1000, 2000);
     CHECK_TEXT(found >= 1300 && found <= 1325, "expected it 300 ms after the last event");
 }
 
 TEST(GroupTrackerTest, LongPassesAfterAShiftAreNoStandstill)
 {
     startProducing(1000);
-    CHECK_TEXT(foundStandingBy(1000, 1225) > 1225, "passes of 225 ms come right after a shift");
+    CHECK_TEXT(detectStall(1000, 1225) > 1225, "passes of 225 ms come right after a shift");
 }
 
 TEST(GroupTrackerTest, OneEventEndsAStandstill)
 {
     startProducing(1000);
-    foundStandingBy(1000, 2000);
+    detectStall(1000, 2000);
     tracker.onPause(std::chrono::seconds(1), kGoal, at(2000));
     CHECK_FALSE(tracker.isStalled());
 }
@@ -69,7 +69,7 @@
 TEST(GroupTrackerTest, StandstillOutlivesItsStreams)
 {
     startProducing(1000);
-    foundStandingBy(1000, 2000);
+    detectStall(1000, 2000);
     tracker.onStreamEnd(true);
     tracker.onTick(0, at(3000));
     CHECK_TRUE(tracker.isStalled());
@@ -78,7 +78,7 @@
 TEST(GroupTrackerTest, LaneThatStandsStillIsTriedOnlyOnceNoStreamIsThere)
 {
     startProducing(1000);
-    foundStandingBy(1000, 2000);
+    detectStall(1000, 2000);
     CHECK_FALSE(tracker.probeDue(at(5000)));
     tracker.onStreamEnd(true);
     CHECK_TRUE(tracker.probeDue(at(5000)));
@@ -89,14 +89,14 @@
 TEST(GroupTrackerTest, StreamsThatNeverBeginAreAStandstill)
 {
     tracker.onStreamStart(at(0));
-    CHECK_TEXT(foundStandingBy(0, 950) > 950, "a first event may take some passes");
-    const int found = foundStandingBy(975, 2000);
+    CHECK_TEXT(detectStall(0, 950) > 950, "a first event may take some passes");
+    const int found = detectStall(975, 2000);
     CHECK_TEXT(found <= 1025, "expected it a second after the stream was sent");
 }
 
 TEST(GroupTrackerTest, EmptyLaneNeverStandsStill)
 {
-    CHECK_TRUE(foundStandingBy(0, 5000) > 5000);
+    CHECK_TRUE(detectStall(0, 5000) > 5000);
 }
 
 TEST(GroupTrackerTest, RefusalsMeanSomethingOnceNothingElseCameForAWhile)
