--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -105,7 +105,8 @@
     }
     if (route.streamed) {
         ServiceState &service = serviceOf(added.service);
-        const auto group = service.lanes.laneFor(entryFor(number, added, service), groups_, now);
+        const auto group =
+            service.lanes.selectForNew(entryFor(number, added, service), groups_, now);
         if (!group) {
             queueStream(number, added, now, actions);
             return number;
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -120,7 +120,7 @@
 void GatewayCore::admitWaiting(ServiceState &service, TimePoint now, GatewayActions &actions)
 {
     for (auto next = service.waiting.next(now); next; next = service.waiting.next(now)) {
-        const auto group = service.lanes.laneFor(*next, groups_, now);
+        const auto group = service.lanes.selectForNew(*next, groups_, now);
         if (!group) {
             return;
         }
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -148,8 +148,8 @@
     return std::nullopt;
 }
 
-std::optional<GroupId> GroupSelector::laneFor(const StreamQueue::Entry &entry,
-                                              const GroupTable &table, TimePoint now)
+std::optional<GroupId> GroupSelector::selectForNew(const StreamQueue::Entry &entry,
+                                                   const GroupTable &table, TimePoint now)
 {
     const std::vector<Option> all = options(table, now);
     if (all.empty()) {
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -55,8 +55,8 @@
     void setGroups(const UpstreamChooser::Groups &groups, const GatewayShare &share);
 
     // Returns the group that `entry` may begin at now; nothing when it should wait.
-    std::optional<GroupId> laneFor(const StreamQueue::Entry &entry, const GroupTable &table,
-                                   TimePoint now);
+    std::optional<GroupId> selectForNew(const StreamQueue::Entry &entry, const GroupTable &table,
+                                        TimePoint now);
     // Returns the group for a request that was sent before and is sent again, whatever the bounds.
     std::optional<GroupId> laneForRetry(const GroupTable &table, TimePoint now) const;
 
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -64,7 +64,7 @@
     // Sends a stream where the lanes say; returns nothing when it should wait.
     std::optional<GroupId> send(int now)
     {
-        auto chosen = lanes.laneFor(entry(now + 400), table, at(now));
+        auto chosen = lanes.selectForNew(entry(now + 400), table, at(now));
         if (chosen) {
             lanes.lane(*chosen).onStreamStart(at(now));
         }
@@ -304,7 +304,7 @@
         }
         gateway.lanes->onTick(static_cast<std::size_t>(gateway.waiting), table_, at(now));
         while (gateway.waiting > 0) {
-            const auto chosen = gateway.lanes->laneFor(entry(now + 400), table_, at(now));
+            const auto chosen = gateway.lanes->selectForNew(entry(now + 400), table_, at(now));
             if (!chosen) {
                 return;
             }
