--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -209,7 +209,7 @@
 {
     const bool streamed = request.request.route->streamed;
     const auto group =
-        streamed ? serviceOf(request.service).lanes.laneForRetry(groups_, now) : std::nullopt;
+        streamed ? serviceOf(request.service).lanes.selectForRetry(groups_, now) : std::nullopt;
     return startAttempt(number, request, group, now, actions);
 }
 
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -180,7 +180,7 @@
     return std::nullopt;
 }
 
-std::optional<GroupId> GroupSelector::laneForRetry(const GroupTable &table, TimePoint now) const
+std::optional<GroupId> GroupSelector::selectForRetry(const GroupTable &table, TimePoint now) const
 {
     const std::vector<Option> all = options(table, now);
     if (all.empty()) {
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -58,7 +58,7 @@
     std::optional<GroupId> selectForNew(const StreamQueue::Entry &entry, const GroupTable &table,
                                         TimePoint now);
     // Returns the group for a request that was sent before and is sent again, whatever the bounds.
-    std::optional<GroupId> laneForRetry(const GroupTable &table, TimePoint now) const;
+    std::optional<GroupId> selectForRetry(const GroupTable &table, TimePoint now) const;
 
     // Returns the group for a request whose upstream, in the group `from`, has fallen silent;
     // nothing when all that have room are in trouble, or `from` itself is silent and there is no
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -199,7 +199,7 @@
 TEST(GroupSelectorTest, RetryGoesToAGroupThatWorksWhateverTheBounds)
 {
     stopGroup(group(0), 2000);
-    const auto chosen = lanes.laneForRetry(table, at(2000));
+    const auto chosen = lanes.selectForRetry(table, at(2000));
     CHECK_TRUE(chosen && *chosen != group(0));
 }
 
