--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -484,7 +484,7 @@
     Request &request = requests_.at(number);
     std::optional<GroupId> group;
     if (request.request.route->streamed) {
-        group = serviceOf(request.service).lanes.laneForMove(request.group, groups_, now);
+        group = serviceOf(request.service).lanes.selectForFailover(request.group, groups_, now);
         if (!group || !chooseFor(request, group, now)) {
             return;
         }
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -195,8 +195,8 @@
     return all.front().group;
 }
 
-std::optional<GroupId> GroupSelector::laneForMove(const GroupId &from, const GroupTable &table,
-                                                  TimePoint now) const
+std::optional<GroupId>
+GroupSelector::selectForFailover(const GroupId &from, const GroupTable &table, TimePoint now) const
 {
     for (const Option &option : options(table, now)) {
         const GroupTracker &lane = lanes_.at(option.group);
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -63,8 +63,8 @@
     // Returns the group for a request whose upstream, in the group `from`, has fallen silent;
     // nothing when all that have room are in trouble, or `from` itself is silent and there is no
     // other.
-    std::optional<GroupId> laneForMove(const GroupId &from, const GroupTable &table,
-                                       TimePoint now) const;
+    std::optional<GroupId> selectForFailover(const GroupId &from, const GroupTable &table,
+                                             TimePoint now) const;
 
     // Returns the lane of a group; adds one.
     GroupTracker &lane(const GroupId &group);
