--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -131,8 +131,8 @@
 
 // Returns an avoided lane that is to be tried. One whose own agents say that it is closed is not:
 // they will say when it opens.
-std::optional<GroupId> GroupSelector::laneToProbe(const std::vector<Option> &options,
-                                                  const GroupTable &table, TimePoint now)
+std::optional<GroupId> GroupSelector::selectForProbe(const std::vector<Option> &options,
+                                                     const GroupTable &table, TimePoint now)
 {
     for (const Option &option : options) {
         GroupTracker &lane = lanes_.at(option.group);
@@ -157,7 +157,7 @@
     }
     const bool out = opensSoon(table, now);
     if (out || (all.front().trouble == Trouble::None && all.back().trouble != Trouble::None)) {
-        auto probe = laneToProbe(all, table, now);
+        auto probe = selectForProbe(all, table, now);
         if (out || probe) {
             return probe;
         }
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -99,8 +99,8 @@
     Trouble troubleOf(const GroupId &group, const GroupTracker &lane, const GroupTable &table,
                       TimePoint now) const;
     std::vector<Option> options(const GroupTable &table, TimePoint now) const;
-    std::optional<GroupId> laneToProbe(const std::vector<Option> &options, const GroupTable &table,
-                                       TimePoint now);
+    std::optional<GroupId> selectForProbe(const std::vector<Option> &options,
+                                          const GroupTable &table, TimePoint now);
     bool mayStart(const GroupTracker &lane, const StreamQueue::Entry &entry, TimePoint now) const;
     void begin(GroupTracker &lane, const UpstreamChooser::Group &group) const;
 
