--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -196,7 +196,7 @@
     ++request.attempts;
     chooser_.onSent(upstream, now);
     if (request.request.route->streamed) {
-        laneOf(request).onStreamStart(now);
+        trackerOf(request).onStreamStart(now);
     }
     actions.push_back(StartAttempt{number, request.attempts + request.unsent, upstream,
                                    request.group, request.giveUpAt - now, mayRepeat(request)});
@@ -217,7 +217,7 @@
 {
     chooser_.onLeft(request.upstream);
     if (request.request.route->streamed) {
-        laneOf(request).onStreamEnd(request.speaks);
+        trackerOf(request).onStreamEnd(request.speaks);
     }
     request.upstream = InstanceId();
     request.speaks = false;
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -287,7 +287,7 @@
     std::optional<InstanceId> chooseFor(const Request &request, const std::optional<GroupId> &group,
                                         TimePoint now);
     TargetName chooseService(const RouteRule &route);
-    GroupTracker &laneOf(const Request &request);
+    GroupTracker &trackerOf(const Request &request);
     bool startAttempt(RequestNumber number, Request &request, const std::optional<GroupId> &group,
                       TimePoint now, GatewayActions &actions);
     void startOrWait(RequestNumber number, Request &request, const std::optional<GroupId> &group,
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -98,7 +98,7 @@
     return state;
 }
 
-GroupTracker &GatewayCore::laneOf(const Request &request)
+GroupTracker &GatewayCore::trackerOf(const Request &request)
 {
     return serviceOf(request.service).lanes.lane(request.group);
 }
@@ -147,7 +147,7 @@
     }
     request->speaks = true;
     request->heardAt = now;
-    laneOf(*request).onFirstEvent(now);
+    trackerOf(*request).onFirstEvent(now);
     Duration &average = serviceOf(request->service).firstEvent;
     const Duration time = now - request->sentAt;
     average = average == Duration{} ? time : (average * (kWeight - 1) + time) / kWeight;
@@ -159,7 +159,7 @@
     if (request != nullptr && request->upstream != InstanceId()) {
         request->heardAt = now;
         const Duration goal = request->request.route->pauseGoal;
-        laneOf(*request).onPause(pause, goal, now);
+        trackerOf(*request).onPause(pause, goal, now);
     }
 }
 
