--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -18,7 +18,7 @@
         share.gateways != share_.gateways || share.place.gateways != share_.place.gateways;
     groups_ = &groups;
     share_ = share;
-    std::erase_if(lanes_, [&groups](const auto &entry) {
+    std::erase_if(trackers_, [&groups](const auto &entry) {
         return entry.second.inFlight() == 0 && !groups.contains(entry.first);
     });
     for (const auto &[id, group] : groups) {
@@ -31,8 +31,8 @@
 
 GroupTracker &GroupSelector::lane(const GroupId &group)
 {
-    const auto found = lanes_.find(group);
-    if (found != lanes_.end()) {
+    const auto found = trackers_.find(group);
+    if (found != trackers_.end()) {
         return found->second;
     }
     GroupTracker::Settings settings = settings_.lane;
@@ -42,15 +42,15 @@
         settings.streams.increaseBelow *= settings_.guestPart;
         settings.streams.nearGoalRatio *= settings_.guestPart;
     }
-    GroupTracker &added = lanes_.emplace(group, GroupTracker(settings)).first->second;
+    GroupTracker &added = trackers_.emplace(group, GroupTracker(settings)).first->second;
     beginAnew(group);
     return added;
 }
 
 const GroupTracker *GroupSelector::find(const GroupId &group) const
 {
-    const auto found = lanes_.find(group);
-    return found == lanes_.end() ? nullptr : &found->second;
+    const auto found = trackers_.find(group);
+    return found == trackers_.end() ? nullptr : &found->second;
 }
 
 // Bounds the streams at a group by an even share of its slots, until pauses tell more. Those of a
@@ -72,7 +72,7 @@
 {
     const auto known = groups_->find(group);
     if (known != groups_->end()) {
-        begin(lanes_.at(group), known->second);
+        begin(trackers_.at(group), known->second);
     }
 }
 
@@ -96,7 +96,7 @@
 {
     std::vector<Option> options;
     for (const auto &[id, group] : *groups_) {
-        const GroupTracker &lane = lanes_.at(id);
+        const GroupTracker &lane = trackers_.at(id);
         Option option;
         option.group = id;
         option.trouble = troubleOf(id, lane, table, now);
@@ -135,7 +135,7 @@
                                                      const GroupTable &table, TimePoint now)
 {
     for (const Option &option : options) {
-        GroupTracker &lane = lanes_.at(option.group);
+        GroupTracker &lane = trackers_.at(option.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
         const bool told = closed || table.outOfTouch(option.group, now);
@@ -163,7 +163,7 @@
         }
     }
     for (const Option &option : all) {
-        const GroupTracker &lane = lanes_.at(option.group);
+        const GroupTracker &lane = trackers_.at(option.group);
         if (option.trouble != all.front().trouble) {
             return std::nullopt;
         }
@@ -187,7 +187,7 @@
         return std::nullopt;
     }
     for (const Option &option : all) {
-        const GroupTracker &lane = lanes_.at(option.group);
+        const GroupTracker &lane = trackers_.at(option.group);
         if (option.trouble == all.front().trouble && lane.limiter().admits(lane.inFlight())) {
             return option.group;
         }
@@ -199,7 +199,7 @@
 GroupSelector::selectForFailover(const GroupId &from, const GroupTable &table, TimePoint now) const
 {
     for (const Option &option : options(table, now)) {
-        const GroupTracker &lane = lanes_.at(option.group);
+        const GroupTracker &lane = trackers_.at(option.group);
         const bool works = option.group != from || lane.hasRecentEvent(now);
         if (option.trouble == Trouble::None && works && lane.limiter().admits(lane.inFlight())) {
             return option.group;
@@ -210,15 +210,16 @@
 
 bool GroupSelector::isOut(TimePoint now) const
 {
-    return std::all_of(groups_->begin(), groups_->end(),
-                       [&](const auto &entry) { return lanes_.at(entry.first).isRefusing(now); });
+    return std::all_of(groups_->begin(), groups_->end(), [&](const auto &entry) {
+        return trackers_.at(entry.first).isRefusing(now);
+    });
 }
 
 bool GroupSelector::opensSoon(const GroupTable &table, TimePoint now) const
 {
     bool soon = false;
     for (const auto &[id, group] : *groups_) {
-        const GroupTracker &lane = lanes_.at(id);
+        const GroupTracker &lane = trackers_.at(id);
         const bool forms = lane.mayBeForming(now) || table.forming(id, now);
         if (!forms && !lane.isRefusing(now) && !table.closed(id, now)) {
             return false;
@@ -230,7 +231,7 @@
 
 void GroupSelector::onTick(std::size_t waiting, const GroupTable &table, TimePoint now)
 {
-    for (auto &[id, lane] : lanes_) {
+    for (auto &[id, lane] : trackers_) {
         // A bound that nothing meets, or at a group that is avoided, need not rise.
         const bool met = !lane.limiter().admits(lane.inFlight());
         const bool wanted =
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -69,7 +69,7 @@
     // Returns the lane of a group; adds one.
     GroupTracker &lane(const GroupId &group);
     const GroupTracker *find(const GroupId &group) const;
-    const std::map<GroupId, GroupTracker> &all() const { return lanes_; }
+    const std::map<GroupId, GroupTracker> &all() const { return trackers_; }
 
     // The group has answered after an outage, in which callers have queued: its bound begins anew.
     void beginAnew(const GroupId &group);
@@ -107,7 +107,7 @@
     Settings settings_;
     const UpstreamChooser::Groups *groups_ = nullptr;
     GatewayShare share_;
-    std::map<GroupId, GroupTracker> lanes_;
+    std::map<GroupId, GroupTracker> trackers_;
 };
 
 } // namespace seamarch
