--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -106,7 +106,7 @@
     if (route.streamed) {
         ServiceState &service = serviceOf(added.service);
         const auto group =
-            service.lanes.selectForNew(entryFor(number, added, service), groups_, now);
+            service.selector.selectForNew(entryFor(number, added, service), groups_, now);
         if (!group) {
             queueStream(number, added, now, actions);
             return number;
@@ -209,7 +209,7 @@
 {
     const bool streamed = request.request.route->streamed;
     const auto group =
-        streamed ? serviceOf(request.service).lanes.selectForRetry(groups_, now) : std::nullopt;
+        streamed ? serviceOf(request.service).selector.selectForRetry(groups_, now) : std::nullopt;
     return startAttempt(number, request, group, now, actions);
 }
 
@@ -230,16 +230,16 @@
     if (kind == AnswerKind::WrongInstance || kind == AnswerKind::Refused) {
         return; // Said before the request got as far as the group.
     }
-    GroupSelector &lanes = serviceOf(request.service).lanes;
-    GroupTracker &lane = lanes.lane(request.group);
+    GroupSelector &selector = serviceOf(request.service).selector;
+    GroupTracker &lane = selector.lane(request.group);
     if (kind != AnswerKind::Full) {
         if (lane.onAnswer(now)) {
-            lanes.beginAnew(request.group);
+            selector.beginAnew(request.group);
         }
         return;
     }
     lane.onRefusal(request.sentAt, now);
-    if (lanes.isOut(now)) {
+    if (selector.isOut(now)) {
         request.comeBack = latestReturn(request, now);
     }
 }
@@ -325,7 +325,7 @@
     }
     if (end == AttemptEnd::NotSent) {
         chooser_.onUnreachable(upstream, now);
-        serviceOf(request->service).lanes.lane(group).onUnreachable(now);
+        serviceOf(request->service).selector.lane(group).onUnreachable(now);
         --request->attempts;
         ++request->unsent;
         if (request->unsent <= settings_.maxUnsent) {
@@ -484,7 +484,7 @@
     Request &request = requests_.at(number);
     std::optional<GroupId> group;
     if (request.request.route->streamed) {
-        group = serviceOf(request.service).lanes.selectForFailover(request.group, groups_, now);
+        group = serviceOf(request.service).selector.selectForFailover(request.group, groups_, now);
         if (!group || !chooseFor(request, group, now)) {
             return;
         }
@@ -524,7 +524,7 @@
     for (const RequestNumber number : late) {
         Request &request = requests_.at(number);
         if (request.waits) {
-            const bool out = serviceOf(request.service).lanes.isOut(now);
+            const bool out = serviceOf(request.service).selector.isOut(now);
             request.comeBack = out ? latestReturn(request, now) : settings_.shortestReturn;
         }
         // The attempt under way was written, as far as is known.
@@ -534,7 +534,7 @@
     moveSilent(now, actions);
     for (auto &[name, service] : services_) {
         ServiceState &current = serviceOf(name);
-        current.lanes.onTick(current.waiting.size(), groups_, now);
+        current.selector.onTick(current.waiting.size(), groups_, now);
         admitWaiting(current, now, actions);
     }
 }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -156,7 +156,7 @@
         std::uint32_t maxUnsent = 3;
         RetryLimits retries;
         UpstreamChooser::Settings choice; // Its hall is set from `hall`.
-        GroupSelector::Settings lanes;
+        GroupSelector::Settings selector;
         CrashRecord::Settings crashes;
         UpstreamLimits::Settings limits;
         // How long a request waits for a permit, when all that it could be sent to name limits:
@@ -272,10 +272,10 @@
     struct ServiceState
     {
         explicit ServiceState(const GroupSelector::Settings &settings)
-            : lanes(settings)
+            : selector(settings)
         {}
 
-        GroupSelector lanes;
+        GroupSelector selector;
         std::deque<TimePoint> started; // Of the streams of the last second.
         StreamQueue waiting;
         Duration firstEvent{}; // From an attempt's start, on average of late; zero: not known.
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -66,10 +66,10 @@
 {
     constexpr double kQueuePerPlace = 2.0; // A place is free again after a second or two.
     double places = 0.0;
-    for (const auto &[group, lane] : service.lanes.all()) {
+    for (const auto &[group, lane] : service.selector.all()) {
         places += lane.limiter().limit();
     }
-    return service.lanes.opensSoon(groups_, now)
+    return service.selector.opensSoon(groups_, now)
            && static_cast<double>(service.waiting.size()) < kQueuePerPlace * places;
 }
 
@@ -93,14 +93,14 @@
 // Returns the state of a service, with the groups that it has now.
 GatewayCore::ServiceState &GatewayCore::serviceOf(const TargetName &service)
 {
-    ServiceState &state = services_.try_emplace(service, settings_.lanes).first->second;
-    state.lanes.setGroups(chooser_.groupsOf(service), {gateways_, place_});
+    ServiceState &state = services_.try_emplace(service, settings_.selector).first->second;
+    state.selector.setGroups(chooser_.groupsOf(service), {gateways_, place_});
     return state;
 }
 
 GroupTracker &GatewayCore::trackerOf(const Request &request)
 {
-    return serviceOf(request.service).lanes.lane(request.group);
+    return serviceOf(request.service).selector.lane(request.group);
 }
 
 // Returns how long a stream would wait at the pace of the last second.
@@ -120,7 +120,7 @@
 void GatewayCore::admitWaiting(ServiceState &service, TimePoint now, GatewayActions &actions)
 {
     for (auto next = service.waiting.next(now); next; next = service.waiting.next(now)) {
-        const auto group = service.lanes.selectForNew(*next, groups_, now);
+        const auto group = service.selector.selectForNew(*next, groups_, now);
         if (!group) {
             return;
         }
@@ -174,7 +174,7 @@
     std::uint32_t streams = 0;
     const auto found = services_.find(service);
     if (found != services_.end()) {
-        for (const auto &[group, lane] : found->second.lanes.all()) {
+        for (const auto &[group, lane] : found->second.selector.all()) {
             streams += lane.inFlight();
         }
     }
@@ -186,7 +186,7 @@
     double limit = 0.0;
     const auto found = services_.find(service);
     if (found != services_.end()) {
-        for (const auto &[group, lane] : found->second.lanes.all()) {
+        for (const auto &[group, lane] : found->second.selector.all()) {
             limit += lane.limiter().limit();
         }
     }
@@ -199,7 +199,7 @@
     if (found == services_.end()) {
         return nullptr;
     }
-    return found->second.lanes.find(group);
+    return found->second.selector.find(group);
 }
 
 } // namespace seamarch
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -54,19 +54,19 @@
     GroupSelector::Settings settings;
     UpstreamChooser::Groups groups = groupsSeenFrom(0, 3);
     GroupTable table;
-    GroupSelector lanes{settings};
+    GroupSelector selector{settings};
 
     void setup() override
     {
-        lanes.setGroups(groups, {42, {0, 14}});
+        selector.setGroups(groups, {42, {0, 14}});
     }
 
     // Sends a stream where the lanes say; returns nothing when it should wait.
     std::optional<GroupId> send(int now)
     {
-        auto chosen = lanes.selectForNew(entry(now + 400), table, at(now));
+        auto chosen = selector.selectForNew(entry(now + 400), table, at(now));
         if (chosen) {
-            lanes.lane(*chosen).onStreamStart(at(now));
+            selector.lane(*chosen).onStreamStart(at(now));
         }
         return chosen;
     }
@@ -74,15 +74,15 @@
     // All streams of a group get an event, `pause` after the last.
     void pass(const GroupId &id, Duration pause, int now)
     {
-        lanes.lane(id).onFirstEvent(at(now));
-        lanes.lane(id).onPause(pause, kGoal, at(now));
+        selector.lane(id).onFirstEvent(at(now));
+        selector.lane(id).onPause(pause, kGoal, at(now));
     }
 
     void stopGroup(const GroupId &id, int now)
     {
-        lanes.lane(id).onStreamStart(at(now - 1000));
+        selector.lane(id).onStreamStart(at(now - 1000));
         pass(id, kShort, now - 1000);
-        lanes.onTick(0, table, at(now));
+        selector.onTick(0, table, at(now));
     }
 };
 
@@ -113,15 +113,15 @@
 
 TEST(GroupSelectorTest, RefusingGroupIsTriedWithOneStreamNowAndThen)
 {
-    lanes.lane(group(0)).onRefusal(at(0), at(1500));
+    selector.lane(group(0)).onRefusal(at(0), at(1500));
     int tries = 0;
     for (int now = 1500; now < 2500; now += 10) {
         const auto chosen = send(now);
         if (chosen == group(0)) {
             ++tries;
-            lanes.lane(group(0)).onStreamEnd(false);
+            selector.lane(group(0)).onStreamEnd(false);
         } else if (chosen) {
-            lanes.lane(*chosen).onStreamEnd(false);
+            selector.lane(*chosen).onStreamEnd(false);
         }
     }
     CHECK_TEXT(tries >= 3 && tries <= 5, "expected a try each quarter of a second");
@@ -177,29 +177,29 @@
 
 TEST(GroupSelectorTest, LaneOfAGroupWhoseUpstreamsAreGoneEndsWithItsStreams)
 {
-    lanes.lane(group(2)).onStreamStart(at(0));
+    selector.lane(group(2)).onStreamStart(at(0));
     const UpstreamChooser::Groups fewer = groupsSeenFrom(0, 2);
-    lanes.setGroups(fewer, {42, {0, 14}});
-    lanes.onTick(1, table, at(100));
-    CHECK_TRUE(lanes.find(group(2)) != nullptr);
-    lanes.lane(group(2)).onStreamEnd(false);
-    lanes.setGroups(fewer, {42, {0, 14}});
-    CHECK_TRUE(lanes.find(group(2)) == nullptr);
+    selector.setGroups(fewer, {42, {0, 14}});
+    selector.onTick(1, table, at(100));
+    CHECK_TRUE(selector.find(group(2)) != nullptr);
+    selector.lane(group(2)).onStreamEnd(false);
+    selector.setGroups(fewer, {42, {0, 14}});
+    CHECK_TRUE(selector.find(group(2)) == nullptr);
 }
 
 TEST(GroupSelectorTest, ServiceIsOutOnlyWhenEveryGroupRefuses)
 {
-    lanes.lane(group(0)).onRefusal(at(0), at(1500));
-    lanes.lane(group(1)).onRefusal(at(0), at(1500));
-    CHECK_FALSE(lanes.isOut(at(1500)));
-    lanes.lane(group(2)).onRefusal(at(0), at(1500));
-    CHECK_TRUE(lanes.isOut(at(1500)));
+    selector.lane(group(0)).onRefusal(at(0), at(1500));
+    selector.lane(group(1)).onRefusal(at(0), at(1500));
+    CHECK_FALSE(selector.isOut(at(1500)));
+    selector.lane(group(2)).onRefusal(at(0), at(1500));
+    CHECK_TRUE(selector.isOut(at(1500)));
 }
 
 TEST(GroupSelectorTest, RetryGoesToAGroupThatWorksWhateverTheBounds)
 {
     stopGroup(group(0), 2000);
-    const auto chosen = lanes.selectForRetry(table, at(2000));
+    const auto chosen = selector.selectForRetry(table, at(2000));
     CHECK_TRUE(chosen && *chosen != group(0));
 }
 
@@ -222,11 +222,11 @@
             for (auto &[id, seen] : *gateway.groups) {
                 seen.slots = slotsOfAGroup;
             }
-            gateway.lanes = std::make_unique<GroupSelector>(GroupSelector::Settings());
+            gateway.selector = std::make_unique<GroupSelector>(GroupSelector::Settings());
             const auto place = static_cast<std::size_t>(index / groups);
             const auto hallGateways = static_cast<std::size_t>(gateways / groups);
-            gateway.lanes->setGroups(*gateway.groups,
-                                     {static_cast<std::size_t>(gateways), {place, hallGateways}});
+            gateway.selector->setGroups(
+                *gateway.groups, {static_cast<std::size_t>(gateways), {place, hallGateways}});
             gateways_.push_back(std::move(gateway));
         }
     }
@@ -260,7 +260,7 @@
     {
         return std::accumulate(gateways_.begin(), gateways_.end(), 0.0,
                                [&](double sum, const Gateway &gateway) {
-                                   return sum + gateway.lanes->find(group(number))->inFlight();
+                                   return sum + gateway.selector->find(group(number))->inFlight();
                                });
     }
     int waiting() const
@@ -281,7 +281,7 @@
     {
         int hall = 0;
         std::unique_ptr<UpstreamChooser::Groups> groups;
-        std::unique_ptr<GroupSelector> lanes;
+        std::unique_ptr<GroupSelector> selector;
         std::vector<Stream> streams;
         int waiting = 0;
     };
@@ -292,24 +292,24 @@
             // Callers leave a stream that is silent for two seconds.
             const bool over = now >= stream.endsAt + (stream.group == down ? 2000 : 0);
             if (over) {
-                gateway.lanes->lane(group(stream.group)).onStreamEnd(true);
+                gateway.selector->lane(group(stream.group)).onStreamEnd(true);
             }
             return over;
         });
         for (const Stream &stream : gateway.streams) {
             if (stream.group != down) {
                 const Duration pause = streamsAt(stream.group) > slots_ ? kOverGoal : kShort;
-                gateway.lanes->lane(group(stream.group)).onPause(pause, kGoal, at(now));
+                gateway.selector->lane(group(stream.group)).onPause(pause, kGoal, at(now));
             }
         }
-        gateway.lanes->onTick(static_cast<std::size_t>(gateway.waiting), table_, at(now));
+        gateway.selector->onTick(static_cast<std::size_t>(gateway.waiting), table_, at(now));
         while (gateway.waiting > 0) {
-            const auto chosen = gateway.lanes->selectForNew(entry(now + 400), table_, at(now));
+            const auto chosen = gateway.selector->selectForNew(entry(now + 400), table_, at(now));
             if (!chosen) {
                 return;
             }
             --gateway.waiting;
-            GroupTracker &lane = gateway.lanes->lane(*chosen);
+            GroupTracker &lane = gateway.selector->lane(*chosen);
             lane.onStreamStart(at(now));
             lane.onFirstEvent(at(now));
             constexpr int kStreamMillis = 1600; // Twenty passes of 80 ms.
