--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -231,14 +231,14 @@
         return; // Said before the request got as far as the group.
     }
     GroupSelector &selector = serviceOf(request.service).selector;
-    GroupTracker &lane = selector.lane(request.group);
+    GroupTracker &tracker = selector.tracker(request.group);
     if (kind != AnswerKind::Full) {
-        if (lane.onAnswer(now)) {
+        if (tracker.onAnswer(now)) {
             selector.beginAnew(request.group);
         }
         return;
     }
-    lane.onRefusal(request.sentAt, now);
+    tracker.onRefusal(request.sentAt, now);
     if (selector.isOut(now)) {
         request.comeBack = latestReturn(request, now);
     }
@@ -325,7 +325,7 @@
     }
     if (end == AttemptEnd::NotSent) {
         chooser_.onUnreachable(upstream, now);
-        serviceOf(request->service).selector.lane(group).onUnreachable(now);
+        serviceOf(request->service).selector.tracker(group).onUnreachable(now);
         --request->attempts;
         ++request->unsent;
         if (request->unsent <= settings_.maxUnsent) {
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -232,7 +232,7 @@
     std::uint32_t streams(const TargetName &service) const;
     double streamLimit(const TargetName &service) const;
     // Returns the lane of one group; nothing when no request has gone there.
-    const GroupTracker *lane(const TargetName &service, const GroupId &group) const;
+    const GroupTracker *tracker(const TargetName &service, const GroupId &group) const;
     std::uint64_t secondAttempts() const { return secondAttempts_; }
     // Returns the upstreams that rest, and until when.
     std::map<InstanceId, TimePoint> resting(TimePoint now) const { return chooser_.resting(now); }
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -66,8 +66,8 @@
 {
     constexpr double kQueuePerPlace = 2.0; // A place is free again after a second or two.
     double places = 0.0;
-    for (const auto &[group, lane] : service.selector.all()) {
-        places += lane.limiter().limit();
+    for (const auto &[group, tracker] : service.selector.all()) {
+        places += tracker.limiter().limit();
     }
     return service.selector.opensSoon(groups_, now)
            && static_cast<double>(service.waiting.size()) < kQueuePerPlace * places;
@@ -100,7 +100,7 @@
 
 GroupTracker &GatewayCore::trackerOf(const Request &request)
 {
-    return serviceOf(request.service).selector.lane(request.group);
+    return serviceOf(request.service).selector.tracker(request.group);
 }
 
 // Returns how long a stream would wait at the pace of the last second.
@@ -174,8 +174,8 @@
     std::uint32_t streams = 0;
     const auto found = services_.find(service);
     if (found != services_.end()) {
-        for (const auto &[group, lane] : found->second.selector.all()) {
-            streams += lane.inFlight();
+        for (const auto &[group, tracker] : found->second.selector.all()) {
+            streams += tracker.inFlight();
         }
     }
     return streams;
@@ -186,14 +186,14 @@
     double limit = 0.0;
     const auto found = services_.find(service);
     if (found != services_.end()) {
-        for (const auto &[group, lane] : found->second.selector.all()) {
-            limit += lane.limiter().limit();
+        for (const auto &[group, tracker] : found->second.selector.all()) {
+            limit += tracker.limiter().limit();
         }
     }
     return limit;
 }
 
-const GroupTracker *GatewayCore::lane(const TargetName &service, const GroupId &group) const
+const GroupTracker *GatewayCore::tracker(const TargetName &service, const GroupId &group) const
 {
     const auto found = services_.find(service);
     if (found == services_.end()) {
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -23,19 +23,19 @@
     });
     for (const auto &[id, group] : groups) {
         // A new gateway does not know at once how many share the groups with it.
-        if (GroupTracker &known = lane(id); otherShare && !known.limiter().hasSamples()) {
+        if (GroupTracker &known = tracker(id); otherShare && !known.limiter().hasSamples()) {
             begin(known, group);
         }
     }
 }
 
-GroupTracker &GroupSelector::lane(const GroupId &group)
+GroupTracker &GroupSelector::tracker(const GroupId &group)
 {
     const auto found = trackers_.find(group);
     if (found != trackers_.end()) {
         return found->second;
     }
-    GroupTracker::Settings settings = settings_.lane;
+    GroupTracker::Settings settings = settings_.tracker;
     const auto known = groups_->find(group);
     if (known != groups_->end() && !known->second.inOwnHall) {
         settings.streams.decreaseAbove *= settings_.guestPart;
@@ -55,17 +55,17 @@
 
 // Bounds the streams at a group by an even share of its slots, until pauses tell more. Those of a
 // group in one hall are for that hall's gateways; a guest begins with the least.
-void GroupSelector::begin(GroupTracker &lane, const UpstreamChooser::Group &group) const
+void GroupSelector::begin(GroupTracker &tracker, const UpstreamChooser::Group &group) const
 {
     if (group.slots <= 0.0) {
         return;
     }
     if (!group.inOwnHall) {
-        lane.limiter().resetToMinimum();
+        tracker.limiter().resetToMinimum();
         return;
     }
     const std::size_t sharers = group.inManyHalls ? share_.gateways : share_.place.gateways;
-    lane.limiter().resetToShare(group.slots, static_cast<double>(sharers));
+    tracker.limiter().resetToShare(group.slots, static_cast<double>(sharers));
 }
 
 void GroupSelector::beginAnew(const GroupId &group)
@@ -76,18 +76,19 @@
     }
 }
 
-GroupSelector::Trouble GroupSelector::troubleOf(const GroupId &group, const GroupTracker &lane,
+GroupSelector::Trouble GroupSelector::troubleOf(const GroupId &group, const GroupTracker &tracker,
                                                 const GroupTable &table, TimePoint now) const
 {
     const auto known = groups_->find(group); // Its last upstream may have left.
     const bool foreign = known == groups_->end() || !known->second.inOwnHall;
-    if (lane.isUnreachable() || (foreign && table.outOfTouch(group, now) && lane.isQuiet(now))) {
+    if (tracker.isUnreachable()
+        || (foreign && table.outOfTouch(group, now) && tracker.isQuiet(now))) {
         return Trouble::Unreachable;
     }
-    if (lane.isRefusing(now) || lane.mayBeForming(now) || table.closed(group, now)) {
+    if (tracker.isRefusing(now) || tracker.mayBeForming(now) || table.closed(group, now)) {
         return Trouble::Refuses;
     }
-    return lane.isStalled() ? Trouble::StandsStill : Trouble::None;
+    return tracker.isStalled() ? Trouble::StandsStill : Trouble::None;
 }
 
 // Returns the lanes of groups that have upstreams, the best first.
@@ -96,12 +97,12 @@
 {
     std::vector<Option> options;
     for (const auto &[id, group] : *groups_) {
-        const GroupTracker &lane = trackers_.at(id);
+        const GroupTracker &tracker = trackers_.at(id);
         Option option;
         option.group = id;
-        option.trouble = troubleOf(id, lane, table, now);
+        option.trouble = troubleOf(id, tracker, table, now);
         option.foreign = !group.inOwnHall;
-        option.fill = lane.inFlight() / lane.limiter().limit();
+        option.fill = tracker.inFlight() / tracker.limiter().limit();
         option.turn = (options.size() + share_.place.index) % groups_->size();
         options.push_back(option);
     }
@@ -116,14 +117,14 @@
 // engines read makes all streams late that are being written: one that can still begin in time
 // later waits for passes that are short again, and one that is late already does no harm by
 // waiting.
-bool GroupSelector::mayStart(const GroupTracker &lane, const StreamQueue::Entry &entry,
+bool GroupSelector::mayStart(const GroupTracker &tracker, const StreamQueue::Entry &entry,
                              TimePoint now) const
 {
-    if (!lane.limiter().admits(lane.inFlight())) {
+    if (!tracker.limiter().admits(tracker.inFlight())) {
         return false;
     }
-    const bool fewest = lane.inFlight() < settings_.lane.streams.minLimit;
-    if (fewest || !lane.limiter().nearGoal(now)) {
+    const bool fewest = tracker.inFlight() < settings_.tracker.streams.minLimit;
+    if (fewest || !tracker.limiter().nearGoal(now)) {
         return true;
     }
     return now <= entry.startDeadline && now + kStartSlack >= entry.startDeadline;
@@ -135,13 +136,13 @@
                                                      const GroupTable &table, TimePoint now)
 {
     for (const Option &option : options) {
-        GroupTracker &lane = trackers_.at(option.group);
+        GroupTracker &tracker = trackers_.at(option.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
         const bool told = closed || table.outOfTouch(option.group, now);
         const bool wanted = option.trouble != Trouble::None && !told;
-        if (wanted && lane.probeDue(now)) {
-            lane.onProbe(now);
+        if (wanted && tracker.probeDue(now)) {
+            tracker.onProbe(now);
             return option.group;
         }
     }
@@ -163,16 +164,16 @@
         }
     }
     for (const Option &option : all) {
-        const GroupTracker &lane = trackers_.at(option.group);
+        const GroupTracker &tracker = trackers_.at(option.group);
         if (option.trouble != all.front().trouble) {
             return std::nullopt;
         }
-        if (mayStart(lane, entry, now)) {
+        if (mayStart(tracker, entry, now)) {
             return option.group;
         }
         // Where passes are long at home they are long everywhere, as after a shift of demand; a
         // guest would bring a prompt into passes that the gateways there hold theirs back from.
-        const bool strained = lane.limiter().admits(lane.inFlight());
+        const bool strained = tracker.limiter().admits(tracker.inFlight());
         if (strained && !option.foreign) {
             return std::nullopt;
         }
@@ -187,8 +188,8 @@
         return std::nullopt;
     }
     for (const Option &option : all) {
-        const GroupTracker &lane = trackers_.at(option.group);
-        if (option.trouble == all.front().trouble && lane.limiter().admits(lane.inFlight())) {
+        const GroupTracker &tracker = trackers_.at(option.group);
+        if (option.trouble == all.front().trouble && tracker.limiter().admits(tracker.inFlight())) {
             return option.group;
         }
     }
@@ -199,9 +200,10 @@
 GroupSelector::selectForFailover(const GroupId &from, const GroupTable &table, TimePoint now) const
 {
     for (const Option &option : options(table, now)) {
-        const GroupTracker &lane = trackers_.at(option.group);
-        const bool works = option.group != from || lane.hasRecentEvent(now);
-        if (option.trouble == Trouble::None && works && lane.limiter().admits(lane.inFlight())) {
+        const GroupTracker &tracker = trackers_.at(option.group);
+        const bool works = option.group != from || tracker.hasRecentEvent(now);
+        if (option.trouble == Trouble::None && works
+            && tracker.limiter().admits(tracker.inFlight())) {
             return option.group;
         }
     }
@@ -219,9 +221,9 @@
 {
     bool soon = false;
     for (const auto &[id, group] : *groups_) {
-        const GroupTracker &lane = trackers_.at(id);
-        const bool forms = lane.mayBeForming(now) || table.forming(id, now);
-        if (!forms && !lane.isRefusing(now) && !table.closed(id, now)) {
+        const GroupTracker &tracker = trackers_.at(id);
+        const bool forms = tracker.mayBeForming(now) || table.forming(id, now);
+        if (!forms && !tracker.isRefusing(now) && !table.closed(id, now)) {
             return false;
         }
         soon = soon || forms;
@@ -231,12 +233,12 @@
 
 void GroupSelector::onTick(std::size_t waiting, const GroupTable &table, TimePoint now)
 {
-    for (auto &[id, lane] : trackers_) {
+    for (auto &[id, tracker] : trackers_) {
         // A bound that nothing meets, or at a group that is avoided, need not rise.
-        const bool met = !lane.limiter().admits(lane.inFlight());
+        const bool met = !tracker.limiter().admits(tracker.inFlight());
         const bool wanted =
-            groups_->size() == 1 || (met && troubleOf(id, lane, table, now) == Trouble::None);
-        lane.onTick(wanted ? waiting : 0, now);
+            groups_->size() == 1 || (met && troubleOf(id, tracker, table, now) == Trouble::None);
+        tracker.onTick(wanted ? waiting : 0, now);
     }
 }
 
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -41,7 +41,7 @@
 public:
     struct Settings
     {
-        GroupTracker::Settings lane;
+        GroupTracker::Settings tracker;
         // The bound at a group of another hall falls and stops rising at this part of the pauses at
         // which that of the own hall does, so that a guest leaves before those at home must.
         double guestPart = 1.0;
@@ -67,7 +67,7 @@
                                              TimePoint now) const;
 
     // Returns the lane of a group; adds one.
-    GroupTracker &lane(const GroupId &group);
+    GroupTracker &tracker(const GroupId &group);
     const GroupTracker *find(const GroupId &group) const;
     const std::map<GroupId, GroupTracker> &all() const { return trackers_; }
 
@@ -96,13 +96,14 @@
         std::size_t turn = 0;
     };
 
-    Trouble troubleOf(const GroupId &group, const GroupTracker &lane, const GroupTable &table,
+    Trouble troubleOf(const GroupId &group, const GroupTracker &tracker, const GroupTable &table,
                       TimePoint now) const;
     std::vector<Option> options(const GroupTable &table, TimePoint now) const;
     std::optional<GroupId> selectForProbe(const std::vector<Option> &options,
                                           const GroupTable &table, TimePoint now);
-    bool mayStart(const GroupTracker &lane, const StreamQueue::Entry &entry, TimePoint now) const;
-    void begin(GroupTracker &lane, const UpstreamChooser::Group &group) const;
+    bool mayStart(const GroupTracker &tracker, const StreamQueue::Entry &entry,
+                  TimePoint now) const;
+    void begin(GroupTracker &tracker, const UpstreamChooser::Group &group) const;
 
     Settings settings_;
     const UpstreamChooser::Groups *groups_ = nullptr;
--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -135,14 +135,14 @@
     flight.attemptSpeaks = false;
     flight.resuming = flight.headSent;
     const TargetName &service = action.upstream.service;
-    const GroupTracker *lane = core_.lane(service, action.group);
+    const GroupTracker *tracker = core_.tracker(service, action.group);
     logLine(LogLevel::Info, "attempt.started",
             {{"id", flight.facts.requestId},
              {"attempt", action.attempt},
              {"waitedMs", toMillis(loop_.now() - flight.startedAt)},
              {"group", action.group.value()},
-             {"streams", lane == nullptr ? 0 : lane->inFlight()},
-             {"streamLimit", lane == nullptr ? 0.0 : lane->limiter().limit()},
+             {"streams", tracker == nullptr ? 0 : tracker->inFlight()},
+             {"streamLimit", tracker == nullptr ? 0.0 : tracker->limiter().limit()},
              {"waiting", core_.waiting(service)},
              {"upstream", action.upstream.id.value()},
              {"hall", action.upstream.hall.value()},
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -293,8 +293,8 @@
 
 TEST(GatewayCoreTest, StreamThatWouldWaitTooLongIsRefusedAtOnce)
 {
-    settings.selector.lane.streams.initial = 3.0;
-    settings.selector.lane.streams.maxLimit = 3.0;
+    settings.selector.tracker.streams.initial = 3.0;
+    settings.selector.tracker.streams.maxLimit = 3.0;
     core = std::make_unique<GatewayCore>(settings);
     core->upstreams().put(upstream("one"));
     // Three go, and at three a second two more may wait; a third would wait a second.
@@ -310,8 +310,8 @@
 
 TEST(GatewayCoreTest, StreamThatWaitedTooLongIsRefusedAsNotRun)
 {
-    settings.selector.lane.streams.initial = 3.0;
-    settings.selector.lane.streams.maxLimit = 3.0;
+    settings.selector.tracker.streams.initial = 3.0;
+    settings.selector.tracker.streams.maxLimit = 3.0;
     core = std::make_unique<GatewayCore>(settings);
     core->upstreams().put(upstream("one"));
     for (int count = 0; count < 4; ++count) {
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -66,7 +66,7 @@
     {
         auto chosen = selector.selectForNew(entry(now + 400), table, at(now));
         if (chosen) {
-            selector.lane(*chosen).onStreamStart(at(now));
+            selector.tracker(*chosen).onStreamStart(at(now));
         }
         return chosen;
     }
@@ -74,13 +74,13 @@
     // All streams of a group get an event, `pause` after the last.
     void pass(const GroupId &id, Duration pause, int now)
     {
-        selector.lane(id).onFirstEvent(at(now));
-        selector.lane(id).onPause(pause, kGoal, at(now));
+        selector.tracker(id).onFirstEvent(at(now));
+        selector.tracker(id).onPause(pause, kGoal, at(now));
     }
 
     void stopGroup(const GroupId &id, int now)
     {
-        selector.lane(id).onStreamStart(at(now - 1000));
+        selector.tracker(id).onStreamStart(at(now - 1000));
         pass(id, kShort, now - 1000);
         selector.onTick(0, table, at(now));
     }
@@ -113,15 +113,15 @@
 
 TEST(GroupSelectorTest, RefusingGroupIsTriedWithOneStreamNowAndThen)
 {
-    selector.lane(group(0)).onRefusal(at(0), at(1500));
+    selector.tracker(group(0)).onRefusal(at(0), at(1500));
     int tries = 0;
     for (int now = 1500; now < 2500; now += 10) {
         const auto chosen = send(now);
         if (chosen == group(0)) {
             ++tries;
-            selector.lane(group(0)).onStreamEnd(false);
+            selector.tracker(group(0)).onStreamEnd(false);
         } else if (chosen) {
-            selector.lane(*chosen).onStreamEnd(false);
+            selector.tracker(*chosen).onStreamEnd(false);
         }
     }
     CHECK_TEXT(tries >= 3 && tries <= 5, "expected a try each quarter of a second");
@@ -177,22 +177,22 @@
 
 TEST(GroupSelectorTest, LaneOfAGroupWhoseUpstreamsAreGoneEndsWithItsStreams)
 {
-    selector.lane(group(2)).onStreamStart(at(0));
+    selector.tracker(group(2)).onStreamStart(at(0));
     const UpstreamChooser::Groups fewer = groupsSeenFrom(0, 2);
     selector.setGroups(fewer, {42, {0, 14}});
     selector.onTick(1, table, at(100));
     CHECK_TRUE(selector.find(group(2)) != nullptr);
-    selector.lane(group(2)).onStreamEnd(false);
+    selector.tracker(group(2)).onStreamEnd(false);
     selector.setGroups(fewer, {42, {0, 14}});
     CHECK_TRUE(selector.find(group(2)) == nullptr);
 }
 
 TEST(GroupSelectorTest, ServiceIsOutOnlyWhenEveryGroupRefuses)
 {
-    selector.lane(group(0)).onRefusal(at(0), at(1500));
-    selector.lane(group(1)).onRefusal(at(0), at(1500));
+    selector.tracker(group(0)).onRefusal(at(0), at(1500));
+    selector.tracker(group(1)).onRefusal(at(0), at(1500));
     CHECK_FALSE(selector.isOut(at(1500)));
-    selector.lane(group(2)).onRefusal(at(0), at(1500));
+    selector.tracker(group(2)).onRefusal(at(0), at(1500));
     CHECK_TRUE(selector.isOut(at(1500)));
 }
 
@@ -292,14 +292,14 @@
             // Callers leave a stream that is silent for two seconds.
             const bool over = now >= stream.endsAt + (stream.group == down ? 2000 : 0);
             if (over) {
-                gateway.selector->lane(group(stream.group)).onStreamEnd(true);
+                gateway.selector->tracker(group(stream.group)).onStreamEnd(true);
             }
             return over;
         });
         for (const Stream &stream : gateway.streams) {
             if (stream.group != down) {
                 const Duration pause = streamsAt(stream.group) > slots_ ? kOverGoal : kShort;
-                gateway.selector->lane(group(stream.group)).onPause(pause, kGoal, at(now));
+                gateway.selector->tracker(group(stream.group)).onPause(pause, kGoal, at(now));
             }
         }
         gateway.selector->onTick(static_cast<std::size_t>(gateway.waiting), table_, at(now));
@@ -309,9 +309,9 @@
                 return;
             }
             --gateway.waiting;
-            GroupTracker &lane = gateway.selector->lane(*chosen);
-            lane.onStreamStart(at(now));
-            lane.onFirstEvent(at(now));
+            GroupTracker &tracker = gateway.selector->tracker(*chosen);
+            tracker.onStreamStart(at(now));
+            tracker.onFirstEvent(at(now));
             constexpr int kStreamMillis = 1600; // Twenty passes of 80 ms.
             gateway.streams.push_back({std::stoi(chosen->value().substr(1)), now + kStreamMillis});
         }
