--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -38,9 +38,9 @@
     GroupTracker::Settings settings = settings_.tracker;
     const auto known = groups_->find(group);
     if (known != groups_->end() && !known->second.inOwnHall) {
-        settings.streams.decreaseAbove *= settings_.guestPart;
-        settings.streams.increaseBelow *= settings_.guestPart;
-        settings.streams.nearGoalRatio *= settings_.guestPart;
+        settings.streams.decreaseAbove *= settings_.remoteThresholdFactor;
+        settings.streams.increaseBelow *= settings_.remoteThresholdFactor;
+        settings.streams.nearGoalRatio *= settings_.remoteThresholdFactor;
     }
     GroupTracker &added = trackers_.emplace(group, GroupTracker(settings)).first->second;
     beginAnew(group);
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -44,7 +44,7 @@
         GroupTracker::Settings tracker;
         // The bound at a group of another hall falls and stops rising at this part of the pauses at
         // which that of the own hall does, so that a guest leaves before those at home must.
-        double guestPart = 1.0;
+        double remoteThresholdFactor = 1.0;
     };
 
     explicit GroupSelector(const Settings &settings)
