--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -234,7 +234,7 @@
     GroupTracker &tracker = selector.tracker(request.group);
     if (kind != AnswerKind::Full) {
         if (tracker.onAnswer(now)) {
-            selector.beginAnew(request.group);
+            selector.resetLimit(request.group);
         }
         return;
     }
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -43,7 +43,7 @@
         settings.streams.nearGoalRatio *= settings_.remoteThresholdFactor;
     }
     GroupTracker &added = trackers_.emplace(group, GroupTracker(settings)).first->second;
-    beginAnew(group);
+    resetLimit(group);
     return added;
 }
 
@@ -68,7 +68,7 @@
     tracker.limiter().resetToShare(group.slots, static_cast<double>(sharers));
 }
 
-void GroupSelector::beginAnew(const GroupId &group)
+void GroupSelector::resetLimit(const GroupId &group)
 {
     const auto known = groups_->find(group);
     if (known != groups_->end()) {
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -72,7 +72,7 @@
     const std::map<GroupId, GroupTracker> &all() const { return trackers_; }
 
     // The group has answered after an outage, in which callers have queued: its bound begins anew.
-    void beginAnew(const GroupId &group);
+    void resetLimit(const GroupId &group);
     // Tells whether every group refuses.
     bool isOut(TimePoint now) const;
     // Tells whether no group takes requests and one soon will: it has just started, or its agents
