--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -24,7 +24,7 @@
     for (const auto &[id, group] : groups) {
         // A new gateway does not know at once how many share the groups with it.
         if (GroupTracker &known = tracker(id); otherShare && !known.limiter().hasSamples()) {
-            begin(known, group);
+            initLimit(known, group);
         }
     }
 }
@@ -55,7 +55,7 @@
 
 // Bounds the streams at a group by an even share of its slots, until pauses tell more. Those of a
 // group in one hall are for that hall's gateways; a guest begins with the least.
-void GroupSelector::begin(GroupTracker &tracker, const UpstreamChooser::Group &group) const
+void GroupSelector::initLimit(GroupTracker &tracker, const UpstreamChooser::Group &group) const
 {
     if (group.slots <= 0.0) {
         return;
@@ -72,7 +72,7 @@
 {
     const auto known = groups_->find(group);
     if (known != groups_->end()) {
-        begin(trackers_.at(group), known->second);
+        initLimit(trackers_.at(group), known->second);
     }
 }
 
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -103,7 +103,7 @@
                                           const GroupTable &table, TimePoint now);
     bool mayStart(const GroupTracker &tracker, const StreamQueue::Entry &entry,
                   TimePoint now) const;
-    void begin(GroupTracker &tracker, const UpstreamChooser::Group &group) const;
+    void initLimit(GroupTracker &tracker, const UpstreamChooser::Group &group) const;
 
     Settings settings_;
     const UpstreamChooser::Groups *groups_ = nullptr;
