--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -239,7 +239,7 @@
         return;
     }
     tracker.onRefusal(request.sentAt, now);
-    if (selector.isOut(now)) {
+    if (selector.allRefusing(now)) {
         request.comeBack = latestReturn(request, now);
     }
 }
@@ -524,7 +524,7 @@
     for (const RequestNumber number : late) {
         Request &request = requests_.at(number);
         if (request.waits) {
-            const bool out = serviceOf(request.service).selector.isOut(now);
+            const bool out = serviceOf(request.service).selector.allRefusing(now);
             request.comeBack = out ? latestReturn(request, now) : settings_.shortestReturn;
         }
         // The attempt under way was written, as far as is known.
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -210,7 +210,7 @@
     return std::nullopt;
 }
 
-bool GroupSelector::isOut(TimePoint now) const
+bool GroupSelector::allRefusing(TimePoint now) const
 {
     return std::all_of(groups_->begin(), groups_->end(), [&](const auto &entry) {
         return trackers_.at(entry.first).isRefusing(now);
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -74,7 +74,7 @@
     // The group has answered after an outage, in which callers have queued: its bound begins anew.
     void resetLimit(const GroupId &group);
     // Tells whether every group refuses.
-    bool isOut(TimePoint now) const;
+    bool allRefusing(TimePoint now) const;
     // Tells whether no group takes requests and one soon will: it has just started, or its agents
     // say that it is forming. A stream that waits is then served sooner than its caller
     // could come back.
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -191,9 +191,9 @@
 {
     selector.tracker(group(0)).onRefusal(at(0), at(1500));
     selector.tracker(group(1)).onRefusal(at(0), at(1500));
-    CHECK_FALSE(selector.isOut(at(1500)));
+    CHECK_FALSE(selector.allRefusing(at(1500)));
     selector.tracker(group(2)).onRefusal(at(0), at(1500));
-    CHECK_TRUE(selector.isOut(at(1500)));
+    CHECK_TRUE(selector.allRefusing(at(1500)));
 }
 
 TEST(GroupSelectorTest, RetryGoesToAGroupThatWorksWhateverTheBounds)
