--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -76,19 +76,19 @@
     }
 }
 
-GroupSelector::Trouble GroupSelector::troubleOf(const GroupId &group, const GroupTracker &tracker,
-                                                const GroupTable &table, TimePoint now) const
+GroupSelector::Fault GroupSelector::troubleOf(const GroupId &group, const GroupTracker &tracker,
+                                              const GroupTable &table, TimePoint now) const
 {
     const auto known = groups_->find(group); // Its last upstream may have left.
     const bool foreign = known == groups_->end() || !known->second.inOwnHall;
     if (tracker.isUnreachable()
         || (foreign && table.outOfTouch(group, now) && tracker.isQuiet(now))) {
-        return Trouble::Unreachable;
+        return Fault::Unreachable;
     }
     if (tracker.isRefusing(now) || tracker.mayBeForming(now) || table.closed(group, now)) {
-        return Trouble::Refuses;
+        return Fault::Refuses;
     }
-    return tracker.isStalled() ? Trouble::StandsStill : Trouble::None;
+    return tracker.isStalled() ? Fault::StandsStill : Fault::None;
 }
 
 // Returns the lanes of groups that have upstreams, the best first.
@@ -140,7 +140,7 @@
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
         const bool told = closed || table.outOfTouch(option.group, now);
-        const bool wanted = option.trouble != Trouble::None && !told;
+        const bool wanted = option.trouble != Fault::None && !told;
         if (wanted && tracker.probeDue(now)) {
             tracker.onProbe(now);
             return option.group;
@@ -157,7 +157,7 @@
         return GroupId(); // There is no upstream at all, which whoever sends it finds out.
     }
     const bool out = opensSoon(table, now);
-    if (out || (all.front().trouble == Trouble::None && all.back().trouble != Trouble::None)) {
+    if (out || (all.front().trouble == Fault::None && all.back().trouble != Fault::None)) {
         auto probe = selectForProbe(all, table, now);
         if (out || probe) {
             return probe;
@@ -202,7 +202,7 @@
     for (const Option &option : options(table, now)) {
         const GroupTracker &tracker = trackers_.at(option.group);
         const bool works = option.group != from || tracker.hasRecentEvent(now);
-        if (option.trouble == Trouble::None && works
+        if (option.trouble == Fault::None && works
             && tracker.limiter().admits(tracker.inFlight())) {
             return option.group;
         }
@@ -237,7 +237,7 @@
         // A bound that nothing meets, or at a group that is avoided, need not rise.
         const bool met = !tracker.limiter().admits(tracker.inFlight());
         const bool wanted =
-            groups_->size() == 1 || (met && troubleOf(id, tracker, table, now) == Trouble::None);
+            groups_->size() == 1 || (met && troubleOf(id, tracker, table, now) == Fault::None);
         tracker.onTick(wanted ? waiting : 0, now);
     }
 }
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -84,20 +84,20 @@
 
 private:
     // How much is wrong with a lane; the least is used.
-    enum class Trouble : std::uint8_t { None, StandsStill, Refuses, Unreachable };
+    enum class Fault : std::uint8_t { None, StandsStill, Refuses, Unreachable };
 
     // A lane as the choice sees it.
     struct Option
     {
         GroupId group;
-        Trouble trouble = Trouble::None;
+        Fault trouble = Fault::None;
         bool foreign = false;
         double fill = 0.0; // Streams over the bound.
         std::size_t turn = 0;
     };
 
-    Trouble troubleOf(const GroupId &group, const GroupTracker &tracker, const GroupTable &table,
-                      TimePoint now) const;
+    Fault troubleOf(const GroupId &group, const GroupTracker &tracker, const GroupTable &table,
+                    TimePoint now) const;
     std::vector<Option> options(const GroupTable &table, TimePoint now) const;
     std::optional<GroupId> selectForProbe(const std::vector<Option> &options,
                                           const GroupTable &table, TimePoint now);
