--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -76,8 +76,8 @@
     }
 }
 
-GroupSelector::Fault GroupSelector::troubleOf(const GroupId &group, const GroupTracker &tracker,
-                                              const GroupTable &table, TimePoint now) const
+GroupSelector::Fault GroupSelector::faultOf(const GroupId &group, const GroupTracker &tracker,
+                                            const GroupTable &table, TimePoint now) const
 {
     const auto known = groups_->find(group); // Its last upstream may have left.
     const bool foreign = known == groups_->end() || !known->second.inOwnHall;
@@ -100,7 +100,7 @@
         const GroupTracker &tracker = trackers_.at(id);
         Option option;
         option.group = id;
-        option.trouble = troubleOf(id, tracker, table, now);
+        option.trouble = faultOf(id, tracker, table, now);
         option.foreign = !group.inOwnHall;
         option.fill = tracker.inFlight() / tracker.limiter().limit();
         option.turn = (options.size() + share_.place.index) % groups_->size();
@@ -237,7 +237,7 @@
         // A bound that nothing meets, or at a group that is avoided, need not rise.
         const bool met = !tracker.limiter().admits(tracker.inFlight());
         const bool wanted =
-            groups_->size() == 1 || (met && troubleOf(id, tracker, table, now) == Fault::None);
+            groups_->size() == 1 || (met && faultOf(id, tracker, table, now) == Fault::None);
         tracker.onTick(wanted ? waiting : 0, now);
     }
 }
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -96,8 +96,8 @@
         std::size_t turn = 0;
     };
 
-    Fault troubleOf(const GroupId &group, const GroupTracker &tracker, const GroupTable &table,
-                    TimePoint now) const;
+    Fault faultOf(const GroupId &group, const GroupTracker &tracker, const GroupTable &table,
+                  TimePoint now) const;
     std::vector<Option> options(const GroupTable &table, TimePoint now) const;
     std::optional<GroupId> selectForProbe(const std::vector<Option> &options,
                                           const GroupTable &table, TimePoint now);
