--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -100,15 +100,15 @@
         const GroupTracker &tracker = trackers_.at(id);
         Option option;
         option.group = id;
-        option.trouble = faultOf(id, tracker, table, now);
+        option.fault = faultOf(id, tracker, table, now);
         option.foreign = !group.inOwnHall;
         option.fill = tracker.inFlight() / tracker.limiter().limit();
         option.turn = (options.size() + share_.place.index) % groups_->size();
         options.push_back(option);
     }
     std::sort(options.begin(), options.end(), [](const Option &left, const Option &right) {
-        return std::tie(left.trouble, left.foreign, left.fill, left.turn)
-               < std::tie(right.trouble, right.foreign, right.fill, right.turn);
+        return std::tie(left.fault, left.foreign, left.fill, left.turn)
+               < std::tie(right.fault, right.foreign, right.fill, right.turn);
     });
     return options;
 }
@@ -140,7 +140,7 @@
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
         const bool told = closed || table.outOfTouch(option.group, now);
-        const bool wanted = option.trouble != Fault::None && !told;
+        const bool wanted = option.fault != Fault::None && !told;
         if (wanted && tracker.probeDue(now)) {
             tracker.onProbe(now);
             return option.group;
@@ -157,7 +157,7 @@
         return GroupId(); // There is no upstream at all, which whoever sends it finds out.
     }
     const bool out = opensSoon(table, now);
-    if (out || (all.front().trouble == Fault::None && all.back().trouble != Fault::None)) {
+    if (out || (all.front().fault == Fault::None && all.back().fault != Fault::None)) {
         auto probe = selectForProbe(all, table, now);
         if (out || probe) {
             return probe;
@@ -165,7 +165,7 @@
     }
     for (const Option &option : all) {
         const GroupTracker &tracker = trackers_.at(option.group);
-        if (option.trouble != all.front().trouble) {
+        if (option.fault != all.front().fault) {
             return std::nullopt;
         }
         if (mayStart(tracker, entry, now)) {
@@ -189,7 +189,7 @@
     }
     for (const Option &option : all) {
         const GroupTracker &tracker = trackers_.at(option.group);
-        if (option.trouble == all.front().trouble && tracker.limiter().admits(tracker.inFlight())) {
+        if (option.fault == all.front().fault && tracker.limiter().admits(tracker.inFlight())) {
             return option.group;
         }
     }
@@ -202,8 +202,7 @@
     for (const Option &option : options(table, now)) {
         const GroupTracker &tracker = trackers_.at(option.group);
         const bool works = option.group != from || tracker.hasRecentEvent(now);
-        if (option.trouble == Fault::None && works
-            && tracker.limiter().admits(tracker.inFlight())) {
+        if (option.fault == Fault::None && works && tracker.limiter().admits(tracker.inFlight())) {
             return option.group;
         }
     }
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -90,7 +90,7 @@
     struct Option
     {
         GroupId group;
-        Fault trouble = Fault::None;
+        Fault fault = Fault::None;
         bool foreign = false;
         double fill = 0.0; // Streams over the bound.
         std::size_t turn = 0;
