--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -88,7 +88,7 @@
     if (tracker.isRefusing(now) || tracker.mayBeForming(now) || table.closed(group, now)) {
         return Fault::Refuses;
     }
-    return tracker.isStalled() ? Fault::StandsStill : Fault::None;
+    return tracker.isStalled() ? Fault::Stalled : Fault::None;
 }
 
 // Returns the lanes of groups that have upstreams, the best first.
