--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -86,7 +86,7 @@
         return Fault::Unreachable;
     }
     if (tracker.isRefusing(now) || tracker.mayBeForming(now) || table.closed(group, now)) {
-        return Fault::Refuses;
+        return Fault::Refusing;
     }
     return tracker.isStalled() ? Fault::Stalled : Fault::None;
 }
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -84,7 +84,7 @@
 
 private:
     // How much is wrong with a lane; the least is used.
-    enum class Fault : std::uint8_t { None, Stalled, Refuses, Unreachable };
+    enum class Fault : std::uint8_t { None, Stalled, Refusing, Unreachable };
 
     // A lane as the choice sees it.
     struct Option
