--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -92,13 +92,13 @@
 }
 
 // Returns the lanes of groups that have upstreams, the best first.
-std::vector<GroupSelector::Option> GroupSelector::options(const GroupTable &table,
-                                                          TimePoint now) const
+std::vector<GroupSelector::Candidate> GroupSelector::options(const GroupTable &table,
+                                                             TimePoint now) const
 {
-    std::vector<Option> options;
+    std::vector<Candidate> options;
     for (const auto &[id, group] : *groups_) {
         const GroupTracker &tracker = trackers_.at(id);
-        Option option;
+        Candidate option;
         option.group = id;
         option.fault = faultOf(id, tracker, table, now);
         option.foreign = !group.inOwnHall;
@@ -106,7 +106,7 @@
         option.turn = (options.size() + share_.place.index) % groups_->size();
         options.push_back(option);
     }
-    std::sort(options.begin(), options.end(), [](const Option &left, const Option &right) {
+    std::sort(options.begin(), options.end(), [](const Candidate &left, const Candidate &right) {
         return std::tie(left.fault, left.foreign, left.fill, left.turn)
                < std::tie(right.fault, right.foreign, right.fill, right.turn);
     });
@@ -132,10 +132,10 @@
 
 // Returns an avoided lane that is to be tried. One whose own agents say that it is closed is not:
 // they will say when it opens.
-std::optional<GroupId> GroupSelector::selectForProbe(const std::vector<Option> &options,
+std::optional<GroupId> GroupSelector::selectForProbe(const std::vector<Candidate> &options,
                                                      const GroupTable &table, TimePoint now)
 {
-    for (const Option &option : options) {
+    for (const Candidate &option : options) {
         GroupTracker &tracker = trackers_.at(option.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
@@ -152,7 +152,7 @@
 std::optional<GroupId> GroupSelector::selectForNew(const StreamQueue::Entry &entry,
                                                    const GroupTable &table, TimePoint now)
 {
-    const std::vector<Option> all = options(table, now);
+    const std::vector<Candidate> all = options(table, now);
     if (all.empty()) {
         return GroupId(); // There is no upstream at all, which whoever sends it finds out.
     }
@@ -163,7 +163,7 @@
             return probe;
         }
     }
-    for (const Option &option : all) {
+    for (const Candidate &option : all) {
         const GroupTracker &tracker = trackers_.at(option.group);
         if (option.fault != all.front().fault) {
             return std::nullopt;
@@ -183,11 +183,11 @@
 
 std::optional<GroupId> GroupSelector::selectForRetry(const GroupTable &table, TimePoint now) const
 {
-    const std::vector<Option> all = options(table, now);
+    const std::vector<Candidate> all = options(table, now);
     if (all.empty()) {
         return std::nullopt;
     }
-    for (const Option &option : all) {
+    for (const Candidate &option : all) {
         const GroupTracker &tracker = trackers_.at(option.group);
         if (option.fault == all.front().fault && tracker.limiter().admits(tracker.inFlight())) {
             return option.group;
@@ -199,7 +199,7 @@
 std::optional<GroupId>
 GroupSelector::selectForFailover(const GroupId &from, const GroupTable &table, TimePoint now) const
 {
-    for (const Option &option : options(table, now)) {
+    for (const Candidate &option : options(table, now)) {
         const GroupTracker &tracker = trackers_.at(option.group);
         const bool works = option.group != from || tracker.hasRecentEvent(now);
         if (option.fault == Fault::None && works && tracker.limiter().admits(tracker.inFlight())) {
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -87,7 +87,7 @@
     enum class Fault : std::uint8_t { None, Stalled, Refusing, Unreachable };
 
     // A lane as the choice sees it.
-    struct Option
+    struct Candidate
     {
         GroupId group;
         Fault fault = Fault::None;
@@ -98,8 +98,8 @@
 
     Fault faultOf(const GroupId &group, const GroupTracker &tracker, const GroupTable &table,
                   TimePoint now) const;
-    std::vector<Option> options(const GroupTable &table, TimePoint now) const;
-    std::optional<GroupId> selectForProbe(const std::vector<Option> &options,
+    std::vector<Candidate> options(const GroupTable &table, TimePoint now) const;
+    std::optional<GroupId> selectForProbe(const std::vector<Candidate> &options,
                                           const GroupTable &table, TimePoint now);
     bool mayStart(const GroupTracker &tracker, const StreamQueue::Entry &entry,
                   TimePoint now) const;
