--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -92,10 +92,10 @@
 }
 
 // Returns the lanes of groups that have upstreams, the best first.
-std::vector<GroupSelector::Candidate> GroupSelector::options(const GroupTable &table,
-                                                             TimePoint now) const
+std::vector<GroupSelector::Candidate> GroupSelector::candidates(const GroupTable &table,
+                                                                TimePoint now) const
 {
-    std::vector<Candidate> options;
+    std::vector<Candidate> candidates;
     for (const auto &[id, group] : *groups_) {
         const GroupTracker &tracker = trackers_.at(id);
         Candidate option;
@@ -103,14 +103,15 @@
         option.fault = faultOf(id, tracker, table, now);
         option.foreign = !group.inOwnHall;
         option.fill = tracker.inFlight() / tracker.limiter().limit();
-        option.turn = (options.size() + share_.place.index) % groups_->size();
-        options.push_back(option);
-    }
-    std::sort(options.begin(), options.end(), [](const Candidate &left, const Candidate &right) {
-        return std::tie(left.fault, left.foreign, left.fill, left.turn)
-               < std::tie(right.fault, right.foreign, right.fill, right.turn);
-    });
-    return options;
+        option.turn = (candidates.size() + share_.place.index) % groups_->size();
+        candidates.push_back(option);
+    }
+    std::sort(candidates.begin(), candidates.end(),
+              [](const Candidate &left, const Candidate &right) {
+                  return std::tie(left.fault, left.foreign, left.fill, left.turn)
+                         < std::tie(right.fault, right.foreign, right.fill, right.turn);
+              });
+    return candidates;
 }
 
 // Tells whether a stream may begin now. While pauses are near the goal, each prompt that the
@@ -132,10 +133,10 @@
 
 // Returns an avoided lane that is to be tried. One whose own agents say that it is closed is not:
 // they will say when it opens.
-std::optional<GroupId> GroupSelector::selectForProbe(const std::vector<Candidate> &options,
+std::optional<GroupId> GroupSelector::selectForProbe(const std::vector<Candidate> &candidates,
                                                      const GroupTable &table, TimePoint now)
 {
-    for (const Candidate &option : options) {
+    for (const Candidate &option : candidates) {
         GroupTracker &tracker = trackers_.at(option.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
@@ -152,7 +153,7 @@
 std::optional<GroupId> GroupSelector::selectForNew(const StreamQueue::Entry &entry,
                                                    const GroupTable &table, TimePoint now)
 {
-    const std::vector<Candidate> all = options(table, now);
+    const std::vector<Candidate> all = candidates(table, now);
     if (all.empty()) {
         return GroupId(); // There is no upstream at all, which whoever sends it finds out.
     }
@@ -183,7 +184,7 @@
 
 std::optional<GroupId> GroupSelector::selectForRetry(const GroupTable &table, TimePoint now) const
 {
-    const std::vector<Candidate> all = options(table, now);
+    const std::vector<Candidate> all = candidates(table, now);
     if (all.empty()) {
         return std::nullopt;
     }
@@ -199,7 +200,7 @@
 std::optional<GroupId>
 GroupSelector::selectForFailover(const GroupId &from, const GroupTable &table, TimePoint now) const
 {
-    for (const Candidate &option : options(table, now)) {
+    for (const Candidate &option : candidates(table, now)) {
         const GroupTracker &tracker = trackers_.at(option.group);
         const bool works = option.group != from || tracker.hasRecentEvent(now);
         if (option.fault == Fault::None && works && tracker.limiter().admits(tracker.inFlight())) {
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -98,8 +98,8 @@
 
     Fault faultOf(const GroupId &group, const GroupTracker &tracker, const GroupTable &table,
                   TimePoint now) const;
-    std::vector<Candidate> options(const GroupTable &table, TimePoint now) const;
-    std::optional<GroupId> selectForProbe(const std::vector<Candidate> &options,
+    std::vector<Candidate> candidates(const GroupTable &table, TimePoint now) const;
+    std::optional<GroupId> selectForProbe(const std::vector<Candidate> &candidates,
                                           const GroupTable &table, TimePoint now);
     bool mayStart(const GroupTracker &tracker, const StreamQueue::Entry &entry,
                   TimePoint now) const;
