--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -98,13 +98,13 @@
     std::vector<Candidate> candidates;
     for (const auto &[id, group] : *groups_) {
         const GroupTracker &tracker = trackers_.at(id);
-        Candidate option;
-        option.group = id;
-        option.fault = faultOf(id, tracker, table, now);
-        option.foreign = !group.inOwnHall;
-        option.fill = tracker.inFlight() / tracker.limiter().limit();
-        option.turn = (candidates.size() + share_.place.index) % groups_->size();
-        candidates.push_back(option);
+        Candidate candidate;
+        candidate.group = id;
+        candidate.fault = faultOf(id, tracker, table, now);
+        candidate.foreign = !group.inOwnHall;
+        candidate.fill = tracker.inFlight() / tracker.limiter().limit();
+        candidate.turn = (candidates.size() + share_.place.index) % groups_->size();
+        candidates.push_back(candidate);
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const Candidate &left, const Candidate &right) {
@@ -136,15 +136,16 @@
 std::optional<GroupId> GroupSelector::selectForProbe(const std::vector<Candidate> &candidates,
                                                      const GroupTable &table, TimePoint now)
 {
-    for (const Candidate &option : candidates) {
-        GroupTracker &tracker = trackers_.at(option.group);
+    for (const Candidate &candidate : candidates) {
+        GroupTracker &tracker = trackers_.at(candidate.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
-        const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
-        const bool told = closed || table.outOfTouch(option.group, now);
-        const bool wanted = option.fault != Fault::None && !told;
+        const bool closed =
+            table.closed(candidate.group, now) && !table.forming(candidate.group, now);
+        const bool told = closed || table.outOfTouch(candidate.group, now);
+        const bool wanted = candidate.fault != Fault::None && !told;
         if (wanted && tracker.probeDue(now)) {
             tracker.onProbe(now);
-            return option.group;
+            return candidate.group;
         }
     }
     return std::nullopt;
@@ -164,18 +165,18 @@
             return probe;
         }
     }
-    for (const Candidate &option : all) {
-        const GroupTracker &tracker = trackers_.at(option.group);
-        if (option.fault != all.front().fault) {
+    for (const Candidate &candidate : all) {
+        const GroupTracker &tracker = trackers_.at(candidate.group);
+        if (candidate.fault != all.front().fault) {
             return std::nullopt;
         }
         if (mayStart(tracker, entry, now)) {
-            return option.group;
+            return candidate.group;
         }
         // Where passes are long at home they are long everywhere, as after a shift of demand; a
         // guest would bring a prompt into passes that the gateways there hold theirs back from.
         const bool strained = tracker.limiter().admits(tracker.inFlight());
-        if (strained && !option.foreign) {
+        if (strained && !candidate.foreign) {
             return std::nullopt;
         }
     }
@@ -188,10 +189,10 @@
     if (all.empty()) {
         return std::nullopt;
     }
-    for (const Candidate &option : all) {
-        const GroupTracker &tracker = trackers_.at(option.group);
-        if (option.fault == all.front().fault && tracker.limiter().admits(tracker.inFlight())) {
-            return option.group;
+    for (const Candidate &candidate : all) {
+        const GroupTracker &tracker = trackers_.at(candidate.group);
+        if (candidate.fault == all.front().fault && tracker.limiter().admits(tracker.inFlight())) {
+            return candidate.group;
         }
     }
     return all.front().group;
@@ -200,11 +201,12 @@
 std::optional<GroupId>
 GroupSelector::selectForFailover(const GroupId &from, const GroupTable &table, TimePoint now) const
 {
-    for (const Candidate &option : candidates(table, now)) {
-        const GroupTracker &tracker = trackers_.at(option.group);
-        const bool works = option.group != from || tracker.hasRecentEvent(now);
-        if (option.fault == Fault::None && works && tracker.limiter().admits(tracker.inFlight())) {
-            return option.group;
+    for (const Candidate &candidate : candidates(table, now)) {
+        const GroupTracker &tracker = trackers_.at(candidate.group);
+        const bool works = candidate.group != from || tracker.hasRecentEvent(now);
+        if (candidate.fault == Fault::None && works
+            && tracker.limiter().admits(tracker.inFlight())) {
+            return candidate.group;
         }
     }
     return std::nullopt;
