--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -80,9 +80,9 @@
                                             const GroupTable &table, TimePoint now) const
 {
     const auto known = groups_->find(group); // Its last upstream may have left.
-    const bool foreign = known == groups_->end() || !known->second.inOwnHall;
+    const bool remote = known == groups_->end() || !known->second.inOwnHall;
     if (tracker.isUnreachable()
-        || (foreign && table.outOfTouch(group, now) && tracker.isQuiet(now))) {
+        || (remote && table.outOfTouch(group, now) && tracker.isQuiet(now))) {
         return Fault::Unreachable;
     }
     if (tracker.isRefusing(now) || tracker.mayBeForming(now) || table.closed(group, now)) {
@@ -101,15 +101,15 @@
         Candidate candidate;
         candidate.group = id;
         candidate.fault = faultOf(id, tracker, table, now);
-        candidate.foreign = !group.inOwnHall;
+        candidate.remote = !group.inOwnHall;
         candidate.fill = tracker.inFlight() / tracker.limiter().limit();
         candidate.turn = (candidates.size() + share_.place.index) % groups_->size();
         candidates.push_back(candidate);
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const Candidate &left, const Candidate &right) {
-                  return std::tie(left.fault, left.foreign, left.fill, left.turn)
-                         < std::tie(right.fault, right.foreign, right.fill, right.turn);
+                  return std::tie(left.fault, left.remote, left.fill, left.turn)
+                         < std::tie(right.fault, right.remote, right.fill, right.turn);
               });
     return candidates;
 }
@@ -176,7 +176,7 @@
         // Where passes are long at home they are long everywhere, as after a shift of demand; a
         // guest would bring a prompt into passes that the gateways there hold theirs back from.
         const bool strained = tracker.limiter().admits(tracker.inFlight());
-        if (strained && !candidate.foreign) {
+        if (strained && !candidate.remote) {
             return std::nullopt;
         }
     }
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -91,7 +91,7 @@
     {
         GroupId group;
         Fault fault = Fault::None;
-        bool foreign = false;
+        bool remote = false;
         double fill = 0.0; // Streams over the bound.
         std::size_t turn = 0;
     };
