--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -102,14 +102,14 @@
         candidate.group = id;
         candidate.fault = faultOf(id, tracker, table, now);
         candidate.remote = !group.inOwnHall;
-        candidate.fill = tracker.inFlight() / tracker.limiter().limit();
+        candidate.load = tracker.inFlight() / tracker.limiter().limit();
         candidate.turn = (candidates.size() + share_.place.index) % groups_->size();
         candidates.push_back(candidate);
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const Candidate &left, const Candidate &right) {
-                  return std::tie(left.fault, left.remote, left.fill, left.turn)
-                         < std::tie(right.fault, right.remote, right.fill, right.turn);
+                  return std::tie(left.fault, left.remote, left.load, left.turn)
+                         < std::tie(right.fault, right.remote, right.load, right.turn);
               });
     return candidates;
 }
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -92,7 +92,7 @@
         GroupId group;
         Fault fault = Fault::None;
         bool remote = false;
-        double fill = 0.0; // Streams over the bound.
+        double load = 0.0; // Streams over the bound.
         std::size_t turn = 0;
     };
 
