--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -103,13 +103,13 @@
         candidate.fault = faultOf(id, tracker, table, now);
         candidate.remote = !group.inOwnHall;
         candidate.load = tracker.inFlight() / tracker.limiter().limit();
-        candidate.turn = (candidates.size() + share_.place.index) % groups_->size();
+        candidate.rotation = (candidates.size() + share_.place.index) % groups_->size();
         candidates.push_back(candidate);
     }
     std::sort(candidates.begin(), candidates.end(),
               [](const Candidate &left, const Candidate &right) {
-                  return std::tie(left.fault, left.remote, left.load, left.turn)
-                         < std::tie(right.fault, right.remote, right.load, right.turn);
+                  return std::tie(left.fault, left.remote, left.load, left.rotation)
+                         < std::tie(right.fault, right.remote, right.load, right.rotation);
               });
     return candidates;
 }
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -93,7 +93,7 @@
         Fault fault = Fault::None;
         bool remote = false;
         double load = 0.0; // Streams over the bound.
-        std::size_t turn = 0;
+        std::size_t rotation = 0;
     };
 
     Fault faultOf(const GroupId &group, const GroupTracker &tracker, const GroupTable &table,
