--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -14,7 +14,7 @@
 
 void GroupSelector::setGroups(const UpstreamChooser::Groups &groups, const GatewayShare &share)
 {
-    const bool otherShare =
+    const bool shareChanged =
         share.gateways != share_.gateways || share.place.gateways != share_.place.gateways;
     groups_ = &groups;
     share_ = share;
@@ -23,7 +23,7 @@
     });
     for (const auto &[id, group] : groups) {
         // A new gateway does not know at once how many share the groups with it.
-        if (GroupTracker &known = tracker(id); otherShare && !known.limiter().hasSamples()) {
+        if (GroupTracker &known = tracker(id); shareChanged && !known.limiter().hasSamples()) {
             initLimit(known, group);
         }
     }
