--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -237,9 +237,9 @@
 {
     for (auto &[id, tracker] : trackers_) {
         // A bound that nothing meets, or at a group that is avoided, need not rise.
-        const bool met = !tracker.limiter().admits(tracker.inFlight());
+        const bool reached = !tracker.limiter().admits(tracker.inFlight());
         const bool wanted =
-            groups_->size() == 1 || (met && faultOf(id, tracker, table, now) == Fault::None);
+            groups_->size() == 1 || (reached && faultOf(id, tracker, table, now) == Fault::None);
         tracker.onTick(wanted ? waiting : 0, now);
     }
 }
