--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -141,8 +141,8 @@
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool closed =
             table.closed(candidate.group, now) && !table.forming(candidate.group, now);
-        const bool told = closed || table.outOfTouch(candidate.group, now);
-        const bool wanted = candidate.fault != Fault::None && !told;
+        const bool stateKnown = closed || table.outOfTouch(candidate.group, now);
+        const bool wanted = candidate.fault != Fault::None && !stateKnown;
         if (wanted && tracker.probeDue(now)) {
             tracker.onProbe(now);
             return candidate.group;
