--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -224,11 +224,11 @@
     bool soon = false;
     for (const auto &[id, group] : *groups_) {
         const GroupTracker &tracker = trackers_.at(id);
-        const bool forms = tracker.mayBeForming(now) || table.forming(id, now);
-        if (!forms && !tracker.isRefusing(now) && !table.closed(id, now)) {
+        const bool isForming = tracker.mayBeForming(now) || table.forming(id, now);
+        if (!isForming && !tracker.isRefusing(now) && !table.closed(id, now)) {
             return false;
         }
-        soon = soon || forms;
+        soon = soon || isForming;
     }
     return soon;
 }
