--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -12,10 +12,10 @@
 
 UpstreamChooser::Settings choiceSettings(const GatewayCore::Settings &settings)
 {
-    UpstreamChooser::Settings choice = settings.choice;
-    choice.hall = settings.hall;
-    choice.regions = settings.regions;
-    return choice;
+    UpstreamChooser::Settings chooser = settings.chooser;
+    chooser.hall = settings.hall;
+    chooser.regions = settings.regions;
+    return chooser;
 }
 
 bool saysNotRun(AnswerKind kind)
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -155,7 +155,7 @@
         // Attempts that could not even connect do not count as attempts; this bounds them.
         std::uint32_t maxUnsent = 3;
         RetryLimits retries;
-        UpstreamChooser::Settings choice; // Its hall is set from `hall`.
+        UpstreamChooser::Settings chooser; // Its hall is set from `hall`.
         GroupSelector::Settings selector;
         CrashRecord::Settings crashes;
         UpstreamLimits::Settings limits;
