--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -10,7 +10,7 @@
 // A request is given up a little before its time is over, so that its answer still arrives.
 constexpr Duration kAnswerMargin = std::chrono::milliseconds(10);
 
-UpstreamChooser::Settings choiceSettings(const GatewayCore::Settings &settings)
+UpstreamChooser::Settings chooserSettings(const GatewayCore::Settings &settings)
 {
     UpstreamChooser::Settings chooser = settings.chooser;
     chooser.hall = settings.hall;
@@ -30,7 +30,7 @@
     : settings_(settings)
     , random_(settings.seed)
     , limits_(settings.limits)
-    , chooser_(choiceSettings(settings), upstreams_, groups_, limits_, warmUps_, permits_)
+    , chooser_(chooserSettings(settings), upstreams_, groups_, limits_, warmUps_, permits_)
     , crashes_(settings.crashes)
 {}
 
