--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -161,7 +161,7 @@
         UpstreamLimits::Settings limits;
         // How long a request waits for a permit, when all that it could be sent to name limits:
         // about the time in which another gateway answers, sooner than a caller comes back.
-        Duration permitWait = std::chrono::milliseconds(200);
+        Duration permitTimeout = std::chrono::milliseconds(200);
         // A stream that waits for a place is refused so long before its caller leaves: its first
         // event would come too late.
         Duration waitMargin = std::chrono::milliseconds(300);
