--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -164,7 +164,7 @@
         Duration permitTimeout = std::chrono::milliseconds(200);
         // A stream that waits for a place is refused so long before its caller leaves: its first
         // event would come too late.
-        Duration waitMargin = std::chrono::milliseconds(300);
+        Duration queueTimeoutMargin = std::chrono::milliseconds(300);
         // The wait that is expected by the pace of late is doubled before it is held against what
         // the caller waits: the pace is that of a second, and may fall as fast.
         int waitDoubt = 2;
