--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -167,7 +167,7 @@
         Duration queueTimeoutMargin = std::chrono::milliseconds(300);
         // The wait that is expected by the pace of late is doubled before it is held against what
         // the caller waits: the pace is that of a second, and may fall as fast.
-        int waitDoubt = 2;
+        int waitSafetyFactor = 2;
         // Bounds on when a caller that was refused for the queue is told to come back.
         Duration shortestReturn = std::chrono::milliseconds(400);
         Duration longestReturn = std::chrono::milliseconds(2500);
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -52,7 +52,7 @@
         return;
     }
     const Duration wait = expectedWait(service, entry, now);
-    if (wait * settings_.waitDoubt > longestWait(request)) {
+    if (wait * settings_.waitSafetyFactor > longestWait(request)) {
         request.comeBack = std::clamp(wait, settings_.shortestReturn, settings_.longestReturn);
         giveUp(number, FailureCode::NoUpstream, now, actions);
         return;
