--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -525,7 +525,7 @@
         Request &request = requests_.at(number);
         if (request.waits) {
             const bool out = serviceOf(request.service).selector.allRefusing(now);
-            request.comeBack = out ? latestReturn(request, now) : settings_.shortestReturn;
+            request.comeBack = out ? latestReturn(request, now) : settings_.minRetryAfter;
         }
         // The attempt under way was written, as far as is known.
         request.mayHaveRun = request.mayHaveRun || request.upstream != InstanceId();
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -169,7 +169,7 @@
         // the caller waits: the pace is that of a second, and may fall as fast.
         int waitSafetyFactor = 2;
         // Bounds on when a caller that was refused for the queue is told to come back.
-        Duration shortestReturn = std::chrono::milliseconds(400);
+        Duration minRetryAfter = std::chrono::milliseconds(400);
         Duration longestReturn = std::chrono::milliseconds(2500);
         // An attempt has this part of the time that its caller bears without a word.
         double silencePart = 0.5;
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -37,7 +37,7 @@
 Duration GatewayCore::latestReturn(const Request &request, TimePoint now) const
 {
     const Duration left = request.arrivedAt + request.request.deadline - now;
-    return std::max(settings_.shortestReturn, left / settings_.honouredPart);
+    return std::max(settings_.minRetryAfter, left / settings_.honouredPart);
 }
 
 // Has a stream wait for a place, or refuses it at once where the queue is too long.
@@ -53,7 +53,7 @@
     }
     const Duration wait = expectedWait(service, entry, now);
     if (wait * settings_.waitSafetyFactor > longestWait(request)) {
-        request.comeBack = std::clamp(wait, settings_.shortestReturn, settings_.longestReturn);
+        request.comeBack = std::clamp(wait, settings_.minRetryAfter, settings_.longestReturn);
         giveUp(number, FailureCode::NoUpstream, now, actions);
         return;
     }
