--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -170,7 +170,7 @@
         int waitSafetyFactor = 2;
         // Bounds on when a caller that was refused for the queue is told to come back.
         Duration minRetryAfter = std::chrono::milliseconds(400);
-        Duration longestReturn = std::chrono::milliseconds(2500);
+        Duration maxRetryAfter = std::chrono::milliseconds(2500);
         // An attempt has this part of the time that its caller bears without a word.
         double silencePart = 0.5;
         // Callers come back after at most one part in so many of the time that they have left.
