--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -461,7 +461,7 @@
     const bool mayMove = request.upstream != InstanceId() && (!request.headSent || route.resumable);
     const Duration borne = std::min(route.silenceLimit, request.request.deadline);
     return mayMove && borne > Duration{}
-           && toSeconds(now - request.heardAt) >= toSeconds(borne) * settings_.silencePart;
+           && toSeconds(now - request.heardAt) >= toSeconds(borne) * settings_.silenceFraction;
 }
 
 void GatewayCore::moveSilent(TimePoint now, GatewayActions &actions)
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -172,7 +172,7 @@
         Duration minRetryAfter = std::chrono::milliseconds(400);
         Duration maxRetryAfter = std::chrono::milliseconds(2500);
         // An attempt has this part of the time that its caller bears without a word.
-        double silencePart = 0.5;
+        double silenceFraction = 0.5;
         // Callers come back after at most one part in so many of the time that they have left.
         int honouredPart = 3;
     };
