--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -174,7 +174,7 @@
         // An attempt has this part of the time that its caller bears without a word.
         double silenceFraction = 0.5;
         // Callers come back after at most one part in so many of the time that they have left.
-        int honouredPart = 3;
+        int maxRetryAfterDivisor = 3;
     };
 
     explicit GatewayCore(const Settings &settings);
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -37,7 +37,7 @@
 Duration GatewayCore::latestReturn(const Request &request, TimePoint now) const
 {
     const Duration left = request.arrivedAt + request.request.deadline - now;
-    return std::max(settings_.minRetryAfter, left / settings_.honouredPart);
+    return std::max(settings_.minRetryAfter, left / settings_.maxRetryAfterDivisor);
 }
 
 // Has a stream wait for a place, or refuses it at once where the queue is too long.
