--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -328,7 +328,7 @@
         serviceOf(request->service).selector.tracker(group).onUnreachable(now);
         --request->attempts;
         ++request->unsent;
-        if (request->unsent <= settings_.maxUnsent) {
+        if (request->unsent <= settings_.maxConnectFailures) {
             if (!startAgain(number, *request, now, actions)) {
                 giveUp(number, FailureCode::NoUpstream, now, actions);
             }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -153,7 +153,7 @@
         // When a refused caller may come back.
         Duration retryAfter = std::chrono::milliseconds(250);
         // Attempts that could not even connect do not count as attempts; this bounds them.
-        std::uint32_t maxUnsent = 3;
+        std::uint32_t maxConnectFailures = 3;
         RetryLimits retries;
         UpstreamChooser::Settings chooser; // Its hall is set from `hall`.
         GroupSelector::Settings selector;
