--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -198,7 +198,7 @@
     if (request.request.route->streamed) {
         trackerOf(request).onStreamStart(now);
     }
-    actions.push_back(StartAttempt{number, request.attempts + request.unsent, upstream,
+    actions.push_back(StartAttempt{number, request.attempts + request.connectFailures, upstream,
                                    request.group, request.giveUpAt - now, mayRepeat(request)});
     return true;
 }
@@ -327,8 +327,8 @@
         chooser_.onUnreachable(upstream, now);
         serviceOf(request->service).selector.tracker(group).onUnreachable(now);
         --request->attempts;
-        ++request->unsent;
-        if (request->unsent <= settings_.maxConnectFailures) {
+        ++request->connectFailures;
+        if (request->connectFailures <= settings_.maxConnectFailures) {
             if (!startAgain(number, *request, now, actions)) {
                 giveUp(number, FailureCode::NoUpstream, now, actions);
             }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -262,7 +262,7 @@
         std::set<InstanceId> tried;
         std::uint32_t attempts = 0; // That reached an upstream, as far as is known.
         bool sentBefore = false;    // An upstream has refused it already.
-        std::uint32_t unsent = 0;
+        std::uint32_t connectFailures = 0;
         bool mayHaveRun = false;
         bool headSent = false;
         bool answering = false; // The attempt under way has sent its head.
