--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -240,7 +240,7 @@
     }
     tracker.onRefusal(request.sentAt, now);
     if (selector.allRefusing(now)) {
-        request.comeBack = latestReturn(request, now);
+        request.retryAfterHint = latestReturn(request, now);
     }
 }
 
@@ -395,7 +395,8 @@
 // permit that is not to be had, sooner would be in vain.
 Duration GatewayCore::comeBackAfter(const Request &request, TimePoint now)
 {
-    const Duration wait = request.comeBack > Duration{} ? request.comeBack : settings_.retryAfter;
+    const Duration wait =
+        request.retryAfterHint > Duration{} ? request.retryAfterHint : settings_.retryAfter;
     const TimePoint restsUntil = chooser_.restsUntil(request.service, now).value_or(now);
     const TimePoint permitsFrom = chooser_.permitsFrom(request.service, now).value_or(now);
     return std::max({wait, restsUntil - now, permitsFrom - now});
@@ -525,7 +526,7 @@
         Request &request = requests_.at(number);
         if (request.waits) {
             const bool out = serviceOf(request.service).selector.allRefusing(now);
-            request.comeBack = out ? latestReturn(request, now) : settings_.minRetryAfter;
+            request.retryAfterHint = out ? latestReturn(request, now) : settings_.minRetryAfter;
         }
         // The attempt under way was written, as far as is known.
         request.mayHaveRun = request.mayHaveRun || request.upstream != InstanceId();
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -53,7 +53,7 @@
     }
     const Duration wait = expectedWait(service, entry, now);
     if (wait * settings_.waitSafetyFactor > longestWait(request)) {
-        request.comeBack = std::clamp(wait, settings_.minRetryAfter, settings_.maxRetryAfter);
+        request.retryAfterHint = std::clamp(wait, settings_.minRetryAfter, settings_.maxRetryAfter);
         giveUp(number, FailureCode::NoUpstream, now, actions);
         return;
     }
