--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -127,7 +127,7 @@
     }
     const Request &request = found->second;
     ServiceState &service = serviceOf(request.service);
-    if (request.waits) {
+    if (request.queued) {
         service.waiting.remove(number);
     }
     waitForPermits_.erase(number);
@@ -516,7 +516,7 @@
     giveUpSuspects(now, actions);
     std::vector<RequestNumber> late;
     for (const auto &[number, request] : requests_) {
-        const bool waitedLong = request.waits && now - request.arrivedAt >= longestWait(request);
+        const bool waitedLong = request.queued && now - request.arrivedAt >= longestWait(request);
         if (now >= request.giveUpAt || waitedLong) {
             late.push_back(number);
         }
@@ -524,7 +524,7 @@
     std::sort(late.begin(), late.end());
     for (const RequestNumber number : late) {
         Request &request = requests_.at(number);
-        if (request.waits) {
+        if (request.queued) {
             const bool out = serviceOf(request.service).selector.allRefusing(now);
             request.retryAfterHint = out ? latestReturn(request, now) : settings_.minRetryAfter;
         }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -253,7 +253,7 @@
         TimePoint sentAt{};        // The attempt under way.
         TimePoint heardAt{};       // Its last word; when it was sent, before the first.
         Duration retryAfterHint{}; // When a refused caller may come back; zero: the usual pause.
-        bool waits = false;        // For the bound on streams; nothing was sent yet.
+        bool queued = false;       // For the bound on streams; nothing was sent yet.
         TimePoint permitUntil{};   // It waits so long for a permit; zero: it does not.
         InstanceId upstream;       // Of the attempt under way; empty: none.
         UpstreamRecord sentTo;     // That upstream, as it was listed when the attempt began.
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -46,7 +46,7 @@
 {
     ServiceState &service = serviceOf(request.service);
     const StreamQueue::Entry entry = entryFor(number, request, service);
-    request.waits = true;
+    request.queued = true;
     if (mayQueueForOpening(service, now)) {
         service.waiting.add(entry, now);
         return;
@@ -82,7 +82,7 @@
     if (!fresh || !mayQueueForOpening(service, now)) {
         return false;
     }
-    request.waits = true;
+    request.queued = true;
     request.sentBefore = true;
     request.tried.clear();
     request.attempts = 0; // None has run.
@@ -127,7 +127,7 @@
         const RequestNumber number = next->number;
         service.waiting.remove(number);
         Request &request = requests_.at(number);
-        request.waits = false;
+        request.queued = false;
         service.started.push_back(now);
         const bool allowed = !request.sentBefore || budgets_.at(request.service).take();
         if (allowed) {
