--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -18,7 +18,7 @@
     const TimePoint end = std::min(now + settings_.permitTimeout, request.giveUpAt);
     if (mayBeSent(request, now)
         && chooser_.awaitsPermit(request.service, request.request.residency, end, now)) {
-        request.permitUntil = end;
+        request.permitDeadline = end;
         waitForPermits_.insert(number);
         return;
     }
@@ -34,9 +34,9 @@
         const bool sent = startAgain(number, request, now, actions);
         if (sent) {
             waitForPermits_.erase(number);
-        } else if (now >= request.permitUntil
+        } else if (now >= request.permitDeadline
                    || !chooser_.awaitsPermit(request.service, request.request.residency,
-                                             request.permitUntil, now)) {
+                                             request.permitDeadline, now)) {
             giveUp(number, FailureCode::NoUpstream, now, actions);
         }
     }
