--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -190,7 +190,7 @@
     request.group = groups_.groupOf(upstream);
     request.speaks = false;
     request.sentAt = now;
-    request.heardAt = now;
+    request.progressAt = now;
     request.tried.insert(*chosen);
     request.answering = false;
     ++request.attempts;
@@ -269,7 +269,7 @@
     noteAnswer(*request, kind, now);
     if (kind == AnswerKind::Success) {
         chooser_.onSuccess(upstream);
-        request->heardAt = now;
+        request->progressAt = now;
         request->answering = true;
         request->headSent = true;
         return true;
@@ -462,7 +462,7 @@
     const bool mayMove = request.upstream != InstanceId() && (!request.headSent || route.resumable);
     const Duration borne = std::min(route.silenceLimit, request.request.deadline);
     return mayMove && borne > Duration{}
-           && toSeconds(now - request.heardAt) >= toSeconds(borne) * settings_.silenceFraction;
+           && toSeconds(now - request.progressAt) >= toSeconds(borne) * settings_.silenceFraction;
 }
 
 void GatewayCore::moveSilent(TimePoint now, GatewayActions &actions)
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -251,7 +251,7 @@
         TimePoint arrivedAt{};
         TimePoint firstAskedAt{};   // When its caller first asked, as far as is known.
         TimePoint sentAt{};         // The attempt under way.
-        TimePoint heardAt{};        // Its last word; when it was sent, before the first.
+        TimePoint progressAt{};     // Its last word; when it was sent, before the first.
         Duration retryAfterHint{};  // When a refused caller may come back; zero: the usual pause.
         bool queued = false;        // For the bound on streams; nothing was sent yet.
         TimePoint permitDeadline{}; // It waits so long for a permit; zero: it does not.
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -146,7 +146,7 @@
         return;
     }
     request->speaks = true;
-    request->heardAt = now;
+    request->progressAt = now;
     trackerOf(*request).onFirstEvent(now);
     Duration &average = serviceOf(request->service).firstEvent;
     const Duration time = now - request->sentAt;
@@ -157,7 +157,7 @@
 {
     Request *request = find(number);
     if (request != nullptr && request->upstream != InstanceId()) {
-        request->heardAt = now;
+        request->progressAt = now;
         const Duration goal = request->request.route->pauseGoal;
         trackerOf(*request).onPause(pause, goal, now);
     }
