--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -90,7 +90,7 @@
     const Duration longest =
         route.timeout > Duration{} ? std::min(route.timeout, request.deadline) : request.deadline;
     added.arrivedAt = now - request.held;
-    added.firstAskedAt = added.arrivedAt - ageEstimators_[route.name].estimateAge(request.deadline);
+    added.firstSentAt = added.arrivedAt - ageEstimators_[route.name].estimateAge(request.deadline);
     added.request = std::move(request);
     added.service = chooseService(route);
     added.giveUpAt = added.arrivedAt + longest - kAnswerMargin;
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -249,7 +249,7 @@
         TargetName service;
         TimePoint giveUpAt{};
         TimePoint arrivedAt{};
-        TimePoint firstAskedAt{};   // When its caller first asked, as far as is known.
+        TimePoint firstSentAt{};    // When its caller first asked, as far as is known.
         TimePoint sentAt{};         // The attempt under way.
         TimePoint progressAt{};     // Its last word; when it was sent, before the first.
         Duration retryAfterHint{};  // When a refused caller may come back; zero: the usual pause.
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -20,10 +20,10 @@
     StreamQueue::Entry entry;
     entry.number = number;
     entry.priority = request.request.priority;
-    entry.isRetry = request.arrivedAt - request.firstAskedAt >= kShortestComeBack;
+    entry.isRetry = request.arrivedAt - request.firstSentAt >= kShortestComeBack;
     // Without a goal there is no moment from which on the caller would be worse off.
     entry.startDeadline =
-        goal > Duration{} ? request.firstAskedAt + goal - service.firstEvent : request.giveUpAt;
+        goal > Duration{} ? request.firstSentAt + goal - service.firstEvent : request.giveUpAt;
     return entry;
 }
 
