--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -189,7 +189,7 @@
     request.sentTo = upstream;
     request.group = groups_.groupOf(upstream);
     request.speaks = false;
-    request.sentAt = now;
+    request.attemptStartedAt = now;
     request.progressAt = now;
     request.tried.insert(*chosen);
     request.answering = false;
@@ -238,7 +238,7 @@
         }
         return;
     }
-    tracker.onRefusal(request.sentAt, now);
+    tracker.onRefusal(request.attemptStartedAt, now);
     if (selector.allRefusing(now)) {
         request.retryAfterHint = latestReturn(request, now);
     }
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -149,7 +149,7 @@
     request->progressAt = now;
     trackerOf(*request).onFirstEvent(now);
     Duration &average = serviceOf(request->service).firstEvent;
-    const Duration time = now - request->sentAt;
+    const Duration time = now - request->attemptStartedAt;
     average = average == Duration{} ? time : (average * (kWeight - 1) + time) / kWeight;
 }
 
