--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -186,7 +186,7 @@
     }
     const UpstreamRecord &upstream = *upstreams_.find(*chosen);
     request.upstream = *chosen;
-    request.sentTo = upstream;
+    request.upstreamRecord = upstream;
     request.group = groups_.groupOf(upstream);
     request.speaks = false;
     request.attemptStartedAt = now;
@@ -254,7 +254,7 @@
         chooser_.onRestWanted(request->upstream, now + *notice.rest);
     }
     if (notice.leaving) {
-        upstreams_.announceLeaving(request->sentTo);
+        upstreams_.announceLeaving(request->upstreamRecord);
     }
 }
 
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -256,9 +256,9 @@
         bool queued = false;          // For the bound on streams; nothing was sent yet.
         TimePoint permitDeadline{};   // It waits so long for a permit; zero: it does not.
         InstanceId upstream;          // Of the attempt under way; empty: none.
-        UpstreamRecord sentTo;        // That upstream, as it was listed when the attempt began.
-        GroupId group;                // Of that upstream, when the attempt began.
-        bool speaks = false;          // The attempt under way has sent an event.
+        UpstreamRecord upstreamRecord; // That upstream, as it was listed when the attempt began.
+        GroupId group;                 // Of that upstream, when the attempt began.
+        bool speaks = false;           // The attempt under way has sent an event.
         std::set<InstanceId> tried;
         std::uint32_t attempts = 0; // That reached an upstream, as far as is known.
         bool sentBefore = false;    // An upstream has refused it already.
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -49,7 +49,7 @@
     if (request == nullptr || request->upstream == InstanceId()) {
         return UpstreamLimits::Change::None;
     }
-    return limits_.onAnswer(request->sentTo, limit, request->attemptStartedAt, now);
+    return limits_.onAnswer(request->upstreamRecord, limit, request->attemptStartedAt, now);
 }
 
 void GatewayCore::onPermits(const InstanceId &upstream, const PermitAnswer &answer,
