--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -188,7 +188,7 @@
     request.upstream = *chosen;
     request.upstreamRecord = upstream;
     request.group = groups_.groupOf(upstream);
-    request.speaks = false;
+    request.hasEvents = false;
     request.attemptStartedAt = now;
     request.progressAt = now;
     request.tried.insert(*chosen);
@@ -217,10 +217,10 @@
 {
     chooser_.onLeft(request.upstream);
     if (request.request.route->streamed) {
-        trackerOf(request).onStreamEnd(request.speaks);
+        trackerOf(request).onStreamEnd(request.hasEvents);
     }
     request.upstream = InstanceId();
-    request.speaks = false;
+    request.hasEvents = false;
     request.answering = false;
 }
 
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -258,7 +258,7 @@
         InstanceId upstream;          // Of the attempt under way; empty: none.
         UpstreamRecord upstreamRecord; // That upstream, as it was listed when the attempt began.
         GroupId group;                 // Of that upstream, when the attempt began.
-        bool speaks = false;           // The attempt under way has sent an event.
+        bool hasEvents = false;        // The attempt under way has sent an event.
         std::set<InstanceId> tried;
         std::uint32_t attempts = 0; // That reached an upstream, as far as is known.
         bool sentBefore = false;    // An upstream has refused it already.
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -142,10 +142,10 @@
 {
     constexpr int kWeight = 8; // Of the average so far, against one of the new time.
     Request *request = find(number);
-    if (request == nullptr || request->upstream == InstanceId() || request->speaks) {
+    if (request == nullptr || request->upstream == InstanceId() || request->hasEvents) {
         return;
     }
-    request->speaks = true;
+    request->hasEvents = true;
     request->progressAt = now;
     trackerOf(*request).onFirstEvent(now);
     Duration &average = serviceOf(request->service).firstEvent;
