--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -192,7 +192,7 @@
     request.attemptStartedAt = now;
     request.progressAt = now;
     request.tried.insert(*chosen);
-    request.answering = false;
+    request.attemptHasHead = false;
     ++request.attempts;
     chooser_.onSent(upstream, now);
     if (request.request.route->streamed) {
@@ -221,7 +221,7 @@
     }
     request.upstream = InstanceId();
     request.hasEvents = false;
-    request.answering = false;
+    request.attemptHasHead = false;
 }
 
 // Learns from an answer whether a group refuses everything, as one does that stands still.
@@ -270,7 +270,7 @@
     if (kind == AnswerKind::Success) {
         chooser_.onSuccess(upstream);
         request->progressAt = now;
-        request->answering = true;
+        request->attemptHasHead = true;
         request->headSent = true;
         return true;
     }
@@ -282,7 +282,7 @@
         request->mayHaveRun = true;
         // The last word of an upstream goes to the caller when nothing better can be had.
         if (kind == AnswerKind::Failure && !request->headSent && !mayTryAgain(*request, now)) {
-            request->answering = true;
+            request->attemptHasHead = true;
             request->headSent = true;
             return true;
         }
@@ -315,10 +315,10 @@
         return;
     }
     const InstanceId upstream = request->upstream;
-    const bool answering = request->answering;
+    const bool attemptHasHead = request->attemptHasHead;
     const GroupId group = request->group;
     leaveUpstream(*request);
-    if (end == AttemptEnd::Complete && answering) {
+    if (end == AttemptEnd::Complete && attemptHasHead) {
         crashes_.onSurvived(request->request.digest, now);
         endRequest(number);
         return;
@@ -442,7 +442,7 @@
     crashesSeen_ = crashes_.cursor();
     std::vector<RequestNumber> suspects;
     for (const auto &[number, request] : requests_) {
-        if (!request.answering && !mayBeSent(request, now)) {
+        if (!request.attemptHasHead && !mayBeSent(request, now)) {
             suspects.push_back(number);
         }
     }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -265,7 +265,7 @@
         std::uint32_t connectFailures = 0;
         bool mayHaveRun = false;
         bool headSent = false;
-        bool answering = false; // The attempt under way has sent its head.
+        bool attemptHasHead = false; // The attempt under way has sent its head.
     };
 
     // The streams in flight at one service, by group, and those that wait.
