--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -261,7 +261,7 @@
         bool hasEvents = false;        // The attempt under way has sent an event.
         std::set<InstanceId> tried;
         std::uint32_t attempts = 0; // That reached an upstream, as far as is known.
-        bool sentBefore = false;    // An upstream has refused it already.
+        bool refusedBefore = false; // An upstream has refused it already.
         std::uint32_t connectFailures = 0;
         bool mayHaveRun = false;
         bool headSent = false;
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -83,7 +83,7 @@
         return false;
     }
     request.queued = true;
-    request.sentBefore = true;
+    request.refusedBefore = true;
     request.tried.clear();
     request.attempts = 0; // None has run.
     service.waiting.add(entryFor(number, request, service), now);
@@ -129,7 +129,7 @@
         Request &request = requests_.at(number);
         request.queued = false;
         service.started.push_back(now);
-        const bool allowed = !request.sentBefore || budgets_.at(request.service).take();
+        const bool allowed = !request.refusedBefore || budgets_.at(request.service).take();
         if (allowed) {
             startOrWait(number, request, group, now, actions);
         } else {
