--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -93,7 +93,7 @@
     added.firstSentAt = added.arrivedAt - ageEstimators_[route.name].estimateAge(request.deadline);
     added.request = std::move(request);
     added.service = chooseService(route);
-    added.giveUpAt = added.arrivedAt + longest - kAnswerMargin;
+    added.failAt = added.arrivedAt + longest - kAnswerMargin;
     budgets_.try_emplace(added.service, ownBudget()).first->second.onSuccess();
     if (!mayBeSent(added, now)) {
         giveUp(number, FailureCode::RequestEndsUpstreams, now, actions);
@@ -181,7 +181,7 @@
     if (!chosen && group) {
         chosen = chooseFor(request, std::nullopt, now);
     }
-    if (!chosen || now >= request.giveUpAt) {
+    if (!chosen || now >= request.failAt) {
         return false;
     }
     const UpstreamRecord &upstream = *upstreams_.find(*chosen);
@@ -199,7 +199,7 @@
         trackerOf(request).onStreamStart(now);
     }
     actions.push_back(StartAttempt{number, request.attempts + request.connectFailures, upstream,
-                                   request.group, request.giveUpAt - now, mayRepeat(request)});
+                                   request.group, request.failAt - now, mayRepeat(request)});
     return true;
 }
 
@@ -517,7 +517,7 @@
     std::vector<RequestNumber> late;
     for (const auto &[number, request] : requests_) {
         const bool waitedLong = request.queued && now - request.arrivedAt >= longestWait(request);
-        if (now >= request.giveUpAt || waitedLong) {
+        if (now >= request.failAt || waitedLong) {
             late.push_back(number);
         }
     }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -247,7 +247,7 @@
     {
         GatewayRequest request;
         TargetName service;
-        TimePoint giveUpAt{};
+        TimePoint failAt{};
         TimePoint arrivedAt{};
         TimePoint firstSentAt{};      // When its caller first asked, as far as is known.
         TimePoint attemptStartedAt{}; // The attempt under way.
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -15,7 +15,7 @@
     if (startAttempt(number, request, group, now, actions)) {
         return;
     }
-    const TimePoint end = std::min(now + settings_.permitTimeout, request.giveUpAt);
+    const TimePoint end = std::min(now + settings_.permitTimeout, request.failAt);
     if (mayBeSent(request, now)
         && chooser_.awaitsPermit(request.service, request.request.residency, end, now)) {
         request.permitDeadline = end;
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -23,7 +23,7 @@
     entry.isRetry = request.arrivedAt - request.firstSentAt >= kShortestComeBack;
     // Without a goal there is no moment from which on the caller would be worse off.
     entry.startDeadline =
-        goal > Duration{} ? request.firstSentAt + goal - service.firstEvent : request.giveUpAt;
+        goal > Duration{} ? request.firstSentAt + goal - service.firstEvent : request.failAt;
     return entry;
 }
 
