--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -111,7 +111,7 @@
             queueStream(number, added, now, actions);
             return number;
         }
-        service.started.push_back(now);
+        service.recentStarts.push_back(now);
         startOrWait(number, added, group, now, actions);
     } else {
         startOrWait(number, added, std::nullopt, now, actions);
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -276,7 +276,7 @@
         {}
 
         GroupSelector selector;
-        std::deque<TimePoint> started; // Of the streams of the last second.
+        std::deque<TimePoint> recentStarts; // Of the streams of the last second.
         StreamQueue waiting;
         Duration firstEvent{}; // From an attempt's start, on average of late; zero: not known.
     };
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -108,11 +108,12 @@
                                    TimePoint now)
 {
     constexpr Duration kWindow = std::chrono::seconds(1);
-    while (!service.started.empty() && now - service.started.front() > kWindow) {
-        service.started.pop_front();
+    while (!service.recentStarts.empty() && now - service.recentStarts.front() > kWindow) {
+        service.recentStarts.pop_front();
     }
     const auto ahead = static_cast<Duration::rep>(service.waiting.countAhead(entry, now));
-    const auto pace = static_cast<Duration::rep>(std::max<std::size_t>(1, service.started.size()));
+    const auto pace =
+        static_cast<Duration::rep>(std::max<std::size_t>(1, service.recentStarts.size()));
     return kWindow * (ahead + 1) / pace;
 }
 
@@ -128,7 +129,7 @@
         service.waiting.remove(number);
         Request &request = requests_.at(number);
         request.queued = false;
-        service.started.push_back(now);
+        service.recentStarts.push_back(now);
         const bool allowed = !request.refusedBefore || budgets_.at(request.service).take();
         if (allowed) {
             startOrWait(number, request, group, now, actions);
