--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -278,7 +278,8 @@
         GroupSelector selector;
         std::deque<TimePoint> recentStarts; // Of the streams of the last second.
         StreamQueue waiting;
-        Duration firstEvent{}; // From an attempt's start, on average of late; zero: not known.
+        Duration
+            meanTimeToFirstEvent{}; // From an attempt's start, on average of late; zero: not known.
     };
 
     RetryBudget::Settings ownBudget() const;
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -22,8 +22,9 @@
     entry.priority = request.request.priority;
     entry.isRetry = request.arrivedAt - request.firstSentAt >= kShortestComeBack;
     // Without a goal there is no moment from which on the caller would be worse off.
-    entry.startDeadline =
-        goal > Duration{} ? request.firstSentAt + goal - service.firstEvent : request.failAt;
+    entry.startDeadline = goal > Duration{}
+                              ? request.firstSentAt + goal - service.meanTimeToFirstEvent
+                              : request.failAt;
     return entry;
 }
 
@@ -149,7 +150,7 @@
     request->hasEvents = true;
     request->progressAt = now;
     trackerOf(*request).onFirstEvent(now);
-    Duration &average = serviceOf(request->service).firstEvent;
+    Duration &average = serviceOf(request->service).meanTimeToFirstEvent;
     const Duration time = now - request->attemptStartedAt;
     average = average == Duration{} ? time : (average * (kWeight - 1) + time) / kWeight;
 }
