--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -89,7 +89,7 @@
     const RouteRule &route = *request.route;
     const Duration longest =
         route.timeout > Duration{} ? std::min(route.timeout, request.deadline) : request.deadline;
-    added.arrivedAt = now - request.held;
+    added.arrivedAt = now - request.age;
     added.firstSentAt = added.arrivedAt - ageEstimators_[route.name].estimateAge(request.deadline);
     added.request = std::move(request);
     added.service = chooseService(route);
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -76,7 +76,7 @@
     AccountId account;
     std::uint8_t priority = 5; // 0 is the most urgent.
     Duration deadline{};       // How long the caller waits, from its arrival on.
-    Duration held{};           // How long ago it arrived.
+    Duration age{};            // How long ago it arrived.
     Residency residency;       // Where it may be served.
     RequestDigest digest;      // Requests that are the same to an upstream have the same one.
 };
