--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -9,7 +9,7 @@
 
 // A caller that has waited for less than this is at its first try: what it states may be less than
 // its program's figure by the time that its connection took.
-constexpr Duration kShortestComeBack = std::chrono::milliseconds(200);
+constexpr Duration kMinRetryAge = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -20,7 +20,7 @@
     StreamQueue::Entry entry;
     entry.number = number;
     entry.priority = request.request.priority;
-    entry.isRetry = request.arrivedAt - request.firstSentAt >= kShortestComeBack;
+    entry.isRetry = request.arrivedAt - request.firstSentAt >= kMinRetryAge;
     // Without a goal there is no moment from which on the caller would be worse off.
     entry.startDeadline = goal > Duration{}
                               ? request.firstSentAt + goal - service.meanTimeToFirstEvent
