--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -44,13 +44,14 @@
 // so each stays well below its part: it may know of too few others, and their traffic is unlike.
 RetryBudget::Settings GatewayCore::ownBudget() const
 {
-    constexpr double kSpentPerRequest = 0.75;
+    constexpr double kPerRequestFraction = 0.75;
     constexpr double kSpentOfBurst = 0.35;
     constexpr double kFirstPermits = 2.0;
     const double burst = settings_.retries.burst * kSpentOfBurst / static_cast<double>(gateways_);
     const bool none = settings_.retries.perRequest <= 0.0 && burst <= 0.0;
     const double most = none ? 0.0 : std::max(1.0, burst);
-    return {settings_.retries.perRequest * kSpentPerRequest, most, std::min(most, kFirstPermits)};
+    return {settings_.retries.perRequest * kPerRequestFraction, most,
+            std::min(most, kFirstPermits)};
 }
 
 void GatewayCore::setGateways(std::size_t count)
