--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -45,9 +45,9 @@
 RetryBudget::Settings GatewayCore::ownBudget() const
 {
     constexpr double kPerRequestFraction = 0.75;
-    constexpr double kSpentOfBurst = 0.35;
+    constexpr double kBurstFraction = 0.35;
     constexpr double kFirstPermits = 2.0;
-    const double burst = settings_.retries.burst * kSpentOfBurst / static_cast<double>(gateways_);
+    const double burst = settings_.retries.burst * kBurstFraction / static_cast<double>(gateways_);
     const bool none = settings_.retries.perRequest <= 0.0 && burst <= 0.0;
     const double most = none ? 0.0 : std::max(1.0, burst);
     return {settings_.retries.perRequest * kPerRequestFraction, most,
