--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -142,7 +142,7 @@
 
 void GatewayCore::onFirstEvent(RequestNumber number, TimePoint now)
 {
-    constexpr int kWeight = 8; // Of the average so far, against one of the new time.
+    constexpr int kHistoryWeight = 8; // Of the average so far, against one of the new time.
     Request *request = find(number);
     if (request == nullptr || request->upstream == InstanceId() || request->hasEvents) {
         return;
@@ -152,7 +152,8 @@
     trackerOf(*request).onFirstEvent(now);
     Duration &average = serviceOf(request->service).meanTimeToFirstEvent;
     const Duration time = now - request->attemptStartedAt;
-    average = average == Duration{} ? time : (average * (kWeight - 1) + time) / kWeight;
+    average =
+        average == Duration{} ? time : (average * (kHistoryWeight - 1) + time) / kHistoryWeight;
 }
 
 void GatewayCore::onPause(RequestNumber number, Duration pause, TimePoint now)
