--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -66,12 +66,12 @@
 bool GatewayCore::mayQueueForOpening(ServiceState &service, TimePoint now) const
 {
     constexpr double kQueuedPerSlot = 2.0; // A place is free again after a second or two.
-    double places = 0.0;
+    double slots = 0.0;
     for (const auto &[group, tracker] : service.selector.all()) {
-        places += tracker.limiter().limit();
+        slots += tracker.limiter().limit();
     }
     return service.selector.opensSoon(groups_, now)
-           && static_cast<double>(service.waiting.size()) < kQueuedPerSlot * places;
+           && static_cast<double>(service.waiting.size()) < kQueuedPerSlot * slots;
 }
 
 // Has a stream wait that an upstream has refused because its group has yet to open.
