--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -113,9 +113,9 @@
         service.recentStarts.pop_front();
     }
     const auto ahead = static_cast<Duration::rep>(service.waiting.countAhead(entry, now));
-    const auto pace =
+    const auto startRate =
         static_cast<Duration::rep>(std::max<std::size_t>(1, service.recentStarts.size()));
-    return kWindow * (ahead + 1) / pace;
+    return kWindow * (ahead + 1) / startRate;
 }
 
 // Starts waiting requests while lanes admit them.
