--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -78,9 +78,9 @@
 bool GatewayCore::queueAgain(RequestNumber number, Request &request, TimePoint now)
 {
     ServiceState &service = serviceOf(request.service);
-    const bool fresh = request.request.route->streamed && !request.headSent && !request.mayHaveRun
-                       && mayBeSent(request, now);
-    if (!fresh || !mayQueueForOpening(service, now)) {
+    const bool mayRequeue = request.request.route->streamed && !request.headSent
+                            && !request.mayHaveRun && mayBeSent(request, now);
+    if (!mayRequeue || !mayQueueForOpening(service, now)) {
         return false;
     }
     request.queued = true;
