--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -377,9 +377,9 @@
     if (request.headSent) {
         actions.push_back(BreakAnswer{number, failure});
     } else if (request.mayHaveRun) {
-        const FailureCode said =
+        const FailureCode reported =
             failure == FailureCode::NoUpstream ? FailureCode::UpstreamFailed : failure;
-        actions.push_back(RejectRequest{number, said, Outcome::Unknown, {}});
+        actions.push_back(RejectRequest{number, reported, Outcome::Unknown, {}});
     } else if (!mayBeSent(request, now)) {
         // It is true of this request that it has not run; to come back would not help it.
         actions.push_back(
