--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -515,15 +515,15 @@
     permitIssuer_.expire(now);
     startWaitingForPermits(now, actions);
     giveUpSuspects(now, actions);
-    std::vector<RequestNumber> late;
+    std::vector<RequestNumber> expired;
     for (const auto &[number, request] : requests_) {
         const bool waitedLong = request.queued && now - request.arrivedAt >= longestWait(request);
         if (now >= request.failAt || waitedLong) {
-            late.push_back(number);
+            expired.push_back(number);
         }
     }
-    std::sort(late.begin(), late.end());
-    for (const RequestNumber number : late) {
+    std::sort(expired.begin(), expired.end());
+    for (const RequestNumber number : expired) {
         Request &request = requests_.at(number);
         if (request.queued) {
             const bool out = serviceOf(request.service).selector.allRefusing(now);
