--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -517,8 +517,9 @@
     giveUpSuspects(now, actions);
     std::vector<RequestNumber> expired;
     for (const auto &[number, request] : requests_) {
-        const bool waitedLong = request.queued && now - request.arrivedAt >= longestWait(request);
-        if (now >= request.failAt || waitedLong) {
+        const bool queueTimedOut =
+            request.queued && now - request.arrivedAt >= longestWait(request);
+        if (now >= request.failAt || queueTimedOut) {
             expired.push_back(number);
         }
     }
