--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -48,8 +48,8 @@
     constexpr double kBurstFraction = 0.35;
     constexpr double kInitialTokens = 2.0;
     const double burst = settings_.retries.burst * kBurstFraction / static_cast<double>(gateways_);
-    const bool none = settings_.retries.perRequest <= 0.0 && burst <= 0.0;
-    const double most = none ? 0.0 : std::max(1.0, burst);
+    const bool disabled = settings_.retries.perRequest <= 0.0 && burst <= 0.0;
+    const double most = disabled ? 0.0 : std::max(1.0, burst);
     return {settings_.retries.perRequest * kPerRequestFraction, most,
             std::min(most, kInitialTokens)};
 }
