--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -461,9 +461,10 @@
 {
     const RouteRule &route = *request.request.route;
     const bool mayMove = request.upstream != InstanceId() && (!request.headSent || route.resumable);
-    const Duration borne = std::min(route.silenceLimit, request.request.deadline);
-    return mayMove && borne > Duration{}
-           && toSeconds(now - request.progressAt) >= toSeconds(borne) * settings_.silenceFraction;
+    const Duration patience = std::min(route.silenceLimit, request.request.deadline);
+    return mayMove && patience > Duration{}
+           && toSeconds(now - request.progressAt)
+                  >= toSeconds(patience) * settings_.silenceFraction;
 }
 
 void GatewayCore::moveSilent(TimePoint now, GatewayActions &actions)
