--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -460,9 +460,10 @@
 bool GatewayCore::fellSilent(const Request &request, TimePoint now) const
 {
     const RouteRule &route = *request.request.route;
-    const bool mayMove = request.upstream != InstanceId() && (!request.headSent || route.resumable);
+    const bool mayFailOver =
+        request.upstream != InstanceId() && (!request.headSent || route.resumable);
     const Duration patience = std::min(route.silenceLimit, request.request.deadline);
-    return mayMove && patience > Duration{}
+    return mayFailOver && patience > Duration{}
            && toSeconds(now - request.progressAt)
                   >= toSeconds(patience) * settings_.silenceFraction;
 }
