--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -42,7 +42,7 @@
 
 // Returns the part of the limits that this gateway may spend. The gateways do not count together,
 // so each stays well below its part: it may know of too few others, and their traffic is unlike.
-RetryBudget::Settings GatewayCore::ownBudget() const
+RetryBudget::Settings GatewayCore::budgetShare() const
 {
     constexpr double kPerRequestFraction = 0.75;
     constexpr double kBurstFraction = 0.35;
@@ -73,7 +73,7 @@
 {
     settings_.retries = limits;
     for (auto &[service, budget] : budgets_) {
-        budget.change(ownBudget());
+        budget.change(budgetShare());
     }
 }
 
@@ -95,7 +95,7 @@
     added.request = std::move(request);
     added.service = chooseService(route);
     added.failAt = added.arrivedAt + longest - kAnswerMargin;
-    budgets_.try_emplace(added.service, ownBudget()).first->second.onSuccess();
+    budgets_.try_emplace(added.service, budgetShare()).first->second.onSuccess();
     if (!mayBeSent(added, now)) {
         giveUp(number, FailureCode::RequestEndsUpstreams, now, actions);
         return number;
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -282,7 +282,7 @@
             meanTimeToFirstEvent{}; // From an attempt's start, on average of late; zero: not known.
     };
 
-    RetryBudget::Settings ownBudget() const;
+    RetryBudget::Settings budgetShare() const;
     bool mayRepeat(const Request &request) const;
     bool mayTryAgain(const Request &request, TimePoint now);
     std::optional<InstanceId> chooseFor(const Request &request, const std::optional<GroupId> &group,
