--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -241,7 +241,7 @@
     }
     tracker.onRefusal(request.attemptStartedAt, now);
     if (selector.allRefusing(now)) {
-        request.retryAfterHint = latestReturn(request, now);
+        request.retryAfterHint = maxHonouredRetryAfter(request, now);
     }
 }
 
@@ -530,7 +530,8 @@
         Request &request = requests_.at(number);
         if (request.queued) {
             const bool out = serviceOf(request.service).selector.allRefusing(now);
-            request.retryAfterHint = out ? latestReturn(request, now) : settings_.minRetryAfter;
+            request.retryAfterHint =
+                out ? maxHonouredRetryAfter(request, now) : settings_.minRetryAfter;
         }
         // The attempt under way was written, as far as is known.
         request.mayHaveRun = request.mayHaveRun || request.upstream != InstanceId();
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -305,7 +305,7 @@
     static StreamQueue::Entry entryFor(RequestNumber number, const Request &request,
                                        const ServiceState &service);
     Duration longestWait(const Request &request) const;
-    Duration latestReturn(const Request &request, TimePoint now) const;
+    Duration maxHonouredRetryAfter(const Request &request, TimePoint now) const;
     Duration comeBackAfter(const Request &request, TimePoint now);
     Duration expectedWait(ServiceState &service, const StreamQueue::Entry &entry, TimePoint now);
     void queueStream(RequestNumber number, Request &request, TimePoint now,
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -35,7 +35,7 @@
 }
 
 // Returns the latest moment at which the caller would come back.
-Duration GatewayCore::latestReturn(const Request &request, TimePoint now) const
+Duration GatewayCore::maxHonouredRetryAfter(const Request &request, TimePoint now) const
 {
     const Duration left = request.arrivedAt + request.request.deadline - now;
     return std::max(settings_.minRetryAfter, left / settings_.maxRetryAfterDivisor);
