--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -387,14 +387,14 @@
     } else {
         const bool regions = failure == FailureCode::NoUpstreamInRegions;
         actions.push_back(RejectRequest{number, regions ? failure : FailureCode::NoUpstream,
-                                        Outcome::NotRun, comeBackAfter(request, now)});
+                                        Outcome::NotRun, retryAfterFor(request, now)});
     }
     endRequest(number);
 }
 
 // Returns when a refused caller may come back. While all upstreams rest, or take nothing without a
 // permit that is not to be had, sooner would be in vain.
-Duration GatewayCore::comeBackAfter(const Request &request, TimePoint now)
+Duration GatewayCore::retryAfterFor(const Request &request, TimePoint now)
 {
     const Duration wait =
         request.retryAfterHint > Duration{} ? request.retryAfterHint : settings_.retryAfter;
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -306,7 +306,7 @@
                                        const ServiceState &service);
     Duration longestWait(const Request &request) const;
     Duration maxHonouredRetryAfter(const Request &request, TimePoint now) const;
-    Duration comeBackAfter(const Request &request, TimePoint now);
+    Duration retryAfterFor(const Request &request, TimePoint now);
     Duration expectedWait(ServiceState &service, const StreamQueue::Entry &entry, TimePoint now);
     void queueStream(RequestNumber number, Request &request, TimePoint now,
                      GatewayActions &actions);
