--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -304,7 +304,7 @@
     void noteAnswer(Request &request, AnswerKind kind, TimePoint now);
     static StreamQueue::Entry entryFor(RequestNumber number, const Request &request,
                                        const ServiceState &service);
-    Duration longestWait(const Request &request) const;
+    Duration maxQueueTime(const Request &request) const;
     Duration maxHonouredRetryAfter(const Request &request, TimePoint now) const;
     Duration retryAfterFor(const Request &request, TimePoint now);
     Duration expectedWait(ServiceState &service, const StreamQueue::Entry &entry, TimePoint now);
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -29,7 +29,7 @@
 }
 
 // Returns how long a stream may wait for a place; its caller leaves not long after.
-Duration GatewayCore::longestWait(const Request &request) const
+Duration GatewayCore::maxQueueTime(const Request &request) const
 {
     return request.request.route->silenceLimit - settings_.queueTimeoutMargin;
 }
@@ -53,7 +53,7 @@
         return;
     }
     const Duration wait = expectedWait(service, entry, now);
-    if (wait * settings_.waitSafetyFactor > longestWait(request)) {
+    if (wait * settings_.waitSafetyFactor > maxQueueTime(request)) {
         request.retryAfterHint = std::clamp(wait, settings_.minRetryAfter, settings_.maxRetryAfter);
         giveUp(number, FailureCode::NoUpstream, now, actions);
         return;
