--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -295,7 +295,7 @@
     }
     actions.push_back(CancelAttempt{number, false});
     leaveUpstream(*request);
-    if (kind == AnswerKind::Full && queueAgain(number, *request, now)) {
+    if (kind == AnswerKind::Full && requeue(number, *request, now)) {
         return false;
     }
     if (saysNotRun(kind) || mayRepeat(*request)) {
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -310,7 +310,7 @@
     Duration expectedWait(ServiceState &service, const StreamQueue::Entry &entry, TimePoint now);
     void queueStream(RequestNumber number, Request &request, TimePoint now,
                      GatewayActions &actions);
-    bool queueAgain(RequestNumber number, Request &request, TimePoint now);
+    bool requeue(RequestNumber number, Request &request, TimePoint now);
     bool mayQueueForOpening(ServiceState &service, TimePoint now) const;
     void admitWaiting(ServiceState &service, TimePoint now, GatewayActions &actions);
     bool fellSilent(const Request &request, TimePoint now) const;
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -75,7 +75,7 @@
 }
 
 // Has a stream wait that an upstream has refused because its group has yet to open.
-bool GatewayCore::queueAgain(RequestNumber number, Request &request, TimePoint now)
+bool GatewayCore::requeue(RequestNumber number, Request &request, TimePoint now)
 {
     ServiceState &service = serviceOf(request.service);
     const bool mayRequeue = request.request.route->streamed && !request.headSent
