--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -311,7 +311,7 @@
     void queueStream(RequestNumber number, Request &request, TimePoint now,
                      GatewayActions &actions);
     bool requeue(RequestNumber number, Request &request, TimePoint now);
-    bool mayQueueForOpening(ServiceState &service, TimePoint now) const;
+    bool mayQueueUntilOpen(ServiceState &service, TimePoint now) const;
     void admitWaiting(ServiceState &service, TimePoint now, GatewayActions &actions);
     bool fellSilent(const Request &request, TimePoint now) const;
     void moveSilent(TimePoint now, GatewayActions &actions);
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -48,7 +48,7 @@
     ServiceState &service = serviceOf(request.service);
     const StreamQueue::Entry entry = entryFor(number, request, service);
     request.queued = true;
-    if (mayQueueForOpening(service, now)) {
+    if (mayQueueUntilOpen(service, now)) {
         service.waiting.add(entry, now);
         return;
     }
@@ -63,7 +63,7 @@
 
 // Tells whether all groups refuse, one will soon take requests, and the queue is no longer than
 // what can begin then.
-bool GatewayCore::mayQueueForOpening(ServiceState &service, TimePoint now) const
+bool GatewayCore::mayQueueUntilOpen(ServiceState &service, TimePoint now) const
 {
     constexpr double kQueuedPerSlot = 2.0; // A place is free again after a second or two.
     double slots = 0.0;
@@ -80,7 +80,7 @@
     ServiceState &service = serviceOf(request.service);
     const bool mayRequeue = request.request.route->streamed && !request.headSent
                             && !request.mayHaveRun && mayBeSent(request, now);
-    if (!mayRequeue || !mayQueueForOpening(service, now)) {
+    if (!mayRequeue || !mayQueueUntilOpen(service, now)) {
         return false;
     }
     request.queued = true;
