--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -541,7 +541,7 @@
     for (auto &[name, service] : services_) {
         ServiceState &current = serviceOf(name);
         current.selector.onTick(current.waiting.size(), groups_, now);
-        admitWaiting(current, now, actions);
+        admitQueued(current, now, actions);
     }
 }
 
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -312,7 +312,7 @@
                      GatewayActions &actions);
     bool requeue(RequestNumber number, Request &request, TimePoint now);
     bool mayQueueUntilOpen(ServiceState &service, TimePoint now) const;
-    void admitWaiting(ServiceState &service, TimePoint now, GatewayActions &actions);
+    void admitQueued(ServiceState &service, TimePoint now, GatewayActions &actions);
     bool fellSilent(const Request &request, TimePoint now) const;
     void moveSilent(TimePoint now, GatewayActions &actions);
     void move(RequestNumber number, TimePoint now, GatewayActions &actions);
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -119,7 +119,7 @@
 }
 
 // Starts waiting requests while lanes admit them.
-void GatewayCore::admitWaiting(ServiceState &service, TimePoint now, GatewayActions &actions)
+void GatewayCore::admitQueued(ServiceState &service, TimePoint now, GatewayActions &actions)
 {
     for (auto next = service.waiting.next(now); next; next = service.waiting.next(now)) {
         const auto group = service.selector.selectForNew(*next, groups_, now);
