--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -107,7 +107,7 @@
     if (route.streamed) {
         ServiceState &service = serviceOf(added.service);
         const auto group =
-            service.selector.selectForNew(entryFor(number, added, service), groups_, now);
+            service.selector.selectForNew(queueEntryFor(number, added, service), groups_, now);
         if (!group) {
             queueStream(number, added, now, actions);
             return number;
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -302,8 +302,8 @@
     ServiceState &serviceOf(const TargetName &service);
     void endRequest(RequestNumber number);
     void noteAnswer(Request &request, AnswerKind kind, TimePoint now);
-    static StreamQueue::Entry entryFor(RequestNumber number, const Request &request,
-                                       const ServiceState &service);
+    static StreamQueue::Entry queueEntryFor(RequestNumber number, const Request &request,
+                                            const ServiceState &service);
     Duration maxQueueTime(const Request &request) const;
     Duration maxHonouredRetryAfter(const Request &request, TimePoint now) const;
     Duration retryAfterFor(const Request &request, TimePoint now);
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -13,8 +13,8 @@
 
 } // namespace
 
-StreamQueue::Entry GatewayCore::entryFor(RequestNumber number, const Request &request,
-                                         const ServiceState &service)
+StreamQueue::Entry GatewayCore::queueEntryFor(RequestNumber number, const Request &request,
+                                              const ServiceState &service)
 {
     const Duration goal = request.request.route->latencyGoal;
     StreamQueue::Entry entry;
@@ -46,7 +46,7 @@
                               GatewayActions &actions)
 {
     ServiceState &service = serviceOf(request.service);
-    const StreamQueue::Entry entry = entryFor(number, request, service);
+    const StreamQueue::Entry entry = queueEntryFor(number, request, service);
     request.queued = true;
     if (mayQueueUntilOpen(service, now)) {
         service.waiting.add(entry, now);
@@ -87,7 +87,7 @@
     request.refusedBefore = true;
     request.tried.clear();
     request.attempts = 0; // None has run.
-    service.waiting.add(entryFor(number, request, service), now);
+    service.waiting.add(queueEntryFor(number, request, service), now);
     return true;
 }
 
