--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -214,7 +214,7 @@
     return startAttempt(number, request, group, now, actions);
 }
 
-void GatewayCore::leaveUpstream(Request &request)
+void GatewayCore::detachUpstream(Request &request)
 {
     chooser_.onLeft(request.upstream);
     if (request.request.route->streamed) {
@@ -294,7 +294,7 @@
         chooser_.onWrongInstance(upstream, now);
     }
     actions.push_back(CancelAttempt{number, false});
-    leaveUpstream(*request);
+    detachUpstream(*request);
     if (kind == AnswerKind::Full && requeue(number, *request, now)) {
         return false;
     }
@@ -318,7 +318,7 @@
     const InstanceId upstream = request->upstream;
     const bool attemptHasHead = request->attemptHasHead;
     const GroupId group = request->group;
-    leaveUpstream(*request);
+    detachUpstream(*request);
     if (end == AttemptEnd::Complete && attemptHasHead) {
         crashes_.onSurvived(request->request.digest, now);
         endRequest(number);
@@ -372,7 +372,7 @@
     Request &request = found->second;
     if (request.upstream != InstanceId()) {
         actions.push_back(CancelAttempt{number, false});
-        leaveUpstream(request);
+        detachUpstream(request);
     }
     if (request.headSent) {
         actions.push_back(BreakAnswer{number, failure});
@@ -411,7 +411,7 @@
     }
     if (request->upstream != InstanceId()) {
         actions.push_back(CancelAttempt{number, false});
-        leaveUpstream(*request);
+        detachUpstream(*request);
     }
     endRequest(number);
 }
@@ -499,7 +499,7 @@
     chooser_.onFailure(request.upstream, now);
     request.mayHaveRun = true;
     actions.push_back(CancelAttempt{number, true});
-    leaveUpstream(request);
+    detachUpstream(request);
     ++secondAttempts_;
     if (!startAttempt(number, request, group, now, actions)) {
         giveUp(number, FailureCode::UpstreamTimedOut, now, actions);
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -298,7 +298,7 @@
     void retryOrGiveUp(RequestNumber number, FailureCode failure, TimePoint now,
                        GatewayActions &actions);
     void giveUp(RequestNumber number, FailureCode failure, TimePoint now, GatewayActions &actions);
-    void leaveUpstream(Request &request);
+    void detachUpstream(Request &request);
     ServiceState &serviceOf(const TargetName &service);
     void endRequest(RequestNumber number);
     void noteAnswer(Request &request, AnswerKind kind, TimePoint now);
