--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -226,7 +226,7 @@
 }
 
 // Learns from an answer whether a group refuses everything, as one does that stands still.
-void GatewayCore::noteAnswer(Request &request, AnswerKind kind, TimePoint now)
+void GatewayCore::recordAnswer(Request &request, AnswerKind kind, TimePoint now)
 {
     if (kind == AnswerKind::WrongInstance || kind == AnswerKind::Refused) {
         return; // Said before the request got as far as the group.
@@ -267,7 +267,7 @@
         return false;
     }
     const InstanceId upstream = request->upstream;
-    noteAnswer(*request, kind, now);
+    recordAnswer(*request, kind, now);
     if (kind == AnswerKind::Success) {
         chooser_.onSuccess(upstream);
         request->progressAt = now;
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -301,7 +301,7 @@
     void detachUpstream(Request &request);
     ServiceState &serviceOf(const TargetName &service);
     void endRequest(RequestNumber number);
-    void noteAnswer(Request &request, AnswerKind kind, TimePoint now);
+    void recordAnswer(Request &request, AnswerKind kind, TimePoint now);
     static StreamQueue::Entry queueEntryFor(RequestNumber number, const Request &request,
                                             const ServiceState &service);
     Duration maxQueueTime(const Request &request) const;
