--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -457,7 +457,7 @@
 
 // Tells whether the upstream of a request that may be repeated has said nothing for so long that
 // its caller will soon leave.
-bool GatewayCore::fellSilent(const Request &request, TimePoint now) const
+bool GatewayCore::isSilent(const Request &request, TimePoint now) const
 {
     const RouteRule &route = *request.request.route;
     const bool mayFailOver =
@@ -472,7 +472,7 @@
 {
     std::vector<RequestNumber> silent;
     for (const auto &[number, request] : requests_) {
-        if (fellSilent(request, now) && mayTryAgain(request, now)) {
+        if (isSilent(request, now) && mayTryAgain(request, now)) {
             silent.push_back(number);
         }
     }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -313,7 +313,7 @@
     bool requeue(RequestNumber number, Request &request, TimePoint now);
     bool mayQueueUntilOpen(ServiceState &service, TimePoint now) const;
     void admitQueued(ServiceState &service, TimePoint now, GatewayActions &actions);
-    bool fellSilent(const Request &request, TimePoint now) const;
+    bool isSilent(const Request &request, TimePoint now) const;
     void moveSilent(TimePoint now, GatewayActions &actions);
     void move(RequestNumber number, TimePoint now, GatewayActions &actions);
     bool mayBeSent(const Request &request, TimePoint now) const;
