--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -468,7 +468,7 @@
                   >= toSeconds(patience) * settings_.silenceFraction;
 }
 
-void GatewayCore::moveSilent(TimePoint now, GatewayActions &actions)
+void GatewayCore::failOverSilent(TimePoint now, GatewayActions &actions)
 {
     std::vector<RequestNumber> silent;
     for (const auto &[number, request] : requests_) {
@@ -537,7 +537,7 @@
         request.mayHaveRun = request.mayHaveRun || request.upstream != InstanceId();
         giveUp(number, FailureCode::UpstreamTimedOut, now, actions);
     }
-    moveSilent(now, actions);
+    failOverSilent(now, actions);
     for (auto &[name, service] : services_) {
         ServiceState &current = serviceOf(name);
         current.selector.onTick(current.waiting.size(), groups_, now);
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -314,7 +314,7 @@
     bool mayQueueUntilOpen(ServiceState &service, TimePoint now) const;
     void admitQueued(ServiceState &service, TimePoint now, GatewayActions &actions);
     bool isSilent(const Request &request, TimePoint now) const;
-    void moveSilent(TimePoint now, GatewayActions &actions);
+    void failOverSilent(TimePoint now, GatewayActions &actions);
     void move(RequestNumber number, TimePoint now, GatewayActions &actions);
     bool mayBeSent(const Request &request, TimePoint now) const;
     void giveUpSuspects(TimePoint now, GatewayActions &actions);
