--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -478,12 +478,12 @@
     }
     std::sort(silent.begin(), silent.end());
     for (const RequestNumber number : silent) {
-        move(number, now, actions);
+        failOver(number, now, actions);
     }
 }
 
 // Sends a request to another upstream in place of one that is silent, if there is a better one.
-void GatewayCore::move(RequestNumber number, TimePoint now, GatewayActions &actions)
+void GatewayCore::failOver(RequestNumber number, TimePoint now, GatewayActions &actions)
 {
     Request &request = requests_.at(number);
     std::optional<GroupId> group;
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -315,7 +315,7 @@
     void admitQueued(ServiceState &service, TimePoint now, GatewayActions &actions);
     bool isSilent(const Request &request, TimePoint now) const;
     void failOverSilent(TimePoint now, GatewayActions &actions);
-    void move(RequestNumber number, TimePoint now, GatewayActions &actions);
+    void failOver(RequestNumber number, TimePoint now, GatewayActions &actions);
     bool mayBeSent(const Request &request, TimePoint now) const;
     void giveUpSuspects(TimePoint now, GatewayActions &actions);
     Request *find(RequestNumber number);
