--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -205,7 +205,7 @@
 }
 
 // Sends the request once more.
-bool GatewayCore::startAgain(RequestNumber number, Request &request, TimePoint now,
+bool GatewayCore::startRetry(RequestNumber number, Request &request, TimePoint now,
                              GatewayActions &actions)
 {
     const bool streamed = request.request.route->streamed;
@@ -330,7 +330,7 @@
         --request->attempts;
         ++request->connectFailures;
         if (request->connectFailures <= settings_.maxConnectFailures) {
-            if (!startAgain(number, *request, now, actions)) {
+            if (!startRetry(number, *request, now, actions)) {
                 giveUp(number, FailureCode::NoUpstream, now, actions);
             }
             return;
@@ -355,7 +355,7 @@
     const bool allowed =
         request.attempts < request.request.route->maxAttempts && mayBeSent(request, now);
     if (allowed && budgets_.at(request.service).take()
-        && startAgain(number, request, now, actions)) {
+        && startRetry(number, request, now, actions)) {
         ++secondAttempts_;
         return;
     }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -294,7 +294,7 @@
     void startOrWait(RequestNumber number, Request &request, const std::optional<GroupId> &group,
                      TimePoint now, GatewayActions &actions);
     void startWaitingForPermits(TimePoint now, GatewayActions &actions);
-    bool startAgain(RequestNumber number, Request &request, TimePoint now, GatewayActions &actions);
+    bool startRetry(RequestNumber number, Request &request, TimePoint now, GatewayActions &actions);
     void retryOrGiveUp(RequestNumber number, FailureCode failure, TimePoint now,
                        GatewayActions &actions);
     void giveUp(RequestNumber number, FailureCode failure, TimePoint now, GatewayActions &actions);
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -31,7 +31,7 @@
     const std::vector<RequestNumber> waiting(waitForPermits_.begin(), waitForPermits_.end());
     for (const RequestNumber number : waiting) {
         Request &request = requests_.at(number);
-        const bool sent = startAgain(number, request, now, actions);
+        const bool sent = startRetry(number, request, now, actions);
         if (sent) {
             waitForPermits_.erase(number);
         } else if (now >= request.permitDeadline
