--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -113,9 +113,9 @@
             return number;
         }
         service.recentStarts.push_back(now);
-        startOrWait(number, added, group, now, actions);
+        startOrAwaitPermit(number, added, group, now, actions);
     } else {
-        startOrWait(number, added, std::nullopt, now, actions);
+        startOrAwaitPermit(number, added, std::nullopt, now, actions);
     }
     return number;
 }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -291,8 +291,9 @@
     GroupTracker &trackerOf(const Request &request);
     bool startAttempt(RequestNumber number, Request &request, const std::optional<GroupId> &group,
                       TimePoint now, GatewayActions &actions);
-    void startOrWait(RequestNumber number, Request &request, const std::optional<GroupId> &group,
-                     TimePoint now, GatewayActions &actions);
+    void startOrAwaitPermit(RequestNumber number, Request &request,
+                            const std::optional<GroupId> &group, TimePoint now,
+                            GatewayActions &actions);
     void startWaitingForPermits(TimePoint now, GatewayActions &actions);
     bool startRetry(RequestNumber number, Request &request, TimePoint now, GatewayActions &actions);
     void retryOrGiveUp(RequestNumber number, FailureCode failure, TimePoint now,
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -8,9 +8,9 @@
 
 // Sends a request that was not sent yet. Where only a permit is lacking and one may come in a
 // moment it waits, else it is given up.
-void GatewayCore::startOrWait(RequestNumber number, Request &request,
-                              const std::optional<GroupId> &group, TimePoint now,
-                              GatewayActions &actions)
+void GatewayCore::startOrAwaitPermit(RequestNumber number, Request &request,
+                                     const std::optional<GroupId> &group, TimePoint now,
+                                     GatewayActions &actions)
 {
     if (startAttempt(number, request, group, now, actions)) {
         return;
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -133,7 +133,7 @@
         service.recentStarts.push_back(now);
         const bool allowed = !request.refusedBefore || budgets_.at(request.service).take();
         if (allowed) {
-            startOrWait(number, request, group, now, actions);
+            startOrAwaitPermit(number, request, group, now, actions);
         } else {
             giveUp(number, FailureCode::NoUpstream, now, actions);
         }
