--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -515,7 +515,7 @@
     limits_.expire(now);
     permits_.expire(now);
     permitIssuer_.expire(now);
-    startWaitingForPermits(now, actions);
+    servePermitWaiters(now, actions);
     giveUpSuspects(now, actions);
     std::vector<RequestNumber> expired;
     for (const auto &[number, request] : requests_) {
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -294,7 +294,7 @@
     void startOrAwaitPermit(RequestNumber number, Request &request,
                             const std::optional<GroupId> &group, TimePoint now,
                             GatewayActions &actions);
-    void startWaitingForPermits(TimePoint now, GatewayActions &actions);
+    void servePermitWaiters(TimePoint now, GatewayActions &actions);
     bool startRetry(RequestNumber number, Request &request, TimePoint now, GatewayActions &actions);
     void retryOrGiveUp(RequestNumber number, FailureCode failure, TimePoint now,
                        GatewayActions &actions);
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -26,7 +26,7 @@
 }
 
 // Sends what waits for permits, in the order of arrival; gives up what waits in vain.
-void GatewayCore::startWaitingForPermits(TimePoint now, GatewayActions &actions)
+void GatewayCore::servePermitWaiters(TimePoint now, GatewayActions &actions)
 {
     const std::vector<RequestNumber> waiting(waitForPermits_.begin(), waitForPermits_.end());
     for (const RequestNumber number : waiting) {
@@ -56,7 +56,7 @@
                             TimePoint askedAt, TimePoint now, GatewayActions &actions)
 {
     permits_.onAnswer(upstream, answer, askedAt, now);
-    startWaitingForPermits(now, actions);
+    servePermitWaiters(now, actions);
 }
 
 } // namespace seamarch
