--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -131,7 +131,7 @@
     if (request.queued) {
         service.waiting.remove(number);
     }
-    waitForPermits_.erase(number);
+    permitWaiters_.erase(number);
     requests_.erase(found);
 }
 
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -330,7 +330,7 @@
     SendPermits permits_;
     PermitIssuer permitIssuer_;
     UpstreamChooser chooser_; // Refers to the tables and permits.
-    std::set<RequestNumber> waitForPermits_;
+    std::set<RequestNumber> permitWaiters_;
     CrashRecord crashes_;
     std::uint64_t crashesSeen_ = 0; // The state of the record that requests were held against.
     std::unordered_map<TargetName, RetryBudget> budgets_;
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -19,7 +19,7 @@
     if (mayBeSent(request, now)
         && chooser_.awaitsPermit(request.service, request.request.residency, end, now)) {
         request.permitDeadline = end;
-        waitForPermits_.insert(number);
+        permitWaiters_.insert(number);
         return;
     }
     giveUp(number, FailureCode::NoUpstream, now, actions);
@@ -28,12 +28,12 @@
 // Sends what waits for permits, in the order of arrival; gives up what waits in vain.
 void GatewayCore::servePermitWaiters(TimePoint now, GatewayActions &actions)
 {
-    const std::vector<RequestNumber> waiting(waitForPermits_.begin(), waitForPermits_.end());
+    const std::vector<RequestNumber> waiting(permitWaiters_.begin(), permitWaiters_.end());
     for (const RequestNumber number : waiting) {
         Request &request = requests_.at(number);
         const bool sent = startRetry(number, request, now, actions);
         if (sent) {
-            waitForPermits_.erase(number);
+            permitWaiters_.erase(number);
         } else if (now >= request.permitDeadline
                    || !chooser_.awaitsPermit(request.service, request.request.residency,
                                              request.permitDeadline, now)) {
