--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -437,10 +437,10 @@
 // on: it may show that the request is harmless.
 void GatewayCore::giveUpSuspects(TimePoint now, GatewayActions &actions)
 {
-    if (crashes_.cursor() == crashesSeen_) {
+    if (crashes_.cursor() == crashCursor_) {
         return;
     }
-    crashesSeen_ = crashes_.cursor();
+    crashCursor_ = crashes_.cursor();
     std::vector<RequestNumber> suspects;
     for (const auto &[number, request] : requests_) {
         if (!request.attemptHasHead && !mayBeSent(request, now)) {
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -332,7 +332,7 @@
     UpstreamChooser chooser_; // Refers to the tables and permits.
     std::set<RequestNumber> permitWaiters_;
     CrashRecord crashes_;
-    std::uint64_t crashesSeen_ = 0; // The state of the record that requests were held against.
+    std::uint64_t crashCursor_ = 0; // The state of the record that requests were held against.
     std::unordered_map<TargetName, RetryBudget> budgets_;
     std::unordered_map<TargetName, ServiceState> services_;
     std::unordered_map<std::string, RequestAgeEstimator> ageEstimators_; // By the route's name.
