--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -18,7 +18,7 @@
     return chooser;
 }
 
-bool saysNotRun(AnswerKind kind)
+bool provesNotRun(AnswerKind kind)
 {
     return kind == AnswerKind::Full || kind == AnswerKind::WrongInstance
            || kind == AnswerKind::Refused;
@@ -298,10 +298,10 @@
     if (kind == AnswerKind::Full && requeue(number, *request, now)) {
         return false;
     }
-    if (saysNotRun(kind) || mayRepeat(*request)) {
+    if (provesNotRun(kind) || mayRepeat(*request)) {
         retryOrGiveUp(number,
-                      saysNotRun(kind) ? FailureCode::NoUpstream : FailureCode::UpstreamFailed, now,
-                      actions);
+                      provesNotRun(kind) ? FailureCode::NoUpstream : FailureCode::UpstreamFailed,
+                      now, actions);
     } else {
         giveUp(number, FailureCode::UpstreamFailed, now, actions);
     }
