--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -144,12 +144,12 @@
     if (total == 0) {
         return route.targets.empty() ? TargetName() : route.targets.front().service;
     }
-    std::uint64_t drawn = std::uniform_int_distribution<std::uint64_t>(0, total - 1)(random_);
+    std::uint64_t remaining = std::uniform_int_distribution<std::uint64_t>(0, total - 1)(random_);
     for (const RouteTarget &target : route.targets) {
-        if (drawn < target.weight) {
+        if (remaining < target.weight) {
             return target.service;
         }
-        drawn -= target.weight;
+        remaining -= target.weight;
     }
     return route.targets.back().service;
 }
