--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -106,7 +106,7 @@
     UpstreamRecord upstream;
     GroupId group; // Of the upstream; without a name where none is known.
     Duration timeLeft{};
-    bool mayUseOldConnection = false; // A kept connection that may be closing unseen will do.
+    bool mayReuseConnection = false; // A kept connection that may be closing unseen will do.
 };
 
 // Close the connection of the attempt that is under way.
--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -124,7 +124,7 @@
     call.path = flight.request.target;
     call.headers = protocol_.upstreamHeaders(flight.request, facts);
     call.body = flight.request.body;
-    call.reuse = action.mayUseOldConnection ? HttpReuse::Any : HttpReuse::Young;
+    call.reuse = action.mayReuseConnection ? HttpReuse::Any : HttpReuse::Young;
     call.connectTimeout = kConnectTimeout;
     flight.attempt = action.attempt;
     flight.upstream = action.upstream.id;
