--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -63,7 +63,7 @@
     }
 }
 
-void GatewayCore::setPlace(const HallPosition &place)
+void GatewayCore::setHallPosition(const HallPosition &place)
 {
     place_ = place;
     chooser_.setPlace(place);
