--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -298,7 +298,7 @@
     takeEarly();
     GatewayActions actions;
     core_.setGateways(sources_->gateways() + 1);
-    core_.setPlace(sources_->place());
+    core_.setHallPosition(sources_->place());
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
     sources_->tick();
