--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -65,7 +65,7 @@
 
 void GatewayCore::setHallPosition(const HallPosition &place)
 {
-    place_ = place;
+    hallPosition_ = place;
     chooser_.setPlace(place);
 }
 
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -338,7 +338,7 @@
     std::unordered_map<std::string, RequestAgeEstimator> ageEstimators_; // By the route's name.
     std::unordered_map<RequestNumber, Request> requests_;
     std::size_t gateways_ = 1;
-    HallPosition place_;
+    HallPosition hallPosition_;
     RequestNumber nextNumber_ = 1;
     std::uint64_t secondAttempts_ = 0;
 };
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -95,7 +95,7 @@
 GatewayCore::ServiceState &GatewayCore::serviceOf(const TargetName &service)
 {
     ServiceState &state = services_.try_emplace(service, settings_.selector).first->second;
-    state.selector.setGroups(chooser_.groupsOf(service), {gateways_, place_});
+    state.selector.setGroups(chooser_.groupsOf(service), {gateways_, hallPosition_});
     return state;
 }
 
