--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -182,7 +182,7 @@
     // Takes how many gateways share the upstreams, this one among them.
     void setGateways(std::size_t count);
     // Takes where this gateway stands among those of its hall.
-    void setHallPosition(const HallPosition &place);
+    void setHallPosition(const HallPosition &position);
     void setRetryLimits(const RetryLimits &limits);
 
     UpstreamTable &upstreams() { return upstreams_; }
--- a/src/decision/gateway/hallposition.h
+++ b/src/decision/gateway/hallposition.h
@@ -24,6 +24,6 @@
 
 // Returns the turn of the upstream at `index` of a hall's `upstreams` in the order of the gateway;
 // zero is the first. `upstreams` is not zero.
-std::size_t fillPosition(std::size_t index, std::size_t upstreams, const HallPosition &place);
+std::size_t fillPosition(std::size_t index, std::size_t upstreams, const HallPosition &position);
 
 } // namespace seamarch
