--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -55,9 +55,9 @@
         const HallPosition place{gateway, hall.gateways};
         const std::size_t chance = anyGateway(random);
         const auto order = [&](std::size_t upstream) {
-            const std::size_t turn = byTurns
-                                         ? fillPosition(upstream, hall.upstreams, place)
-                                         : (upstream * 7919 + chance * 104'729 + count * 31) % 1009;
+            const std::size_t position =
+                byTurns ? fillPosition(upstream, hall.upstreams, place)
+                        : (upstream * 7919 + chance * 104'729 + count * 31) % 1009;
             return std::pair(own[gateway][upstream], turn);
         };
         std::size_t best = 0;
