--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -32,7 +32,7 @@
 };
 
 // Returns the part of the streams that begin at an upstream whose places are taken.
-double partAtFullUpstreams(const Hall &hall, bool byTurns)
+double partAtFullUpstreams(const Hall &hall, bool byPosition)
 {
     constexpr int kStreams = 20'000;
     std::mt19937_64 random(7);
@@ -56,8 +56,8 @@
         const std::size_t chance = anyGateway(random);
         const auto order = [&](std::size_t upstream) {
             const std::size_t position =
-                byTurns ? fillPosition(upstream, hall.upstreams, place)
-                        : (upstream * 7919 + chance * 104'729 + count * 31) % 1009;
+                byPosition ? fillPosition(upstream, hall.upstreams, place)
+                           : (upstream * 7919 + chance * 104'729 + count * 31) % 1009;
             return std::pair(own[gateway][upstream], turn);
         };
         std::size_t best = 0;
@@ -101,9 +101,9 @@
 {
     const Hall hall{30, 26, 6, 3.3};
     const double byChance = partAtFullUpstreams(hall, false);
-    const double byTurns = partAtFullUpstreams(hall, true);
+    const double byPosition = partAtFullUpstreams(hall, true);
     CHECK_TEXT(byChance > 0.04, "the pattern must show where the choice is by chance");
-    CHECK_TEXT(byTurns < byChance / 3.0, "turns must spare most streams a full upstream");
+    CHECK_TEXT(byPosition < byChance / 3.0, "turns must spare most streams a full upstream");
 }
 
 TEST(HallPositionTest, NoWorseAtOtherSizes)
