--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -167,7 +167,7 @@
     flight.exchange = exchange;
     flight.request = std::move(request);
     flight.facts = std::move(facts);
-    admitted->held = loop_.now() - arrivedAt;
+    admitted->age = loop_.now() - arrivedAt;
     admitted->digest = digestOf(flight.request, admitted->account);
     flight.admitted = *admitted;
     flight.startedAt = arrivedAt;
