--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -529,9 +529,9 @@
     for (const RequestNumber number : expired) {
         Request &request = requests_.at(number);
         if (request.queued) {
-            const bool out = serviceOf(request.service).selector.allRefusing(now);
+            const bool serviceOut = serviceOf(request.service).selector.allRefusing(now);
             request.retryAfterHint =
-                out ? maxHonouredRetryAfter(request, now) : settings_.minRetryAfter;
+                serviceOut ? maxHonouredRetryAfter(request, now) : settings_.minRetryAfter;
         }
         // The attempt under way was written, as far as is known.
         request.mayHaveRun = request.mayHaveRun || request.upstream != InstanceId();
