--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -158,10 +158,10 @@
     if (all.empty()) {
         return GroupId(); // There is no upstream at all, which whoever sends it finds out.
     }
-    const bool out = opensSoon(table, now);
-    if (out || (all.front().fault == Fault::None && all.back().fault != Fault::None)) {
+    const bool opening = opensSoon(table, now);
+    if (opening || (all.front().fault == Fault::None && all.back().fault != Fault::None)) {
         auto probe = selectForProbe(all, table, now);
-        if (out || probe) {
+        if (opening || probe) {
             return probe;
         }
     }
