--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -462,10 +462,10 @@
     const RouteRule &route = *request.request.route;
     const bool mayFailOver =
         request.upstream != InstanceId() && (!request.headSent || route.resumable);
-    const Duration patience = std::min(route.silenceLimit, request.request.deadline);
-    return mayFailOver && patience > Duration{}
+    const Duration silenceLimit = std::min(route.silenceLimit, request.request.deadline);
+    return mayFailOver && silenceLimit > Duration{}
            && toSeconds(now - request.progressAt)
-                  >= toSeconds(patience) * settings_.silenceFraction;
+                  >= toSeconds(silenceLimit) * settings_.silenceFraction;
 }
 
 void GatewayCore::failOverSilent(TimePoint now, GatewayActions &actions)
