--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -63,10 +63,10 @@
     }
 }
 
-void GatewayCore::setHallPosition(const HallPosition &place)
+void GatewayCore::setHallPosition(const HallPosition &position)
 {
     hallPosition_ = place;
-    chooser_.setPlace(place);
+    chooser_.setPlace(position);
 }
 
 void GatewayCore::setRetryLimits(const RetryLimits &limits)
