--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -15,7 +15,7 @@
 void GroupSelector::setGroups(const UpstreamChooser::Groups &groups, const GatewayShare &share)
 {
     const bool shareChanged =
-        share.gateways != share_.gateways || share.place.gateways != share_.place.gateways;
+        share.gateways != share_.gateways || share.position.gateways != share_.position.gateways;
     groups_ = &groups;
     share_ = share;
     std::erase_if(trackers_, [&groups](const auto &entry) {
@@ -64,7 +64,7 @@
         tracker.limiter().resetToMinimum();
         return;
     }
-    const std::size_t sharers = group.inManyHalls ? share_.gateways : share_.place.gateways;
+    const std::size_t sharers = group.inManyHalls ? share_.gateways : share_.position.gateways;
     tracker.limiter().resetToShare(group.slots, static_cast<double>(sharers));
 }
 
@@ -103,7 +103,7 @@
         candidate.fault = faultOf(id, tracker, table, now);
         candidate.remote = !group.inOwnHall;
         candidate.load = tracker.inFlight() / tracker.limiter().limit();
-        candidate.rotation = (candidates.size() + share_.place.index) % groups_->size();
+        candidate.rotation = (candidates.size() + share_.position.index) % groups_->size();
         candidates.push_back(candidate);
     }
     std::sort(candidates.begin(), candidates.end(),
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -33,7 +33,7 @@
 struct GatewayShare
 {
     std::size_t gateways = 1; // Of the site, this one among them.
-    HallPosition place;
+    HallPosition position;
 };
 
 class GroupSelector
