--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -223,10 +223,10 @@
                 seen.slots = slotsOfAGroup;
             }
             gateway.selector = std::make_unique<GroupSelector>(GroupSelector::Settings());
-            const auto place = static_cast<std::size_t>(index / groups);
+            const auto position = static_cast<std::size_t>(index / groups);
             const auto hallGateways = static_cast<std::size_t>(gateways / groups);
             gateway.selector->setGroups(
-                *gateway.groups, {static_cast<std::size_t>(gateways), {place, hallGateways}});
+                *gateway.groups, {static_cast<std::size_t>(gateways), {position, hallGateways}});
             gateways_.push_back(std::move(gateway));
         }
     }
