--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -98,7 +98,7 @@
     CHECK_TRUE(start->timeLeft <= std::chrono::seconds(2));
 }
 
-TEST(GatewayCoreTest, UnknownOutcomeOfAnAtMostOnceRequestEndsIt)
+TEST(GatewayCoreTest, AtMostOnceRequestIsNotRetriedAfterUnknownOutcome)
 {
     const RequestNumber number = begin(Kind::AtMostOnce);
     actions.clear();
