--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -108,7 +108,7 @@
     CHECK_TRUE(httpStatus(rejected().failure) != 503);
 }
 
-TEST(GatewayCoreTest, ProofOfNotRunLetsAnAtMostOnceRequestGoElsewhere)
+TEST(GatewayCoreTest, AtMostOnceRequestIsRetriedWhenProvenNotRun)
 {
     const RequestNumber number = begin(Kind::AtMostOnce);
     const InstanceId before = first<StartAttempt>(actions)->upstream.id;
