--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -117,7 +117,7 @@
     CHECK_TRUE(first<StartAttempt>(actions)->upstream.id != before);
 }
 
-TEST(GatewayCoreTest, NotRunEverywhereIsSaidAndWhenToComeBack)
+TEST(GatewayCoreTest, RejectionReportsNotRunAndRetryAfterWhenAllUpstreamsAreFull)
 {
     const RequestNumber number = begin(Kind::AtMostOnce);
     core->onHead(number, AnswerKind::Full, at(10), actions);
