--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -129,7 +129,7 @@
 }
 
 // Callers heed the time to come back up to a third of what they wait still: here of eight seconds.
-TEST(GatewayCoreTest, CallersOfAServiceThatIsOutComeBackAsLateAsTheyWill)
+TEST(GatewayCoreTest, RetryAfterIsLongestHonouredWhenServiceIsOut)
 {
     const Duration latest = Duration(std::chrono::seconds(8)) / 3;
     for (const int now : {0, 400}) {
