--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -144,7 +144,7 @@
 // The pattern: a group loses a rank, stands still for a second and a half and then refuses all that
 // it had taken, at every gateway. Callers told to come back at once would be refused again, and
 // come no third time.
-TEST(GatewayCoreTest, RefusalAfterAStandstillMeansThatTheServiceIsOut)
+TEST(GatewayCoreTest, LateRefusalMarksServiceAsOut)
 {
     const RequestNumber number = begin(Kind::Stream);
     core->onHead(number, AnswerKind::Full, at(1500), actions);
