--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -166,7 +166,7 @@
     CHECK_TRUE(rejected().retryAfter == settings.retryAfter);
 }
 
-TEST(GatewayCoreTest, OneLostAttemptForbidsNotRunForEver)
+TEST(GatewayCoreTest, NotRunIsNeverReportedAfterALostAttempt)
 {
     const RequestNumber number = begin(Kind::Repeatable);
     core->onEnd(number, AttemptEnd::Lost, at(10), actions);
