--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -185,7 +185,7 @@
     CHECK_TRUE(rejected().outcome == Outcome::Unknown);
 }
 
-TEST(GatewayCoreTest, UnsentAttemptGoesElsewhereWithoutCounting)
+TEST(GatewayCoreTest, UnsentAttemptIsRetriedWithoutUsingTheBudget)
 {
     const RequestNumber number = begin(Kind::AtMostOnce);
     actions.clear();
