--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -194,7 +194,7 @@
     LONGS_EQUAL(0, core->secondAttempts());
 }
 
-TEST(GatewayCoreTest, BrokenStreamIsTakenUpElsewhere)
+TEST(GatewayCoreTest, BrokenStreamIsResumedAtAnotherUpstream)
 {
     const RequestNumber number = begin(Kind::Stream);
     const InstanceId before = first<StartAttempt>(actions)->upstream.id;
