--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -205,7 +205,7 @@
     POINTERS_EQUAL(nullptr, first<BreakAnswer>(actions));
 }
 
-TEST(GatewayCoreTest, BrokenAnswerThatCannotGoOnIsBrokenOff)
+TEST(GatewayCoreTest, BrokenAnswerThatCannotBeResumedIsAborted)
 {
     const RequestNumber number = begin(Kind::Repeatable);
     core->onHead(number, AnswerKind::Success, at(10), actions);
