--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -215,7 +215,7 @@
     LONGS_EQUAL(0, core->inFlight());
 }
 
-TEST(GatewayCoreTest, FailureGoesToTheCallerWhenNothingElseIsLeft)
+TEST(GatewayCoreTest, FailureIsForwardedWhenNoAttemptIsLeft)
 {
     const RequestNumber number = begin(Kind::Repeatable);
     CHECK_FALSE(core->onHead(number, AnswerKind::Failure, at(10), actions));
