--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -222,7 +222,7 @@
     CHECK_TRUE(core->onHead(number, AnswerKind::Failure, at(20), actions));
 }
 
-TEST(GatewayCoreTest, FailureGoesToTheCallerWhenTheBudgetIsSpent)
+TEST(GatewayCoreTest, FailureIsForwardedWhenRetryBudgetIsSpent)
 {
     settings.retries = {0.0, 0.0};
     core = std::make_unique<GatewayCore>(settings);
