--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -232,7 +232,7 @@
     CHECK_TRUE(core->onHead(number, AnswerKind::Failure, at(10), actions));
 }
 
-TEST(GatewayCoreTest, GivesUpBeforeTheRoutesTimeIsOver)
+TEST(GatewayCoreTest, TimesOutShortlyBeforeTheRouteTimeout)
 {
     begin(Kind::AtMostOnce);
     actions.clear();
