--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -243,7 +243,7 @@
     LONGS_EQUAL(504, httpStatus(rejected().failure));
 }
 
-TEST(GatewayCoreTest, CallerThatLeavesClosesTheUpstreamsConnection)
+TEST(GatewayCoreTest, CallerDisconnectCancelsTheAttempt)
 {
     const RequestNumber number = begin(Kind::Stream);
     actions.clear();
