--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -277,7 +277,7 @@
     }
 }
 
-TEST(GatewayCoreTest, StreamsBeyondTheBoundWaitAndThenGo)
+TEST(GatewayCoreTest, StreamsBeyondTheLimitAreQueuedAndThenStarted)
 {
     std::vector<RequestNumber> numbers;
     for (int count = 0; count < 13; ++count) {
