--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -291,7 +291,7 @@
     CHECK_TRUE(first<StartAttempt>(actions) != nullptr);
 }
 
-TEST(GatewayCoreTest, StreamThatWouldWaitTooLongIsRefusedAtOnce)
+TEST(GatewayCoreTest, StreamIsRejectedAtOnceWhenExpectedWaitIsTooLong)
 {
     settings.selector.tracker.streams.initial = 3.0;
     settings.selector.tracker.streams.maxLimit = 3.0;
