--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -308,7 +308,7 @@
     LONGS_EQUAL(2, core->waiting(TargetName("service")));
 }
 
-TEST(GatewayCoreTest, StreamThatWaitedTooLongIsRefusedAsNotRun)
+TEST(GatewayCoreTest, QueuedStreamIsRejectedAsNotRunAfterTimeout)
 {
     settings.selector.tracker.streams.initial = 3.0;
     settings.selector.tracker.streams.maxLimit = 3.0;
