--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -349,7 +349,7 @@
     CHECK_TEXT(one <= 10, "expected what sixty requests earn, and one permit besides");
 }
 
-TEST(GatewayCoreTest, StreamWaitsWhilePausesAreNearTheGoalAndStillBeginsInTime)
+TEST(GatewayCoreTest, QueuedStreamStartsByItsDeadlineWhilePausesAreNearGoal)
 {
     RequestNumber running = 0;
     for (int count = 0; count < 4; ++count) {
