--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -369,7 +369,7 @@
     CHECK_TEXT(first<StartAttempt>(actions) != nullptr, "it would miss its goal at 510 ms");
 }
 
-TEST(GatewayCoreTest, WaitingStreamsBeginOnceAPauseIsShortAgain)
+TEST(GatewayCoreTest, QueuedStreamsStartOnceAPauseIsShort)
 {
     RequestNumber running = 0;
     for (int count = 0; count < 4; ++count) {
