--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -427,7 +427,7 @@
     }
 };
 
-TEST(GatewayCoreAfterPowerCutTest, StreamThatAFormingGroupRefusesWaits)
+TEST(GatewayCoreAfterPowerCutTest, StreamRefusedByAFormingGroupIsQueued)
 {
     const RequestNumber number = begin(0);
     actions.clear();
