--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -436,7 +436,7 @@
     LONGS_EQUAL(1, core->waiting(TargetName("service")));
 }
 
-TEST(GatewayCoreAfterPowerCutTest, OneRequestInAWhileFindsOutWhetherTheGroupIsOpen)
+TEST(GatewayCoreAfterPowerCutTest, FormingGroupIsProbedPeriodically)
 {
     const RequestNumber first = begin(0);
     core->onHead(first, AnswerKind::Full, at(5), actions);
