--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -457,7 +457,7 @@
     CHECK_TEXT(sent >= 2 && sent <= 5, "expected a try each quarter of a second");
 }
 
-TEST(GatewayCoreAfterPowerCutTest, AllThatWaitBeginOnceTheGroupIsOpen)
+TEST(GatewayCoreAfterPowerCutTest, QueuedStreamsStartOnceTheGroupIsOpen)
 {
     const RequestNumber first = begin(0);
     core->onHead(first, AnswerKind::Full, at(5), actions);
