--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -476,7 +476,7 @@
 }
 
 // A group that does not open is no reason to hold a caller until it leaves.
-TEST(GatewayCoreAfterPowerCutTest, StreamsOfAGroupThatStaysClosedAreRefused)
+TEST(GatewayCoreAfterPowerCutTest, StreamsAreRejectedWhenTheGroupStaysClosed)
 {
     begin(0);
     core->onHead(1, AnswerKind::Full, at(5), actions);
