--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -492,7 +492,7 @@
 }
 
 // What its agents say goes before what a gateway guesses.
-TEST(GatewayCoreAfterPowerCutTest, StreamsWaitForAGroupWhoseAgentsSayThatItForms)
+TEST(GatewayCoreAfterPowerCutTest, StreamsAreQueuedWhileAgentsReportThatTheGroupForms)
 {
     GroupFacts facts;
     facts.group = GroupId("g");
