--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -43,7 +43,7 @@
 
 // A group that is held, or has lost a rank, sends no event at all, and refuses nothing for a second
 // and a half. Two goals of silence are some four passes.
-TEST(GroupTrackerTest, SilenceOfTwoGoalsIsAStandstill)
+TEST(GroupTrackerTest, SilenceOfTwoPauseGoalsIsAStall)
 {
     startProducing(1000);
     const int found = detectStall(1000, 2000);
