--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -50,7 +50,7 @@
     CHECK_TEXT(found >= 1300 && found <= 1325, "expected it 300 ms after the last event");
 }
 
-TEST(GroupTrackerTest, LongPassesAfterAShiftAreNoStandstill)
+TEST(GroupTrackerTest, LongPassesAfterALoadShiftAreNotAStall)
 {
     startProducing(1000);
     CHECK_TEXT(detectStall(1000, 1225) > 1225, "passes of 225 ms come right after a shift");
