--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -56,7 +56,7 @@
     CHECK_TEXT(detectStall(1000, 1225) > 1225, "passes of 225 ms come right after a shift");
 }
 
-TEST(GroupTrackerTest, OneEventEndsAStandstill)
+TEST(GroupTrackerTest, OneEventEndsAStall)
 {
     startProducing(1000);
     detectStall(1000, 2000);
