--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -66,7 +66,7 @@
 
 // Callers leave a stream that says nothing for two seconds. That the lane is empty then does not
 // mean that the group works again.
-TEST(GroupTrackerTest, StandstillOutlivesItsStreams)
+TEST(GroupTrackerTest, StallPersistsAfterItsStreamsEnd)
 {
     startProducing(1000);
     detectStall(1000, 2000);
