--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -75,7 +75,7 @@
     CHECK_TRUE(tracker.isStalled());
 }
 
-TEST(GroupTrackerTest, LaneThatStandsStillIsTriedOnlyOnceNoStreamIsThere)
+TEST(GroupTrackerTest, StalledGroupIsProbedOnlyWithoutStreamsInFlight)
 {
     startProducing(1000);
     detectStall(1000, 2000);
