--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -86,7 +86,7 @@
     CHECK_FALSE(tracker.probeDue(at(5100)));
 }
 
-TEST(GroupTrackerTest, StreamsThatNeverBeginAreAStandstill)
+TEST(GroupTrackerTest, MissingFirstEventsAreAStall)
 {
     tracker.onStreamStart(at(0));
     CHECK_TEXT(detectStall(0, 950) > 950, "a first event may take some passes");
