--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -94,7 +94,7 @@
     CHECK_TEXT(found <= 1025, "expected it a second after the stream was sent");
 }
 
-TEST(GroupTrackerTest, EmptyLaneNeverStandsStill)
+TEST(GroupTrackerTest, GroupWithoutStreamsNeverStalls)
 {
     CHECK_TRUE(detectStall(0, 5000) > 5000);
 }
