--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -99,7 +99,7 @@
     CHECK_TRUE(detectStall(0, 5000) > 5000);
 }
 
-TEST(GroupTrackerTest, RefusalsMeanSomethingOnceNothingElseCameForAWhile)
+TEST(GroupTrackerTest, RefusalsCountOnlyAfterTheOutageDelay)
 {
     tracker.onRefusal(at(0), at(5));
     CHECK_FALSE(tracker.isRefusing(at(100)));
