--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -109,7 +109,7 @@
 }
 
 // A group that stood still refuses all at one moment.
-TEST(GroupTrackerTest, LateRefusalMeansSomethingAtOnce)
+TEST(GroupTrackerTest, LateRefusalCountsAtOnce)
 {
     tracker.onRefusal(at(0), at(1500));
     CHECK_TRUE(tracker.isRefusing(at(1500)));
