--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -115,7 +115,7 @@
     CHECK_TRUE(tracker.isRefusing(at(1500)));
 }
 
-TEST(GroupTrackerTest, TwoUpstreamsInARowThatCannotBeReachedMeanThatTheWayIsCut)
+TEST(GroupTrackerTest, TwoConnectFailuresInARowMakeTheGroupUnreachable)
 {
     tracker.onUnreachable(at(0));
     CHECK_FALSE(tracker.isUnreachable());
