--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -20,7 +20,7 @@
     StreamLimiter limiter;
 };
 
-TEST(StreamLimiterTest, FallsBelowWhatIsInFlightWhenPausesAreLong)
+TEST(StreamLimiterTest, LimitFallsBelowInFlightWhenPausesAreLong)
 {
     limiter.onPause(std::chrono::milliseconds(119), kGoal, at(900));
     limiter.onTick(8, 0, at(1000));
