--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -28,7 +28,7 @@
     CHECK_FALSE(limiter.admits(8));
 }
 
-TEST(StreamLimiterTest, GrowsOnlyWhileRequestsWait)
+TEST(StreamLimiterTest, LimitGrowsOnlyWhileRequestsAreQueued)
 {
     limiter.onPause(std::chrono::milliseconds(40), kGoal, at(900));
     limiter.onTick(12, 0, at(1000));
