--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -37,7 +37,7 @@
     CHECK_TRUE(limiter.limit() > StreamLimiter::Settings().initial);
 }
 
-TEST(StreamLimiterTest, GrowsFasterWhereMoreWait)
+TEST(StreamLimiterTest, LimitGrowsFasterWithMoreQueuedRequests)
 {
     StreamLimiter other;
     limiter.onTick(12, 1, at(1000));
