--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -45,7 +45,7 @@
     CHECK_TRUE(other.limit() > limiter.limit());
 }
 
-TEST(StreamLimiterTest, NeverFallsToNothing)
+TEST(StreamLimiterTest, LimitNeverFallsBelowTheMinimum)
 {
     for (int count = 1; count < 100; ++count) {
         limiter.onPause(std::chrono::seconds(1), kGoal, at(900));
