--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -61,7 +61,7 @@
     DOUBLES_EQUAL(StreamLimiter::Settings().initial, limiter.limit(), 1e-9);
 }
 
-TEST(StreamLimiterTest, IsStrainedByAPauseNearTheGoalUntilAShortOne)
+TEST(StreamLimiterTest, NearGoalLastsUntilAShortPause)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
     CHECK_TRUE(limiter.nearGoal(at(1050)));
