--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -69,7 +69,7 @@
     CHECK_FALSE(limiter.nearGoal(at(1060)));
 }
 
-TEST(StreamLimiterTest, StrainDoesNotOutlastItsPasses)
+TEST(StreamLimiterTest, NearGoalExpires)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
     CHECK_FALSE(limiter.nearGoal(at(1000) + StreamLimiter::Settings().nearGoalTtl));
