--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -77,7 +77,7 @@
 
 // The pattern: 149 gateways before 129 ranks with six places each. A bound of a twelfth of a small
 // site's places for each gateway is twice the places that there are.
-TEST(StreamLimiterTest, GatewaysOfALargeSiteBeginWithinItsPlaces)
+TEST(StreamLimiterTest, InitialSharesOfALargeSiteStayWithinItsSlots)
 {
     constexpr double kGateways = 149.0;
     constexpr double kSlots = 129.0 * 6.0;
