--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -85,7 +85,7 @@
     CHECK_TRUE(limiter.limit() * kGateways <= kSlots);
 }
 
-TEST(StreamLimiterTest, GatewaysOfASmallSiteBeginAsBefore)
+TEST(StreamLimiterTest, InitialSharesOfASmallSiteStayWithinItsSlots)
 {
     limiter.resetToShare(144.0, 7.0);
     CHECK_TRUE(limiter.limit() >= 12.0);
