--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -93,7 +93,7 @@
 }
 
 // The pattern: a group stands still for seconds while callers queue; nobody complains of pauses.
-TEST(StreamLimiterTest, DoesNotGrowWhileTheEnginesStandStill)
+TEST(StreamLimiterTest, LimitDoesNotGrowWhileTheEnginesAreStalled)
 {
     limiter.onPause(std::chrono::milliseconds(40), kGoal, at(1000));
     limiter.onTick(12, 5, at(1100));
