--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -104,7 +104,7 @@
     }
 }
 
-TEST(StreamLimiterTest, AnOutageEndsWithAnEvenShareAtMost)
+TEST(StreamLimiterTest, LimitIsAtMostAnEvenShareAfterAnOutage)
 {
     limiter.resetToShare(144.0, 6.0);
     for (int millis = 1000; millis < 9000; millis += 200) {
