--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -43,7 +43,7 @@
     CHECK_FALSE(queue.takeNext(at(10)).has_value());
 }
 
-TEST(StreamQueueTest, OneThatCanBeInTimeGoesBeforeOneThatCannot)
+TEST(StreamQueueTest, InTimeStreamGoesBeforeLateOne)
 {
     add(1, 100);
     add(2, 400);
