--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -51,7 +51,7 @@
     checkNext(1, 200);
 }
 
-TEST(StreamQueueTest, UrgentOneGoesFirstEvenWhenItIsLate)
+TEST(StreamQueueTest, UrgentStreamGoesFirstEvenWhenLate)
 {
     add(1, 400);
     add(2, 100, kUrgent);
