--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -58,7 +58,7 @@
     checkNext(2, 200);
 }
 
-TEST(StreamQueueTest, CallerThatCameBackGoesFirstAmongTheLate)
+TEST(StreamQueueTest, RetryGoesFirstAmongLateStreams)
 {
     add(1, 100);
     add(2, -500, kNormal, true);
