--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -66,7 +66,7 @@
     checkNext(1, 200);
 }
 
-TEST(StreamQueueTest, CountsThoseThatGoBefore)
+TEST(StreamQueueTest, CountsStreamsAhead)
 {
     add(1, 100);
     add(2, 400);
