--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -75,7 +75,7 @@
     LONGS_EQUAL(0, queue.countAhead({3, kUrgent, false, at(300)}, at(200)));
 }
 
-TEST(StreamQueueTest, RemovedOnesLeaveNoTrace)
+TEST(StreamQueueTest, RemovedStreamsAreNotCounted)
 {
     add(1, 100);
     add(2, 100);
