--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -86,7 +86,7 @@
     }
 };
 
-TEST(GroupSelectorTest, OwnHallsGroupComesFirst)
+TEST(GroupSelectorTest, GroupOfOwnHallIsPreferred)
 {
     CHECK_TRUE(send(0) == group(0));
 }
