--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -91,7 +91,7 @@
     CHECK_TRUE(send(0) == group(0));
 }
 
-TEST(GroupSelectorTest, WhatTheOwnBoundDoesNotAdmitGoesToAnotherGroup)
+TEST(GroupSelectorTest, OverflowGoesToAnotherGroup)
 {
     for (int count = 0; count < 10; ++count) {
         CHECK_TRUE(send(0) == group(0));
