--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -102,7 +102,7 @@
 }
 
 // One group is held, cut or has lost a rank: what it would have got goes to the two others.
-TEST(GroupSelectorTest, GroupThatStandsStillGetsNothingWhileAnotherWorks)
+TEST(GroupSelectorTest, StalledGroupGetsNothingWhileAnotherWorks)
 {
     stopGroup(group(0), 2000);
     for (int count = 0; count < 6; ++count) {
