--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -111,7 +111,7 @@
     }
 }
 
-TEST(GroupSelectorTest, RefusingGroupIsTriedWithOneStreamNowAndThen)
+TEST(GroupSelectorTest, RefusingGroupIsProbedPeriodically)
 {
     selector.tracker(group(0)).onRefusal(at(0), at(1500));
     int tries = 0;
