--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -127,7 +127,7 @@
     CHECK_TEXT(tries >= 3 && tries <= 5, "expected a try each quarter of a second");
 }
 
-TEST(GroupSelectorTest, GroupThatItsAgentsCallClosedIsNotTriedAtAll)
+TEST(GroupSelectorTest, GroupReportedClosedIsNotProbed)
 {
     GroupFacts closed;
     closed.group = group(0);
