--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -141,7 +141,7 @@
 
 // A hall that is cut off cannot be heard; a stream sent there would be silent until its caller
 // leaves.
-TEST(GroupSelectorTest, GroupOutOfTouchInAnotherHallIsAvoided)
+TEST(GroupSelectorTest, UnreachableGroupOfAnotherHallIsAvoided)
 {
     GroupFacts facts;
     for (const int number : {0, 1, 2}) {
