--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -156,7 +156,7 @@
     }
 }
 
-TEST(GroupSelectorTest, WhenAllGroupsAreInTroubleTheBoundsAloneDecide)
+TEST(GroupSelectorTest, LimitsAloneDecideWhenAllGroupsAreFaulty)
 {
     for (const int number : {0, 1, 2}) {
         stopGroup(group(number), 2000);
