--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -166,7 +166,7 @@
 
 // After a shift of demand passes are long in every group. A stream that left its own group for
 // that would bring a prompt into passes that the gateways of the other hall hold theirs back from.
-TEST(GroupSelectorTest, StreamWaitsAtHomeWhilePassesAreNearTheGoal)
+TEST(GroupSelectorTest, StreamWaitsForOwnGroupWhilePausesAreNearGoal)
 {
     for (int count = 0; count < 4; ++count) {
         send(0);
