--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -175,7 +175,7 @@
     CHECK_FALSE(send(20).has_value());
 }
 
-TEST(GroupSelectorTest, LaneOfAGroupWhoseUpstreamsAreGoneEndsWithItsStreams)
+TEST(GroupSelectorTest, TrackerOfARemovedGroupLastsUntilItsStreamsEnd)
 {
     selector.tracker(group(2)).onStreamStart(at(0));
     const UpstreamChooser::Groups fewer = groupsSeenFrom(0, 2);
