--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -187,7 +187,7 @@
     CHECK_TRUE(selector.find(group(2)) == nullptr);
 }
 
-TEST(GroupSelectorTest, ServiceIsOutOnlyWhenEveryGroupRefuses)
+TEST(GroupSelectorTest, AllRefusingNeedsEveryGroupToRefuse)
 {
     selector.tracker(group(0)).onRefusal(at(0), at(1500));
     selector.tracker(group(1)).onRefusal(at(0), at(1500));
