--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -196,7 +196,7 @@
     CHECK_TRUE(selector.allRefusing(at(1500)));
 }
 
-TEST(GroupSelectorTest, RetryGoesToAGroupThatWorksWhateverTheBounds)
+TEST(GroupSelectorTest, RetryGoesToAWorkingGroupRegardlessOfLimits)
 {
     stopGroup(group(0), 2000);
     const auto chosen = selector.selectForRetry(table, at(2000));
