--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -329,7 +329,7 @@
 // The pattern: one of several groups falls out, and all gateways of its hall look for another at
 // the same moment. The others have room for it in sum, so nobody should wait for long, and no group
 // should be taken far over its slots, where every stream of it is late.
-TEST(GroupSelectorTest, FallenGroupDoesNotTipTheNextOneOver)
+TEST(GroupSelectorTest, FailedGroupDoesNotOverloadTheOthers)
 {
     struct Case
     {
