--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -25,7 +25,7 @@
     }
 };
 
-TEST(RequestAgeEstimatorTest, FirstTriesAreSaidToBeNew)
+TEST(RequestAgeEstimatorTest, InitialDeadlineMeansAgeZero)
 {
     observe(8000, 10);
     CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
