--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -31,7 +31,7 @@
     CHECK_TRUE(estimator.estimateAge(millis(8000)) == Duration{});
 }
 
-TEST(RequestAgeEstimatorTest, WhatIsMissingFromAUsualTimeHasPassed)
+TEST(RequestAgeEstimatorTest, AgeIsTheDifferenceToTheInitialDeadline)
 {
     observe(8000, 10);
     CHECK_TRUE(estimator.estimateAge(millis(5400)) == millis(2600));
