--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -38,7 +38,7 @@
 }
 
 // A single caller must not make all others look late.
-TEST(RequestAgeEstimatorTest, OneLongTimeChangesNothing)
+TEST(RequestAgeEstimatorTest, SingleLongDeadlineIsIgnored)
 {
     observe(8000, 10);
     observe(60'000, 1);
