--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -46,7 +46,7 @@
     CHECK_TRUE(estimator.estimateAge(millis(5400)) == millis(2600));
 }
 
-TEST(RequestAgeEstimatorTest, TellsCallersOfTwoHabitsApart)
+TEST(RequestAgeEstimatorTest, DistinguishesTwoInitialDeadlines)
 {
     for (int count = 0; count < 10; ++count) {
         observe(8000, 1);
