--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -56,7 +56,7 @@
     CHECK_TRUE(estimator.estimateAge(millis(11'000)) == millis(1000));
 }
 
-TEST(RequestAgeEstimatorTest, WhereNoTimeRepeatsAllAreFirstTries)
+TEST(RequestAgeEstimatorTest, DeadlinesThatNeverRepeatMeanAgeZero)
 {
     for (int deadline = 1000; deadline < 9000; deadline += 7) {
         CHECK_TRUE(estimator.estimateAge(millis(deadline)) == Duration{});
