--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -63,7 +63,7 @@
     }
 }
 
-TEST(RequestAgeEstimatorTest, ManySecondTriesDoNotHideTheFirst)
+TEST(RequestAgeEstimatorTest, ManyRetriesDoNotHideTheInitialDeadline)
 {
     observe(8000, 50);
     for (int deadline = 4000; deadline < 6000; deadline += 3) {
