--- a/test/decision/gateway/eventsplitter_test.cpp
+++ b/test/decision/gateway/eventsplitter_test.cpp
@@ -9,7 +9,7 @@
     EventSplitter splitter;
 };
 
-TEST(EventSplitterTest, PassesOnlyWholeEvents)
+TEST(EventSplitterTest, ReturnsOnlyWholeEvents)
 {
     STRCMP_EQUAL("", splitter.feed("id: 1\ndata: a").c_str());
     STRCMP_EQUAL("id: 1\ndata: a\n\n", splitter.feed("\n\nid: 2\n").c_str());
