--- a/test/decision/gateway/eventsplitter_test.cpp
+++ b/test/decision/gateway/eventsplitter_test.cpp
@@ -17,7 +17,7 @@
     CHECK_TRUE(splitter.hasPartial());
 }
 
-TEST(EventSplitterTest, SplitsAtEveryByte)
+TEST(EventSplitterTest, HandlesInputByteByByte)
 {
     const std::string text = "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n";
     std::string passed;
