--- a/test/decision/gateway/eventsplitter_test.cpp
+++ b/test/decision/gateway/eventsplitter_test.cpp
@@ -29,7 +29,7 @@
     STRCMP_EQUAL("2", splitter.lastId().c_str());
 }
 
-TEST(EventSplitterTest, ForgetsATornEvent)
+TEST(EventSplitterTest, DiscardsAPartialEvent)
 {
     splitter.feed("id: 1\ndata: a\n\nid: 2\nda");
     splitter.discardPartial();
