--- a/test/decision/gateway/eventsplitter_test.cpp
+++ b/test/decision/gateway/eventsplitter_test.cpp
@@ -36,7 +36,7 @@
     STRCMP_EQUAL("id: 2\ndata: b\n\n", splitter.feed("id: 2\ndata: b\n\n").c_str());
 }
 
-TEST(EventSplitterTest, LastIdInAnEventCounts)
+TEST(EventSplitterTest, LastIdIsThatOfTheLastEventWithAnId)
 {
     splitter.feed("data: x\nid: 7\n\ndata: no id\n\n");
     STRCMP_EQUAL("7", splitter.lastId().c_str());
