--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -76,7 +76,7 @@
 
 TEST_GROUP(HallPositionTest){};
 
-TEST(HallPositionTest, EachUpstreamHasOneTurn)
+TEST(HallPositionTest, EachUpstreamHasADistinctPosition)
 {
     std::vector<bool> seen(26, false);
     for (std::size_t index = 0; index < seen.size(); ++index) {
