--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -85,7 +85,7 @@
     CHECK_TRUE(std::all_of(seen.begin(), seen.end(), [](bool found) { return found; }));
 }
 
-TEST(HallPositionTest, AsManyGatewaysBeginAtEachUpstream)
+TEST(HallPositionTest, EqualNumbersOfGatewaysStartAtEachUpstream)
 {
     constexpr std::size_t kGateways = 30;
     std::vector<int> begins(10, 0);
