--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -116,7 +116,7 @@
     }
 };
 
-TEST(SuspectRequestTest, AnyKindIsRefusedAtOnceAsNotRunAndNotInvitedBack)
+TEST(SuspectRequestTest, SuspectOfAnyKindIsRejectedAsNotRunWithoutRetryAfter)
 {
     learnEnds(3);
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
