--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -138,7 +138,7 @@
     LONGS_EQUAL(1, sent());
 }
 
-TEST(SuspectRequestTest, FirstEndIsRepeatedAndTheSecondIsNot)
+TEST(SuspectRequestTest, RequestIsRetriedAfterTheFirstCrashOnly)
 {
     const RequestNumber number = begin(Kind::Repeatable);
     endUnder(number, 50);
