--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -149,7 +149,7 @@
     CHECK_TRUE(httpStatus(last<RejectRequest>()->failure) != 503);
 }
 
-TEST(SuspectRequestTest, StreamThatHasBegunIsBrokenOffAndNotTakenUpElsewhere)
+TEST(SuspectRequestTest, StartedStreamOfASuspectIsAbortedNotResumed)
 {
     learnEnds(1);
     const RequestNumber number = begin(Kind::Stream);
