--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -161,7 +161,7 @@
     LONGS_EQUAL(0, core->inFlight());
 }
 
-TEST(SuspectRequestTest, WordFromElsewhereTakesBackACopyThatHasNotBegunToAnswer)
+TEST(SuspectRequestTest, RemoteCrashReportsCancelAnAttemptWithoutAnswer)
 {
     begin(Kind::Repeatable);
     learnEnds(3);
