--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -171,7 +171,7 @@
     LONGS_EQUAL(0, core->inFlight());
 }
 
-TEST(SuspectRequestTest, CopyThatAnswersGoesOnAndClearsTheRequest)
+TEST(SuspectRequestTest, AnsweringAttemptContinuesAndClearsTheRequest)
 {
     const RequestNumber number = begin(Kind::Stream);
     core->onHead(number, AnswerKind::Success, at(20), actions);
