--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -183,7 +183,7 @@
     CHECK_TRUE(core->crashes().mayBeSent(kPoison, at(901)));
 }
 
-TEST(SuspectRequestTest, FailureOfAnUpstreamThatLivesClearsTheRequest)
+TEST(SuspectRequestTest, FailureWithoutACrashClearsTheRequest)
 {
     learnEnds(1);
     const RequestNumber number = begin(Kind::AtMostOnce);
