--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -192,7 +192,7 @@
     LONGS_EQUAL(0, core->crashes().ends(kPoison));
 }
 
-TEST(SuspectRequestTest, RefusalOfAnUpstreamSaysNothingOfTheRequest)
+TEST(SuspectRequestTest, RefusalDoesNotClearTheRequest)
 {
     learnEnds(1);
     const RequestNumber number = begin(Kind::AtMostOnce);
