--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -201,7 +201,7 @@
 }
 
 // A planned end: nobody is to blame for it.
-TEST(SuspectRequestTest, EndOfAnUpstreamThatWasLeavingIsNotHeldAgainstItsRequests)
+TEST(SuspectRequestTest, EndOfALeavingUpstreamIsNotCounted)
 {
     const RequestNumber number = begin(Kind::Repeatable);
     UpstreamRecord leaving = last<StartAttempt>()->upstream;
