--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -212,7 +212,7 @@
 }
 
 // The gateway hears of the end when the caller has left already.
-TEST(SuspectRequestTest, EndIsRememberedWhenTheRequestIsOver)
+TEST(SuspectRequestTest, CrashIsRecordedAfterTheRequestEnded)
 {
     const RequestNumber number = begin(Kind::Repeatable);
     const InstanceId upstream = last<StartAttempt>()->upstream.id;
