--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -221,7 +221,7 @@
     LONGS_EQUAL(1, core->crashes().ends(kPoison));
 }
 
-TEST(SuspectRequestTest, WaitingCopyIsRefusedWhenTheProofComes)
+TEST(SuspectRequestTest, QueuedSuspectIsRejectedOnceCrashesAreReported)
 {
     std::vector<RequestNumber> running;
     while (core->waiting(TargetName("service")) == 0) {
