--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -240,7 +240,7 @@
 // Upstreams crashed under one kind of request, one after the other, with all that they had; callers
 // of others were refused for seconds each time. Whatever part of the requests it is, and whenever
 // it comes again, three upstreams are the most that it ends.
-TEST(SuspectRequestTest, NoShareAndNoMomentEndsMoreThanThreeUpstreams)
+TEST(SuspectRequestTest, SuspectEndsAtMostThreeUpstreams)
 {
     for (const double share : {0.01, 0.03, 0.08, 0.5}) {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
