--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -271,7 +271,7 @@
 }
 
 // The upstream says nothing for half of what its caller bears; at another one it would end that.
-TEST(SuspectRequestTest, SuspectIsNotMovedOffASilentUpstream)
+TEST(SuspectRequestTest, SuspectIsNotFailedOverFromASilentUpstream)
 {
     begin(Kind::Repeatable);
     core->crashes().onEnded(kPoison, kAccount, InstanceId("a"), at(100));
