--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -125,7 +125,7 @@
     }
 };
 
-TEST(SilentUpstreamTest, StreamMovesWhileOthersOfItsGroupSpeak)
+TEST(SilentUpstreamTest, SilentStreamFailsOverWhileItsGroupMakesProgress)
 {
     const RequestNumber speaks = begin(0);
     const RequestNumber silent = begin(0);
