--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -142,7 +142,7 @@
 }
 
 // Part of its answer is with the caller: it goes on at another engine after the last whole event.
-TEST(SilentUpstreamTest, StreamThatFallsSilentMidwayMoves)
+TEST(SilentUpstreamTest, StreamThatFallsSilentMidwayFailsOver)
 {
     const RequestNumber speaks = begin(0);
     const RequestNumber silent = begin(0);
