--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -157,7 +157,7 @@
 }
 
 // A group that stands still as a whole would keep it waiting all the same.
-TEST(SilentUpstreamTest, StreamStaysWhereTheOnlyGroupStandsStill)
+TEST(SilentUpstreamTest, StreamStaysWhenTheOnlyGroupIsStalled)
 {
     const RequestNumber one = begin(0);
     const RequestNumber two = begin(0);
