--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -169,7 +169,7 @@
     CHECK_FALSE(cancelledAsSilent(two));
 }
 
-TEST(SilentUpstreamTest, StreamOfAGroupThatStandsStillMovesToAnother)
+TEST(SilentUpstreamTest, StreamOfAStalledGroupFailsOverToAnotherGroup)
 {
     put("south-1", "south", 1);
     learnGroup("north", {1, 2});
