--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -182,7 +182,7 @@
     STRCMP_EQUAL("south-1", lastSent(silent).c_str());
 }
 
-TEST(SilentUpstreamTest, RequestThatMayRunOnceStays)
+TEST(SilentUpstreamTest, AtMostOnceRequestStays)
 {
     document.routes.front().streamed = false;
     document.routes.front().resumable = false;
