--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -193,7 +193,7 @@
 }
 
 // A second attempt is a load that a service in trouble must not get without bound.
-TEST(SilentUpstreamTest, NothingMovesWithoutABudget)
+TEST(SilentUpstreamTest, NothingFailsOverWithoutARetryBudget)
 {
     core->setRetryLimits({0.0, 0.0});
     const RequestNumber speaks = begin(0);
