--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -204,7 +204,7 @@
     CHECK_FALSE(cancelledAsSilent(silent));
 }
 
-TEST(SilentUpstreamTest, RepeatableRequestMovesAtHalfOfItsTime)
+TEST(SilentUpstreamTest, RepeatableRequestFailsOverAtHalfTheSilenceLimit)
 {
     document.routes.front().streamed = false;
     document.routes.front().resumable = false;
