--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -97,7 +97,7 @@
         core->onEnd(number, AttemptEnd::Lost, at(now), actions);
     }
 
-    void learnEnds(int count)
+    void recordCrashes(int count)
     {
         for (int index = 0; index < count; ++index) {
             core->crashes().onEnded(kPoison, kAccount,
@@ -118,7 +118,7 @@
 
 TEST(SuspectRequestTest, SuspectOfAnyKindIsRejectedAsNotRunWithoutRetryAfter)
 {
-    learnEnds(3);
+    recordCrashes(3);
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         actions.clear();
         begin(kind);
@@ -133,7 +133,7 @@
 
 TEST(SuspectRequestTest, OtherRequestsOfTheAccountAreSent)
 {
-    learnEnds(3);
+    recordCrashes(3);
     begin(Kind::Repeatable, kHarmless);
     LONGS_EQUAL(1, sent());
 }
@@ -151,7 +151,7 @@
 
 TEST(SuspectRequestTest, StartedStreamOfASuspectIsAbortedNotResumed)
 {
-    learnEnds(1);
+    recordCrashes(1);
     const RequestNumber number = begin(Kind::Stream);
     core->onHead(number, AnswerKind::Success, at(20), actions);
     core->onFirstEvent(number, at(20));
@@ -164,7 +164,7 @@
 TEST(SuspectRequestTest, RemoteCrashReportsCancelAnAttemptWithoutAnswer)
 {
     begin(Kind::Repeatable);
-    learnEnds(3);
+    recordCrashes(3);
     core->onTick(at(30), actions);
     CHECK_TRUE(last<CancelAttempt>() != nullptr);
     CHECK_TRUE(last<RejectRequest>()->outcome == Outcome::Unknown);
@@ -176,7 +176,7 @@
     const RequestNumber number = begin(Kind::Stream);
     core->onHead(number, AnswerKind::Success, at(20), actions);
     core->onFirstEvent(number, at(20));
-    learnEnds(3);
+    recordCrashes(3);
     core->onTick(at(30), actions);
     LONGS_EQUAL(1, core->inFlight());
     core->onEnd(number, AttemptEnd::Complete, at(900), actions);
@@ -185,7 +185,7 @@
 
 TEST(SuspectRequestTest, FailureWithoutACrashClearsTheRequest)
 {
-    learnEnds(1);
+    recordCrashes(1);
     const RequestNumber number = begin(Kind::AtMostOnce);
     core->onHead(number, AnswerKind::Failure, at(20), actions);
     core->onEnd(number, AttemptEnd::Complete, at(20), actions);
@@ -194,7 +194,7 @@
 
 TEST(SuspectRequestTest, RefusalDoesNotClearTheRequest)
 {
-    learnEnds(1);
+    recordCrashes(1);
     const RequestNumber number = begin(Kind::AtMostOnce);
     core->onHead(number, AnswerKind::Full, at(20), actions);
     LONGS_EQUAL(1, core->crashes().ends(kPoison));
@@ -231,7 +231,7 @@
     begin(Kind::Stream);
     LONGS_EQUAL(1, core->waiting(TargetName("service")));
     actions.clear();
-    learnEnds(3);
+    recordCrashes(3);
     core->onTick(at(30), actions);
     LONGS_EQUAL(0, core->waiting(TargetName("service")));
     CHECK_TRUE(last<RejectRequest>()->failure == FailureCode::RequestEndsUpstreams);
