--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -90,7 +90,7 @@
     }
 
     // The upstream that a request was sent to last has ended under it.
-    void endUnder(RequestNumber number, int now, RequestDigest digest = kPoison)
+    void crashUnder(RequestNumber number, int now, RequestDigest digest = kPoison)
     {
         const InstanceId upstream = last<StartAttempt>()->upstream.id;
         core->onUpstreamEnded(digest, kAccount, upstream, at(now), at(now), actions);
@@ -141,9 +141,9 @@
 TEST(SuspectRequestTest, RequestIsRetriedAfterTheFirstCrashOnly)
 {
     const RequestNumber number = begin(Kind::Repeatable);
-    endUnder(number, 50);
+    crashUnder(number, 50);
     LONGS_EQUAL(2, sent());
-    endUnder(number, 100);
+    crashUnder(number, 100);
     LONGS_EQUAL(2, sent());
     CHECK_TRUE(last<RejectRequest>()->outcome == Outcome::Unknown);
     CHECK_TRUE(httpStatus(last<RejectRequest>()->failure) != 503);
@@ -155,7 +155,7 @@
     const RequestNumber number = begin(Kind::Stream);
     core->onHead(number, AnswerKind::Success, at(20), actions);
     core->onFirstEvent(number, at(20));
-    endUnder(number, 50);
+    crashUnder(number, 50);
     LONGS_EQUAL(1, sent());
     CHECK_TRUE(last<BreakAnswer>() != nullptr);
     LONGS_EQUAL(0, core->inFlight());
@@ -207,7 +207,7 @@
     UpstreamRecord leaving = last<StartAttempt>()->upstream;
     leaving.leaving = true;
     core->upstreams().put(leaving);
-    endUnder(number, 50);
+    crashUnder(number, 50);
     LONGS_EQUAL(0, core->crashes().ends(kPoison));
 }
 
