--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -127,32 +127,32 @@
 
 TEST(SilentUpstreamTest, SilentStreamFailsOverWhileItsGroupMakesProgress)
 {
-    const RequestNumber speaks = begin(0);
+    const RequestNumber active = begin(0);
     const RequestNumber silent = begin(0);
     const std::string before = lastSent(silent);
-    answer(speaks, 50);
+    answer(active, 50);
     actions.clear();
-    pass(100, 1000, {speaks});
+    pass(100, 1000, {active});
     STRCMP_EQUAL("", lastSent(silent).c_str());
-    pass(1000, 1100, {speaks});
+    pass(1000, 1100, {active});
     CHECK_TRUE(cancelledAsSilent(silent));
     CHECK_TRUE(!lastSent(silent).empty());
     CHECK_TRUE_TEXT(lastSent(silent) != before, "expected another upstream than the silent one");
-    CHECK_FALSE(cancelledAsSilent(speaks));
+    CHECK_FALSE(cancelledAsSilent(active));
 }
 
 // Part of its answer is with the caller: it goes on at another engine after the last whole event.
 TEST(SilentUpstreamTest, StreamThatFallsSilentMidwayFailsOver)
 {
-    const RequestNumber speaks = begin(0);
+    const RequestNumber active = begin(0);
     const RequestNumber silent = begin(0);
-    answer(speaks, 50);
+    answer(active, 50);
     answer(silent, 50);
     actions.clear();
-    pass(100, 700, {speaks, silent});
-    pass(700, 1500, {speaks});
+    pass(100, 700, {active, silent});
+    pass(700, 1500, {active});
     CHECK_FALSE(cancelledAsSilent(silent));
-    pass(1500, 1800, {speaks});
+    pass(1500, 1800, {active});
     CHECK_TRUE(cancelledAsSilent(silent));
 }
 
@@ -196,11 +196,11 @@
 TEST(SilentUpstreamTest, NothingFailsOverWithoutARetryBudget)
 {
     core->setRetryLimits({0.0, 0.0});
-    const RequestNumber speaks = begin(0);
+    const RequestNumber active = begin(0);
     const RequestNumber silent = begin(0);
-    answer(speaks, 50);
+    answer(active, 50);
     actions.clear();
-    pass(100, 1900, {speaks});
+    pass(100, 1900, {active});
     CHECK_FALSE(cancelledAsSilent(silent));
 }
 
