--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -32,7 +32,7 @@
 };
 
 // Returns the part of the streams that begin at an upstream whose places are taken.
-double partAtFullUpstreams(const Hall &hall, bool byPosition)
+double fractionAtFullUpstreams(const Hall &hall, bool byPosition)
 {
     constexpr int kStreams = 20'000;
     std::mt19937_64 random(7);
@@ -100,8 +100,8 @@
 TEST(HallPositionTest, FewerStreamsMeetAFullUpstreamInALargeHall)
 {
     const Hall hall{30, 26, 6, 3.3};
-    const double byChance = partAtFullUpstreams(hall, false);
-    const double byPosition = partAtFullUpstreams(hall, true);
+    const double byChance = fractionAtFullUpstreams(hall, false);
+    const double byPosition = fractionAtFullUpstreams(hall, true);
     CHECK_TEXT(byChance > 0.04, "the pattern must show where the choice is by chance");
     CHECK_TEXT(byPosition < byChance / 3.0, "turns must spare most streams a full upstream");
 }
@@ -109,6 +109,7 @@
 TEST(HallPositionTest, NoWorseAtOtherSizes)
 {
     for (const Hall &hall : {Hall{3, 4, 12, 7.0}, Hall{14, 8, 12, 7.0}, Hall{68, 64, 6, 3.3}}) {
-        CHECK_TRUE(partAtFullUpstreams(hall, true) <= partAtFullUpstreams(hall, false) + 0.01);
+        CHECK_TRUE(fractionAtFullUpstreams(hall, true)
+                   <= fractionAtFullUpstreams(hall, false) + 0.01);
     }
 }
