--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -19,7 +19,7 @@
 {
     std::size_t gateways;
     std::size_t upstreams;
-    std::size_t places;
+    std::size_t slots;
     double mean; // Streams at an upstream.
 };
 
@@ -64,7 +64,7 @@
         for (std::size_t upstream = 1; upstream < hall.upstreams; ++upstream) {
             best = order(upstream) < order(best) ? upstream : best;
         }
-        full += all[best] >= hall.places ? 1 : 0;
+        full += all[best] >= hall.slots ? 1 : 0;
         ++own[gateway][best];
         ++all[best];
         running.push({now + life(random), gateway, best});
