--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -100,10 +100,10 @@
 TEST(HallPositionTest, FewerStreamsMeetAFullUpstreamInALargeHall)
 {
     const Hall hall{30, 26, 6, 3.3};
-    const double byChance = fractionAtFullUpstreams(hall, false);
+    const double randomFraction = fractionAtFullUpstreams(hall, false);
     const double byPosition = fractionAtFullUpstreams(hall, true);
-    CHECK_TEXT(byChance > 0.04, "the pattern must show where the choice is by chance");
-    CHECK_TEXT(byPosition < byChance / 3.0, "turns must spare most streams a full upstream");
+    CHECK_TEXT(randomFraction > 0.04, "the pattern must show where the choice is by chance");
+    CHECK_TEXT(byPosition < randomFraction / 3.0, "turns must spare most streams a full upstream");
 }
 
 TEST(HallPositionTest, NoWorseAtOtherSizes)
