--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -58,7 +58,7 @@
             const std::size_t position =
                 byPosition ? fillPosition(upstream, hall.upstreams, place)
                            : (upstream * 7919 + chance * 104'729 + count * 31) % 1009;
-            return std::pair(own[gateway][upstream], turn);
+            return std::pair(own[gateway][upstream], position);
         };
         std::size_t best = 0;
         for (std::size_t upstream = 1; upstream < hall.upstreams; ++upstream) {
