--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -90,10 +90,10 @@
     }
 
     // Time passes; the streams in `speaking` get an event at each pass.
-    void pass(int from, int to, const std::vector<RequestNumber> &speaking)
+    void pass(int from, int to, const std::vector<RequestNumber> &producing)
     {
         for (int now = from; now < to; now += kPass) {
-            for (const RequestNumber number : speaking) {
+            for (const RequestNumber number : producing) {
                 core->onPause(number, std::chrono::milliseconds(kPass), at(now));
             }
             core->onTick(at(now), actions);
