--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -375,7 +375,7 @@
         detachUpstream(request);
     }
     if (request.headSent) {
-        actions.push_back(BreakAnswer{number, failure});
+        actions.push_back(AbortAnswer{number, failure});
     } else if (request.mayHaveRun) {
         const FailureCode reported =
             failure == FailureCode::NoUpstream ? FailureCode::UpstreamFailed : failure;
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -126,13 +126,13 @@
 };
 
 // Break off an answer whose head has gone to the caller. The request is over.
-struct BreakAnswer
+struct AbortAnswer
 {
     RequestNumber request = 0;
     FailureCode failure = FailureCode::UpstreamFailed;
 };
 
-using GatewayAction = std::variant<StartAttempt, CancelAttempt, RejectRequest, BreakAnswer>;
+using GatewayAction = std::variant<StartAttempt, CancelAttempt, RejectRequest, AbortAnswer>;
 using GatewayActions = std::vector<GatewayAction>;
 
 // What all gateways together may send of second attempts to a service.
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -253,7 +253,7 @@
     endFlight(action.request, toString(action.failure));
 }
 
-void GatewayService::carryOut(const BreakAnswer &action)
+void GatewayService::carryOut(const AbortAnswer &action)
 {
     const auto found = flights_.find(action.request);
     if (found == flights_.end()) {
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -131,7 +131,7 @@
     void carryOut(const StartAttempt &action);
     void carryOut(const CancelAttempt &action);
     void carryOut(const RejectRequest &action);
-    void carryOut(const BreakAnswer &action);
+    void carryOut(const AbortAnswer &action);
 
     void onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head);
     void noteNotice(RequestNumber number, const Flight &flight, AnswerKind kind);
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -202,7 +202,7 @@
     actions.clear();
     core->onEnd(number, AttemptEnd::Lost, at(20), actions);
     CHECK_TRUE(first<StartAttempt>(actions)->upstream.id != before);
-    POINTERS_EQUAL(nullptr, first<BreakAnswer>(actions));
+    POINTERS_EQUAL(nullptr, first<AbortAnswer>(actions));
 }
 
 TEST(GatewayCoreTest, BrokenAnswerThatCannotBeResumedIsAborted)
@@ -211,7 +211,7 @@
     core->onHead(number, AnswerKind::Success, at(10), actions);
     actions.clear();
     core->onEnd(number, AttemptEnd::Lost, at(20), actions);
-    CHECK_TRUE(first<BreakAnswer>(actions) != nullptr);
+    CHECK_TRUE(first<AbortAnswer>(actions) != nullptr);
     LONGS_EQUAL(0, core->inFlight());
 }
 
--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -149,7 +149,7 @@
     core->onFirstEvent(number, at(520));
     core->onEnd(number, AttemptEnd::Lost, at(600), actions);
     CHECK_TRUE(last<StartAttempt>()->upstream.id != resting);
-    CHECK_TRUE(last<BreakAnswer>() != nullptr);
+    CHECK_TRUE(last<AbortAnswer>() != nullptr);
 }
 
 TEST(RestingUpstreamTest, RequestMovesOffASilentUpstreamToOneThatDoesNotRest)
--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -157,7 +157,7 @@
     core->onFirstEvent(number, at(20));
     crashUnder(number, 50);
     LONGS_EQUAL(1, sent());
-    CHECK_TRUE(last<BreakAnswer>() != nullptr);
+    CHECK_TRUE(last<AbortAnswer>() != nullptr);
     LONGS_EQUAL(0, core->inFlight());
 }
 
