--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -7,7 +7,7 @@
 namespace seamarch {
 namespace {
 
-// A request is given up a little before its time is over, so that its answer still arrives.
+// A request fails this long before its deadline, so that the rejection still reaches the caller.
 constexpr Duration kAnswerMargin = std::chrono::milliseconds(10);
 
 UpstreamChooser::Settings chooserSettings(const GatewayCore::Settings &settings)
@@ -40,8 +40,8 @@
     return found == requests_.end() ? nullptr : &found->second;
 }
 
-// Returns the part of the limits that this gateway may spend. The gateways do not count together,
-// so each stays well below its part: it may know of too few others, and their traffic is unlike.
+// Returns this gateway's share of the retry limits. The gateways do not count together, so each
+// stays well below an even share: it may know of too few others, and their traffic differs.
 RetryBudget::Settings GatewayCore::budgetShare() const
 {
     constexpr double kPerRequestFraction = 0.75;
@@ -154,7 +154,7 @@
     return route.targets.back().service;
 }
 
-// Tells whether a request whose attempt has failed can be sent to another upstream.
+// Returns whether a request whose attempt failed can be sent to another upstream.
 bool GatewayCore::mayTryAgain(const Request &request, TimePoint now)
 {
     return mayRepeat(request) && mayBeSent(request, now)
@@ -163,14 +163,16 @@
            && chooseFor(request, std::nullopt, now).has_value();
 }
 
-// Returns the best upstream of `group`, or of any group, that the request was not sent to yet.
+// Returns the best upstream of `group`, or of any group if `group` is empty, that the request was
+// not sent to yet.
 std::optional<InstanceId> GatewayCore::chooseFor(const Request &request,
                                                  const std::optional<GroupId> &group, TimePoint now)
 {
     return chooser_.choose({request.service, group, request.request.residency}, request.tried, now);
 }
 
-// Sends the request to the best upstream of `group`, or of any where that has none left.
+// Sends the request to the best upstream of `group`, or of any group if that has none left. Returns
+// false if the request cannot be sent.
 bool GatewayCore::startAttempt(RequestNumber number, Request &request,
                                const std::optional<GroupId> &group, TimePoint now,
                                GatewayActions &actions)
@@ -204,7 +206,7 @@
     return true;
 }
 
-// Sends the request once more.
+// Sends the request again, as `startAttempt`, to a group that is selected for retries.
 bool GatewayCore::startRetry(RequestNumber number, Request &request, TimePoint now,
                              GatewayActions &actions)
 {
@@ -225,11 +227,12 @@
     request.attemptHasHead = false;
 }
 
-// Learns from an answer whether a group refuses everything, as one does that stands still.
+// Updates the refusal state of the upstream's group from an answer. A group that was stalled
+// refuses all requests.
 void GatewayCore::recordAnswer(Request &request, AnswerKind kind, TimePoint now)
 {
     if (kind == AnswerKind::WrongInstance || kind == AnswerKind::Refused) {
-        return; // Said before the request got as far as the group.
+        return; // Answered before the request reached the group.
     }
     GroupSelector &selector = serviceOf(request.service).selector;
     GroupTracker &tracker = selector.tracker(request.group);
@@ -281,7 +284,7 @@
     if (kind == AnswerKind::Failure || kind == AnswerKind::Invalid) {
         chooser_.onFailure(upstream, now);
         request->mayHaveRun = true;
-        // The last word of an upstream goes to the caller when nothing better can be had.
+        // Without another attempt the upstream's own failure is forwarded to the caller.
         if (kind == AnswerKind::Failure && !request->headSent && !mayTryAgain(*request, now)) {
             request->attemptHasHead = true;
             request->headSent = true;
@@ -381,7 +384,7 @@
             failure == FailureCode::NoUpstream ? FailureCode::UpstreamFailed : failure;
         actions.push_back(RejectRequest{number, reported, Outcome::Unknown, {}});
     } else if (!mayBeSent(request, now)) {
-        // It is true of this request that it has not run; to come back would not help it.
+        // This request has not run, but a retry would be rejected as well: no retry delay.
         actions.push_back(
             RejectRequest{number, FailureCode::RequestEndsUpstreams, Outcome::NotRun, {}});
     } else {
@@ -392,8 +395,8 @@
     endRequest(number);
 }
 
-// Returns when a refused caller may come back. While all upstreams rest, or take nothing without a
-// permit that is not to be had, sooner would be in vain.
+// Returns the retry delay for a rejected caller. It is no shorter than the time until an upstream
+// ends its rest or permits are available again.
 Duration GatewayCore::retryAfterFor(const Request &request, TimePoint now)
 {
     const Duration wait =
@@ -425,16 +428,16 @@
                                   const InstanceId &upstream, TimePoint at, TimePoint now,
                                   GatewayActions &actions)
 {
-    // One that is leaving, or that the store lists no longer, ends because it was told to.
+    // An upstream that is leaving, or that the store no longer lists, ends as planned.
     if (upstreams_.stays(upstream)) {
         crashes_.onEnded(digest, account, upstream, at);
         giveUpSuspects(now, actions);
     }
 }
 
-// Gives up what waits or is under way of requests that must not be sent any more. An upstream that
-// has not begun with one drops it when its connection closes. What has already begun to answer goes
-// on: it may show that the request is harmless.
+// Fails requests that must not be sent any more, whether queued or in progress. An upstream that
+// has not started a request drops it when the connection closes. Requests with an answer in
+// progress continue: their completion may prove that the request is harmless.
 void GatewayCore::giveUpSuspects(TimePoint now, GatewayActions &actions)
 {
     if (crashes_.cursor() == crashCursor_) {
@@ -455,8 +458,8 @@
     }
 }
 
-// Tells whether the upstream of a request that may be repeated has said nothing for so long that
-// its caller will soon leave.
+// Returns whether the request may fail over because its upstream has been silent for so long that
+// the caller will soon disconnect.
 bool GatewayCore::isSilent(const Request &request, TimePoint now) const
 {
     const RouteRule &route = *request.request.route;
@@ -482,7 +485,7 @@
     }
 }
 
-// Sends a request to another upstream in place of one that is silent, if there is a better one.
+// Cancels the attempt at a silent upstream and sends the request to a better one, if there is one.
 void GatewayCore::failOver(RequestNumber number, TimePoint now, GatewayActions &actions)
 {
     Request &request = requests_.at(number);
@@ -533,7 +536,7 @@
             request.retryAfterHint =
                 serviceOut ? maxHonouredRetryAfter(request, now) : settings_.minRetryAfter;
         }
-        // The attempt under way was written, as far as is known.
+        // The current attempt may have been written.
         request.mayHaveRun = request.mayHaveRun || request.upstream != InstanceId();
         giveUp(number, FailureCode::UpstreamTimedOut, now, actions);
     }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -1,38 +1,38 @@
-// The decisions of a gateway on the requests of its callers: which upstream gets a request, whether
-// it may be sent again, when it is given up, and what the caller may conclude.
+// The core of a gateway: decides which upstream gets a request, whether a request may be sent
+// again, when it fails, and which outcome is reported to the caller.
 //
-// A gateway sends requests straight to upstreams. What may be said of a request follows from what
-// was written and what the upstream stated:
-//   - nothing was written, or the upstream states that it did not run: it has not run;
-//   - anything else: it may have run. Only a repeatable request is then sent again, and a failure
-//     never says 'not run'.
-// A stream that breaks off after its head has gone to the caller is taken up at another upstream
-// after the last whole event, where its route allows that.
+// A gateway sends requests directly to upstreams. The outcome that it may report depends on what
+// was written and what the upstream answered:
+//   - nothing was written, or the upstream states that the request did not run: not run;
+//   - anything else: the request may have run. Only a repeatable request is then sent again, and a
+//     failure is never reported as 'not run'.
+// A stream that breaks after its head was forwarded to the caller resumes at another upstream after
+// the last complete event, if its route allows that.
 //
-// An upstream may also fall silent without a reset: its answer was lost, it hangs, its machine
-// froze, or its group stands still. The caller leaves after some time without a word. When half of
-// that time is over, a request that may be repeated goes to another upstream, in a group that makes
-// its passes.
+// An upstream may also fall silent without a reset: its answers are lost, it hangs, its machine is
+// frozen, or its group is stalled. Callers disconnect after a time of silence (the route's silence
+// limit). After half of that time a repeatable request fails over to another upstream, in a group
+// that makes progress.
 //
-// A request under which upstreams have ended, one after the other, is not sent any more, wherever
-// it is: new, waiting for a place, or about to go to another upstream (CrashRecord).
+// A request during which several upstreams have crashed in turn is not sent any more, in any state:
+// new, queued, or about to fail over (CrashRecord).
 //
-// Upstreams may name a limit for all gateways together (UpstreamLimits), and bear little while they
-// warm up (WarmUpLimits). A request goes there only for a permit; where there is nothing else to
-// send it to, it waits a moment for one.
+// Upstreams may set a rate limit for all gateways together (UpstreamLimits), and have a reduced
+// capacity while they warm up (WarmUpLimits). A request is sent to such an upstream only with a
+// permit; if there is no other upstream, it waits for one for a short time.
 //
-// A request that may be served in some regions only is sent nowhere else, and is given up at once
-// while those have no upstream.
+// A request that is restricted to some regions is sent only to those, and is rejected at once if
+// they have no upstream.
 //
-// Streams are admitted by group, because the ranks of a group make every pass together and slow
-// down, stand still and break together: each group has a lane with a bound of its own
-// (GroupTracker). A stream goes to a group of the own hall while that admits it, else to another
-// group, and waits only when none does. A lane whose group stands still, refuses or cannot be
-// reached is avoided while there is another, but for a request now and then that shows when it
-// works again.
+// Streams are admitted by group, because the ranks of a group execute every pass together and
+// therefore slow down, stall and fail together: each group has a tracker with its own limit
+// (GroupTracker). A stream goes to a group of the own hall if that admits it, else to another
+// group, and is queued only if no group admits it. A group that is stalled, refuses or cannot be
+// reached is avoided while there is another, except for an occasional request that probes whether
+// it has recovered.
 //
-// The class is a pure state machine: events and the time come in, actions go out, and the shell
-// around it (src/gateway) carries them out. Single-threaded.
+// Pure state machine: events and the time are passed in, actions are returned, and src/gateway
+// executes them. Single-threaded.
 #pragma once
 
 #include "decision/gateway/groupselector.h"
@@ -68,64 +68,64 @@
 
 namespace seamarch {
 
-// A request as a caller made it, with the route and the account that were found for it.
+// A caller's request with its route and account.
 struct GatewayRequest
 {
     std::shared_ptr<const RouteTable> table; // Keeps `route` alive.
     const RouteRule *route = nullptr;
     AccountId account;
     std::uint8_t priority = 5; // 0 is the most urgent.
-    Duration deadline{};       // How long the caller waits, from its arrival on.
-    Duration age{};            // How long ago it arrived.
-    Residency residency;       // Where it may be served.
-    RequestDigest digest;      // Requests that are the same to an upstream have the same one.
+    Duration deadline{};       // How long the caller waits, from the request's arrival.
+    Duration age{};            // Time since its arrival.
+    Residency residency;       // The regions that may serve it.
+    RequestDigest digest;      // Equal for requests that are identical to an upstream.
 };
 
-// What the head of an upstream's answer says.
+// The meaning of the head of an upstream's answer.
 enum class AnswerKind {
     Success,       // The request ran and succeeded.
-    Failure,       // It ran, or may have, and failed.
-    Full,          // It did not run: the upstream had no room.
-    WrongInstance, // It did not run: another instance has the address.
-    Refused,       // It did not run, for another reason.
+    Failure,       // The request ran, or may have run, and failed.
+    Full,          // The request did not run: the upstream had no capacity.
+    WrongInstance, // The request did not run: another instance has the address.
+    Refused,       // The request did not run, for another reason.
     Invalid,       // The answer belongs to another request or lacks its proof.
 };
 
 // How an attempt's connection ended.
 enum class AttemptEnd {
-    Complete, // The whole answer is here.
+    Complete, // The answer was received completely.
     NotSent,  // Nothing was written.
-    Lost,     // It broke, and the request may have run.
+    Lost,     // The connection broke, and the request may have run.
 };
 
-// Send the request to an upstream.
+// Sends the request to an upstream.
 struct StartAttempt
 {
     RequestNumber request = 0;
-    std::uint32_t attempt = 0; // From 1.
+    std::uint32_t attempt = 0; // Counts from 1.
     UpstreamRecord upstream;
-    GroupId group; // Of the upstream; without a name where none is known.
+    GroupId group; // The upstream's group; empty if unknown.
     Duration timeLeft{};
-    bool mayReuseConnection = false; // A kept connection that may be closing unseen will do.
+    bool mayReuseConnection = false; // Allows an idle connection, which the peer may be closing.
 };
 
-// Close the connection of the attempt that is under way.
+// Closes the connection of the current attempt.
 struct CancelAttempt
 {
     RequestNumber request = 0;
-    bool silent = false; // Its upstream has said nothing for too long; another takes its place.
+    bool silent = false; // Its upstream was silent for too long; the request fails over.
 };
 
-// Tell the caller that the request failed. The request is over.
+// Reports to the caller that the request failed. Ends the request.
 struct RejectRequest
 {
     RequestNumber request = 0;
     FailureCode failure = FailureCode::NoUpstream;
     Outcome outcome = Outcome::NotRun;
-    Duration retryAfter{}; // Zero: nothing is known of when to come back.
+    Duration retryAfter{}; // Zero: not stated to the caller.
 };
 
-// Break off an answer whose head has gone to the caller. The request is over.
+// Aborts an answer whose head was forwarded to the caller. Ends the request.
 struct AbortAnswer
 {
     RequestNumber request = 0;
@@ -135,13 +135,14 @@
 using GatewayAction = std::variant<StartAttempt, CancelAttempt, RejectRequest, AbortAnswer>;
 using GatewayActions = std::vector<GatewayAction>;
 
-// What all gateways together may send of second attempts to a service.
+// Limits on the second attempts that all gateways together send to a service.
 struct RetryLimits
 {
-    double perRequest = 0.0; // That one request earns.
-    double burst = 0.0;      // Besides, within the span that the platform looks at.
+    double perRequest = 0.0; // Second attempts that each request adds to the budget.
+    double burst = 0.0;      // Additional ones within the platform's accounting window.
 };
 
+// Assigns requests to upstreams and decides on retries, failures and reported outcomes.
 class GatewayCore
 {
 public:
@@ -150,38 +151,39 @@
         HallId hall;
         HallRegions regions;
         std::uint64_t seed = 0;
-        // When a refused caller may come back.
+        // Default for when a rejected caller may retry.
         Duration retryAfter = std::chrono::milliseconds(250);
-        // Attempts that could not even connect do not count as attempts; this bounds them.
+        // Limits the attempts that fail to connect, which are not counted as attempts.
         std::uint32_t maxConnectFailures = 3;
         RetryLimits retries;
-        UpstreamChooser::Settings chooser; // Its hall is set from `hall`.
+        UpstreamChooser::Settings chooser; // Hall and regions are set from the members above.
         GroupSelector::Settings selector;
         CrashRecord::Settings crashes;
         UpstreamLimits::Settings limits;
-        // How long a request waits for a permit, when all that it could be sent to name limits:
-        // about the time in which another gateway answers, sooner than a caller comes back.
+        // How long a request waits for a permit if all upstreams that it could be sent to need
+        // one: about the response time of another gateway, and less than a caller's retry delay.
         Duration permitTimeout = std::chrono::milliseconds(200);
-        // A stream that waits for a place is refused so long before its caller leaves: its first
-        // event would come too late.
+        // A queued stream is rejected this long before its caller disconnects: its first event
+        // would come too late.
         Duration queueTimeoutMargin = std::chrono::milliseconds(300);
-        // The wait that is expected by the pace of late is doubled before it is held against what
-        // the caller waits: the pace is that of a second, and may fall as fast.
+        // The expected wait is multiplied by this before it is compared with the caller's limit: it
+        // is derived from the start rate of the last second, which may fall just as fast.
         int waitSafetyFactor = 2;
-        // Bounds on when a caller that was refused for the queue is told to come back.
+        // Bounds of the retry delay for callers that are rejected because of the queue's length.
         Duration minRetryAfter = std::chrono::milliseconds(400);
         Duration maxRetryAfter = std::chrono::milliseconds(2500);
-        // An attempt has this part of the time that its caller bears without a word.
+        // An attempt may be silent for this fraction of the time after which its caller
+        // disconnects.
         double silenceFraction = 0.5;
-        // Callers come back after at most one part in so many of the time that they have left.
+        // Callers honour a retry delay of at most their remaining time divided by this.
         int maxRetryAfterDivisor = 3;
     };
 
     explicit GatewayCore(const Settings &settings);
 
-    // Takes how many gateways share the upstreams, this one among them.
+    // Sets the number of gateways that share the upstreams, including this one.
     void setGateways(std::size_t count);
-    // Takes where this gateway stands among those of its hall.
+    // Sets the position of this gateway among those of its hall.
     void setHallPosition(const HallPosition &position);
     void setRetryLimits(const RetryLimits &limits);
 
@@ -196,45 +198,51 @@
     PermitIssuer &permitIssuer() { return permitIssuer_; }
     WarmUpLimits &warmUps() { return warmUps_; }
 
-    // Admits a request and sends it, has it wait, or rejects it.
+    // Admits a request: sends, queues or rejects it.
     RequestNumber begin(GatewayRequest request, TimePoint now, GatewayActions &actions);
-    // The head of an answer is here. Returns true when it is to go to the caller, or, for a stream
-    // that is being taken up, when its events are to follow those that went before.
+    // Handles the head of an answer. Returns true if the answer is to be forwarded to the caller;
+    // for a stream that resumes, if its events are to be appended to those already forwarded.
     bool onHead(RequestNumber request, AnswerKind kind, TimePoint now, GatewayActions &actions);
-    // The upstream of the attempt under way says something about itself. Comes before `onHead`, so
-    // that what that sends on does not go there.
+    // Handles a notice that the upstream of the current attempt sends about itself. Call it before
+    // `onHead`, so that requests that `onHead` sends again avoid this upstream.
     void onNotice(RequestNumber request, const UpstreamNotice &notice, TimePoint now);
-    // An answer to the attempt under way names this limit for all gateways together, or none.
+    // Handles the limit for all gateways together that an answer to the current attempt states;
+    // nullopt if it states none.
     UpstreamLimits::Change onLimit(RequestNumber request, std::optional<RequestRate> limit,
                                    TimePoint now);
-    // Returns the questions for permits that are due; they are under way from now on.
+    // Returns the permit requests that are due and marks them as sent.
     std::vector<SendPermits::Ask> takePermitAsks(TimePoint now) { return permits_.takeAsks(now); }
-    // The question about `upstream` that was asked at `askedAt` is answered.
+    // Handles the answer to the permit request for `upstream` that was sent at `askedAt`.
     void onPermits(const InstanceId &upstream, const PermitAnswer &answer, TimePoint askedAt,
                    TimePoint now, GatewayActions &actions);
+    // Handles the end of the current attempt's connection.
     void onEnd(RequestNumber request, AttemptEnd end, TimePoint now, GatewayActions &actions);
-    // An upstream has ended while it had a request, at `at`; the request may be over by now.
+    // Handles the end of an upstream at `at` while it ran a request. The request itself may have
+    // ended since.
     void onUpstreamEnded(const RequestDigest &digest, const AccountId &account,
                          const InstanceId &upstream, TimePoint at, TimePoint now,
                          GatewayActions &actions);
-    // The first event of the attempt under way has come.
+    // Handles the first event of the current attempt.
     void onFirstEvent(RequestNumber request, TimePoint now);
-    // An event came `pause` after the one before it of the same attempt.
+    // Handles a further event, `pause` after the previous one of the same attempt.
     void onPause(RequestNumber request, Duration pause, TimePoint now);
-    // The caller has left. The request is over.
+    // Handles a disconnect of the caller. Ends the request.
     void onCallerGone(RequestNumber request, GatewayActions &actions);
-    // Time has passed: gives up requests whose time is over.
+    // Expires old state, fails requests that timed out, fails over silent ones and starts queued
+    // streams. Call it periodically.
     void onTick(TimePoint now, GatewayActions &actions);
 
     std::size_t inFlight() const { return requests_.size(); }
+    // Returns the number of queued streams of a service.
     std::size_t waiting(const TargetName &service) const;
-    // Returns the streams in flight at a service, at all its groups; and the sum of their bounds.
+    // Returns the streams in flight at all groups of a service.
     std::uint32_t streams(const TargetName &service) const;
+    // Returns the sum of the stream limits of all groups of a service.
     double streamLimit(const TargetName &service) const;
-    // Returns the lane of one group; nothing when no request has gone there.
+    // Returns the tracker of one group; nullptr if no request was sent there.
     const GroupTracker *tracker(const TargetName &service, const GroupId &group) const;
     std::uint64_t secondAttempts() const { return secondAttempts_; }
-    // Returns the upstreams that rest, and until when.
+    // Returns the upstreams that asked for a rest, with the end of the rest.
     std::map<InstanceId, TimePoint> resting(TimePoint now) const { return chooser_.resting(now); }
     // Returns this gateway's requests in flight at an upstream.
     std::uint32_t inFlightAt(const InstanceId &upstream) const
@@ -249,26 +257,26 @@
         TargetName service;
         TimePoint failAt{};
         TimePoint arrivedAt{};
-        TimePoint firstSentAt{};      // When its caller first asked, as far as is known.
-        TimePoint attemptStartedAt{}; // The attempt under way.
-        TimePoint progressAt{};       // Its last word; when it was sent, before the first.
-        Duration retryAfterHint{};    // When a refused caller may come back; zero: the usual pause.
-        bool queued = false;          // For the bound on streams; nothing was sent yet.
-        TimePoint permitDeadline{};   // It waits so long for a permit; zero: it does not.
-        InstanceId upstream;          // Of the attempt under way; empty: none.
-        UpstreamRecord upstreamRecord; // That upstream, as it was listed when the attempt began.
-        GroupId group;                 // Of that upstream, when the attempt began.
-        bool hasEvents = false;        // The attempt under way has sent an event.
+        TimePoint firstSentAt{};      // Estimate of when the caller sent it first.
+        TimePoint attemptStartedAt{}; // Start of the current attempt.
+        TimePoint progressAt{};       // Last sign of progress of the current attempt, or its start.
+        Duration retryAfterHint{};    // Retry delay for a rejection; zero: the default.
+        bool queued = false;          // In the stream queue; no attempt is in progress.
+        TimePoint permitDeadline{};   // End of the wait for a permit; zero: not waiting.
+        InstanceId upstream;          // Of the current attempt; empty if there is none.
+        UpstreamRecord upstreamRecord; // Its record at the start of the attempt.
+        GroupId group;                 // Its group at the start of the attempt.
+        bool hasEvents = false;        // The current attempt has sent an event.
         std::set<InstanceId> tried;
-        std::uint32_t attempts = 0; // That reached an upstream, as far as is known.
-        bool refusedBefore = false; // An upstream has refused it already.
+        std::uint32_t attempts = 0; // Attempts that connected, as far as is known.
+        bool refusedBefore = false; // Refused by an upstream and queued again.
         std::uint32_t connectFailures = 0;
         bool mayHaveRun = false;
         bool headSent = false;
-        bool attemptHasHead = false; // The attempt under way has sent its head.
+        bool attemptHasHead = false; // The current attempt's head was accepted.
     };
 
-    // The streams in flight at one service, by group, and those that wait.
+    // The streams of one service: in flight, by group, and queued.
     struct ServiceState
     {
         explicit ServiceState(const GroupSelector::Settings &settings)
@@ -276,10 +284,9 @@
         {}
 
         GroupSelector selector;
-        std::deque<TimePoint> recentStarts; // Of the streams of the last second.
+        std::deque<TimePoint> recentStarts; // Stream starts within the last second.
         StreamQueue waiting;
-        Duration
-            meanTimeToFirstEvent{}; // From an attempt's start, on average of late; zero: not known.
+        Duration meanTimeToFirstEvent{}; // Moving average, from the attempt's start; zero: unknown.
     };
 
     RetryBudget::Settings budgetShare() const;
@@ -329,13 +336,13 @@
     WarmUpLimits warmUps_;
     SendPermits permits_;
     PermitIssuer permitIssuer_;
-    UpstreamChooser chooser_; // Refers to the tables and permits.
+    UpstreamChooser chooser_; // Holds references to the members above.
     std::set<RequestNumber> permitWaiters_;
     CrashRecord crashes_;
-    std::uint64_t crashCursor_ = 0; // The state of the record that requests were held against.
+    std::uint64_t crashCursor_ = 0; // Cursor of `crashes_` at the last check.
     std::unordered_map<TargetName, RetryBudget> budgets_;
     std::unordered_map<TargetName, ServiceState> services_;
-    std::unordered_map<std::string, RequestAgeEstimator> ageEstimators_; // By the route's name.
+    std::unordered_map<std::string, RequestAgeEstimator> ageEstimators_; // Keyed by route name.
     std::unordered_map<RequestNumber, Request> requests_;
     std::size_t gateways_ = 1;
     HallPosition hallPosition_;
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -1,4 +1,4 @@
-// The part of GatewayCore that deals with upstreams that name a limit for all gateways together.
+// The part of GatewayCore that handles upstreams with a limit for all gateways together.
 #include "decision/gateway/gatewaycore.h"
 
 #include <algorithm>
@@ -6,8 +6,8 @@
 
 namespace seamarch {
 
-// Sends a request that was not sent yet. Where only a permit is lacking and one may come in a
-// moment it waits, else it is given up.
+// Sends a request that was not sent yet. If only a permit is missing and one may arrive within the
+// permit timeout, the request waits; otherwise it fails.
 void GatewayCore::startOrAwaitPermit(RequestNumber number, Request &request,
                                      const std::optional<GroupId> &group, TimePoint now,
                                      GatewayActions &actions)
@@ -25,7 +25,8 @@
     giveUp(number, FailureCode::NoUpstream, now, actions);
 }
 
-// Sends what waits for permits, in the order of arrival; gives up what waits in vain.
+// Sends requests that wait for permits, in the order of arrival. Fails those whose wait timed out
+// or that cannot get a permit in time.
 void GatewayCore::servePermitWaiters(TimePoint now, GatewayActions &actions)
 {
     const std::vector<RequestNumber> waiting(permitWaiters_.begin(), permitWaiters_.end());
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -1,5 +1,5 @@
-// The part of GatewayCore that admits streams: which lane takes one, how long it may wait for a
-// place, and when those that wait begin.
+// The part of GatewayCore that admits streams: selects the group for a stream, limits its time in
+// the queue and starts queued streams.
 #include "decision/gateway/gatewaycore.h"
 
 #include <algorithm>
@@ -7,8 +7,8 @@
 namespace seamarch {
 namespace {
 
-// A caller that has waited for less than this is at its first try: what it states may be less than
-// its program's figure by the time that its connection took.
+// A request that is younger than this counts as a first try: the deadline that a caller states may
+// be shorter than its configured one by the time that connecting took.
 constexpr Duration kMinRetryAge = std::chrono::milliseconds(200);
 
 } // namespace
@@ -21,27 +21,27 @@
     entry.number = number;
     entry.priority = request.request.priority;
     entry.isRetry = request.arrivedAt - request.firstSentAt >= kMinRetryAge;
-    // Without a goal there is no moment from which on the caller would be worse off.
+    // Without a latency goal a later start is no worse until the request fails.
     entry.startDeadline = goal > Duration{}
                               ? request.firstSentAt + goal - service.meanTimeToFirstEvent
                               : request.failAt;
     return entry;
 }
 
-// Returns how long a stream may wait for a place; its caller leaves not long after.
+// Returns how long a stream may be queued; its caller disconnects shortly after that.
 Duration GatewayCore::maxQueueTime(const Request &request) const
 {
     return request.request.route->silenceLimit - settings_.queueTimeoutMargin;
 }
 
-// Returns the latest moment at which the caller would come back.
+// Returns the longest retry delay that the caller honours.
 Duration GatewayCore::maxHonouredRetryAfter(const Request &request, TimePoint now) const
 {
     const Duration left = request.arrivedAt + request.request.deadline - now;
     return std::max(settings_.minRetryAfter, left / settings_.maxRetryAfterDivisor);
 }
 
-// Has a stream wait for a place, or refuses it at once where the queue is too long.
+// Queues a stream, or rejects it at once if the expected wait is too long.
 void GatewayCore::queueStream(RequestNumber number, Request &request, TimePoint now,
                               GatewayActions &actions)
 {
@@ -61,11 +61,11 @@
     service.waiting.add(entry, now);
 }
 
-// Tells whether all groups refuse, one will soon take requests, and the queue is no longer than
-// what can begin then.
+// Returns whether no group accepts requests but one will soon, and the queue is no longer than the
+// number of streams that can start then.
 bool GatewayCore::mayQueueUntilOpen(ServiceState &service, TimePoint now) const
 {
-    constexpr double kQueuedPerSlot = 2.0; // A place is free again after a second or two.
+    constexpr double kQueuedPerSlot = 2.0; // A slot is free again after a second or two.
     double slots = 0.0;
     for (const auto &[group, tracker] : service.selector.all()) {
         slots += tracker.limiter().limit();
@@ -74,7 +74,8 @@
            && static_cast<double>(service.waiting.size()) < kQueuedPerSlot * slots;
 }
 
-// Has a stream wait that an upstream has refused because its group has yet to open.
+// Queues a stream that an upstream refused because its group does not accept requests yet. Returns
+// false if the stream may not be queued.
 bool GatewayCore::requeue(RequestNumber number, Request &request, TimePoint now)
 {
     ServiceState &service = serviceOf(request.service);
@@ -86,12 +87,12 @@
     request.queued = true;
     request.refusedBefore = true;
     request.tried.clear();
-    request.attempts = 0; // None has run.
+    request.attempts = 0; // No attempt has run.
     service.waiting.add(queueEntryFor(number, request, service), now);
     return true;
 }
 
-// Returns the state of a service, with the groups that it has now.
+// Returns the state of a service with its groups brought up to date; adds it if there is none.
 GatewayCore::ServiceState &GatewayCore::serviceOf(const TargetName &service)
 {
     ServiceState &state = services_.try_emplace(service, settings_.selector).first->second;
@@ -104,7 +105,7 @@
     return serviceOf(request.service).selector.tracker(request.group);
 }
 
-// Returns how long a stream would wait at the pace of the last second.
+// Returns how long a stream would be queued at the start rate of the last second.
 Duration GatewayCore::expectedWait(ServiceState &service, const StreamQueue::Entry &entry,
                                    TimePoint now)
 {
@@ -118,7 +119,7 @@
     return kWindow * (ahead + 1) / startRate;
 }
 
-// Starts waiting requests while lanes admit them.
+// Starts queued streams while a group admits them.
 void GatewayCore::admitQueued(ServiceState &service, TimePoint now, GatewayActions &actions)
 {
     for (auto next = service.waiting.next(now); next; next = service.waiting.next(now)) {
@@ -142,7 +143,7 @@
 
 void GatewayCore::onFirstEvent(RequestNumber number, TimePoint now)
 {
-    constexpr int kHistoryWeight = 8; // Of the average so far, against one of the new time.
+    constexpr int kHistoryWeight = 8; // Weight of the previous average; a new sample has weight 1.
     Request *request = find(number);
     if (request == nullptr || request->upstream == InstanceId() || request->hasEvents) {
         return;
