--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -65,7 +65,7 @@
 
 void GatewayCore::setHallPosition(const HallPosition &position)
 {
-    hallPosition_ = place;
+    hallPosition_ = position;
     chooser_.setPlace(position);
 }
 
