--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -129,7 +129,7 @@
     const Request &request = found->second;
     ServiceState &service = serviceOf(request.service);
     if (request.queued) {
-        service.waiting.remove(number);
+        service.queue.remove(number);
     }
     permitWaiters_.erase(number);
     requests_.erase(found);
@@ -543,7 +543,7 @@
     failOverSilent(now, actions);
     for (auto &[name, service] : services_) {
         ServiceState &current = serviceOf(name);
-        current.selector.onTick(current.waiting.size(), groups_, now);
+        current.selector.onTick(current.queue.size(), groups_, now);
         admitQueued(current, now, actions);
     }
 }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -285,7 +285,7 @@
 
         GroupSelector selector;
         std::deque<TimePoint> recentStarts; // Stream starts within the last second.
-        StreamQueue waiting;
+        StreamQueue queue;
         Duration meanTimeToFirstEvent{}; // Moving average, from the attempt's start; zero: unknown.
     };
 
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -49,7 +49,7 @@
     const StreamQueue::Entry entry = queueEntryFor(number, request, service);
     request.queued = true;
     if (mayQueueUntilOpen(service, now)) {
-        service.waiting.add(entry, now);
+        service.queue.add(entry, now);
         return;
     }
     const Duration wait = expectedWait(service, entry, now);
@@ -58,7 +58,7 @@
         giveUp(number, FailureCode::NoUpstream, now, actions);
         return;
     }
-    service.waiting.add(entry, now);
+    service.queue.add(entry, now);
 }
 
 // Returns whether no group accepts requests but one will soon, and the queue is no longer than the
@@ -71,7 +71,7 @@
         slots += tracker.limiter().limit();
     }
     return service.selector.opensSoon(groups_, now)
-           && static_cast<double>(service.waiting.size()) < kQueuedPerSlot * slots;
+           && static_cast<double>(service.queue.size()) < kQueuedPerSlot * slots;
 }
 
 // Queues a stream that an upstream refused because its group does not accept requests yet. Returns
@@ -88,7 +88,7 @@
     request.refusedBefore = true;
     request.tried.clear();
     request.attempts = 0; // No attempt has run.
-    service.waiting.add(queueEntryFor(number, request, service), now);
+    service.queue.add(queueEntryFor(number, request, service), now);
     return true;
 }
 
@@ -113,7 +113,7 @@
     while (!service.recentStarts.empty() && now - service.recentStarts.front() > kWindow) {
         service.recentStarts.pop_front();
     }
-    const auto ahead = static_cast<Duration::rep>(service.waiting.countAhead(entry, now));
+    const auto ahead = static_cast<Duration::rep>(service.queue.countAhead(entry, now));
     const auto startRate =
         static_cast<Duration::rep>(std::max<std::size_t>(1, service.recentStarts.size()));
     return kWindow * (ahead + 1) / startRate;
@@ -122,13 +122,13 @@
 // Starts queued streams while a group admits them.
 void GatewayCore::admitQueued(ServiceState &service, TimePoint now, GatewayActions &actions)
 {
-    for (auto next = service.waiting.next(now); next; next = service.waiting.next(now)) {
+    for (auto next = service.queue.next(now); next; next = service.queue.next(now)) {
         const auto group = service.selector.selectForNew(*next, groups_, now);
         if (!group) {
             return;
         }
         const RequestNumber number = next->number;
-        service.waiting.remove(number);
+        service.queue.remove(number);
         Request &request = requests_.at(number);
         request.queued = false;
         service.recentStarts.push_back(now);
@@ -170,7 +170,7 @@
 std::size_t GatewayCore::waiting(const TargetName &service) const
 {
     const auto found = services_.find(service);
-    return found == services_.end() ? 0 : found->second.waiting.size();
+    return found == services_.end() ? 0 : found->second.queue.size();
 }
 
 std::uint32_t GatewayCore::streams(const TargetName &service) const
