--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -234,7 +234,7 @@
 
     std::size_t inFlight() const { return requests_.size(); }
     // Returns the number of queued streams of a service.
-    std::size_t waiting(const TargetName &service) const;
+    std::size_t queuedStreams(const TargetName &service) const;
     // Returns the streams in flight at all groups of a service.
     std::uint32_t streams(const TargetName &service) const;
     // Returns the sum of the stream limits of all groups of a service.
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -167,7 +167,7 @@
     }
 }
 
-std::size_t GatewayCore::waiting(const TargetName &service) const
+std::size_t GatewayCore::queuedStreams(const TargetName &service) const
 {
     const auto found = services_.find(service);
     return found == services_.end() ? 0 : found->second.queue.size();
