--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -143,7 +143,7 @@
              {"group", action.group.value()},
              {"streams", tracker == nullptr ? 0 : tracker->inFlight()},
              {"streamLimit", tracker == nullptr ? 0.0 : tracker->limiter().limit()},
-             {"waiting", core_.waiting(service)},
+             {"waiting", core_.queuedStreams(service)},
              {"upstream", action.upstream.id.value()},
              {"hall", action.upstream.hall.value()},
              {"inFlightThere", core_.inFlightAt(action.upstream.id)},
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -305,7 +305,7 @@
     begin(Kind::Stream);
     CHECK_TRUE(rejected().outcome == Outcome::NotRun);
     CHECK_TRUE(rejected().retryAfter == Duration(std::chrono::seconds(1)));
-    LONGS_EQUAL(2, core->waiting(TargetName("service")));
+    LONGS_EQUAL(2, core->queuedStreams(TargetName("service")));
 }
 
 TEST(GatewayCoreTest, QueuedStreamIsRejectedAsNotRunAfterTimeout)
@@ -433,7 +433,7 @@
     actions.clear();
     core->onHead(number, AnswerKind::Full, at(5), actions);
     LONGS_EQUAL(0, count(true));
-    LONGS_EQUAL(1, core->waiting(TargetName("service")));
+    LONGS_EQUAL(1, core->queuedStreams(TargetName("service")));
 }
 
 TEST(GatewayCoreAfterPowerCutTest, FormingGroupIsProbedPeriodically)
@@ -504,5 +504,5 @@
     begin(10'020);
     begin(10'030);
     LONGS_EQUAL(0, count(true));
-    LONGS_EQUAL(2, core->waiting(TargetName("service")));
+    LONGS_EQUAL(2, core->queuedStreams(TargetName("service")));
 }
--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -224,16 +224,16 @@
 TEST(SuspectRequestTest, QueuedSuspectIsRejectedOnceCrashesAreReported)
 {
     std::vector<RequestNumber> running;
-    while (core->waiting(TargetName("service")) == 0) {
+    while (core->queuedStreams(TargetName("service")) == 0) {
         running.push_back(begin(Kind::Stream, kHarmless));
     }
     core->onCallerGone(running.back(), actions);
     begin(Kind::Stream);
-    LONGS_EQUAL(1, core->waiting(TargetName("service")));
+    LONGS_EQUAL(1, core->queuedStreams(TargetName("service")));
     actions.clear();
     recordCrashes(3);
     core->onTick(at(30), actions);
-    LONGS_EQUAL(0, core->waiting(TargetName("service")));
+    LONGS_EQUAL(0, core->queuedStreams(TargetName("service")));
     CHECK_TRUE(last<RejectRequest>()->failure == FailureCode::RequestEndsUpstreams);
 }
 
