--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -51,7 +51,7 @@
 {
     connectFailures_ = 0;
     const bool stalled = now - sentAt >= settings_.lateRefusalAge;
-    // A group that forms refuses at once; one that took a request before it refused has lost a
+    // A forming group refuses at once; one that accepted a request before it refused has lost a
     // rank.
     hasServed_ = hasServed_ || stalled;
     firstRefusalAt_ = firstRefusalAt_.value_or(now);
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -1,11 +1,11 @@
-// The streams that a gateway has at one group of engines, and what it concludes of the group from
+// Tracks the streams that a gateway has at one group of engines and derives the group's health from
 // them alone.
 //
-// The ranks of a group make their passes together: all its streams get an event at the end of each
-// pass, and none while the group stands still. So a few streams tell within some passes' time that
-// a group is held, cut off or has lost a rank, long before its upstreams refuse anything. A lane
-// says whether new streams should rather go elsewhere; it never forbids its group when there is no
-// other.
+// The ranks of a group execute their passes together: all its streams get an event at the end of
+// each pass, and none while the group is stalled. So a few streams show within some passes that a
+// group is held, cut off or has lost a rank, long before its upstreams refuse requests. The tracker
+// only reports whether new streams should rather go elsewhere; if there is no other group, the
+// group may still be used.
 //
 // Pure and single-threaded; one object for each group of a service.
 #pragma once
@@ -24,33 +24,36 @@
     struct Settings
     {
         StreamLimiter::Settings streams;
-        // A group whose streams have all been silent for so many times their pause goal stands
-        // still. After a shift of demand passes take up to two and a half times as long as before,
-        // which stays below; a hold that is released in time lasts as long as one or two passes.
+        // A group is stalled if all its streams have been silent for this many times their pause
+        // goal. The silences of normal operation are shorter: after a shift of demand passes take
+        // up to 2.5 times as long as before, and a hold that is released in time lasts for one or
+        // two passes.
         double stallGoalFactor = 2.0;
-        // Shorter silences happen on a lossy link, where a lost packet is sent again after a fifth
-        // of a second.
+        // Lower bound of the stall timeout: a lossy link causes shorter silences, as a lost packet
+        // is retransmitted after 200 ms.
         Duration minStallTimeout = std::chrono::milliseconds(250);
-        // While no stream has sent an event yet, the first may take this long: some passes, in
-        // which the prompt is read, behind a few others.
+        // Stall timeout while no stream has sent an event yet: the first event takes the passes
+        // that read its prompt and a few other prompts before it.
         Duration firstEventTimeout = std::chrono::milliseconds(1000);
-        // A group that has refused everything for this long is out.
+        // A group that has refused all requests for this long counts as refusing.
         Duration outageDelay = std::chrono::milliseconds(300);
-        // Engines that have just started refuse until their group has formed. Where the group has
-        // never taken a request from here, that is held for the reason this long: starting takes a
-        // second or two, and forming what the configuration says, less than one.
+        // Engines that have just started refuse until their group has formed. A group that has
+        // never served a request of this gateway is assumed to be forming for this long after its
+        // first refusal: starting takes one to two seconds, and forming takes the configured time,
+        // less than one second.
         Duration formingTimeout = std::chrono::seconds(3);
-        // A group whose streams have had an event within this time makes its passes: they are some
-        // 50 to 200 ms apart.
+        // A group makes progress if a stream had an event within this time: passes take about 50
+        // to 200 ms.
         Duration recentEventWindow = std::chrono::milliseconds(300);
-        // An upstream without room refuses at once. One that refuses only after so long had taken
-        // the request and stood still: its whole group does, and says so to all at this moment.
+        // An upstream without capacity refuses at once. One that refuses only after this time had
+        // accepted the request and was stalled with its whole group, which refuses all its requests
+        // at this moment.
         Duration lateRefusalAge = std::chrono::milliseconds(1000);
-        // So many upstreams in a row that could not be connected to: the way to the group is cut.
+        // A group is unreachable after this many failures to connect in a row.
         std::uint32_t unreachableThreshold = 2;
-        // How often a lane that should be avoided is tried with one request all the same.
+        // Interval at which one request is sent to a group that is avoided.
         Duration probeInterval = std::chrono::milliseconds(250);
-        // A try costs its request the time of a connection that is not made.
+        // The same for an unreachable group, where a probe delays its request by a connect timeout.
         Duration unreachableProbeInterval = std::chrono::milliseconds(1000);
     };
 
@@ -64,47 +67,49 @@
     const StreamLimiter &limiter() const { return limiter_; }
     std::uint32_t inFlight() const { return inFlight_; }
 
-    // A stream was sent there.
+    // Records that a stream was sent to the group.
     void onStreamStart(TimePoint now);
-    // It is there no more; `spoke`: it had sent events.
+    // Records that a stream left the group. `hadEvents`: it had sent events.
     void onStreamEnd(bool hadEvents);
-    // A stream has sent its first event.
+    // Records the first event of a stream.
     void onFirstEvent(TimePoint now);
-    // An event came `pause` after the one before it on the same stream; `goal` is its route's.
+    // Records a further event, `pause` after the previous one of the same stream. `goal` is the
+    // pause goal of its route; zero if it has none.
     void onPause(Duration pause, Duration goal, TimePoint now);
 
-    // An upstream of the group has answered a request, and not for want of room. Returns true when
-    // that ends an outage.
+    // Records an answer of the group's upstreams other than a refusal for lack of capacity. Returns
+    // true if it ends an outage.
     bool onAnswer(TimePoint now);
-    // An upstream has refused, for want of room, a request that was sent at `sentAt`.
+    // Records a refusal, for lack of capacity, of a request that was sent at `sentAt`.
     void onRefusal(TimePoint sentAt, TimePoint now);
-    // An upstream could not be connected to.
+    // Records a failure to connect to an upstream of the group.
     void onUnreachable(TimePoint now);
-    // A request goes there although the lane should be avoided.
+    // Records that a request is sent to the group as a probe.
     void onProbe(TimePoint now) { probedAt_ = now; }
 
-    // Adapts the bound and looks for a standstill. `waiting` is the number of requests that wait
-    // for a place there.
+    // Adapts the stream limit and detects a stall. `waiting` is the number of queued requests that
+    // could go to the group.
     void onTick(std::size_t waiting, TimePoint now);
 
-    // Tells whether the group was found to stand still, and nothing was heard of it since.
+    // Returns whether a stall was detected and no event has come since.
     bool isStalled() const { return stalled_; }
+    // Returns whether the group has refused all requests for at least the outage delay.
     bool isRefusing(TimePoint now) const;
     bool isUnreachable() const { return connectFailures_ >= settings_.unreachableThreshold; }
-    // Tells whether no stream there has sent an event for a while, or there is none.
+    // Returns whether no stream has sent an event within the first-event timeout, or at all.
     bool isQuiet(TimePoint now) const
     {
         return producing_ == 0 || now - progressAt_ >= settings_.firstEventTimeout;
     }
-    // Tells whether some stream there has had an event within the last passes.
+    // Returns whether a stream has had an event within the last passes.
     bool hasRecentEvent(TimePoint now) const
     {
         return producing_ > 0 && now - progressAt_ < settings_.recentEventWindow;
     }
-    // Tells whether the group refuses, and probably because it has just started.
+    // Returns whether the group refuses, probably because it has just started.
     bool mayBeForming(TimePoint now) const;
-    // Tells whether it is time to see with one request whether an avoided lane works again. Streams
-    // that are there will show it themselves.
+    // Returns whether an avoided group is due for a probe. A stalled group with streams in flight
+    // needs none: their events show that it has recovered.
     bool probeDue(TimePoint now) const;
 
 private:
@@ -114,14 +119,14 @@
     Settings settings_;
     StreamLimiter limiter_;
     std::uint32_t inFlight_ = 0;
-    std::uint32_t producing_ = 0; // Of those, that have sent events.
-    Duration pauseGoal_{};        // Of the pauses, as last told.
-    TimePoint progressAt_{};      // The last event of any stream, or the first stream after none.
+    std::uint32_t producing_ = 0; // Streams in flight that have sent events.
+    Duration pauseGoal_{};        // The last one that was stated.
+    TimePoint progressAt_{};      // Last event, or start of the first stream of an idle group.
     bool stalled_ = false;
-    bool hasServed_ = false;                  // The group has taken a request, at any time.
-    std::optional<TimePoint> refusingSince_;  // No upstream has answered otherwise since.
-    std::optional<TimePoint> firstRefusalAt_; // The first time that one refused.
-    std::uint32_t connectFailures_ = 0;       // Attempts in a row that could not connect.
+    bool hasServed_ = false;                  // The group has accepted a request at some time.
+    std::optional<TimePoint> refusingSince_;  // Start of the current run of refusals.
+    std::optional<TimePoint> firstRefusalAt_; // First refusal of all.
+    std::uint32_t connectFailures_ = 0;       // Consecutive failures to connect.
     TimePoint probedAt_{};
 };
 
