--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -17,7 +17,7 @@
     if (ratio >= settings_.nearGoalRatio) {
         nearGoalAt_ = now;
     } else if (nearGoalAt_ && now > *nearGoalAt_) {
-        nearGoalAt_.reset(); // A later pass was short again.
+        nearGoalAt_.reset(); // A later pass was short.
     }
 }
 
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -1,12 +1,13 @@
-// Bounds how many streams a gateway has in flight at one service, so that the pauses between their
-// events stay within the routes' goal.
+// Limits the streams that a gateway has in flight at one group of engines, so that the pauses
+// between their events stay within the routes' goal.
 //
-// Engines make one pass for all their streams together: the more run, the longer every pause of
-// every stream. The gateways of a site cannot see each other's streams, but all see the same
-// pauses. Each lowers its bound by a part when pauses come near the goal and raises it step by step
-// while they are short and requests wait; so they share the engines without a word between them.
+// Engines execute one pass for all their streams together: the more streams run, the longer are the
+// pauses of all of them. The gateways of a site do not know each other's streams, but all observe
+// the same pauses. Each lowers its limit by a factor when pauses come near the goal, and raises it
+// in steps while pauses are short and requests are queued (additive increase, multiplicative
+// decrease). So gateways share the engines without communication between them.
 //
-// Pure and single-threaded; one object for each service.
+// Pure and single-threaded; one object for each group of a service.
 #pragma once
 
 #include "seamarch/units.h"
@@ -21,31 +22,32 @@
 public:
     struct Settings
     {
-        // Streams, before anything is known of the upstreams.
+        // Limit before the slots of the upstreams are known.
         double initial = 12.0;
-        // Of an even share of the upstreams' slots, which the bound begins with: some gateways have
-        // more callers than others, and those that need more get it within a second.
+        // Fraction of an even share of the upstreams' slots that the limit starts with: some
+        // gateways have more callers than others, and those that need more get it within a second.
         double initialShare = 0.6;
-        double minLimit = 3.0; // Below it a gateway would learn nothing of the pauses.
+        double minLimit = 3.0; // With fewer streams a gateway gets too few pause samples.
         double maxLimit = 200.0;
-        // Parts of the goal: above the first the bound falls, below the second it may rise.
+        // Ratios of pause to goal: above the first the limit falls, below the second it may rise.
         double decreaseAbove = 0.92;
         double increaseBelow = 0.75;
         double decreaseFactor = 0.88;
         double increaseStep = 1.0;
-        // Added to the increase for each request that waits, so that gateways share by demand.
+        // Added to the step for each queued request, so that gateways share by demand.
         double increasePerQueued = 0.3;
-        // From this part of the goal on a pause strains: reading a prompt takes a tenth to a fifth
-        // of a pass.
+        // Ratio of pause to goal from which on a pause is near the goal: reading a prompt takes a
+        // tenth to a fifth of a pass.
         double nearGoalRatio = 0.8;
-        // Pauses are heard at the end of each pass: longer than the goal nothing need be waited
-        // for.
+        // How long a pause near the goal counts. New pauses are observed at the end of each pass,
+        // so there is no need to wait for longer than the goal.
         Duration nearGoalTtl = std::chrono::milliseconds(150);
-        // While streams are in flight and none has said a word for this long, the engines stand
-        // still, and that nobody complains of long pauses says nothing: engines that wait for a
-        // lost one give up after some 1.5 s.
+        // If streams are in flight and none has had an event for this long, the engines are
+        // stalled, and the absence of long pauses must not raise the limit. Engines that wait for a
+        // lost one give up after about 1.5 s.
         Duration stallTimeout = std::chrono::milliseconds(1500);
-        // How often the bound changes: some passes long, so that a change shows before the next.
+        // Interval between changes of the limit: some passes, so that a change takes effect before
+        // the next.
         Duration adaptPeriod = std::chrono::milliseconds(200);
     };
 
@@ -55,20 +57,21 @@
         , limit_(settings.initial)
     {}
 
-    // An event came `pause` after the one before it on the same stream; `goal` is its route's.
+    // Adds a sample: an event came `pause` after the previous one of the same stream. `goal` is the
+    // pause goal of its route; samples without a goal (zero) are ignored.
     void onPause(Duration pause, Duration goal, TimePoint now);
-    // Begins with an even share of `slots` among `gateways`, where the bound is above it or no
-    // pause was heard yet: the engines are new, or have stood still while callers queued.
+    // Resets the limit to the initial share of `slots` among `gateways` if the limit is above that
+    // or there are no samples: the engines are new, or were stalled while callers queued.
     void resetToShare(double slots, double gateways);
-    // Begins with the fewest streams.
+    // Resets the limit to its minimum.
     void resetToMinimum();
-    // Tells whether any pause was heard; until then the bound is a guess.
+    // Returns whether there is any sample; until then the limit is a guess.
     bool hasSamples() const { return sampledAt_.has_value(); }
-    // Adapts the bound. `waiting` is the number of requests that wait for it.
+    // Adapts the limit. `waiting` is the number of requests that are queued for it.
     void onTick(std::uint32_t inFlight, std::size_t waiting, TimePoint now);
 
-    // Tells whether the last pauses came so near the goal that a prompt more in the engines' next
-    // passes may take them over it.
+    // Returns whether the last pauses were so near the goal that another prompt in the engines'
+    // next passes may take them over it.
     bool nearGoal(TimePoint now) const
     {
         return nearGoalAt_ && now - *nearGoalAt_ < settings_.nearGoalTtl;
@@ -80,9 +83,9 @@
 private:
     Settings settings_;
     double limit_ = Settings().initial;
-    double maxRatio_ = 0.0; // Of the period's pauses, in parts of the goal.
+    double maxRatio_ = 0.0; // Longest pause of this period, as a ratio of its goal.
     bool sampledInPeriod_ = false;
-    std::optional<TimePoint> sampledAt_; // A pause, of any length.
+    std::optional<TimePoint> sampledAt_; // Time of the last sample.
     TimePoint adaptedAt_{};
     std::optional<TimePoint> nearGoalAt_;
 };
