--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -14,7 +14,7 @@
     return {entry.priority, late, entry.number};
 }
 
-// Moves the streams whose time to begin has passed behind those that can still be in time.
+// Moves the streams whose start deadline has passed behind those that are still in time.
 void StreamQueue::demoteLate(TimePoint now)
 {
     while (!startDeadlines_.empty() && startDeadlines_.begin()->first < now) {
--- a/src/decision/gateway/streamqueue.h
+++ b/src/decision/gateway/streamqueue.h
@@ -1,9 +1,9 @@
-// The streams of one service that wait for a place, in the order in which they get one.
+// A queue of the streams of one service that wait for a slot, ordered by priority and deadline.
 //
-// A more urgent stream goes first. Among equals, one that can still begin in time for its caller
-// goes before one that cannot: a place that comes too late for the first of a queue is worth more
-// to the next, and the first is late either way. Of those that are late, callers that were refused
-// before go first, because they do not come a third time; then the oldest.
+// More urgent streams go first. Among equals, a stream that can still start in time for its caller
+// goes before one that is late: a slot is worth more to a stream that can use it in time, and the
+// other one is late in any case. Among late streams, retries of callers that were rejected before
+// go first, because such callers do not try a third time; then the oldest.
 //
 // Pure and single-threaded.
 #pragma once
@@ -19,7 +19,7 @@
 
 namespace seamarch {
 
-// Names one request within one life of a gateway.
+// Identifies a request within one run of a gateway process.
 using RequestNumber = std::uint64_t;
 
 class StreamQueue
@@ -27,25 +27,25 @@
 public:
     struct Entry
     {
-        RequestNumber number = 0; // Rises with arrival.
-        std::uint8_t priority = 0;
-        bool isRetry = false;      // Its caller was refused before.
-        TimePoint startDeadline{}; // A start after this is too late for the caller's goal.
+        RequestNumber number = 0;  // Increases in order of arrival.
+        std::uint8_t priority = 0; // 0 is the most urgent.
+        bool isRetry = false;      // Its caller was rejected before.
+        TimePoint startDeadline{}; // A later start misses the route's latency goal.
     };
 
     void add(const Entry &entry, TimePoint now);
     void remove(RequestNumber number);
-    // Returns the stream that goes next; nothing when none waits.
+    // Returns the next stream without removing it; nullopt if the queue is empty.
     std::optional<Entry> next(TimePoint now);
-    // Takes it out.
+    // Removes the next stream and returns its number; nullopt if the queue is empty.
     std::optional<RequestNumber> takeNext(TimePoint now);
-    // Returns how many would go before `entry`.
+    // Returns the number of streams that would go before `entry`.
     std::size_t countAhead(const Entry &entry, TimePoint now);
     std::size_t size() const { return entries_.size(); }
     bool empty() const { return entries_.empty(); }
 
 private:
-    // What a stream may still expect, the best first.
+    // Whether a stream can still start in time; in the order of service.
     enum class Timeliness : std::uint8_t { InTime, LateRetry, Late };
 
     using Key = std::tuple<std::uint8_t, Timeliness, RequestNumber>;
@@ -55,7 +55,7 @@
 
     std::unordered_map<RequestNumber, Entry> entries_;
     std::map<Key, RequestNumber> order_;
-    // Streams that could begin in time when they were last looked at, by the end of that.
+    // Streams that are in `order_` as InTime, by start deadline.
     std::multimap<TimePoint, RequestNumber> startDeadlines_;
 };
 
