--- a/src/decision/gateway/requestageestimator.cpp
+++ b/src/decision/gateway/requestageestimator.cpp
@@ -5,12 +5,12 @@
 namespace seamarch {
 namespace {
 
-// A time counts as that of a first try from this part of all stated ones on, and when it has come
-// several times: in a second of refusals most requests may be second tries, each with a time of its
-// own.
+// A deadline counts as an initial one if at least 1/kMinShareDivisor of all requests, and no fewer
+// than kMinCount, state it. The share is small because during a second of rejections most requests
+// may be retries, each with a deadline of its own.
 constexpr std::uint32_t kMinShareDivisor = 20;
 constexpr std::uint32_t kMinCount = 3;
-// Bounds the memory, and lets old habits fade.
+// Limits the memory; beyond it all counts are halved, so that values no longer in use fade out.
 constexpr std::size_t kMaxDeadlines = 200;
 
 } // namespace
--- a/src/decision/gateway/requestageestimator.h
+++ b/src/decision/gateway/requestageestimator.h
@@ -1,10 +1,10 @@
-// How long ago the caller of a request first asked, from the time that it says it still waits.
+// Estimates how long ago the caller of a request sent it first, from the deadline that it states.
 //
-// Callers that come back after a refusal state what is left of their time. What a first try states
-// is not told anywhere, but it is a figure of the caller's program: the same ones come again and
-// again, while what is left after a refusal is a different number each time. So a time that makes
-// up a part of all that were stated counts as that of a first try, and any other is measured
-// against the next longer such time. Where no time repeats, every request counts as a first try.
+// Callers that retry after a rejection state their remaining time. The initial deadline is not
+// transmitted, but it is a constant of the caller's program: the same values are stated again and
+// again, while the remaining time of a retry differs each time. So a deadline that makes up a
+// minimum share of all stated ones counts as an initial deadline, and any other is compared with
+// the next longer initial deadline. If no deadline repeats, every request counts as a first try.
 //
 // Pure and single-threaded; one object for each route.
 #pragma once
@@ -19,14 +19,15 @@
 class RequestAgeEstimator
 {
 public:
-    // Notes what a caller states, and returns how long ago it first asked.
+    // Records a stated deadline and returns the estimated time since the caller's first try; zero
+    // for a first try.
     Duration estimateAge(Duration deadline);
 
 private:
     void recordSample(Duration deadline);
     bool isInitialDeadline(std::uint32_t count) const;
 
-    std::map<Duration, std::uint32_t> counts_; // By stated time.
+    std::map<Duration, std::uint32_t> counts_; // Requests by stated deadline.
     std::uint32_t total_ = 0;
 };
 
