--- a/src/decision/gateway/eventsplitter.cpp
+++ b/src/decision/gateway/eventsplitter.cpp
@@ -3,7 +3,8 @@
 namespace seamarch {
 namespace {
 
-// Returns the size of the first whole event of `text` with its empty line; zero when there is none.
+// Returns the size of the first complete event of `text`, including its empty line; zero if there
+// is none.
 std::size_t firstEventSize(std::string_view text)
 {
     std::size_t at = 0;
--- a/src/decision/gateway/eventsplitter.h
+++ b/src/decision/gateway/eventsplitter.h
@@ -1,8 +1,9 @@
-// Splits a stream of server-sent events into whole events.
+// Splits a stream of server-sent events into complete events.
 //
-// An upstream may break off inside an event. Only whole events go on to the caller, so that another
-// upstream can take the stream up after the last of them without a gap, a repetition or a torn
-// piece. Events without an id are passed on, but cannot be resumed from.
+// An upstream may disconnect in the middle of an event. Only complete events are forwarded to the
+// caller, so that another upstream can resume the stream after the last of them without a gap, a
+// repetition or a partial event. Events without an id are forwarded, but a stream cannot be resumed
+// from them.
 //
 // Pure and single-threaded; one object for each answer.
 #pragma once
@@ -16,13 +17,14 @@
 class EventSplitter
 {
 public:
-    // Takes bytes and returns the whole events that they complete, as they were written.
+    // Appends `bytes` and returns the events that are now complete, byte for byte.
     std::string feed(std::string_view bytes);
-    // The upstream broke off: forgets the event that was begun.
+    // Discards a partial event, after the upstream disconnected.
     void discardPartial() { partial_.clear(); }
 
-    // Returns the id of the last whole event; empty when there was none.
+    // Returns the last id that a complete event had; empty if there was none.
     const std::string &lastId() const { return lastId_; }
+    // Returns the number of complete events.
     std::uint64_t events() const { return events_; }
     bool hasPartial() const { return !partial_.empty(); }
 
