--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -6,8 +6,8 @@
 namespace seamarch {
 namespace {
 
-// Waiting streams are looked at every 25 ms; one whose time to begin ends before the look after the
-// next begins now.
+// Queued streams are checked every 25 ms; one whose start deadline passes before the check after
+// the next starts now.
 constexpr Duration kStartSlack = std::chrono::milliseconds(40);
 
 } // namespace
@@ -22,7 +22,7 @@
         return entry.second.inFlight() == 0 && !groups.contains(entry.first);
     });
     for (const auto &[id, group] : groups) {
-        // A new gateway does not know at once how many share the groups with it.
+        // A new gateway learns only gradually how many others share the groups.
         if (GroupTracker &known = tracker(id); shareChanged && !known.limiter().hasSamples()) {
             initLimit(known, group);
         }
@@ -53,8 +53,9 @@
     return found == trackers_.end() ? nullptr : &found->second;
 }
 
-// Bounds the streams at a group by an even share of its slots, until pauses tell more. Those of a
-// group in one hall are for that hall's gateways; a guest begins with the least.
+// Sets the limit from an even share of the group's slots, until there are pause samples. The slots
+// of a group in a single hall are shared by that hall's gateways; a remote gateway starts with the
+// minimum.
 void GroupSelector::initLimit(GroupTracker &tracker, const UpstreamChooser::Group &group) const
 {
     if (group.slots <= 0.0) {
@@ -79,7 +80,7 @@
 GroupSelector::Fault GroupSelector::faultOf(const GroupId &group, const GroupTracker &tracker,
                                             const GroupTable &table, TimePoint now) const
 {
-    const auto known = groups_->find(group); // Its last upstream may have left.
+    const auto known = groups_->find(group); // Missing if its last upstream has left.
     const bool remote = known == groups_->end() || !known->second.inOwnHall;
     if (tracker.isUnreachable()
         || (remote && table.outOfTouch(group, now) && tracker.isQuiet(now))) {
@@ -91,7 +92,7 @@
     return tracker.isStalled() ? Fault::Stalled : Fault::None;
 }
 
-// Returns the lanes of groups that have upstreams, the best first.
+// Returns the groups that have upstreams, the best first.
 std::vector<GroupSelector::Candidate> GroupSelector::candidates(const GroupTable &table,
                                                                 TimePoint now) const
 {
@@ -114,10 +115,9 @@
     return candidates;
 }
 
-// Tells whether a stream may begin now. While pauses are near the goal, each prompt that the
-// engines read makes all streams late that are being written: one that can still begin in time
-// later waits for passes that are short again, and one that is late already does no harm by
-// waiting.
+// Returns whether a stream may start now. While pauses are near the goal, each prompt that the
+// engines read delays all streams in flight: a stream that can still start in time later waits for
+// shorter passes, and one that is late already loses nothing by waiting.
 bool GroupSelector::mayStart(const GroupTracker &tracker, const StreamQueue::Entry &entry,
                              TimePoint now) const
 {
@@ -131,14 +131,14 @@
     return now <= entry.startDeadline && now + kStartSlack >= entry.startDeadline;
 }
 
-// Returns an avoided lane that is to be tried. One whose own agents say that it is closed is not:
-// they will say when it opens.
+// Returns an avoided group that is due for a probe, and records the probe. A group that its agents
+// report closed is not probed: they will report when it opens.
 std::optional<GroupId> GroupSelector::selectForProbe(const std::vector<Candidate> &candidates,
                                                      const GroupTable &table, TimePoint now)
 {
     for (const Candidate &candidate : candidates) {
         GroupTracker &tracker = trackers_.at(candidate.group);
-        // Nor one that cannot be heard: a request would only find out after its caller has left.
+        // Nor is a group without contact: its probe would fail only after the caller disconnected.
         const bool closed =
             table.closed(candidate.group, now) && !table.forming(candidate.group, now);
         const bool stateKnown = closed || table.outOfTouch(candidate.group, now);
@@ -156,7 +156,7 @@
 {
     const std::vector<Candidate> all = candidates(table, now);
     if (all.empty()) {
-        return GroupId(); // There is no upstream at all, which whoever sends it finds out.
+        return GroupId(); // No upstream at all; sending the request will fail.
     }
     const bool opening = opensSoon(table, now);
     if (opening || (all.front().fault == Fault::None && all.back().fault != Fault::None)) {
@@ -173,8 +173,9 @@
         if (mayStart(tracker, entry, now)) {
             return candidate.group;
         }
-        // Where passes are long at home they are long everywhere, as after a shift of demand; a
-        // guest would bring a prompt into passes that the gateways there hold theirs back from.
+        // If passes are long in the own hall they are long everywhere, as after a shift of demand:
+        // an overflowing stream would add a prompt to passes that the gateways of the other hall
+        // hold their own prompts back from.
         const bool strained = tracker.limiter().admits(tracker.inFlight());
         if (strained && !candidate.remote) {
             return std::nullopt;
@@ -236,7 +237,7 @@
 void GroupSelector::onTick(std::size_t waiting, const GroupTable &table, TimePoint now)
 {
     for (auto &[id, tracker] : trackers_) {
-        // A bound that nothing meets, or at a group that is avoided, need not rise.
+        // A limit that is not reached, or of a group that is avoided, need not rise.
         const bool reached = !tracker.limiter().admits(tracker.inFlight());
         const bool wanted =
             groups_->size() == 1 || (reached && faultOf(id, tracker, table, now) == Fault::None);
--- a/src/decision/gateway/groupselector.h
+++ b/src/decision/gateway/groupselector.h
@@ -1,15 +1,14 @@
-// The lanes of one service: to which of its groups the next stream goes, or that it waits.
+// Selects the group of a service that the next stream goes to, or decides that the stream waits.
 //
-// The own hall's groups come first, because bytes between halls are dear and the way there can be
-// cut. What they do not admit overflows to the group of another hall that is the emptiest by this
-// gateway's own bound there, before anything waits: two whole groups carry what a third cannot.
-// Groups that stand still, refuse or cannot be reached are avoided while there is another.
+// Groups of the own hall come first, because traffic between halls is expensive and may be cut off.
+// What they do not admit overflows, before any stream is queued, to the group of another hall with
+// the lowest load relative to this gateway's limit there: two complete groups can carry the load of
+// a third. Groups that are stalled, refuse or cannot be reached are avoided while there is another.
 //
-// When a group falls out, all gateways of its hall look for another at the same moment. Three
-// things keep them from tipping the next one over: a gateway's bound at a group of another hall
-// begins with a few streams, grows by steps while pauses there are short, and falls earlier than
-// that of the group's own hall; and gateways that see several groups alike begin with different
-// ones.
+// When a group fails, all gateways of its hall look for another one at the same moment. Three rules
+// keep them from overloading it: a gateway's limit at a group of another hall starts with a few
+// streams and grows in steps while pauses there are short; it falls earlier than the limits of the
+// group's own hall; and gateways that see several equal groups start with different ones.
 //
 // Pure and single-threaded.
 #pragma once
@@ -29,10 +28,10 @@
 
 namespace seamarch {
 
-// How a gateway stands among those that share a service's groups.
+// The gateways that share a service's groups, as seen by one of them.
 struct GatewayShare
 {
-    std::size_t gateways = 1; // Of the site, this one among them.
+    std::size_t gateways = 1; // All gateways of the site, including this one.
     HallPosition position;
 };
 
@@ -42,8 +41,8 @@
     struct Settings
     {
         GroupTracker::Settings tracker;
-        // The bound at a group of another hall falls and stops rising at this part of the pauses at
-        // which that of the own hall does, so that a guest leaves before those at home must.
+        // Factor for the pause thresholds of the limit at a group of another hall. With a factor
+        // below 1, remote gateways yield before the gateways of the group's hall.
         double remoteThresholdFactor = 1.0;
     };
 
@@ -51,49 +50,52 @@
         : settings_(settings)
     {}
 
-    // Takes the groups that there are now, and who shares them. `groups` outlives the next call.
+    // Sets the current groups and the gateways that share them. Keeps a pointer to `groups`, which
+    // must stay valid until the next call.
     void setGroups(const UpstreamChooser::Groups &groups, const GatewayShare &share);
 
-    // Returns the group that `entry` may begin at now; nothing when it should wait.
+    // Returns the group that `entry` may start at now; nullopt if it should wait, and an empty id
+    // if there is no group at all.
     std::optional<GroupId> selectForNew(const StreamQueue::Entry &entry, const GroupTable &table,
                                         TimePoint now);
-    // Returns the group for a request that was sent before and is sent again, whatever the bounds.
+    // Returns the group for a request that is sent again, if need be beyond the limits.
     std::optional<GroupId> selectForRetry(const GroupTable &table, TimePoint now) const;
 
     // Returns the group for a request whose upstream, in the group `from`, has fallen silent;
-    // nothing when all that have room are in trouble, or `from` itself is silent and there is no
+    // nullopt if all groups with capacity are faulty, or if `from` itself is silent and there is no
     // other.
     std::optional<GroupId> selectForFailover(const GroupId &from, const GroupTable &table,
                                              TimePoint now) const;
 
-    // Returns the lane of a group; adds one.
+    // Returns the tracker of a group; adds one if there is none.
     GroupTracker &tracker(const GroupId &group);
+    // Returns the tracker of a group; nullptr if there is none.
     const GroupTracker *find(const GroupId &group) const;
     const std::map<GroupId, GroupTracker> &all() const { return trackers_; }
 
-    // The group has answered after an outage, in which callers have queued: its bound begins anew.
+    // Resets the limit of a group that answers after an outage, during which callers have queued.
     void resetLimit(const GroupId &group);
-    // Tells whether every group refuses.
+    // Returns whether every group refuses.
     bool allRefusing(TimePoint now) const;
-    // Tells whether no group takes requests and one soon will: it has just started, or its agents
-    // say that it is forming. A stream that waits is then served sooner than its caller
-    // could come back.
+    // Returns whether no group accepts requests but one will soon: it has just started, or its
+    // agents report that it is forming. A queued stream is then served sooner than its caller could
+    // retry.
     bool opensSoon(const GroupTable &table, TimePoint now) const;
-    // Adapts the bounds; `waiting` streams wait for a place.
+    // Adapts the limits. `waiting` is the number of queued streams.
     void onTick(std::size_t waiting, const GroupTable &table, TimePoint now);
 
 private:
-    // How much is wrong with a lane; the least is used.
+    // The fault of a group, in increasing severity; groups with the least severe one are used.
     enum class Fault : std::uint8_t { None, Stalled, Refusing, Unreachable };
 
-    // A lane as the choice sees it.
+    // A group with the properties that the selection compares.
     struct Candidate
     {
         GroupId group;
         Fault fault = Fault::None;
         bool remote = false;
-        double load = 0.0; // Streams over the bound.
-        std::size_t rotation = 0;
+        double load = 0.0;        // Streams in flight divided by the limit.
+        std::size_t rotation = 0; // Differs between gateways; breaks ties.
     };
 
     Fault faultOf(const GroupId &group, const GroupTracker &tracker, const GroupTable &table,
