--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -231,9 +231,9 @@
         }
     }
 
-    // Plays `seconds` of `rate` streams a second, each of twenty passes. From `fallsAt` on, the
+    // Plays `seconds` of `rate` streams a second, each of twenty passes. From `failsAt` on, the
     // group `fallen` makes no pass. Returns the most streams that a group that lives had.
-    double play(double rate, int seconds, int fallen, int fallsAt)
+    double play(double rate, int seconds, int fallen, int failsAt)
     {
         constexpr int kStep = 25;
         double most = 0.0;
@@ -245,7 +245,7 @@
                 next_ = (next_ + 1) % gateways_.size();
                 ++gateways_[next_].waiting;
             }
-            const bool down = now >= fallsAt;
+            const bool down = now >= failsAt;
             for (Gateway &gateway : gateways_) {
                 serve(gateway, now, down ? fallen : -1);
             }
