--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -233,7 +233,7 @@
 
     // Plays `seconds` of `rate` streams a second, each of twenty passes. From `failsAt` on, the
     // group `fallen` makes no pass. Returns the most streams that a group that lives had.
-    double play(double rate, int seconds, int fallen, int failsAt)
+    double play(double rate, int seconds, int failed, int failsAt)
     {
         constexpr int kStep = 25;
         double most = 0.0;
@@ -247,10 +247,10 @@
             }
             const bool down = now >= failsAt;
             for (Gateway &gateway : gateways_) {
-                serve(gateway, now, down ? fallen : -1);
+                serve(gateway, now, down ? failed : -1);
             }
             for (int number = 0; number < groups_; ++number) {
-                most = std::max(most, number == fallen && down ? 0.0 : streamsAt(number));
+                most = std::max(most, number == failed && down ? 0.0 : streamsAt(number));
             }
         }
         return most;
