--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -233,7 +233,7 @@
 
     // Plays `seconds` of `rate` streams a second, each of twenty passes. From `failsAt` on, the
     // group `fallen` makes no pass. Returns the most streams that a group that lives had.
-    double play(double rate, int seconds, int failed, int failsAt)
+    double simulate(double rate, int seconds, int failed, int failsAt)
     {
         constexpr int kStep = 25;
         double most = 0.0;
@@ -341,7 +341,7 @@
         Site site(each.gateways, each.groups, kSlots);
         // Full groups carry 150 streams a second each; half of that is asked for.
         const double rate = 75.0 * each.groups;
-        const double most = site.play(rate, 8, 0, 4000);
+        const double most = site.simulate(rate, 8, 0, 4000);
         CHECK_TEXT(most <= 1.15 * kSlots, "expected the others to stay near their slots");
         CHECK_TEXT(site.waiting() <= each.gateways,
                    "expected no queue behind the groups that live");
