--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -78,7 +78,7 @@
         selector.tracker(id).onPause(pause, kGoal, at(now));
     }
 
-    void stopGroup(const GroupId &id, int now)
+    void stallGroup(const GroupId &id, int now)
     {
         selector.tracker(id).onStreamStart(at(now - 1000));
         pass(id, kShort, now - 1000);
@@ -104,7 +104,7 @@
 // One group is held, cut or has lost a rank: what it would have got goes to the two others.
 TEST(GroupSelectorTest, StalledGroupGetsNothingWhileAnotherWorks)
 {
-    stopGroup(group(0), 2000);
+    stallGroup(group(0), 2000);
     for (int count = 0; count < 6; ++count) {
         const auto chosen = send(2000);
         CHECK_TEXT(chosen && *chosen != group(0), "expected a group that makes passes");
@@ -159,7 +159,7 @@
 TEST(GroupSelectorTest, LimitsAloneDecideWhenAllGroupsAreFaulty)
 {
     for (const int number : {0, 1, 2}) {
-        stopGroup(group(number), 2000);
+        stallGroup(group(number), 2000);
     }
     CHECK_TRUE(send(2000).has_value());
 }
@@ -198,7 +198,7 @@
 
 TEST(GroupSelectorTest, RetryGoesToAWorkingGroupRegardlessOfLimits)
 {
-    stopGroup(group(0), 2000);
+    stallGroup(group(0), 2000);
     const auto chosen = selector.selectForRetry(table, at(2000));
     CHECK_TRUE(chosen && *chosen != group(0));
 }
