--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -237,11 +237,11 @@
     {
         constexpr int kStep = 25;
         double most = 0.0;
-        double owed = 0.0;
+        double due = 0.0;
         for (int now = 0; now < seconds * 1000; now += kStep) {
-            owed += rate * kStep / 1000.0;
-            while (owed >= 1.0) {
-                owed -= 1.0;
+            due += rate * kStep / 1000.0;
+            while (due >= 1.0) {
+                due -= 1.0;
                 next_ = (next_ + 1) % gateways_.size();
                 ++gateways_[next_].waiting;
             }
