--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -274,7 +274,7 @@
     struct Stream
     {
         int group = 0;
-        int endsAt = 0;
+        int endAt = 0;
     };
 
     struct Gateway
@@ -290,7 +290,7 @@
     {
         std::erase_if(gateway.streams, [&](const Stream &stream) {
             // Callers leave a stream that is silent for two seconds.
-            const bool over = now >= stream.endsAt + (stream.group == down ? 2000 : 0);
+            const bool over = now >= stream.endAt + (stream.group == down ? 2000 : 0);
             if (over) {
                 gateway.selector->tracker(group(stream.group)).onStreamEnd(true);
             }
