--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -11,7 +11,7 @@
     return TimePoint(std::chrono::milliseconds(millis));
 }
 
-// Which kind of route a request takes.
+// The kind of route that a request matches.
 enum class Kind { AtMostOnce, Repeatable, Stream };
 
 RouteRule rule(Kind kind)
@@ -37,7 +37,7 @@
     record.id = InstanceId(id);
     record.service = TargetName("service");
     record.hall = HallId(hall);
-    record.slots = 10; // The streams that a gateway begins with follow from it.
+    record.slots = 10; // Determines the initial stream limit of a gateway.
     return record;
 }
 
@@ -82,11 +82,11 @@
         return core->begin(request, at(now), actions);
     }
 
-    // Returns what the caller was told; fails the test when it was told nothing.
+    // Returns the rejection that the caller got; fails the test if there is none.
     RejectRequest rejected()
     {
         const auto *found = first<RejectRequest>(actions);
-        CHECK_TEXT(found != nullptr, "expected a rejection, found none; the request is lost");
+        CHECK_TEXT(found != nullptr, "expected a rejection of the request, found none");
         return found == nullptr ? RejectRequest() : *found;
     }
 };
@@ -128,7 +128,7 @@
     CHECK_TRUE(rejected().retryAfter > Duration{});
 }
 
-// Callers heed the time to come back up to a third of what they wait still: here of eight seconds.
+// Callers honour a retry delay of up to a third of their remaining time, here of eight seconds.
 TEST(GatewayCoreTest, RetryAfterIsLongestHonouredWhenServiceIsOut)
 {
     const Duration latest = Duration(std::chrono::seconds(8)) / 3;
@@ -141,9 +141,8 @@
     }
 }
 
-// The pattern: a group loses a rank, stands still for a second and a half and then refuses all that
-// it had taken, at every gateway. Callers told to come back at once would be refused again, and
-// come no third time.
+// A group that loses a rank stalls for 1.5 s and then refuses all accepted requests at every
+// gateway. Callers that retry at once would be rejected again, and do not try a third time.
 TEST(GatewayCoreTest, LateRefusalMarksServiceAsOut)
 {
     const RequestNumber number = begin(Kind::Stream);
@@ -254,7 +253,7 @@
 
 TEST(GatewayCoreTest, SecondAttemptsStayWithinTheBudget)
 {
-    // With no upstream to fail at the second time, each request would be sent twice.
+    // Without a budget each request would be sent twice.
     int second = 0;
     for (int count = 0; count < 200; ++count) {
         const RequestNumber number = begin(Kind::Repeatable, count);
@@ -297,7 +296,7 @@
     settings.selector.tracker.streams.maxLimit = 3.0;
     core = std::make_unique<GatewayCore>(settings);
     core->upstreams().put(upstream("one"));
-    // Three go, and at three a second two more may wait; a third would wait a second.
+    // Three start. At three starts per second two more may be queued; a third would wait for 1 s.
     for (int count = 0; count < 5; ++count) {
         begin(Kind::Stream);
     }
@@ -325,7 +324,7 @@
     LONGS_EQUAL(503, httpStatus(rejected().failure));
 }
 
-// Sixty-four gateways of one service share what one alone may send.
+// All gateways of a service share the retry burst of one.
 TEST(GatewayCoreTest, GatewaysShareTheBurstOfSecondAttempts)
 {
     const auto secondAttempts = [this](std::size_t gateways) {
@@ -333,7 +332,7 @@
         core->upstreams().put(upstream("one"));
         core->upstreams().put(upstream("two"));
         core->setGateways(gateways);
-        for (int count = 0; count < 200; ++count) { // A calm time, in which permits are earned.
+        for (int count = 0; count < 200; ++count) { // Successes fill the retry budget.
             const RequestNumber number = begin(Kind::Repeatable);
             core->onHead(number, AnswerKind::Success, at(0), actions);
             core->onEnd(number, AttemptEnd::Complete, at(0), actions);
@@ -345,8 +344,8 @@
     };
     const std::uint64_t alone = secondAttempts(1);
     const std::uint64_t one = secondAttempts(64);
-    CHECK_TEXT(one + 15 < alone, "the bank of permits must shrink with the number of gateways");
-    CHECK_TEXT(one <= 10, "expected what sixty requests earn, and one permit besides");
+    CHECK_TEXT(one + 15 < alone, "the burst must shrink with the number of gateways");
+    CHECK_TEXT(one <= 10, "expected what sixty requests add to the budget, and one more");
 }
 
 TEST(GatewayCoreTest, QueuedStreamStartsByItsDeadlineWhilePausesAreNearGoal)
@@ -366,7 +365,8 @@
     POINTERS_EQUAL(nullptr, first<StartAttempt>(actions));
     core->onPause(running, std::chrono::milliseconds(100), at(475));
     core->onTick(at(475), actions);
-    CHECK_TEXT(first<StartAttempt>(actions) != nullptr, "it would miss its goal at 510 ms");
+    CHECK_TEXT(first<StartAttempt>(actions) != nullptr,
+               "expected a start before the latency goal at 510 ms");
 }
 
 TEST(GatewayCoreTest, QueuedStreamsStartOnceAPauseIsShort)
@@ -383,8 +383,8 @@
     CHECK_TRUE(first<StartAttempt>(actions) != nullptr);
 }
 
-// The pattern: all instances lose power. Gateways are back a second before the engines' groups have
-// formed, and most callers are at their last try: they had a connection cut or none at all.
+// All instances lose power. Gateways restart a second before the engines' groups have formed, and
+// most callers are at their last try: their connections were cut or could not be made.
 TEST_GROUP(GatewayCoreAfterPowerCutTest)
 {
     GatewayCore::Settings settings;
@@ -454,7 +454,7 @@
         }
         actions.clear();
     }
-    CHECK_TEXT(sent >= 2 && sent <= 5, "expected a try each quarter of a second");
+    CHECK_TEXT(sent >= 2 && sent <= 5, "expected a probe every 250 ms");
 }
 
 TEST(GatewayCoreAfterPowerCutTest, QueuedStreamsStartOnceTheGroupIsOpen)
@@ -464,7 +464,7 @@
     begin(100);
     begin(200);
     actions.clear();
-    core->onTick(at(600), actions); // A request finds out.
+    core->onTick(at(600), actions); // Sends a probe.
     const auto *probe = ::first<StartAttempt>(actions);
     CHECK_TRUE(probe != nullptr);
     const RequestNumber found = probe->request;
@@ -475,7 +475,7 @@
     LONGS_EQUAL(0, count(true));
 }
 
-// A group that does not open is no reason to hold a caller until it leaves.
+// If the group does not open, streams must be rejected before their callers disconnect.
 TEST(GatewayCoreAfterPowerCutTest, StreamsAreRejectedWhenTheGroupStaysClosed)
 {
     begin(0);
@@ -484,23 +484,23 @@
     core->onTick(at(1700), actions);
     CHECK_TRUE(count(true) + count(false) == 1);
     actions.clear();
-    // Three seconds after the first refusal nobody believes any more that the group is forming.
+    // Three seconds after the first refusal the group no longer counts as forming.
     const RequestNumber late = begin(3300);
     core->onHead(late, AnswerKind::Full, at(3305), actions);
     core->onHead(late, AnswerKind::Full, at(3310), actions);
     LONGS_EQUAL(1, count(true));
 }
 
-// What its agents say goes before what a gateway guesses.
+// Reports of the group's agents take precedence over the gateway's estimate.
 TEST(GatewayCoreAfterPowerCutTest, StreamsAreQueuedWhileAgentsReportThatTheGroupForms)
 {
     GroupFacts facts;
     facts.group = GroupId("g");
     facts.open = false;
     facts.forming = true;
-    facts.members = {{"", 0, 1.0}}; // Where the test's upstreams are listed.
+    facts.members = {{"", 0, 1.0}}; // The address of the test's upstreams.
     core->groups().learn(facts, at(10'000));
-    begin(10'010); // The one that finds out.
+    begin(10'010); // The probe.
     begin(10'020);
     begin(10'030);
     LONGS_EQUAL(0, count(true));
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -1,6 +1,6 @@
 // Loads of a site whose service has several groups of engines, one in each hall. The figures are
-// those of engines that were published: ten streams a rank, passes of some 80 ms when all ranks are
-// full at even load, a pause goal of 150 ms; 42 gateways in three halls, or 149.
+// published ones of engines: ten streams per rank, passes of about 80 ms when all ranks are full
+// and evenly loaded, a pause goal of 150 ms; 42 or 149 gateways in three halls.
 #include "decision/gateway/groupselector.h"
 
 #include <CppUTest/TestHarness.h>
@@ -27,7 +27,7 @@
     return GroupId("g" + std::to_string(number));
 }
 
-// The groups as a gateway of hall `own` sees them.
+// Returns the groups as seen by a gateway in the hall of group `own`.
 UpstreamChooser::Groups groupsSeenFrom(int own, int count)
 {
     UpstreamChooser::Groups groups;
@@ -61,7 +61,8 @@
         selector.setGroups(groups, {42, {0, 14}});
     }
 
-    // Sends a stream where the lanes say; returns nothing when it should wait.
+    // Sends a stream to the selected group and returns the group; nullopt if the stream should
+    // wait.
     std::optional<GroupId> send(int now)
     {
         auto chosen = selector.selectForNew(entry(now + 400), table, at(now));
@@ -71,7 +72,7 @@
         return chosen;
     }
 
-    // All streams of a group get an event, `pause` after the last.
+    // Sends an event on a stream of a group, `pause` after the previous one.
     void pass(const GroupId &id, Duration pause, int now)
     {
         selector.tracker(id).onFirstEvent(at(now));
@@ -98,16 +99,16 @@
     }
     const auto overflow = send(0);
     CHECK_TEXT(overflow && *overflow != group(0),
-               "a third group's places are free, none need wait");
+               "another group has free slots, so no stream should wait");
 }
 
-// One group is held, cut or has lost a rank: what it would have got goes to the two others.
+// A group is held, cut off or has lost a rank: its streams go to the two others.
 TEST(GroupSelectorTest, StalledGroupGetsNothingWhileAnotherWorks)
 {
     stallGroup(group(0), 2000);
     for (int count = 0; count < 6; ++count) {
         const auto chosen = send(2000);
-        CHECK_TEXT(chosen && *chosen != group(0), "expected a group that makes passes");
+        CHECK_TEXT(chosen && *chosen != group(0), "expected a group that makes progress");
     }
 }
 
@@ -124,7 +125,7 @@
             selector.tracker(*chosen).onStreamEnd(false);
         }
     }
-    CHECK_TEXT(tries >= 3 && tries <= 5, "expected a try each quarter of a second");
+    CHECK_TEXT(tries >= 3 && tries <= 5, "expected a probe every 250 ms");
 }
 
 TEST(GroupSelectorTest, GroupReportedClosedIsNotProbed)
@@ -139,8 +140,8 @@
     }
 }
 
-// A hall that is cut off cannot be heard; a stream sent there would be silent until its caller
-// leaves.
+// A hall that is cut off cannot answer: a stream sent there would be silent until its caller
+// disconnects.
 TEST(GroupSelectorTest, UnreachableGroupOfAnotherHallIsAvoided)
 {
     GroupFacts facts;
@@ -152,7 +153,8 @@
     table.renew(group(1), at(3000));
     for (int count = 0; count < 16; ++count) {
         const auto chosen = send(3100);
-        CHECK_TEXT(!chosen || *chosen != group(2), "nothing comes back from the hall that is cut");
+        CHECK_TEXT(!chosen || *chosen != group(2),
+                   "expected no stream for the hall that is cut off");
     }
 }
 
@@ -164,8 +166,9 @@
     CHECK_TRUE(send(2000).has_value());
 }
 
-// After a shift of demand passes are long in every group. A stream that left its own group for
-// that would bring a prompt into passes that the gateways of the other hall hold theirs back from.
+// After a shift of demand passes are long in every group. A stream that overflowed because of that
+// would add a prompt to passes that the gateways of the other hall hold their own prompts back
+// from.
 TEST(GroupSelectorTest, StreamWaitsForOwnGroupWhilePausesAreNearGoal)
 {
     for (int count = 0; count < 4; ++count) {
@@ -205,8 +208,8 @@
 
 namespace {
 
-// Gateways of three halls before groups of one hall each, which serve by their slots alone: a group
-// with more streams than slots makes passes over the goal.
+// A simulated site: gateways and one group per hall. A group with more streams than slots makes
+// passes that are longer than the goal.
 class Site
 {
 public:
@@ -231,8 +234,9 @@
         }
     }
 
-    // Plays `seconds` of `rate` streams a second, each of twenty passes. From `failsAt` on, the
-    // group `fallen` makes no pass. Returns the most streams that a group that lives had.
+    // Simulates `seconds` of `rate` streams per second, each of twenty passes. From `failsAt` (in
+    // milliseconds) on, the group `failed` makes no pass. Returns the maximum number of streams at
+    // any working group.
     double simulate(double rate, int seconds, int failed, int failsAt)
     {
         constexpr int kStep = 25;
@@ -289,7 +293,7 @@
     void serve(Gateway &gateway, int now, int down)
     {
         std::erase_if(gateway.streams, [&](const Stream &stream) {
-            // Callers leave a stream that is silent for two seconds.
+            // Callers disconnect from a stream that is silent for two seconds.
             const bool over = now >= stream.endAt + (stream.group == down ? 2000 : 0);
             if (over) {
                 gateway.selector->tracker(group(stream.group)).onStreamEnd(true);
@@ -326,9 +330,9 @@
 
 } // namespace
 
-// The pattern: one of several groups falls out, and all gateways of its hall look for another at
-// the same moment. The others have room for it in sum, so nobody should wait for long, and no group
-// should be taken far over its slots, where every stream of it is late.
+// One of several groups fails, and all gateways of its hall look for another at the same moment.
+// The remaining groups have enough capacity in total, so no stream should be queued for long, and
+// no group should get many more streams than slots, as all its streams would be late.
 TEST(GroupSelectorTest, FailedGroupDoesNotOverloadTheOthers)
 {
     struct Case
@@ -339,11 +343,10 @@
     for (const Case &each : {Case{42, 3}, Case{149, 3}, Case{45, 9}, Case{149, 9}}) {
         constexpr double kSlots = 240.0;
         Site site(each.gateways, each.groups, kSlots);
-        // Full groups carry 150 streams a second each; half of that is asked for.
+        // A full group serves 150 streams per second; the demand is half of that.
         const double rate = 75.0 * each.groups;
         const double most = site.simulate(rate, 8, 0, 4000);
-        CHECK_TEXT(most <= 1.15 * kSlots, "expected the others to stay near their slots");
-        CHECK_TEXT(site.waiting() <= each.gateways,
-                   "expected no queue behind the groups that live");
+        CHECK_TEXT(most <= 1.15 * kSlots, "expected no group to get many more streams than slots");
+        CHECK_TEXT(site.waiting() <= each.gateways, "expected no queue for the working groups");
     }
 }
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -20,7 +20,7 @@
 {
     GroupTracker tracker{GroupTracker::Settings()};
 
-    // A stream that has sent two events, the last at `now`.
+    // Adds a stream that has sent two events, the last one at `now`.
     void startProducing(int now)
     {
         tracker.onStreamStart(at(now - 160));
@@ -28,7 +28,8 @@
         tracker.onPause(kPass, kGoal, at(now));
     }
 
-    // Looks every 25 ms, as its owner does, and returns when a standstill was found.
+    // Ticks every 25 ms, as the gateway does. Returns when a stall is detected, or a time after
+    // `until` if there is none.
     int detectStall(int from, int until)
     {
         for (int now = from; now <= until; now += 25) {
@@ -41,19 +42,19 @@
     }
 };
 
-// A group that is held, or has lost a rank, sends no event at all, and refuses nothing for a second
-// and a half. Two goals of silence are some four passes.
+// A group that is held or has lost a rank sends no events, and refuses no request for 1.5 s. Two
+// pause goals are about four passes.
 TEST(GroupTrackerTest, SilenceOfTwoPauseGoalsIsAStall)
 {
     startProducing(1000);
     const int found = detectStall(1000, 2000);
-    CHECK_TEXT(found >= 1300 && found <= 1325, "expected it 300 ms after the last event");
+    CHECK_TEXT(found >= 1300 && found <= 1325, "expected a stall 300 ms after the last event");
 }
 
 TEST(GroupTrackerTest, LongPassesAfterALoadShiftAreNotAStall)
 {
     startProducing(1000);
-    CHECK_TEXT(detectStall(1000, 1225) > 1225, "passes of 225 ms come right after a shift");
+    CHECK_TEXT(detectStall(1000, 1225) > 1225, "passes take up to 225 ms right after a load shift");
 }
 
 TEST(GroupTrackerTest, OneEventEndsAStall)
@@ -64,8 +65,8 @@
     CHECK_FALSE(tracker.isStalled());
 }
 
-// Callers leave a stream that says nothing for two seconds. That the lane is empty then does not
-// mean that the group works again.
+// Callers disconnect from a stream that is silent for two seconds. A group without streams in
+// flight has not necessarily recovered.
 TEST(GroupTrackerTest, StallPersistsAfterItsStreamsEnd)
 {
     startProducing(1000);
@@ -91,7 +92,7 @@
     tracker.onStreamStart(at(0));
     CHECK_TEXT(detectStall(0, 950) > 950, "a first event may take some passes");
     const int found = detectStall(975, 2000);
-    CHECK_TEXT(found <= 1025, "expected it a second after the stream was sent");
+    CHECK_TEXT(found <= 1025, "expected a stall one second after the stream was sent");
 }
 
 TEST(GroupTrackerTest, GroupWithoutStreamsNeverStalls)
@@ -108,7 +109,7 @@
     CHECK_FALSE(tracker.isRefusing(at(400)));
 }
 
-// A group that stood still refuses all at one moment.
+// A group that was stalled refuses all its requests at the same moment.
 TEST(GroupTrackerTest, LateRefusalCountsAtOnce)
 {
     tracker.onRefusal(at(0), at(1500));
--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -1,7 +1,7 @@
-// The pattern: many gateways before one hall's upstreams, few requests each. Requests come by
-// chance and stay for an exponential time; each gateway fills the upstream that it has least at.
-// Thirty gateways before 26 upstreams with six places are a hall of the users' large deployment, in
-// which some 3.3 streams run at an upstream on average.
+// Simulates many gateways with few requests each at the upstreams of one hall. Requests arrive at
+// random and last for an exponentially distributed time; each gateway picks the upstream at which
+// it has the fewest requests. Thirty gateways and 26 upstreams with six slots are a hall of a large
+// deployment, with about 3.3 streams per upstream on average.
 #include "decision/gateway/hallposition.h"
 
 #include <algorithm>
@@ -20,7 +20,7 @@
     std::size_t gateways;
     std::size_t upstreams;
     std::size_t slots;
-    double mean; // Streams at an upstream.
+    double mean; // Streams per upstream.
 };
 
 struct Stream
@@ -31,7 +31,8 @@
     bool operator<(const Stream &other) const { return endsAt > other.endsAt; }
 };
 
-// Returns the part of the streams that begin at an upstream whose places are taken.
+// Returns the fraction of streams that start at an upstream without a free slot. Ties are broken by
+// fill position or at random.
 double fractionAtFullUpstreams(const Hall &hall, bool byPosition)
 {
     constexpr int kStreams = 20'000;
@@ -102,8 +103,9 @@
     const Hall hall{30, 26, 6, 3.3};
     const double randomFraction = fractionAtFullUpstreams(hall, false);
     const double byPosition = fractionAtFullUpstreams(hall, true);
-    CHECK_TEXT(randomFraction > 0.04, "the pattern must show where the choice is by chance");
-    CHECK_TEXT(byPosition < randomFraction / 3.0, "turns must spare most streams a full upstream");
+    CHECK_TEXT(randomFraction > 0.04, "expected crowding if ties are broken at random");
+    CHECK_TEXT(byPosition < randomFraction / 3.0,
+               "expected fill positions to avoid most full upstreams");
 }
 
 TEST(HallPositionTest, NoWorseAtOtherSizes)
--- a/test/decision/gateway/requestageestimator_test.cpp
+++ b/test/decision/gateway/requestageestimator_test.cpp
@@ -37,7 +37,7 @@
     CHECK_TRUE(estimator.estimateAge(millis(5400)) == millis(2600));
 }
 
-// A single caller must not make all others look late.
+// A single caller with a long deadline must not make all other requests look like retries.
 TEST(RequestAgeEstimatorTest, SingleLongDeadlineIsIgnored)
 {
     observe(8000, 10);
--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -1,7 +1,7 @@
-// The load that this answers: engines whose answers are lost (three in ten of a third of a
-// service's, for six seconds), that hang, or whose machine froze say nothing and reset nothing. A
-// caller leaves a stream after two seconds without a word; in time, and served at all, is only what
-// another engine answers before that.
+// Engines whose answers are lost (30 % of those of a third of a service, for six seconds), that
+// hang, or whose machine is frozen send nothing and reset no connection. Callers disconnect from a
+// stream after two seconds of silence, so a request is served only if another engine answers before
+// that.
 #include "decision/gateway/gatewaycore.h"
 
 #include <CppUTest/TestHarness.h>
@@ -82,14 +82,14 @@
         return core->begin(request, at(now), actions);
     }
 
-    // The request's engine begins to answer.
+    // Starts the answer to a request.
     void answer(RequestNumber number, int now)
     {
         core->onHead(number, AnswerKind::Success, at(now), actions);
         core->onFirstEvent(number, at(now));
     }
 
-    // Time passes; the streams in `speaking` get an event at each pass.
+    // Advances the time; the streams in `producing` get an event at each pass.
     void pass(int from, int to, const std::vector<RequestNumber> &producing)
     {
         for (int now = from; now < to; now += kPass) {
@@ -100,7 +100,8 @@
         }
     }
 
-    // Returns where the request was sent last since the actions were cleared.
+    // Returns the upstream of the request's last attempt since the actions were cleared; empty if
+    // there is none.
     std::string lastSent(RequestNumber number)
     {
         std::string sent;
@@ -141,7 +142,8 @@
     CHECK_FALSE(cancelledAsSilent(active));
 }
 
-// Part of its answer is with the caller: it goes on at another engine after the last whole event.
+// Part of the answer was forwarded: the stream resumes at another engine after the last complete
+// event.
 TEST(SilentUpstreamTest, StreamThatFallsSilentMidwayFailsOver)
 {
     const RequestNumber active = begin(0);
@@ -156,7 +158,7 @@
     CHECK_TRUE(cancelledAsSilent(silent));
 }
 
-// A group that stands still as a whole would keep it waiting all the same.
+// Another upstream of the same stalled group would not answer either.
 TEST(SilentUpstreamTest, StreamStaysWhenTheOnlyGroupIsStalled)
 {
     const RequestNumber one = begin(0);
@@ -192,7 +194,7 @@
     CHECK_FALSE(cancelledAsSilent(number));
 }
 
-// A second attempt is a load that a service in trouble must not get without bound.
+// Second attempts add load to a service in trouble, so they must be limited.
 TEST(SilentUpstreamTest, NothingFailsOverWithoutARetryBudget)
 {
     core->setRetryLimits({0.0, 0.0});
--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -75,8 +75,8 @@
     CHECK_FALSE(limiter.nearGoal(at(1000) + StreamLimiter::Settings().nearGoalTtl));
 }
 
-// The pattern: 149 gateways before 129 ranks with six places each. A bound of a twelfth of a small
-// site's places for each gateway is twice the places that there are.
+// With 149 gateways and 129 ranks of six slots, a fixed initial limit of 12 streams per gateway,
+// which suits a small site, would admit twice as many streams as there are slots.
 TEST(StreamLimiterTest, InitialSharesOfALargeSiteStayWithinItsSlots)
 {
     constexpr double kGateways = 149.0;
@@ -92,7 +92,7 @@
     CHECK_TRUE(limiter.limit() * 7.0 <= 144.0);
 }
 
-// The pattern: a group stands still for seconds while callers queue; nobody complains of pauses.
+// A group stalls for seconds while callers queue: there are no events, thus no long pauses either.
 TEST(StreamLimiterTest, LimitDoesNotGrowWhileTheEnginesAreStalled)
 {
     limiter.onPause(std::chrono::milliseconds(40), kGoal, at(1000));
--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: a request that ends every upstream that runs it comes again and
-// again, as new requests at any gateway, as copies that wait, that are under way, and that are
-// about to move off a silent upstream.
+// A request that crashes every upstream that runs it is sent again and again: as new requests at
+// any gateway, queued, in progress, and about to fail over from a silent upstream. These tests
+// check that it is stopped in each of these states.
 #include "decision/gateway/gatewaycore.h"
 
 #include <cstdint>
@@ -89,7 +89,7 @@
         return found;
     }
 
-    // The upstream that a request was sent to last has ended under it.
+    // Ends the upstream that the last request was sent to.
     void crashUnder(RequestNumber number, int now, RequestDigest digest = kPoison)
     {
         const InstanceId upstream = last<StartAttempt>()->upstream.id;
@@ -200,7 +200,7 @@
     LONGS_EQUAL(1, core->crashes().ends(kPoison));
 }
 
-// A planned end: nobody is to blame for it.
+// A planned end is not a crash.
 TEST(SuspectRequestTest, EndOfALeavingUpstreamIsNotCounted)
 {
     const RequestNumber number = begin(Kind::Repeatable);
@@ -211,7 +211,7 @@
     LONGS_EQUAL(0, core->crashes().ends(kPoison));
 }
 
-// The gateway hears of the end when the caller has left already.
+// The gateway learns of the crash after the caller has disconnected.
 TEST(SuspectRequestTest, CrashIsRecordedAfterTheRequestEnded)
 {
     const RequestNumber number = begin(Kind::Repeatable);
@@ -237,9 +237,9 @@
     CHECK_TRUE(last<RejectRequest>()->failure == FailureCode::RequestEndsUpstreams);
 }
 
-// Upstreams crashed under one kind of request, one after the other, with all that they had; callers
-// of others were refused for seconds each time. Whatever part of the requests it is, and whenever
-// it comes again, three upstreams are the most that it ends.
+// Each crash of an upstream fails all its requests, and other callers are rejected for seconds. A
+// request that crashes its upstreams may end three of them at most, whatever its share of the load
+// and whenever it is repeated.
 TEST(SuspectRequestTest, SuspectEndsAtMostThreeUpstreams)
 {
     for (const double share : {0.01, 0.03, 0.08, 0.5}) {
@@ -270,7 +270,7 @@
     }
 }
 
-// The upstream says nothing for half of what its caller bears; at another one it would end that.
+// The upstream is silent for half of the silence limit; a failover would crash another one.
 TEST(SuspectRequestTest, SuspectIsNotFailedOverFromASilentUpstream)
 {
     begin(Kind::Repeatable);
