--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -176,8 +176,8 @@
         // If passes are long in the own hall they are long everywhere, as after a shift of demand:
         // an overflowing stream would add a prompt to passes that the gateways of the other hall
         // hold their own prompts back from.
-        const bool strained = tracker.limiter().admits(tracker.inFlight());
-        if (strained && !candidate.remote) {
+        const bool heldBack = tracker.limiter().admits(tracker.inFlight());
+        if (heldBack && !candidate.remote) {
             return std::nullopt;
         }
     }
