--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -123,10 +123,10 @@
         actions.clear();
         begin(kind);
         LONGS_EQUAL(0, sent());
-        const auto *told = last<RejectRequest>();
-        CHECK_TRUE(told != nullptr && told->failure == FailureCode::RequestEndsUpstreams);
-        CHECK_TRUE(told->outcome == Outcome::NotRun);
-        CHECK_TRUE(told->retryAfter == Duration{});
+        const auto *rejection = last<RejectRequest>();
+        CHECK_TRUE(rejection != nullptr && rejection->failure == FailureCode::RequestEndsUpstreams);
+        CHECK_TRUE(rejection->outcome == Outcome::NotRun);
+        CHECK_TRUE(rejection->retryAfter == Duration{});
     }
     LONGS_EQUAL(0, core->inFlight());
 }
