--- a/test/decision/gateway/hallposition_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -53,11 +53,11 @@
             --all[running.top().upstream];
         }
         const std::size_t gateway = anyGateway(random);
-        const HallPosition place{gateway, hall.gateways};
+        const HallPosition hallPosition{gateway, hall.gateways};
         const std::size_t chance = anyGateway(random);
         const auto order = [&](std::size_t upstream) {
             const std::size_t position =
-                byPosition ? fillPosition(upstream, hall.upstreams, place)
+                byPosition ? fillPosition(upstream, hall.upstreams, hallPosition)
                            : (upstream * 7919 + chance * 104'729 + count * 31) % 1009;
             return std::pair(own[gateway][upstream], position);
         };
