--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -155,7 +155,7 @@
 }
 
 // Returns whether a request whose attempt failed can be sent to another upstream.
-bool GatewayCore::mayTryAgain(const Request &request, TimePoint now)
+bool GatewayCore::mayRetry(const Request &request, TimePoint now)
 {
     return mayRepeat(request) && mayBeSent(request, now)
            && request.attempts < request.request.route->maxAttempts
@@ -285,7 +285,7 @@
         chooser_.onFailure(upstream, now);
         request->mayHaveRun = true;
         // Without another attempt the upstream's own failure is forwarded to the caller.
-        if (kind == AnswerKind::Failure && !request->headSent && !mayTryAgain(*request, now)) {
+        if (kind == AnswerKind::Failure && !request->headSent && !mayRetry(*request, now)) {
             request->attemptHasHead = true;
             request->headSent = true;
             return true;
@@ -475,7 +475,7 @@
 {
     std::vector<RequestNumber> silent;
     for (const auto &[number, request] : requests_) {
-        if (isSilent(request, now) && mayTryAgain(request, now)) {
+        if (isSilent(request, now) && mayRetry(request, now)) {
             silent.push_back(number);
         }
     }
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -291,7 +291,7 @@
 
     RetryBudget::Settings budgetShare() const;
     bool mayRepeat(const Request &request) const;
-    bool mayTryAgain(const Request &request, TimePoint now);
+    bool mayRetry(const Request &request, TimePoint now);
     std::optional<InstanceId> chooseFor(const Request &request, const std::optional<GroupId> &group,
                                         TimePoint now);
     TargetName chooseService(const RouteRule &route);
