--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -143,7 +143,7 @@
             table.closed(candidate.group, now) && !table.forming(candidate.group, now);
         const bool stateKnown = closed || table.outOfTouch(candidate.group, now);
         const bool wanted = candidate.fault != Fault::None && !stateKnown;
-        if (wanted && tracker.probeDue(now)) {
+        if (wanted && tracker.isProbeDue(now)) {
             tracker.onProbe(now);
             return candidate.group;
         }
--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -92,7 +92,7 @@
     return !hasServed_ && firstRefusalAt_ && now - *firstRefusalAt_ < settings_.formingTimeout;
 }
 
-bool GroupTracker::probeDue(TimePoint now) const
+bool GroupTracker::isProbeDue(TimePoint now) const
 {
     if (stalled_ && inFlight_ > 0) {
         return false;
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -110,7 +110,7 @@
     bool mayBeForming(TimePoint now) const;
     // Returns whether an avoided group is due for a probe. A stalled group with streams in flight
     // needs none: their events show that it has recovered.
-    bool probeDue(TimePoint now) const;
+    bool isProbeDue(TimePoint now) const;
 
 private:
     void recordProgress(TimePoint now);
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -80,11 +80,11 @@
 {
     startProducing(1000);
     detectStall(1000, 2000);
-    CHECK_FALSE(tracker.probeDue(at(5000)));
+    CHECK_FALSE(tracker.isProbeDue(at(5000)));
     tracker.onStreamEnd(true);
-    CHECK_TRUE(tracker.probeDue(at(5000)));
+    CHECK_TRUE(tracker.isProbeDue(at(5000)));
     tracker.onProbe(at(5000));
-    CHECK_FALSE(tracker.probeDue(at(5100)));
+    CHECK_FALSE(tracker.isProbeDue(at(5100)));
 }
 
 TEST(GroupTrackerTest, MissingFirstEventsAreAStall)
@@ -122,8 +122,8 @@
     CHECK_FALSE(tracker.isUnreachable());
     tracker.onUnreachable(at(400));
     CHECK_TRUE(tracker.isUnreachable());
-    CHECK_FALSE(tracker.probeDue(at(1000)));
-    CHECK_TRUE(tracker.probeDue(at(1400)));
+    CHECK_FALSE(tracker.isProbeDue(at(1000)));
+    CHECK_TRUE(tracker.isProbeDue(at(1400)));
     tracker.onAnswer(at(1500));
     CHECK_FALSE(tracker.isUnreachable());
 }
