--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -115,17 +115,17 @@
 TEST(GroupSelectorTest, RefusingGroupIsProbedPeriodically)
 {
     selector.tracker(group(0)).onRefusal(at(0), at(1500));
-    int tries = 0;
+    int probes = 0;
     for (int now = 1500; now < 2500; now += 10) {
         const auto chosen = send(now);
         if (chosen == group(0)) {
-            ++tries;
+            ++probes;
             selector.tracker(group(0)).onStreamEnd(false);
         } else if (chosen) {
             selector.tracker(*chosen).onStreamEnd(false);
         }
     }
-    CHECK_TEXT(tries >= 3 && tries <= 5, "expected a probe every 250 ms");
+    CHECK_TEXT(probes >= 3 && probes <= 5, "expected a probe every 250 ms");
 }
 
 TEST(GroupSelectorTest, GroupReportedClosedIsNotProbed)
