--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -23,7 +23,7 @@
     struct Settings
     {
         // Limit before the slots of the upstreams are known.
-        double initial = 12.0;
+        double initialLimit = 12.0;
         // Fraction of an even share of the upstreams' slots that the limit starts with: some
         // gateways have more callers than others, and those that need more get it within a second.
         double initialShare = 0.6;
@@ -54,7 +54,7 @@
     StreamLimiter() = default;
     explicit StreamLimiter(const Settings &settings)
         : settings_(settings)
-        , limit_(settings.initial)
+        , limit_(settings.initialLimit)
     {}
 
     // Adds a sample: an event came `pause` after the previous one of the same stream. `goal` is the
@@ -82,7 +82,7 @@
 
 private:
     Settings settings_;
-    double limit_ = Settings().initial;
+    double limit_ = Settings().initialLimit;
     double maxRatio_ = 0.0; // Longest pause of this period, as a ratio of its goal.
     bool sampledInPeriod_ = false;
     std::optional<TimePoint> sampledAt_; // Time of the last sample.
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -292,7 +292,7 @@
 
 TEST(GatewayCoreTest, StreamIsRejectedAtOnceWhenExpectedWaitIsTooLong)
 {
-    settings.selector.tracker.streams.initial = 3.0;
+    settings.selector.tracker.streams.initialLimit = 3.0;
     settings.selector.tracker.streams.maxLimit = 3.0;
     core = std::make_unique<GatewayCore>(settings);
     core->upstreams().put(upstream("one"));
@@ -309,7 +309,7 @@
 
 TEST(GatewayCoreTest, QueuedStreamIsRejectedAsNotRunAfterTimeout)
 {
-    settings.selector.tracker.streams.initial = 3.0;
+    settings.selector.tracker.streams.initialLimit = 3.0;
     settings.selector.tracker.streams.maxLimit = 3.0;
     core = std::make_unique<GatewayCore>(settings);
     core->upstreams().put(upstream("one"));
--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -32,9 +32,9 @@
 {
     limiter.onPause(std::chrono::milliseconds(40), kGoal, at(900));
     limiter.onTick(12, 0, at(1000));
-    DOUBLES_EQUAL(StreamLimiter::Settings().initial, limiter.limit(), 1e-9);
+    DOUBLES_EQUAL(StreamLimiter::Settings().initialLimit, limiter.limit(), 1e-9);
     limiter.onTick(12, 1, at(2000));
-    CHECK_TRUE(limiter.limit() > StreamLimiter::Settings().initial);
+    CHECK_TRUE(limiter.limit() > StreamLimiter::Settings().initialLimit);
 }
 
 TEST(StreamLimiterTest, LimitGrowsFasterWithMoreQueuedRequests)
@@ -58,7 +58,7 @@
 {
     limiter.onPause(std::chrono::seconds(9), Duration{}, at(900));
     limiter.onTick(12, 0, at(1000));
-    DOUBLES_EQUAL(StreamLimiter::Settings().initial, limiter.limit(), 1e-9);
+    DOUBLES_EQUAL(StreamLimiter::Settings().initialLimit, limiter.limit(), 1e-9);
 }
 
 TEST(StreamLimiterTest, NearGoalLastsUntilAShortPause)
