--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -332,7 +332,7 @@
         core->upstreams().put(upstream("one"));
         core->upstreams().put(upstream("two"));
         core->setGateways(gateways);
-        for (int count = 0; count < 200; ++count) { // Successes fill the retry budget.
+        for (int count = 0; count < 200; ++count) { // Requests without a retry fill the budget.
             const RequestNumber number = begin(Kind::Repeatable);
             core->onHead(number, AnswerKind::Success, at(0), actions);
             core->onEnd(number, AttemptEnd::Complete, at(0), actions);
