--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -38,9 +38,9 @@
     GroupTracker::Settings settings = settings_.tracker;
     const auto known = groups_->find(group);
     if (known != groups_->end() && !known->second.inOwnHall) {
-        settings.streams.decreaseAbove *= settings_.remoteThresholdFactor;
-        settings.streams.increaseBelow *= settings_.remoteThresholdFactor;
-        settings.streams.nearGoalRatio *= settings_.remoteThresholdFactor;
+        settings.streamLimiter.decreaseAbove *= settings_.remoteThresholdFactor;
+        settings.streamLimiter.increaseBelow *= settings_.remoteThresholdFactor;
+        settings.streamLimiter.nearGoalRatio *= settings_.remoteThresholdFactor;
     }
     GroupTracker &added = trackers_.emplace(group, GroupTracker(settings)).first->second;
     resetLimit(group);
@@ -124,7 +124,7 @@
     if (!tracker.limiter().admits(tracker.inFlight())) {
         return false;
     }
-    const bool fewest = tracker.inFlight() < settings_.tracker.streams.minLimit;
+    const bool fewest = tracker.inFlight() < settings_.tracker.streamLimiter.minLimit;
     if (fewest || !tracker.limiter().nearGoal(now)) {
         return true;
     }
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -23,7 +23,7 @@
 public:
     struct Settings
     {
-        StreamLimiter::Settings streams;
+        StreamLimiter::Settings streamLimiter;
         // A group is stalled if all its streams have been silent for this many times their pause
         // goal. The silences of normal operation are shorter: after a shift of demand passes take
         // up to 2.5 times as long as before, and a hold that is released in time lasts for one or
@@ -60,7 +60,7 @@
     GroupTracker() = default;
     explicit GroupTracker(const Settings &settings)
         : settings_(settings)
-        , limiter_(settings.streams)
+        , limiter_(settings.streamLimiter)
     {}
 
     StreamLimiter &limiter() { return limiter_; }
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -292,8 +292,8 @@
 
 TEST(GatewayCoreTest, StreamIsRejectedAtOnceWhenExpectedWaitIsTooLong)
 {
-    settings.selector.tracker.streams.initialLimit = 3.0;
-    settings.selector.tracker.streams.maxLimit = 3.0;
+    settings.selector.tracker.streamLimiter.initialLimit = 3.0;
+    settings.selector.tracker.streamLimiter.maxLimit = 3.0;
     core = std::make_unique<GatewayCore>(settings);
     core->upstreams().put(upstream("one"));
     // Three start. At three starts per second two more may be queued; a third would wait for 1 s.
@@ -309,8 +309,8 @@
 
 TEST(GatewayCoreTest, QueuedStreamIsRejectedAsNotRunAfterTimeout)
 {
-    settings.selector.tracker.streams.initialLimit = 3.0;
-    settings.selector.tracker.streams.maxLimit = 3.0;
+    settings.selector.tracker.streamLimiter.initialLimit = 3.0;
+    settings.selector.tracker.streamLimiter.maxLimit = 3.0;
     core = std::make_unique<GatewayCore>(settings);
     core->upstreams().put(upstream("one"));
     for (int count = 0; count < 4; ++count) {
