--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -54,7 +54,7 @@
             std::min(most, kInitialTokens)};
 }
 
-void GatewayCore::setGateways(std::size_t count)
+void GatewayCore::setGatewayCount(std::size_t count)
 {
     const std::size_t gateways = std::max<std::size_t>(1, count);
     if (gateways != gateways_) {
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -182,7 +182,7 @@
     explicit GatewayCore(const Settings &settings);
 
     // Sets the number of gateways that share the upstreams, including this one.
-    void setGateways(std::size_t count);
+    void setGatewayCount(std::size_t count);
     // Sets the position of this gateway among those of its hall.
     void setHallPosition(const HallPosition &position);
     void setRetryLimits(const RetryLimits &limits);
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -297,7 +297,7 @@
 {
     takeEarly();
     GatewayActions actions;
-    core_.setGateways(sources_->gateways() + 1);
+    core_.setGatewayCount(sources_->gateways() + 1);
     core_.setHallPosition(sources_->place());
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -331,7 +331,7 @@
         core = std::make_unique<GatewayCore>(settings);
         core->upstreams().put(upstream("one"));
         core->upstreams().put(upstream("two"));
-        core->setGateways(gateways);
+        core->setGatewayCount(gateways);
         for (int count = 0; count < 200; ++count) { // Requests without a retry fill the budget.
             const RequestNumber number = begin(Kind::Repeatable);
             core->onHead(number, AnswerKind::Success, at(0), actions);
