--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -169,7 +169,7 @@
                  {"attempt", flight.attempt},
                  {"upstream", flight.upstream.value()},
                  {"group", flight.group.value()},
-                 {"events", flight.events.events()},
+                 {"events", flight.events.eventCount()},
                  {"ms", toMillis(loop_.now() - flight.startedAt)}});
     }
 }
@@ -290,7 +290,7 @@
              {"upstream", flight->upstream.value()},
              {"end", wordFor(end)},
              {"headSent", flight->headSent},
-             {"events", flight->events.events()},
+             {"events", flight->events.eventCount()},
              {"ms", toMillis(loop_.now() - flight->startedAt)}});
     flight->events.discardPartial();
     if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -283,7 +283,7 @@
              {"upstream", flight.upstream.value()},
              {"group", flight.group.value()},
              {"attempts", flight.attempt},
-             {"events", flight.events.events()},
+             {"events", flight.events.eventCount()},
              {"firstEventMs", flight.firstEventAt == TimePoint{}
                                   ? json()
                                   : json(toMillis(flight.firstEventAt - flight.startedAt))},
--- a/test/decision/gateway/eventsplitter_test.cpp
+++ b/test/decision/gateway/eventsplitter_test.cpp
@@ -25,7 +25,7 @@
         passed += splitter.feed({&letter, 1});
     }
     STRCMP_EQUAL(text.c_str(), passed.c_str());
-    LONGS_EQUAL(2, splitter.events());
+    LONGS_EQUAL(2, splitter.eventCount());
     STRCMP_EQUAL("2", splitter.lastId().c_str());
 }
 
@@ -40,5 +40,5 @@
 {
     splitter.feed("data: x\nid: 7\n\ndata: no id\n\n");
     STRCMP_EQUAL("7", splitter.lastId().c_str());
-    LONGS_EQUAL(2, splitter.events());
+    LONGS_EQUAL(2, splitter.eventCount());
 }
