--- a/src/decision/gateway/eventsplitter.cpp
+++ b/src/decision/gateway/eventsplitter.cpp
@@ -44,7 +44,7 @@
 void EventSplitter::parseEvent(std::string_view event)
 {
     constexpr std::string_view kId = "id:";
-    ++events_;
+    ++eventCount_;
     while (!event.empty()) {
         const std::size_t end = event.find('\n');
         std::string_view line = event.substr(0, end);
--- a/src/decision/gateway/eventsplitter.h
+++ b/src/decision/gateway/eventsplitter.h
@@ -25,7 +25,7 @@
     // Returns the last id that a complete event had; empty if there was none.
     const std::string &lastId() const { return lastId_; }
     // Returns the number of complete events.
-    std::uint64_t eventCount() const { return events_; }
+    std::uint64_t eventCount() const { return eventCount_; }
     bool hasPartial() const { return !partial_.empty(); }
 
 private:
@@ -33,7 +33,7 @@
 
     std::string partial_;
     std::string lastId_;
-    std::uint64_t events_ = 0;
+    std::uint64_t eventCount_ = 0;
 };
 
 } // namespace seamarch
