--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -141,8 +141,8 @@
         // Nor is a group without contact: its probe would fail only after the caller disconnected.
         const bool closed =
             table.closed(candidate.group, now) && !table.forming(candidate.group, now);
-        const bool stateKnown = closed || table.outOfTouch(candidate.group, now);
-        const bool wanted = candidate.fault != Fault::None && !stateKnown;
+        const bool probeUseless = closed || table.outOfTouch(candidate.group, now);
+        const bool wanted = candidate.fault != Fault::None && !probeUseless;
         if (wanted && tracker.isProbeDue(now)) {
             tracker.onProbe(now);
             return candidate.group;
