--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -142,8 +142,8 @@
         const bool closed =
             table.closed(candidate.group, now) && !table.forming(candidate.group, now);
         const bool probeUseless = closed || table.outOfTouch(candidate.group, now);
-        const bool wanted = candidate.fault != Fault::None && !probeUseless;
-        if (wanted && tracker.isProbeDue(now)) {
+        const bool eligible = candidate.fault != Fault::None && !probeUseless;
+        if (eligible && tracker.isProbeDue(now)) {
             tracker.onProbe(now);
             return candidate.group;
         }
@@ -239,9 +239,9 @@
     for (auto &[id, tracker] : trackers_) {
         // A limit that is not reached, or of a group that is avoided, need not rise.
         const bool reached = !tracker.limiter().admits(tracker.inFlight());
-        const bool wanted =
+        const bool eligible =
             groups_->size() == 1 || (reached && faultOf(id, tracker, table, now) == Fault::None);
-        tracker.onTick(wanted ? waiting : 0, now);
+        tracker.onTick(eligible ? waiting : 0, now);
     }
 }
 
