--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -49,9 +49,9 @@
     constexpr double kInitialTokens = 2.0;
     const double burst = settings_.retries.burst * kBurstFraction / static_cast<double>(gateways_);
     const bool disabled = settings_.retries.perRequest <= 0.0 && burst <= 0.0;
-    const double most = disabled ? 0.0 : std::max(1.0, burst);
-    return {settings_.retries.perRequest * kPerRequestFraction, most,
-            std::min(most, kInitialTokens)};
+    const double maxTokens = disabled ? 0.0 : std::max(1.0, burst);
+    return {settings_.retries.perRequest * kPerRequestFraction, maxTokens,
+            std::min(maxTokens, kInitialTokens)};
 }
 
 void GatewayCore::setGatewayCount(std::size_t count)
