--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -138,7 +138,7 @@
 {
     for (const Candidate &candidate : candidates) {
         GroupTracker &tracker = trackers_.at(candidate.group);
-        // Nor is a group without contact: its probe would fail only after the caller disconnected.
+        // A group without contact is not probed either: the caller would disconnect first.
         const bool closed =
             table.closed(candidate.group, now) && !table.forming(candidate.group, now);
         const bool probeUseless = closed || table.outOfTouch(candidate.group, now);
