--- a/src/decision/gateway/eventstream.cpp
+++ b/src/decision/gateway/eventsplitter.cpp
@@ -1,9 +1,10 @@
-#include "decision/gateway/eventstream.h"
+#include "decision/gateway/eventsplitter.h"
 
 namespace seamarch {
 namespace {
 
-// Returns the size of the first whole event of `text` with its empty line; zero when there is none.
+// Returns the size of the first complete event of `text`, including its empty line; zero if there
+// is none.
 std::size_t firstEventSize(std::string_view text)
 {
     std::size_t at = 0;
@@ -22,28 +23,28 @@
 
 } // namespace
 
-std::string EventStream::feed(std::string_view bytes)
+std::string EventSplitter::feed(std::string_view bytes)
 {
     partial_.append(bytes);
-    std::size_t done = 0;
+    std::size_t consumed = 0;
     const std::string_view text(partial_);
     for (;;) {
-        const std::size_t size = firstEventSize(text.substr(done));
+        const std::size_t size = firstEventSize(text.substr(consumed));
         if (size == 0) {
             break;
         }
-        takeEvent(text.substr(done, size));
-        done += size;
+        parseEvent(text.substr(consumed, size));
+        consumed += size;
     }
-    std::string whole = partial_.substr(0, done);
-    partial_.erase(0, done);
+    std::string whole = partial_.substr(0, consumed);
+    partial_.erase(0, consumed);
     return whole;
 }
 
-void EventStream::takeEvent(std::string_view event)
+void EventSplitter::parseEvent(std::string_view event)
 {
     constexpr std::string_view kId = "id:";
-    ++events_;
+    ++eventCount_;
     while (!event.empty()) {
         const std::size_t end = event.find('\n');
         std::string_view line = event.substr(0, end);
--- /dev/null
+++ b/src/decision/gateway/eventsplitter.h
@@ -0,0 +1,39 @@
+// Splits a stream of server-sent events into complete events.
+//
+// An upstream may disconnect in the middle of an event. Only complete events are forwarded to the
+// caller, so that another upstream can resume the stream after the last of them without a gap, a
+// repetition or a partial event. Events without an id are forwarded, but a stream cannot be resumed
+// from them.
+//
+// Pure and single-threaded; one object for each answer.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+namespace seamarch {
+
+class EventSplitter
+{
+public:
+    // Appends `bytes` and returns the events that are now complete, byte for byte.
+    std::string feed(std::string_view bytes);
+    // Discards a partial event, after the upstream disconnected.
+    void discardPartial() { partial_.clear(); }
+
+    // Returns the last id that a complete event had; empty if there was none.
+    const std::string &lastId() const { return lastId_; }
+    // Returns the number of complete events.
+    std::uint64_t eventCount() const { return eventCount_; }
+    bool hasPartial() const { return !partial_.empty(); }
+
+private:
+    void parseEvent(std::string_view event);
+
+    std::string partial_;
+    std::string lastId_;
+    std::uint64_t eventCount_ = 0;
+};
+
+} // namespace seamarch
--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -7,18 +7,18 @@
 namespace seamarch {
 namespace {
 
-// A request is given up a little before its time is over, so that its answer still arrives.
+// A request fails this long before its deadline, so that the rejection still reaches the caller.
 constexpr Duration kAnswerMargin = std::chrono::milliseconds(10);
 
-UpstreamChooser::Settings choiceSettings(const GatewayCore::Settings &settings)
+UpstreamChooser::Settings chooserSettings(const GatewayCore::Settings &settings)
 {
-    UpstreamChooser::Settings choice = settings.choice;
-    choice.hall = settings.hall;
-    choice.regions = settings.regions;
-    return choice;
+    UpstreamChooser::Settings chooser = settings.chooser;
+    chooser.hall = settings.hall;
+    chooser.regions = settings.regions;
+    return chooser;
 }
 
-bool saysNotRun(AnswerKind kind)
+bool provesNotRun(AnswerKind kind)
 {
     return kind == AnswerKind::Full || kind == AnswerKind::WrongInstance
            || kind == AnswerKind::Refused;
@@ -30,7 +30,7 @@
     : settings_(settings)
     , random_(settings.seed)
     , limits_(settings.limits)
-    , chooser_(choiceSettings(settings), upstreams_, groups_, limits_, warmUps_, permits_)
+    , chooser_(chooserSettings(settings), upstreams_, groups_, limits_, warmUps_, permits_)
     , crashes_(settings.crashes)
 {}
 
@@ -40,20 +40,21 @@
     return found == requests_.end() ? nullptr : &found->second;
 }
 
-// Returns the part of the limits that this gateway may spend. The gateways do not count together,
-// so each stays well below its part: it may know of too few others, and their traffic is unlike.
-RetryBudget::Settings GatewayCore::ownBudget() const
+// Returns this gateway's share of the retry limits. The gateways do not count together, so each
+// stays well below an even share: it may know of too few others, and their traffic differs.
+RetryBudget::Settings GatewayCore::budgetShare() const
 {
-    constexpr double kSpentPerRequest = 0.75;
-    constexpr double kSpentOfBurst = 0.35;
-    constexpr double kFirstPermits = 2.0;
-    const double burst = settings_.retries.burst * kSpentOfBurst / static_cast<double>(gateways_);
-    const bool none = settings_.retries.perRequest <= 0.0 && burst <= 0.0;
-    const double most = none ? 0.0 : std::max(1.0, burst);
-    return {settings_.retries.perRequest * kSpentPerRequest, most, std::min(most, kFirstPermits)};
+    constexpr double kPerRequestFraction = 0.75;
+    constexpr double kBurstFraction = 0.35;
+    constexpr double kInitialTokens = 2.0;
+    const double burst = settings_.retries.burst * kBurstFraction / static_cast<double>(gateways_);
+    const bool disabled = settings_.retries.perRequest <= 0.0 && burst <= 0.0;
+    const double maxTokens = disabled ? 0.0 : std::max(1.0, burst);
+    return {settings_.retries.perRequest * kPerRequestFraction, maxTokens,
+            std::min(maxTokens, kInitialTokens)};
 }
 
-void GatewayCore::setGateways(std::size_t count)
+void GatewayCore::setGatewayCount(std::size_t count)
 {
     const std::size_t gateways = std::max<std::size_t>(1, count);
     if (gateways != gateways_) {
@@ -62,17 +63,17 @@
     }
 }
 
-void GatewayCore::setPlace(const HallPlace &place)
+void GatewayCore::setHallPosition(const HallPosition &position)
 {
-    place_ = place;
-    chooser_.setPlace(place);
+    hallPosition_ = position;
+    chooser_.setPlace(position);
 }
 
 void GatewayCore::setRetryLimits(const RetryLimits &limits)
 {
     settings_.retries = limits;
     for (auto &[service, budget] : budgets_) {
-        budget.change(ownBudget());
+        budget.change(budgetShare());
     }
 }
 
@@ -89,12 +90,12 @@
     const RouteRule &route = *request.route;
     const Duration longest =
         route.timeout > Duration{} ? std::min(route.timeout, request.deadline) : request.deadline;
-    added.arrivedAt = now - request.held;
-    added.firstAskedAt = added.arrivedAt - statedWaits_[route.name].sinceFirstTry(request.deadline);
+    added.arrivedAt = now - request.age;
+    added.firstSentAt = added.arrivedAt - ageEstimators_[route.name].estimateAge(request.deadline);
     added.request = std::move(request);
     added.service = chooseService(route);
-    added.giveUpAt = added.arrivedAt + longest - kAnswerMargin;
-    budgets_.try_emplace(added.service, ownBudget()).first->second.onSuccess();
+    added.failAt = added.arrivedAt + longest - kAnswerMargin;
+    budgets_.try_emplace(added.service, budgetShare()).first->second.onSuccess();
     if (!mayBeSent(added, now)) {
         giveUp(number, FailureCode::RequestEndsUpstreams, now, actions);
         return number;
@@ -105,15 +106,16 @@
     }
     if (route.streamed) {
         ServiceState &service = serviceOf(added.service);
-        const auto group = service.lanes.laneFor(entryFor(number, added, service), groups_, now);
+        const auto group =
+            service.selector.selectForNew(queueEntryFor(number, added, service), groups_, now);
         if (!group) {
             queueStream(number, added, now, actions);
             return number;
         }
-        service.started.push_back(now);
-        startOrWait(number, added, group, now, actions);
+        service.recentStarts.push_back(now);
+        startOrAwaitPermit(number, added, group, now, actions);
     } else {
-        startOrWait(number, added, std::nullopt, now, actions);
+        startOrAwaitPermit(number, added, std::nullopt, now, actions);
     }
     return number;
 }
@@ -126,10 +128,10 @@
     }
     const Request &request = found->second;
     ServiceState &service = serviceOf(request.service);
-    if (request.waits) {
-        service.waiting.remove(number);
+    if (request.queued) {
+        service.queue.remove(number);
     }
-    waitForPermits_.erase(number);
+    permitWaiters_.erase(number);
     requests_.erase(found);
 }
 
@@ -142,18 +144,18 @@
     if (total == 0) {
         return route.targets.empty() ? TargetName() : route.targets.front().service;
     }
-    std::uint64_t drawn = std::uniform_int_distribution<std::uint64_t>(0, total - 1)(random_);
+    std::uint64_t remaining = std::uniform_int_distribution<std::uint64_t>(0, total - 1)(random_);
     for (const RouteTarget &target : route.targets) {
-        if (drawn < target.weight) {
+        if (remaining < target.weight) {
             return target.service;
         }
-        drawn -= target.weight;
+        remaining -= target.weight;
     }
     return route.targets.back().service;
 }
 
-// Tells whether a request whose attempt has failed can be sent to another upstream.
-bool GatewayCore::mayTryAgain(const Request &request, TimePoint now)
+// Returns whether a request whose attempt failed can be sent to another upstream.
+bool GatewayCore::mayRetry(const Request &request, TimePoint now)
 {
     return mayRepeat(request) && mayBeSent(request, now)
            && request.attempts < request.request.route->maxAttempts
@@ -161,14 +163,16 @@
            && chooseFor(request, std::nullopt, now).has_value();
 }
 
-// Returns the best upstream of `group`, or of any group, that the request was not sent to yet.
+// Returns the best upstream of `group`, or of any group if `group` is empty, that the request was
+// not sent to yet.
 std::optional<InstanceId> GatewayCore::chooseFor(const Request &request,
                                                  const std::optional<GroupId> &group, TimePoint now)
 {
     return chooser_.choose({request.service, group, request.request.residency}, request.tried, now);
 }
 
-// Sends the request to the best upstream of `group`, or of any where that has none left.
+// Sends the request to the best upstream of `group`, or of any group if that has none left. Returns
+// false if the request cannot be sent.
 bool GatewayCore::startAttempt(RequestNumber number, Request &request,
                                const std::optional<GroupId> &group, TimePoint now,
                                GatewayActions &actions)
@@ -180,66 +184,67 @@
     if (!chosen && group) {
         chosen = chooseFor(request, std::nullopt, now);
     }
-    if (!chosen || now >= request.giveUpAt) {
+    if (!chosen || now >= request.failAt) {
         return false;
     }
     const UpstreamRecord &upstream = *upstreams_.find(*chosen);
     request.upstream = *chosen;
-    request.sentTo = upstream;
+    request.upstreamRecord = upstream;
     request.group = groups_.groupOf(upstream);
-    request.speaks = false;
-    request.sentAt = now;
-    request.heardAt = now;
+    request.hasEvents = false;
+    request.attemptStartedAt = now;
+    request.progressAt = now;
     request.tried.insert(*chosen);
-    request.answering = false;
+    request.attemptHasHead = false;
     ++request.attempts;
     chooser_.onSent(upstream, now);
     if (request.request.route->streamed) {
-        laneOf(request).onSent(now);
+        trackerOf(request).onStreamStart(now);
     }
-    actions.push_back(StartAttempt{number, request.attempts + request.unsent, upstream,
-                                   request.group, request.giveUpAt - now, mayRepeat(request)});
+    actions.push_back(StartAttempt{number, request.attempts + request.connectFailures, upstream,
+                                   request.group, request.failAt - now, mayRepeat(request)});
     return true;
 }
 
-// Sends the request once more.
-bool GatewayCore::startAgain(RequestNumber number, Request &request, TimePoint now,
+// Sends the request again, as `startAttempt`, to a group that is selected for retries.
+bool GatewayCore::startRetry(RequestNumber number, Request &request, TimePoint now,
                              GatewayActions &actions)
 {
     const bool streamed = request.request.route->streamed;
     const auto group =
-        streamed ? serviceOf(request.service).lanes.laneForRetry(groups_, now) : std::nullopt;
+        streamed ? serviceOf(request.service).selector.selectForRetry(groups_, now) : std::nullopt;
     return startAttempt(number, request, group, now, actions);
 }
 
-void GatewayCore::leaveUpstream(Request &request)
+void GatewayCore::detachUpstream(Request &request)
 {
     chooser_.onLeft(request.upstream);
     if (request.request.route->streamed) {
-        laneOf(request).onLeft(request.speaks);
+        trackerOf(request).onStreamEnd(request.hasEvents);
     }
     request.upstream = InstanceId();
-    request.speaks = false;
-    request.answering = false;
+    request.hasEvents = false;
+    request.attemptHasHead = false;
 }
 
-// Learns from an answer whether a group refuses everything, as one does that stands still.
-void GatewayCore::noteAnswer(Request &request, AnswerKind kind, TimePoint now)
+// Updates the refusal state of the upstream's group from an answer. A group that was stalled
+// refuses all requests.
+void GatewayCore::recordAnswer(Request &request, AnswerKind kind, TimePoint now)
 {
     if (kind == AnswerKind::WrongInstance || kind == AnswerKind::Refused) {
-        return; // Said before the request got as far as the group.
+        return; // Answered before the request reached the group.
     }
-    ServiceLanes &lanes = serviceOf(request.service).lanes;
-    StreamLane &lane = lanes.lane(request.group);
+    GroupSelector &selector = serviceOf(request.service).selector;
+    GroupTracker &tracker = selector.tracker(request.group);
     if (kind != AnswerKind::Full) {
-        if (lane.onAnswer(now)) {
-            lanes.beginAnew(request.group);
+        if (tracker.onAnswer(now)) {
+            selector.resetLimit(request.group);
         }
         return;
     }
-    lane.onRefusal(request.sentAt, now);
-    if (lanes.isOut(now)) {
-        request.comeBack = latestReturn(request, now);
+    tracker.onRefusal(request.attemptStartedAt, now);
+    if (selector.allRefusing(now)) {
+        request.retryAfterHint = maxHonouredRetryAfter(request, now);
     }
 }
 
@@ -253,7 +258,7 @@
         chooser_.onRestWanted(request->upstream, now + *notice.rest);
     }
     if (notice.leaving) {
-        upstreams_.announceLeaving(request->sentTo);
+        upstreams_.announceLeaving(request->upstreamRecord);
     }
 }
 
@@ -265,11 +270,11 @@
         return false;
     }
     const InstanceId upstream = request->upstream;
-    noteAnswer(*request, kind, now);
+    recordAnswer(*request, kind, now);
     if (kind == AnswerKind::Success) {
         chooser_.onSuccess(upstream);
-        request->heardAt = now;
-        request->answering = true;
+        request->progressAt = now;
+        request->attemptHasHead = true;
         request->headSent = true;
         return true;
     }
@@ -279,9 +284,9 @@
     if (kind == AnswerKind::Failure || kind == AnswerKind::Invalid) {
         chooser_.onFailure(upstream, now);
         request->mayHaveRun = true;
-        // The last word of an upstream goes to the caller when nothing better can be had.
-        if (kind == AnswerKind::Failure && !request->headSent && !mayTryAgain(*request, now)) {
-            request->answering = true;
+        // Without another attempt the upstream's own failure is forwarded to the caller.
+        if (kind == AnswerKind::Failure && !request->headSent && !mayRetry(*request, now)) {
+            request->attemptHasHead = true;
             request->headSent = true;
             return true;
         }
@@ -292,14 +297,14 @@
         chooser_.onWrongInstance(upstream, now);
     }
     actions.push_back(CancelAttempt{number, false});
-    leaveUpstream(*request);
-    if (kind == AnswerKind::Full && queueAgain(number, *request, now)) {
+    detachUpstream(*request);
+    if (kind == AnswerKind::Full && requeue(number, *request, now)) {
         return false;
     }
-    if (saysNotRun(kind) || mayRepeat(*request)) {
+    if (provesNotRun(kind) || mayRepeat(*request)) {
         retryOrGiveUp(number,
-                      saysNotRun(kind) ? FailureCode::NoUpstream : FailureCode::UpstreamFailed, now,
-                      actions);
+                      provesNotRun(kind) ? FailureCode::NoUpstream : FailureCode::UpstreamFailed,
+                      now, actions);
     } else {
         giveUp(number, FailureCode::UpstreamFailed, now, actions);
     }
@@ -314,21 +319,21 @@
         return;
     }
     const InstanceId upstream = request->upstream;
-    const bool answering = request->answering;
+    const bool attemptHasHead = request->attemptHasHead;
     const GroupId group = request->group;
-    leaveUpstream(*request);
-    if (end == AttemptEnd::Complete && answering) {
+    detachUpstream(*request);
+    if (end == AttemptEnd::Complete && attemptHasHead) {
         crashes_.onSurvived(request->request.digest, now);
         endRequest(number);
         return;
     }
     if (end == AttemptEnd::NotSent) {
         chooser_.onUnreachable(upstream, now);
-        serviceOf(request->service).lanes.lane(group).onUnreachable(now);
+        serviceOf(request->service).selector.tracker(group).onUnreachable(now);
         --request->attempts;
-        ++request->unsent;
-        if (request->unsent <= settings_.maxUnsent) {
-            if (!startAgain(number, *request, now, actions)) {
+        ++request->connectFailures;
+        if (request->connectFailures <= settings_.maxConnectFailures) {
+            if (!startRetry(number, *request, now, actions)) {
                 giveUp(number, FailureCode::NoUpstream, now, actions);
             }
             return;
@@ -353,7 +358,7 @@
     const bool allowed =
         request.attempts < request.request.route->maxAttempts && mayBeSent(request, now);
     if (allowed && budgets_.at(request.service).take()
-        && startAgain(number, request, now, actions)) {
+        && startRetry(number, request, now, actions)) {
         ++secondAttempts_;
         return;
     }
@@ -370,31 +375,32 @@
     Request &request = found->second;
     if (request.upstream != InstanceId()) {
         actions.push_back(CancelAttempt{number, false});
-        leaveUpstream(request);
+        detachUpstream(request);
     }
     if (request.headSent) {
-        actions.push_back(BreakAnswer{number, failure});
+        actions.push_back(AbortAnswer{number, failure});
     } else if (request.mayHaveRun) {
-        const FailureCode said =
+        const FailureCode reported =
             failure == FailureCode::NoUpstream ? FailureCode::UpstreamFailed : failure;
-        actions.push_back(RejectRequest{number, said, Outcome::Unknown, {}});
+        actions.push_back(RejectRequest{number, reported, Outcome::Unknown, {}});
     } else if (!mayBeSent(request, now)) {
-        // It is true of this request that it has not run; to come back would not help it.
+        // This request has not run, but a retry would be rejected as well: no retry delay.
         actions.push_back(
             RejectRequest{number, FailureCode::RequestEndsUpstreams, Outcome::NotRun, {}});
     } else {
         const bool regions = failure == FailureCode::NoUpstreamInRegions;
         actions.push_back(RejectRequest{number, regions ? failure : FailureCode::NoUpstream,
-                                        Outcome::NotRun, comeBackAfter(request, now)});
+                                        Outcome::NotRun, retryAfterFor(request, now)});
     }
     endRequest(number);
 }
 
-// Returns when a refused caller may come back. While all upstreams rest, or take nothing without a
-// permit that is not to be had, sooner would be in vain.
-Duration GatewayCore::comeBackAfter(const Request &request, TimePoint now)
+// Returns the retry delay for a rejected caller. It is no shorter than the time until an upstream
+// ends its rest or permits are available again.
+Duration GatewayCore::retryAfterFor(const Request &request, TimePoint now)
 {
-    const Duration wait = request.comeBack > Duration{} ? request.comeBack : settings_.retryAfter;
+    const Duration wait =
+        request.retryAfterHint > Duration{} ? request.retryAfterHint : settings_.retryAfter;
     const TimePoint restsUntil = chooser_.restsUntil(request.service, now).value_or(now);
     const TimePoint permitsFrom = chooser_.permitsFrom(request.service, now).value_or(now);
     return std::max({wait, restsUntil - now, permitsFrom - now});
@@ -408,7 +414,7 @@
     }
     if (request->upstream != InstanceId()) {
         actions.push_back(CancelAttempt{number, false});
-        leaveUpstream(*request);
+        detachUpstream(*request);
     }
     endRequest(number);
 }
@@ -422,25 +428,25 @@
                                   const InstanceId &upstream, TimePoint at, TimePoint now,
                                   GatewayActions &actions)
 {
-    // One that is leaving, or that the store lists no longer, ends because it was told to.
+    // An upstream that is leaving, or that the store no longer lists, ends as planned.
     if (upstreams_.stays(upstream)) {
         crashes_.onEnded(digest, account, upstream, at);
         giveUpSuspects(now, actions);
     }
 }
 
-// Gives up what waits or is under way of requests that must not be sent any more. An upstream that
-// has not begun with one drops it when its connection closes. What has already begun to answer goes
-// on: it may show that the request is harmless.
+// Fails requests that must not be sent any more, whether queued or in progress. An upstream that
+// has not started a request drops it when the connection closes. Requests with an answer in
+// progress continue: their completion may prove that the request is harmless.
 void GatewayCore::giveUpSuspects(TimePoint now, GatewayActions &actions)
 {
-    if (crashes_.cursor() == crashesSeen_) {
+    if (crashes_.cursor() == crashCursor_) {
         return;
     }
-    crashesSeen_ = crashes_.cursor();
+    crashCursor_ = crashes_.cursor();
     std::vector<RequestNumber> suspects;
     for (const auto &[number, request] : requests_) {
-        if (!request.answering && !mayBeSent(request, now)) {
+        if (!request.attemptHasHead && !mayBeSent(request, now)) {
             suspects.push_back(number);
         }
     }
@@ -452,38 +458,40 @@
     }
 }
 
-// Tells whether the upstream of a request that may be repeated has said nothing for so long that
-// its caller will soon leave.
-bool GatewayCore::fellSilent(const Request &request, TimePoint now) const
+// Returns whether the request may fail over because its upstream has been silent for so long that
+// the caller will soon disconnect.
+bool GatewayCore::isSilent(const Request &request, TimePoint now) const
 {
     const RouteRule &route = *request.request.route;
-    const bool mayMove = request.upstream != InstanceId() && (!request.headSent || route.resumable);
-    const Duration borne = std::min(route.silenceLimit, request.request.deadline);
-    return mayMove && borne > Duration{}
-           && toSeconds(now - request.heardAt) >= toSeconds(borne) * settings_.silencePart;
+    const bool mayFailOver =
+        request.upstream != InstanceId() && (!request.headSent || route.resumable);
+    const Duration silenceLimit = std::min(route.silenceLimit, request.request.deadline);
+    return mayFailOver && silenceLimit > Duration{}
+           && toSeconds(now - request.progressAt)
+                  >= toSeconds(silenceLimit) * settings_.silenceFraction;
 }
 
-void GatewayCore::moveSilent(TimePoint now, GatewayActions &actions)
+void GatewayCore::failOverSilent(TimePoint now, GatewayActions &actions)
 {
     std::vector<RequestNumber> silent;
     for (const auto &[number, request] : requests_) {
-        if (fellSilent(request, now) && mayTryAgain(request, now)) {
+        if (isSilent(request, now) && mayRetry(request, now)) {
             silent.push_back(number);
         }
     }
     std::sort(silent.begin(), silent.end());
     for (const RequestNumber number : silent) {
-        move(number, now, actions);
+        failOver(number, now, actions);
     }
 }
 
-// Sends a request to another upstream in place of one that is silent, if there is a better one.
-void GatewayCore::move(RequestNumber number, TimePoint now, GatewayActions &actions)
+// Cancels the attempt at a silent upstream and sends the request to a better one, if there is one.
+void GatewayCore::failOver(RequestNumber number, TimePoint now, GatewayActions &actions)
 {
     Request &request = requests_.at(number);
     std::optional<GroupId> group;
     if (request.request.route->streamed) {
-        group = serviceOf(request.service).lanes.laneForMove(request.group, groups_, now);
+        group = serviceOf(request.service).selector.selectForFailover(request.group, groups_, now);
         if (!group || !chooseFor(request, group, now)) {
             return;
         }
@@ -494,7 +502,7 @@
     chooser_.onFailure(request.upstream, now);
     request.mayHaveRun = true;
     actions.push_back(CancelAttempt{number, true});
-    leaveUpstream(request);
+    detachUpstream(request);
     ++secondAttempts_;
     if (!startAttempt(number, request, group, now, actions)) {
         giveUp(number, FailureCode::UpstreamTimedOut, now, actions);
@@ -510,31 +518,33 @@
     limits_.expire(now);
     permits_.expire(now);
     permitIssuer_.expire(now);
-    startWaitingForPermits(now, actions);
+    servePermitWaiters(now, actions);
     giveUpSuspects(now, actions);
-    std::vector<RequestNumber> late;
+    std::vector<RequestNumber> expired;
     for (const auto &[number, request] : requests_) {
-        const bool waitedLong = request.waits && now - request.arrivedAt >= longestWait(request);
-        if (now >= request.giveUpAt || waitedLong) {
-            late.push_back(number);
+        const bool queueTimedOut =
+            request.queued && now - request.arrivedAt >= maxQueueTime(request);
+        if (now >= request.failAt || queueTimedOut) {
+            expired.push_back(number);
         }
     }
-    std::sort(late.begin(), late.end());
-    for (const RequestNumber number : late) {
+    std::sort(expired.begin(), expired.end());
+    for (const RequestNumber number : expired) {
         Request &request = requests_.at(number);
-        if (request.waits) {
-            const bool out = serviceOf(request.service).lanes.isOut(now);
-            request.comeBack = out ? latestReturn(request, now) : settings_.shortestReturn;
+        if (request.queued) {
+            const bool serviceOut = serviceOf(request.service).selector.allRefusing(now);
+            request.retryAfterHint =
+                serviceOut ? maxHonouredRetryAfter(request, now) : settings_.minRetryAfter;
         }
-        // The attempt under way was written, as far as is known.
+        // The current attempt may have been written.
         request.mayHaveRun = request.mayHaveRun || request.upstream != InstanceId();
         giveUp(number, FailureCode::UpstreamTimedOut, now, actions);
     }
-    moveSilent(now, actions);
+    failOverSilent(now, actions);
     for (auto &[name, service] : services_) {
         ServiceState &current = serviceOf(name);
-        current.lanes.onTick(current.waiting.size(), groups_, now);
-        admitWaiting(current, now, actions);
+        current.selector.onTick(current.queue.size(), groups_, now);
+        admitQueued(current, now, actions);
     }
 }
 
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -1,4 +1,4 @@
-// The part of GatewayCore that deals with upstreams that name a limit for all gateways together.
+// The part of GatewayCore that handles upstreams with a limit for all gateways together.
 #include "decision/gateway/gatewaycore.h"
 
 #include <algorithm>
@@ -6,37 +6,38 @@
 
 namespace seamarch {
 
-// Sends a request that was not sent yet. Where only a permit is lacking and one may come in a
-// moment it waits, else it is given up.
-void GatewayCore::startOrWait(RequestNumber number, Request &request,
-                              const std::optional<GroupId> &group, TimePoint now,
-                              GatewayActions &actions)
+// Sends a request that was not sent yet. If only a permit is missing and one may arrive within the
+// permit timeout, the request waits; otherwise it fails.
+void GatewayCore::startOrAwaitPermit(RequestNumber number, Request &request,
+                                     const std::optional<GroupId> &group, TimePoint now,
+                                     GatewayActions &actions)
 {
     if (startAttempt(number, request, group, now, actions)) {
         return;
     }
-    const TimePoint end = std::min(now + settings_.permitWait, request.giveUpAt);
+    const TimePoint end = std::min(now + settings_.permitTimeout, request.failAt);
     if (mayBeSent(request, now)
         && chooser_.awaitsPermit(request.service, request.request.residency, end, now)) {
-        request.permitUntil = end;
-        waitForPermits_.insert(number);
+        request.permitDeadline = end;
+        permitWaiters_.insert(number);
         return;
     }
     giveUp(number, FailureCode::NoUpstream, now, actions);
 }
 
-// Sends what waits for permits, in the order of arrival; gives up what waits in vain.
-void GatewayCore::startWaitingForPermits(TimePoint now, GatewayActions &actions)
+// Sends requests that wait for permits, in the order of arrival. Fails those whose wait timed out
+// or that cannot get a permit in time.
+void GatewayCore::servePermitWaiters(TimePoint now, GatewayActions &actions)
 {
-    const std::vector<RequestNumber> waiting(waitForPermits_.begin(), waitForPermits_.end());
+    const std::vector<RequestNumber> waiting(permitWaiters_.begin(), permitWaiters_.end());
     for (const RequestNumber number : waiting) {
         Request &request = requests_.at(number);
-        const bool sent = startAgain(number, request, now, actions);
+        const bool sent = startRetry(number, request, now, actions);
         if (sent) {
-            waitForPermits_.erase(number);
-        } else if (now >= request.permitUntil
+            permitWaiters_.erase(number);
+        } else if (now >= request.permitDeadline
                    || !chooser_.awaitsPermit(request.service, request.request.residency,
-                                             request.permitUntil, now)) {
+                                             request.permitDeadline, now)) {
             giveUp(number, FailureCode::NoUpstream, now, actions);
         }
     }
@@ -49,14 +50,14 @@
     if (request == nullptr || request->upstream == InstanceId()) {
         return UpstreamLimits::Change::None;
     }
-    return limits_.onAnswer(request->sentTo, limit, request->sentAt, now);
+    return limits_.onAnswer(request->upstreamRecord, limit, request->attemptStartedAt, now);
 }
 
 void GatewayCore::onPermits(const InstanceId &upstream, const PermitAnswer &answer,
                             TimePoint askedAt, TimePoint now, GatewayActions &actions)
 {
     permits_.onAnswer(upstream, answer, askedAt, now);
-    startWaitingForPermits(now, actions);
+    servePermitWaiters(now, actions);
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -1,5 +1,5 @@
-// The part of GatewayCore that admits streams: which lane takes one, how long it may wait for a
-// place, and when those that wait begin.
+// The part of GatewayCore that admits streams: selects the group for a stream, limits its time in
+// the queue and starts queued streams.
 #include "decision/gateway/gatewaycore.h"
 
 #include <algorithm>
@@ -7,131 +7,134 @@
 namespace seamarch {
 namespace {
 
-// A caller that has waited for less than this is at its first try: what it states may be less than
-// its program's figure by the time that its connection took.
-constexpr Duration kShortestComeBack = std::chrono::milliseconds(200);
+// A request that is younger than this counts as a first try: the deadline that a caller states may
+// be shorter than its configured one by the time that connecting took.
+constexpr Duration kMinRetryAge = std::chrono::milliseconds(200);
 
 } // namespace
 
-StreamQueue::Entry GatewayCore::entryFor(RequestNumber number, const Request &request,
-                                         const ServiceState &service)
+StreamQueue::Entry GatewayCore::queueEntryFor(RequestNumber number, const Request &request,
+                                              const ServiceState &service)
 {
     const Duration goal = request.request.route->latencyGoal;
     StreamQueue::Entry entry;
     entry.number = number;
     entry.priority = request.request.priority;
-    entry.cameBack = request.arrivedAt - request.firstAskedAt >= kShortestComeBack;
-    // Without a goal there is no moment from which on the caller would be worse off.
-    entry.startBy =
-        goal > Duration{} ? request.firstAskedAt + goal - service.firstEvent : request.giveUpAt;
+    entry.isRetry = request.arrivedAt - request.firstSentAt >= kMinRetryAge;
+    // Without a latency goal a later start is no worse until the request fails.
+    entry.startDeadline = goal > Duration{}
+                              ? request.firstSentAt + goal - service.meanTimeToFirstEvent
+                              : request.failAt;
     return entry;
 }
 
-// Returns how long a stream may wait for a place; its caller leaves not long after.
-Duration GatewayCore::longestWait(const Request &request) const
+// Returns how long a stream may be queued; its caller disconnects shortly after that.
+Duration GatewayCore::maxQueueTime(const Request &request) const
 {
-    return request.request.route->silenceLimit - settings_.waitMargin;
+    return request.request.route->silenceLimit - settings_.queueTimeoutMargin;
 }
 
-// Returns the latest moment at which the caller would come back.
-Duration GatewayCore::latestReturn(const Request &request, TimePoint now) const
+// Returns the longest retry delay that the caller honours.
+Duration GatewayCore::maxHonouredRetryAfter(const Request &request, TimePoint now) const
 {
     const Duration left = request.arrivedAt + request.request.deadline - now;
-    return std::max(settings_.shortestReturn, left / settings_.honouredPart);
+    return std::max(settings_.minRetryAfter, left / settings_.maxRetryAfterDivisor);
 }
 
-// Has a stream wait for a place, or refuses it at once where the queue is too long.
+// Queues a stream, or rejects it at once if the expected wait is too long.
 void GatewayCore::queueStream(RequestNumber number, Request &request, TimePoint now,
                               GatewayActions &actions)
 {
     ServiceState &service = serviceOf(request.service);
-    const StreamQueue::Entry entry = entryFor(number, request, service);
-    request.waits = true;
-    if (mayQueueForOpening(service, now)) {
-        service.waiting.add(entry, now);
+    const StreamQueue::Entry entry = queueEntryFor(number, request, service);
+    request.queued = true;
+    if (mayQueueUntilOpen(service, now)) {
+        service.queue.add(entry, now);
         return;
     }
     const Duration wait = expectedWait(service, entry, now);
-    if (wait * settings_.waitDoubt > longestWait(request)) {
-        request.comeBack = std::clamp(wait, settings_.shortestReturn, settings_.longestReturn);
+    if (wait * settings_.waitSafetyFactor > maxQueueTime(request)) {
+        request.retryAfterHint = std::clamp(wait, settings_.minRetryAfter, settings_.maxRetryAfter);
         giveUp(number, FailureCode::NoUpstream, now, actions);
         return;
     }
-    service.waiting.add(entry, now);
+    service.queue.add(entry, now);
 }
 
-// Tells whether all groups refuse, one will soon take requests, and the queue is no longer than
-// what can begin then.
-bool GatewayCore::mayQueueForOpening(ServiceState &service, TimePoint now) const
+// Returns whether no group accepts requests but one will soon, and the queue is no longer than the
+// number of streams that can start then.
+bool GatewayCore::mayQueueUntilOpen(ServiceState &service, TimePoint now) const
 {
-    constexpr double kQueuePerPlace = 2.0; // A place is free again after a second or two.
-    double places = 0.0;
-    for (const auto &[group, lane] : service.lanes.all()) {
-        places += lane.limiter().limit();
+    constexpr double kQueuedPerSlot = 2.0; // A slot is free again after a second or two.
+    double slots = 0.0;
+    for (const auto &[group, tracker] : service.selector.all()) {
+        slots += tracker.limiter().limit();
     }
-    return service.lanes.opensSoon(groups_, now)
-           && static_cast<double>(service.waiting.size()) < kQueuePerPlace * places;
+    return service.selector.opensSoon(groups_, now)
+           && static_cast<double>(service.queue.size()) < kQueuedPerSlot * slots;
 }
 
-// Has a stream wait that an upstream has refused because its group has yet to open.
-bool GatewayCore::queueAgain(RequestNumber number, Request &request, TimePoint now)
+// Queues a stream that an upstream refused because its group does not accept requests yet. Returns
+// false if the stream may not be queued.
+bool GatewayCore::requeue(RequestNumber number, Request &request, TimePoint now)
 {
     ServiceState &service = serviceOf(request.service);
-    const bool fresh = request.request.route->streamed && !request.headSent && !request.mayHaveRun
-                       && mayBeSent(request, now);
-    if (!fresh || !mayQueueForOpening(service, now)) {
+    const bool mayRequeue = request.request.route->streamed && !request.headSent
+                            && !request.mayHaveRun && mayBeSent(request, now);
+    if (!mayRequeue || !mayQueueUntilOpen(service, now)) {
         return false;
     }
-    request.waits = true;
-    request.sentBefore = true;
+    request.queued = true;
+    request.refusedBefore = true;
     request.tried.clear();
-    request.attempts = 0; // None has run.
-    service.waiting.add(entryFor(number, request, service), now);
+    request.attempts = 0; // No attempt has run.
+    service.queue.add(queueEntryFor(number, request, service), now);
     return true;
 }
 
-// Returns the state of a service, with the groups that it has now.
+// Returns the state of a service with its groups brought up to date; adds it if there is none.
 GatewayCore::ServiceState &GatewayCore::serviceOf(const TargetName &service)
 {
-    ServiceState &state = services_.try_emplace(service, settings_.lanes).first->second;
-    state.lanes.setGroups(chooser_.groupsOf(service), {gateways_, place_});
+    ServiceState &state = services_.try_emplace(service, settings_.selector).first->second;
+    state.selector.setGroups(chooser_.groupsOf(service), {gateways_, hallPosition_});
     return state;
 }
 
-StreamLane &GatewayCore::laneOf(const Request &request)
+GroupTracker &GatewayCore::trackerOf(const Request &request)
 {
-    return serviceOf(request.service).lanes.lane(request.group);
+    return serviceOf(request.service).selector.tracker(request.group);
 }
 
-// Returns how long a stream would wait at the pace of the last second.
+// Returns how long a stream would be queued at the start rate of the last second.
 Duration GatewayCore::expectedWait(ServiceState &service, const StreamQueue::Entry &entry,
                                    TimePoint now)
 {
     constexpr Duration kWindow = std::chrono::seconds(1);
-    while (!service.started.empty() && now - service.started.front() > kWindow) {
-        service.started.pop_front();
+    while (!service.recentStarts.empty() && now - service.recentStarts.front() > kWindow) {
+        service.recentStarts.pop_front();
     }
-    const auto ahead = static_cast<Duration::rep>(service.waiting.ahead(entry, now));
-    const auto pace = static_cast<Duration::rep>(std::max<std::size_t>(1, service.started.size()));
-    return kWindow * (ahead + 1) / pace;
+    const auto ahead = static_cast<Duration::rep>(service.queue.countAhead(entry, now));
+    const auto startRate =
+        static_cast<Duration::rep>(std::max<std::size_t>(1, service.recentStarts.size()));
+    return kWindow * (ahead + 1) / startRate;
 }
 
-// Starts waiting requests while lanes admit them.
-void GatewayCore::admitWaiting(ServiceState &service, TimePoint now, GatewayActions &actions)
+// Starts queued streams while a group admits them.
+void GatewayCore::admitQueued(ServiceState &service, TimePoint now, GatewayActions &actions)
 {
-    for (auto next = service.waiting.next(now); next; next = service.waiting.next(now)) {
-        const auto group = service.lanes.laneFor(*next, groups_, now);
+    for (auto next = service.queue.next(now); next; next = service.queue.next(now)) {
+        const auto group = service.selector.selectForNew(*next, groups_, now);
         if (!group) {
             return;
         }
         const RequestNumber number = next->number;
-        service.waiting.remove(number);
+        service.queue.remove(number);
         Request &request = requests_.at(number);
-        request.waits = false;
-        service.started.push_back(now);
-        const bool allowed = !request.sentBefore || budgets_.at(request.service).take();
+        request.queued = false;
+        service.recentStarts.push_back(now);
+        const bool allowed = !request.refusedBefore || budgets_.at(request.service).take();
         if (allowed) {
-            startOrWait(number, request, group, now, actions);
+            startOrAwaitPermit(number, request, group, now, actions);
         } else {
             giveUp(number, FailureCode::NoUpstream, now, actions);
         }
@@ -140,33 +143,34 @@
 
 void GatewayCore::onFirstEvent(RequestNumber number, TimePoint now)
 {
-    constexpr int kWeight = 8; // Of the average so far, against one of the new time.
+    constexpr int kHistoryWeight = 8; // Weight of the previous average; a new sample has weight 1.
     Request *request = find(number);
-    if (request == nullptr || request->upstream == InstanceId() || request->speaks) {
+    if (request == nullptr || request->upstream == InstanceId() || request->hasEvents) {
         return;
     }
-    request->speaks = true;
-    request->heardAt = now;
-    laneOf(*request).onFirstEvent(now);
-    Duration &average = serviceOf(request->service).firstEvent;
-    const Duration time = now - request->sentAt;
-    average = average == Duration{} ? time : (average * (kWeight - 1) + time) / kWeight;
+    request->hasEvents = true;
+    request->progressAt = now;
+    trackerOf(*request).onFirstEvent(now);
+    Duration &average = serviceOf(request->service).meanTimeToFirstEvent;
+    const Duration time = now - request->attemptStartedAt;
+    average =
+        average == Duration{} ? time : (average * (kHistoryWeight - 1) + time) / kHistoryWeight;
 }
 
 void GatewayCore::onPause(RequestNumber number, Duration pause, TimePoint now)
 {
     Request *request = find(number);
     if (request != nullptr && request->upstream != InstanceId()) {
-        request->heardAt = now;
+        request->progressAt = now;
         const Duration goal = request->request.route->pauseGoal;
-        laneOf(*request).onPause(pause, goal, now);
+        trackerOf(*request).onPause(pause, goal, now);
     }
 }
 
-std::size_t GatewayCore::waiting(const TargetName &service) const
+std::size_t GatewayCore::queuedStreams(const TargetName &service) const
 {
     const auto found = services_.find(service);
-    return found == services_.end() ? 0 : found->second.waiting.size();
+    return found == services_.end() ? 0 : found->second.queue.size();
 }
 
 std::uint32_t GatewayCore::streams(const TargetName &service) const
@@ -174,8 +178,8 @@
     std::uint32_t streams = 0;
     const auto found = services_.find(service);
     if (found != services_.end()) {
-        for (const auto &[group, lane] : found->second.lanes.all()) {
-            streams += lane.inFlight();
+        for (const auto &[group, tracker] : found->second.selector.all()) {
+            streams += tracker.inFlight();
         }
     }
     return streams;
@@ -186,20 +190,20 @@
     double limit = 0.0;
     const auto found = services_.find(service);
     if (found != services_.end()) {
-        for (const auto &[group, lane] : found->second.lanes.all()) {
-            limit += lane.limiter().limit();
+        for (const auto &[group, tracker] : found->second.selector.all()) {
+            limit += tracker.limiter().limit();
         }
     }
     return limit;
 }
 
-const StreamLane *GatewayCore::lane(const TargetName &service, const GroupId &group) const
+const GroupTracker *GatewayCore::tracker(const TargetName &service, const GroupId &group) const
 {
     const auto found = services_.find(service);
     if (found == services_.end()) {
         return nullptr;
     }
-    return found->second.lanes.find(group);
+    return found->second.selector.find(group);
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -10,46 +10,47 @@
     if (goal <= Duration{}) {
         return;
     }
-    heard_ = true;
-    heardAt_ = now;
-    const double part = toSeconds(pause) / toSeconds(goal);
-    longest_ = std::max(longest_, part);
-    if (part >= settings_.strain) {
-        strainedAt_ = now;
-    } else if (strainedAt_ && now > *strainedAt_) {
-        strainedAt_.reset(); // A later pass was short again.
+    sampledInPeriod_ = true;
+    sampledAt_ = now;
+    const double ratio = toSeconds(pause) / toSeconds(goal);
+    maxRatio_ = std::max(maxRatio_, ratio);
+    if (ratio >= settings_.nearGoalRatio) {
+        nearGoalAt_ = now;
+    } else if (nearGoalAt_ && now > *nearGoalAt_) {
+        nearGoalAt_.reset(); // A later pass was short.
     }
 }
 
-void StreamLimiter::begin(double slots, double gateways)
+void StreamLimiter::resetToShare(double slots, double gateways)
 {
-    const double share =
-        std::clamp(settings_.shareAtFirst * slots / gateways, settings_.least, settings_.most);
-    limit_ = learned() ? std::min(limit_, share) : share;
+    const double share = std::clamp(settings_.initialShare * slots / gateways, settings_.minLimit,
+                                    settings_.maxLimit);
+    limit_ = hasSamples() ? std::min(limit_, share) : share;
 }
 
-void StreamLimiter::beginLeast()
+void StreamLimiter::resetToMinimum()
 {
-    limit_ = settings_.least;
+    limit_ = settings_.minLimit;
 }
 
 void StreamLimiter::onTick(std::uint32_t inFlight, std::size_t waiting, TimePoint now)
 {
-    if (now - adaptedAt_ < settings_.period) {
+    if (now - adaptedAt_ < settings_.adaptPeriod) {
         return;
     }
     adaptedAt_ = now;
-    const bool silent = inFlight > 0 && heardAt_ && now - *heardAt_ >= settings_.silence;
-    if (heard_ && longest_ > settings_.tooLong) {
-        const double held = std::min(limit_, static_cast<double>(inFlight));
-        limit_ = std::max(settings_.least, held * settings_.decrease);
-    } else if (waiting > 0 && !silent && (!heard_ || longest_ < settings_.comfortable)) {
-        const double more =
-            settings_.increase + settings_.increasePerWaiting * static_cast<double>(waiting);
-        limit_ = std::min(settings_.most, limit_ + more);
+    const bool stalled = inFlight > 0 && sampledAt_ && now - *sampledAt_ >= settings_.stallTimeout;
+    if (sampledInPeriod_ && maxRatio_ > settings_.decreaseAbove) {
+        const double used = std::min(limit_, static_cast<double>(inFlight));
+        limit_ = std::max(settings_.minLimit, used * settings_.decreaseFactor);
+    } else if (waiting > 0 && !stalled
+               && (!sampledInPeriod_ || maxRatio_ < settings_.increaseBelow)) {
+        const double step =
+            settings_.increaseStep + settings_.increasePerQueued * static_cast<double>(waiting);
+        limit_ = std::min(settings_.maxLimit, limit_ + step);
     }
-    heard_ = false;
-    longest_ = 0.0;
+    sampledInPeriod_ = false;
+    maxRatio_ = 0.0;
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/streamqueue.cpp
+++ b/src/decision/gateway/streamqueue.cpp
@@ -5,33 +5,33 @@
 
 namespace seamarch {
 
-StreamQueue::Key StreamQueue::keyOf(const Entry &entry, TimePoint now)
+StreamQueue::Key StreamQueue::sortKey(const Entry &entry, TimePoint now)
 {
-    if (now <= entry.startBy) {
-        return {entry.priority, Standing::InTime, entry.number};
+    if (now <= entry.startDeadline) {
+        return {entry.priority, Timeliness::InTime, entry.number};
     }
-    const Standing late = entry.cameBack ? Standing::LateAfterReturn : Standing::Late;
+    const Timeliness late = entry.isRetry ? Timeliness::LateRetry : Timeliness::Late;
     return {entry.priority, late, entry.number};
 }
 
-// Moves the streams whose time to begin has passed behind those that can still be in time.
+// Moves the streams whose start deadline has passed behind those that are still in time.
 void StreamQueue::demoteLate(TimePoint now)
 {
-    while (!hopeful_.empty() && hopeful_.begin()->first < now) {
-        const RequestNumber number = hopeful_.begin()->second;
-        hopeful_.erase(hopeful_.begin());
+    while (!startDeadlines_.empty() && startDeadlines_.begin()->first < now) {
+        const RequestNumber number = startDeadlines_.begin()->second;
+        startDeadlines_.erase(startDeadlines_.begin());
         const Entry &entry = entries_.at(number);
-        order_.erase(keyOf(entry, entry.startBy));
-        order_.emplace(keyOf(entry, now), number);
+        order_.erase(sortKey(entry, entry.startDeadline));
+        order_.emplace(sortKey(entry, now), number);
     }
 }
 
 void StreamQueue::add(const Entry &entry, TimePoint now)
 {
     entries_.emplace(entry.number, entry);
-    order_.emplace(keyOf(entry, now), entry.number);
-    if (now <= entry.startBy) {
-        hopeful_.emplace(entry.startBy, entry.number);
+    order_.emplace(sortKey(entry, now), entry.number);
+    if (now <= entry.startDeadline) {
+        startDeadlines_.emplace(entry.startDeadline, entry.number);
     }
 }
 
@@ -42,14 +42,14 @@
         return;
     }
     const Entry &entry = found->second;
-    const auto [begin, end] = hopeful_.equal_range(entry.startBy);
-    const auto hope = std::find_if(
-        begin, end, [number](const auto &hopeful) { return hopeful.second == number; });
-    if (hope == end) {
-        order_.erase(keyOf(entry, TimePoint::max()));
+    const auto [begin, end] = startDeadlines_.equal_range(entry.startDeadline);
+    const auto deadline = std::find_if(
+        begin, end, [number](const auto &waiting) { return waiting.second == number; });
+    if (deadline == end) {
+        order_.erase(sortKey(entry, TimePoint::max()));
     } else {
-        order_.erase(keyOf(entry, entry.startBy));
-        hopeful_.erase(hope);
+        order_.erase(sortKey(entry, entry.startDeadline));
+        startDeadlines_.erase(deadline);
     }
     entries_.erase(found);
 }
@@ -70,11 +70,11 @@
     return entry->number;
 }
 
-std::size_t StreamQueue::ahead(const Entry &entry, TimePoint now)
+std::size_t StreamQueue::countAhead(const Entry &entry, TimePoint now)
 {
     demoteLate(now);
     return static_cast<std::size_t>(
-        std::distance(order_.begin(), order_.lower_bound(keyOf(entry, now))));
+        std::distance(order_.begin(), order_.lower_bound(sortKey(entry, now))));
 }
 
 } // namespace seamarch
--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -124,7 +124,7 @@
     call.path = flight.request.target;
     call.headers = protocol_.upstreamHeaders(flight.request, facts);
     call.body = flight.request.body;
-    call.reuse = action.mayUseOldConnection ? HttpReuse::Any : HttpReuse::Young;
+    call.reuse = action.mayReuseConnection ? HttpReuse::Any : HttpReuse::Young;
     call.connectTimeout = kConnectTimeout;
     flight.attempt = action.attempt;
     flight.upstream = action.upstream.id;
@@ -135,15 +135,15 @@
     flight.attemptSpeaks = false;
     flight.resuming = flight.headSent;
     const TargetName &service = action.upstream.service;
-    const StreamLane *lane = core_.lane(service, action.group);
+    const GroupTracker *tracker = core_.tracker(service, action.group);
     logLine(LogLevel::Info, "attempt.started",
             {{"id", flight.facts.requestId},
              {"attempt", action.attempt},
              {"waitedMs", toMillis(loop_.now() - flight.startedAt)},
              {"group", action.group.value()},
-             {"streams", lane == nullptr ? 0 : lane->inFlight()},
-             {"streamLimit", lane == nullptr ? 0.0 : lane->limiter().limit()},
-             {"waiting", core_.waiting(service)},
+             {"streams", tracker == nullptr ? 0 : tracker->inFlight()},
+             {"streamLimit", tracker == nullptr ? 0.0 : tracker->limiter().limit()},
+             {"waiting", core_.queuedStreams(service)},
              {"upstream", action.upstream.id.value()},
              {"hall", action.upstream.hall.value()},
              {"inFlightThere", core_.inFlightAt(action.upstream.id)},
@@ -163,13 +163,13 @@
     Flight &flight = found->second;
     client_->cancel(std::exchange(flight.call, 0));
     if (action.silent) {
-        flight.events.dropPartial();
+        flight.events.discardPartial();
         logLine(LogLevel::Info, "attempt.silent",
                 {{"id", flight.facts.requestId},
                  {"attempt", flight.attempt},
                  {"upstream", flight.upstream.value()},
                  {"group", flight.group.value()},
-                 {"events", flight.events.events()},
+                 {"events", flight.events.eventCount()},
                  {"ms", toMillis(loop_.now() - flight.startedAt)}});
     }
 }
@@ -290,9 +290,9 @@
              {"upstream", flight->upstream.value()},
              {"end", wordFor(end)},
              {"headSent", flight->headSent},
-             {"events", flight->events.events()},
+             {"events", flight->events.eventCount()},
              {"ms", toMillis(loop_.now() - flight->startedAt)}});
-    flight->events.dropPartial();
+    flight->events.discardPartial();
     if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
         askAfterUpstream(number, *flight);
         return;
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -167,7 +167,7 @@
     flight.exchange = exchange;
     flight.request = std::move(request);
     flight.facts = std::move(facts);
-    admitted->held = loop_.now() - arrivedAt;
+    admitted->age = loop_.now() - arrivedAt;
     admitted->digest = digestOf(flight.request, admitted->account);
     flight.admitted = *admitted;
     flight.startedAt = arrivedAt;
@@ -253,7 +253,7 @@
     endFlight(action.request, toString(action.failure));
 }
 
-void GatewayService::carryOut(const BreakAnswer &action)
+void GatewayService::carryOut(const AbortAnswer &action)
 {
     const auto found = flights_.find(action.request);
     if (found == flights_.end()) {
@@ -283,7 +283,7 @@
              {"upstream", flight.upstream.value()},
              {"group", flight.group.value()},
              {"attempts", flight.attempt},
-             {"events", flight.events.events()},
+             {"events", flight.events.eventCount()},
              {"firstEventMs", flight.firstEventAt == TimePoint{}
                                   ? json()
                                   : json(toMillis(flight.firstEventAt - flight.startedAt))},
@@ -297,8 +297,8 @@
 {
     takeEarly();
     GatewayActions actions;
-    core_.setGateways(sources_->gateways() + 1);
-    core_.setPlace(sources_->place());
+    core_.setGatewayCount(sources_->gateways() + 1);
+    core_.setHallPosition(sources_->place());
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
     sources_->tick();
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -6,7 +6,7 @@
 // says whether a request is admitted, GatewayCore what becomes of it.
 #pragma once
 
-#include "decision/gateway/eventstream.h"
+#include "decision/gateway/eventsplitter.h"
 #include "decision/gateway/gatewaycore.h"
 #include "gateway/callerprotocol.h"
 #include "gateway/earlyrequests.h"
@@ -90,7 +90,7 @@
         bool headSent = false;
         bool attemptSpeaks = false; // The attempt under way has sent an event.
         bool resuming = false;      // Events follow those of an earlier attempt.
-        EventStream events;
+        EventSplitter events;
         TimePoint startedAt{};
         TimePoint firstEventAt{};
         TimePoint lastEventAt{};
@@ -131,7 +131,7 @@
     void carryOut(const StartAttempt &action);
     void carryOut(const CancelAttempt &action);
     void carryOut(const RejectRequest &action);
-    void carryOut(const BreakAnswer &action);
+    void carryOut(const AbortAnswer &action);
 
     void onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head);
     void noteNotice(RequestNumber number, const Flight &flight, AnswerKind kind);
--- a/test/decision/gateway/upstreamturn_test.cpp
+++ b/test/decision/gateway/hallposition_test.cpp
@@ -1,8 +1,8 @@
-// The pattern: many gateways before one hall's upstreams, few requests each. Requests come by
-// chance and stay for an exponential time; each gateway fills the upstream that it has least at.
-// Thirty gateways before 26 upstreams with six places are a hall of the users' large deployment, in
-// which some 3.3 streams run at an upstream on average.
-#include "decision/gateway/upstreamturn.h"
+// Simulates many gateways with few requests each at the upstreams of one hall. Requests arrive at
+// random and last for an exponentially distributed time; each gateway picks the upstream at which
+// it has the fewest requests. Thirty gateways and 26 upstreams with six slots are a hall of a large
+// deployment, with about 3.3 streams per upstream on average.
+#include "decision/gateway/hallposition.h"
 
 #include <algorithm>
 #include <queue>
@@ -19,8 +19,8 @@
 {
     std::size_t gateways;
     std::size_t upstreams;
-    std::size_t places;
-    double mean; // Streams at an upstream.
+    std::size_t slots;
+    double mean; // Streams per upstream.
 };
 
 struct Stream
@@ -31,8 +31,9 @@
     bool operator<(const Stream &other) const { return endsAt > other.endsAt; }
 };
 
-// Returns the part of the streams that begin at an upstream whose places are taken.
-double partAtFullUpstreams(const Hall &hall, bool byTurns)
+// Returns the fraction of streams that start at an upstream without a free slot. Ties are broken by
+// fill position or at random.
+double fractionAtFullUpstreams(const Hall &hall, bool byPosition)
 {
     constexpr int kStreams = 20'000;
     std::mt19937_64 random(7);
@@ -52,19 +53,19 @@
             --all[running.top().upstream];
         }
         const std::size_t gateway = anyGateway(random);
-        const HallPlace place{gateway, hall.gateways};
+        const HallPosition hallPosition{gateway, hall.gateways};
         const std::size_t chance = anyGateway(random);
         const auto order = [&](std::size_t upstream) {
-            const std::size_t turn = byTurns
-                                         ? upstreamTurn(upstream, hall.upstreams, place)
-                                         : (upstream * 7919 + chance * 104'729 + count * 31) % 1009;
-            return std::pair(own[gateway][upstream], turn);
+            const std::size_t position =
+                byPosition ? fillPosition(upstream, hall.upstreams, hallPosition)
+                           : (upstream * 7919 + chance * 104'729 + count * 31) % 1009;
+            return std::pair(own[gateway][upstream], position);
         };
         std::size_t best = 0;
         for (std::size_t upstream = 1; upstream < hall.upstreams; ++upstream) {
             best = order(upstream) < order(best) ? upstream : best;
         }
-        full += all[best] >= hall.places ? 1 : 0;
+        full += all[best] >= hall.slots ? 1 : 0;
         ++own[gateway][best];
         ++all[best];
         running.push({now + life(random), gateway, best});
@@ -74,41 +75,43 @@
 
 } // namespace
 
-TEST_GROUP(UpstreamTurnTest){};
+TEST_GROUP(HallPositionTest){};
 
-TEST(UpstreamTurnTest, EachUpstreamHasOneTurn)
+TEST(HallPositionTest, EachUpstreamHasADistinctPosition)
 {
     std::vector<bool> seen(26, false);
     for (std::size_t index = 0; index < seen.size(); ++index) {
-        seen[upstreamTurn(index, seen.size(), {17, 30})] = true;
+        seen[fillPosition(index, seen.size(), {17, 30})] = true;
     }
     CHECK_TRUE(std::all_of(seen.begin(), seen.end(), [](bool found) { return found; }));
 }
 
-TEST(UpstreamTurnTest, AsManyGatewaysBeginAtEachUpstream)
+TEST(HallPositionTest, EqualNumbersOfGatewaysStartAtEachUpstream)
 {
     constexpr std::size_t kGateways = 30;
     std::vector<int> begins(10, 0);
     for (std::size_t gateway = 0; gateway < kGateways; ++gateway) {
         for (std::size_t index = 0; index < begins.size(); ++index) {
-            begins[index] += upstreamTurn(index, begins.size(), {gateway, kGateways}) == 0 ? 1 : 0;
+            begins[index] += fillPosition(index, begins.size(), {gateway, kGateways}) == 0 ? 1 : 0;
         }
     }
     CHECK_TRUE(begins == std::vector<int>(10, 3));
 }
 
-TEST(UpstreamTurnTest, FewerStreamsMeetAFullUpstreamInALargeHall)
+TEST(HallPositionTest, FewerStreamsMeetAFullUpstreamInALargeHall)
 {
     const Hall hall{30, 26, 6, 3.3};
-    const double byChance = partAtFullUpstreams(hall, false);
-    const double byTurns = partAtFullUpstreams(hall, true);
-    CHECK_TEXT(byChance > 0.04, "the pattern must show where the choice is by chance");
-    CHECK_TEXT(byTurns < byChance / 3.0, "turns must spare most streams a full upstream");
+    const double randomFraction = fractionAtFullUpstreams(hall, false);
+    const double byPosition = fractionAtFullUpstreams(hall, true);
+    CHECK_TEXT(randomFraction > 0.04, "expected crowding if ties are broken at random");
+    CHECK_TEXT(byPosition < randomFraction / 3.0,
+               "expected fill positions to avoid most full upstreams");
 }
 
-TEST(UpstreamTurnTest, NoWorseAtOtherSizes)
+TEST(HallPositionTest, NoWorseAtOtherSizes)
 {
     for (const Hall &hall : {Hall{3, 4, 12, 7.0}, Hall{14, 8, 12, 7.0}, Hall{68, 64, 6, 3.3}}) {
-        CHECK_TRUE(partAtFullUpstreams(hall, true) <= partAtFullUpstreams(hall, false) + 0.01);
+        CHECK_TRUE(fractionAtFullUpstreams(hall, true)
+                   <= fractionAtFullUpstreams(hall, false) + 0.01);
     }
 }
--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -1,7 +1,7 @@
-// The load that this answers: engines whose answers are lost (three in ten of a third of a
-// service's, for six seconds), that hang, or whose machine froze say nothing and reset nothing. A
-// caller leaves a stream after two seconds without a word; in time, and served at all, is only what
-// another engine answers before that.
+// Engines whose answers are lost (30 % of those of a third of a service, for six seconds), that
+// hang, or whose machine is frozen send nothing and reset no connection. Callers disconnect from a
+// stream after two seconds of silence, so a request is served only if another engine answers before
+// that.
 #include "decision/gateway/gatewaycore.h"
 
 #include <CppUTest/TestHarness.h>
@@ -82,25 +82,26 @@
         return core->begin(request, at(now), actions);
     }
 
-    // The request's engine begins to answer.
+    // Starts the answer to a request.
     void answer(RequestNumber number, int now)
     {
         core->onHead(number, AnswerKind::Success, at(now), actions);
         core->onFirstEvent(number, at(now));
     }
 
-    // Time passes; the streams in `speaking` get an event at each pass.
-    void pass(int from, int to, const std::vector<RequestNumber> &speaking)
+    // Advances the time; the streams in `producing` get an event at each pass.
+    void pass(int from, int to, const std::vector<RequestNumber> &producing)
     {
         for (int now = from; now < to; now += kPass) {
-            for (const RequestNumber number : speaking) {
+            for (const RequestNumber number : producing) {
                 core->onPause(number, std::chrono::milliseconds(kPass), at(now));
             }
             core->onTick(at(now), actions);
         }
     }
 
-    // Returns where the request was sent last since the actions were cleared.
+    // Returns the upstream of the request's last attempt since the actions were cleared; empty if
+    // there is none.
     std::string lastSent(RequestNumber number)
     {
         std::string sent;
@@ -125,39 +126,40 @@
     }
 };
 
-TEST(SilentUpstreamTest, StreamMovesWhileOthersOfItsGroupSpeak)
+TEST(SilentUpstreamTest, SilentStreamFailsOverWhileItsGroupMakesProgress)
 {
-    const RequestNumber speaks = begin(0);
+    const RequestNumber active = begin(0);
     const RequestNumber silent = begin(0);
     const std::string before = lastSent(silent);
-    answer(speaks, 50);
+    answer(active, 50);
     actions.clear();
-    pass(100, 1000, {speaks});
+    pass(100, 1000, {active});
     STRCMP_EQUAL("", lastSent(silent).c_str());
-    pass(1000, 1100, {speaks});
+    pass(1000, 1100, {active});
     CHECK_TRUE(cancelledAsSilent(silent));
     CHECK_TRUE(!lastSent(silent).empty());
     CHECK_TRUE_TEXT(lastSent(silent) != before, "expected another upstream than the silent one");
-    CHECK_FALSE(cancelledAsSilent(speaks));
+    CHECK_FALSE(cancelledAsSilent(active));
 }
 
-// Part of its answer is with the caller: it goes on at another engine after the last whole event.
-TEST(SilentUpstreamTest, StreamThatFallsSilentMidwayMoves)
+// Part of the answer was forwarded: the stream resumes at another engine after the last complete
+// event.
+TEST(SilentUpstreamTest, StreamThatFallsSilentMidwayFailsOver)
 {
-    const RequestNumber speaks = begin(0);
+    const RequestNumber active = begin(0);
     const RequestNumber silent = begin(0);
-    answer(speaks, 50);
+    answer(active, 50);
     answer(silent, 50);
     actions.clear();
-    pass(100, 700, {speaks, silent});
-    pass(700, 1500, {speaks});
+    pass(100, 700, {active, silent});
+    pass(700, 1500, {active});
     CHECK_FALSE(cancelledAsSilent(silent));
-    pass(1500, 1800, {speaks});
+    pass(1500, 1800, {active});
     CHECK_TRUE(cancelledAsSilent(silent));
 }
 
-// A group that stands still as a whole would keep it waiting all the same.
-TEST(SilentUpstreamTest, StreamStaysWhereTheOnlyGroupStandsStill)
+// Another upstream of the same stalled group would not answer either.
+TEST(SilentUpstreamTest, StreamStaysWhenTheOnlyGroupIsStalled)
 {
     const RequestNumber one = begin(0);
     const RequestNumber two = begin(0);
@@ -169,7 +171,7 @@
     CHECK_FALSE(cancelledAsSilent(two));
 }
 
-TEST(SilentUpstreamTest, StreamOfAGroupThatStandsStillMovesToAnother)
+TEST(SilentUpstreamTest, StreamOfAStalledGroupFailsOverToAnotherGroup)
 {
     put("south-1", "south", 1);
     learnGroup("north", {1, 2});
@@ -182,7 +184,7 @@
     STRCMP_EQUAL("south-1", lastSent(silent).c_str());
 }
 
-TEST(SilentUpstreamTest, RequestThatMayRunOnceStays)
+TEST(SilentUpstreamTest, AtMostOnceRequestStays)
 {
     document.routes.front().streamed = false;
     document.routes.front().resumable = false;
@@ -192,19 +194,19 @@
     CHECK_FALSE(cancelledAsSilent(number));
 }
 
-// A second attempt is a load that a service in trouble must not get without bound.
-TEST(SilentUpstreamTest, NothingMovesWithoutABudget)
+// Second attempts add load to a service in trouble, so they must be limited.
+TEST(SilentUpstreamTest, NothingFailsOverWithoutARetryBudget)
 {
     core->setRetryLimits({0.0, 0.0});
-    const RequestNumber speaks = begin(0);
+    const RequestNumber active = begin(0);
     const RequestNumber silent = begin(0);
-    answer(speaks, 50);
+    answer(active, 50);
     actions.clear();
-    pass(100, 1900, {speaks});
+    pass(100, 1900, {active});
     CHECK_FALSE(cancelledAsSilent(silent));
 }
 
-TEST(SilentUpstreamTest, RepeatableRequestMovesAtHalfOfItsTime)
+TEST(SilentUpstreamTest, RepeatableRequestFailsOverAtHalfTheSilenceLimit)
 {
     document.routes.front().streamed = false;
     document.routes.front().resumable = false;
--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -20,7 +20,7 @@
     StreamLimiter limiter;
 };
 
-TEST(StreamLimiterTest, FallsBelowWhatIsInFlightWhenPausesAreLong)
+TEST(StreamLimiterTest, LimitFallsBelowInFlightWhenPausesAreLong)
 {
     limiter.onPause(std::chrono::milliseconds(119), kGoal, at(900));
     limiter.onTick(8, 0, at(1000));
@@ -28,16 +28,16 @@
     CHECK_FALSE(limiter.admits(8));
 }
 
-TEST(StreamLimiterTest, GrowsOnlyWhileRequestsWait)
+TEST(StreamLimiterTest, LimitGrowsOnlyWhileRequestsAreQueued)
 {
     limiter.onPause(std::chrono::milliseconds(40), kGoal, at(900));
     limiter.onTick(12, 0, at(1000));
-    DOUBLES_EQUAL(StreamLimiter::Settings().initial, limiter.limit(), 1e-9);
+    DOUBLES_EQUAL(StreamLimiter::Settings().initialLimit, limiter.limit(), 1e-9);
     limiter.onTick(12, 1, at(2000));
-    CHECK_TRUE(limiter.limit() > StreamLimiter::Settings().initial);
+    CHECK_TRUE(limiter.limit() > StreamLimiter::Settings().initialLimit);
 }
 
-TEST(StreamLimiterTest, GrowsFasterWhereMoreWait)
+TEST(StreamLimiterTest, LimitGrowsFasterWithMoreQueuedRequests)
 {
     StreamLimiter other;
     limiter.onTick(12, 1, at(1000));
@@ -45,7 +45,7 @@
     CHECK_TRUE(other.limit() > limiter.limit());
 }
 
-TEST(StreamLimiterTest, NeverFallsToNothing)
+TEST(StreamLimiterTest, LimitNeverFallsBelowTheMinimum)
 {
     for (int count = 1; count < 100; ++count) {
         limiter.onPause(std::chrono::seconds(1), kGoal, at(900));
@@ -54,46 +54,46 @@
     CHECK_TRUE(limiter.admits(2));
 }
 
-TEST(StreamLimiterTest, RoutesWithoutAGoalSayNothing)
+TEST(StreamLimiterTest, PausesOfRoutesWithoutAGoalAreIgnored)
 {
     limiter.onPause(std::chrono::seconds(9), Duration{}, at(900));
     limiter.onTick(12, 0, at(1000));
-    DOUBLES_EQUAL(StreamLimiter::Settings().initial, limiter.limit(), 1e-9);
+    DOUBLES_EQUAL(StreamLimiter::Settings().initialLimit, limiter.limit(), 1e-9);
 }
 
-TEST(StreamLimiterTest, IsStrainedByAPauseNearTheGoalUntilAShortOne)
+TEST(StreamLimiterTest, NearGoalLastsUntilAShortPause)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
-    CHECK_TRUE(limiter.strained(at(1050)));
+    CHECK_TRUE(limiter.nearGoal(at(1050)));
     limiter.onPause(std::chrono::milliseconds(60), kGoal, at(1060));
-    CHECK_FALSE(limiter.strained(at(1060)));
+    CHECK_FALSE(limiter.nearGoal(at(1060)));
 }
 
-TEST(StreamLimiterTest, StrainDoesNotOutlastItsPasses)
+TEST(StreamLimiterTest, NearGoalExpires)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
-    CHECK_FALSE(limiter.strained(at(1000) + StreamLimiter::Settings().strainLife));
+    CHECK_FALSE(limiter.nearGoal(at(1000) + StreamLimiter::Settings().nearGoalTtl));
 }
 
-// The pattern: 149 gateways before 129 ranks with six places each. A bound of a twelfth of a small
-// site's places for each gateway is twice the places that there are.
-TEST(StreamLimiterTest, GatewaysOfALargeSiteBeginWithinItsPlaces)
+// With 149 gateways and 129 ranks of six slots, a fixed initial limit of 12 streams per gateway,
+// which suits a small site, would admit twice as many streams as there are slots.
+TEST(StreamLimiterTest, InitialSharesOfALargeSiteStayWithinItsSlots)
 {
     constexpr double kGateways = 149.0;
     constexpr double kSlots = 129.0 * 6.0;
-    limiter.begin(kSlots, kGateways);
+    limiter.resetToShare(kSlots, kGateways);
     CHECK_TRUE(limiter.limit() * kGateways <= kSlots);
 }
 
-TEST(StreamLimiterTest, GatewaysOfASmallSiteBeginAsBefore)
+TEST(StreamLimiterTest, InitialSharesOfASmallSiteStayWithinItsSlots)
 {
-    limiter.begin(144.0, 7.0);
+    limiter.resetToShare(144.0, 7.0);
     CHECK_TRUE(limiter.limit() >= 12.0);
     CHECK_TRUE(limiter.limit() * 7.0 <= 144.0);
 }
 
-// The pattern: a group stands still for seconds while callers queue; nobody complains of pauses.
-TEST(StreamLimiterTest, DoesNotGrowWhileTheEnginesStandStill)
+// A group stalls for seconds while callers queue: there are no events, thus no long pauses either.
+TEST(StreamLimiterTest, LimitDoesNotGrowWhileTheEnginesAreStalled)
 {
     limiter.onPause(std::chrono::milliseconds(40), kGoal, at(1000));
     limiter.onTick(12, 5, at(1100));
@@ -104,16 +104,16 @@
     }
 }
 
-TEST(StreamLimiterTest, AnOutageEndsWithAnEvenShareAtMost)
+TEST(StreamLimiterTest, LimitIsAtMostAnEvenShareAfterAnOutage)
 {
-    limiter.begin(144.0, 6.0);
+    limiter.resetToShare(144.0, 6.0);
     for (int millis = 1000; millis < 9000; millis += 200) {
         limiter.onTick(0, 20, at(millis));
     }
-    limiter.begin(144.0, 6.0);
+    limiter.resetToShare(144.0, 6.0);
     CHECK_TRUE(limiter.limit() <= 24.0);
     limiter.onPause(std::chrono::milliseconds(119), kGoal, at(9100));
     limiter.onTick(8, 0, at(9200));
-    limiter.begin(144.0, 6.0);
+    limiter.resetToShare(144.0, 6.0);
     CHECK_TRUE(limiter.limit() < 8.0);
 }
--- a/test/decision/gateway/streamqueue_test.cpp
+++ b/test/decision/gateway/streamqueue_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint8_t kUrgent = 1;
-constexpr std::uint8_t kUsual = 5;
+constexpr std::uint8_t kNormal = 5;
 
 TimePoint at(int millis)
 {
@@ -20,10 +20,10 @@
 {
     StreamQueue queue;
 
-    void add(RequestNumber number, int startBy, std::uint8_t priority = kUsual,
-             bool cameBack = false)
+    void add(RequestNumber number, int startDeadline, std::uint8_t priority = kNormal,
+             bool isRetry = false)
     {
-        queue.add({number, priority, cameBack, at(startBy)}, at(0));
+        queue.add({number, priority, isRetry, at(startDeadline)}, at(0));
     }
 
     void checkNext(RequestNumber expected, int now)
@@ -43,7 +43,7 @@
     CHECK_FALSE(queue.takeNext(at(10)).has_value());
 }
 
-TEST(StreamQueueTest, OneThatCanBeInTimeGoesBeforeOneThatCannot)
+TEST(StreamQueueTest, InTimeStreamGoesBeforeLateOne)
 {
     add(1, 100);
     add(2, 400);
@@ -51,36 +51,36 @@
     checkNext(1, 200);
 }
 
-TEST(StreamQueueTest, UrgentOneGoesFirstEvenWhenItIsLate)
+TEST(StreamQueueTest, UrgentStreamGoesFirstEvenWhenLate)
 {
     add(1, 400);
     add(2, 100, kUrgent);
     checkNext(2, 200);
 }
 
-TEST(StreamQueueTest, CallerThatCameBackGoesFirstAmongTheLate)
+TEST(StreamQueueTest, RetryGoesFirstAmongLateStreams)
 {
     add(1, 100);
-    add(2, -500, kUsual, true);
+    add(2, -500, kNormal, true);
     checkNext(2, 200);
     checkNext(1, 200);
 }
 
-TEST(StreamQueueTest, CountsThoseThatGoBefore)
+TEST(StreamQueueTest, CountsStreamsAhead)
 {
     add(1, 100);
     add(2, 400);
-    LONGS_EQUAL(2, queue.ahead({3, kUsual, false, at(300)}, at(50)));
-    LONGS_EQUAL(1, queue.ahead({3, kUsual, false, at(300)}, at(200)));
-    LONGS_EQUAL(0, queue.ahead({3, kUrgent, false, at(300)}, at(200)));
+    LONGS_EQUAL(2, queue.countAhead({3, kNormal, false, at(300)}, at(50)));
+    LONGS_EQUAL(1, queue.countAhead({3, kNormal, false, at(300)}, at(200)));
+    LONGS_EQUAL(0, queue.countAhead({3, kUrgent, false, at(300)}, at(200)));
 }
 
-TEST(StreamQueueTest, RemovedOnesLeaveNoTrace)
+TEST(StreamQueueTest, RemovedStreamsAreNotCounted)
 {
     add(1, 100);
     add(2, 100);
     queue.remove(1);
-    LONGS_EQUAL(1, queue.ahead({3, kUsual, false, at(-1)}, at(200)));
+    LONGS_EQUAL(1, queue.countAhead({3, kNormal, false, at(-1)}, at(200)));
     queue.remove(2);
     queue.remove(2);
     CHECK_TRUE(queue.empty());
--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: a request that ends every upstream that runs it comes again and
-// again, as new requests at any gateway, as copies that wait, that are under way, and that are
-// about to move off a silent upstream.
+// A request that crashes every upstream that runs it is sent again and again: as new requests at
+// any gateway, queued, in progress, and about to fail over from a silent upstream. These tests
+// check that it is stopped in each of these states.
 #include "decision/gateway/gatewaycore.h"
 
 #include <cstdint>
@@ -89,15 +89,15 @@
         return found;
     }
 
-    // The upstream that a request was sent to last has ended under it.
-    void endUnder(RequestNumber number, int now, RequestDigest digest = kPoison)
+    // Ends the upstream that the last request was sent to.
+    void crashUnder(RequestNumber number, int now, RequestDigest digest = kPoison)
     {
         const InstanceId upstream = last<StartAttempt>()->upstream.id;
         core->onUpstreamEnded(digest, kAccount, upstream, at(now), at(now), actions);
         core->onEnd(number, AttemptEnd::Lost, at(now), actions);
     }
 
-    void learnEnds(int count)
+    void recordCrashes(int count)
     {
         for (int index = 0; index < count; ++index) {
             core->crashes().onEnded(kPoison, kAccount,
@@ -116,103 +116,103 @@
     }
 };
 
-TEST(SuspectRequestTest, AnyKindIsRefusedAtOnceAsNotRunAndNotInvitedBack)
+TEST(SuspectRequestTest, SuspectOfAnyKindIsRejectedAsNotRunWithoutRetryAfter)
 {
-    learnEnds(3);
+    recordCrashes(3);
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         actions.clear();
         begin(kind);
         LONGS_EQUAL(0, sent());
-        const auto *told = last<RejectRequest>();
-        CHECK_TRUE(told != nullptr && told->failure == FailureCode::RequestEndsUpstreams);
-        CHECK_TRUE(told->outcome == Outcome::NotRun);
-        CHECK_TRUE(told->retryAfter == Duration{});
+        const auto *rejection = last<RejectRequest>();
+        CHECK_TRUE(rejection != nullptr && rejection->failure == FailureCode::RequestEndsUpstreams);
+        CHECK_TRUE(rejection->outcome == Outcome::NotRun);
+        CHECK_TRUE(rejection->retryAfter == Duration{});
     }
     LONGS_EQUAL(0, core->inFlight());
 }
 
 TEST(SuspectRequestTest, OtherRequestsOfTheAccountAreSent)
 {
-    learnEnds(3);
+    recordCrashes(3);
     begin(Kind::Repeatable, kHarmless);
     LONGS_EQUAL(1, sent());
 }
 
-TEST(SuspectRequestTest, FirstEndIsRepeatedAndTheSecondIsNot)
+TEST(SuspectRequestTest, RequestIsRetriedAfterTheFirstCrashOnly)
 {
     const RequestNumber number = begin(Kind::Repeatable);
-    endUnder(number, 50);
+    crashUnder(number, 50);
     LONGS_EQUAL(2, sent());
-    endUnder(number, 100);
+    crashUnder(number, 100);
     LONGS_EQUAL(2, sent());
     CHECK_TRUE(last<RejectRequest>()->outcome == Outcome::Unknown);
     CHECK_TRUE(httpStatus(last<RejectRequest>()->failure) != 503);
 }
 
-TEST(SuspectRequestTest, StreamThatHasBegunIsBrokenOffAndNotTakenUpElsewhere)
+TEST(SuspectRequestTest, StartedStreamOfASuspectIsAbortedNotResumed)
 {
-    learnEnds(1);
+    recordCrashes(1);
     const RequestNumber number = begin(Kind::Stream);
     core->onHead(number, AnswerKind::Success, at(20), actions);
     core->onFirstEvent(number, at(20));
-    endUnder(number, 50);
+    crashUnder(number, 50);
     LONGS_EQUAL(1, sent());
-    CHECK_TRUE(last<BreakAnswer>() != nullptr);
+    CHECK_TRUE(last<AbortAnswer>() != nullptr);
     LONGS_EQUAL(0, core->inFlight());
 }
 
-TEST(SuspectRequestTest, WordFromElsewhereTakesBackACopyThatHasNotBegunToAnswer)
+TEST(SuspectRequestTest, RemoteCrashReportsCancelAnAttemptWithoutAnswer)
 {
     begin(Kind::Repeatable);
-    learnEnds(3);
+    recordCrashes(3);
     core->onTick(at(30), actions);
     CHECK_TRUE(last<CancelAttempt>() != nullptr);
     CHECK_TRUE(last<RejectRequest>()->outcome == Outcome::Unknown);
     LONGS_EQUAL(0, core->inFlight());
 }
 
-TEST(SuspectRequestTest, CopyThatAnswersGoesOnAndClearsTheRequest)
+TEST(SuspectRequestTest, AnsweringAttemptContinuesAndClearsTheRequest)
 {
     const RequestNumber number = begin(Kind::Stream);
     core->onHead(number, AnswerKind::Success, at(20), actions);
     core->onFirstEvent(number, at(20));
-    learnEnds(3);
+    recordCrashes(3);
     core->onTick(at(30), actions);
     LONGS_EQUAL(1, core->inFlight());
     core->onEnd(number, AttemptEnd::Complete, at(900), actions);
     CHECK_TRUE(core->crashes().mayBeSent(kPoison, at(901)));
 }
 
-TEST(SuspectRequestTest, FailureOfAnUpstreamThatLivesClearsTheRequest)
+TEST(SuspectRequestTest, FailureWithoutACrashClearsTheRequest)
 {
-    learnEnds(1);
+    recordCrashes(1);
     const RequestNumber number = begin(Kind::AtMostOnce);
     core->onHead(number, AnswerKind::Failure, at(20), actions);
     core->onEnd(number, AttemptEnd::Complete, at(20), actions);
     LONGS_EQUAL(0, core->crashes().ends(kPoison));
 }
 
-TEST(SuspectRequestTest, RefusalOfAnUpstreamSaysNothingOfTheRequest)
+TEST(SuspectRequestTest, RefusalDoesNotClearTheRequest)
 {
-    learnEnds(1);
+    recordCrashes(1);
     const RequestNumber number = begin(Kind::AtMostOnce);
     core->onHead(number, AnswerKind::Full, at(20), actions);
     LONGS_EQUAL(1, core->crashes().ends(kPoison));
 }
 
-// A planned end: nobody is to blame for it.
-TEST(SuspectRequestTest, EndOfAnUpstreamThatWasLeavingIsNotHeldAgainstItsRequests)
+// A planned end is not a crash.
+TEST(SuspectRequestTest, EndOfALeavingUpstreamIsNotCounted)
 {
     const RequestNumber number = begin(Kind::Repeatable);
     UpstreamRecord leaving = last<StartAttempt>()->upstream;
     leaving.leaving = true;
     core->upstreams().put(leaving);
-    endUnder(number, 50);
+    crashUnder(number, 50);
     LONGS_EQUAL(0, core->crashes().ends(kPoison));
 }
 
-// The gateway hears of the end when the caller has left already.
-TEST(SuspectRequestTest, EndIsRememberedWhenTheRequestIsOver)
+// The gateway learns of the crash after the caller has disconnected.
+TEST(SuspectRequestTest, CrashIsRecordedAfterTheRequestEnded)
 {
     const RequestNumber number = begin(Kind::Repeatable);
     const InstanceId upstream = last<StartAttempt>()->upstream.id;
@@ -221,26 +221,26 @@
     LONGS_EQUAL(1, core->crashes().ends(kPoison));
 }
 
-TEST(SuspectRequestTest, WaitingCopyIsRefusedWhenTheProofComes)
+TEST(SuspectRequestTest, QueuedSuspectIsRejectedOnceCrashesAreReported)
 {
     std::vector<RequestNumber> running;
-    while (core->waiting(TargetName("service")) == 0) {
+    while (core->queuedStreams(TargetName("service")) == 0) {
         running.push_back(begin(Kind::Stream, kHarmless));
     }
     core->onCallerGone(running.back(), actions);
     begin(Kind::Stream);
-    LONGS_EQUAL(1, core->waiting(TargetName("service")));
+    LONGS_EQUAL(1, core->queuedStreams(TargetName("service")));
     actions.clear();
-    learnEnds(3);
+    recordCrashes(3);
     core->onTick(at(30), actions);
-    LONGS_EQUAL(0, core->waiting(TargetName("service")));
+    LONGS_EQUAL(0, core->queuedStreams(TargetName("service")));
     CHECK_TRUE(last<RejectRequest>()->failure == FailureCode::RequestEndsUpstreams);
 }
 
-// Upstreams crashed under one kind of request, one after the other, with all that they had; callers
-// of others were refused for seconds each time. Whatever part of the requests it is, and whenever
-// it comes again, three upstreams are the most that it ends.
-TEST(SuspectRequestTest, NoShareAndNoMomentEndsMoreThanThreeUpstreams)
+// Each crash of an upstream fails all its requests, and other callers are rejected for seconds. A
+// request that crashes its upstreams may end three of them at most, whatever its share of the load
+// and whenever it is repeated.
+TEST(SuspectRequestTest, SuspectEndsAtMostThreeUpstreams)
 {
     for (const double share : {0.01, 0.03, 0.08, 0.5}) {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -270,8 +270,8 @@
     }
 }
 
-// The upstream says nothing for half of what its caller bears; at another one it would end that.
-TEST(SuspectRequestTest, SuspectIsNotMovedOffASilentUpstream)
+// The upstream is silent for half of the silence limit; a failover would crash another one.
+TEST(SuspectRequestTest, SuspectIsNotFailedOverFromASilentUpstream)
 {
     begin(Kind::Repeatable);
     core->crashes().onEnded(kPoison, kAccount, InstanceId("a"), at(100));
