--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-std::uint64_t markOf(const GroupFacts &facts)
+std::uint64_t digestOf(const GroupFacts &facts)
 {
     return digest(describe(facts));
 }
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -45,7 +45,7 @@
 };
 
 // Returns a digest of the facts, by which those who have them already name them.
-std::uint64_t markOf(const GroupFacts &facts);
+std::uint64_t digestOf(const GroupFacts &facts);
 
 class GroupTable
 {
--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -19,7 +19,7 @@
         return;
     }
     facts_ = facts;
-    mark_ = markOf(facts);
+    mark_ = digestOf(facts);
     waiting_.wakeAll();
 }
 
