--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -184,7 +184,7 @@
     request.setWantsGateways(gateways);
     request.setGatewaysMark(directory_.mark());
     request.setWaitMicros(longest.count());
-    link.groupsMark = link.groupsMark == 0 ? groups_.mark() : link.groupsMark;
+    link.groupsMark = link.groupsMark == 0 ? groups_.digest() : link.groupsMark;
     request.setGroupsMark(link.groupsMark);
     request.setCrashCursor(link.crashCursor);
     request.setWantsLimits(true);
@@ -312,7 +312,7 @@
 {
     const Duration held(news.getHeldMicros());
     const bool told = link.groupsMark == news.getGroupsMark();
-    const bool same = groups_.mark() == news.getGroupsMark();
+    const bool same = groups_.digest() == news.getGroupsMark();
     for (const auto &group : news.getGroups()) {
         const TimePoint asOf = askedAt + held - Duration(group.getAgeMicros());
         if (!told) {
@@ -336,7 +336,7 @@
 {
     const TimePoint now = loop_.now();
     const auto &known = groups_.known();
-    const std::uint64_t ownMark = groups_.mark();
+    const std::uint64_t ownMark = groups_.digest();
     news.setGroupsMark(ownMark);
     auto list = news.initGroups(static_cast<std::uint32_t>(known.size()));
     std::uint32_t index = 0;
@@ -435,7 +435,7 @@
 void GatewayPeers::tick()
 {
     const TimePoint now = loop_.now();
-    const std::uint64_t groupsMark = groups_.mark();
+    const std::uint64_t groupsMark = groups_.digest();
     if (knowledge_.upstreamsMark() != toldMark_ || knowledge_.version() != toldVersion_
         || groupsMark != toldGroupsMark_ || crashes_.cursor() != toldCrashes_
         || limits_.mark() != toldLimits_) {
