--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -34,7 +34,7 @@
     return text;
 }
 
-std::uint64_t digest(const std::string &text)
+std::uint64_t xxh3(const std::string &text)
 {
     return XXH3_64bits(text.data(), text.size());
 }
@@ -43,7 +43,7 @@
 
 std::uint64_t digestOf(const GroupFacts &facts)
 {
-    return digest(describe(facts));
+    return xxh3(describe(facts));
 }
 
 bool GroupTable::learn(const GroupFacts &facts, TimePoint asOf)
@@ -143,7 +143,7 @@
         text += describe(known.facts);
         text += '\n';
     }
-    mark_ = text.empty() ? 0 : digest(text);
+    mark_ = text.empty() ? 0 : xxh3(text);
 }
 
 } // namespace seamarch
