--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -146,9 +146,9 @@
     GroupTable other;
     table.learn(facts("one", {"a"}), at(0));
     other.learn(facts("one", {"a"}), at(700));
-    CHECK_EQUAL(table.mark(), other.mark());
+    CHECK_EQUAL(table.digest(), other.digest());
     other.learn(facts("one", {"a", "b"}), at(800));
-    CHECK_TRUE(table.mark() != other.mark());
+    CHECK_TRUE(table.digest() != other.digest());
 }
 
 TEST(GroupTableTest, GroupOfWhichNothingIsHeardIsForgotten)
@@ -156,5 +156,5 @@
     table.learn(facts("one", {"a"}), at(0));
     table.expire(at(61'000));
     STRCMP_EQUAL("", groupOf("a").c_str());
-    LONGS_EQUAL(0, table.mark());
+    LONGS_EQUAL(0, table.digest());
 }
