--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -143,7 +143,7 @@
         text += describe(known.facts);
         text += '\n';
     }
-    mark_ = text.empty() ? 0 : xxh3(text);
+    digest_ = text.empty() ? 0 : xxh3(text);
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -110,7 +110,7 @@
     // Returns a number that rises with every change of what groups there are and who is in them.
     std::uint64_t changes() const { return changes_; }
     // Returns a digest of all facts, without their ages: tables that hold the same name it alike.
-    std::uint64_t digest() const { return mark_; }
+    std::uint64_t digest() const { return digest_; }
 
 private:
     using Address = std::pair<std::string, int>;
@@ -129,7 +129,7 @@
     std::map<GroupId, Known> groups_;
     std::map<Address, Place> places_;
     std::uint64_t changes_ = 0;
-    std::uint64_t mark_ = 0; // Zero while no group is known.
+    std::uint64_t digest_ = 0; // Zero while no group is known.
 };
 
 } // namespace seamarch
