--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -57,7 +57,7 @@
     known = {facts, asOf};
     index(known);
     if (!same) {
-        remark();
+        updateDigest();
     }
     return true;
 }
@@ -96,7 +96,7 @@
     std::erase_if(places_,
                   [this](const auto &entry) { return !groups_.contains(entry.second.group); });
     ++changes_;
-    remark();
+    updateDigest();
 }
 
 GroupId GroupTable::groupOf(const UpstreamRecord &upstream) const
@@ -136,7 +136,7 @@
     });
 }
 
-void GroupTable::remark()
+void GroupTable::updateDigest()
 {
     std::string text;
     for (const auto &[group, known] : groups_) {
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -123,7 +123,7 @@
     };
 
     void index(const Known &known);
-    void remark();
+    void updateDigest();
 
     Settings settings_;
     std::map<GroupId, Known> groups_;
