--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -55,7 +55,7 @@
     }
     const bool same = !added && known.facts == facts;
     known = {facts, asOf};
-    index(known);
+    indexMembers(known);
     if (!same) {
         updateDigest();
     }
@@ -67,14 +67,14 @@
     const auto found = groups_.find(group);
     if (found != groups_.end() && asOf > found->second.asOf) {
         found->second.asOf = asOf;
-        index(found->second);
+        indexMembers(found->second);
     }
 }
 
 // Notes where the members belong. An engine that is no longer named stays where it was until
 // another group names it: an agent that has just begun to decide does not know all ranks yet, and a
 // rank that is frozen or dead has not left its group.
-void GroupTable::index(const Known &known)
+void GroupTable::indexMembers(const Known &known)
 {
     const GroupFacts &facts = known.facts;
     const double median = medianPace(facts.members);
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -122,7 +122,7 @@
         double slowness = 1.0;
     };
 
-    void index(const Known &known);
+    void indexMembers(const Known &known);
     void updateDigest();
 
     Settings settings_;
