--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -116,7 +116,7 @@
 {
     const auto found = groups_.find(group);
     return found != groups_.end() && !found->second.facts.open
-           && now - found->second.asOf < settings_.closedLife;
+           && now - found->second.asOf < settings_.closedTimeToLive;
 }
 
 bool GroupTable::forming(const GroupId &group, TimePoint now) const
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -55,7 +55,7 @@
         // How long a group counts as closed after the word that it is: it opens within that time
         // once its ranks are back, and callers must not be kept from it by a word that nobody
         // renews.
-        Duration closedLife = std::chrono::milliseconds(2000);
+        Duration closedTimeToLive = std::chrono::milliseconds(2000);
         // How long a rank counts as slow after the word that it is.
         Duration paceLife = std::chrono::seconds(5);
         // Word of each group comes several times a second, through two waits of 0.4 s. When that of
