--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -108,7 +108,8 @@
 double GroupTable::slowness(const UpstreamRecord &upstream, TimePoint now) const
 {
     const auto found = places_.find({upstream.host, upstream.port});
-    const bool known = found != places_.end() && now - found->second.asOf < settings_.paceLife;
+    const bool known =
+        found != places_.end() && now - found->second.asOf < settings_.paceTimeToLive;
     return known ? found->second.slowness : 1.0;
 }
 
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -57,7 +57,7 @@
         // renews.
         Duration closedTimeToLive = std::chrono::milliseconds(2000);
         // How long a rank counts as slow after the word that it is.
-        Duration paceLife = std::chrono::seconds(5);
+        Duration paceTimeToLive = std::chrono::seconds(5);
         // Word of each group comes several times a second, through two waits of 0.4 s. When that of
         // one has not come for the first time, and that of another is younger by the second, the
         // way to the one is cut.
