--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -129,7 +129,7 @@
 bool GroupTable::outOfTouch(const GroupId &group, TimePoint now) const
 {
     const auto found = groups_.find(group);
-    if (found == groups_.end() || now - found->second.asOf < settings_.touchLife) {
+    if (found == groups_.end() || now - found->second.asOf < settings_.isolationTimeout) {
         return false;
     }
     return std::any_of(groups_.begin(), groups_.end(), [&](const auto &entry) {
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -61,7 +61,7 @@
         // Word of each group comes several times a second, through two waits of 0.4 s. When that of
         // one has not come for the first time, and that of another is younger by the second, the
         // way to the one is cut.
-        Duration touchLife = std::chrono::milliseconds(2500);
+        Duration isolationTimeout = std::chrono::milliseconds(2500);
         Duration touchLag = std::chrono::milliseconds(1500);
         // A group of which nothing was heard for this long is forgotten: its agents are gone, and
         // its engines may be in other groups by then.
