--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -133,7 +133,7 @@
         return false;
     }
     return std::any_of(groups_.begin(), groups_.end(), [&](const auto &entry) {
-        return entry.second.asOf - found->second.asOf >= settings_.touchLag;
+        return entry.second.asOf - found->second.asOf >= settings_.isolationLag;
     });
 }
 
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -62,7 +62,7 @@
         // one has not come for the first time, and that of another is younger by the second, the
         // way to the one is cut.
         Duration isolationTimeout = std::chrono::milliseconds(2500);
-        Duration touchLag = std::chrono::milliseconds(1500);
+        Duration isolationLag = std::chrono::milliseconds(1500);
         // A group of which nothing was heard for this long is forgotten: its agents are gone, and
         // its engines may be in other groups by then.
         Duration life = std::chrono::seconds(60);
