--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -126,7 +126,7 @@
     return closed(group, now) && found->second.facts.forming;
 }
 
-bool GroupTable::outOfTouch(const GroupId &group, TimePoint now) const
+bool GroupTable::isIsolated(const GroupId &group, TimePoint now) const
 {
     const auto found = groups_.find(group);
     if (found == groups_.end() || now - found->second.asOf < settings_.isolationTimeout) {
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -104,7 +104,7 @@
     // Tells whether the group has said of late that it takes no requests yet, and soon will.
     bool forming(const GroupId &group, TimePoint now) const;
     // Tells whether word of the group stays away while that of others comes.
-    bool outOfTouch(const GroupId &group, TimePoint now) const;
+    bool isIsolated(const GroupId &group, TimePoint now) const;
 
     const std::map<GroupId, Known> &known() const { return groups_; }
     // Returns a number that rises with every change of what groups there are and who is in them.
--- a/src/decision/gateway/servicelanes.cpp
+++ b/src/decision/gateway/servicelanes.cpp
@@ -81,7 +81,7 @@
 {
     const auto known = groups_->find(group); // Its last upstream may have left.
     const bool foreign = known == groups_->end() || !known->second.inOwnHall;
-    if (lane.unreachable() || (foreign && table.outOfTouch(group, now) && lane.quiet(now))) {
+    if (lane.unreachable() || (foreign && table.isIsolated(group, now) && lane.quiet(now))) {
         return Trouble::Unreachable;
     }
     if (lane.refuses(now) || lane.mayBeForming(now) || table.closed(group, now)) {
@@ -138,7 +138,7 @@
         StreamLane &lane = lanes_.at(option.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
-        const bool told = closed || table.outOfTouch(option.group, now);
+        const bool told = closed || table.isIsolated(option.group, now);
         const bool wanted = option.trouble != Trouble::None && !told;
         if (wanted && lane.probeDue(now)) {
             lane.onProbe(now);
--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -120,8 +120,8 @@
     table.learn(facts("near", {"a"}), at(0));
     table.learn(facts("far", {"b"}), at(0));
     table.renew(GroupId("near"), at(2500));
-    CHECK_TRUE(table.outOfTouch(GroupId("far"), at(2600)));
-    CHECK_FALSE(table.outOfTouch(GroupId("near"), at(2600)));
+    CHECK_TRUE(table.isIsolated(GroupId("far"), at(2600)));
+    CHECK_FALSE(table.isIsolated(GroupId("near"), at(2600)));
 }
 
 // Word comes through two waits of 0.4 s, and an agent that plans a map answers late.
@@ -130,7 +130,7 @@
     table.learn(facts("near", {"a"}), at(0));
     table.learn(facts("far", {"b"}), at(0));
     table.renew(GroupId("near"), at(2000));
-    CHECK_FALSE(table.outOfTouch(GroupId("far"), at(2100)));
+    CHECK_FALSE(table.isIsolated(GroupId("far"), at(2100)));
 }
 
 // The gateway that asks for all has died: that says nothing of the groups.
@@ -138,7 +138,7 @@
 {
     table.learn(facts("near", {"a"}), at(0));
     table.learn(facts("far", {"b"}), at(0));
-    CHECK_FALSE(table.outOfTouch(GroupId("far"), at(5000)));
+    CHECK_FALSE(table.isIsolated(GroupId("far"), at(5000)));
 }
 
 TEST(GroupTableTest, MarkNamesTheFactsAndNotTheirAge)
