--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -89,7 +89,9 @@
 
 void GroupTable::expire(TimePoint now)
 {
-    const auto over = [&](const auto &entry) { return now - entry.second.asOf > settings_.life; };
+    const auto over = [&](const auto &entry) {
+        return now - entry.second.asOf > settings_.timeToLive;
+    };
     if (std::erase_if(groups_, over) == 0) {
         return;
     }
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -65,7 +65,7 @@
         Duration isolationLag = std::chrono::milliseconds(1500);
         // A group of which nothing was heard for this long is forgotten: its agents are gone, and
         // its engines may be in other groups by then.
-        Duration life = std::chrono::seconds(60);
+        Duration timeToLive = std::chrono::seconds(60);
     };
 
     // A group and the moment at which it was so.
