--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -316,7 +316,7 @@
     for (const auto &group : news.getGroups()) {
         const TimePoint asOf = askedAt + held - Duration(group.getAgeMicros());
         if (!told) {
-            groups_.learn(readGroup(group), asOf);
+            groups_.update(readGroup(group), asOf);
         } else if (same) {
             groups_.renew(GroupId(group.getGroup().cStr()), asOf);
         }
--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -143,7 +143,7 @@
         return;
     }
     const GroupFacts facts = readGroup(news);
-    if (groups_.learn(facts, asOf)) {
+    if (groups_.update(facts, asOf)) {
         logLine(LogLevel::Info, "group.heard",
                 {{"group", group.value()},
                  {"epoch", facts.epoch},
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -499,7 +499,7 @@
     facts.open = false;
     facts.forming = true;
     facts.members = {{"", 0, 1.0}}; // Where the test's upstreams are listed.
-    core->groups().learn(facts, at(10'000));
+    core->groups().update(facts, at(10'000));
     begin(10'010); // The one that finds out.
     begin(10'020);
     begin(10'030);
--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -69,7 +69,7 @@
         for (const int port : ports) {
             facts.members.push_back({name, port, 1.0});
         }
-        core->groups().learn(facts, at(0));
+        core->groups().update(facts, at(0));
     }
 
     RequestNumber begin(int now)
