--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -46,7 +46,7 @@
     return xxh3(describe(facts));
 }
 
-bool GroupTable::learn(const GroupFacts &facts, TimePoint asOf)
+bool GroupTable::update(const GroupFacts &facts, TimePoint asOf)
 {
     const auto [found, added] = groups_.try_emplace(facts.group);
     Known &known = found->second;
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -81,7 +81,7 @@
     {}
 
     // Takes what was so at `asOf`. Returns false, and takes nothing, when a later word is known.
-    bool learn(const GroupFacts &facts, TimePoint asOf);
+    bool update(const GroupFacts &facts, TimePoint asOf);
     // What is known of `group` was still so at `asOf`.
     void renew(const GroupId &group, TimePoint asOf);
     // Forgets groups of which nothing was heard for too long.
--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -49,10 +49,10 @@
 
 TEST(GroupTableTest, NewestWordHolds)
 {
-    CHECK_TRUE(table.learn(facts("one", {"a"}), at(100)));
+    CHECK_TRUE(table.update(facts("one", {"a"}), at(100)));
     GroupFacts older = facts("one", {"a"});
     older.open = false;
-    CHECK_FALSE(table.learn(older, at(50)));
+    CHECK_FALSE(table.update(older, at(50)));
     CHECK_FALSE(table.closed(GroupId("one"), at(100)));
 }
 
@@ -60,25 +60,25 @@
 // its group for that would look like an empty group of its own, and draw all streams to it.
 TEST(GroupTableTest, EngineThatIsNotNamedAnyMoreStaysInItsGroup)
 {
-    table.learn(facts("one", {"a", "b"}), at(0));
-    table.learn(facts("one", {"b"}), at(10));
+    table.update(facts("one", {"a", "b"}), at(0));
+    table.update(facts("one", {"b"}), at(10));
     STRCMP_EQUAL("one", groupOf("a").c_str());
 }
 
 TEST(GroupTableTest, EngineThatAnotherGroupNamesHasMoved)
 {
-    table.learn(facts("one", {"a", "b"}), at(0));
+    table.update(facts("one", {"a", "b"}), at(0));
     const std::uint64_t before = table.changes();
-    table.learn(facts("two", {"a"}), at(10));
+    table.update(facts("two", {"a"}), at(10));
     STRCMP_EQUAL("two", groupOf("a").c_str());
     CHECK_TEXT(table.changes() > before, "those who group upstreams must see that one has moved");
 }
 
 TEST(GroupTableTest, LaterWordOfTheOldGroupDoesNotMoveAnEngineBackUnlessItNamesIt)
 {
-    table.learn(facts("one", {"a", "b"}), at(0));
-    table.learn(facts("two", {"a"}), at(10));
-    table.learn(facts("one", {"b"}), at(20));
+    table.update(facts("one", {"a", "b"}), at(0));
+    table.update(facts("two", {"a"}), at(10));
+    table.update(facts("one", {"b"}), at(20));
     STRCMP_EQUAL("two", groupOf("a").c_str());
 }
 
@@ -89,7 +89,7 @@
         member.pace = 2.0;
     }
     slow.members[2].pace = 10.0;
-    table.learn(slow, at(0));
+    table.update(slow, at(0));
     DOUBLES_EQUAL(1.0, table.slowness(upstream("a"), at(0)), 0.001);
     DOUBLES_EQUAL(5.0, table.slowness(upstream("c"), at(0)), 0.001);
 }
@@ -98,7 +98,7 @@
 {
     GroupFacts slow = facts("one", {"a", "b", "c"});
     slow.members[2].pace = 5.0;
-    table.learn(slow, at(0));
+    table.update(slow, at(0));
     DOUBLES_EQUAL(5.0, table.slowness(upstream("c"), at(4000)), 0.001);
     DOUBLES_EQUAL(1.0, table.slowness(upstream("c"), at(6000)), 0.001);
 }
@@ -107,7 +107,7 @@
 {
     GroupFacts closed = facts("one", {"a"});
     closed.open = false;
-    table.learn(closed, at(0));
+    table.update(closed, at(0));
     CHECK_TRUE(table.closed(GroupId("one"), at(1000)));
     CHECK_FALSE(table.closed(GroupId("one"), at(3000)));
     table.renew(GroupId("one"), at(2500));
@@ -117,8 +117,8 @@
 // A hall that is cut off: word of its group stays away, while that of the own hall's comes.
 TEST(GroupTableTest, GroupWhoseWordStaysAwayAloneIsOutOfTouch)
 {
-    table.learn(facts("near", {"a"}), at(0));
-    table.learn(facts("far", {"b"}), at(0));
+    table.update(facts("near", {"a"}), at(0));
+    table.update(facts("far", {"b"}), at(0));
     table.renew(GroupId("near"), at(2500));
     CHECK_TRUE(table.isIsolated(GroupId("far"), at(2600)));
     CHECK_FALSE(table.isIsolated(GroupId("near"), at(2600)));
@@ -127,8 +127,8 @@
 // Word comes through two waits of 0.4 s, and an agent that plans a map answers late.
 TEST(GroupTableTest, LateWordIsNoCut)
 {
-    table.learn(facts("near", {"a"}), at(0));
-    table.learn(facts("far", {"b"}), at(0));
+    table.update(facts("near", {"a"}), at(0));
+    table.update(facts("far", {"b"}), at(0));
     table.renew(GroupId("near"), at(2000));
     CHECK_FALSE(table.isIsolated(GroupId("far"), at(2100)));
 }
@@ -136,24 +136,24 @@
 // The gateway that asks for all has died: that says nothing of the groups.
 TEST(GroupTableTest, NoGroupIsOutOfTouchWhenWordOfAllStaysAway)
 {
-    table.learn(facts("near", {"a"}), at(0));
-    table.learn(facts("far", {"b"}), at(0));
+    table.update(facts("near", {"a"}), at(0));
+    table.update(facts("far", {"b"}), at(0));
     CHECK_FALSE(table.isIsolated(GroupId("far"), at(5000)));
 }
 
 TEST(GroupTableTest, MarkNamesTheFactsAndNotTheirAge)
 {
     GroupTable other;
-    table.learn(facts("one", {"a"}), at(0));
-    other.learn(facts("one", {"a"}), at(700));
+    table.update(facts("one", {"a"}), at(0));
+    other.update(facts("one", {"a"}), at(700));
     CHECK_EQUAL(table.digest(), other.digest());
-    other.learn(facts("one", {"a", "b"}), at(800));
+    other.update(facts("one", {"a", "b"}), at(800));
     CHECK_TRUE(table.digest() != other.digest());
 }
 
 TEST(GroupTableTest, GroupOfWhichNothingIsHeardIsForgotten)
 {
-    table.learn(facts("one", {"a"}), at(0));
+    table.update(facts("one", {"a"}), at(0));
     table.expire(at(61'000));
     STRCMP_EQUAL("", groupOf("a").c_str());
     LONGS_EQUAL(0, table.digest());
--- a/test/decision/gateway/servicelanes_test.cpp
+++ b/test/decision/gateway/servicelanes_test.cpp
@@ -132,7 +132,7 @@
     GroupFacts closed;
     closed.group = group(0);
     closed.open = false;
-    table.learn(closed, at(1000));
+    table.update(closed, at(1000));
     for (int now = 1000; now < 2000; now += 50) {
         const auto chosen = send(now);
         CHECK_TRUE(!chosen || *chosen != group(0));
@@ -146,7 +146,7 @@
     GroupFacts facts;
     for (const int number : {0, 1, 2}) {
         facts.group = group(number);
-        table.learn(facts, at(0));
+        table.update(facts, at(0));
     }
     table.renew(group(0), at(3000));
     table.renew(group(1), at(3000));
--- a/test/decision/membership/groupsurvey_test.cpp
+++ b/test/decision/membership/groupsurvey_test.cpp
@@ -58,7 +58,7 @@
 {
     for (int number = 0; number < 9; ++number) {
         const std::string name = "g" + std::to_string(number);
-        table.learn(facts(name.c_str(), number * 32, 32), at(0));
+        table.update(facts(name.c_str(), number * 32, 32), at(0));
         survey.onDecider("host" + std::to_string(number * 32), GroupId(name));
     }
     LONGS_EQUAL(9, survey.next(engines(288), table, at(50)).size());
@@ -67,7 +67,7 @@
 
 TEST(GroupSurveyTest, OtherMembersAreAskedWhenTheAgentThatDecidesFails)
 {
-    table.learn(facts("one", 0, 4), at(0));
+    table.update(facts("one", 0, 4), at(0));
     survey.onDecider("host0", GroupId("one"));
     survey.next(engines(4), table, at(0));
     survey.onFailed("host0", at(700));
