--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -106,7 +106,7 @@
     // Tells whether word of the group stays away while that of others comes.
     bool isIsolated(const GroupId &group, TimePoint now) const;
 
-    const std::map<GroupId, Known> &known() const { return groups_; }
+    const std::map<GroupId, Known> &groups() const { return groups_; }
     // Returns a number that rises with every change of what groups there are and who is in them.
     std::uint64_t changes() const { return changes_; }
     // Returns a digest of all facts, without their ages: tables that hold the same name it alike.
