--- a/src/decision/membership/groupsurvey.cpp
+++ b/src/decision/membership/groupsurvey.cpp
@@ -13,7 +13,7 @@
 
 // Returns the host to ask about a known group: the agent that decided last, else the first of its
 // members that may be asked, because the lowest rank that lives decides.
-std::string GroupSurvey::sourceOf(const GroupTable::Known &known, TimePoint now) const
+std::string GroupSurvey::sourceOf(const GroupTable::Snapshot &known, TimePoint now) const
 {
     const auto decider = deciders_.find(known.facts.group);
     if (decider != deciders_.end()) {
--- a/src/decision/membership/groupsurvey.h
+++ b/src/decision/membership/groupsurvey.h
@@ -64,7 +64,7 @@
     };
 
     bool mayAsk(const std::string &host, TimePoint now) const;
-    std::string sourceOf(const GroupTable::Known &known, TimePoint now) const;
+    std::string sourceOf(const GroupTable::Snapshot &known, TimePoint now) const;
 
     Settings settings_;
     std::map<std::string, Agent> agents_;
