--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -49,7 +49,7 @@
 bool GroupTable::update(const GroupFacts &facts, TimePoint asOf)
 {
     const auto [found, added] = groups_.try_emplace(facts.group);
-    Known &known = found->second;
+    Snapshot &known = found->second;
     if (!added && asOf <= known.asOf) {
         return false;
     }
@@ -74,7 +74,7 @@
 // Notes where the members belong. An engine that is no longer named stays where it was until
 // another group names it: an agent that has just begun to decide does not know all ranks yet, and a
 // rank that is frozen or dead has not left its group.
-void GroupTable::indexMembers(const Known &known)
+void GroupTable::indexMembers(const Snapshot &known)
 {
     const GroupFacts &facts = known.facts;
     const double median = medianPace(facts.members);
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -69,7 +69,7 @@
     };
 
     // A group and the moment at which it was so.
-    struct Known
+    struct Snapshot
     {
         GroupFacts facts;
         TimePoint asOf{};
@@ -106,7 +106,7 @@
     // Tells whether word of the group stays away while that of others comes.
     bool isIsolated(const GroupId &group, TimePoint now) const;
 
-    const std::map<GroupId, Known> &groups() const { return groups_; }
+    const std::map<GroupId, Snapshot> &groups() const { return groups_; }
     // Returns a number that rises with every change of what groups there are and who is in them.
     std::uint64_t changes() const { return changes_; }
     // Returns a digest of all facts, without their ages: tables that hold the same name it alike.
@@ -122,11 +122,11 @@
         double slowness = 1.0;
     };
 
-    void indexMembers(const Known &known);
+    void indexMembers(const Snapshot &known);
     void updateDigest();
 
     Settings settings_;
-    std::map<GroupId, Known> groups_;
+    std::map<GroupId, Snapshot> groups_;
     std::map<Address, Place> places_;
     std::uint64_t changes_ = 0;
     std::uint64_t digest_ = 0; // Zero while no group is known.
