--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -115,7 +115,7 @@
     return known ? found->second.slowness : 1.0;
 }
 
-bool GroupTable::closed(const GroupId &group, TimePoint now) const
+bool GroupTable::isClosed(const GroupId &group, TimePoint now) const
 {
     const auto found = groups_.find(group);
     return found != groups_.end() && !found->second.facts.open
@@ -125,7 +125,7 @@
 bool GroupTable::forming(const GroupId &group, TimePoint now) const
 {
     const auto found = groups_.find(group);
-    return closed(group, now) && found->second.facts.forming;
+    return isClosed(group, now) && found->second.facts.forming;
 }
 
 bool GroupTable::isIsolated(const GroupId &group, TimePoint now) const
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -93,7 +93,7 @@
     // when nothing is known of late.
     double slowness(const UpstreamRecord &upstream, TimePoint now) const;
     // Tells whether the group has said of late that it takes no requests.
-    bool closed(const GroupId &group, TimePoint now) const;
+    bool isClosed(const GroupId &group, TimePoint now) const;
 
     // Tells whether some group is known to have the engine at an address.
     bool hasMember(const std::string &host, int port) const
--- a/src/decision/gateway/servicelanes.cpp
+++ b/src/decision/gateway/servicelanes.cpp
@@ -84,7 +84,7 @@
     if (lane.unreachable() || (foreign && table.isIsolated(group, now) && lane.quiet(now))) {
         return Trouble::Unreachable;
     }
-    if (lane.refuses(now) || lane.mayBeForming(now) || table.closed(group, now)) {
+    if (lane.refuses(now) || lane.mayBeForming(now) || table.isClosed(group, now)) {
         return Trouble::Refuses;
     }
     return lane.standsStill() ? Trouble::StandsStill : Trouble::None;
@@ -137,7 +137,8 @@
     for (const Option &option : options) {
         StreamLane &lane = lanes_.at(option.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
-        const bool closed = table.closed(option.group, now) && !table.forming(option.group, now);
+        const bool isClosed =
+            table.isClosed(option.group, now) && !table.forming(option.group, now);
         const bool told = closed || table.isIsolated(option.group, now);
         const bool wanted = option.trouble != Trouble::None && !told;
         if (wanted && lane.probeDue(now)) {
@@ -220,7 +221,7 @@
     for (const auto &[id, group] : *groups_) {
         const StreamLane &lane = lanes_.at(id);
         const bool forms = lane.mayBeForming(now) || table.forming(id, now);
-        if (!forms && !lane.refuses(now) && !table.closed(id, now)) {
+        if (!forms && !lane.refuses(now) && !table.isClosed(id, now)) {
             return false;
         }
         soon = soon || forms;
--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -53,7 +53,7 @@
     GroupFacts older = facts("one", {"a"});
     older.open = false;
     CHECK_FALSE(table.update(older, at(50)));
-    CHECK_FALSE(table.closed(GroupId("one"), at(100)));
+    CHECK_FALSE(table.isClosed(GroupId("one"), at(100)));
 }
 
 // An agent that takes the role of deciding knows few ranks at first. An engine that dropped out of
@@ -108,10 +108,10 @@
     GroupFacts closed = facts("one", {"a"});
     closed.open = false;
     table.update(closed, at(0));
-    CHECK_TRUE(table.closed(GroupId("one"), at(1000)));
-    CHECK_FALSE(table.closed(GroupId("one"), at(3000)));
+    CHECK_TRUE(table.isClosed(GroupId("one"), at(1000)));
+    CHECK_FALSE(table.isClosed(GroupId("one"), at(3000)));
     table.renew(GroupId("one"), at(2500));
-    CHECK_TRUE(table.closed(GroupId("one"), at(3000)));
+    CHECK_TRUE(table.isClosed(GroupId("one"), at(3000)));
 }
 
 // A hall that is cut off: word of its group stays away, while that of the own hall's comes.
--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -137,11 +137,11 @@
 {
     agent->reporter.set(factsOf(true), loop->now());
     runFor(400);
-    CHECK_FALSE(groups.closed(GroupId("north"), loop->now()));
+    CHECK_FALSE(groups.isClosed(GroupId("north"), loop->now()));
     loop->schedule(std::chrono::milliseconds(5),
                    [this] { agent->reporter.set(factsOf(false), loop->now()); });
     runFor(150);
-    CHECK_TRUE(groups.closed(GroupId("north"), loop->now()));
+    CHECK_TRUE(groups.isClosed(GroupId("north"), loop->now()));
 }
 
 TEST(GroupWatchTest, KeepsOneConnectionToTheAgentThatDecides)
