--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -122,7 +122,7 @@
            && now - found->second.asOf < settings_.closedTimeToLive;
 }
 
-bool GroupTable::forming(const GroupId &group, TimePoint now) const
+bool GroupTable::isForming(const GroupId &group, TimePoint now) const
 {
     const auto found = groups_.find(group);
     return isClosed(group, now) && found->second.facts.forming;
--- a/src/decision/gateway/servicelanes.cpp
+++ b/src/decision/gateway/servicelanes.cpp
@@ -138,7 +138,7 @@
         StreamLane &lane = lanes_.at(option.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
         const bool isClosed =
-            table.isClosed(option.group, now) && !table.forming(option.group, now);
+            table.isClosed(option.group, now) && !table.isForming(option.group, now);
         const bool told = closed || table.isIsolated(option.group, now);
         const bool wanted = option.trouble != Trouble::None && !told;
         if (wanted && lane.probeDue(now)) {
@@ -220,7 +220,7 @@
     bool soon = false;
     for (const auto &[id, group] : *groups_) {
         const StreamLane &lane = lanes_.at(id);
-        const bool forms = lane.mayBeForming(now) || table.forming(id, now);
+        const bool forms = lane.mayBeForming(now) || table.isForming(id, now);
         if (!forms && !lane.refuses(now) && !table.isClosed(id, now)) {
             return false;
         }
