--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -38,7 +38,7 @@
     GroupId group;
     std::uint64_t epoch = 0;          // Rises each time that the group forms.
     bool open = true;                 // It takes requests.
-    bool forming = false;             // It does not yet, but all its ranks are there.
+    bool isForming = false;           // It does not yet, but all its ranks are there.
     std::vector<GroupMember> members; // In the order of their ranks.
 
     bool operator==(const GroupFacts &) const = default;
@@ -102,7 +102,7 @@
     }
 
     // Tells whether the group has said of late that it takes no requests yet, and soon will.
-    bool forming(const GroupId &group, TimePoint now) const;
+    bool isForming(const GroupId &group, TimePoint now) const;
     // Tells whether word of the group stays away while that of others comes.
     bool isIsolated(const GroupId &group, TimePoint now) const;
 
