--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -79,7 +79,7 @@
     const GroupFacts &facts = known.facts;
     const double median = medianPace(facts.members);
     for (const GroupMember &member : facts.members) {
-        Place &place = places_[{member.host, member.port}];
+        Membership &place = places_[{member.host, member.port}];
         if (place.asOf <= known.asOf) {
             changes_ += place.group == facts.group ? 0 : 1;
             place = {facts.group, known.asOf, median > 0.0 ? member.pace / median : 1.0};
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -115,7 +115,7 @@
 private:
     using Address = std::pair<std::string, int>;
 
-    struct Place
+    struct Membership
     {
         GroupId group;
         TimePoint asOf{};
@@ -127,7 +127,7 @@
 
     Settings settings_;
     std::map<GroupId, Snapshot> groups_;
-    std::map<Address, Place> places_;
+    std::map<Address, Membership> places_;
     std::uint64_t changes_ = 0;
     std::uint64_t digest_ = 0; // Zero while no group is known.
 };
