--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -79,7 +79,7 @@
     const GroupFacts &facts = known.facts;
     const double median = medianPace(facts.members);
     for (const GroupMember &member : facts.members) {
-        Membership &place = places_[{member.host, member.port}];
+        Membership &place = memberships_[{member.host, member.port}];
         if (place.asOf <= known.asOf) {
             changes_ += place.group == facts.group ? 0 : 1;
             place = {facts.group, known.asOf, median > 0.0 ? member.pace / median : 1.0};
@@ -95,7 +95,7 @@
     if (std::erase_if(groups_, over) == 0) {
         return;
     }
-    std::erase_if(places_,
+    std::erase_if(memberships_,
                   [this](const auto &entry) { return !groups_.contains(entry.second.group); });
     ++changes_;
     updateDigest();
@@ -103,15 +103,15 @@
 
 GroupId GroupTable::groupOf(const UpstreamRecord &upstream) const
 {
-    const auto found = places_.find({upstream.host, upstream.port});
-    return found == places_.end() ? GroupId() : found->second.group;
+    const auto found = memberships_.find({upstream.host, upstream.port});
+    return found == memberships_.end() ? GroupId() : found->second.group;
 }
 
 double GroupTable::slowness(const UpstreamRecord &upstream, TimePoint now) const
 {
-    const auto found = places_.find({upstream.host, upstream.port});
+    const auto found = memberships_.find({upstream.host, upstream.port});
     const bool known =
-        found != places_.end() && now - found->second.asOf < settings_.paceTimeToLive;
+        found != memberships_.end() && now - found->second.asOf < settings_.paceTimeToLive;
     return known ? found->second.slowness : 1.0;
 }
 
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -98,7 +98,7 @@
     // Tells whether some group is known to have the engine at an address.
     bool hasMember(const std::string &host, int port) const
     {
-        return places_.contains({host, port});
+        return memberships_.contains({host, port});
     }
 
     // Tells whether the group has said of late that it takes no requests yet, and soon will.
@@ -127,7 +127,7 @@
 
     Settings settings_;
     std::map<GroupId, Snapshot> groups_;
-    std::map<Address, Membership> places_;
+    std::map<Address, Membership> memberships_;
     std::uint64_t changes_ = 0;
     std::uint64_t digest_ = 0; // Zero while no group is known.
 };
