--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -79,10 +79,10 @@
     const GroupFacts &facts = known.facts;
     const double median = medianPace(facts.members);
     for (const GroupMember &member : facts.members) {
-        Membership &place = memberships_[{member.host, member.port}];
-        if (place.asOf <= known.asOf) {
-            changes_ += place.group == facts.group ? 0 : 1;
-            place = {facts.group, known.asOf, median > 0.0 ? member.pace / median : 1.0};
+        Membership &membership = memberships_[{member.host, member.port}];
+        if (membership.asOf <= known.asOf) {
+            changes_ += membership.group == facts.group ? 0 : 1;
+            membership = {facts.group, known.asOf, median > 0.0 ? member.pace / median : 1.0};
         }
     }
 }
