--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -24,7 +24,7 @@
     return *middle;
 }
 
-std::string describe(const GroupFacts &facts)
+std::string serialize(const GroupFacts &facts)
 {
     std::string text =
         fmt::format("{} {} {}{}", facts.group.value(), facts.epoch, facts.open, facts.forming);
@@ -43,7 +43,7 @@
 
 std::uint64_t digestOf(const GroupFacts &facts)
 {
-    return xxh3(describe(facts));
+    return xxh3(serialize(facts));
 }
 
 bool GroupTable::update(const GroupFacts &facts, TimePoint asOf)
@@ -143,7 +143,7 @@
 {
     std::string text;
     for (const auto &[group, known] : groups_) {
-        text += describe(known.facts);
+        text += serialize(known.facts);
         text += '\n';
     }
     digest_ = text.empty() ? 0 : xxh3(text);
