--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -29,7 +29,7 @@
     if (added) {
         order_.push_back(upstream.id);
     }
-    if (order_.size() > kMost) {
+    if (order_.size() > kMaxEntries) {
         words_.erase(order_.front());
         order_.pop_front();
     }
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -11,7 +11,7 @@
 // was cut off from the store lapses there and comes back in a new entry. An entry that was listed
 // when the one that went was listed is that one, out of an older copy.
 //
-// Bounded: beyond `kMost` the oldest is forgotten. Pure and single-threaded.
+// Bounded: beyond `kMaxEntries` the oldest is forgotten. Pure and single-threaded.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -28,7 +28,7 @@
 class LeavingUpstreams
 {
 public:
-    static constexpr std::size_t kMost = 4096; // Some 150 bytes each.
+    static constexpr std::size_t kMaxEntries = 4096; // Some 150 bytes each.
 
     // `upstream`, listed like this when it was heard of, leaves.
     void add(const UpstreamRecord &upstream);
--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -131,10 +131,10 @@
 TEST(LeavingUpstreamsTest, MemoryIsBoundedAndTheOldestWordGoesFirst)
 {
     LeavingUpstreams words;
-    for (std::size_t number = 0; number < LeavingUpstreams::kMost + 10; ++number) {
+    for (std::size_t number = 0; number < LeavingUpstreams::kMaxEntries + 10; ++number) {
         words.add(record(std::to_string(number)));
     }
-    LONGS_EQUAL(LeavingUpstreams::kMost, words.size());
+    LONGS_EQUAL(LeavingUpstreams::kMaxEntries, words.size());
     CHECK_FALSE(words.contains(record("9")));
     CHECK_TRUE(words.contains(record("10")));
 }
