--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -13,16 +13,16 @@
     if (found == words_.end()) {
         return false;
     }
-    const Word &word = found->second;
+    const Departure &word = found->second;
     const bool told = word.start != UpstreamStart() && upstream.start != UpstreamStart();
     return told && upstream.start != word.start
            && !isLaterStart(upstream, word.start, word.listedAt);
 }
 
-LeavingUpstreams::Word &LeavingUpstreams::take(const UpstreamRecord &upstream)
+LeavingUpstreams::Departure &LeavingUpstreams::take(const UpstreamRecord &upstream)
 {
     const auto [found, added] = words_.try_emplace(upstream.id);
-    Word &word = found->second;
+    Departure &word = found->second;
     word.start = upstream.start;
     word.listedAt = upstream.listedAt;
     word.createdAt = upstream.createdAt;
@@ -50,7 +50,7 @@
     }
 }
 
-bool LeavingUpstreams::isOver(const Word &word, const UpstreamRecord &listed)
+bool LeavingUpstreams::isOver(const Departure &word, const UpstreamRecord &listed)
 {
     const bool told = word.createdAt != 0 && listed.createdAt != 0;
     const bool listedAnew = !told || listed.createdAt != word.createdAt;
@@ -63,7 +63,7 @@
     if (found == words_.end()) {
         return false;
     }
-    Word &word = found->second;
+    Departure &word = found->second;
     if (isOver(word, listed)) {
         words_.erase(found);
         order_.erase(std::find(order_.begin(), order_.end(), listed.id));
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -41,7 +41,7 @@
 
 private:
     // The start that leaves or is gone.
-    struct Word
+    struct Departure
     {
         UpstreamStart start;
         std::uint64_t listedAt = 0;
@@ -50,10 +50,10 @@
     };
 
     bool isOfEarlierStart(const UpstreamRecord &upstream) const;
-    Word &take(const UpstreamRecord &upstream);
-    static bool isOver(const Word &word, const UpstreamRecord &listed);
+    Departure &take(const UpstreamRecord &upstream);
+    static bool isOver(const Departure &word, const UpstreamRecord &listed);
 
-    std::unordered_map<InstanceId, Word> words_;
+    std::unordered_map<InstanceId, Departure> words_;
     std::deque<InstanceId> order_; // The oldest first.
 };
 
