--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -13,19 +13,19 @@
     if (found == words_.end()) {
         return false;
     }
-    const Departure &word = found->second;
-    const bool told = word.start != UpstreamStart() && upstream.start != UpstreamStart();
-    return told && upstream.start != word.start
-           && !isLaterStart(upstream, word.start, word.listedAt);
+    const Departure &departure = found->second;
+    const bool told = departure.start != UpstreamStart() && upstream.start != UpstreamStart();
+    return told && upstream.start != departure.start
+           && !isLaterStart(upstream, departure.start, departure.listedAt);
 }
 
 LeavingUpstreams::Departure &LeavingUpstreams::take(const UpstreamRecord &upstream)
 {
     const auto [found, added] = words_.try_emplace(upstream.id);
-    Departure &word = found->second;
-    word.start = upstream.start;
-    word.listedAt = upstream.listedAt;
-    word.createdAt = upstream.createdAt;
+    Departure &departure = found->second;
+    departure.start = upstream.start;
+    departure.listedAt = upstream.listedAt;
+    departure.createdAt = upstream.createdAt;
     if (added) {
         order_.push_back(upstream.id);
     }
@@ -33,7 +33,7 @@
         words_.erase(order_.front());
         order_.pop_front();
     }
-    return word;
+    return departure;
 }
 
 void LeavingUpstreams::add(const UpstreamRecord &upstream)
@@ -50,11 +50,12 @@
     }
 }
 
-bool LeavingUpstreams::isOver(const Departure &word, const UpstreamRecord &listed)
+bool LeavingUpstreams::isOver(const Departure &departure, const UpstreamRecord &listed)
 {
-    const bool told = word.createdAt != 0 && listed.createdAt != 0;
-    const bool listedAnew = !told || listed.createdAt != word.createdAt;
-    return isLaterStart(listed, word.start, word.listedAt) || (!word.leaves && listedAnew);
+    const bool told = departure.createdAt != 0 && listed.createdAt != 0;
+    const bool listedAnew = !told || listed.createdAt != departure.createdAt;
+    return isLaterStart(listed, departure.start, departure.listedAt)
+           || (!departure.leaves && listedAnew);
 }
 
 bool LeavingUpstreams::contains(const UpstreamRecord &listed)
@@ -63,14 +64,14 @@
     if (found == words_.end()) {
         return false;
     }
-    Departure &word = found->second;
-    if (isOver(word, listed)) {
+    Departure &departure = found->second;
+    if (isOver(departure, listed)) {
         words_.erase(found);
         order_.erase(std::find(order_.begin(), order_.end(), listed.id));
         return false;
     }
-    if (word.start == UpstreamStart()) {
-        word.start = listed.start;
+    if (departure.start == UpstreamStart()) {
+        departure.start = listed.start;
     }
     return true;
 }
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -51,7 +51,7 @@
 
     bool isOfEarlierStart(const UpstreamRecord &upstream) const;
     Departure &take(const UpstreamRecord &upstream);
-    static bool isOver(const Departure &word, const UpstreamRecord &listed);
+    static bool isOver(const Departure &departure, const UpstreamRecord &listed);
 
     std::unordered_map<InstanceId, Departure> words_;
     std::deque<InstanceId> order_; // The oldest first.
