--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -9,8 +9,8 @@
 // Tells whether `upstream` shows an earlier start than the one whose word is known.
 bool LeavingUpstreams::isOfEarlierStart(const UpstreamRecord &upstream) const
 {
-    const auto found = words_.find(upstream.id);
-    if (found == words_.end()) {
+    const auto found = departures_.find(upstream.id);
+    if (found == departures_.end()) {
         return false;
     }
     const Departure &departure = found->second;
@@ -21,7 +21,7 @@
 
 LeavingUpstreams::Departure &LeavingUpstreams::take(const UpstreamRecord &upstream)
 {
-    const auto [found, added] = words_.try_emplace(upstream.id);
+    const auto [found, added] = departures_.try_emplace(upstream.id);
     Departure &departure = found->second;
     departure.start = upstream.start;
     departure.listedAt = upstream.listedAt;
@@ -30,7 +30,7 @@
         order_.push_back(upstream.id);
     }
     if (order_.size() > kMaxEntries) {
-        words_.erase(order_.front());
+        departures_.erase(order_.front());
         order_.pop_front();
     }
     return departure;
@@ -60,13 +60,13 @@
 
 bool LeavingUpstreams::contains(const UpstreamRecord &listed)
 {
-    const auto found = words_.find(listed.id);
-    if (found == words_.end()) {
+    const auto found = departures_.find(listed.id);
+    if (found == departures_.end()) {
         return false;
     }
     Departure &departure = found->second;
     if (isOver(departure, listed)) {
-        words_.erase(found);
+        departures_.erase(found);
         order_.erase(std::find(order_.begin(), order_.end(), listed.id));
         return false;
     }
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -37,7 +37,7 @@
     // Tells whether an upstream that is listed like this leaves or is gone. Forgets what was known
     // of a start, or of an entry, that `listed` shows to be over.
     bool contains(const UpstreamRecord &listed);
-    std::size_t size() const { return words_.size(); }
+    std::size_t size() const { return departures_.size(); }
 
 private:
     // The start that leaves or is gone.
@@ -53,7 +53,7 @@
     Departure &take(const UpstreamRecord &upstream);
     static bool isOver(const Departure &departure, const UpstreamRecord &listed);
 
-    std::unordered_map<InstanceId, Departure> words_;
+    std::unordered_map<InstanceId, Departure> departures_;
     std::deque<InstanceId> order_; // The oldest first.
 };
 
