--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -130,13 +130,13 @@
 
 TEST(LeavingUpstreamsTest, MemoryIsBoundedAndTheOldestWordGoesFirst)
 {
-    LeavingUpstreams words;
+    LeavingUpstreams departures;
     for (std::size_t number = 0; number < LeavingUpstreams::kMaxEntries + 10; ++number) {
-        words.add(record(std::to_string(number)));
+        departures.add(record(std::to_string(number)));
     }
-    LONGS_EQUAL(LeavingUpstreams::kMaxEntries, words.size());
-    CHECK_FALSE(words.contains(record("9")));
-    CHECK_TRUE(words.contains(record("10")));
+    LONGS_EQUAL(LeavingUpstreams::kMaxEntries, departures.size());
+    CHECK_FALSE(departures.contains(record("9")));
+    CHECK_TRUE(departures.contains(record("10")));
 }
 
 // The store came back from an older copy, in which the upstream was ready.
