--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -19,7 +19,7 @@
            && !isLaterStart(upstream, departure.start, departure.listedAt);
 }
 
-LeavingUpstreams::Departure &LeavingUpstreams::take(const UpstreamRecord &upstream)
+LeavingUpstreams::Departure &LeavingUpstreams::upsert(const UpstreamRecord &upstream)
 {
     const auto [found, added] = departures_.try_emplace(upstream.id);
     Departure &departure = found->second;
@@ -39,14 +39,14 @@
 void LeavingUpstreams::add(const UpstreamRecord &upstream)
 {
     if (!isOfEarlierStart(upstream)) {
-        take(upstream).leaves = true;
+        upsert(upstream).leaves = true;
     }
 }
 
 void LeavingUpstreams::addGone(const UpstreamRecord &upstream)
 {
     if (!isOfEarlierStart(upstream)) {
-        take(upstream);
+        upsert(upstream);
     }
 }
 
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -50,7 +50,7 @@
     };
 
     bool isOfEarlierStart(const UpstreamRecord &upstream) const;
-    Departure &take(const UpstreamRecord &upstream);
+    Departure &upsert(const UpstreamRecord &upstream);
     static bool isOver(const Departure &departure, const UpstreamRecord &listed);
 
     std::unordered_map<InstanceId, Departure> departures_;
