--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -36,7 +36,7 @@
     return departure;
 }
 
-void LeavingUpstreams::add(const UpstreamRecord &upstream)
+void LeavingUpstreams::addLeaving(const UpstreamRecord &upstream)
 {
     if (!isOfEarlierStart(upstream)) {
         upsert(upstream).leaves = true;
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -31,7 +31,7 @@
     static constexpr std::size_t kMaxEntries = 4096; // Some 150 bytes each.
 
     // `upstream`, listed like this when it was heard of, leaves.
-    void add(const UpstreamRecord &upstream);
+    void addLeaving(const UpstreamRecord &upstream);
     // The store no longer lists `upstream`, which was listed like this.
     void addGone(const UpstreamRecord &upstream);
     // Tells whether an upstream that is listed like this leaves or is gone. Forgets what was known
--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -24,7 +24,7 @@
     }
     UpstreamRecord taken = record;
     if (record.leaving) {
-        leaving_.add(record);
+        leaving_.addLeaving(record);
     }
     taken.leaving = leaving_.contains(record);
     Entry &entry = entries_[record.id];
@@ -34,7 +34,7 @@
 
 bool UpstreamTable::announceLeaving(const UpstreamRecord &upstream)
 {
-    leaving_.add(upstream);
+    leaving_.addLeaving(upstream);
     const auto found = entries_.find(upstream.id);
     if (found == entries_.end() || found->second.record.leaving
         || !leaving_.contains(found->second.record)) {
--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -132,7 +132,7 @@
 {
     LeavingUpstreams departures;
     for (std::size_t number = 0; number < LeavingUpstreams::kMaxEntries + 10; ++number) {
-        departures.add(record(std::to_string(number)));
+        departures.addLeaving(record(std::to_string(number)));
     }
     LONGS_EQUAL(LeavingUpstreams::kMaxEntries, departures.size());
     CHECK_FALSE(departures.contains(record("9")));
