--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -43,7 +43,7 @@
     }
 }
 
-void LeavingUpstreams::addGone(const UpstreamRecord &upstream)
+void LeavingUpstreams::addRemoved(const UpstreamRecord &upstream)
 {
     if (!isOfEarlierStart(upstream)) {
         upsert(upstream);
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -33,7 +33,7 @@
     // `upstream`, listed like this when it was heard of, leaves.
     void addLeaving(const UpstreamRecord &upstream);
     // The store no longer lists `upstream`, which was listed like this.
-    void addGone(const UpstreamRecord &upstream);
+    void addRemoved(const UpstreamRecord &upstream);
     // Tells whether an upstream that is listed like this leaves or is gone. Forgets what was known
     // of a start, or of an entry, that `listed` shows to be over.
     bool contains(const UpstreamRecord &listed);
--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -90,7 +90,7 @@
 {
     const auto found = entries_.find(id);
     if (found != entries_.end()) {
-        leaving_.addGone(found->second.record);
+        leaving_.addRemoved(found->second.record);
         erase(id);
     }
 }
