--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -50,7 +50,7 @@
     }
 }
 
-bool LeavingUpstreams::isOver(const Departure &departure, const UpstreamRecord &listed)
+bool LeavingUpstreams::isObsolete(const Departure &departure, const UpstreamRecord &listed)
 {
     const bool told = departure.createdAt != 0 && listed.createdAt != 0;
     const bool listedAnew = !told || listed.createdAt != departure.createdAt;
@@ -65,7 +65,7 @@
         return false;
     }
     Departure &departure = found->second;
-    if (isOver(departure, listed)) {
+    if (isObsolete(departure, listed)) {
         departures_.erase(found);
         order_.erase(std::find(order_.begin(), order_.end(), listed.id));
         return false;
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -51,7 +51,7 @@
 
     bool isOfEarlierStart(const UpstreamRecord &upstream) const;
     Departure &upsert(const UpstreamRecord &upstream);
-    static bool isOver(const Departure &departure, const UpstreamRecord &listed);
+    static bool isObsolete(const Departure &departure, const UpstreamRecord &listed);
 
     std::unordered_map<InstanceId, Departure> departures_;
     std::deque<InstanceId> order_; // The oldest first.
