--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -27,11 +27,11 @@
     departure.listedAt = upstream.listedAt;
     departure.createdAt = upstream.createdAt;
     if (added) {
-        order_.push_back(upstream.id);
+        oldestFirst_.push_back(upstream.id);
     }
-    if (order_.size() > kMaxEntries) {
-        departures_.erase(order_.front());
-        order_.pop_front();
+    if (oldestFirst_.size() > kMaxEntries) {
+        departures_.erase(oldestFirst_.front());
+        oldestFirst_.pop_front();
     }
     return departure;
 }
@@ -67,7 +67,7 @@
     Departure &departure = found->second;
     if (isObsolete(departure, listed)) {
         departures_.erase(found);
-        order_.erase(std::find(order_.begin(), order_.end(), listed.id));
+        oldestFirst_.erase(std::find(oldestFirst_.begin(), oldestFirst_.end(), listed.id));
         return false;
     }
     if (departure.start == UpstreamStart()) {
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -54,7 +54,7 @@
     static bool isObsolete(const Departure &departure, const UpstreamRecord &listed);
 
     std::unordered_map<InstanceId, Departure> departures_;
-    std::deque<InstanceId> order_; // The oldest first.
+    std::deque<InstanceId> oldestFirst_; // The oldest first.
 };
 
 } // namespace seamarch
