--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -14,8 +14,8 @@
         return false;
     }
     const Departure &departure = found->second;
-    const bool told = departure.start != UpstreamStart() && upstream.start != UpstreamStart();
-    return told && upstream.start != departure.start
+    const bool bothKnown = departure.start != UpstreamStart() && upstream.start != UpstreamStart();
+    return bothKnown && upstream.start != departure.start
            && !isLaterStart(upstream, departure.start, departure.listedAt);
 }
 
@@ -52,8 +52,8 @@
 
 bool LeavingUpstreams::isObsolete(const Departure &departure, const UpstreamRecord &listed)
 {
-    const bool told = departure.createdAt != 0 && listed.createdAt != 0;
-    const bool listedAnew = !told || listed.createdAt != departure.createdAt;
+    const bool bothKnown = departure.createdAt != 0 && listed.createdAt != 0;
+    const bool listedAnew = !bothKnown || listed.createdAt != departure.createdAt;
     return isLaterStart(listed, departure.start, departure.listedAt)
            || (!departure.leaves && listedAnew);
 }
--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -8,8 +8,8 @@
 
 bool isLaterStart(const UpstreamRecord &listed, UpstreamStart start, std::uint64_t listedAt)
 {
-    const bool told = listed.start != UpstreamStart() && start != UpstreamStart();
-    if (!told || listed.start == start) {
+    const bool bothKnown = listed.start != UpstreamStart() && start != UpstreamStart();
+    if (!bothKnown || listed.start == start) {
         return false;
     }
     const bool listedLater = listedAt != 0 && listed.listedAt > listedAt;
