--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -39,7 +39,7 @@
 void LeavingUpstreams::addLeaving(const UpstreamRecord &upstream)
 {
     if (!isOfEarlierStart(upstream)) {
-        upsert(upstream).leaves = true;
+        upsert(upstream).isLeaving = true;
     }
 }
 
@@ -55,7 +55,7 @@
     const bool bothKnown = departure.createdAt != 0 && listed.createdAt != 0;
     const bool listedAnew = !bothKnown || listed.createdAt != departure.createdAt;
     return isLaterStart(listed, departure.start, departure.listedAt)
-           || (!departure.leaves && listedAnew);
+           || (!departure.isLeaving && listedAnew);
 }
 
 bool LeavingUpstreams::contains(const UpstreamRecord &listed)
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -46,7 +46,7 @@
         UpstreamStart start;
         std::uint64_t listedAt = 0;
         std::uint64_t createdAt = 0;
-        bool leaves = false; // Else it is only gone from the list.
+        bool isLeaving = false; // Else it is only gone from the list.
     };
 
     bool isOfEarlierStart(const UpstreamRecord &upstream) const;
