--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -38,7 +38,7 @@
     GroupId group;
     std::uint64_t epoch = 0;          // Rises each time that the group forms.
     bool open = true;                 // It takes requests.
-    bool isForming = false;           // It does not yet, but all its ranks are there.
+    bool forming = false;             // It does not yet, but all its ranks are there.
     std::vector<GroupMember> members; // In the order of their ranks.
 
     bool operator==(const GroupFacts &) const = default;
