--- a/src/decision/gateway/servicelanes.cpp
+++ b/src/decision/gateway/servicelanes.cpp
@@ -137,7 +137,7 @@
     for (const Option &option : options) {
         StreamLane &lane = lanes_.at(option.group);
         // Nor one that cannot be heard: a request would only find out after its caller has left.
-        const bool isClosed =
+        const bool closed =
             table.isClosed(option.group, now) && !table.isForming(option.group, now);
         const bool told = closed || table.isIsolated(option.group, now);
         const bool wanted = option.trouble != Trouble::None && !told;
