--- a/src/decision/membership/groupsurvey.cpp
+++ b/src/decision/membership/groupsurvey.cpp
@@ -37,7 +37,7 @@
             hosts.push_back(host);
         }
     };
-    for (const auto &[group, known] : groups.known()) {
+    for (const auto &[group, known] : groups.groups()) {
         ask(sourceOf(known, now));
     }
     for (const std::string &host : std::exchange(referred_, {})) {
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -335,7 +335,7 @@
 void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const
 {
     const TimePoint now = loop_.now();
-    const auto &known = groups_.known();
+    const auto &known = groups_.groups();
     const std::uint64_t ownMark = groups_.digest();
     news.setGroupsMark(ownMark);
     auto list = news.initGroups(static_cast<std::uint32_t>(known.size()));
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -389,7 +389,7 @@
             {"secondAttempts", core_.secondAttempts()},
             {"connectionsMade", client_->connectionsMade()},
             {"upstreams", core_.upstreams().all().size()},
-            {"groups", core_.groups().known().size()},
+            {"groups", core_.groups().groups().size()},
             {"restingUpstreams", resting()},
             {"limitedUpstreams", limited()},
             {"requestsThatEndUpstreams", suspects()}};
--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -129,7 +129,7 @@
     runFor(400);
     STRCMP_EQUAL("north", groups.groupOf(engine(kFirstEngine)).value().c_str());
     DOUBLES_EQUAL(5.0, groups.slowness(engine(82), loop->now()), 0.01);
-    CHECK_TEXT(groups.known().at(GroupId("north")).asOf <= loop->now(),
+    CHECK_TEXT(groups.groups().at(GroupId("north")).asOf <= loop->now(),
                "facts are never younger than the question for them");
 }
 
@@ -157,8 +157,8 @@
 {
     agent->reporter.refer("");
     runFor(300);
-    LONGS_EQUAL(0, groups.known().size());
+    LONGS_EQUAL(0, groups.groups().size());
     agent->reporter.set(factsOf(true), loop->now());
     runFor(900);
-    LONGS_EQUAL(1, groups.known().size());
+    LONGS_EQUAL(1, groups.groups().size());
 }
