--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -25,7 +25,7 @@
 namespace seamarch {
 
 // The part of a limit that an issuer hands out.
-inline constexpr double kHandedOutPart = 0.65;
+inline constexpr double kIssuedShare = 0.65;
 
 struct PermitAnswer
 {
@@ -38,7 +38,7 @@
 public:
     struct Settings
     {
-        double part = kHandedOutPart;
+        double part = kIssuedShare;
         // Requests a second by which an upstream that takes nothing is asked whether that holds.
         RequestRate least{0.1};
         // How much of a second's permits may lie ready.
--- a/src/decision/gateway/warmuplimits.cpp
+++ b/src/decision/gateway/warmuplimits.cpp
@@ -15,7 +15,7 @@
     constexpr double kReady = 1.0; // A permit that lay ready at the issuer.
     const double borne = rate.perSecond() * bounds.factor + bounds.slack;
     const double handedOut = (borne / kIssuers - kReady) / kSeconds;
-    return RequestRate(std::max(0.0, handedOut / kHandedOutPart));
+    return RequestRate(std::max(0.0, handedOut / kIssuedShare));
 }
 
 void WarmUpLimits::setServices(const std::vector<ServiceRule> &services)
--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -415,7 +415,7 @@
     world.gateways = 43;
     world.millis = 20000;
     const Found found = Model(world).run();
-    const double handedOut = world.limit * kHandedOutPart * world.millis / 1000.0;
+    const double handedOut = world.limit * kIssuedShare * world.millis / 1000.0;
     CHECK_TEXT(found.total >= 0.5 * handedOut,
                fmt::format("{} requests of {:.0f}", found.total, handedOut).c_str());
 }
@@ -424,7 +424,7 @@
 {
     World world = warmingWorld(26.0, WarmUpBounds());
     world.gateways = 43;
-    world.limit = 26.0 / kHandedOutPart;
+    world.limit = 26.0 / kIssuedShare;
     world.cutFrom = 2000;
     world.cutUntil = 20000;
     CHECK_TRUE(Model(world).run().most > borneInASecond(26.0, WarmUpBounds()));
