--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -12,7 +12,8 @@
 PermitIssuer::Book &PermitIssuer::bookOf(const InstanceId &upstream, RequestRate limit,
                                          TimePoint now)
 {
-    const double rate = std::max(limit.perSecond() * settings_.part, settings_.least.perSecond());
+    const double rate =
+        std::max(limit.perSecond() * settings_.issuedShare, settings_.least.perSecond());
     constexpr double kNothingSaved = 0.0;
     Book &book = books_.try_emplace(upstream, Book{TokenBucket(rate, kNothingSaved, now), {}, now})
                      .first->second;
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -38,7 +38,7 @@
 public:
     struct Settings
     {
-        double part = kIssuedShare;
+        double issuedShare = kIssuedShare;
         // Requests a second by which an upstream that takes nothing is asked whether that holds.
         RequestRate least{0.1};
         // How much of a second's permits may lie ready.
