--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -13,7 +13,7 @@
                                          TimePoint now)
 {
     const double rate =
-        std::max(limit.perSecond() * settings_.issuedShare, settings_.least.perSecond());
+        std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
     constexpr double kNothingSaved = 0.0;
     Book &book = books_.try_emplace(upstream, Book{TokenBucket(rate, kNothingSaved, now), {}, now})
                      .first->second;
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -40,7 +40,7 @@
     {
         double issuedShare = kIssuedShare;
         // Requests a second by which an upstream that takes nothing is asked whether that holds.
-        RequestRate least{0.1};
+        RequestRate minRate{0.1};
         // How much of a second's permits may lie ready.
         double savedSeconds = 0.1;
         // The time that each gateway which asked within the last second keeps from the next
