--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -17,7 +17,7 @@
     constexpr double kNothingSaved = 0.0;
     Book &book = books_.try_emplace(upstream, Book{TokenBucket(rate, kNothingSaved, now), {}, now})
                      .first->second;
-    book.bucket.setRate(rate, std::max(1.0, rate * settings_.savedSeconds), now);
+    book.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
     book.usedAt = now;
     return book;
 }
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -42,7 +42,7 @@
         // Requests a second by which an upstream that takes nothing is asked whether that holds.
         RequestRate minRate{0.1};
         // How much of a second's permits may lie ready.
-        double savedSeconds = 0.1;
+        double burstSeconds = 0.1;
         // The time that each gateway which asked within the last second keeps from the next
         // question of one that got nothing; it bounds the questions that an issuer gets.
         Duration pausePerAsker = std::chrono::milliseconds(5);
