--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -45,7 +45,7 @@
         double burstSeconds = 0.1;
         // The time that each gateway which asked within the last second keeps from the next
         // question of one that got nothing; it bounds the questions that an issuer gets.
-        Duration pausePerAsker = std::chrono::milliseconds(5);
+        Duration retryDelayPerRequester = std::chrono::milliseconds(5);
         // What is kept of an upstream that nobody has asked about for so long is dropped.
         Duration life = std::chrono::minutes(1);
     };
