--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -43,8 +43,9 @@
 
 void PermitIssuer::expire(TimePoint now)
 {
-    std::erase_if(books_,
-                  [&](const auto &entry) { return now - entry.second.usedAt > settings_.life; });
+    std::erase_if(books_, [&](const auto &entry) {
+        return now - entry.second.usedAt > settings_.idleTimeToLive;
+    });
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -47,7 +47,7 @@
         // question of one that got nothing; it bounds the questions that an issuer gets.
         Duration retryDelayPerRequester = std::chrono::milliseconds(5);
         // What is kept of an upstream that nobody has asked about for so long is dropped.
-        Duration life = std::chrono::minutes(1);
+        Duration idleTimeToLive = std::chrono::minutes(1);
     };
 
     PermitIssuer()
