--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -209,7 +209,7 @@
     // Returns the questions for permits that are due; they are under way from now on.
     std::vector<SendPermits::Ask> takePermitAsks(TimePoint now) { return permits_.takeAsks(now); }
     // The question about `upstream` that was asked at `askedAt` is answered.
-    void onPermits(const InstanceId &upstream, const PermitAnswer &answer, TimePoint askedAt,
+    void onPermits(const InstanceId &upstream, const PermitGrant &answer, TimePoint askedAt,
                    TimePoint now, GatewayActions &actions);
     void onEnd(RequestNumber request, AttemptEnd end, TimePoint now, GatewayActions &actions);
     // An upstream has ended while it had a request, at `at`; the request may be over by now.
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -52,7 +52,7 @@
     return limits_.onAnswer(request->sentTo, limit, request->sentAt, now);
 }
 
-void GatewayCore::onPermits(const InstanceId &upstream, const PermitAnswer &answer,
+void GatewayCore::onPermits(const InstanceId &upstream, const PermitGrant &answer,
                             TimePoint askedAt, TimePoint now, GatewayActions &actions)
 {
     permits_.onAnswer(upstream, answer, askedAt, now);
--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -22,14 +22,14 @@
     return book;
 }
 
-PermitAnswer PermitIssuer::take(const InstanceId &upstream, RequestRate limit,
-                                const InstanceId &asker, std::uint32_t wanted, TimePoint now)
+PermitGrant PermitIssuer::take(const InstanceId &upstream, RequestRate limit,
+                               const InstanceId &asker, std::uint32_t wanted, TimePoint now)
 {
     Book &book = bookOf(upstream, limit, now);
     std::erase_if(book.askers,
                   [now](const auto &entry) { return now - entry.second > kAskersSpan; });
     book.askers[asker] = now;
-    PermitAnswer answer;
+    PermitGrant answer;
     while (answer.granted < wanted) {
         if (const auto wait = book.bucket.take(now)) {
             const auto askers = static_cast<Duration::rep>(book.askers.size());
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -27,7 +27,7 @@
 // The part of a limit that an issuer hands out.
 inline constexpr double kIssuedShare = 0.65;
 
-struct PermitAnswer
+struct PermitGrant
 {
     std::uint32_t granted = 0;
     Duration askAgain{}; // In vain sooner, where not all that was wanted is granted.
@@ -58,8 +58,8 @@
     {}
 
     // Hands `asker` up to `wanted` permits to send to `upstream`, which takes `limit`.
-    PermitAnswer take(const InstanceId &upstream, RequestRate limit, const InstanceId &asker,
-                      std::uint32_t wanted, TimePoint now);
+    PermitGrant take(const InstanceId &upstream, RequestRate limit, const InstanceId &asker,
+                     std::uint32_t wanted, TimePoint now);
     // Drops what is not used any more. Call it now and then.
     void expire(TimePoint now);
 
--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -56,8 +56,8 @@
     return asks;
 }
 
-void SendPermits::onAnswer(const InstanceId &upstream, const PermitAnswer &answer,
-                           TimePoint askedAt, TimePoint now)
+void SendPermits::onAnswer(const InstanceId &upstream, const PermitGrant &answer, TimePoint askedAt,
+                           TimePoint now)
 {
     const auto found = states_.find(upstream);
     if (found == states_.end() || found->second.askedAt != askedAt) {
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -65,7 +65,7 @@
     // id of one that was never heard of is empty.
     void ask(const SocketAddress &address, const InstanceId &id, Duration longest,
              AskList list = AskList::IfDue);
-    using PermitsAnswered = std::function<void(const PermitAnswer &)>;
+    using PermitsAnswered = std::function<void(const PermitGrant &)>;
     // What permits are asked for.
     struct PermitQuestion
     {
@@ -117,7 +117,7 @@
     void takeGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    PermitAnswer handPermits(wire::GatewayPeer::PermitsParams::Reader question);
+    PermitGrant handPermits(wire::GatewayPeer::PermitsParams::Reader question);
     void onHasNews(const GatewayRecord &from);
     // Counts the crashes and the changes of limits that this gateway saw itself.
     std::uint64_t ownNews() const
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 // Hands out by the lowest of what the asker and this gateway know.
-PermitAnswer GatewayPeers::handPermits(wire::GatewayPeer::PermitsParams::Reader question)
+PermitGrant GatewayPeers::handPermits(wire::GatewayPeer::PermitsParams::Reader question)
 {
     const TimePoint now = loop_.now();
     const GatewayRecord from = readGateway(question.getSelf());
@@ -57,7 +57,7 @@
     request.setWarmUpPerSecond(question.warmUp.value_or(RequestRate()).perSecond());
     // Whichever comes first, the answer or the end of patience, ends the question.
     const auto over = std::make_shared<bool>(false);
-    const auto conclude = [over, answered = std::move(answered)](const PermitAnswer &answer) {
+    const auto conclude = [over, answered = std::move(answered)](const PermitGrant &answer) {
         if (!std::exchange(*over, true)) {
             answered(answer);
         }
--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -92,7 +92,7 @@
     }
 
     // Answers every question that is due. Returns how many there were.
-    std::size_t answerAsks(const PermitAnswer &answer, int now)
+    std::size_t answerAsks(const PermitGrant &answer, int now)
     {
         actions.clear();
         const auto asks = core->takePermitAsks(at(now));
--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -65,7 +65,7 @@
     std::size_t to = 0;
     bool answers = false;
     std::uint32_t wanted = 0;
-    PermitAnswer answer;
+    PermitGrant answer;
     int askedAt = 0;
     int life = 0; // Of the gateway that asked.
 
@@ -306,7 +306,7 @@
     const InstanceId upstream("up");
     const InstanceId self("g");
     issuer.take(upstream, RequestRate(1.0), self, 1, at(0));
-    const PermitAnswer answer = issuer.take(upstream, RequestRate(1.0), self, 16, at(30000));
+    const PermitGrant answer = issuer.take(upstream, RequestRate(1.0), self, 16, at(30000));
     UNSIGNED_LONGS_EQUAL(1, answer.granted);
     permits.want(upstream);
     permits.takeAsks(at(30000));
