--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -33,7 +33,7 @@
     while (answer.granted < wanted) {
         if (const auto wait = book.bucket.take(now)) {
             const auto askers = static_cast<Duration::rep>(book.askers.size());
-            answer.askAgain = std::max(*wait, settings_.retryDelayPerRequester * askers);
+            answer.retryAfter = std::max(*wait, settings_.retryDelayPerRequester * askers);
             return answer;
         }
         ++answer.granted;
--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -65,7 +65,7 @@
     }
     State &state = found->second;
     state.askedAt = {};
-    state.notBefore = now + answer.askAgain;
+    state.notBefore = now + answer.retryAfter;
     const TimePoint until = askedAt + settings_.life;
     if (answer.granted == 0 || until <= now) {
         return;
--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -92,7 +92,7 @@
                     {{"upstream", ask.upstream.value()},
                      {"wanted", ask.wanted},
                      {"granted", answer.granted},
-                     {"askAgainMs", toMillis(answer.askAgain)},
+                     {"askAgainMs", toMillis(answer.retryAfter)},
                      {"ms", toMillis(loop_.now() - now)}});
             metrics_.count("seamarch_send_permits_total", answer.granted > 0 ? "granted" : "none");
             GatewayActions actions;
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -73,7 +73,7 @@
     {
         const PermitGrant answer = peers_.handPermits(context.getParams());
         context.getResults().setGranted(answer.granted);
-        context.getResults().setAskAgainMicros(answer.askAgain.count());
+        context.getResults().setAskAgainMicros(answer.retryAfter.count());
         return kj::READY_NOW;
     }
 
