--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -30,7 +30,7 @@
 struct PermitGrant
 {
     std::uint32_t granted = 0;
-    Duration askAgain{}; // In vain sooner, where not all that was wanted is granted.
+    Duration retryAfter{}; // In vain sooner, where not all that was wanted is granted.
 };
 
 class PermitIssuer
