--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -29,16 +29,16 @@
     std::erase_if(book.askers,
                   [now](const auto &entry) { return now - entry.second > kAskersSpan; });
     book.askers[asker] = now;
-    PermitGrant answer;
-    while (answer.granted < wanted) {
+    PermitGrant grant;
+    while (grant.granted < wanted) {
         if (const auto wait = book.bucket.take(now)) {
             const auto askers = static_cast<Duration::rep>(book.askers.size());
-            answer.retryAfter = std::max(*wait, settings_.retryDelayPerRequester * askers);
-            return answer;
+            grant.retryAfter = std::max(*wait, settings_.retryDelayPerRequester * askers);
+            return grant;
         }
-        ++answer.granted;
+        ++grant.granted;
     }
-    return answer;
+    return grant;
 }
 
 void PermitIssuer::expire(TimePoint now)
