--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -9,14 +9,15 @@
 
 } // namespace
 
-PermitIssuer::Book &PermitIssuer::bookOf(const InstanceId &upstream, RequestRate limit,
-                                         TimePoint now)
+PermitIssuer::Ledger &PermitIssuer::bookOf(const InstanceId &upstream, RequestRate limit,
+                                           TimePoint now)
 {
     const double rate =
         std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
     constexpr double kNothingSaved = 0.0;
-    Book &book = books_.try_emplace(upstream, Book{TokenBucket(rate, kNothingSaved, now), {}, now})
-                     .first->second;
+    Ledger &book =
+        books_.try_emplace(upstream, Ledger{TokenBucket(rate, kNothingSaved, now), {}, now})
+            .first->second;
     book.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
     book.usedAt = now;
     return book;
@@ -25,7 +26,7 @@
 PermitGrant PermitIssuer::take(const InstanceId &upstream, RequestRate limit,
                                const InstanceId &asker, std::uint32_t wanted, TimePoint now)
 {
-    Book &book = bookOf(upstream, limit, now);
+    Ledger &book = bookOf(upstream, limit, now);
     std::erase_if(book.askers,
                   [now](const auto &entry) { return now - entry.second > kAskersSpan; });
     book.askers[asker] = now;
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -64,17 +64,17 @@
     void expire(TimePoint now);
 
 private:
-    struct Book
+    struct Ledger
     {
         TokenBucket bucket;
         std::unordered_map<InstanceId, TimePoint> askers; // When each asked last.
         TimePoint usedAt{};
     };
 
-    Book &bookOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
+    Ledger &bookOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
 
     Settings settings_;
-    std::unordered_map<InstanceId, Book> books_;
+    std::unordered_map<InstanceId, Ledger> books_;
 };
 
 } // namespace seamarch
