--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -9,8 +9,8 @@
 
 } // namespace
 
-PermitIssuer::Ledger &PermitIssuer::bookOf(const InstanceId &upstream, RequestRate limit,
-                                           TimePoint now)
+PermitIssuer::Ledger &PermitIssuer::ledgerOf(const InstanceId &upstream, RequestRate limit,
+                                             TimePoint now)
 {
     const double rate =
         std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
@@ -26,7 +26,7 @@
 PermitGrant PermitIssuer::take(const InstanceId &upstream, RequestRate limit,
                                const InstanceId &asker, std::uint32_t wanted, TimePoint now)
 {
-    Ledger &book = bookOf(upstream, limit, now);
+    Ledger &book = ledgerOf(upstream, limit, now);
     std::erase_if(book.askers,
                   [now](const auto &entry) { return now - entry.second > kAskersSpan; });
     book.askers[asker] = now;
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -71,7 +71,7 @@
         TimePoint usedAt{};
     };
 
-    Ledger &bookOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
+    Ledger &ledgerOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
 
     Settings settings_;
     std::unordered_map<InstanceId, Ledger> books_;
