--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -16,7 +16,7 @@
         std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
     constexpr double kNothingSaved = 0.0;
     Ledger &book =
-        books_.try_emplace(upstream, Ledger{TokenBucket(rate, kNothingSaved, now), {}, now})
+        ledgers_.try_emplace(upstream, Ledger{TokenBucket(rate, kNothingSaved, now), {}, now})
             .first->second;
     book.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
     book.usedAt = now;
@@ -44,7 +44,7 @@
 
 void PermitIssuer::expire(TimePoint now)
 {
-    std::erase_if(books_, [&](const auto &entry) {
+    std::erase_if(ledgers_, [&](const auto &entry) {
         return now - entry.second.usedAt > settings_.idleTimeToLive;
     });
 }
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -74,7 +74,7 @@
     Ledger &ledgerOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
 
     Settings settings_;
-    std::unordered_map<InstanceId, Ledger> books_;
+    std::unordered_map<InstanceId, Ledger> ledgers_;
 };
 
 } // namespace seamarch
