--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -15,25 +15,25 @@
     const double rate =
         std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
     constexpr double kNothingSaved = 0.0;
-    Ledger &book =
+    Ledger &ledger =
         ledgers_.try_emplace(upstream, Ledger{TokenBucket(rate, kNothingSaved, now), {}, now})
             .first->second;
-    book.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
-    book.usedAt = now;
-    return book;
+    ledger.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
+    ledger.usedAt = now;
+    return ledger;
 }
 
 PermitGrant PermitIssuer::take(const InstanceId &upstream, RequestRate limit,
                                const InstanceId &asker, std::uint32_t wanted, TimePoint now)
 {
-    Ledger &book = ledgerOf(upstream, limit, now);
-    std::erase_if(book.askers,
+    Ledger &ledger = ledgerOf(upstream, limit, now);
+    std::erase_if(ledger.askers,
                   [now](const auto &entry) { return now - entry.second > kAskersSpan; });
-    book.askers[asker] = now;
+    ledger.askers[asker] = now;
     PermitGrant grant;
     while (grant.granted < wanted) {
-        if (const auto wait = book.bucket.take(now)) {
-            const auto askers = static_cast<Duration::rep>(book.askers.size());
+        if (const auto wait = ledger.bucket.take(now)) {
+            const auto askers = static_cast<Duration::rep>(ledger.askers.size());
             grant.retryAfter = std::max(*wait, settings_.retryDelayPerRequester * askers);
             return grant;
         }
