--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -27,14 +27,14 @@
                                const InstanceId &asker, std::uint32_t wanted, TimePoint now)
 {
     Ledger &ledger = ledgerOf(upstream, limit, now);
-    std::erase_if(ledger.askers,
+    std::erase_if(ledger.requesters,
                   [now](const auto &entry) { return now - entry.second > kAskersSpan; });
-    ledger.askers[asker] = now;
+    ledger.requesters[asker] = now;
     PermitGrant grant;
     while (grant.granted < wanted) {
         if (const auto wait = ledger.bucket.take(now)) {
-            const auto askers = static_cast<Duration::rep>(ledger.askers.size());
-            grant.retryAfter = std::max(*wait, settings_.retryDelayPerRequester * askers);
+            const auto requesters = static_cast<Duration::rep>(ledger.requesters.size());
+            grant.retryAfter = std::max(*wait, settings_.retryDelayPerRequester * requesters);
             return grant;
         }
         ++grant.granted;
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -67,7 +67,7 @@
     struct Ledger
     {
         TokenBucket bucket;
-        std::unordered_map<InstanceId, TimePoint> askers; // When each asked last.
+        std::unordered_map<InstanceId, TimePoint> requesters; // When each asked last.
         TimePoint usedAt{};
     };
 
