--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -24,12 +24,12 @@
 }
 
 PermitGrant PermitIssuer::take(const InstanceId &upstream, RequestRate limit,
-                               const InstanceId &asker, std::uint32_t wanted, TimePoint now)
+                               const InstanceId &requester, std::uint32_t wanted, TimePoint now)
 {
     Ledger &ledger = ledgerOf(upstream, limit, now);
     std::erase_if(ledger.requesters,
                   [now](const auto &entry) { return now - entry.second > kAskersSpan; });
-    ledger.requesters[asker] = now;
+    ledger.requesters[requester] = now;
     PermitGrant grant;
     while (grant.granted < wanted) {
         if (const auto wait = ledger.bucket.take(now)) {
