--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -5,7 +5,7 @@
 namespace seamarch {
 namespace {
 
-constexpr Duration kAskersSpan = std::chrono::seconds(1);
+constexpr Duration kRequesterWindow = std::chrono::seconds(1);
 
 } // namespace
 
@@ -28,7 +28,7 @@
 {
     Ledger &ledger = ledgerOf(upstream, limit, now);
     std::erase_if(ledger.requesters,
-                  [now](const auto &entry) { return now - entry.second > kAskersSpan; });
+                  [now](const auto &entry) { return now - entry.second > kRequesterWindow; });
     ledger.requesters[requester] = now;
     PermitGrant grant;
     while (grant.granted < wanted) {
