--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -14,9 +14,9 @@
 {
     const double rate =
         std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
-    constexpr double kNothingSaved = 0.0;
+    constexpr double kInitialTokens = 0.0;
     Ledger &ledger =
-        ledgers_.try_emplace(upstream, Ledger{TokenBucket(rate, kNothingSaved, now), {}, now})
+        ledgers_.try_emplace(upstream, Ledger{TokenBucket(rate, kInitialTokens, now), {}, now})
             .first->second;
     ledger.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
     ledger.usedAt = now;
