--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -19,7 +19,7 @@
         ledgers_.try_emplace(upstream, Ledger{TokenBucket(rate, kInitialTokens, now), {}, now})
             .first->second;
     ledger.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
-    ledger.usedAt = now;
+    ledger.lastUsedAt = now;
     return ledger;
 }
 
@@ -45,7 +45,7 @@
 void PermitIssuer::expire(TimePoint now)
 {
     std::erase_if(ledgers_, [&](const auto &entry) {
-        return now - entry.second.usedAt > settings_.idleTimeToLive;
+        return now - entry.second.lastUsedAt > settings_.idleTimeToLive;
     });
 }
 
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -68,7 +68,7 @@
     {
         TokenBucket bucket;
         std::unordered_map<InstanceId, TimePoint> requesters; // When each asked last.
-        TimePoint usedAt{};
+        TimePoint lastUsedAt{};
     };
 
     Ledger &ledgerOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
