--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -23,8 +23,8 @@
     return ledger;
 }
 
-PermitGrant PermitIssuer::take(const InstanceId &upstream, RequestRate limit,
-                               const InstanceId &requester, std::uint32_t wanted, TimePoint now)
+PermitGrant PermitIssuer::issue(const InstanceId &upstream, RequestRate limit,
+                                const InstanceId &requester, std::uint32_t wanted, TimePoint now)
 {
     Ledger &ledger = ledgerOf(upstream, limit, now);
     std::erase_if(ledger.requesters,
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -58,8 +58,8 @@
     {}
 
     // Hands `asker` up to `wanted` permits to send to `upstream`, which takes `limit`.
-    PermitGrant take(const InstanceId &upstream, RequestRate limit, const InstanceId &requester,
-                     std::uint32_t wanted, TimePoint now);
+    PermitGrant issue(const InstanceId &upstream, RequestRate limit, const InstanceId &requester,
+                      std::uint32_t wanted, TimePoint now);
     // Drops what is not used any more. Call it now and then.
     void expire(TimePoint now);
 
--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -164,8 +164,8 @@
                 ++found_.questions;
                 Message answer{0, message.to, message.from,    true,
                                0, {},         message.askedAt, message.life};
-                answer.answer = gateway.issuer.take(kUpstream, RequestRate(world_.limit),
-                                                    idOf(message.from), message.wanted, at(now_));
+                answer.answer = gateway.issuer.issue(kUpstream, RequestRate(world_.limit),
+                                                     idOf(message.from), message.wanted, at(now_));
                 send(answer);
             }
         }
@@ -305,8 +305,8 @@
     PermitIssuer issuer;
     const InstanceId upstream("up");
     const InstanceId self("g");
-    issuer.take(upstream, RequestRate(1.0), self, 1, at(0));
-    const PermitGrant answer = issuer.take(upstream, RequestRate(1.0), self, 16, at(30000));
+    issuer.issue(upstream, RequestRate(1.0), self, 1, at(0));
+    const PermitGrant answer = issuer.issue(upstream, RequestRate(1.0), self, 16, at(30000));
     UNSIGNED_LONGS_EQUAL(1, answer.granted);
     permits.want(upstream);
     permits.takeAsks(at(30000));
