--- a/src/decision/gateway/residency.cpp
+++ b/src/decision/gateway/residency.cpp
@@ -8,7 +8,7 @@
         return;
     }
     const std::set<RegionId> named(regions.begin(), regions.end());
-    if (isFree()) {
+    if (isUnrestricted()) {
         regions_ = named;
         return;
     }
--- a/src/decision/gateway/residency.h
+++ b/src/decision/gateway/residency.h
@@ -19,9 +19,12 @@
     // Binds the request to `regions`, besides those before; none bind nothing.
     void restrictTo(const std::vector<RegionId> &regions);
     // Tells whether the request may be served anywhere.
-    bool isFree() const { return !regions_.has_value(); }
+    bool isUnrestricted() const { return !regions_.has_value(); }
     // Tells whether it may be served in `region`; one that is not known is none of those named.
-    bool allows(const RegionId &region) const { return isFree() || regions_->contains(region); }
+    bool allows(const RegionId &region) const
+    {
+        return isUnrestricted() || regions_->contains(region);
+    }
 
 private:
     std::optional<std::set<RegionId>> regions_;
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -110,7 +110,7 @@
 
 bool UpstreamChooser::hasUpstream(const TargetName &service, const Residency &residency)
 {
-    if (residency.isFree()) {
+    if (residency.isUnrestricted()) {
         return true;
     }
     const Groups &groups = groupsOf(service);
--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -119,7 +119,7 @@
     CHECK_FALSE(residency.allows(RegionId("hills")));
     residency.restrictTo({kCentre});
     CHECK_FALSE(residency.allows(kCoast));
-    CHECK_FALSE(residency.isFree());
+    CHECK_FALSE(residency.isUnrestricted());
 }
 
 TEST(ResidencyTest, RegionThatIsNotKnownIsNoneOfThoseNamed)
