--- a/src/decision/gateway/residency.cpp
+++ b/src/decision/gateway/residency.cpp
@@ -7,12 +7,13 @@
     if (regions.empty()) {
         return;
     }
-    const std::set<RegionId> named(regions.begin(), regions.end());
+    const std::set<RegionId> allowed(regions.begin(), regions.end());
     if (isUnrestricted()) {
-        regions_ = named;
+        regions_ = allowed;
         return;
     }
-    std::erase_if(*regions_, [&named](const RegionId &region) { return !named.contains(region); });
+    std::erase_if(*regions_,
+                  [&allowed](const RegionId &region) { return !allowed.contains(region); });
 }
 
 } // namespace seamarch
