--- a/src/decision/gateway/routetable.cpp
+++ b/src/decision/gateway/routetable.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-Duration shortestPauseGoal(const RoutingDocument &document, const TargetName &service)
+Duration shortestGapTarget(const RoutingDocument &document, const TargetName &service)
 {
     Duration shortest{};
     for (const RouteRule &route : document.routes) {
--- a/src/decision/gateway/routetable.h
+++ b/src/decision/gateway/routetable.h
@@ -100,7 +100,7 @@
 
 // Returns the shortest of the pauses between events that callers of `service` bear; zero when no
 // route to it says.
-Duration shortestPauseGoal(const RoutingDocument &document, const TargetName &service);
+Duration shortestGapTarget(const RoutingDocument &document, const TargetName &service);
 
 class RouteTable
 {
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -229,7 +229,7 @@
 void ExpertAgent::takeItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
-        pauseGoal_ = shortestPauseGoal(*document, settings_.service);
+        pauseGoal_ = shortestGapTarget(*document, settings_.service);
         for (const ServiceRule &service : document->services) {
             if (service.name == settings_.service && service.experts) {
                 rule_ = service.experts;
--- a/test/decision/gateway/routetable_test.cpp
+++ b/test/decision/gateway/routetable_test.cpp
@@ -70,6 +70,6 @@
     add("model", 150);
     add("model", 0);
     add("other", 40);
-    CHECK_TRUE(shortestPauseGoal(document, TargetName("model")) == std::chrono::milliseconds(150));
-    CHECK_TRUE(shortestPauseGoal(document, TargetName("nobody")) == Duration{});
+    CHECK_TRUE(shortestGapTarget(document, TargetName("model")) == std::chrono::milliseconds(150));
+    CHECK_TRUE(shortestGapTarget(document, TargetName("nobody")) == Duration{});
 }
