--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -158,7 +158,7 @@
     Request *request = find(number);
     if (request != nullptr && request->upstream != InstanceId()) {
         request->heardAt = now;
-        const Duration goal = request->request.route->pauseGoal;
+        const Duration goal = request->request.route->gapTarget;
         laneOf(*request).onPause(pause, goal, now);
     }
 }
--- a/src/decision/gateway/routetable.cpp
+++ b/src/decision/gateway/routetable.cpp
@@ -25,9 +25,9 @@
         const bool leadsThere =
             std::any_of(route.targets.begin(), route.targets.end(),
                         [&service](const auto &target) { return target.service == service; });
-        const bool stated = leadsThere && route.pauseGoal > Duration{};
-        if (stated && (shortest == Duration{} || route.pauseGoal < shortest)) {
-            shortest = route.pauseGoal;
+        const bool stated = leadsThere && route.gapTarget > Duration{};
+        if (stated && (shortest == Duration{} || route.gapTarget < shortest)) {
+            shortest = route.gapTarget;
         }
     }
     return shortest;
--- a/src/decision/gateway/routetable.h
+++ b/src/decision/gateway/routetable.h
@@ -40,7 +40,7 @@
     bool openToAll = false;  // No key is asked for.
     Duration timeout{};      // The longest that a request is held.
     Duration latencyGoal{};  // Until the answer, or the first event.
-    Duration pauseGoal{};    // Between two events; zero where nothing is said.
+    Duration gapTarget{};    // Between two events; zero where nothing is said.
     // A caller leaves a stream that says nothing for this long.
     Duration silenceLimit = std::chrono::seconds(2);
     std::uint8_t priority = 5; // 0 is the most urgent, 9 the least.
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -26,7 +26,7 @@
     rule.resumable = kind == Kind::Stream;
     rule.timeout = std::chrono::seconds(2);
     rule.latencyGoal = std::chrono::milliseconds(500);
-    rule.pauseGoal = std::chrono::milliseconds(120);
+    rule.gapTarget = std::chrono::milliseconds(120);
     rule.maxAttempts = 2;
     return rule;
 }
--- a/test/decision/gateway/routekinds.h
+++ b/test/decision/gateway/routekinds.h
@@ -23,7 +23,7 @@
     route.timeout = std::chrono::seconds(8);
     route.silenceLimit = std::chrono::seconds(2);
     route.latencyGoal = std::chrono::milliseconds(500);
-    route.pauseGoal = std::chrono::milliseconds(120);
+    route.gapTarget = std::chrono::milliseconds(120);
     route.maxAttempts = 3;
     RoutingDocument document;
     document.routes = {route};
--- a/test/decision/gateway/routetable_test.cpp
+++ b/test/decision/gateway/routetable_test.cpp
@@ -63,7 +63,7 @@
     const auto add = [&document](const char *service, int pause) {
         RouteRule rule;
         rule.targets = {{TargetName(service), 1}};
-        rule.pauseGoal = std::chrono::milliseconds(pause);
+        rule.gapTarget = std::chrono::milliseconds(pause);
         document.routes.push_back(rule);
     };
     add("model", 200);
--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -44,7 +44,7 @@
         route.resumable = true;
         route.timeout = std::chrono::seconds(8);
         route.latencyGoal = std::chrono::milliseconds(500);
-        route.pauseGoal = std::chrono::milliseconds(150);
+        route.gapTarget = std::chrono::milliseconds(150);
         route.silenceLimit = std::chrono::seconds(2);
         route.maxAttempts = 2;
         document.routes = {route};
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -177,7 +177,7 @@
     CHECK_TRUE(route.streamed && route.resumable && !route.repeatable);
     LONGS_EQUAL(2, route.targets.size());
     LONGS_EQUAL(90, route.targets[0].weight);
-    CHECK_TRUE(route.pauseGoal == Duration(std::chrono::milliseconds(120)));
+    CHECK_TRUE(route.gapTarget == Duration(std::chrono::milliseconds(120)));
     LONGS_EQUAL(3, *document->accounts.at(0).priority);
     LONGS_EQUAL(8, document->services.at(0).experts->places);
     LONGS_EQUAL(100, document->bounds.headerBytes);
