--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -16,7 +16,7 @@
 StreamQueue::Entry GatewayCore::entryFor(RequestNumber number, const Request &request,
                                          const ServiceState &service)
 {
-    const Duration goal = request.request.route->latencyGoal;
+    const Duration goal = request.request.route->latencyTarget;
     StreamQueue::Entry entry;
     entry.number = number;
     entry.priority = request.request.priority;
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -25,7 +25,7 @@
     rule.streamed = kind == Kind::Stream;
     rule.resumable = kind == Kind::Stream;
     rule.timeout = std::chrono::seconds(2);
-    rule.latencyGoal = std::chrono::milliseconds(500);
+    rule.latencyTarget = std::chrono::milliseconds(500);
     rule.gapTarget = std::chrono::milliseconds(120);
     rule.maxAttempts = 2;
     return rule;
--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -43,7 +43,7 @@
         route.streamed = true;
         route.resumable = true;
         route.timeout = std::chrono::seconds(8);
-        route.latencyGoal = std::chrono::milliseconds(500);
+        route.latencyTarget = std::chrono::milliseconds(500);
         route.gapTarget = std::chrono::milliseconds(150);
         route.silenceLimit = std::chrono::seconds(2);
         route.maxAttempts = 2;
--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -64,7 +64,7 @@
         route.streamed = kind == Kind::Stream;
         route.resumable = kind == Kind::Stream;
         route.timeout = std::chrono::seconds(8);
-        route.latencyGoal = std::chrono::milliseconds(500);
+        route.latencyTarget = std::chrono::milliseconds(500);
         route.maxAttempts = 3;
         RoutingDocument document;
         document.routes = {route};
