--- a/src/decision/gateway/routetable.h
+++ b/src/decision/gateway/routetable.h
@@ -34,13 +34,13 @@
     std::string host;
     std::string pathPrefix; // Begins and ends with a slash.
     std::vector<RouteTarget> targets;
-    bool repeatable = false;  // A request may run more than once.
-    bool streamed = false;    // Answers are streams of events.
-    bool resumable = false;   // A broken stream may be taken up at another upstream.
-    bool openToAll = false;   // No key is asked for.
-    Duration timeout{};       // The longest that a request is held.
-    Duration latencyTarget{}; // Until the answer, or the first event.
-    Duration gapTarget{};     // Between two events; zero where nothing is said.
+    bool repeatable = false;      // A request may run more than once.
+    bool streamed = false;        // Answers are streams of events.
+    bool resumable = false;       // A broken stream may be taken up at another upstream.
+    bool allowsAnonymous = false; // No key is asked for.
+    Duration timeout{};           // The longest that a request is held.
+    Duration latencyTarget{};     // Until the answer, or the first event.
+    Duration gapTarget{};         // Between two events; zero where nothing is said.
     // A caller leaves a stream that says nothing for this long.
     Duration silenceLimit = std::chrono::seconds(2);
     std::uint8_t priority = 5; // 0 is the most urgent, 9 the least.
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -305,7 +305,7 @@
     const Duration longest =
         admitted.route->timeout > Duration{} ? admitted.route->timeout : kDefaultDeadline;
     admitted.deadline = facts.deadline.value_or(longest);
-    if (admitted.route->openToAll || !table_->hasAccounts()) {
+    if (admitted.route->allowsAnonymous || !table_->hasAccounts()) {
         return admitted;
     }
     const AccountRule *account = table_->accountOf(facts.key);
