--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -458,7 +458,7 @@
 {
     const RouteRule &route = *request.request.route;
     const bool mayMove = request.upstream != InstanceId() && (!request.headSent || route.resumable);
-    const Duration borne = std::min(route.silenceLimit, request.request.deadline);
+    const Duration borne = std::min(route.silenceTimeout, request.request.deadline);
     return mayMove && borne > Duration{}
            && toSeconds(now - request.heardAt) >= toSeconds(borne) * settings_.silencePart;
 }
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -30,7 +30,7 @@
 // Returns how long a stream may wait for a place; its caller leaves not long after.
 Duration GatewayCore::longestWait(const Request &request) const
 {
-    return request.request.route->silenceLimit - settings_.waitMargin;
+    return request.request.route->silenceTimeout - settings_.waitMargin;
 }
 
 // Returns the latest moment at which the caller would come back.
--- a/src/decision/gateway/routetable.h
+++ b/src/decision/gateway/routetable.h
@@ -42,7 +42,7 @@
     Duration latencyTarget{};     // Until the answer, or the first event.
     Duration gapTarget{};         // Between two events; zero where nothing is said.
     // A caller leaves a stream that says nothing for this long.
-    Duration silenceLimit = std::chrono::seconds(2);
+    Duration silenceTimeout = std::chrono::seconds(2);
     std::uint8_t priority = 5; // 0 is the most urgent, 9 the least.
     std::uint32_t maxAttempts = 1;
     std::vector<RegionId> regions; // Where its requests may be served; empty: anywhere.
--- a/test/decision/gateway/routekinds.h
+++ b/test/decision/gateway/routekinds.h
@@ -21,7 +21,7 @@
     route.streamed = kind == Kind::Stream;
     route.resumable = kind == Kind::Stream;
     route.timeout = std::chrono::seconds(8);
-    route.silenceLimit = std::chrono::seconds(2);
+    route.silenceTimeout = std::chrono::seconds(2);
     route.latencyTarget = std::chrono::milliseconds(500);
     route.gapTarget = std::chrono::milliseconds(120);
     route.maxAttempts = 3;
--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -45,7 +45,7 @@
         route.timeout = std::chrono::seconds(8);
         route.latencyTarget = std::chrono::milliseconds(500);
         route.gapTarget = std::chrono::milliseconds(150);
-        route.silenceLimit = std::chrono::seconds(2);
+        route.silenceTimeout = std::chrono::seconds(2);
         route.maxAttempts = 2;
         document.routes = {route};
     }
