--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -183,7 +183,7 @@
 // Returns how long a pass takes, in parts of one whose experts are loaded evenly.
 double ExpertPlanner::passTime(double skew) const
 {
-    return 1.0 - rule_.expertPart + rule_.expertPart * skew;
+    return 1.0 - rule_.expertShare + rule_.expertShare * skew;
 }
 
 // Tells whether a more even map would make no stream earlier than its caller needs it.
--- a/src/decision/gateway/routetable.h
+++ b/src/decision/gateway/routetable.h
@@ -65,7 +65,7 @@
     std::uint32_t places = 0;     // Experts of a set that a rank holds at most.
     std::uint32_t newExperts = 0; // Of those, how many may be new to it in one change.
     Duration copyTime{};          // That a rank takes to copy one expert.
-    double expertPart = 1.0;      // Of the work for tokens, what experts do.
+    double expertShare = 1.0;     // Of the work for tokens, what experts do.
 };
 
 // What is known of a service.
