--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -217,7 +217,7 @@
             allowance = std::min(allowance, rule_.newExperts);
         }
         PlacementBounds bounds{
-            rule_.places,         rule_.newExperts, settings_.maxChanges,
+            rule_.maxPerRank,     rule_.newExperts, settings_.maxChanges,
             settings_.goodEnough, allowed,          (all + setsLeft - 1) / setsLeft};
         result.map[set] = improvePlacement(current[set], shares[set], bounds, paces_);
         for (std::size_t rank = 0; rank < ranks; ++rank) {
