--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -214,11 +214,14 @@
     for (const auto &[negativeSkew, set] : order) {
         std::vector<std::uint32_t> allowed = left;
         for (std::uint32_t &allowance : allowed) {
-            allowance = std::min(allowance, rule_.newExperts);
+            allowance = std::min(allowance, rule_.maxNewPerRank);
         }
-        PlacementBounds bounds{
-            rule_.maxPerRank,     rule_.newExperts, settings_.maxChanges,
-            settings_.goodEnough, allowed,          (all + setsLeft - 1) / setsLeft};
+        PlacementBounds bounds{rule_.maxPerRank,
+                               rule_.maxNewPerRank,
+                               settings_.maxChanges,
+                               settings_.goodEnough,
+                               allowed,
+                               (all + setsLeft - 1) / setsLeft};
         result.map[set] = improvePlacement(current[set], shares[set], bounds, paces_);
         for (std::size_t rank = 0; rank < ranks; ++rank) {
             const auto &before = current[set][rank];
@@ -262,7 +265,8 @@
 {
     const Duration least = fromSeconds(toSeconds(settings_.takeUp) * settings_.leastCopying);
     std::uint32_t copies = 1;
-    while (copies * 2 <= rule_.newExperts * rule_.sets && rule_.copyTime * (copies * 2) <= least) {
+    while (copies * 2 <= rule_.maxNewPerRank * rule_.sets
+           && rule_.copyTime * (copies * 2) <= least) {
         copies *= 2;
     }
     return copies;
@@ -285,7 +289,7 @@
     const Duration life = expectedLife(now);
     std::optional<Candidate> best;
     double bestRate = 0.0;
-    for (std::uint32_t copies = fewestCopies(); copies <= rule_.newExperts * rule_.sets;
+    for (std::uint32_t copies = fewestCopies(); copies <= rule_.maxNewPerRank * rule_.sets;
          copies *= 2) {
         const Candidate tried = candidate(current, copies);
         const double worth = worthOf(tried, before, life);
--- a/src/decision/gateway/routetable.h
+++ b/src/decision/gateway/routetable.h
@@ -60,12 +60,12 @@
 // How the experts of a service's model are spread over the ranks of its groups.
 struct ExpertRule
 {
-    std::uint32_t sets = 0;       // Of layers that share one placement.
-    std::uint32_t experts = 0;    // In each set.
-    std::uint32_t maxPerRank = 0; // Experts of a set that a rank holds at most.
-    std::uint32_t newExperts = 0; // Of those, how many may be new to it in one change.
-    Duration copyTime{};          // That a rank takes to copy one expert.
-    double expertShare = 1.0;     // Of the work for tokens, what experts do.
+    std::uint32_t sets = 0;          // Of layers that share one placement.
+    std::uint32_t experts = 0;       // In each set.
+    std::uint32_t maxPerRank = 0;    // Experts of a set that a rank holds at most.
+    std::uint32_t maxNewPerRank = 0; // Of those, how many may be new to it in one change.
+    Duration copyTime{};             // That a rank takes to copy one expert.
+    double expertShare = 1.0;        // Of the work for tokens, what experts do.
 };
 
 // What is known of a service.
