--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -111,7 +111,7 @@
     core_.warmUps().setServices(table.services());
     const CallerBounds &bounds = table.bounds();
     HttpServerOptions options;
-    options.maxHeaderBytes = bounds.headerBytes;
+    options.maxHeaderBytes = bounds.maxHeaderBytes;
     options.maxBodyBytes = bounds.bodyBytes;
     options.headerTimeout = bounds.headerTimeout;
     options.idleTimeout = bounds.idleTimeout;
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -180,7 +180,7 @@
     CHECK_TRUE(route.gapTarget == Duration(std::chrono::milliseconds(120)));
     LONGS_EQUAL(3, *document->accounts.at(0).priority);
     LONGS_EQUAL(8, document->services.at(0).experts->maxPerRank);
-    LONGS_EQUAL(100, document->bounds.headerBytes);
+    LONGS_EQUAL(100, document->bounds.maxHeaderBytes);
 }
 
 TEST(StoreItemsTest, FaultyDocumentIsSaidAndNotTaken)
