--- a/src/decision/gateway/routetable.h
+++ b/src/decision/gateway/routetable.h
@@ -83,7 +83,7 @@
 struct CallerBounds
 {
     std::size_t maxHeaderBytes = std::size_t{16} * 1024;
-    std::size_t bodyBytes = std::size_t{8} * 1024 * 1024;
+    std::size_t maxBodyBytes = std::size_t{8} * 1024 * 1024;
     Duration headerTimeout = std::chrono::seconds(10);
     Duration idleTimeout = std::chrono::seconds(60);
 };
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -112,7 +112,7 @@
     const CallerBounds &bounds = table.bounds();
     HttpServerOptions options;
     options.maxHeaderBytes = bounds.maxHeaderBytes;
-    options.maxBodyBytes = bounds.bodyBytes;
+    options.maxBodyBytes = bounds.maxBodyBytes;
     options.headerTimeout = bounds.headerTimeout;
     options.idleTimeout = bounds.idleTimeout;
     server_->setBounds(options);
