--- a/src/decision/gateway/routetable.cpp
+++ b/src/decision/gateway/routetable.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Returns a host in lower case and without a port.
-std::string plainHost(std::string_view host)
+std::string normalizedHost(std::string_view host)
 {
     std::string plain(host.substr(0, host.find(':')));
     std::transform(plain.begin(), plain.end(), plain.begin(),
@@ -37,7 +37,7 @@
     : document_(std::move(document))
 {
     for (std::size_t index = 0; index < document_.routes.size(); ++index) {
-        byHost_[plainHost(document_.routes[index].host)].push_back(index);
+        byHost_[normalizedHost(document_.routes[index].host)].push_back(index);
     }
     for (auto &[host, indexes] : byHost_) {
         std::stable_sort(indexes.begin(), indexes.end(),
@@ -58,7 +58,7 @@
 
 const RouteRule *RouteTable::match(std::string_view host, std::string_view path) const
 {
-    const auto found = byHost_.find(plainHost(host));
+    const auto found = byHost_.find(normalizedHost(host));
     if (found == byHost_.end()) {
         return nullptr;
     }
