--- a/src/decision/gateway/routetable.cpp
+++ b/src/decision/gateway/routetable.cpp
@@ -22,10 +22,10 @@
 {
     Duration shortest{};
     for (const RouteRule &route : document.routes) {
-        const bool leadsThere =
+        const bool servesService =
             std::any_of(route.targets.begin(), route.targets.end(),
                         [&service](const auto &target) { return target.service == service; });
-        const bool stated = leadsThere && route.gapTarget > Duration{};
+        const bool stated = servesService && route.gapTarget > Duration{};
         if (stated && (shortest == Duration{} || route.gapTarget < shortest)) {
             shortest = route.gapTarget;
         }
