--- a/src/decision/gateway/routetable.cpp
+++ b/src/decision/gateway/routetable.cpp
@@ -25,8 +25,8 @@
         const bool servesService =
             std::any_of(route.targets.begin(), route.targets.end(),
                         [&service](const auto &target) { return target.service == service; });
-        const bool stated = servesService && route.gapTarget > Duration{};
-        if (stated && (shortest == Duration{} || route.gapTarget < shortest)) {
+        const bool hasTarget = servesService && route.gapTarget > Duration{};
+        if (hasTarget && (shortest == Duration{} || route.gapTarget < shortest)) {
             shortest = route.gapTarget;
         }
     }
