--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -66,7 +66,7 @@
     State &state = found->second;
     state.askedAt = {};
     state.notBefore = now + answer.retryAfter;
-    const TimePoint until = askedAt + settings_.life;
+    const TimePoint until = askedAt + settings_.permitTimeToLive;
     if (answer.granted == 0 || until <= now) {
         return;
     }
