--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -26,7 +26,7 @@
 
 bool SendPermits::waitsForAnswer(const State &state, TimePoint now) const
 {
-    return state.askedAt != TimePoint{} && now - state.askedAt < settings_.patience;
+    return state.askedAt != TimePoint{} && now - state.askedAt < settings_.answerTimeout;
 }
 
 bool SendPermits::mayComeUntil(const InstanceId &upstream, TimePoint end, TimePoint now) const
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -27,7 +27,7 @@
         // How long a permit lasts, from the question on.
         Duration permitTimeToLive = std::chrono::milliseconds(500);
         // How long an answer is waited for: some round trips between halls.
-        Duration patience = std::chrono::milliseconds(350);
+        Duration answerTimeout = std::chrono::milliseconds(350);
         std::uint32_t mostWanted = 16; // In one question.
     };
 
