--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -21,7 +21,7 @@
 void SendPermits::want(const InstanceId &upstream)
 {
     State &state = states_[upstream];
-    state.wanted = std::min(state.wanted + 1, settings_.mostWanted);
+    state.wanted = std::min(state.wanted + 1, settings_.maxWantedPerQuery);
 }
 
 bool SendPermits::waitsForAnswer(const State &state, TimePoint now) const
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -28,7 +28,7 @@
         Duration permitTimeToLive = std::chrono::milliseconds(500);
         // How long an answer is waited for: some round trips between halls.
         Duration answerTimeout = std::chrono::milliseconds(350);
-        std::uint32_t mostWanted = 16; // In one question.
+        std::uint32_t maxWantedPerQuery = 16; // In one question.
     };
 
     // A question that is due.
