--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -86,7 +86,7 @@
 void GatewayService::askForPermits()
 {
     const TimePoint now = loop_.now();
-    for (const SendPermits::Ask &ask : core_.takePermitAsks(now)) {
+    for (const SendPermits::Query &ask : core_.takePermitAsks(now)) {
         sources_->askForPermits(ask, [this, ask, now](const PermitGrant &answer) {
             logLine(LogLevel::Debug, "permits.answered",
                     {{"upstream", ask.upstream.value()},
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -95,7 +95,7 @@
     return {};
 }
 
-void KnowledgeSources::askForPermits(const SendPermits::Ask &ask,
+void KnowledgeSources::askForPermits(const SendPermits::Query &ask,
                                      GatewayPeers::PermitsAnswered answered)
 {
     const TimePoint now = loop_.now();
--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -96,7 +96,7 @@
     {
         actions.clear();
         const auto asks = core->takePermitAsks(at(now));
-        for (const SendPermits::Ask &ask : asks) {
+        for (const SendPermits::Query &ask : asks) {
             core->onPermits(ask.upstream, answer, at(now), at(now), actions);
         }
         return asks.size();
@@ -266,7 +266,7 @@
                 core->upstreams().replaceAll(listed, at(now));
                 break;
             case 6:
-                for (const SendPermits::Ask &ask : core->takePermitAsks(at(now))) {
+                for (const SendPermits::Query &ask : core->takePermitAsks(at(now))) {
                     if (draw(3) != 0) {
                         const auto count = static_cast<std::uint32_t>(draw(3));
                         granted[ask.upstream] += count;
--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -182,7 +182,7 @@
                 gateway.permits.want(kUpstream);
             }
         }
-        for (const SendPermits::Ask &ask : gateway.permits.takeAsks(at(now_))) {
+        for (const SendPermits::Query &ask : gateway.permits.takeAsks(at(now_))) {
             send({0, index, issuerFor(index), false, ask.wanted, {}, now_, gateway.life});
         }
         if (now_ % 25 == 0) {
