--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -207,7 +207,10 @@
     UpstreamLimits::Change onLimit(RequestNumber request, std::optional<RequestRate> limit,
                                    TimePoint now);
     // Returns the questions for permits that are due; they are under way from now on.
-    std::vector<SendPermits::Query> takePermitAsks(TimePoint now) { return permits_.takeAsks(now); }
+    std::vector<SendPermits::Query> takePermitAsks(TimePoint now)
+    {
+        return permits_.takeQueries(now);
+    }
     // The question about `upstream` that was asked at `askedAt` is answered.
     void onPermits(const InstanceId &upstream, const PermitGrant &answer, TimePoint askedAt,
                    TimePoint now, GatewayActions &actions);
--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -42,7 +42,7 @@
     return found == states_.end() ? TimePoint() : found->second.notBefore;
 }
 
-std::vector<SendPermits::Query> SendPermits::takeAsks(TimePoint now)
+std::vector<SendPermits::Query> SendPermits::takeQueries(TimePoint now)
 {
     std::vector<Ask> asks;
     for (auto &[upstream, state] : states_) {
--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -182,7 +182,7 @@
                 gateway.permits.want(kUpstream);
             }
         }
-        for (const SendPermits::Query &ask : gateway.permits.takeAsks(at(now_))) {
+        for (const SendPermits::Query &ask : gateway.permits.takeQueries(at(now_))) {
             send({0, index, issuerFor(index), false, ask.wanted, {}, now_, gateway.life});
         }
         if (now_ % 25 == 0) {
@@ -309,7 +309,7 @@
     const PermitGrant answer = issuer.issue(upstream, RequestRate(1.0), self, 16, at(30000));
     UNSIGNED_LONGS_EQUAL(1, answer.granted);
     permits.want(upstream);
-    permits.takeAsks(at(30000));
+    permits.takeQueries(at(30000));
     permits.onAnswer(upstream, answer, at(30000), at(30001));
     CHECK_TRUE(permits.has(upstream, at(30400)));
     CHECK_FALSE(permits.has(upstream, at(30500)));
@@ -320,7 +320,7 @@
     SendPermits permits;
     const InstanceId upstream("up");
     permits.want(upstream);
-    LONGS_EQUAL(1, permits.takeAsks(at(0)).size());
+    LONGS_EQUAL(1, permits.takeQueries(at(0)).size());
     permits.onAnswer(upstream, {1, Duration{}}, at(0), at(700));
     CHECK_FALSE(permits.has(upstream, at(700)));
 }
