--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -44,16 +44,16 @@
 
 std::vector<SendPermits::Query> SendPermits::takeQueries(TimePoint now)
 {
-    std::vector<Ask> asks;
+    std::vector<Ask> queries;
     for (auto &[upstream, state] : states_) {
         if (state.wanted == 0 || waitsForAnswer(state, now) || state.notBefore > now) {
             continue;
         }
-        asks.push_back({upstream, state.wanted});
+        queries.push_back({upstream, state.wanted});
         state.wanted = 0;
         state.askedAt = now;
     }
-    return asks;
+    return queries;
 }
 
 void SendPermits::onAnswer(const InstanceId &upstream, const PermitGrant &answer, TimePoint askedAt,
