--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -29,7 +29,7 @@
     return state.askedAt != TimePoint{} && now - state.askedAt < settings_.answerTimeout;
 }
 
-bool SendPermits::mayComeUntil(const InstanceId &upstream, TimePoint end, TimePoint now) const
+bool SendPermits::mayArriveBefore(const InstanceId &upstream, TimePoint end, TimePoint now) const
 {
     const auto found = states_.find(upstream);
     return found == states_.end() || waitsForAnswer(found->second, now)
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -52,7 +52,7 @@
     // A request would have gone there.
     void want(const InstanceId &upstream);
     // Tells whether a permit may come until `end`.
-    bool mayComeUntil(const InstanceId &upstream, TimePoint end, TimePoint now) const;
+    bool mayArriveBefore(const InstanceId &upstream, TimePoint end, TimePoint now) const;
 
     // Returns from when on a permit may be asked for; the distant past when that is now.
     TimePoint notBefore(const InstanceId &upstream) const;
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -180,7 +180,7 @@
     for (const auto &[id, group] : groupsOf(service)) {
         for (const UpstreamRecord *record : group.upstreams) {
             if (!takesNothing(record->id, now) && mayServe(*record, residency)
-                && lacksPermit(*record, now) && permits_.mayComeUntil(record->id, end, now)) {
+                && lacksPermit(*record, now) && permits_.mayArriveBefore(record->id, end, now)) {
                 return true;
             }
         }
