--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -10,7 +10,7 @@
     return found != states_.end() && found->second.held > 0 && found->second.heldUntil > now;
 }
 
-void SendPermits::use(const InstanceId &upstream, TimePoint now)
+void SendPermits::consume(const InstanceId &upstream, TimePoint now)
 {
     const auto found = states_.find(upstream);
     if (found != states_.end() && has(upstream, now)) {
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -48,7 +48,7 @@
     // Tells whether a request may go to `upstream`.
     bool has(const InstanceId &upstream, TimePoint now) const;
     // A request goes there.
-    void use(const InstanceId &upstream, TimePoint now);
+    void consume(const InstanceId &upstream, TimePoint now);
     // A request would have gone there.
     void want(const InstanceId &upstream);
     // Tells whether a permit may come until `end`.
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -170,7 +170,7 @@
 {
     ++states_[upstream.id].inFlight;
     if (needsPermit(upstream, now)) {
-        permits_.use(upstream.id, now);
+        permits_.consume(upstream.id, now);
     }
 }
 
--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -176,7 +176,7 @@
         Gateway &gateway = gateways_[index];
         if (chance(world_.wantsPerSecond / 1000.0)) {
             if (gateway.permits.has(kUpstream, at(now_))) {
-                gateway.permits.use(kUpstream, at(now_));
+                gateway.permits.consume(kUpstream, at(now_));
                 arrive();
             } else {
                 gateway.permits.want(kUpstream);
