--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -18,7 +18,7 @@
     }
 }
 
-void SendPermits::want(const InstanceId &upstream)
+void SendPermits::request(const InstanceId &upstream)
 {
     State &state = states_[upstream];
     state.wanted = std::min(state.wanted + 1, settings_.maxWantedPerQuery);
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -50,7 +50,7 @@
     // A request goes there.
     void consume(const InstanceId &upstream, TimePoint now);
     // A request would have gone there.
-    void want(const InstanceId &upstream);
+    void request(const InstanceId &upstream);
     // Tells whether a permit may come until `end`.
     bool mayArriveBefore(const InstanceId &upstream, TimePoint end, TimePoint now) const;
 
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -98,7 +98,7 @@
                   [&](const Ranked &ranked) { return permits_.notBefore(ranked.second) > now; });
     std::sort(upstreams.begin(), upstreams.end());
     for (std::size_t index = 0; index < std::min(kMostWanted, upstreams.size()); ++index) {
-        permits_.want(upstreams[index].second);
+        permits_.request(upstreams[index].second);
     }
 }
 
--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -179,7 +179,7 @@
                 gateway.permits.consume(kUpstream, at(now_));
                 arrive();
             } else {
-                gateway.permits.want(kUpstream);
+                gateway.permits.request(kUpstream);
             }
         }
         for (const SendPermits::Query &ask : gateway.permits.takeQueries(at(now_))) {
@@ -308,7 +308,7 @@
     issuer.issue(upstream, RequestRate(1.0), self, 1, at(0));
     const PermitGrant answer = issuer.issue(upstream, RequestRate(1.0), self, 16, at(30000));
     UNSIGNED_LONGS_EQUAL(1, answer.granted);
-    permits.want(upstream);
+    permits.request(upstream);
     permits.takeQueries(at(30000));
     permits.onAnswer(upstream, answer, at(30000), at(30001));
     CHECK_TRUE(permits.has(upstream, at(30400)));
@@ -319,7 +319,7 @@
 {
     SendPermits permits;
     const InstanceId upstream("up");
-    permits.want(upstream);
+    permits.request(upstream);
     LONGS_EQUAL(1, permits.takeQueries(at(0)).size());
     permits.onAnswer(upstream, {1, Duration{}}, at(0), at(700));
     CHECK_FALSE(permits.has(upstream, at(700)));
