--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -24,7 +24,7 @@
     state.wanted = std::min(state.wanted + 1, settings_.maxWantedPerQuery);
 }
 
-bool SendPermits::waitsForAnswer(const State &state, TimePoint now) const
+bool SendPermits::awaitsAnswer(const State &state, TimePoint now) const
 {
     return state.askedAt != TimePoint{} && now - state.askedAt < settings_.answerTimeout;
 }
@@ -32,7 +32,7 @@
 bool SendPermits::mayArriveBefore(const InstanceId &upstream, TimePoint end, TimePoint now) const
 {
     const auto found = states_.find(upstream);
-    return found == states_.end() || waitsForAnswer(found->second, now)
+    return found == states_.end() || awaitsAnswer(found->second, now)
            || found->second.notBefore < end;
 }
 
@@ -46,7 +46,7 @@
 {
     std::vector<Ask> queries;
     for (auto &[upstream, state] : states_) {
-        if (state.wanted == 0 || waitsForAnswer(state, now) || state.notBefore > now) {
+        if (state.wanted == 0 || awaitsAnswer(state, now) || state.notBefore > now) {
             continue;
         }
         queries.push_back({upstream, state.wanted});
@@ -79,7 +79,7 @@
     std::erase_if(states_, [&](const auto &entry) {
         const State &state = entry.second;
         const bool holds = state.held > 0 && state.heldUntil > now;
-        return !holds && state.wanted == 0 && !waitsForAnswer(state, now) && state.notBefore <= now;
+        return !holds && state.wanted == 0 && !awaitsAnswer(state, now) && state.notBefore <= now;
     });
 }
 
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -75,7 +75,7 @@
         TimePoint notBefore{};
     };
 
-    bool waitsForAnswer(const State &state, TimePoint now) const;
+    bool awaitsAnswer(const State &state, TimePoint now) const;
 
     Settings settings_;
     std::unordered_map<InstanceId, State> states_;
