--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -26,7 +26,7 @@
 
 bool SendPermits::awaitsAnswer(const State &state, TimePoint now) const
 {
-    return state.askedAt != TimePoint{} && now - state.askedAt < settings_.answerTimeout;
+    return state.queriedAt != TimePoint{} && now - state.queriedAt < settings_.answerTimeout;
 }
 
 bool SendPermits::mayArriveBefore(const InstanceId &upstream, TimePoint end, TimePoint now) const
@@ -51,22 +51,22 @@
         }
         queries.push_back({upstream, state.wanted});
         state.wanted = 0;
-        state.askedAt = now;
+        state.queriedAt = now;
     }
     return queries;
 }
 
-void SendPermits::onAnswer(const InstanceId &upstream, const PermitGrant &answer, TimePoint askedAt,
-                           TimePoint now)
+void SendPermits::onAnswer(const InstanceId &upstream, const PermitGrant &answer,
+                           TimePoint queriedAt, TimePoint now)
 {
     const auto found = states_.find(upstream);
-    if (found == states_.end() || found->second.askedAt != askedAt) {
+    if (found == states_.end() || found->second.queriedAt != queriedAt) {
         return; // Given up; what it grants is as good as used.
     }
     State &state = found->second;
-    state.askedAt = {};
+    state.queriedAt = {};
     state.notBefore = now + answer.retryAfter;
-    const TimePoint until = askedAt + settings_.permitTimeToLive;
+    const TimePoint until = queriedAt + settings_.permitTimeToLive;
     if (answer.granted == 0 || until <= now) {
         return;
     }
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -59,8 +59,8 @@
 
     // Returns the questions that are due; they are under way from now on.
     std::vector<Ask> takeAsks(TimePoint now);
-    // The question about `upstream` that was asked at `askedAt` is answered.
-    void onAnswer(const InstanceId &upstream, const PermitGrant &answer, TimePoint askedAt,
+    // The question about `upstream` that was asked at `queriedAt` is answered.
+    void onAnswer(const InstanceId &upstream, const PermitGrant &answer, TimePoint queriedAt,
                   TimePoint now);
     // Forgets what means nothing any more.
     void expire(TimePoint now);
@@ -71,7 +71,7 @@
         std::uint32_t held = 0;
         TimePoint heldUntil{};
         std::uint32_t wanted = 0;
-        TimePoint askedAt{}; // The question under way; none where this is zero.
+        TimePoint queriedAt{}; // The question under way; none where this is zero.
         TimePoint notBefore{};
     };
 
