--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -56,7 +56,7 @@
     return queries;
 }
 
-void SendPermits::onAnswer(const InstanceId &upstream, const PermitGrant &answer,
+void SendPermits::onAnswer(const InstanceId &upstream, const PermitGrant &grant,
                            TimePoint queriedAt, TimePoint now)
 {
     const auto found = states_.find(upstream);
@@ -65,12 +65,12 @@
     }
     State &state = found->second;
     state.queriedAt = {};
-    state.notBefore = now + answer.retryAfter;
+    state.notBefore = now + grant.retryAfter;
     const TimePoint until = queriedAt + settings_.permitTimeToLive;
-    if (answer.granted == 0 || until <= now) {
+    if (grant.granted == 0 || until <= now) {
         return;
     }
-    state.held = (has(upstream, now) ? state.held : 0) + answer.granted;
+    state.held = (has(upstream, now) ? state.held : 0) + grant.granted;
     state.heldUntil = until;
 }
 
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -60,7 +60,7 @@
     // Returns the questions that are due; they are under way from now on.
     std::vector<Ask> takeAsks(TimePoint now);
     // The question about `upstream` that was asked at `queriedAt` is answered.
-    void onAnswer(const InstanceId &upstream, const PermitGrant &answer, TimePoint queriedAt,
+    void onAnswer(const InstanceId &upstream, const PermitGrant &grant, TimePoint queriedAt,
                   TimePoint now);
     // Forgets what means nothing any more.
     void expire(TimePoint now);
