--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -7,7 +7,7 @@
 bool SendPermits::has(const InstanceId &upstream, TimePoint now) const
 {
     const auto found = states_.find(upstream);
-    return found != states_.end() && found->second.held > 0 && found->second.heldUntil > now;
+    return found != states_.end() && found->second.held > 0 && found->second.expiresAt > now;
 }
 
 void SendPermits::consume(const InstanceId &upstream, TimePoint now)
@@ -71,14 +71,14 @@
         return;
     }
     state.held = (has(upstream, now) ? state.held : 0) + grant.granted;
-    state.heldUntil = until;
+    state.expiresAt = until;
 }
 
 void SendPermits::expire(TimePoint now)
 {
     std::erase_if(states_, [&](const auto &entry) {
         const State &state = entry.second;
-        const bool holds = state.held > 0 && state.heldUntil > now;
+        const bool holds = state.held > 0 && state.expiresAt > now;
         return !holds && state.wanted == 0 && !awaitsAnswer(state, now) && state.notBefore <= now;
     });
 }
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -69,7 +69,7 @@
     struct State
     {
         std::uint32_t held = 0;
-        TimePoint heldUntil{};
+        TimePoint expiresAt{};
         std::uint32_t wanted = 0;
         TimePoint queriedAt{}; // The question under way; none where this is zero.
         TimePoint notBefore{};
