--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -33,20 +33,20 @@
 {
     const auto found = states_.find(upstream);
     return found == states_.end() || awaitsAnswer(found->second, now)
-           || found->second.notBefore < end;
+           || found->second.nextQueryAt < end;
 }
 
-TimePoint SendPermits::notBefore(const InstanceId &upstream) const
+TimePoint SendPermits::nextQueryAt(const InstanceId &upstream) const
 {
     const auto found = states_.find(upstream);
-    return found == states_.end() ? TimePoint() : found->second.notBefore;
+    return found == states_.end() ? TimePoint() : found->second.nextQueryAt;
 }
 
 std::vector<SendPermits::Query> SendPermits::takeQueries(TimePoint now)
 {
     std::vector<Ask> queries;
     for (auto &[upstream, state] : states_) {
-        if (state.wanted == 0 || awaitsAnswer(state, now) || state.notBefore > now) {
+        if (state.wanted == 0 || awaitsAnswer(state, now) || state.nextQueryAt > now) {
             continue;
         }
         queries.push_back({upstream, state.wanted});
@@ -65,7 +65,7 @@
     }
     State &state = found->second;
     state.queriedAt = {};
-    state.notBefore = now + grant.retryAfter;
+    state.nextQueryAt = now + grant.retryAfter;
     const TimePoint until = queriedAt + settings_.permitTimeToLive;
     if (grant.granted == 0 || until <= now) {
         return;
@@ -79,7 +79,7 @@
     std::erase_if(states_, [&](const auto &entry) {
         const State &state = entry.second;
         const bool holds = state.held > 0 && state.expiresAt > now;
-        return !holds && state.wanted == 0 && !awaitsAnswer(state, now) && state.notBefore <= now;
+        return !holds && state.wanted == 0 && !awaitsAnswer(state, now) && state.nextQueryAt <= now;
     });
 }
 
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -55,7 +55,7 @@
     bool mayArriveBefore(const InstanceId &upstream, TimePoint end, TimePoint now) const;
 
     // Returns from when on a permit may be asked for; the distant past when that is now.
-    TimePoint notBefore(const InstanceId &upstream) const;
+    TimePoint nextQueryAt(const InstanceId &upstream) const;
 
     // Returns the questions that are due; they are under way from now on.
     std::vector<Ask> takeAsks(TimePoint now);
@@ -72,7 +72,7 @@
         TimePoint expiresAt{};
         std::uint32_t wanted = 0;
         TimePoint queriedAt{}; // The question under way; none where this is zero.
-        TimePoint notBefore{};
+        TimePoint nextQueryAt{};
     };
 
     bool awaitsAnswer(const State &state, TimePoint now) const;
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -95,7 +95,7 @@
 {
     constexpr std::size_t kMostWanted = 2;
     std::erase_if(upstreams,
-                  [&](const Ranked &ranked) { return permits_.notBefore(ranked.second) > now; });
+                  [&](const Ranked &ranked) { return permits_.nextQueryAt(ranked.second) > now; });
     std::sort(upstreams.begin(), upstreams.end());
     for (std::size_t index = 0; index < std::min(kMostWanted, upstreams.size()); ++index) {
         permits_.request(upstreams[index].second);
@@ -242,7 +242,7 @@
             if (!lacksPermit(*record, now)) {
                 return std::nullopt;
             }
-            const TimePoint from = permits_.notBefore(record->id);
+            const TimePoint from = permits_.nextQueryAt(record->id);
             first = std::min(first.value_or(from), from);
         }
     }
