--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -44,7 +44,7 @@
 
 std::vector<SendPermits::Query> SendPermits::takeQueries(TimePoint now)
 {
-    std::vector<Ask> queries;
+    std::vector<Query> queries;
     for (auto &[upstream, state] : states_) {
         if (state.wanted == 0 || awaitsAnswer(state, now) || state.nextQueryAt > now) {
             continue;
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -32,7 +32,7 @@
     };
 
     // A question that is due.
-    struct Ask
+    struct Query
     {
         InstanceId upstream;
         std::uint32_t wanted = 0;
@@ -58,7 +58,7 @@
     TimePoint nextQueryAt(const InstanceId &upstream) const;
 
     // Returns the questions that are due; they are under way from now on.
-    std::vector<Ask> takeAsks(TimePoint now);
+    std::vector<Query> takeAsks(TimePoint now);
     // The question about `upstream` that was asked at `queriedAt` is answered.
     void onAnswer(const InstanceId &upstream, const PermitGrant &grant, TimePoint queriedAt,
                   TimePoint now);
