--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -58,7 +58,7 @@
     TimePoint nextQueryAt(const InstanceId &upstream) const;
 
     // Returns the questions that are due; they are under way from now on.
-    std::vector<Query> takeAsks(TimePoint now);
+    std::vector<Query> takeQueries(TimePoint now);
     // The question about `upstream` that was asked at `queriedAt` is answered.
     void onAnswer(const InstanceId &upstream, const PermitGrant &grant, TimePoint queriedAt,
                   TimePoint now);
