--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -49,7 +49,7 @@
 double UpstreamChooser::score(const UpstreamRecord &record, double turn) const
 {
     constexpr double kTurnWeight = 0.5; // Less than one request in flight.
-    const double penalty = record.hall == settings_.hall ? 0.0 : settings_.otherHallPenalty;
+    const double penalty = record.hall == settings_.hall ? 0.0 : settings_.remoteHallPenalty;
     return inFlightAt(record.id) + penalty + kTurnWeight * turn;
 }
 
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -56,7 +56,7 @@
         HallRegions regions;
         // What an upstream in another hall is charged, in requests in flight: bytes between halls
         // are dear, and the way there can be cut.
-        double otherHallPenalty = 2.0;
+        double remoteHallPenalty = 2.0;
         // A rank that takes so many times as long as the median of its group is slow. Ranks that
         // are well differ by a few parts in a hundred.
         double slowRank = 1.5;
