--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -145,7 +145,7 @@
     const auto isDoubtful = [&](const UpstreamRecord *record) {
         const auto state = states_.find(record->id);
         const bool avoided = state != states_.end() && state->second.avoidUntil > now;
-        return avoided || groups_.slowness(*record, now) >= settings_.slowRank
+        return avoided || groups_.slowness(*record, now) >= settings_.slowRankRatio
                || std::find(trusted.begin(), trusted.end(), record->id) == trusted.end();
     };
     std::optional<InstanceId> best;
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -59,7 +59,7 @@
         double remoteHallPenalty = 2.0;
         // A rank that takes so many times as long as the median of its group is slow. Ranks that
         // are well differ by a few parts in a hundred.
-        double slowRank = 1.5;
+        double slowRankRatio = 1.5;
         // How long an upstream that refused for want of room is passed over.
         Duration fullPause = std::chrono::milliseconds(150);
         // How long an upstream that could not be connected to is passed over.
