--- a/src/decision/gateway/servicelanes.cpp
+++ b/src/decision/gateway/servicelanes.cpp
@@ -64,7 +64,7 @@
         lane.limiter().beginLeast();
         return;
     }
-    const std::size_t sharers = group.inManyHalls ? share_.gateways : share_.place.gateways;
+    const std::size_t sharers = group.spansHalls ? share_.gateways : share_.place.gateways;
     lane.limiter().begin(group.slots, static_cast<double>(sharers));
 }
 
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -34,8 +34,8 @@
     Groups groups;
     for (const UpstreamRecord *record : upstreams_.candidates(service)) {
         Group &group = groups[groups_.groupOf(*record)];
-        group.inManyHalls =
-            group.inManyHalls
+        group.spansHalls =
+            group.spansHalls
             || (!group.upstreams.empty() && group.upstreams.front()->hall != record->hall);
         group.inOwnHall = group.inOwnHall || record->hall == settings_.hall;
         group.slots += record->slots;
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -76,7 +76,7 @@
         std::vector<const UpstreamRecord *> upstreams;
         double slots = 0.0;
         bool inOwnHall = false; // At least one of them is.
-        bool inManyHalls = false;
+        bool spansHalls = false;
     };
 
     using Groups = std::map<GroupId, Group>;
