--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -214,7 +214,7 @@
 
 void GatewayCore::leaveUpstream(Request &request)
 {
-    chooser_.onLeft(request.upstream);
+    chooser_.onFinished(request.upstream);
     if (request.request.route->streamed) {
         laneOf(request).onLeft(request.speaks);
     }
