--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -188,7 +188,7 @@
     return false;
 }
 
-void UpstreamChooser::onLeft(const InstanceId &upstream)
+void UpstreamChooser::onFinished(const InstanceId &upstream)
 {
     const auto found = states_.find(upstream);
     if (found != states_.end() && found->second.inFlight > 0) {
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -109,7 +109,7 @@
 
     // A request goes to `upstream`; it is there no more.
     void onSent(const UpstreamRecord &upstream, TimePoint now);
-    void onLeft(const InstanceId &upstream);
+    void onFinished(const InstanceId &upstream);
     void onFull(const InstanceId &upstream, TimePoint now);
     // `upstream` wants nothing before `until`.
     void onRestWanted(const InstanceId &upstream, TimePoint until);
