--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -250,7 +250,7 @@
         return;
     }
     if (notice.rest) {
-        chooser_.onRestWanted(request->upstream, now + *notice.rest);
+        chooser_.onRestRequested(request->upstream, now + *notice.rest);
     }
     if (notice.leaving) {
         upstreams_.announceLeaving(request->sentTo);
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -201,7 +201,7 @@
     states_[upstream].fullUntil = now + settings_.fullPause;
 }
 
-void UpstreamChooser::onRestWanted(const InstanceId &upstream, TimePoint until)
+void UpstreamChooser::onRestRequested(const InstanceId &upstream, TimePoint until)
 {
     // Answers may pass each other on their connections; each rest that was asked for holds.
     TimePoint &restUntil = states_[upstream].restUntil;
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -112,7 +112,7 @@
     void onFinished(const InstanceId &upstream);
     void onFull(const InstanceId &upstream, TimePoint now);
     // `upstream` wants nothing before `until`.
-    void onRestWanted(const InstanceId &upstream, TimePoint until);
+    void onRestRequested(const InstanceId &upstream, TimePoint until);
     void onWrongInstance(const InstanceId &upstream, TimePoint now);
     void onUnreachable(const InstanceId &upstream, TimePoint now);
     void onSuccess(const InstanceId &upstream) { outliers_.onSuccess(upstream); }
