--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -395,7 +395,7 @@
 Duration GatewayCore::comeBackAfter(const Request &request, TimePoint now)
 {
     const Duration wait = request.comeBack > Duration{} ? request.comeBack : settings_.retryAfter;
-    const TimePoint restsUntil = chooser_.restsUntil(request.service, now).value_or(now);
+    const TimePoint restsUntil = chooser_.earliestRestEnd(request.service, now).value_or(now);
     const TimePoint permitsFrom = chooser_.permitsFrom(request.service, now).value_or(now);
     return std::max({wait, restsUntil - now, permitsFrom - now});
 }
