--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -208,7 +208,7 @@
     restUntil = std::max(restUntil, until);
 }
 
-std::optional<TimePoint> UpstreamChooser::restsUntil(const TargetName &service, TimePoint now)
+std::optional<TimePoint> UpstreamChooser::earliestRestEnd(const TargetName &service, TimePoint now)
 {
     std::optional<TimePoint> first;
     for (const auto &[id, group] : groupsOf(service)) {
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -126,7 +126,7 @@
 
     // Returns when the first upstream of `service` takes requests again; nothing when there is none
     // or some do not rest.
-    std::optional<TimePoint> restsUntil(const TargetName &service, TimePoint now);
+    std::optional<TimePoint> earliestRestEnd(const TargetName &service, TimePoint now);
     // Tells whether a permit for an upstream of `service` that a request with this residency may go
     // to may come until `end`.
     bool awaitsPermit(const TargetName &service, const Residency &residency, TimePoint end,
