--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -234,7 +234,7 @@
     return resting;
 }
 
-std::optional<TimePoint> UpstreamChooser::permitsFrom(const TargetName &service, TimePoint now)
+std::optional<TimePoint> UpstreamChooser::earliestPermitAt(const TargetName &service, TimePoint now)
 {
     std::optional<TimePoint> first;
     for (const auto &[id, group] : groupsOf(service)) {
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -133,7 +133,7 @@
                       TimePoint now);
     // Returns from when on a permit for an upstream of `service` may be had; nothing when some take
     // requests without one.
-    std::optional<TimePoint> permitsFrom(const TargetName &service, TimePoint now);
+    std::optional<TimePoint> earliestPermitAt(const TargetName &service, TimePoint now);
     // Returns the upstreams that rest, and until when, in the order of their ids.
     std::map<InstanceId, TimePoint> resting(TimePoint now) const;
 
