--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -17,7 +17,7 @@
     }
     const TimePoint end = std::min(now + settings_.permitWait, request.giveUpAt);
     if (mayBeSent(request, now)
-        && chooser_.awaitsPermit(request.service, request.request.residency, end, now)) {
+        && chooser_.mayGetPermitBefore(request.service, request.request.residency, end, now)) {
         request.permitUntil = end;
         waitForPermits_.insert(number);
         return;
@@ -35,8 +35,8 @@
         if (sent) {
             waitForPermits_.erase(number);
         } else if (now >= request.permitUntil
-                   || !chooser_.awaitsPermit(request.service, request.request.residency,
-                                             request.permitUntil, now)) {
+                   || !chooser_.mayGetPermitBefore(request.service, request.request.residency,
+                                                   request.permitUntil, now)) {
             giveUp(number, FailureCode::NoUpstream, now, actions);
         }
     }
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -174,8 +174,8 @@
     }
 }
 
-bool UpstreamChooser::awaitsPermit(const TargetName &service, const Residency &residency,
-                                   TimePoint end, TimePoint now)
+bool UpstreamChooser::mayGetPermitBefore(const TargetName &service, const Residency &residency,
+                                         TimePoint end, TimePoint now)
 {
     for (const auto &[id, group] : groupsOf(service)) {
         for (const UpstreamRecord *record : group.upstreams) {
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -129,8 +129,8 @@
     std::optional<TimePoint> earliestRestEnd(const TargetName &service, TimePoint now);
     // Tells whether a permit for an upstream of `service` that a request with this residency may go
     // to may come until `end`.
-    bool awaitsPermit(const TargetName &service, const Residency &residency, TimePoint end,
-                      TimePoint now);
+    bool mayGetPermitBefore(const TargetName &service, const Residency &residency, TimePoint end,
+                            TimePoint now);
     // Returns from when on a permit for an upstream of `service` may be had; nothing when some take
     // requests without one.
     std::optional<TimePoint> earliestPermitAt(const TargetName &service, TimePoint now);
