--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -20,7 +20,7 @@
 const UpstreamChooser::Groups &UpstreamChooser::groupsOf(const TargetName &service)
 {
     const auto [found, added] = grouped_.try_emplace(service);
-    Grouped &grouped = found->second;
+    CachedGroups &grouped = found->second;
     const bool changed = grouped.upstreamChanges != upstreams_.changes()
                          || grouped.groupChanges != groups_.changes();
     if (added || changed) {
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -150,7 +150,7 @@
     };
 
     // The groups of a service, as the tables stood after so many changes.
-    struct Grouped
+    struct CachedGroups
     {
         std::uint64_t upstreamChanges = 0;
         std::uint64_t groupChanges = 0;
@@ -179,7 +179,7 @@
     OutlierDetector outliers_;
     HallPlace place_;
     std::unordered_map<InstanceId, State> states_;
-    std::unordered_map<TargetName, Grouped> grouped_;
+    std::unordered_map<TargetName, CachedGroups> grouped_;
 };
 
 } // namespace seamarch
