--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -19,7 +19,7 @@
 
 const UpstreamChooser::Groups &UpstreamChooser::groupsOf(const TargetName &service)
 {
-    const auto [found, added] = grouped_.try_emplace(service);
+    const auto [found, added] = groupCache_.try_emplace(service);
     CachedGroups &grouped = found->second;
     const bool changed = grouped.upstreamChanges != upstreams_.changes()
                          || grouped.groupChanges != groups_.changes();
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -179,7 +179,7 @@
     OutlierDetector outliers_;
     HallPlace place_;
     std::unordered_map<InstanceId, State> states_;
-    std::unordered_map<TargetName, CachedGroups> grouped_;
+    std::unordered_map<TargetName, CachedGroups> groupCache_;
 };
 
 } // namespace seamarch
