--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -20,13 +20,13 @@
 const UpstreamChooser::Groups &UpstreamChooser::groupsOf(const TargetName &service)
 {
     const auto [found, added] = groupCache_.try_emplace(service);
-    CachedGroups &grouped = found->second;
-    const bool changed = grouped.upstreamChanges != upstreams_.changes()
-                         || grouped.groupChanges != groups_.changes();
+    CachedGroups &cached = found->second;
+    const bool changed =
+        cached.upstreamChanges != upstreams_.changes() || cached.groupChanges != groups_.changes();
     if (added || changed) {
-        grouped = {upstreams_.changes(), groups_.changes(), collect(service)};
+        cached = {upstreams_.changes(), groups_.changes(), collect(service)};
     }
-    return grouped.groups;
+    return cached.groups;
 }
 
 UpstreamChooser::Groups UpstreamChooser::collect(const TargetName &service) const
