--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -24,12 +24,12 @@
     const bool changed =
         cached.upstreamChanges != upstreams_.changes() || cached.groupChanges != groups_.changes();
     if (added || changed) {
-        cached = {upstreams_.changes(), groups_.changes(), collect(service)};
+        cached = {upstreams_.changes(), groups_.changes(), buildGroups(service)};
     }
     return cached.groups;
 }
 
-UpstreamChooser::Groups UpstreamChooser::collect(const TargetName &service) const
+UpstreamChooser::Groups UpstreamChooser::buildGroups(const TargetName &service) const
 {
     Groups groups;
     for (const UpstreamRecord *record : upstreams_.candidates(service)) {
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -159,7 +159,7 @@
 
     using Turns = std::unordered_map<InstanceId, double>;
 
-    Groups collect(const TargetName &service) const;
+    Groups buildGroups(const TargetName &service) const;
     bool mayServe(const UpstreamRecord &upstream, const Residency &residency) const;
     bool takesNothing(const InstanceId &upstream, TimePoint now) const;
     bool needsPermit(const UpstreamRecord &upstream, TimePoint now) const;
