--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -71,7 +71,7 @@
     return turns;
 }
 
-bool UpstreamChooser::takesNothing(const InstanceId &upstream, TimePoint now) const
+bool UpstreamChooser::isFullOrResting(const InstanceId &upstream, TimePoint now) const
 {
     const auto state = states_.find(upstream);
     return state != states_.end()
@@ -133,7 +133,7 @@
     }
     const Turns turns = turnsOf(candidates);
     std::erase_if(candidates, [&](const UpstreamRecord *record) {
-        return takesNothing(record->id, now) || tried.contains(record->id)
+        return isFullOrResting(record->id, now) || tried.contains(record->id)
                || !mayServe(*record, target.residency);
     });
     std::vector<InstanceId> ids;
@@ -179,7 +179,7 @@
 {
     for (const auto &[id, group] : groupsOf(service)) {
         for (const UpstreamRecord *record : group.upstreams) {
-            if (!takesNothing(record->id, now) && mayServe(*record, residency)
+            if (!isFullOrResting(record->id, now) && mayServe(*record, residency)
                 && lacksPermit(*record, now) && permits_.mayArriveBefore(record->id, end, now)) {
                 return true;
             }
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -161,7 +161,7 @@
 
     Groups buildGroups(const TargetName &service) const;
     bool mayServe(const UpstreamRecord &upstream, const Residency &residency) const;
-    bool takesNothing(const InstanceId &upstream, TimePoint now) const;
+    bool isFullOrResting(const InstanceId &upstream, TimePoint now) const;
     bool needsPermit(const UpstreamRecord &upstream, TimePoint now) const;
     bool lacksPermit(const UpstreamRecord &upstream, TimePoint now) const;
     // An upstream that is passed over for want of a permit, by its rank among the candidates.
