--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -91,7 +91,7 @@
 // Wants permits for the best of them that can be had now. One request takes one permit; a second
 // question covers an issuer that has none. To ask for all of a service that warms up would take as
 // many questions as it has upstreams, for each request.
-void UpstreamChooser::wantPermits(std::vector<Ranked> upstreams, TimePoint now)
+void UpstreamChooser::requestPermits(std::vector<Ranked> upstreams, TimePoint now)
 {
     constexpr std::size_t kMostWanted = 2;
     std::erase_if(upstreams,
@@ -162,7 +162,7 @@
     }
     std::erase_if(withoutPermit,
                   [&](const Ranked &ranked) { return best && ranked.first >= bestRank; });
-    wantPermits(std::move(withoutPermit), now);
+    requestPermits(std::move(withoutPermit), now);
     return best;
 }
 
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -166,7 +166,7 @@
     bool lacksPermit(const UpstreamRecord &upstream, TimePoint now) const;
     // An upstream that is passed over for want of a permit, by its rank among the candidates.
     using Ranked = std::pair<std::pair<bool, double>, InstanceId>;
-    void wantPermits(std::vector<Ranked> upstreams, TimePoint now);
+    void requestPermits(std::vector<Ranked> upstreams, TimePoint now);
     Turns turnsOf(const std::vector<const UpstreamRecord *> &upstreams) const;
     double score(const UpstreamRecord &record, double turn) const;
 
