--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -93,11 +93,11 @@
 // many questions as it has upstreams, for each request.
 void UpstreamChooser::requestPermits(std::vector<Ranked> upstreams, TimePoint now)
 {
-    constexpr std::size_t kMostWanted = 2;
+    constexpr std::size_t kMaxQueries = 2;
     std::erase_if(upstreams,
                   [&](const Ranked &ranked) { return permits_.nextQueryAt(ranked.second) > now; });
     std::sort(upstreams.begin(), upstreams.end());
-    for (std::size_t index = 0; index < std::min(kMostWanted, upstreams.size()); ++index) {
+    for (std::size_t index = 0; index < std::min(kMaxQueries, upstreams.size()); ++index) {
         permits_.request(upstreams[index].second);
     }
 }
