--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -144,7 +144,7 @@
     const std::vector<InstanceId> trusted = outliers_.remaining(ids, now);
     const auto isDoubtful = [&](const UpstreamRecord *record) {
         const auto state = states_.find(record->id);
-        const bool avoided = state != states_.end() && state->second.avoidUntil > now;
+        const bool avoided = state != states_.end() && state->second.deprioritizedUntil > now;
         return avoided || groups_.slowness(*record, now) >= settings_.slowRankRatio
                || std::find(trusted.begin(), trusted.end(), record->id) == trusted.end();
     };
@@ -251,19 +251,19 @@
 
 void UpstreamChooser::onWrongInstance(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].avoidUntil = now + settings_.wrongInstancePause;
+    states_[upstream].deprioritizedUntil = now + settings_.wrongInstancePause;
 }
 
 void UpstreamChooser::onUnreachable(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].avoidUntil = now + settings_.unreachablePause;
+    states_[upstream].deprioritizedUntil = now + settings_.unreachablePause;
 }
 
 void UpstreamChooser::expire(TimePoint now)
 {
     std::erase_if(states_, [now](const auto &entry) {
         const State &state = entry.second;
-        return state.inFlight == 0 && state.avoidUntil <= now && state.fullUntil <= now
+        return state.inFlight == 0 && state.deprioritizedUntil <= now && state.fullUntil <= now
                && state.restUntil <= now;
     });
 }
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -144,7 +144,7 @@
     struct State
     {
         std::uint32_t inFlight = 0;
-        TimePoint avoidUntil{};
+        TimePoint deprioritizedUntil{};
         TimePoint fullUntil{}; // By this gateway's own guess.
         TimePoint restUntil{}; // By the upstream's word.
     };
