--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -144,8 +144,9 @@
     const std::vector<InstanceId> trusted = outliers_.remaining(ids, now);
     const auto isDoubtful = [&](const UpstreamRecord *record) {
         const auto state = states_.find(record->id);
-        const bool avoided = state != states_.end() && state->second.deprioritizedUntil > now;
-        return avoided || groups_.slowness(*record, now) >= settings_.slowRankRatio
+        const bool isDeprioritized =
+            state != states_.end() && state->second.deprioritizedUntil > now;
+        return isDeprioritized || groups_.slowness(*record, now) >= settings_.slowRankRatio
                || std::find(trusted.begin(), trusted.end(), record->id) == trusted.end();
     };
     std::optional<InstanceId> best;
