--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -142,7 +142,7 @@
         ids.push_back(record->id);
     }
     const std::vector<InstanceId> trusted = outliers_.remaining(ids, now);
-    const auto isDoubtful = [&](const UpstreamRecord *record) {
+    const auto isLastResort = [&](const UpstreamRecord *record) {
         const auto state = states_.find(record->id);
         const bool isDeprioritized =
             state != states_.end() && state->second.deprioritizedUntil > now;
@@ -153,7 +153,7 @@
     std::pair<bool, double> bestRank;
     std::vector<Ranked> withoutPermit;
     for (const UpstreamRecord *record : candidates) {
-        const std::pair rank(isDoubtful(record), score(*record, turns.at(record->id)));
+        const std::pair rank(isLastResort(record), score(*record, turns.at(record->id)));
         if (lacksPermit(*record, now)) {
             withoutPermit.emplace_back(rank, record->id);
         } else if (!best || rank < bestRank) {
