--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -141,13 +141,13 @@
     for (const UpstreamRecord *record : candidates) {
         ids.push_back(record->id);
     }
-    const std::vector<InstanceId> trusted = outliers_.remaining(ids, now);
+    const std::vector<InstanceId> healthy = outliers_.remaining(ids, now);
     const auto isLastResort = [&](const UpstreamRecord *record) {
         const auto state = states_.find(record->id);
         const bool isDeprioritized =
             state != states_.end() && state->second.deprioritizedUntil > now;
         return isDeprioritized || groups_.slowness(*record, now) >= settings_.slowRankRatio
-               || std::find(trusted.begin(), trusted.end(), record->id) == trusted.end();
+               || std::find(healthy.begin(), healthy.end(), record->id) == healthy.end();
     };
     std::optional<InstanceId> best;
     std::pair<bool, double> bestRank;
