--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -162,7 +162,7 @@
         }
     }
     std::erase_if(withoutPermit,
-                  [&](const Ranked &ranked) { return best && ranked.first >= bestRank; });
+                  [&](const Ranked &ranked) { return best && ranked.earliest >= bestRank; });
     requestPermits(std::move(withoutPermit), now);
     return best;
 }
@@ -211,17 +211,18 @@
 
 std::optional<TimePoint> UpstreamChooser::earliestRestEnd(const TargetName &service, TimePoint now)
 {
-    std::optional<TimePoint> first;
+    std::optional<TimePoint> earliest;
     for (const auto &[id, group] : groupsOf(service)) {
         for (const UpstreamRecord *record : group.upstreams) {
             const auto state = states_.find(record->id);
             if (state == states_.end() || state->second.restUntil <= now) {
                 return std::nullopt;
             }
-            first = std::min(first.value_or(state->second.restUntil), state->second.restUntil);
+            earliest =
+                std::min(earliest.value_or(state->second.restUntil), state->second.restUntil);
         }
     }
-    return first;
+    return earliest;
 }
 
 std::map<InstanceId, TimePoint> UpstreamChooser::resting(TimePoint now) const
@@ -237,17 +238,17 @@
 
 std::optional<TimePoint> UpstreamChooser::earliestPermitAt(const TargetName &service, TimePoint now)
 {
-    std::optional<TimePoint> first;
+    std::optional<TimePoint> earliest;
     for (const auto &[id, group] : groupsOf(service)) {
         for (const UpstreamRecord *record : group.upstreams) {
             if (!lacksPermit(*record, now)) {
                 return std::nullopt;
             }
             const TimePoint from = permits_.nextQueryAt(record->id);
-            first = std::min(first.value_or(from), from);
+            earliest = std::min(earliest.value_or(from), from);
         }
     }
-    return first;
+    return earliest;
 }
 
 void UpstreamChooser::onWrongInstance(const InstanceId &upstream, TimePoint now)
