--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -162,7 +162,7 @@
         }
     }
     std::erase_if(withoutPermit,
-                  [&](const Ranked &ranked) { return best && ranked.earliest >= bestRank; });
+                  [&](const Ranked &ranked) { return best && ranked.first >= bestRank; });
     requestPermits(std::move(withoutPermit), now);
     return best;
 }
