--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -43,7 +43,7 @@
     if (step.from != 0) {
         steps_.push_back(std::move(step));
     }
-    if (steps_.size() > kMostStates) {
+    if (steps_.size() > kMaxStates) {
         steps_.pop_front();
     }
 }
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -6,7 +6,7 @@
 // takes those of the change. States are named by the marks of the list, which gateways with the
 // same list compute alike, so one may ask another than before and still be told changes alone.
 //
-// Bounded: `kMostStates` states are remembered; one that names an earlier state is handed the whole
+// Bounded: `kMaxStates` states are remembered; one that names an earlier state is handed the whole
 // list. Pure and single-threaded.
 #pragma once
 
@@ -26,7 +26,7 @@
 class UpstreamHistory
 {
 public:
-    static constexpr std::size_t kMostStates = 256;
+    static constexpr std::size_t kMaxStates = 256;
 
     // The list is `records` from now on, and is named `mark`.
     void note(std::uint64_t mark, const std::vector<const UpstreamRecord *> &records);
--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -59,7 +59,7 @@
 TEST(UpstreamHistoryTest, StateThatIsNotRememberedTakesTheWholeList)
 {
     CHECK_FALSE(history.changedSince(1).has_value());
-    for (std::size_t state = 1; state <= UpstreamHistory::kMostStates + 2; ++state) {
+    for (std::size_t state = 1; state <= UpstreamHistory::kMaxStates + 2; ++state) {
         note(state, {record(1, static_cast<std::int64_t>(state)), record(2), record(3)});
     }
     CHECK_FALSE(history.changedSince(1).has_value());
