--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -18,9 +18,9 @@
 
 } // namespace
 
-void UpstreamHistory::note(std::uint64_t mark, const std::vector<const UpstreamRecord *> &records)
+void UpstreamHistory::note(std::uint64_t digest, const std::vector<const UpstreamRecord *> &records)
 {
-    if (mark == mark_) {
+    if (digest == mark_) {
         return;
     }
     Step step;
@@ -39,7 +39,7 @@
         }
     }
     list_ = std::move(list);
-    mark_ = mark;
+    mark_ = digest;
     if (step.from != 0) {
         steps_.push_back(std::move(step));
     }
@@ -48,11 +48,11 @@
     }
 }
 
-std::optional<std::set<InstanceId>> UpstreamHistory::changedSince(std::uint64_t mark) const
+std::optional<std::set<InstanceId>> UpstreamHistory::changedSince(std::uint64_t digest) const
 {
     constexpr std::size_t kWorthwhile = 2; // At most one part in so many of the list.
     std::set<InstanceId> changed;
-    if (mark == mark_) {
+    if (digest == mark_) {
         return changed;
     }
     for (auto step = steps_.rbegin(); step != steps_.rend(); ++step) {
@@ -60,7 +60,7 @@
         if (changed.size() * kWorthwhile > list_.size()) {
             return std::nullopt;
         }
-        if (step->from == mark) {
+        if (step->from == digest) {
             return changed;
         }
     }
