--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -20,11 +20,11 @@
 
 void UpstreamHistory::note(std::uint64_t digest, const std::vector<const UpstreamRecord *> &records)
 {
-    if (digest == mark_) {
+    if (digest == digest_) {
         return;
     }
     Step step;
-    step.from = mark_;
+    step.from = digest_;
     std::map<InstanceId, UpstreamRecord> list;
     for (const UpstreamRecord *record : records) {
         const auto &[id, listed] = *list.emplace(record->id, comparable(*record)).first;
@@ -39,7 +39,7 @@
         }
     }
     list_ = std::move(list);
-    mark_ = digest;
+    digest_ = digest;
     if (step.from != 0) {
         steps_.push_back(std::move(step));
     }
@@ -52,7 +52,7 @@
 {
     constexpr std::size_t kWorthwhile = 2; // At most one part in so many of the list.
     std::set<InstanceId> changed;
-    if (digest == mark_) {
+    if (digest == digest_) {
         return changed;
     }
     for (auto step = steps_.rbegin(); step != steps_.rend(); ++step) {
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -43,7 +43,7 @@
     };
 
     std::map<InstanceId, UpstreamRecord> list_;
-    std::uint64_t mark_ = 0;
+    std::uint64_t digest_ = 0;
     std::deque<Step> steps_; // The oldest first.
 };
 
