--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -23,7 +23,7 @@
     if (digest == digest_) {
         return;
     }
-    Step step;
+    Delta step;
     step.from = digest_;
     std::map<InstanceId, UpstreamRecord> list;
     for (const UpstreamRecord *record : records) {
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -36,7 +36,7 @@
 
 private:
     // From the state `from` to the one after it.
-    struct Step
+    struct Delta
     {
         std::uint64_t from = 0;
         std::vector<InstanceId> changed;
@@ -44,7 +44,7 @@
 
     std::map<InstanceId, UpstreamRecord> list_;
     std::uint64_t digest_ = 0;
-    std::deque<Step> steps_; // The oldest first.
+    std::deque<Delta> steps_; // The oldest first.
 };
 
 // Returns `list` with `changed` in the place of those that it lists already, or besides, and
