--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -41,10 +41,10 @@
     list_ = std::move(list);
     digest_ = digest;
     if (step.from != 0) {
-        steps_.push_back(std::move(step));
+        deltas_.push_back(std::move(step));
     }
-    if (steps_.size() > kMaxStates) {
-        steps_.pop_front();
+    if (deltas_.size() > kMaxStates) {
+        deltas_.pop_front();
     }
 }
 
@@ -55,7 +55,7 @@
     if (digest == digest_) {
         return changed;
     }
-    for (auto step = steps_.rbegin(); step != steps_.rend(); ++step) {
+    for (auto step = deltas_.rbegin(); step != deltas_.rend(); ++step) {
         changed.insert(step->changed.begin(), step->changed.end());
         if (changed.size() * kWorthwhile > list_.size()) {
             return std::nullopt;
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -44,7 +44,7 @@
 
     std::map<InstanceId, UpstreamRecord> list_;
     std::uint64_t digest_ = 0;
-    std::deque<Delta> steps_; // The oldest first.
+    std::deque<Delta> deltas_; // The oldest first.
 };
 
 // Returns `list` with `changed` in the place of those that it lists already, or besides, and
