--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -23,25 +23,25 @@
     if (digest == digest_) {
         return;
     }
-    Delta step;
-    step.from = digest_;
+    Delta delta;
+    delta.from = digest_;
     std::map<InstanceId, UpstreamRecord> list;
     for (const UpstreamRecord *record : records) {
         const auto &[id, listed] = *list.emplace(record->id, comparable(*record)).first;
         const auto before = list_.find(id);
         if (before == list_.end() || before->second != listed) {
-            step.changed.push_back(id);
+            delta.changed.push_back(id);
         }
     }
     for (const auto &[id, record] : list_) {
         if (!list.contains(id)) {
-            step.changed.push_back(id);
+            delta.changed.push_back(id);
         }
     }
     list_ = std::move(list);
     digest_ = digest;
-    if (step.from != 0) {
-        deltas_.push_back(std::move(step));
+    if (delta.from != 0) {
+        deltas_.push_back(std::move(delta));
     }
     if (deltas_.size() > kMaxStates) {
         deltas_.pop_front();
@@ -55,12 +55,12 @@
     if (digest == digest_) {
         return changed;
     }
-    for (auto step = deltas_.rbegin(); step != deltas_.rend(); ++step) {
-        changed.insert(step->changed.begin(), step->changed.end());
+    for (auto delta = deltas_.rbegin(); delta != deltas_.rend(); ++delta) {
+        changed.insert(delta->changed.begin(), delta->changed.end());
         if (changed.size() * kWorthwhile > list_.size()) {
             return std::nullopt;
         }
-        if (step->from == digest) {
+        if (delta->from == digest) {
             return changed;
         }
     }
