--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -28,17 +28,17 @@
     std::map<InstanceId, UpstreamRecord> list;
     for (const UpstreamRecord *record : records) {
         const auto &[id, listed] = *list.emplace(record->id, comparable(*record)).first;
-        const auto before = list_.find(id);
-        if (before == list_.end() || before->second != listed) {
+        const auto before = records_.find(id);
+        if (before == records_.end() || before->second != listed) {
             delta.changed.push_back(id);
         }
     }
-    for (const auto &[id, record] : list_) {
+    for (const auto &[id, record] : records_) {
         if (!list.contains(id)) {
             delta.changed.push_back(id);
         }
     }
-    list_ = std::move(list);
+    records_ = std::move(list);
     digest_ = digest;
     if (delta.from != 0) {
         deltas_.push_back(std::move(delta));
@@ -57,7 +57,7 @@
     }
     for (auto delta = deltas_.rbegin(); delta != deltas_.rend(); ++delta) {
         changed.insert(delta->changed.begin(), delta->changed.end());
-        if (changed.size() * kWorthwhile > list_.size()) {
+        if (changed.size() * kWorthwhile > records_.size()) {
             return std::nullopt;
         }
         if (delta->from == digest) {
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -42,7 +42,7 @@
         std::vector<InstanceId> changed;
     };
 
-    std::map<InstanceId, UpstreamRecord> list_;
+    std::map<InstanceId, UpstreamRecord> records_;
     std::uint64_t digest_ = 0;
     std::deque<Delta> deltas_; // The oldest first.
 };
