--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -24,7 +24,7 @@
         return;
     }
     Delta delta;
-    delta.from = digest_;
+    delta.fromDigest = digest_;
     std::map<InstanceId, UpstreamRecord> list;
     for (const UpstreamRecord *record : records) {
         const auto &[id, listed] = *list.emplace(record->id, comparable(*record)).first;
@@ -40,7 +40,7 @@
     }
     records_ = std::move(list);
     digest_ = digest;
-    if (delta.from != 0) {
+    if (delta.fromDigest != 0) {
         deltas_.push_back(std::move(delta));
     }
     if (deltas_.size() > kMaxStates) {
@@ -60,7 +60,7 @@
         if (changed.size() * kWorthwhile > records_.size()) {
             return std::nullopt;
         }
-        if (delta->from == digest) {
+        if (delta->fromDigest == digest) {
             return changed;
         }
     }
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -38,7 +38,7 @@
     // From the state `from` to the one after it.
     struct Delta
     {
-        std::uint64_t from = 0;
+        std::uint64_t fromDigest = 0;
         std::vector<InstanceId> changed;
     };
 
