--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -380,7 +380,7 @@
 void GatewayPeers::noteList()
 {
     if (knowledge_.confirmed()) {
-        history_.note(knowledge_.upstreamsMark(), knowledge_.upstreams().all());
+        history_.recordState(knowledge_.upstreamsMark(), knowledge_.upstreams().all());
     }
 }
 
