--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -40,7 +40,7 @@
 
     void note(std::uint64_t mark, const std::vector<UpstreamRecord> &records)
     {
-        history.note(mark, pointersTo(records));
+        history.recordState(mark, pointersTo(records));
     }
 };
 
@@ -98,7 +98,7 @@
             list.push_back(record(number));
         }
         for (std::uint64_t mark = 1; mark <= 60; ++mark) {
-            teller.note(mark, pointersTo(list));
+            teller.recordState(mark, pointersTo(list));
             states.push_back(list);
             const std::uint64_t held = 1 + random() % mark;
             if (const auto changed = teller.changedSince(held)) {
