--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -18,7 +18,8 @@
 
 } // namespace
 
-void UpstreamHistory::note(std::uint64_t digest, const std::vector<const UpstreamRecord *> &records)
+void UpstreamHistory::recordState(std::uint64_t digest,
+                                  const std::vector<const UpstreamRecord *> &records)
 {
     if (digest == digest_) {
         return;
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -29,7 +29,7 @@
     static constexpr std::size_t kMaxStates = 256;
 
     // The list is `records` from now on, and is named `mark`.
-    void note(std::uint64_t digest, const std::vector<const UpstreamRecord *> &records);
+    void recordState(std::uint64_t digest, const std::vector<const UpstreamRecord *> &records);
     // Returns the upstreams that were listed, changed or removed since the list was named `mark`;
     // nothing when that state is not remembered, or when the whole list is hardly longer.
     std::optional<std::set<InstanceId>> changedSince(std::uint64_t digest) const;
