--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -68,9 +68,9 @@
     return std::nullopt;
 }
 
-std::vector<UpstreamRecord> withChanges(const std::vector<const UpstreamRecord *> &list,
-                                        const std::vector<UpstreamRecord> &changed,
-                                        const std::set<InstanceId> &removed)
+std::vector<UpstreamRecord> applyChanges(const std::vector<const UpstreamRecord *> &list,
+                                         const std::vector<UpstreamRecord> &changed,
+                                         const std::set<InstanceId> &removed)
 {
     std::map<InstanceId, UpstreamRecord> records;
     for (const UpstreamRecord *record : list) {
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -49,8 +49,8 @@
 
 // Returns `list` with `changed` in the place of those that it lists already, or besides, and
 // without `removed`; in the order of ids.
-std::vector<UpstreamRecord> withChanges(const std::vector<const UpstreamRecord *> &list,
-                                        const std::vector<UpstreamRecord> &changed,
-                                        const std::set<InstanceId> &removed);
+std::vector<UpstreamRecord> applyChanges(const std::vector<const UpstreamRecord *> &list,
+                                         const std::vector<UpstreamRecord> &changed,
+                                         const std::set<InstanceId> &removed);
 
 } // namespace seamarch
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -429,7 +429,7 @@
     for (const auto &id : news.getRemovedUpstreams()) {
         removed.insert(InstanceId(id.cStr()));
     }
-    return withChanges(knowledge_.upstreams().all(), records, removed);
+    return applyChanges(knowledge_.upstreams().all(), records, removed);
 }
 
 void GatewayPeers::tick()
--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -109,7 +109,7 @@
                         told.push_back(each);
                     }
                 }
-                const auto made = withChanges(pointersTo(states[held - 1]), told, removed);
+                const auto made = applyChanges(pointersTo(states[held - 1]), told, removed);
                 CHECK_TEXT(made == list,
                            fmt::format("seed {}, from {} to {}", seed, held, mark).c_str());
             }
