--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Returns the record without what differs between gateways that hold the same list.
-UpstreamRecord comparable(const UpstreamRecord &record)
+UpstreamRecord withoutLocalFields(const UpstreamRecord &record)
 {
     UpstreamRecord same = record;
     same.listedAt = 0;
@@ -28,7 +28,7 @@
     delta.fromDigest = digest_;
     std::map<InstanceId, UpstreamRecord> list;
     for (const UpstreamRecord *record : records) {
-        const auto &[id, listed] = *list.emplace(record->id, comparable(*record)).first;
+        const auto &[id, listed] = *list.emplace(record->id, withoutLocalFields(*record)).first;
         const auto before = records_.find(id);
         if (before == records_.end() || before->second != listed) {
             delta.changed.push_back(id);
