--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -9,11 +9,11 @@
 // Returns the record without what differs between gateways that hold the same list.
 UpstreamRecord withoutLocalFields(const UpstreamRecord &record)
 {
-    UpstreamRecord same = record;
-    same.listedAt = 0;
-    same.createdAt = 0;
-    same.warmAt = {};
-    return same;
+    UpstreamRecord common = record;
+    common.listedAt = 0;
+    common.createdAt = 0;
+    common.warmAt = {};
+    return common;
 }
 
 } // namespace
