--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -51,14 +51,14 @@
 
 std::optional<std::set<InstanceId>> UpstreamHistory::changedSince(std::uint64_t digest) const
 {
-    constexpr std::size_t kWorthwhile = 2; // At most one part in so many of the list.
+    constexpr std::size_t kMinSizeRatio = 2; // At most one part in so many of the list.
     std::set<InstanceId> changed;
     if (digest == digest_) {
         return changed;
     }
     for (auto delta = deltas_.rbegin(); delta != deltas_.rend(); ++delta) {
         changed.insert(delta->changed.begin(), delta->changed.end());
-        if (changed.size() * kWorthwhile > records_.size()) {
+        if (changed.size() * kMinSizeRatio > records_.size()) {
             return std::nullopt;
         }
         if (delta->fromDigest == digest) {
