--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void UpstreamLimits::put(const LimitWord &word, TimePoint now)
+void UpstreamLimits::put(const LimitReport &word, TimePoint now)
 {
     words_[word.upstream] = {word, now};
     ++mark_;
@@ -58,7 +58,7 @@
     return before ? Change::Changed : Change::Begun;
 }
 
-bool UpstreamLimits::isLater(const LimitWord &word, const LimitWord &known) const
+bool UpstreamLimits::isLater(const LimitReport &word, const LimitReport &known) const
 {
     const bool doubtful = word.saidAt > known.saidAt - settings_.doubt
                           && word.saidAt < known.saidAt + settings_.doubt;
@@ -71,7 +71,7 @@
     return word.saidAt > known.saidAt;
 }
 
-bool UpstreamLimits::learn(const LimitWord &word, TimePoint now)
+bool UpstreamLimits::learn(const LimitReport &word, TimePoint now)
 {
     if (now - word.saidAt > settings_.life) {
         return false;
@@ -84,7 +84,7 @@
         put(word, now);
         return true;
     }
-    LimitWord &known = found->second.word;
+    LimitReport &known = found->second.word;
     if (!isLater(word, known)) {
         return false;
     }
@@ -96,7 +96,7 @@
     return true;
 }
 
-const LimitWord *UpstreamLimits::find(const UpstreamRecord &upstream) const
+const LimitReport *UpstreamLimits::find(const UpstreamRecord &upstream) const
 {
     const auto found = words_.find(upstream.id);
     const bool known = found != words_.end() && mayBeOf(found->second.word.start, upstream.start);
@@ -105,7 +105,7 @@
 
 std::optional<RequestRate> UpstreamLimits::limitOf(const UpstreamRecord &upstream) const
 {
-    const LimitWord *word = find(upstream);
+    const LimitReport *word = find(upstream);
     return word == nullptr ? std::nullopt : word->rate;
 }
 
@@ -116,9 +116,9 @@
     mark_ += forgotten;
 }
 
-std::vector<LimitWord> UpstreamLimits::all() const
+std::vector<LimitReport> UpstreamLimits::all() const
 {
-    std::vector<LimitWord> words;
+    std::vector<LimitReport> words;
     words.reserve(words_.size());
     for (const auto &[upstream, entry] : words_) {
         words.push_back(entry.word);
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -27,7 +27,7 @@
 struct UpstreamRecord;
 
 // What an upstream said last.
-struct LimitWord
+struct LimitReport
 {
     InstanceId upstream;
     UpstreamStart start;             // Of the upstream as it spoke.
@@ -73,17 +73,17 @@
     Change onAnswer(const UpstreamRecord &upstream, std::optional<RequestRate> rate,
                     TimePoint sentAt, TimePoint now);
     // Another gateway knows `word`. Returns whether it was the later one.
-    bool learn(const LimitWord &word, TimePoint now);
+    bool learn(const LimitReport &word, TimePoint now);
     // Returns the word of an upstream that is listed like this; nothing when none is known. Valid
     // until the next change.
-    const LimitWord *find(const UpstreamRecord &upstream) const;
+    const LimitReport *find(const UpstreamRecord &upstream) const;
     // Returns what an upstream that is listed like this takes; nothing: it names no limit.
     std::optional<RequestRate> limitOf(const UpstreamRecord &upstream) const;
     // Forgets words that nobody has repeated for long.
     void expire(TimePoint now);
 
     // Returns all words, in no order.
-    std::vector<LimitWord> all() const;
+    std::vector<LimitReport> all() const;
     // Returns a number that names the state of the words; not zero.
     std::uint64_t mark() const { return mark_; }
     // Returns how many changes this gateway has seen itself.
@@ -92,12 +92,12 @@
 private:
     struct Entry
     {
-        LimitWord word;
+        LimitReport word;
         TimePoint toldAt{}; // Since when others can know of it.
     };
 
-    void put(const LimitWord &word, TimePoint now);
-    bool isLater(const LimitWord &word, const LimitWord &known) const;
+    void put(const LimitReport &word, TimePoint now);
+    bool isLater(const LimitReport &word, const LimitReport &known) const;
 
     Settings settings_;
     std::unordered_map<InstanceId, Entry> words_;
--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -30,7 +30,7 @@
 {
     const TimePoint toldAt = askedAt + Duration(news.getHeldMicros());
     for (const auto &limit : news.getLimits()) {
-        const LimitWord word = readLimit(limit, toldAt);
+        const LimitReport word = readLimit(limit, toldAt);
         if (limits_.learn(word, loop_.now())) {
             logLine(LogLevel::Info, "limit.heard",
                     {{"from", link.id.value()},
@@ -52,7 +52,7 @@
     if (limits_.mark() == asker.limitsMark) {
         return;
     }
-    const std::vector<LimitWord> words = limits_.all();
+    const std::vector<LimitReport> words = limits_.all();
     auto list = news.initLimits(static_cast<std::uint32_t>(words.size()));
     for (std::uint32_t index = 0; index < list.size(); ++index) {
         writeLimit(words[index], loop_.now(), list[index]);
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -72,7 +72,7 @@
         InstanceId upstream;
         UpstreamStart start;
         std::uint32_t wanted = 0;
-        std::optional<LimitWord> limit;    // That the upstream named; nothing: none.
+        std::optional<LimitReport> limit;  // That the upstream named; nothing: none.
         std::optional<RequestRate> warmUp; // What it takes while it warms up; nothing: it is warm.
     };
     // Asks the gateway `issuer` for permits. `answered` is called once, also when no answer comes.
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -28,7 +28,7 @@
     const TimePoint now = loop_.now();
     const GatewayRecord from = readGateway(question.getSelf());
     directory_.hear(from, now);
-    const LimitWord word = readLimit(question.getLimit(), now);
+    const LimitReport word = readLimit(question.getLimit(), now);
     if (word.rate) {
         limits_.learn(word, now);
     }
@@ -51,7 +51,7 @@
     const SocketAddress address{issuer.host, issuer.port};
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().permitsRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
-    const LimitWord none{question.upstream, question.start, std::nullopt, TimePoint{}};
+    const LimitReport none{question.upstream, question.start, std::nullopt, TimePoint{}};
     writeLimit(question.limit.value_or(none), loop_.now(), request.initLimit());
     request.setWanted(question.wanted);
     request.setWarmUpPerSecond(question.warmUp.value_or(RequestRate()).perSecond());
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -361,7 +361,7 @@
 {
     const TimePoint now = loop_.now();
     json shown = json::object();
-    for (const LimitWord &word : core_.limits().all()) {
+    for (const LimitReport &word : core_.limits().all()) {
         if (word.rate) {
             shown[word.upstream.value()] = {{"perSecond", word.rate->perSecond()},
                                             {"msAgo", toMillis(now - word.saidAt)}};
--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -83,7 +83,7 @@
     return halls;
 }
 
-void writeLimit(const LimitWord &word, TimePoint now, wire::UpstreamLimit::Builder to)
+void writeLimit(const LimitReport &word, TimePoint now, wire::UpstreamLimit::Builder to)
 {
     to.setUpstream(word.upstream.value());
     to.setStartedUnixMillis(word.start.value());
@@ -92,9 +92,9 @@
     to.setSaidMicrosAgo((now - word.saidAt).count());
 }
 
-LimitWord readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt)
+LimitReport readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt)
 {
-    LimitWord word;
+    LimitReport word;
     word.upstream = InstanceId(from.getUpstream().cStr());
     word.start = UpstreamStart(from.getStartedUnixMillis());
     // A rate that makes no sense binds as none at all would: the upstream is asked now and then.
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -31,8 +31,8 @@
 GroupFacts readGroup(wire::GroupNews::Reader from);
 
 // `word` is written as of `now`, and read as of when it was written.
-void writeLimit(const LimitWord &word, TimePoint now, wire::UpstreamLimit::Builder to);
-LimitWord readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt);
+void writeLimit(const LimitReport &word, TimePoint now, wire::UpstreamLimit::Builder to);
+LimitReport readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt);
 
 // A configuration of many routes is a large text that repeats itself, and goes to every gateway of
 // a hall over the link of one.
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -105,7 +105,7 @@
         return;
     }
     GatewayPeers::PermitQuestion question{upstream->id, upstream->start, ask.wanted, {}, {}};
-    if (const LimitWord *word = beliefs_.limits.find(*upstream); word != nullptr && word->rate) {
+    if (const LimitReport *word = beliefs_.limits.find(*upstream); word != nullptr && word->rate) {
         question.limit = *word;
     }
     question.warmUp = beliefs_.warmUps.limitOf(*upstream, now);
--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -25,7 +25,7 @@
     return record;
 }
 
-LimitWord word(const std::string &id, std::optional<RequestRate> rate, int saidAt)
+LimitReport word(const std::string &id, std::optional<RequestRate> rate, int saidAt)
 {
     return {InstanceId(id), UpstreamStart(1), rate, at(saidAt)};
 }
