--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -26,7 +26,7 @@
     }
     const auto oldest =
         std::min_element(words_.begin(), words_.end(), [](const auto &left, const auto &right) {
-            return left.second.word.saidAt < right.second.word.saidAt;
+            return left.second.word.reportedAt < right.second.word.reportedAt;
         });
     words_.erase(oldest);
 }
@@ -40,14 +40,14 @@
     const auto before = known ? found->second.word.rate : std::nullopt;
     if (before == rate) {
         if (rate) {
-            found->second.word.saidAt = std::max(found->second.word.saidAt, now);
+            found->second.word.reportedAt = std::max(found->second.word.reportedAt, now);
             if (now - found->second.toldAt >= settings_.renewal) {
                 put(found->second.word, now);
             }
         }
         return Change::None;
     }
-    if (!rate && sentAt <= found->second.word.saidAt) {
+    if (!rate && sentAt <= found->second.word.reportedAt) {
         return Change::None; // It may be the earlier word of the two.
     }
     put({upstream.id, upstream.start, rate, now}, now);
@@ -60,20 +60,20 @@
 
 bool UpstreamLimits::isLater(const LimitReport &word, const LimitReport &known) const
 {
-    const bool doubtful = word.saidAt > known.saidAt - settings_.doubt
-                          && word.saidAt < known.saidAt + settings_.doubt;
+    const bool doubtful = word.reportedAt > known.reportedAt - settings_.doubt
+                          && word.reportedAt < known.reportedAt + settings_.doubt;
     if (doubtful && word.rate.has_value() != known.rate.has_value()) {
         return word.rate.has_value();
     }
     if (doubtful && word.rate && known.rate) {
         return *word.rate < *known.rate;
     }
-    return word.saidAt > known.saidAt;
+    return word.reportedAt > known.reportedAt;
 }
 
 bool UpstreamLimits::learn(const LimitReport &word, TimePoint now)
 {
-    if (now - word.saidAt > settings_.life) {
+    if (now - word.reportedAt > settings_.life) {
         return false;
     }
     const auto found = words_.find(word.upstream);
@@ -89,7 +89,7 @@
         return false;
     }
     if (known.rate == word.rate && known.start == word.start) {
-        known.saidAt = word.saidAt;
+        known.reportedAt = word.reportedAt;
         return false;
     }
     put(word, now);
@@ -111,8 +111,9 @@
 
 void UpstreamLimits::expire(TimePoint now)
 {
-    const std::size_t forgotten = std::erase_if(
-        words_, [&](const auto &entry) { return now - entry.second.word.saidAt > settings_.life; });
+    const std::size_t forgotten = std::erase_if(words_, [&](const auto &entry) {
+        return now - entry.second.word.reportedAt > settings_.life;
+    });
     mark_ += forgotten;
 }
 
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -32,7 +32,7 @@
     InstanceId upstream;
     UpstreamStart start;             // Of the upstream as it spoke.
     std::optional<RequestRate> rate; // Nothing: it names no limit any more.
-    TimePoint saidAt{};              // At the latest.
+    TimePoint reportedAt{};          // At the latest.
 };
 
 class UpstreamLimits
--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -37,7 +37,7 @@
                      {"upstream", word.upstream.value()},
                      {"perSecond",
                       word.rate ? nlohmann::json(word.rate->perSecond()) : nlohmann::json()},
-                     {"ageMs", toMillis(loop_.now() - word.saidAt)}});
+                     {"ageMs", toMillis(loop_.now() - word.reportedAt)}});
         }
     }
     link.limitsMark = news.getLimitsMark();
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -364,7 +364,7 @@
     for (const LimitReport &word : core_.limits().all()) {
         if (word.rate) {
             shown[word.upstream.value()] = {{"perSecond", word.rate->perSecond()},
-                                            {"msAgo", toMillis(now - word.saidAt)}};
+                                            {"msAgo", toMillis(now - word.reportedAt)}};
         }
     }
     return shown;
--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -89,7 +89,7 @@
     to.setStartedUnixMillis(word.start.value());
     to.setNamed(word.rate.has_value());
     to.setPerSecond(word.rate.value_or(RequestRate()).perSecond());
-    to.setSaidMicrosAgo((now - word.saidAt).count());
+    to.setSaidMicrosAgo((now - word.reportedAt).count());
 }
 
 LimitReport readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt)
@@ -103,7 +103,7 @@
     if (from.getNamed()) {
         word.rate = RequestRate(readable ? perSecond : 0.0);
     }
-    word.saidAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
+    word.reportedAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
     return word;
 }
 
--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -25,9 +25,9 @@
     return record;
 }
 
-LimitReport word(const std::string &id, std::optional<RequestRate> rate, int saidAt)
+LimitReport word(const std::string &id, std::optional<RequestRate> rate, int reportedAt)
 {
-    return {InstanceId(id), UpstreamStart(1), rate, at(saidAt)};
+    return {InstanceId(id), UpstreamStart(1), rate, at(reportedAt)};
 }
 
 constexpr RequestRate kOne{1.0};
