--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -21,7 +21,7 @@
 {
     words_[word.upstream] = {word, now};
     ++mark_;
-    if (words_.size() <= kMost) {
+    if (words_.size() <= kMaxEntries) {
         return;
     }
     const auto oldest =
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -9,7 +9,7 @@
 // whose clocks are compared by how long ago a thing was said, a limit wins while it cannot be told
 // which word is the later one: the next answer tells.
 //
-// Bounded: beyond `kMost` what was said longest ago is forgotten. Pure and single-threaded.
+// Bounded: beyond `kMaxEntries` what was said longest ago is forgotten. Pure and single-threaded.
 #pragma once
 
 #include "decision/gateway/requestrate.h"
@@ -38,7 +38,7 @@
 class UpstreamLimits
 {
 public:
-    static constexpr std::size_t kMost = 256; // Some 100 bytes each.
+    static constexpr std::size_t kMaxEntries = 256; // Some 100 bytes each.
 
     enum class Change {
         None,
--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -151,11 +151,11 @@
 
 TEST(UpstreamLimitsTest, MemoryIsBoundedAndTheOldestGoesFirst)
 {
-    for (std::size_t index = 0; index <= UpstreamLimits::kMost; ++index) {
+    for (std::size_t index = 0; index <= UpstreamLimits::kMaxEntries; ++index) {
         const int now = static_cast<int>(index) + 1;
         limits.onAnswer(record(fmt::format("up-{}", index)), kOne, at(now), at(now));
     }
-    UNSIGNED_LONGS_EQUAL(UpstreamLimits::kMost, limits.all().size());
+    UNSIGNED_LONGS_EQUAL(UpstreamLimits::kMaxEntries, limits.all().size());
     CHECK_FALSE(limits.limitOf(record("up-0")).has_value());
     CHECK_TRUE(limits.limitOf(record("up-1")).has_value());
 }
