--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -73,7 +73,7 @@
 
 bool UpstreamLimits::learn(const LimitReport &word, TimePoint now)
 {
-    if (now - word.reportedAt > settings_.life) {
+    if (now - word.reportedAt > settings_.timeToLive) {
         return false;
     }
     const auto found = words_.find(word.upstream);
@@ -112,7 +112,7 @@
 void UpstreamLimits::expire(TimePoint now)
 {
     const std::size_t forgotten = std::erase_if(words_, [&](const auto &entry) {
-        return now - entry.second.word.reportedAt > settings_.life;
+        return now - entry.second.word.reportedAt > settings_.timeToLive;
     });
     mark_ += forgotten;
 }
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -51,7 +51,7 @@
     {
         // A word that nobody has repeated for so long is forgotten: the upstream is gone, or nobody
         // has anything to send to it.
-        Duration life = std::chrono::minutes(10);
+        Duration timeToLive = std::chrono::minutes(10);
         // Other gateways hear so often that a word was repeated, well within its life.
         Duration renewal = std::chrono::minutes(1);
         // Times of two gateways are compared to within so much: some round trips between halls.
--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -131,12 +131,12 @@
 
 TEST(UpstreamLimitsTest, WordThatNobodyRepeatsIsForgottenAndOneThatIsRepeatedIsNot)
 {
-    const int life = static_cast<int>(toMillis(UpstreamLimits::Settings().life));
+    const int timeToLive = static_cast<int>(toMillis(UpstreamLimits::Settings().timeToLive));
     answer(kOne, 0, 10);
-    answer(kOne, life / 2, life / 2);
-    limits.expire(at(life + 1000));
+    answer(kOne, timeToLive / 2, timeToLive / 2);
+    limits.expire(at(timeToLive + 1000));
     CHECK_TRUE(limits.limitOf(record("up")).has_value());
-    limits.expire(at(2 * life));
+    limits.expire(at(2 * timeToLive));
     CHECK_FALSE(limits.limitOf(record("up")).has_value());
 }
 
