--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -41,7 +41,7 @@
     if (before == rate) {
         if (rate) {
             found->second.word.reportedAt = std::max(found->second.word.reportedAt, now);
-            if (now - found->second.toldAt >= settings_.renewal) {
+            if (now - found->second.toldAt >= settings_.renewalInterval) {
                 put(found->second.word, now);
             }
         }
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -53,7 +53,7 @@
         // has anything to send to it.
         Duration timeToLive = std::chrono::minutes(10);
         // Other gateways hear so often that a word was repeated, well within its life.
-        Duration renewal = std::chrono::minutes(1);
+        Duration renewalInterval = std::chrono::minutes(1);
         // Times of two gateways are compared to within so much: some round trips between halls.
         Duration doubt = std::chrono::milliseconds(100);
         // The first mark of the words that are known; not zero.
