--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -142,7 +142,7 @@
 
 TEST(UpstreamLimitsTest, OthersHearNowAndThenThatAWordWasRepeated)
 {
-    const int renewal = static_cast<int>(toMillis(UpstreamLimits::Settings().renewal));
+    const int renewal = static_cast<int>(toMillis(UpstreamLimits::Settings().renewalInterval));
     answer(kOne, 0, 10);
     const std::uint64_t mark = limits.mark();
     answer(kOne, renewal, renewal + 20);
