--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -60,8 +60,8 @@
 
 bool UpstreamLimits::isLater(const LimitReport &word, const LimitReport &known) const
 {
-    const bool doubtful = word.reportedAt > known.reportedAt - settings_.doubt
-                          && word.reportedAt < known.reportedAt + settings_.doubt;
+    const bool doubtful = word.reportedAt > known.reportedAt - settings_.clockTolerance
+                          && word.reportedAt < known.reportedAt + settings_.clockTolerance;
     if (doubtful && word.rate.has_value() != known.rate.has_value()) {
         return word.rate.has_value();
     }
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -55,7 +55,7 @@
         // Other gateways hear so often that a word was repeated, well within its life.
         Duration renewalInterval = std::chrono::minutes(1);
         // Times of two gateways are compared to within so much: some round trips between halls.
-        Duration doubt = std::chrono::milliseconds(100);
+        Duration clockTolerance = std::chrono::milliseconds(100);
         // The first mark of the words that are known; not zero.
         std::uint64_t firstMark = 1;
     };
