--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -60,12 +60,12 @@
 
 bool UpstreamLimits::isLater(const LimitReport &word, const LimitReport &known) const
 {
-    const bool doubtful = word.reportedAt > known.reportedAt - settings_.clockTolerance
-                          && word.reportedAt < known.reportedAt + settings_.clockTolerance;
-    if (doubtful && word.rate.has_value() != known.rate.has_value()) {
+    const bool concurrent = word.reportedAt > known.reportedAt - settings_.clockTolerance
+                            && word.reportedAt < known.reportedAt + settings_.clockTolerance;
+    if (concurrent && word.rate.has_value() != known.rate.has_value()) {
         return word.rate.has_value();
     }
-    if (doubtful && word.rate && known.rate) {
+    if (concurrent && word.rate && known.rate) {
         return *word.rate < *known.rate;
     }
     return word.reportedAt > known.reportedAt;
