--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -27,7 +27,7 @@
     core.retries = retryLimits(settings.bounds);
     core.crashes.life = settings.crashMemory;
     core.crashes.seed = randomIdentity();
-    core.limits.firstMark = randomIdentity() | 1U;
+    core.limits.firstVersion = randomIdentity() | 1U;
     return core;
 }
 
