--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -57,7 +57,7 @@
         // Times of two gateways are compared to within so much: some round trips between halls.
         Duration clockTolerance = std::chrono::milliseconds(100);
         // The first mark of the words that are known; not zero.
-        std::uint64_t firstMark = 1;
+        std::uint64_t firstVersion = 1;
     };
 
     UpstreamLimits()
@@ -65,7 +65,7 @@
     {}
     explicit UpstreamLimits(const Settings &settings)
         : settings_(settings)
-        , mark_(settings.firstMark)
+        , mark_(settings.firstVersion)
     {}
 
     // An answer of `upstream`, as it was listed when the attempt began that was sent at `sentAt`,
