--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -85,7 +85,7 @@
     // Returns all words, in no order.
     std::vector<LimitReport> all() const;
     // Returns a number that names the state of the words; not zero.
-    std::uint64_t mark() const { return mark_; }
+    std::uint64_t version() const { return mark_; }
     // Returns how many changes this gateway has seen itself.
     std::uint64_t ownChanges() const { return ownChanges_; }
 
