--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -20,7 +20,7 @@
 void UpstreamLimits::put(const LimitReport &word, TimePoint now)
 {
     words_[word.upstream] = {word, now};
-    ++mark_;
+    ++version_;
     if (words_.size() <= kMaxEntries) {
         return;
     }
@@ -114,7 +114,7 @@
     const std::size_t forgotten = std::erase_if(words_, [&](const auto &entry) {
         return now - entry.second.word.reportedAt > settings_.timeToLive;
     });
-    mark_ += forgotten;
+    version_ += forgotten;
 }
 
 std::vector<LimitReport> UpstreamLimits::all() const
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -65,7 +65,7 @@
     {}
     explicit UpstreamLimits(const Settings &settings)
         : settings_(settings)
-        , mark_(settings.firstVersion)
+        , version_(settings.firstVersion)
     {}
 
     // An answer of `upstream`, as it was listed when the attempt began that was sent at `sentAt`,
@@ -85,7 +85,7 @@
     // Returns all words, in no order.
     std::vector<LimitReport> all() const;
     // Returns a number that names the state of the words; not zero.
-    std::uint64_t version() const { return mark_; }
+    std::uint64_t version() const { return version_; }
     // Returns how many changes this gateway has seen itself.
     std::uint64_t ownChanges() const { return ownChanges_; }
 
@@ -101,7 +101,7 @@
 
     Settings settings_;
     std::unordered_map<InstanceId, Entry> words_;
-    std::uint64_t mark_;
+    std::uint64_t version_;
     std::uint64_t ownChanges_ = 0;
 };
 
