--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -122,7 +122,7 @@
     // Counts the crashes and the changes of limits that this gateway saw itself.
     std::uint64_t ownNews() const
     {
-        return crashes_.cursor() - learnedCrashes_ + limits_.ownChanges();
+        return crashes_.cursor() - learnedCrashes_ + limits_.localChanges();
     }
     void announce(TimePoint now);
     void announceTo(const HallId &hall, TimePoint now);
--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -99,7 +99,7 @@
     CHECK_TRUE(limits.learn(word("up", kOne, 10), at(20)));
     CHECK_TRUE(limits.limitOf(record("up")) == kOne);
     CHECK_FALSE(limits.learn(word("up", kOne, 10), at(30)));
-    UNSIGNED_LONGS_EQUAL(0, limits.ownChanges());
+    UNSIGNED_LONGS_EQUAL(0, limits.localChanges());
 }
 
 TEST(UpstreamLimitsTest, LaterWordOfAnotherGatewayCounts)
