--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -87,7 +87,7 @@
     // Returns a number that names the state of the words; not zero.
     std::uint64_t version() const { return version_; }
     // Returns how many changes this gateway has seen itself.
-    std::uint64_t ownChanges() const { return ownChanges_; }
+    std::uint64_t localChanges() const { return ownChanges_; }
 
 private:
     struct Entry
