--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -51,7 +51,7 @@
         return Change::None; // It may be the earlier word of the two.
     }
     put({upstream.id, upstream.start, rate, now}, now);
-    ++ownChanges_;
+    ++localChanges_;
     if (!rate) {
         return Change::Ended;
     }
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -87,7 +87,7 @@
     // Returns a number that names the state of the words; not zero.
     std::uint64_t version() const { return version_; }
     // Returns how many changes this gateway has seen itself.
-    std::uint64_t localChanges() const { return ownChanges_; }
+    std::uint64_t localChanges() const { return localChanges_; }
 
 private:
     struct Entry
@@ -102,7 +102,7 @@
     Settings settings_;
     std::unordered_map<InstanceId, Entry> words_;
     std::uint64_t version_;
-    std::uint64_t ownChanges_ = 0;
+    std::uint64_t localChanges_ = 0;
 };
 
 } // namespace seamarch
