--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -31,7 +31,7 @@
     const TimePoint toldAt = askedAt + Duration(news.getHeldMicros());
     for (const auto &limit : news.getLimits()) {
         const LimitReport word = readLimit(limit, toldAt);
-        if (limits_.learn(word, loop_.now())) {
+        if (limits_.merge(word, loop_.now())) {
             logLine(LogLevel::Info, "limit.heard",
                     {{"from", link.id.value()},
                      {"upstream", word.upstream.value()},
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -30,7 +30,7 @@
     directory_.hear(from, now);
     const LimitReport word = readLimit(question.getLimit(), now);
     if (word.rate) {
-        limits_.learn(word, now);
+        limits_.merge(word, now);
     }
     UpstreamRecord upstream;
     upstream.id = word.upstream;
--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -88,7 +88,7 @@
 
     void learnLimit(const std::string &id, int now, std::optional<RequestRate> limit = kLimit)
     {
-        core->limits().learn({InstanceId(id), UpstreamStart(1), limit, at(now)}, at(now));
+        core->limits().merge({InstanceId(id), UpstreamStart(1), limit, at(now)}, at(now));
     }
 
     // Answers every question that is due. Returns how many there were.
