--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -71,7 +71,7 @@
     return word.reportedAt > known.reportedAt;
 }
 
-bool UpstreamLimits::learn(const LimitReport &word, TimePoint now)
+bool UpstreamLimits::merge(const LimitReport &word, TimePoint now)
 {
     if (now - word.reportedAt > settings_.timeToLive) {
         return false;
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -73,7 +73,7 @@
     Change onAnswer(const UpstreamRecord &upstream, std::optional<RequestRate> rate,
                     TimePoint sentAt, TimePoint now);
     // Another gateway knows `word`. Returns whether it was the later one.
-    bool learn(const LimitReport &word, TimePoint now);
+    bool merge(const LimitReport &word, TimePoint now);
     // Returns the word of an upstream that is listed like this; nothing when none is known. Valid
     // until the next change.
     const LimitReport *find(const UpstreamRecord &upstream) const;
