--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void UpstreamLimits::put(const LimitReport &word, TimePoint now)
+void UpstreamLimits::store(const LimitReport &word, TimePoint now)
 {
     words_[word.upstream] = {word, now};
     ++version_;
@@ -42,7 +42,7 @@
         if (rate) {
             found->second.word.reportedAt = std::max(found->second.word.reportedAt, now);
             if (now - found->second.toldAt >= settings_.renewalInterval) {
-                put(found->second.word, now);
+                store(found->second.word, now);
             }
         }
         return Change::None;
@@ -50,7 +50,7 @@
     if (!rate && sentAt <= found->second.word.reportedAt) {
         return Change::None; // It may be the earlier word of the two.
     }
-    put({upstream.id, upstream.start, rate, now}, now);
+    store({upstream.id, upstream.start, rate, now}, now);
     ++localChanges_;
     if (!rate) {
         return Change::Ended;
@@ -81,7 +81,7 @@
         if (!word.rate) {
             return false;
         }
-        put(word, now);
+        store(word, now);
         return true;
     }
     LimitReport &known = found->second.word;
@@ -92,7 +92,7 @@
         known.reportedAt = word.reportedAt;
         return false;
     }
-    put(word, now);
+    store(word, now);
     return true;
 }
 
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -96,7 +96,7 @@
         TimePoint toldAt{}; // Since when others can know of it.
     };
 
-    void put(const LimitReport &word, TimePoint now);
+    void store(const LimitReport &word, TimePoint now);
     bool isLater(const LimitReport &word, const LimitReport &known) const;
 
     Settings settings_;
