--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -58,7 +58,7 @@
     return before ? Change::Changed : Change::Begun;
 }
 
-bool UpstreamLimits::isLater(const LimitReport &word, const LimitReport &known) const
+bool UpstreamLimits::supersedes(const LimitReport &word, const LimitReport &known) const
 {
     const bool concurrent = word.reportedAt > known.reportedAt - settings_.clockTolerance
                             && word.reportedAt < known.reportedAt + settings_.clockTolerance;
@@ -85,7 +85,7 @@
         return true;
     }
     LimitReport &known = found->second.word;
-    if (!isLater(word, known)) {
+    if (!supersedes(word, known)) {
         return false;
     }
     if (known.rate == word.rate && known.start == word.start) {
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -97,7 +97,7 @@
     };
 
     void store(const LimitReport &word, TimePoint now);
-    bool isLater(const LimitReport &word, const LimitReport &known) const;
+    bool supersedes(const LimitReport &word, const LimitReport &known) const;
 
     Settings settings_;
     std::unordered_map<InstanceId, Entry> words_;
