--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -10,7 +10,7 @@
 
 // Tells whether a word of the start `said` may be one of the upstream that is listed as `listed`.
 // Where one of them is not told, an id stands for one start.
-bool mayBeOf(UpstreamStart said, UpstreamStart listed)
+bool mayBeSameStart(UpstreamStart said, UpstreamStart listed)
 {
     return said == listed || said == UpstreamStart() || listed == UpstreamStart();
 }
@@ -36,7 +36,8 @@
                                                 TimePoint now)
 {
     const auto found = words_.find(upstream.id);
-    const bool known = found != words_.end() && mayBeOf(found->second.word.start, upstream.start);
+    const bool known =
+        found != words_.end() && mayBeSameStart(found->second.word.start, upstream.start);
     const auto before = known ? found->second.word.rate : std::nullopt;
     if (before == rate) {
         if (rate) {
@@ -99,7 +100,8 @@
 const LimitReport *UpstreamLimits::find(const UpstreamRecord &upstream) const
 {
     const auto found = words_.find(upstream.id);
-    const bool known = found != words_.end() && mayBeOf(found->second.word.start, upstream.start);
+    const bool known =
+        found != words_.end() && mayBeSameStart(found->second.word.start, upstream.start);
     return known ? &found->second.word : nullptr;
 }
 
