--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -10,9 +10,9 @@
 
 // Tells whether a word of the start `said` may be one of the upstream that is listed as `listed`.
 // Where one of them is not told, an id stands for one start.
-bool mayBeSameStart(UpstreamStart said, UpstreamStart listed)
+bool mayBeSameStart(UpstreamStart reported, UpstreamStart listed)
 {
-    return said == listed || said == UpstreamStart() || listed == UpstreamStart();
+    return reported == listed || reported == UpstreamStart() || listed == UpstreamStart();
 }
 
 } // namespace
