--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -17,16 +17,16 @@
 
 } // namespace
 
-void UpstreamLimits::store(const LimitReport &word, TimePoint now)
+void UpstreamLimits::store(const LimitReport &report, TimePoint now)
 {
-    words_[word.upstream] = {word, now};
+    words_[report.upstream] = {report, now};
     ++version_;
     if (words_.size() <= kMaxEntries) {
         return;
     }
     const auto oldest =
         std::min_element(words_.begin(), words_.end(), [](const auto &left, const auto &right) {
-            return left.second.word.reportedAt < right.second.word.reportedAt;
+            return left.second.report.reportedAt < right.second.report.reportedAt;
         });
     words_.erase(oldest);
 }
@@ -37,18 +37,18 @@
 {
     const auto found = words_.find(upstream.id);
     const bool known =
-        found != words_.end() && mayBeSameStart(found->second.word.start, upstream.start);
-    const auto before = known ? found->second.word.rate : std::nullopt;
+        found != words_.end() && mayBeSameStart(found->second.report.start, upstream.start);
+    const auto before = known ? found->second.report.rate : std::nullopt;
     if (before == rate) {
         if (rate) {
-            found->second.word.reportedAt = std::max(found->second.word.reportedAt, now);
+            found->second.report.reportedAt = std::max(found->second.report.reportedAt, now);
             if (now - found->second.toldAt >= settings_.renewalInterval) {
-                store(found->second.word, now);
+                store(found->second.report, now);
             }
         }
         return Change::None;
     }
-    if (!rate && sentAt <= found->second.word.reportedAt) {
+    if (!rate && sentAt <= found->second.report.reportedAt) {
         return Change::None; // It may be the earlier word of the two.
     }
     store({upstream.id, upstream.start, rate, now}, now);
@@ -59,41 +59,41 @@
     return before ? Change::Changed : Change::Begun;
 }
 
-bool UpstreamLimits::supersedes(const LimitReport &word, const LimitReport &known) const
+bool UpstreamLimits::supersedes(const LimitReport &report, const LimitReport &known) const
 {
-    const bool concurrent = word.reportedAt > known.reportedAt - settings_.clockTolerance
-                            && word.reportedAt < known.reportedAt + settings_.clockTolerance;
-    if (concurrent && word.rate.has_value() != known.rate.has_value()) {
-        return word.rate.has_value();
+    const bool concurrent = report.reportedAt > known.reportedAt - settings_.clockTolerance
+                            && report.reportedAt < known.reportedAt + settings_.clockTolerance;
+    if (concurrent && report.rate.has_value() != known.rate.has_value()) {
+        return report.rate.has_value();
     }
-    if (concurrent && word.rate && known.rate) {
-        return *word.rate < *known.rate;
+    if (concurrent && report.rate && known.rate) {
+        return *report.rate < *known.rate;
     }
-    return word.reportedAt > known.reportedAt;
+    return report.reportedAt > known.reportedAt;
 }
 
-bool UpstreamLimits::merge(const LimitReport &word, TimePoint now)
+bool UpstreamLimits::merge(const LimitReport &report, TimePoint now)
 {
-    if (now - word.reportedAt > settings_.timeToLive) {
+    if (now - report.reportedAt > settings_.timeToLive) {
         return false;
     }
-    const auto found = words_.find(word.upstream);
+    const auto found = words_.find(report.upstream);
     if (found == words_.end()) {
-        if (!word.rate) {
+        if (!report.rate) {
             return false;
         }
-        store(word, now);
+        store(report, now);
         return true;
     }
-    LimitReport &known = found->second.word;
-    if (!supersedes(word, known)) {
+    LimitReport &known = found->second.report;
+    if (!supersedes(report, known)) {
         return false;
     }
-    if (known.rate == word.rate && known.start == word.start) {
-        known.reportedAt = word.reportedAt;
+    if (known.rate == report.rate && known.start == report.start) {
+        known.reportedAt = report.reportedAt;
         return false;
     }
-    store(word, now);
+    store(report, now);
     return true;
 }
 
@@ -101,20 +101,20 @@
 {
     const auto found = words_.find(upstream.id);
     const bool known =
-        found != words_.end() && mayBeSameStart(found->second.word.start, upstream.start);
-    return known ? &found->second.word : nullptr;
+        found != words_.end() && mayBeSameStart(found->second.report.start, upstream.start);
+    return known ? &found->second.report : nullptr;
 }
 
 std::optional<RequestRate> UpstreamLimits::limitOf(const UpstreamRecord &upstream) const
 {
-    const LimitReport *word = find(upstream);
-    return word == nullptr ? std::nullopt : word->rate;
+    const LimitReport *report = find(upstream);
+    return report == nullptr ? std::nullopt : report->rate;
 }
 
 void UpstreamLimits::expire(TimePoint now)
 {
     const std::size_t forgotten = std::erase_if(words_, [&](const auto &entry) {
-        return now - entry.second.word.reportedAt > settings_.timeToLive;
+        return now - entry.second.report.reportedAt > settings_.timeToLive;
     });
     version_ += forgotten;
 }
@@ -124,7 +124,7 @@
     std::vector<LimitReport> words;
     words.reserve(words_.size());
     for (const auto &[upstream, entry] : words_) {
-        words.push_back(entry.word);
+        words.push_back(entry.report);
     }
     return words;
 }
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -73,7 +73,7 @@
     Change onAnswer(const UpstreamRecord &upstream, std::optional<RequestRate> rate,
                     TimePoint sentAt, TimePoint now);
     // Another gateway knows `word`. Returns whether it was the later one.
-    bool merge(const LimitReport &word, TimePoint now);
+    bool merge(const LimitReport &report, TimePoint now);
     // Returns the word of an upstream that is listed like this; nothing when none is known. Valid
     // until the next change.
     const LimitReport *find(const UpstreamRecord &upstream) const;
@@ -92,12 +92,12 @@
 private:
     struct Entry
     {
-        LimitReport word;
+        LimitReport report;
         TimePoint toldAt{}; // Since when others can know of it.
     };
 
-    void store(const LimitReport &word, TimePoint now);
-    bool supersedes(const LimitReport &word, const LimitReport &known) const;
+    void store(const LimitReport &report, TimePoint now);
+    bool supersedes(const LimitReport &report, const LimitReport &known) const;
 
     Settings settings_;
     std::unordered_map<InstanceId, Entry> words_;
