--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -121,12 +121,12 @@
 
 std::vector<LimitReport> UpstreamLimits::all() const
 {
-    std::vector<LimitReport> words;
-    words.reserve(words_.size());
+    std::vector<LimitReport> reports;
+    reports.reserve(words_.size());
     for (const auto &[upstream, entry] : words_) {
-        words.push_back(entry.report);
+        reports.push_back(entry.report);
     }
-    return words;
+    return reports;
 }
 
 } // namespace seamarch
