--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -19,25 +19,25 @@
 
 void UpstreamLimits::store(const LimitReport &report, TimePoint now)
 {
-    words_[report.upstream] = {report, now};
+    entries_[report.upstream] = {report, now};
     ++version_;
-    if (words_.size() <= kMaxEntries) {
+    if (entries_.size() <= kMaxEntries) {
         return;
     }
     const auto oldest =
-        std::min_element(words_.begin(), words_.end(), [](const auto &left, const auto &right) {
+        std::min_element(entries_.begin(), entries_.end(), [](const auto &left, const auto &right) {
             return left.second.report.reportedAt < right.second.report.reportedAt;
         });
-    words_.erase(oldest);
+    entries_.erase(oldest);
 }
 
 UpstreamLimits::Change UpstreamLimits::onAnswer(const UpstreamRecord &upstream,
                                                 std::optional<RequestRate> rate, TimePoint sentAt,
                                                 TimePoint now)
 {
-    const auto found = words_.find(upstream.id);
+    const auto found = entries_.find(upstream.id);
     const bool known =
-        found != words_.end() && mayBeSameStart(found->second.report.start, upstream.start);
+        found != entries_.end() && mayBeSameStart(found->second.report.start, upstream.start);
     const auto before = known ? found->second.report.rate : std::nullopt;
     if (before == rate) {
         if (rate) {
@@ -77,8 +77,8 @@
     if (now - report.reportedAt > settings_.timeToLive) {
         return false;
     }
-    const auto found = words_.find(report.upstream);
-    if (found == words_.end()) {
+    const auto found = entries_.find(report.upstream);
+    if (found == entries_.end()) {
         if (!report.rate) {
             return false;
         }
@@ -99,9 +99,9 @@
 
 const LimitReport *UpstreamLimits::find(const UpstreamRecord &upstream) const
 {
-    const auto found = words_.find(upstream.id);
+    const auto found = entries_.find(upstream.id);
     const bool known =
-        found != words_.end() && mayBeSameStart(found->second.report.start, upstream.start);
+        found != entries_.end() && mayBeSameStart(found->second.report.start, upstream.start);
     return known ? &found->second.report : nullptr;
 }
 
@@ -113,7 +113,7 @@
 
 void UpstreamLimits::expire(TimePoint now)
 {
-    const std::size_t forgotten = std::erase_if(words_, [&](const auto &entry) {
+    const std::size_t forgotten = std::erase_if(entries_, [&](const auto &entry) {
         return now - entry.second.report.reportedAt > settings_.timeToLive;
     });
     version_ += forgotten;
@@ -122,8 +122,8 @@
 std::vector<LimitReport> UpstreamLimits::all() const
 {
     std::vector<LimitReport> reports;
-    reports.reserve(words_.size());
-    for (const auto &[upstream, entry] : words_) {
+    reports.reserve(entries_.size());
+    for (const auto &[upstream, entry] : entries_) {
         reports.push_back(entry.report);
     }
     return reports;
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -100,7 +100,7 @@
     bool supersedes(const LimitReport &report, const LimitReport &known) const;
 
     Settings settings_;
-    std::unordered_map<InstanceId, Entry> words_;
+    std::unordered_map<InstanceId, Entry> entries_;
     std::uint64_t version_;
     std::uint64_t localChanges_ = 0;
 };
