--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -42,7 +42,7 @@
     if (before == rate) {
         if (rate) {
             found->second.report.reportedAt = std::max(found->second.report.reportedAt, now);
-            if (now - found->second.toldAt >= settings_.renewalInterval) {
+            if (now - found->second.publishedAt >= settings_.renewalInterval) {
                 store(found->second.report, now);
             }
         }
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -93,7 +93,7 @@
     struct Entry
     {
         LimitReport report;
-        TimePoint toldAt{}; // Since when others can know of it.
+        TimePoint publishedAt{}; // Since when others can know of it.
     };
 
     void store(const LimitReport &report, TimePoint now);
