--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -25,7 +25,7 @@
     return record;
 }
 
-LimitReport word(const std::string &id, std::optional<RequestRate> rate, int reportedAt)
+LimitReport report(const std::string &id, std::optional<RequestRate> rate, int reportedAt)
 {
     return {InstanceId(id), UpstreamStart(1), rate, at(reportedAt)};
 }
@@ -96,19 +96,19 @@
 
 TEST(UpstreamLimitsTest, WordOfAnotherGatewayBindsAsTheOwn)
 {
-    CHECK_TRUE(limits.merge(word("up", kOne, 10), at(20)));
+    CHECK_TRUE(limits.merge(report("up", kOne, 10), at(20)));
     CHECK_TRUE(limits.limitOf(record("up")) == kOne);
-    CHECK_FALSE(limits.merge(word("up", kOne, 10), at(30)));
+    CHECK_FALSE(limits.merge(report("up", kOne, 10), at(30)));
     UNSIGNED_LONGS_EQUAL(0, limits.localChanges());
 }
 
 TEST(UpstreamLimitsTest, LaterWordOfAnotherGatewayCounts)
 {
     answer(kOne, 0, 1000);
-    CHECK_FALSE(limits.merge(word("up", kTwo, 500), at(1500)));
-    CHECK_TRUE(limits.merge(word("up", kTwo, 1400), at(1500)));
-    CHECK_FALSE(limits.merge(word("up", std::nullopt, 1000), at(1500)));
-    CHECK_TRUE(limits.merge(word("up", std::nullopt, 1600), at(1700)));
+    CHECK_FALSE(limits.merge(report("up", kTwo, 500), at(1500)));
+    CHECK_TRUE(limits.merge(report("up", kTwo, 1400), at(1500)));
+    CHECK_FALSE(limits.merge(report("up", std::nullopt, 1000), at(1500)));
+    CHECK_TRUE(limits.merge(report("up", std::nullopt, 1600), at(1700)));
     CHECK_FALSE(limits.limitOf(record("up")).has_value());
 }
 
@@ -116,17 +116,17 @@
 TEST(UpstreamLimitsTest, LimitWinsWhileItCannotBeToldWhichWordIsTheLaterOne)
 {
     answer(kOne, 0, 1000);
-    CHECK_FALSE(limits.merge(word("up", std::nullopt, 1050), at(1100)));
+    CHECK_FALSE(limits.merge(report("up", std::nullopt, 1050), at(1100)));
     answer(std::nullopt, 1101, 1200);
-    CHECK_TRUE(limits.merge(word("up", kOne, 1150), at(1250)));
+    CHECK_TRUE(limits.merge(report("up", kOne, 1150), at(1250)));
     CHECK_TRUE(limits.limitOf(record("up")) == kOne);
 }
 
 TEST(UpstreamLimitsTest, LowerLimitWinsWhileItCannotBeToldWhichWordIsTheLaterOne)
 {
     answer(kOne, 0, 1000);
-    CHECK_FALSE(limits.merge(word("up", kTwo, 1050), at(1100)));
-    CHECK_TRUE(limits.merge(word("up", RequestRate(0.5), 950), at(1100)));
+    CHECK_FALSE(limits.merge(report("up", kTwo, 1050), at(1100)));
+    CHECK_TRUE(limits.merge(report("up", RequestRate(0.5), 950), at(1100)));
 }
 
 TEST(UpstreamLimitsTest, WordThatNobodyRepeatsIsForgottenAndOneThatIsRepeatedIsNot)
