--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -253,7 +253,7 @@
         chooser_.onRestRequested(request->upstream, now + *notice.rest);
     }
     if (notice.leaving) {
-        upstreams_.announceLeaving(request->sentTo);
+        upstreams_.markLeaving(request->sentTo);
     }
 }
 
--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -32,7 +32,7 @@
     entry = {std::move(taken), std::nullopt};
 }
 
-bool UpstreamTable::announceLeaving(const UpstreamRecord &upstream)
+bool UpstreamTable::markLeaving(const UpstreamRecord &upstream)
 {
     leaving_.addLeaving(upstream);
     const auto found = entries_.find(upstream.id);
--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -97,7 +97,7 @@
     const std::set<HallId> &drainedHalls() const { return drainedHalls_; }
     // An upstream, as it was listed when it was asked, has said in its answer that it leaves. That
     // binds from now on, whatever lists say. Returns false when it was known to leave.
-    bool announceLeaving(const UpstreamRecord &upstream);
+    bool markLeaving(const UpstreamRecord &upstream);
     // A call to the store has failed.
     void onOutage(TimePoint now) { lastOutage_ = now; }
     // The store has come back from an older copy. What vanishes now counts as lapsed, and the order
--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -37,15 +37,15 @@
 TEST(LeavingUpstreamsTest, WordCountsAtOnce)
 {
     table.put(record("one", 5));
-    CHECK_TRUE(table.announceLeaving(record("one", 5)));
+    CHECK_TRUE(table.markLeaving(record("one", 5)));
     CHECK_FALSE(table.mayReceive(one));
-    CHECK_FALSE(table.announceLeaving(record("one", 5))); // It is known by now.
+    CHECK_FALSE(table.markLeaving(record("one", 5))); // It is known by now.
 }
 
 TEST(LeavingUpstreamsTest, WordOutlivesEveryKindOfList)
 {
     table.put(record("one", 5));
-    table.announceLeaving(record("one", 5));
+    table.markLeaving(record("one", 5));
     table.put(record("one", 5, 9));
     CHECK_FALSE(table.mayReceive(one));
     table.mirror({record("one", 5)});
@@ -62,7 +62,7 @@
 TEST(LeavingUpstreamsTest, WordOfAnEarlierStartDoesNotTakeThePlaceOfALaterOne)
 {
     table.put(record("one", 5));
-    table.announceLeaving(record("one", 5));
+    table.markLeaving(record("one", 5));
     UpstreamRecord earlier = record("one", 4);
     earlier.leaving = true;
     table.put(earlier);
@@ -75,7 +75,7 @@
 TEST(LeavingUpstreamsTest, LaterStartGetsRequestsAgain)
 {
     table.put(record("one", 5));
-    table.announceLeaving(record("one", 5));
+    table.markLeaving(record("one", 5));
     table.put(record("one", 6));
     CHECK_TRUE(table.mayReceive(one));
 }
@@ -84,7 +84,7 @@
 TEST(LeavingUpstreamsTest, EarlierStartIsNoNewOne)
 {
     table.put(record("one", 5, 40));
-    table.announceLeaving(record("one", 5, 40));
+    table.markLeaving(record("one", 5, 40));
     table.put(record("one", 4, 30));
     CHECK_FALSE(table.mayReceive(one));
     table.mirror({record("one", 4)});
@@ -94,7 +94,7 @@
 TEST(LeavingUpstreamsTest, StartUnderAClockThatWasSetBackIsKnownByWhenItWasListed)
 {
     table.put(record("one", 5, 40));
-    table.announceLeaving(record("one", 5, 40));
+    table.markLeaving(record("one", 5, 40));
     table.put(record("one", 4, 41));
     CHECK_TRUE(table.mayReceive(one));
 }
@@ -102,7 +102,7 @@
 TEST(LeavingUpstreamsTest, FirstStartThatIsToldAfterTheWordIsTheOneThatLeaves)
 {
     table.put(record("one"));
-    table.announceLeaving(record("one"));
+    table.markLeaving(record("one"));
     table.put(record("one", 5));
     CHECK_FALSE(table.mayReceive(one));
     table.put(record("one"));
@@ -115,14 +115,14 @@
 TEST(LeavingUpstreamsTest, WordOfAnEarlierStartDoesNotBindTheLaterOne)
 {
     table.put(record("one", 6));
-    CHECK_FALSE(table.announceLeaving(record("one", 5)));
+    CHECK_FALSE(table.markLeaving(record("one", 5)));
     CHECK_TRUE(table.mayReceive(one));
 }
 
 TEST(LeavingUpstreamsTest, LeavingUpstreamThatVanishesAroundAnOutageIsGone)
 {
     table.put(record("one", 5));
-    table.announceLeaving(record("one", 5));
+    table.markLeaving(record("one", 5));
     table.onOutage(at(0));
     table.remove(one, at(10));
     CHECK_TRUE(table.find(one) == nullptr);
