--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -126,7 +126,7 @@
     }
 }
 
-void UpstreamTable::onStoreWentBack(TimePoint now)
+void UpstreamTable::onStoreRolledBack(TimePoint now)
 {
     onOutage(now);
     for (auto &[id, entry] : entries_) {
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -205,7 +205,7 @@
         }
     }
     if (wentBack(storePlace_, items.place)) {
-        upstreams_.onStoreWentBack(loop_.now());
+        upstreams_.onStoreRolledBack(loop_.now());
     }
     storePlace_ = items.place;
     upstreams_.replaceAll(records, loop_.now());
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -58,7 +58,7 @@
              {"eraBefore", place_.era},
              {"revision", place.revision},
              {"revisionBefore", place_.revision}});
-    upstreams_.onStoreWentBack(loop_.now());
+    upstreams_.onStoreRolledBack(loop_.now());
 }
 
 void GatewayKnowledge::takePlace(const StorePlace &place)
--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -145,7 +145,7 @@
     UpstreamRecord leaving = record("one", 5, 40);
     leaving.leaving = true;
     table.put(leaving);
-    table.onStoreWentBack(at(0));
+    table.onStoreRolledBack(at(0));
     table.replaceAll({record("one", 5, 40)}, at(0));
     CHECK_FALSE(table.mayReceive(one));
 }
@@ -154,7 +154,7 @@
 {
     table.put(record("one", 5, 40));
     table.remove(one, at(0));
-    table.onStoreWentBack(at(10));
+    table.onStoreRolledBack(at(10));
     table.replaceAll({record("one", 5, 40)}, at(10));
     CHECK_FALSE(table.mayReceive(one));
 }
@@ -188,7 +188,7 @@
 TEST(LeavingUpstreamsTest, LivingUpstreamThatAnOlderCopyLacksIsKeptForAWhile)
 {
     table.put(record("one", 5, 40));
-    table.onStoreWentBack(at(0));
+    table.onStoreRolledBack(at(0));
     table.replaceAll({}, at(0));
     CHECK_TRUE(table.mayReceive(one));
     table.expire(at(1400));
@@ -206,7 +206,7 @@
     UpstreamRecord later = record("two", 6, 41);
     later.port = earlier.port;
     table.put(earlier);
-    table.onStoreWentBack(at(0));
+    table.onStoreRolledBack(at(0));
     table.replaceAll({later}, at(0));
     CHECK_TRUE(table.mayReceive(InstanceId("two")));
     CHECK_FALSE(table.mayReceive(one));
