--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -102,7 +102,7 @@
     void onOutage(TimePoint now) { lastOutage_ = now; }
     // The store has come back from an older copy. What vanishes now counts as lapsed, and the order
     // in which it had taken records until then means nothing for those to come.
-    void onStoreWentBack(TimePoint now);
+    void onStoreRolledBack(TimePoint now);
     // Drops lapsed records whose time is over. Returns those dropped.
     std::vector<InstanceId> expire(TimePoint now);
 
