--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -102,7 +102,7 @@
     if (found == entries_.end()) {
         return false;
     }
-    const bool outage = lastOutage_ && now - *lastOutage_ < settings_.outageMemory;
+    const bool outage = lastOutage_ && now - *lastOutage_ < settings_.outageWindow;
     if (!outage || found->second.record.leaving) {
         return true;
     }
--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -72,7 +72,7 @@
         // really left must get nothing after two seconds either.
         Duration lapseGrace = std::chrono::milliseconds(1500);
         // How long after an outage a vanished record counts as lapsed.
-        Duration outageMemory = std::chrono::seconds(3);
+        Duration outageWindow = std::chrono::seconds(3);
     };
 
     UpstreamTable() = default;
