--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -423,7 +423,7 @@
                                   GatewayActions &actions)
 {
     // One that is leaving, or that the store lists no longer, ends because it was told to.
-    if (upstreams_.stays(upstream)) {
+    if (upstreams_.isActive(upstream)) {
         crashes_.onEnded(digest, account, upstream, at);
         giveUpSuspects(now, actions);
     }
