--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -192,7 +192,7 @@
     return true;
 }
 
-bool UpstreamTable::stays(const InstanceId &id) const
+bool UpstreamTable::isActive(const InstanceId &id) const
 {
     const UpstreamRecord *record = find(id);
     return record != nullptr && !record->leaving;
@@ -200,7 +200,7 @@
 
 bool UpstreamTable::mayReceive(const InstanceId &id) const
 {
-    return stays(id) && !drainedHalls_.contains(find(id)->hall);
+    return isActive(id) && !drainedHalls_.contains(find(id)->hall);
 }
 
 std::vector<const UpstreamRecord *> UpstreamTable::candidates(const TargetName &service) const
--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -110,7 +110,7 @@
     // Tells whether `id` may get new requests.
     bool mayReceive(const InstanceId &id) const;
     // Tells whether `id` is listed and has not been told to leave.
-    bool stays(const InstanceId &id) const;
+    bool isActive(const InstanceId &id) const;
     // Returns the upstreams of `service` that may get new requests, in the order of their ids.
     std::vector<const UpstreamRecord *> candidates(const TargetName &service) const;
     std::vector<const UpstreamRecord *> all() const;
