--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -240,7 +240,7 @@
         upstreams_.put(*record);
     } else if (const auto *gone = std::get_if<UpstreamGone>(&item)) {
         if (gone->unreadable) {
-            upstreams_.drop(gone->id, loop_.now());
+            upstreams_.dropUnreadable(gone->id, loop_.now());
         } else {
             upstreams_.remove(gone->id, loop_.now());
         }
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -227,7 +227,7 @@
              {"warmUpLeftMs", record->warmUpLeft ? json(toMillis(*record->warmUpLeft)) : json()}});
     } else if (const auto *gone = std::get_if<UpstreamGone>(&item)) {
         if (gone->unreadable) {
-            upstreams_.drop(gone->id, loop_.now());
+            upstreams_.dropUnreadable(gone->id, loop_.now());
         } else {
             upstreams_.remove(gone->id, loop_.now());
         }
--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -179,7 +179,7 @@
 TEST(LeavingUpstreamsTest, EntryThatMadeNoSenseForAWhileIsNoEnd)
 {
     table.put(record("one", 5, 40));
-    table.drop(one, at(0));
+    table.dropUnreadable(one, at(0));
     CHECK_FALSE(table.mayReceive(one));
     table.put(record("one", 5, 40));
     CHECK_TRUE(table.mayReceive(one));
