--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -112,7 +112,7 @@
     return false;
 }
 
-void UpstreamTable::drop(const InstanceId &id, TimePoint now)
+void UpstreamTable::dropUnreadable(const InstanceId &id, TimePoint now)
 {
     if (vanishes(id, now)) {
         erase(id);
--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -85,7 +85,7 @@
     // Takes one record, new or changed, unless a later one has its address.
     void put(const UpstreamRecord &record);
     // The store lists `id` in a way that makes no sense; nothing is said of whether it lives.
-    void drop(const InstanceId &id, TimePoint now);
+    void dropUnreadable(const InstanceId &id, TimePoint now);
     // The store no longer lists `id`.
     void remove(const InstanceId &id, TimePoint now);
     // Takes the whole list: what is not in it has vanished.
