--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -18,7 +18,7 @@
 
 void UpstreamTable::put(const UpstreamRecord &record)
 {
-    if (!takeAddress(record)) {
+    if (!claimAddress(record)) {
         erase(record.id);
         return;
     }
@@ -47,7 +47,7 @@
 
 // Takes the record's address from whichever upstream had it before. Returns false when that one was
 // listed later.
-bool UpstreamTable::takeAddress(const UpstreamRecord &record)
+bool UpstreamTable::claimAddress(const UpstreamRecord &record)
 {
     const Address address{record.host, record.port};
     const auto held = entries_.find(record.id);
--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -127,7 +127,7 @@
     using Address = std::pair<std::string, int>;
 
     static Address addressOf(const UpstreamRecord &record) { return {record.host, record.port}; }
-    bool takeAddress(const UpstreamRecord &record);
+    bool claimAddress(const UpstreamRecord &record);
     void erase(const InstanceId &id);
     void eraseGone(const InstanceId &id);
     bool vanishes(const InstanceId &id, TimePoint now);
