--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -86,7 +86,7 @@
 
 // Erases a record that the store has taken away for good. An older copy of the store may list it
 // once more; its word to leave, or its end, binds all the same.
-void UpstreamTable::eraseGone(const InstanceId &id)
+void UpstreamTable::eraseRemoved(const InstanceId &id)
 {
     const auto found = entries_.find(id);
     if (found != entries_.end()) {
@@ -122,7 +122,7 @@
 void UpstreamTable::remove(const InstanceId &id, TimePoint now)
 {
     if (vanishes(id, now)) {
-        eraseGone(id);
+        eraseRemoved(id);
     }
 }
 
@@ -171,7 +171,7 @@
         }
     }
     for (const InstanceId &id : over) {
-        eraseGone(id);
+        eraseRemoved(id);
     }
     return over;
 }
--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -129,7 +129,7 @@
     static Address addressOf(const UpstreamRecord &record) { return {record.host, record.port}; }
     bool claimAddress(const UpstreamRecord &record);
     void erase(const InstanceId &id);
-    void eraseGone(const InstanceId &id);
+    void eraseRemoved(const InstanceId &id);
     bool vanishes(const InstanceId &id, TimePoint now);
 
     Settings settings_;
