--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -96,7 +96,7 @@
 }
 
 // Tells whether a record that the list lacks goes at once. One that may have lapsed stays a while.
-bool UpstreamTable::vanishes(const InstanceId &id, TimePoint now)
+bool UpstreamTable::shouldErase(const InstanceId &id, TimePoint now)
 {
     const auto found = entries_.find(id);
     if (found == entries_.end()) {
@@ -114,14 +114,14 @@
 
 void UpstreamTable::dropUnreadable(const InstanceId &id, TimePoint now)
 {
-    if (vanishes(id, now)) {
+    if (shouldErase(id, now)) {
         erase(id);
     }
 }
 
 void UpstreamTable::remove(const InstanceId &id, TimePoint now)
 {
-    if (vanishes(id, now)) {
+    if (shouldErase(id, now)) {
         eraseRemoved(id);
     }
 }
--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -130,7 +130,7 @@
     bool claimAddress(const UpstreamRecord &record);
     void erase(const InstanceId &id);
     void eraseRemoved(const InstanceId &id);
-    bool vanishes(const InstanceId &id, TimePoint now);
+    bool shouldErase(const InstanceId &id, TimePoint now);
 
     Settings settings_;
     std::unordered_map<InstanceId, Entry> entries_;
