--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -22,14 +22,14 @@
         erase(record.id);
         return;
     }
-    UpstreamRecord taken = record;
+    UpstreamRecord updated = record;
     if (record.leaving) {
         leaving_.addLeaving(record);
     }
-    taken.leaving = leaving_.contains(record);
+    updated.leaving = leaving_.contains(record);
     Entry &entry = entries_[record.id];
-    changes_ += entry.record == taken ? 0 : 1;
-    entry = {std::move(taken), std::nullopt};
+    changes_ += entry.record == updated ? 0 : 1;
+    entry = {std::move(updated), std::nullopt};
 }
 
 bool UpstreamTable::markLeaving(const UpstreamRecord &upstream)
