--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -164,16 +164,16 @@
 
 std::vector<InstanceId> UpstreamTable::expire(TimePoint now)
 {
-    std::vector<InstanceId> over;
+    std::vector<InstanceId> expired;
     for (const auto &[id, entry] : entries_) {
         if (entry.lapsedAt && now - *entry.lapsedAt >= settings_.lapseGrace) {
-            over.push_back(id);
+            expired.push_back(id);
         }
     }
-    for (const InstanceId &id : over) {
+    for (const InstanceId &id : expired) {
         eraseRemoved(id);
     }
-    return over;
+    return expired;
 }
 
 const UpstreamRecord *UpstreamTable::find(const InstanceId &id) const
