--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -50,8 +50,8 @@
 bool UpstreamTable::claimAddress(const UpstreamRecord &record)
 {
     const Address address{record.host, record.port};
-    const auto held = entries_.find(record.id);
-    if (held != entries_.end() && addressOf(held->second.record) != address) {
+    const auto previous = entries_.find(record.id);
+    if (previous != entries_.end() && addressOf(previous->second.record) != address) {
         erase(record.id);
     }
     if (record.host.empty()) {
