--- a/src/decision/gateway/warmuplimits.cpp
+++ b/src/decision/gateway/warmuplimits.cpp
@@ -12,9 +12,9 @@
     // A permit is used up to half a second after it was given, and the request is sent up to half a
     // second later, when its connection is made: one second gets the permits of two.
     constexpr double kUseWindowSeconds = 2.0;
-    constexpr double kReady = 1.0; // A permit that lay ready at the issuer.
+    constexpr double kBurstPermits = 1.0; // A permit that lay ready at the issuer.
     const double borne = rate.perSecond() * bounds.factor + bounds.slack;
-    const double handedOut = (borne / kIssuers - kReady) / kUseWindowSeconds;
+    const double handedOut = (borne / kIssuers - kBurstPermits) / kUseWindowSeconds;
     return RequestRate(std::max(0.0, handedOut / kIssuedShare));
 }
 
