--- a/src/decision/gateway/warmuplimits.cpp
+++ b/src/decision/gateway/warmuplimits.cpp
@@ -13,8 +13,8 @@
     // second later, when its connection is made: one second gets the permits of two.
     constexpr double kUseWindowSeconds = 2.0;
     constexpr double kBurstPermits = 1.0; // A permit that lay ready at the issuer.
-    const double borne = rate.perSecond() * bounds.factor + bounds.slack;
-    const double handedOut = (borne / kIssuers - kBurstPermits) / kUseWindowSeconds;
+    const double maxPerSecond = rate.perSecond() * bounds.factor + bounds.slack;
+    const double handedOut = (maxPerSecond / kIssuers - kBurstPermits) / kUseWindowSeconds;
     return RequestRate(std::max(0.0, handedOut / kIssuedShare));
 }
 
