--- a/src/decision/gateway/warmuplimits.cpp
+++ b/src/decision/gateway/warmuplimits.cpp
@@ -14,8 +14,8 @@
     constexpr double kUseWindowSeconds = 2.0;
     constexpr double kBurstPermits = 1.0; // A permit that lay ready at the issuer.
     const double maxPerSecond = rate.perSecond() * bounds.factor + bounds.slack;
-    const double handedOut = (maxPerSecond / kIssuers - kBurstPermits) / kUseWindowSeconds;
-    return RequestRate(std::max(0.0, handedOut / kIssuedShare));
+    const double issuedPerSecond = (maxPerSecond / kIssuers - kBurstPermits) / kUseWindowSeconds;
+    return RequestRate(std::max(0.0, issuedPerSecond / kIssuedShare));
 }
 
 void WarmUpLimits::setServices(const std::vector<ServiceRule> &services)
