--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -89,10 +89,10 @@
 
 void GroupTable::expire(TimePoint now)
 {
-    const auto over = [&](const auto &entry) {
+    const auto isExpired = [&](const auto &entry) {
         return now - entry.second.asOf > settings_.timeToLive;
     };
-    if (std::erase_if(groups_, over) == 0) {
+    if (std::erase_if(groups_, isExpired) == 0) {
         return;
     }
     std::erase_if(memberships_,
