--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -50,12 +50,12 @@
 {
     const auto [found, added] = groups_.try_emplace(facts.group);
     Snapshot &known = found->second;
-    if (!added && asOf <= known.asOf) {
+    if (!added && asOf <= snapshot.asOf) {
         return false;
     }
     const bool same = !added && known.facts == facts;
-    known = {facts, asOf};
-    indexMembers(known);
+    snapshot = {facts, asOf};
+    indexMembers(snapshot);
     if (!same) {
         updateDigest();
     }
@@ -76,13 +76,13 @@
 // rank that is frozen or dead has not left its group.
 void GroupTable::indexMembers(const Snapshot &known)
 {
-    const GroupFacts &facts = known.facts;
+    const GroupFacts &facts = snapshot.facts;
     const double median = medianPace(facts.members);
     for (const GroupMember &member : facts.members) {
         Membership &membership = memberships_[{member.host, member.port}];
-        if (membership.asOf <= known.asOf) {
+        if (membership.asOf <= snapshot.asOf) {
             changes_ += membership.group == facts.group ? 0 : 1;
-            membership = {facts.group, known.asOf, median > 0.0 ? member.pace / median : 1.0};
+            membership = {facts.group, snapshot.asOf, median > 0.0 ? member.pace / median : 1.0};
         }
     }
 }
@@ -110,9 +110,9 @@
 double GroupTable::slowness(const UpstreamRecord &upstream, TimePoint now) const
 {
     const auto found = memberships_.find({upstream.host, upstream.port});
-    const bool known =
+    const bool snapshot =
         found != memberships_.end() && now - found->second.asOf < settings_.paceTimeToLive;
-    return known ? found->second.slowness : 1.0;
+    return snapshot ? found->second.slowness : 1.0;
 }
 
 bool GroupTable::isClosed(const GroupId &group, TimePoint now) const
@@ -142,8 +142,8 @@
 void GroupTable::updateDigest()
 {
     std::string text;
-    for (const auto &[group, known] : groups_) {
-        text += serialize(known.facts);
+    for (const auto &[group, snapshot] : groups_) {
+        text += serialize(snapshot.facts);
         text += '\n';
     }
     digest_ = text.empty() ? 0 : xxh3(text);
