--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -110,9 +110,9 @@
 double GroupTable::slowness(const UpstreamRecord &upstream, TimePoint now) const
 {
     const auto found = memberships_.find({upstream.host, upstream.port});
-    const bool snapshot =
+    const bool isFresh =
         found != memberships_.end() && now - found->second.asOf < settings_.paceTimeToLive;
-    return snapshot ? found->second.slowness : 1.0;
+    return isFresh ? found->second.slowness : 1.0;
 }
 
 bool GroupTable::isClosed(const GroupId &group, TimePoint now) const
