--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -49,11 +49,11 @@
 bool GroupTable::update(const GroupFacts &facts, TimePoint asOf)
 {
     const auto [found, added] = groups_.try_emplace(facts.group);
-    Snapshot &known = found->second;
+    Snapshot &snapshot = found->second;
     if (!added && asOf <= snapshot.asOf) {
         return false;
     }
-    const bool same = !added && known.facts == facts;
+    const bool same = !added && snapshot.facts == facts;
     snapshot = {facts, asOf};
     indexMembers(snapshot);
     if (!same) {
@@ -74,7 +74,7 @@
 // Notes where the members belong. An engine that is no longer named stays where it was until
 // another group names it: an agent that has just begun to decide does not know all ranks yet, and a
 // rank that is frozen or dead has not left its group.
-void GroupTable::indexMembers(const Snapshot &known)
+void GroupTable::indexMembers(const Snapshot &snapshot)
 {
     const GroupFacts &facts = snapshot.facts;
     const double median = medianPace(facts.members);
