--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -122,7 +122,7 @@
         double slowness = 1.0;
     };
 
-    void indexMembers(const Snapshot &known);
+    void indexMembers(const Snapshot &snapshot);
     void updateDigest();
 
     Settings settings_;
