--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -48,8 +48,8 @@
     if (!asker.wantsLimits) {
         return;
     }
-    news.setLimitsMark(limits_.mark());
-    if (limits_.mark() == asker.limitsMark) {
+    news.setLimitsMark(limits_.version());
+    if (limits_.version() == asker.limitsMark) {
         return;
     }
     const std::vector<LimitReport> words = limits_.all();
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -95,7 +95,7 @@
     , heard_(std::move(heard))
     , waiting_(loop)
     , toldCrashes_(crashes_.cursor())
-    , toldLimits_(limits_.mark())
+    , toldLimits_(limits_.version())
     , firstOwnNews_(ownNews())
     , announcedNews_(ownNews())
     , startedAt_(loop.now())
@@ -329,7 +329,7 @@
     const bool groups = toldGroupsMark_ != 0 && toldGroupsMark_ != asker.groupsMark;
     return knowledge_.version() > asker.version || knowledge_.upstreamsMark() != asker.upstreamsMark
            || groups || crashes_.hasChangedSince(asker.crashCursor)
-           || (asker.wantsLimits && limits_.mark() != asker.limitsMark);
+           || (asker.wantsLimits && limits_.version() != asker.limitsMark);
 }
 
 void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const
@@ -438,13 +438,13 @@
     const std::uint64_t groupsMark = groups_.digest();
     if (knowledge_.upstreamsMark() != toldMark_ || knowledge_.version() != toldVersion_
         || groupsMark != toldGroupsMark_ || crashes_.cursor() != toldCrashes_
-        || limits_.mark() != toldLimits_) {
+        || limits_.version() != toldLimits_) {
         noteList();
         toldMark_ = knowledge_.upstreamsMark();
         toldVersion_ = knowledge_.version();
         toldGroupsMark_ = groupsMark;
         toldCrashes_ = crashes_.cursor();
-        toldLimits_ = limits_.mark();
+        toldLimits_ = limits_.version();
         waiting_.wakeAll();
     }
     announce(now);
