--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -9,11 +9,11 @@
 // Returns the record without what differs between gateways that hold the same list.
 UpstreamRecord withoutLocalFields(const UpstreamRecord &record)
 {
-    UpstreamRecord common = record;
-    common.listedAt = 0;
-    common.createdAt = 0;
-    common.warmAt = {};
-    return common;
+    UpstreamRecord copy = record;
+    copy.listedAt = 0;
+    copy.createdAt = 0;
+    copy.warmAt = {};
+    return copy;
 }
 
 } // namespace
