--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -61,12 +61,12 @@
 
 bool UpstreamLimits::supersedes(const LimitReport &report, const LimitReport &known) const
 {
-    const bool concurrent = report.reportedAt > known.reportedAt - settings_.clockTolerance
-                            && report.reportedAt < known.reportedAt + settings_.clockTolerance;
-    if (concurrent && report.rate.has_value() != known.rate.has_value()) {
+    const bool ambiguous = report.reportedAt > known.reportedAt - settings_.clockTolerance
+                           && report.reportedAt < known.reportedAt + settings_.clockTolerance;
+    if (ambiguous && report.rate.has_value() != known.rate.has_value()) {
         return report.rate.has_value();
     }
-    if (concurrent && report.rate && known.rate) {
+    if (ambiguous && report.rate && known.rate) {
         return *report.rate < *known.rate;
     }
     return report.reportedAt > known.reportedAt;
