--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -9,14 +9,15 @@
 
 } // namespace
 
-PermitIssuer::Ledger &PermitIssuer::ledgerOf(const InstanceId &upstream, RequestRate limit,
-                                             TimePoint now)
+PermitIssuer::UpstreamState &PermitIssuer::ledgerOf(const InstanceId &upstream, RequestRate limit,
+                                                    TimePoint now)
 {
     const double rate =
         std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
     constexpr double kInitialTokens = 0.0;
-    Ledger &ledger =
-        ledgers_.try_emplace(upstream, Ledger{TokenBucket(rate, kInitialTokens, now), {}, now})
+    UpstreamState &ledger =
+        ledgers_
+            .try_emplace(upstream, UpstreamState{TokenBucket(rate, kInitialTokens, now), {}, now})
             .first->second;
     ledger.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
     ledger.lastUsedAt = now;
@@ -26,7 +27,7 @@
 PermitGrant PermitIssuer::issue(const InstanceId &upstream, RequestRate limit,
                                 const InstanceId &requester, std::uint32_t wanted, TimePoint now)
 {
-    Ledger &ledger = ledgerOf(upstream, limit, now);
+    UpstreamState &ledger = ledgerOf(upstream, limit, now);
     std::erase_if(ledger.requesters,
                   [now](const auto &entry) { return now - entry.second > kRequesterWindow; });
     ledger.requesters[requester] = now;
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -64,17 +64,17 @@
     void expire(TimePoint now);
 
 private:
-    struct Ledger
+    struct UpstreamState
     {
         TokenBucket bucket;
         std::unordered_map<InstanceId, TimePoint> requesters; // When each asked last.
         TimePoint lastUsedAt{};
     };
 
-    Ledger &ledgerOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
+    UpstreamState &ledgerOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
 
     Settings settings_;
-    std::unordered_map<InstanceId, Ledger> ledgers_;
+    std::unordered_map<InstanceId, UpstreamState> ledgers_;
 };
 
 } // namespace seamarch
