--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -9,8 +9,8 @@
 
 } // namespace
 
-PermitIssuer::UpstreamState &PermitIssuer::ledgerOf(const InstanceId &upstream, RequestRate limit,
-                                                    TimePoint now)
+PermitIssuer::UpstreamState &PermitIssuer::stateOf(const InstanceId &upstream, RequestRate limit,
+                                                   TimePoint now)
 {
     const double rate =
         std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
@@ -27,7 +27,7 @@
 PermitGrant PermitIssuer::issue(const InstanceId &upstream, RequestRate limit,
                                 const InstanceId &requester, std::uint32_t wanted, TimePoint now)
 {
-    UpstreamState &ledger = ledgerOf(upstream, limit, now);
+    UpstreamState &ledger = stateOf(upstream, limit, now);
     std::erase_if(ledger.requesters,
                   [now](const auto &entry) { return now - entry.second > kRequesterWindow; });
     ledger.requesters[requester] = now;
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -71,7 +71,7 @@
         TimePoint lastUsedAt{};
     };
 
-    UpstreamState &ledgerOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
+    UpstreamState &stateOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
 
     Settings settings_;
     std::unordered_map<InstanceId, UpstreamState> ledgers_;
