--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -16,7 +16,7 @@
         std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
     constexpr double kInitialTokens = 0.0;
     UpstreamState &ledger =
-        ledgers_
+        states_
             .try_emplace(upstream, UpstreamState{TokenBucket(rate, kInitialTokens, now), {}, now})
             .first->second;
     ledger.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
@@ -45,7 +45,7 @@
 
 void PermitIssuer::expire(TimePoint now)
 {
-    std::erase_if(ledgers_, [&](const auto &entry) {
+    std::erase_if(states_, [&](const auto &entry) {
         return now - entry.second.lastUsedAt > settings_.idleTimeToLive;
     });
 }
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -74,7 +74,7 @@
     UpstreamState &stateOf(const InstanceId &upstream, RequestRate limit, TimePoint now);
 
     Settings settings_;
-    std::unordered_map<InstanceId, UpstreamState> ledgers_;
+    std::unordered_map<InstanceId, UpstreamState> states_;
 };
 
 } // namespace seamarch
