--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -15,26 +15,26 @@
     const double rate =
         std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
     constexpr double kInitialTokens = 0.0;
-    UpstreamState &ledger =
+    UpstreamState &state =
         states_
             .try_emplace(upstream, UpstreamState{TokenBucket(rate, kInitialTokens, now), {}, now})
             .first->second;
-    ledger.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
-    ledger.lastUsedAt = now;
-    return ledger;
+    state.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
+    state.lastUsedAt = now;
+    return state;
 }
 
 PermitGrant PermitIssuer::issue(const InstanceId &upstream, RequestRate limit,
                                 const InstanceId &requester, std::uint32_t wanted, TimePoint now)
 {
-    UpstreamState &ledger = stateOf(upstream, limit, now);
-    std::erase_if(ledger.requesters,
+    UpstreamState &state = stateOf(upstream, limit, now);
+    std::erase_if(state.requesters,
                   [now](const auto &entry) { return now - entry.second > kRequesterWindow; });
-    ledger.requesters[requester] = now;
+    state.requesters[requester] = now;
     PermitGrant grant;
     while (grant.granted < wanted) {
-        if (const auto wait = ledger.bucket.take(now)) {
-            const auto requesters = static_cast<Duration::rep>(ledger.requesters.size());
+        if (const auto wait = state.bucket.take(now)) {
+            const auto requesters = static_cast<Duration::rep>(state.requesters.size());
             grant.retryAfter = std::max(*wait, settings_.retryDelayPerRequester * requesters);
             return grant;
         }
