--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -54,14 +54,14 @@
 }
 
 // Returns the turn of each upstream in this gateway's order of its hall's upstreams, from 0 to 1.
-UpstreamChooser::Turns
+UpstreamChooser::Positions
 UpstreamChooser::turnsOf(const std::vector<const UpstreamRecord *> &upstreams) const
 {
     std::unordered_map<HallId, std::vector<InstanceId>> halls;
     for (const UpstreamRecord *record : upstreams) {
         halls[record->hall].push_back(record->id);
     }
-    Turns turns;
+    Positions turns;
     for (const auto &[hall, ids] : halls) {
         for (std::size_t index = 0; index < ids.size(); ++index) {
             const auto turn = static_cast<double>(upstreamTurn(index, ids.size(), place_));
@@ -131,7 +131,7 @@
             candidates.insert(candidates.end(), members.upstreams.begin(), members.upstreams.end());
         }
     }
-    const Turns turns = turnsOf(candidates);
+    const Positions turns = turnsOf(candidates);
     std::erase_if(candidates, [&](const UpstreamRecord *record) {
         return isFullOrResting(record->id, now) || tried.contains(record->id)
                || !mayServe(*record, target.residency);
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -157,7 +157,7 @@
         Groups groups;
     };
 
-    using Turns = std::unordered_map<InstanceId, double>;
+    using Positions = std::unordered_map<InstanceId, double>;
 
     Groups buildGroups(const TargetName &service) const;
     bool mayServe(const UpstreamRecord &upstream, const Residency &residency) const;
@@ -167,7 +167,7 @@
     // An upstream that is passed over for want of a permit, by its rank among the candidates.
     using Ranked = std::pair<std::pair<bool, double>, InstanceId>;
     void requestPermits(std::vector<Ranked> upstreams, TimePoint now);
-    Turns turnsOf(const std::vector<const UpstreamRecord *> &upstreams) const;
+    Positions turnsOf(const std::vector<const UpstreamRecord *> &upstreams) const;
     double score(const UpstreamRecord &record, double turn) const;
 
     Settings settings_;
