--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -55,7 +55,7 @@
 
 // Returns the turn of each upstream in this gateway's order of its hall's upstreams, from 0 to 1.
 UpstreamChooser::Positions
-UpstreamChooser::turnsOf(const std::vector<const UpstreamRecord *> &upstreams) const
+UpstreamChooser::positionsOf(const std::vector<const UpstreamRecord *> &upstreams) const
 {
     std::unordered_map<HallId, std::vector<InstanceId>> halls;
     for (const UpstreamRecord *record : upstreams) {
@@ -131,7 +131,7 @@
             candidates.insert(candidates.end(), members.upstreams.begin(), members.upstreams.end());
         }
     }
-    const Positions turns = turnsOf(candidates);
+    const Positions turns = positionsOf(candidates);
     std::erase_if(candidates, [&](const UpstreamRecord *record) {
         return isFullOrResting(record->id, now) || tried.contains(record->id)
                || !mayServe(*record, target.residency);
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -167,7 +167,7 @@
     // An upstream that is passed over for want of a permit, by its rank among the candidates.
     using Ranked = std::pair<std::pair<bool, double>, InstanceId>;
     void requestPermits(std::vector<Ranked> upstreams, TimePoint now);
-    Positions turnsOf(const std::vector<const UpstreamRecord *> &upstreams) const;
+    Positions positionsOf(const std::vector<const UpstreamRecord *> &upstreams) const;
     double score(const UpstreamRecord &record, double turn) const;
 
     Settings settings_;
