--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -61,14 +61,14 @@
     for (const UpstreamRecord *record : upstreams) {
         halls[record->hall].push_back(record->id);
     }
-    Positions turns;
+    Positions positions;
     for (const auto &[hall, ids] : halls) {
         for (std::size_t index = 0; index < ids.size(); ++index) {
             const auto turn = static_cast<double>(upstreamTurn(index, ids.size(), place_));
-            turns.emplace(ids[index], turn / static_cast<double>(ids.size()));
+            positions.emplace(ids[index], turn / static_cast<double>(ids.size()));
         }
     }
-    return turns;
+    return positions;
 }
 
 bool UpstreamChooser::isFullOrResting(const InstanceId &upstream, TimePoint now) const
@@ -131,7 +131,7 @@
             candidates.insert(candidates.end(), members.upstreams.begin(), members.upstreams.end());
         }
     }
-    const Positions turns = positionsOf(candidates);
+    const Positions positions = positionsOf(candidates);
     std::erase_if(candidates, [&](const UpstreamRecord *record) {
         return isFullOrResting(record->id, now) || tried.contains(record->id)
                || !mayServe(*record, target.residency);
@@ -153,7 +153,7 @@
     std::pair<bool, double> bestRank;
     std::vector<Ranked> withoutPermit;
     for (const UpstreamRecord *record : candidates) {
-        const std::pair rank(isLastResort(record), score(*record, turns.at(record->id)));
+        const std::pair rank(isLastResort(record), score(*record, positions.at(record->id)));
         if (lacksPermit(*record, now)) {
             withoutPermit.emplace_back(rank, record->id);
         } else if (!best || rank < bestRank) {
