--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -46,11 +46,11 @@
 
 // Rates an upstream; the lowest is the best. `turn` is its place in the own order of its hall's
 // upstreams, from 0 to 1.
-double UpstreamChooser::score(const UpstreamRecord &record, double turn) const
+double UpstreamChooser::score(const UpstreamRecord &record, double position) const
 {
     constexpr double kTurnWeight = 0.5; // Less than one request in flight.
     const double penalty = record.hall == settings_.hall ? 0.0 : settings_.remoteHallPenalty;
-    return inFlightAt(record.id) + penalty + kTurnWeight * turn;
+    return inFlightAt(record.id) + penalty + kTurnWeight * position;
 }
 
 // Returns the turn of each upstream in this gateway's order of its hall's upstreams, from 0 to 1.
@@ -64,8 +64,8 @@
     Positions positions;
     for (const auto &[hall, ids] : halls) {
         for (std::size_t index = 0; index < ids.size(); ++index) {
-            const auto turn = static_cast<double>(upstreamTurn(index, ids.size(), place_));
-            positions.emplace(ids[index], turn / static_cast<double>(ids.size()));
+            const auto position = static_cast<double>(upstreamTurn(index, ids.size(), place_));
+            positions.emplace(ids[index], position / static_cast<double>(ids.size()));
         }
     }
     return positions;
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -168,7 +168,7 @@
     using Ranked = std::pair<std::pair<bool, double>, InstanceId>;
     void requestPermits(std::vector<Ranked> upstreams, TimePoint now);
     Positions positionsOf(const std::vector<const UpstreamRecord *> &upstreams) const;
-    double score(const UpstreamRecord &record, double turn) const;
+    double score(const UpstreamRecord &record, double position) const;
 
     Settings settings_;
     const UpstreamTable &upstreams_;
