--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -48,9 +48,9 @@
 // upstreams, from 0 to 1.
 double UpstreamChooser::score(const UpstreamRecord &record, double position) const
 {
-    constexpr double kTurnWeight = 0.5; // Less than one request in flight.
+    constexpr double kPositionWeight = 0.5; // Less than one request in flight.
     const double penalty = record.hall == settings_.hall ? 0.0 : settings_.remoteHallPenalty;
-    return inFlightAt(record.id) + penalty + kTurnWeight * position;
+    return inFlightAt(record.id) + penalty + kPositionWeight * position;
 }
 
 // Returns the turn of each upstream in this gateway's order of its hall's upstreams, from 0 to 1.
