--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -73,9 +73,9 @@
 TEST(UpstreamLimitsTest, RepeatedWordIsNoChangeAndCountsAsSaidThen)
 {
     answer(kOne, 0, 10);
-    const std::uint64_t mark = limits.version();
+    const std::uint64_t version = limits.version();
     CHECK_TRUE(answer(kOne, 20, 40) == Change::None);
-    UNSIGNED_LONGS_EQUAL(mark, limits.version());
+    UNSIGNED_LONGS_EQUAL(version, limits.version());
     CHECK_TRUE(answer(std::nullopt, 30, 50) == Change::None);
 }
 
@@ -144,9 +144,9 @@
 {
     const int renewal = static_cast<int>(toMillis(UpstreamLimits::Settings().renewalInterval));
     answer(kOne, 0, 10);
-    const std::uint64_t mark = limits.version();
+    const std::uint64_t version = limits.version();
     answer(kOne, renewal, renewal + 20);
-    CHECK_TRUE(limits.version() != mark);
+    CHECK_TRUE(limits.version() != version);
 }
 
 TEST(UpstreamLimitsTest, MemoryIsBoundedAndTheOldestGoesFirst)
