--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -42,7 +42,7 @@
     }
 };
 
-TEST(GroupTableTest, UpstreamOfWhichNobodyHasSpokenIsInTheGroupWithoutName)
+TEST(GroupTableTest, UnreportedUpstreamBelongsToTheUnnamedGroup)
 {
     STRCMP_EQUAL("", groupOf("a").c_str());
 }
