--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -47,7 +47,7 @@
     STRCMP_EQUAL("", groupOf("a").c_str());
 }
 
-TEST(GroupTableTest, NewestWordHolds)
+TEST(GroupTableTest, NewestReportWins)
 {
     CHECK_TRUE(table.update(facts("one", {"a"}), at(100)));
     GroupFacts older = facts("one", {"a"});
