--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -58,7 +58,7 @@
 
 // An agent that takes the role of deciding knows few ranks at first. An engine that dropped out of
 // its group for that would look like an empty group of its own, and draw all streams to it.
-TEST(GroupTableTest, EngineThatIsNotNamedAnyMoreStaysInItsGroup)
+TEST(GroupTableTest, EngineMissingFromALaterReportStaysInItsGroup)
 {
     table.update(facts("one", {"a", "b"}), at(0));
     table.update(facts("one", {"b"}), at(10));
