--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -65,7 +65,7 @@
     STRCMP_EQUAL("one", groupOf("a").c_str());
 }
 
-TEST(GroupTableTest, EngineThatAnotherGroupNamesHasMoved)
+TEST(GroupTableTest, EngineReportedByAnotherGroupMoves)
 {
     table.update(facts("one", {"a", "b"}), at(0));
     const std::uint64_t before = table.changes();
