--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -74,7 +74,7 @@
     CHECK_TEXT(table.changes() > before, "those who group upstreams must see that one has moved");
 }
 
-TEST(GroupTableTest, LaterWordOfTheOldGroupDoesNotMoveAnEngineBackUnlessItNamesIt)
+TEST(GroupTableTest, LaterReportOfTheOldGroupWithoutTheEngineDoesNotMoveItBack)
 {
     table.update(facts("one", {"a", "b"}), at(0));
     table.update(facts("two", {"a"}), at(10));
