--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -82,7 +82,7 @@
     STRCMP_EQUAL("two", groupOf("a").c_str());
 }
 
-TEST(GroupTableTest, SlownessIsMeasuredAgainstTheMedianOfTheGroup)
+TEST(GroupTableTest, SlownessIsRelativeToTheMedianOfTheGroup)
 {
     GroupFacts slow = facts("one", {"a", "b", "c"});
     for (GroupMember &member : slow.members) {
