--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -94,7 +94,7 @@
     DOUBLES_EQUAL(5.0, table.slowness(upstream("c"), at(0)), 0.001);
 }
 
-TEST(GroupTableTest, OldWordOfASlowRankCountsNoMore)
+TEST(GroupTableTest, SlownessExpires)
 {
     GroupFacts slow = facts("one", {"a", "b", "c"});
     slow.members[2].pace = 5.0;
