--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -103,7 +103,7 @@
     DOUBLES_EQUAL(1.0, table.slowness(upstream("c"), at(6000)), 0.001);
 }
 
-TEST(GroupTableTest, WordThatAGroupIsClosedLapses)
+TEST(GroupTableTest, ClosedStateExpires)
 {
     GroupFacts closed = facts("one", {"a"});
     closed.open = false;
