--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -115,7 +115,7 @@
 }
 
 // A hall that is cut off: word of its group stays away, while that of the own hall's comes.
-TEST(GroupTableTest, GroupWhoseWordStaysAwayAloneIsOutOfTouch)
+TEST(GroupTableTest, GroupThatAloneStopsReportingIsIsolated)
 {
     table.update(facts("near", {"a"}), at(0));
     table.update(facts("far", {"b"}), at(0));
