--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -125,7 +125,7 @@
 }
 
 // Word comes through two waits of 0.4 s, and an agent that plans a map answers late.
-TEST(GroupTableTest, LateWordIsNoCut)
+TEST(GroupTableTest, LateReportDoesNotIsolateAGroup)
 {
     table.update(facts("near", {"a"}), at(0));
     table.update(facts("far", {"b"}), at(0));
