--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -134,7 +134,7 @@
 }
 
 // The gateway that asks for all has died: that says nothing of the groups.
-TEST(GroupTableTest, NoGroupIsOutOfTouchWhenWordOfAllStaysAway)
+TEST(GroupTableTest, NoGroupIsIsolatedWhenAllStopReporting)
 {
     table.update(facts("near", {"a"}), at(0));
     table.update(facts("far", {"b"}), at(0));
