--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -141,7 +141,7 @@
     CHECK_FALSE(table.isIsolated(GroupId("far"), at(5000)));
 }
 
-TEST(GroupTableTest, MarkNamesTheFactsAndNotTheirAge)
+TEST(GroupTableTest, DigestCoversTheFactsButNotTheirAge)
 {
     GroupTable other;
     table.update(facts("one", {"a"}), at(0));
