--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -151,7 +151,7 @@
     CHECK_TRUE(table.digest() != other.digest());
 }
 
-TEST(GroupTableTest, GroupOfWhichNothingIsHeardIsForgotten)
+TEST(GroupTableTest, GroupWithoutReportsExpires)
 {
     table.update(facts("one", {"a"}), at(0));
     table.expire(at(61'000));
