--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -34,7 +34,7 @@
     const InstanceId one{"one"};
 };
 
-TEST(LeavingUpstreamsTest, WordCountsAtOnce)
+TEST(LeavingUpstreamsTest, LeavingTakesEffectImmediately)
 {
     table.put(record("one", 5));
     CHECK_TRUE(table.markLeaving(record("one", 5)));
