--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -42,7 +42,7 @@
     CHECK_FALSE(table.markLeaving(record("one", 5))); // It is known by now.
 }
 
-TEST(LeavingUpstreamsTest, WordOutlivesEveryKindOfList)
+TEST(LeavingUpstreamsTest, LeavingSurvivesEveryKindOfListUpdate)
 {
     table.put(record("one", 5));
     table.markLeaving(record("one", 5));
