--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -59,7 +59,7 @@
 }
 
 // An older copy of the store lists the start before the one that leaves.
-TEST(LeavingUpstreamsTest, WordOfAnEarlierStartDoesNotTakeThePlaceOfALaterOne)
+TEST(LeavingUpstreamsTest, EarlierStartDoesNotReplaceALaterDeparture)
 {
     table.put(record("one", 5));
     table.markLeaving(record("one", 5));
