--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -81,7 +81,7 @@
 }
 
 // A list that lags, or a store that came back older, shows the start before the one that leaves.
-TEST(LeavingUpstreamsTest, EarlierStartIsNoNewOne)
+TEST(LeavingUpstreamsTest, EarlierStartIsNotTreatedAsARestart)
 {
     table.put(record("one", 5, 40));
     table.markLeaving(record("one", 5, 40));
