--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -91,7 +91,7 @@
     CHECK_FALSE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, StartUnderAClockThatWasSetBackIsKnownByWhenItWasListed)
+TEST(LeavingUpstreamsTest, RestartAfterClockSetBackIsDetectedByListingOrder)
 {
     table.put(record("one", 5, 40));
     table.markLeaving(record("one", 5, 40));
