--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -99,7 +99,7 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, FirstStartThatIsToldAfterTheWordIsTheOneThatLeaves)
+TEST(LeavingUpstreamsTest, FirstStartKnownAfterwardsIsTheOneThatLeaves)
 {
     table.put(record("one"));
     table.markLeaving(record("one"));
