--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -112,7 +112,7 @@
 }
 
 // The answer came from the start before the one that is listed by now.
-TEST(LeavingUpstreamsTest, WordOfAnEarlierStartDoesNotBindTheLaterOne)
+TEST(LeavingUpstreamsTest, DepartureOfAnEarlierStartDoesNotAffectTheLaterOne)
 {
     table.put(record("one", 6));
     CHECK_FALSE(table.markLeaving(record("one", 5)));
