--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -119,7 +119,7 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, LeavingUpstreamThatVanishesAroundAnOutageIsGone)
+TEST(LeavingUpstreamsTest, LeavingUpstreamRemovedAroundAnOutageGetsNoGracePeriod)
 {
     table.put(record("one", 5));
     table.markLeaving(record("one", 5));
--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -55,7 +55,7 @@
     CHECK_FALSE(table.mayReceive(InstanceId("one")));
 }
 
-TEST(UpstreamTableTest, LeavingUpstreamThatVanishesAroundAnOutageIsGone)
+TEST(UpstreamTableTest, LeavingUpstreamRemovedAroundAnOutageGetsNoGracePeriod)
 {
     table.put(record("one", true));
     table.onOutage(at(0));
