--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -128,7 +128,7 @@
     CHECK_TRUE(table.find(one) == nullptr);
 }
 
-TEST(LeavingUpstreamsTest, MemoryIsBoundedAndTheOldestWordGoesFirst)
+TEST(LeavingUpstreamsTest, OldestDepartureIsEvictedFirst)
 {
     LeavingUpstreams departures;
     for (std::size_t number = 0; number < LeavingUpstreams::kMaxEntries + 10; ++number) {
