--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -140,7 +140,7 @@
 }
 
 // The store came back from an older copy, in which the upstream was ready.
-TEST(LeavingUpstreamsTest, UpstreamThatTheStoreToldToLeaveStaysSo)
+TEST(LeavingUpstreamsTest, LeavingMarkFromTheStoreSurvivesARollback)
 {
     UpstreamRecord leaving = record("one", 5, 40);
     leaving.leaving = true;
