--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -150,7 +150,7 @@
     CHECK_FALSE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, UpstreamThatWasGoneIsNotBackWithTheEntryThatItHad)
+TEST(LeavingUpstreamsTest, RemovedUpstreamDoesNotReturnWithItsOldEntry)
 {
     table.put(record("one", 5, 40));
     table.remove(one, at(0));
