--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -159,7 +159,7 @@
     CHECK_FALSE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, UpstreamThatLapsedIsBackWithANewEntry)
+TEST(LeavingUpstreamsTest, LapsedUpstreamReturnsWithANewEntry)
 {
     table.put(record("one", 5, 40));
     table.remove(one, at(0));
