--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -168,7 +168,7 @@
 }
 
 // Of a list that another gateway handed on it is not known when its entries were listed.
-TEST(LeavingUpstreamsTest, UpstreamThatWasGoneIsBackWhereItIsNotKnownWhenItWasListed)
+TEST(LeavingUpstreamsTest, RemovedUpstreamReturnsIfItsEntryRevisionIsUnknown)
 {
     table.put(record("one", 5));
     table.remove(one, at(0));
