--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -176,7 +176,7 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, EntryThatMadeNoSenseForAWhileIsNoEnd)
+TEST(LeavingUpstreamsTest, UnreadableEntryDoesNotCountAsRemoval)
 {
     table.put(record("one", 5, 40));
     table.dropUnreadable(one, at(0));
