--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -185,7 +185,7 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, LivingUpstreamThatAnOlderCopyLacksIsKeptForAWhile)
+TEST(LeavingUpstreamsTest, UpstreamMissingAfterARollbackIsKeptForTheGracePeriod)
 {
     table.put(record("one", 5, 40));
     table.onStoreRolledBack(at(0));
