--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -200,7 +200,7 @@
 }
 
 // Revisions are given out again: that of the earlier holder of the address says nothing any more.
-TEST(LeavingUpstreamsTest, UpstreamThatIsListedAfterTheStoreWentBackKeepsItsAddress)
+TEST(LeavingUpstreamsTest, UpstreamListedAfterARollbackTakesOverTheAddress)
 {
     UpstreamRecord earlier = record("one", 5, 90);
     UpstreamRecord later = record("two", 6, 41);
