--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -103,7 +103,7 @@
     }
 };
 
-TEST(LimitedUpstreamTest, AnswerThatNamesALimitBindsTheNextRequest)
+TEST(LimitedUpstreamTest, LimitAppliesToTheNextRequest)
 {
     start(1, {"one"});
     const RequestNumber first = begin(Kind::Repeatable, 0);
