--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -113,7 +113,7 @@
     CHECK_TRUE(last<StartAttempt>() == nullptr);
 }
 
-TEST(LimitedUpstreamTest, RequestsOfAllKindsGoToOthersWithoutAPermit)
+TEST(LimitedUpstreamTest, RequestsWithoutAPermitGoToOtherUpstreams)
 {
     learnLimit("one", 0);
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
