--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -124,7 +124,7 @@
     }
 }
 
-TEST(LimitedUpstreamTest, PermitLetsOneRequestGoThere)
+TEST(LimitedUpstreamTest, PermitAdmitsOneRequest)
 {
     learnLimit("one", 0);
     begin(Kind::Repeatable, 1);
--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -95,7 +95,7 @@
     }
 }
 
-TEST(WarmUpLimitsTest, PermitLetsOneRequestGoThere)
+TEST(WarmUpLimitsTest, PermitAdmitsOneRequest)
 {
     core->upstreams().put(record("one", 5000));
     CHECK_TRUE(begin(Kind::Repeatable, 10) == nullptr);
