--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -136,7 +136,7 @@
     CHECK_TRUE(last<StartAttempt>()->upstream.id == InstanceId("two"));
 }
 
-TEST(LimitedUpstreamTest, NoPermitIsAskedForWhileOthersAreBetter)
+TEST(LimitedUpstreamTest, NoPermitIsRequestedWhileOthersRankHigher)
 {
     start(1, {"one"});
     UpstreamRecord far = record("two");
