--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -147,7 +147,7 @@
     UNSIGNED_LONGS_EQUAL(0, core->takePermitAsks(at(1)).size());
 }
 
-TEST(LimitedUpstreamTest, SecondTriesLeaveItAloneWithoutAPermit)
+TEST(LimitedUpstreamTest, RetryIsNotSentWithoutAPermit)
 {
     learnLimit("one", 0);
     const RequestNumber number = begin(Kind::Repeatable, 1);
