--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -156,7 +156,7 @@
     CHECK_TRUE(last<StartAttempt>() == nullptr);
 }
 
-TEST(LimitedUpstreamTest, RequestWaitsForAPermitWhereThereIsNothingElse)
+TEST(LimitedUpstreamTest, RequestWaitsForAPermitIfThereIsNoOtherUpstream)
 {
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         start(1, {"one"});
