--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -168,7 +168,7 @@
     }
 }
 
-TEST(LimitedUpstreamTest, RequestIsRejectedAtOnceWhenNoPermitCanComeInTime)
+TEST(LimitedUpstreamTest, RequestIsRejectedAtOnceIfNoPermitCanArriveInTime)
 {
     start(1, {"one"});
     learnLimit("one", 0);
