--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -180,7 +180,7 @@
     CHECK_TRUE(last<RejectRequest>()->retryAfter == Duration(std::chrono::milliseconds(800)));
 }
 
-TEST(LimitedUpstreamTest, WaitThatIsNotAnsweredEnds)
+TEST(LimitedUpstreamTest, WaitForAPermitTimesOut)
 {
     start(1, {"one"});
     learnLimit("one", 0);
