--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -194,7 +194,7 @@
     UNSIGNED_LONGS_EQUAL(0, core->inFlight());
 }
 
-TEST(LimitedUpstreamTest, CallerThatLeavesWaitsNoMore)
+TEST(LimitedUpstreamTest, DisconnectedCallerDoesNotUseThePermit)
 {
     start(1, {"one"});
     learnLimit("one", 0);
