--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -204,7 +204,7 @@
     CHECK_TRUE(last<StartAttempt>() == nullptr);
 }
 
-TEST(LimitedUpstreamTest, NewStartGetsRequestsUntilItNamesALimit)
+TEST(LimitedUpstreamTest, RestartedUpstreamHasNoLimit)
 {
     start(1, {"one"});
     learnLimit("one", 0);
