--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -215,7 +215,7 @@
 
 // Every order of events that a seed draws: each request that goes to an upstream that names a limit
 // has a permit of its own.
-TEST(LimitedUpstreamTest, NoScheduleSendsThereWithoutAPermit)
+TEST(LimitedUpstreamTest, NoScheduleSendsWithoutAPermit)
 {
     const char *asked = std::getenv("SEAMARCH_SEEDS");
     const int seeds = asked == nullptr ? 400 : std::atoi(asked);
