--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -92,7 +92,7 @@
     }
 
     // Answers every question that is due. Returns how many there were.
-    std::size_t answerAsks(const PermitGrant &answer, int now)
+    std::size_t answerQueries(const PermitGrant &answer, int now)
     {
         actions.clear();
         const auto asks = core->takePermitAsks(at(now));
@@ -129,7 +129,7 @@
     learnLimit("one", 0);
     begin(Kind::Repeatable, 1);
     begin(Kind::Repeatable, 1);
-    UNSIGNED_LONGS_EQUAL(1, answerAsks({1, Duration{}}, 2));
+    UNSIGNED_LONGS_EQUAL(1, answerQueries({1, Duration{}}, 2));
     begin(Kind::Repeatable, 3);
     CHECK_TRUE(last<StartAttempt>()->upstream.id == InstanceId("one"));
     begin(Kind::Repeatable, 4);
@@ -163,7 +163,7 @@
         learnLimit("one", 0);
         begin(kind, 1);
         CHECK_TRUE(actions.empty());
-        UNSIGNED_LONGS_EQUAL(1, answerAsks({1, Duration{}}, 5));
+        UNSIGNED_LONGS_EQUAL(1, answerQueries({1, Duration{}}, 5));
         CHECK_TRUE(last<StartAttempt>()->upstream.id == InstanceId("one"));
     }
 }
@@ -173,7 +173,7 @@
     start(1, {"one"});
     learnLimit("one", 0);
     begin(Kind::Repeatable, 1);
-    UNSIGNED_LONGS_EQUAL(1, answerAsks({0, std::chrono::milliseconds(900)}, 5));
+    UNSIGNED_LONGS_EQUAL(1, answerQueries({0, std::chrono::milliseconds(900)}, 5));
     CHECK_TRUE(last<RejectRequest>()->outcome == Outcome::NotRun);
     CHECK_TRUE(last<RejectRequest>()->retryAfter == Duration(std::chrono::milliseconds(900)));
     begin(Kind::AtMostOnce, 105);
@@ -200,7 +200,7 @@
     learnLimit("one", 0);
     const RequestNumber number = begin(Kind::Repeatable, 1);
     core->onCallerGone(number, actions);
-    answerAsks({1, Duration{}}, 5);
+    answerQueries({1, Duration{}}, 5);
     CHECK_TRUE(last<StartAttempt>() == nullptr);
 }
 
