--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -95,11 +95,11 @@
     std::size_t answerQueries(const PermitGrant &answer, int now)
     {
         actions.clear();
-        const auto asks = core->takePermitAsks(at(now));
-        for (const SendPermits::Query &ask : asks) {
+        const auto queries = core->takePermitAsks(at(now));
+        for (const SendPermits::Query &ask : queries) {
             core->onPermits(ask.upstream, answer, at(now), at(now), actions);
         }
-        return asks.size();
+        return queries.size();
     }
 };
 
--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -99,10 +99,10 @@
 {
     core->upstreams().put(record("one", 5000));
     CHECK_TRUE(begin(Kind::Repeatable, 10) == nullptr);
-    const auto asks = core->takePermitAsks(at(10));
-    UNSIGNED_LONGS_EQUAL(1, asks.size());
+    const auto queries = core->takePermitAsks(at(10));
+    UNSIGNED_LONGS_EQUAL(1, queries.size());
     actions.clear();
-    core->onPermits(asks[0].upstream, {1, Duration{}}, at(10), at(14), actions);
+    core->onPermits(queries[0].upstream, {1, Duration{}}, at(10), at(14), actions);
     UNSIGNED_LONGS_EQUAL(1, actions.size());
     CHECK_TRUE(begin(Kind::Repeatable, 15) == nullptr);
 }
