--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -96,8 +96,8 @@
     {
         actions.clear();
         const auto queries = core->takePermitAsks(at(now));
-        for (const SendPermits::Query &ask : queries) {
-            core->onPermits(ask.upstream, answer, at(now), at(now), actions);
+        for (const SendPermits::Query &query : queries) {
+            core->onPermits(query.upstream, answer, at(now), at(now), actions);
         }
         return queries.size();
     }
@@ -266,12 +266,13 @@
                 core->upstreams().replaceAll(listed, at(now));
                 break;
             case 6:
-                for (const SendPermits::Query &ask : core->takePermitAsks(at(now))) {
+                for (const SendPermits::Query &query : core->takePermitAsks(at(now))) {
                     if (draw(3) != 0) {
                         const auto count = static_cast<std::uint32_t>(draw(3));
-                        granted[ask.upstream] += count;
-                        core->onPermits(ask.upstream, {count, std::chrono::milliseconds(draw(300))},
-                                        at(now), at(now), actions);
+                        granted[query.upstream] += count;
+                        core->onPermits(query.upstream,
+                                        {count, std::chrono::milliseconds(draw(300))}, at(now),
+                                        at(now), actions);
                     }
                 }
                 break;
