--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -217,8 +217,8 @@
 // has a permit of its own.
 TEST(LimitedUpstreamTest, NoScheduleSendsWithoutAPermit)
 {
-    const char *asked = std::getenv("SEAMARCH_SEEDS");
-    const int seeds = asked == nullptr ? 400 : std::atoi(asked);
+    const char *seedCount = std::getenv("SEAMARCH_SEEDS");
+    const int seeds = seedCount == nullptr ? 400 : std::atoi(seedCount);
     const std::vector<std::string> ids{"one", "two", "three"};
     for (int seed = 1; seed <= seeds; ++seed) {
         start(static_cast<std::uint64_t>(seed), ids);
--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -150,8 +150,8 @@
 // Every order of events that a seed draws; more seeds by hand with SEAMARCH_SEEDS.
 TEST(ResidencyTest, NoScheduleSendsToAnotherRegionOrToADrainedHall)
 {
-    const char *asked = std::getenv("SEAMARCH_SEEDS");
-    const int seeds = asked == nullptr ? 400 : std::atoi(asked);
+    const char *seedCount = std::getenv("SEAMARCH_SEEDS");
+    const int seeds = seedCount == nullptr ? 400 : std::atoi(seedCount);
     const std::array residencies{Residency(), boundTo({kCentre}), boundTo({kCoast}),
                                  boundTo({kCentre, kCoast})};
     for (int seed = 1; seed <= seeds; ++seed) {
--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -223,8 +223,8 @@
 // Every order of events that a seed draws. What a gateway was asked for holds at each send.
 TEST(RestingUpstreamTest, NoScheduleSendsToOneThatRestsOrLeaves)
 {
-    const char *asked = std::getenv("SEAMARCH_SEEDS");
-    const int seeds = asked == nullptr ? 400 : std::atoi(asked);
+    const char *seedCount = std::getenv("SEAMARCH_SEEDS");
+    const int seeds = seedCount == nullptr ? 400 : std::atoi(seedCount);
     const std::vector<std::string> ids{"one", "two", "three", "four"};
     for (int seed = 1; seed <= seeds; ++seed) {
         start(static_cast<std::uint64_t>(seed), ids);
--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -87,8 +87,8 @@
 // hand: SEAMARCH_SEEDS.
 TEST(UpstreamHistoryTest, ListWithItsChangesIsTheListOfTheTeller)
 {
-    const char *asked = std::getenv("SEAMARCH_SEEDS");
-    const int seeds = asked == nullptr ? 200 : std::atoi(asked);
+    const char *seedCount = std::getenv("SEAMARCH_SEEDS");
+    const int seeds = seedCount == nullptr ? 200 : std::atoi(seedCount);
     for (int seed = 1; seed <= seeds; ++seed) {
         std::mt19937_64 random(static_cast<std::uint64_t>(seed));
         UpstreamHistory teller;
