--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -86,7 +86,7 @@
         return found;
     }
 
-    void learnLimit(const std::string &id, int now, std::optional<RequestRate> limit = kLimit)
+    void addLimit(const std::string &id, int now, std::optional<RequestRate> limit = kLimit)
     {
         core->limits().merge({InstanceId(id), UpstreamStart(1), limit, at(now)}, at(now));
     }
@@ -115,7 +115,7 @@
 
 TEST(LimitedUpstreamTest, RequestsWithoutAPermitGoToOtherUpstreams)
 {
-    learnLimit("one", 0);
+    addLimit("one", 0);
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         for (int count = 0; count < 6; ++count) {
             begin(kind, 1);
@@ -126,7 +126,7 @@
 
 TEST(LimitedUpstreamTest, PermitAdmitsOneRequest)
 {
-    learnLimit("one", 0);
+    addLimit("one", 0);
     begin(Kind::Repeatable, 1);
     begin(Kind::Repeatable, 1);
     UNSIGNED_LONGS_EQUAL(1, answerQueries({1, Duration{}}, 2));
@@ -142,14 +142,14 @@
     UpstreamRecord far = record("two");
     far.hall = HallId("south");
     core->upstreams().put(far);
-    learnLimit("two", 0);
+    addLimit("two", 0);
     begin(Kind::Repeatable, 1);
     UNSIGNED_LONGS_EQUAL(0, core->takePermitAsks(at(1)).size());
 }
 
 TEST(LimitedUpstreamTest, RetryIsNotSentWithoutAPermit)
 {
-    learnLimit("one", 0);
+    addLimit("one", 0);
     const RequestNumber number = begin(Kind::Repeatable, 1);
     actions.clear();
     core->onHead(number, AnswerKind::Full, at(5), actions);
@@ -160,7 +160,7 @@
 {
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         start(1, {"one"});
-        learnLimit("one", 0);
+        addLimit("one", 0);
         begin(kind, 1);
         CHECK_TRUE(actions.empty());
         UNSIGNED_LONGS_EQUAL(1, answerQueries({1, Duration{}}, 5));
@@ -171,7 +171,7 @@
 TEST(LimitedUpstreamTest, RequestIsRejectedAtOnceIfNoPermitCanArriveInTime)
 {
     start(1, {"one"});
-    learnLimit("one", 0);
+    addLimit("one", 0);
     begin(Kind::Repeatable, 1);
     UNSIGNED_LONGS_EQUAL(1, answerQueries({0, std::chrono::milliseconds(900)}, 5));
     CHECK_TRUE(last<RejectRequest>()->outcome == Outcome::NotRun);
@@ -183,7 +183,7 @@
 TEST(LimitedUpstreamTest, WaitForAPermitTimesOut)
 {
     start(1, {"one"});
-    learnLimit("one", 0);
+    addLimit("one", 0);
     begin(Kind::Repeatable, 1);
     core->takePermitAsks(at(1));
     actions.clear();
@@ -197,7 +197,7 @@
 TEST(LimitedUpstreamTest, DisconnectedCallerDoesNotUseThePermit)
 {
     start(1, {"one"});
-    learnLimit("one", 0);
+    addLimit("one", 0);
     const RequestNumber number = begin(Kind::Repeatable, 1);
     core->onCallerGone(number, actions);
     answerQueries({1, Duration{}}, 5);
@@ -207,7 +207,7 @@
 TEST(LimitedUpstreamTest, RestartedUpstreamHasNoLimit)
 {
     start(1, {"one"});
-    learnLimit("one", 0);
+    addLimit("one", 0);
     core->upstreams().put(record("one", 2));
     begin(Kind::Repeatable, 1);
     CHECK_TRUE(last<StartAttempt>() != nullptr);
