--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -82,8 +82,8 @@
     {
         const Action *found = nullptr;
         for (const GatewayAction &action : actions) {
-            const auto *each = std::get_if<Action>(&action);
-            found = each == nullptr ? found : each;
+            const auto *matching = std::get_if<Action>(&action);
+            found = matching == nullptr ? found : matching;
         }
         return found;
     }
