--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -33,7 +33,7 @@
     return TimePoint(std::chrono::milliseconds(millis + 1));
 }
 
-struct World
+struct Scenario
 {
     std::size_t gateways = 7;
     double limit = 1.0;
@@ -83,7 +83,7 @@
 class Model
 {
 public:
-    explicit Model(const World &world)
+    explicit Model(const Scenario &world)
         : world_(world)
         , random_(world.seed)
         , gateways_(world.gateways)
@@ -205,7 +205,7 @@
     static InstanceId idOf(std::size_t index) { return InstanceId(fmt::format("g-{}", index)); }
 
     inline static const InstanceId kUpstream{"up"};
-    World world_;
+    Scenario world_;
     std::mt19937_64 random_;
     std::vector<Gateway> gateways_;
     std::priority_queue<Message, std::vector<Message>, std::greater<>> messages_;
@@ -219,7 +219,7 @@
     return 1.5 * limit * kSpanMs / 1000.0 + 5.0;
 }
 
-void checkBorne(const World &world, const Found &found)
+void checkBorne(const Scenario &world, const Found &found)
 {
     CHECK_TEXT(found.most <= borne(world.limit),
                fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, {} are borne",
@@ -228,13 +228,13 @@
 }
 
 // Returns a world that is drawn at random.
-World drawn(std::uint64_t seed)
+Scenario drawn(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     const auto between = [&random](double least, double most) {
         return std::uniform_real_distribution<>(least, most)(random);
     };
-    World world;
+    Scenario world;
     world.seed = seed;
     world.gateways = 2 + static_cast<std::size_t>(between(0.0, 12.0));
     world.limit = std::exp(between(std::log(0.1), std::log(40.0)));
@@ -257,7 +257,7 @@
 {
     for (const std::size_t gateways : {7U, 149U, 340U}) {
         for (const double limit : {0.2, 1.0, 1.3, 20.0, 500.0}) {
-            World world;
+            Scenario world;
             world.gateways = gateways;
             world.limit = limit;
             world.millis = 12000;
@@ -271,7 +271,7 @@
     for (const std::size_t gateways : {7U, 149U, 340U}) {
         for (const double limit : {1.0, 1.3, 20.0}) {
             for (const std::size_t busy : {std::size_t{1}, std::size_t{0}}) {
-                World world;
+                Scenario world;
                 world.gateways = gateways;
                 world.limit = limit;
                 world.busy = busy;
@@ -290,7 +290,7 @@
 
 TEST(SharedLimitTest, OneThatTakesNothingIsAskedNowAndThen)
 {
-    World world;
+    Scenario world;
     world.limit = 0.0;
     world.millis = 60000;
     const Found found = Model(world).run();
@@ -331,7 +331,7 @@
     const char *wanted = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
     const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const World world = drawn(seed);
+        const Scenario world = drawn(seed);
         checkBorne(world, Model(world).run());
     }
 }
@@ -345,9 +345,9 @@
 }
 
 // A world before an upstream that warms up and bears `rate` a second.
-World warmingWorld(double rate, const WarmUpBounds &bounds)
+Scenario warmingWorld(double rate, const WarmUpBounds &bounds)
 {
-    World world;
+    Scenario world;
     world.limit = warmUpLimit(RequestRate(rate), bounds).perSecond();
     world.spanMs = 1000;
     world.parts = 3;
@@ -355,12 +355,12 @@
 }
 
 // Returns a world that is drawn at random, before an upstream that bears `rate` a second.
-World drawnWarming(std::uint64_t seed, double &rate)
+Scenario drawnWarming(std::uint64_t seed, double &rate)
 {
     std::mt19937_64 random(seed);
     rate = std::exp(std::uniform_real_distribution<>(std::log(2.0), std::log(100.0))(random));
-    const World warming = warmingWorld(rate, WarmUpBounds());
-    World world = drawn(seed);
+    const Scenario warming = warmingWorld(rate, WarmUpBounds());
+    Scenario world = drawn(seed);
     world.limit = warming.limit;
     world.spanMs = warming.spanMs;
     world.parts = warming.parts;
@@ -369,7 +369,7 @@
     return world;
 }
 
-std::string foundText(const World &world, const Found &found, double borne)
+std::string foundText(const Scenario &world, const Found &found, double borne)
 {
     return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, {} "
                        "are borne",
@@ -384,7 +384,7 @@
 {
     for (const std::size_t gateways : {7U, 43U, 67U, 531U}) {
         for (const double rate : {2.0, 26.0, 60.0}) {
-            World world = warmingWorld(rate, WarmUpBounds());
+            Scenario world = warmingWorld(rate, WarmUpBounds());
             world.gateways = gateways;
             world.millis = 8000;
             world.cutFrom = 3000;
@@ -399,7 +399,7 @@
 TEST(WarmUpLimitTest, BoundHoldsAlsoWithoutSlack)
 {
     const WarmUpBounds bounds{1.0, 0.0};
-    World world = warmingWorld(26.0, bounds);
+    Scenario world = warmingWorld(26.0, bounds);
     world.gateways = 43;
     world.cutFrom = 2000;
     world.cutUntil = 20000;
@@ -411,7 +411,7 @@
 // Where all of a service warm up, what they bear is used: an issuer hands out 6.8 a second here.
 TEST(WarmUpLimitTest, HalfOfWhatIsHandedOutIsUsedWhereThereIsNothingElse)
 {
-    World world = warmingWorld(26.0, WarmUpBounds());
+    Scenario world = warmingWorld(26.0, WarmUpBounds());
     world.gateways = 43;
     world.millis = 20000;
     const Found found = Model(world).run();
@@ -422,7 +422,7 @@
 
 TEST(WarmUpLimitTest, PermitsByTheWholeRateAreCaught)
 {
-    World world = warmingWorld(26.0, WarmUpBounds());
+    Scenario world = warmingWorld(26.0, WarmUpBounds());
     world.gateways = 43;
     world.limit = 26.0 / kIssuedShare;
     world.cutFrom = 2000;
@@ -437,7 +437,7 @@
     const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         double rate = 0.0;
-        const World world = drawnWarming(seed, rate);
+        const Scenario world = drawnWarming(seed, rate);
         const Found found = Model(world).run();
         const double borne = borneInASecond(rate, WarmUpBounds());
         CHECK_TEXT(found.most <= borne, foundText(world, found, borne).c_str());
