--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -84,17 +84,17 @@
 {
 public:
     explicit Model(const Scenario &world)
-        : world_(world)
+        : scenario_(world)
         , random_(world.seed)
         , gateways_(world.gateways)
     {}
 
     Found run()
     {
-        for (now_ = 0; now_ < world_.millis; ++now_) {
+        for (now_ = 0; now_ < scenario_.millis; ++now_) {
             disturb();
             deliver();
-            const std::size_t busy = world_.busy == 0 ? gateways_.size() : world_.busy;
+            const std::size_t busy = scenario_.busy == 0 ? gateways_.size() : scenario_.busy;
             for (std::size_t index = 0; index < busy; ++index) {
                 if (gateways_[index].standsUntil <= now_) {
                     step(index);
@@ -108,19 +108,22 @@
     bool chance(double part) { return std::uniform_real_distribution<>(0.0, 1.0)(random_) < part; }
     int draw(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
 
-    bool cut() const { return now_ >= world_.cutFrom && now_ < world_.cutUntil; }
-    std::size_t partOf(std::size_t index) const { return index * world_.parts / gateways_.size(); }
+    bool cut() const { return now_ >= scenario_.cutFrom && now_ < scenario_.cutUntil; }
+    std::size_t partOf(std::size_t index) const
+    {
+        return index * scenario_.parts / gateways_.size();
+    }
 
     // Each part has one that it asks, its first.
     std::size_t issuerFor(std::size_t index) const
     {
         const std::size_t part = cut() ? partOf(index) : 0;
-        return (part * gateways_.size() + world_.parts - 1) / world_.parts;
+        return (part * gateways_.size() + scenario_.parts - 1) / scenario_.parts;
     }
 
     void disturb()
     {
-        if (!chance(world_.trouble / 1000.0)) {
+        if (!chance(scenario_.trouble / 1000.0)) {
             return;
         }
         Gateway &gateway =
@@ -136,10 +139,10 @@
 
     void send(Message message)
     {
-        if (chance(world_.lost)) {
+        if (chance(scenario_.lost)) {
             return;
         }
-        message.at = now_ + 1 + draw(world_.mostDelay);
+        message.at = now_ + 1 + draw(scenario_.mostDelay);
         messages_.push(message);
     }
 
@@ -164,7 +167,7 @@
                 ++found_.questions;
                 Message answer{0, message.to, message.from,    true,
                                0, {},         message.askedAt, message.life};
-                answer.answer = gateway.issuer.issue(kUpstream, RequestRate(world_.limit),
+                answer.answer = gateway.issuer.issue(kUpstream, RequestRate(scenario_.limit),
                                                      idOf(message.from), message.wanted, at(now_));
                 send(answer);
             }
@@ -174,7 +177,7 @@
     void step(std::size_t index)
     {
         Gateway &gateway = gateways_[index];
-        if (chance(world_.wantsPerSecond / 1000.0)) {
+        if (chance(scenario_.wantsPerSecond / 1000.0)) {
             if (gateway.permits.has(kUpstream, at(now_))) {
                 gateway.permits.consume(kUpstream, at(now_));
                 arrive();
@@ -194,7 +197,7 @@
     void arrive()
     {
         arrivals_.push_back(now_);
-        while (arrivals_.front() <= now_ - world_.spanMs) {
+        while (arrivals_.front() <= now_ - scenario_.spanMs) {
             arrivals_.pop_front();
         }
         found_.most = std::max(found_.most, static_cast<int>(arrivals_.size()));
@@ -205,7 +208,7 @@
     static InstanceId idOf(std::size_t index) { return InstanceId(fmt::format("g-{}", index)); }
 
     inline static const InstanceId kUpstream{"up"};
-    Scenario world_;
+    Scenario scenario_;
     std::mt19937_64 random_;
     std::vector<Gateway> gateways_;
     std::priority_queue<Message, std::vector<Message>, std::greater<>> messages_;
