--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -83,10 +83,10 @@
 class Model
 {
 public:
-    explicit Model(const Scenario &world)
-        : scenario_(world)
-        , random_(world.seed)
-        , gateways_(world.gateways)
+    explicit Model(const Scenario &scenario)
+        : scenario_(scenario)
+        , random_(scenario.seed)
+        , gateways_(scenario.gateways)
     {}
 
     Found run()
@@ -222,11 +222,12 @@
     return 1.5 * limit * kSpanMs / 1000.0 + 5.0;
 }
 
-void checkBorne(const Scenario &world, const Found &found)
+void checkBorne(const Scenario &scenario, const Found &found)
 {
-    CHECK_TEXT(found.most <= borne(world.limit),
+    CHECK_TEXT(found.most <= borne(scenario.limit),
                fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, {} are borne",
-                           world.seed, world.gateways, world.limit, found.most, borne(world.limit))
+                           scenario.seed, scenario.gateways, scenario.limit, found.most,
+                           borne(scenario.limit))
                    .c_str());
 }
 
@@ -237,19 +238,19 @@
     const auto between = [&random](double least, double most) {
         return std::uniform_real_distribution<>(least, most)(random);
     };
-    Scenario world;
-    world.seed = seed;
-    world.gateways = 2 + static_cast<std::size_t>(between(0.0, 12.0));
-    world.limit = std::exp(between(std::log(0.1), std::log(40.0)));
-    world.wantsPerSecond = between(0.5, 40.0);
-    world.busy = between(0.0, 1.0) < 0.3 ? 1 : 0;
-    world.mostDelay = static_cast<int>(between(0.0, 200.0));
-    world.lost = between(0.0, 0.3);
-    world.trouble = between(0.0, 1.0);
-    world.cutFrom = static_cast<int>(between(0.0, 10000.0));
-    world.cutUntil = world.cutFrom + static_cast<int>(between(0.0, 8000.0));
-    world.millis = 15000;
-    return world;
+    Scenario scenario;
+    scenario.seed = seed;
+    scenario.gateways = 2 + static_cast<std::size_t>(between(0.0, 12.0));
+    scenario.limit = std::exp(between(std::log(0.1), std::log(40.0)));
+    scenario.wantsPerSecond = between(0.5, 40.0);
+    scenario.busy = between(0.0, 1.0) < 0.3 ? 1 : 0;
+    scenario.mostDelay = static_cast<int>(between(0.0, 200.0));
+    scenario.lost = between(0.0, 0.3);
+    scenario.trouble = between(0.0, 1.0);
+    scenario.cutFrom = static_cast<int>(between(0.0, 10000.0));
+    scenario.cutUntil = scenario.cutFrom + static_cast<int>(between(0.0, 8000.0));
+    scenario.millis = 15000;
+    return scenario;
 }
 
 } // namespace
@@ -260,11 +261,11 @@
 {
     for (const std::size_t gateways : {7U, 149U, 340U}) {
         for (const double limit : {0.2, 1.0, 1.3, 20.0, 500.0}) {
-            Scenario world;
-            world.gateways = gateways;
-            world.limit = limit;
-            world.millis = 12000;
-            checkBorne(world, Model(world).run());
+            Scenario scenario;
+            scenario.gateways = gateways;
+            scenario.limit = limit;
+            scenario.millis = 12000;
+            checkBorne(scenario, Model(scenario).run());
         }
     }
 }
@@ -274,14 +275,14 @@
     for (const std::size_t gateways : {7U, 149U, 340U}) {
         for (const double limit : {1.0, 1.3, 20.0}) {
             for (const std::size_t busy : {std::size_t{1}, std::size_t{0}}) {
-                Scenario world;
-                world.gateways = gateways;
-                world.limit = limit;
-                world.busy = busy;
-                world.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
-                world.millis = 40000;
-                const Found found = Model(world).run();
-                const double part = found.total / (limit * world.millis / 1000.0);
+                Scenario scenario;
+                scenario.gateways = gateways;
+                scenario.limit = limit;
+                scenario.busy = busy;
+                scenario.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
+                scenario.millis = 40000;
+                const Found found = Model(scenario).run();
+                const double part = found.total / (limit * scenario.millis / 1000.0);
                 CHECK_TEXT(part >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
                                        busy, limit, part)
@@ -293,11 +294,11 @@
 
 TEST(SharedLimitTest, OneThatTakesNothingIsAskedNowAndThen)
 {
-    Scenario world;
-    world.limit = 0.0;
-    world.millis = 60000;
-    const Found found = Model(world).run();
-    checkBorne(world, found);
+    Scenario scenario;
+    scenario.limit = 0.0;
+    scenario.millis = 60000;
+    const Found found = Model(scenario).run();
+    checkBorne(scenario, found);
     CHECK_TRUE(found.total >= 1);
     CHECK_TRUE(found.total <= 7);
 }
@@ -334,8 +335,8 @@
     const char *wanted = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
     const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const Scenario world = drawn(seed);
-        checkBorne(world, Model(world).run());
+        const Scenario scenario = drawn(seed);
+        checkBorne(scenario, Model(scenario).run());
     }
 }
 
@@ -350,11 +351,11 @@
 // A world before an upstream that warms up and bears `rate` a second.
 Scenario warmingWorld(double rate, const WarmUpBounds &bounds)
 {
-    Scenario world;
-    world.limit = warmUpLimit(RequestRate(rate), bounds).perSecond();
-    world.spanMs = 1000;
-    world.parts = 3;
-    return world;
+    Scenario scenario;
+    scenario.limit = warmUpLimit(RequestRate(rate), bounds).perSecond();
+    scenario.spanMs = 1000;
+    scenario.parts = 3;
+    return scenario;
 }
 
 // Returns a world that is drawn at random, before an upstream that bears `rate` a second.
@@ -363,20 +364,20 @@
     std::mt19937_64 random(seed);
     rate = std::exp(std::uniform_real_distribution<>(std::log(2.0), std::log(100.0))(random));
     const Scenario warming = warmingWorld(rate, WarmUpBounds());
-    Scenario world = drawn(seed);
-    world.limit = warming.limit;
-    world.spanMs = warming.spanMs;
-    world.parts = warming.parts;
-    world.gateways += 3;
-    world.millis = 8000;
-    return world;
+    Scenario scenario = drawn(seed);
+    scenario.limit = warming.limit;
+    scenario.spanMs = warming.spanMs;
+    scenario.parts = warming.parts;
+    scenario.gateways += 3;
+    scenario.millis = 8000;
+    return scenario;
 }
 
-std::string foundText(const Scenario &world, const Found &found, double borne)
+std::string foundText(const Scenario &scenario, const Found &found, double borne)
 {
     return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, {} "
                        "are borne",
-                       world.seed, world.gateways, world.limit, found.most, borne);
+                       scenario.seed, scenario.gateways, scenario.limit, found.most, borne);
 }
 
 } // namespace
@@ -387,14 +388,14 @@
 {
     for (const std::size_t gateways : {7U, 43U, 67U, 531U}) {
         for (const double rate : {2.0, 26.0, 60.0}) {
-            Scenario world = warmingWorld(rate, WarmUpBounds());
-            world.gateways = gateways;
-            world.millis = 8000;
-            world.cutFrom = 3000;
-            world.cutUntil = 8000;
-            const Found found = Model(world).run();
+            Scenario scenario = warmingWorld(rate, WarmUpBounds());
+            scenario.gateways = gateways;
+            scenario.millis = 8000;
+            scenario.cutFrom = 3000;
+            scenario.cutUntil = 8000;
+            const Found found = Model(scenario).run();
             const double borne = borneInASecond(rate, WarmUpBounds());
-            CHECK_TEXT(found.most <= borne, foundText(world, found, borne).c_str());
+            CHECK_TEXT(found.most <= borne, foundText(scenario, found, borne).c_str());
         }
     }
 }
@@ -402,35 +403,35 @@
 TEST(WarmUpLimitTest, BoundHoldsAlsoWithoutSlack)
 {
     const WarmUpBounds bounds{1.0, 0.0};
-    Scenario world = warmingWorld(26.0, bounds);
-    world.gateways = 43;
-    world.cutFrom = 2000;
-    world.cutUntil = 20000;
-    const Found found = Model(world).run();
+    Scenario scenario = warmingWorld(26.0, bounds);
+    scenario.gateways = 43;
+    scenario.cutFrom = 2000;
+    scenario.cutUntil = 20000;
+    const Found found = Model(scenario).run();
     CHECK_TEXT(found.most <= borneInASecond(26.0, bounds),
-               foundText(world, found, borneInASecond(26.0, bounds)).c_str());
+               foundText(scenario, found, borneInASecond(26.0, bounds)).c_str());
 }
 
 // Where all of a service warm up, what they bear is used: an issuer hands out 6.8 a second here.
 TEST(WarmUpLimitTest, HalfOfWhatIsHandedOutIsUsedWhereThereIsNothingElse)
 {
-    Scenario world = warmingWorld(26.0, WarmUpBounds());
-    world.gateways = 43;
-    world.millis = 20000;
-    const Found found = Model(world).run();
-    const double handedOut = world.limit * kIssuedShare * world.millis / 1000.0;
+    Scenario scenario = warmingWorld(26.0, WarmUpBounds());
+    scenario.gateways = 43;
+    scenario.millis = 20000;
+    const Found found = Model(scenario).run();
+    const double handedOut = scenario.limit * kIssuedShare * scenario.millis / 1000.0;
     CHECK_TEXT(found.total >= 0.5 * handedOut,
                fmt::format("{} requests of {:.0f}", found.total, handedOut).c_str());
 }
 
 TEST(WarmUpLimitTest, PermitsByTheWholeRateAreCaught)
 {
-    Scenario world = warmingWorld(26.0, WarmUpBounds());
-    world.gateways = 43;
-    world.limit = 26.0 / kIssuedShare;
-    world.cutFrom = 2000;
-    world.cutUntil = 20000;
-    CHECK_TRUE(Model(world).run().most > borneInASecond(26.0, WarmUpBounds()));
+    Scenario scenario = warmingWorld(26.0, WarmUpBounds());
+    scenario.gateways = 43;
+    scenario.limit = 26.0 / kIssuedShare;
+    scenario.cutFrom = 2000;
+    scenario.cutUntil = 20000;
+    CHECK_TRUE(Model(scenario).run().most > borneInASecond(26.0, WarmUpBounds()));
 }
 
 // More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
@@ -440,9 +441,9 @@
     const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         double rate = 0.0;
-        const Scenario world = drawnWarming(seed, rate);
-        const Found found = Model(world).run();
+        const Scenario scenario = drawnWarming(seed, rate);
+        const Found found = Model(scenario).run();
         const double borne = borneInASecond(rate, WarmUpBounds());
-        CHECK_TEXT(found.most <= borne, foundText(world, found, borne).c_str());
+        CHECK_TEXT(found.most <= borne, foundText(scenario, found, borne).c_str());
     }
 }
