--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -50,7 +50,7 @@
     std::uint64_t seed = 1;
 };
 
-struct Found
+struct Result
 {
     int most = 0;  // Requests in the worst 4 s.
     int total = 0; // Requests over the run.
@@ -89,7 +89,7 @@
         , gateways_(scenario.gateways)
     {}
 
-    Found run()
+    Result run()
     {
         for (now_ = 0; now_ < scenario_.millis; ++now_) {
             disturb();
@@ -214,7 +214,7 @@
     std::priority_queue<Message, std::vector<Message>, std::greater<>> messages_;
     std::deque<int> arrivals_;
     int now_ = 0;
-    Found found_;
+    Result found_;
 };
 
 double borne(double limit)
@@ -222,7 +222,7 @@
     return 1.5 * limit * kSpanMs / 1000.0 + 5.0;
 }
 
-void checkBorne(const Scenario &scenario, const Found &found)
+void checkBorne(const Scenario &scenario, const Result &found)
 {
     CHECK_TEXT(found.most <= borne(scenario.limit),
                fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, {} are borne",
@@ -281,7 +281,7 @@
                 scenario.busy = busy;
                 scenario.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
                 scenario.millis = 40000;
-                const Found found = Model(scenario).run();
+                const Result found = Model(scenario).run();
                 const double part = found.total / (limit * scenario.millis / 1000.0);
                 CHECK_TEXT(part >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
@@ -297,7 +297,7 @@
     Scenario scenario;
     scenario.limit = 0.0;
     scenario.millis = 60000;
-    const Found found = Model(scenario).run();
+    const Result found = Model(scenario).run();
     checkBorne(scenario, found);
     CHECK_TRUE(found.total >= 1);
     CHECK_TRUE(found.total <= 7);
@@ -373,7 +373,7 @@
     return scenario;
 }
 
-std::string foundText(const Scenario &scenario, const Found &found, double borne)
+std::string foundText(const Scenario &scenario, const Result &found, double borne)
 {
     return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, {} "
                        "are borne",
@@ -393,7 +393,7 @@
             scenario.millis = 8000;
             scenario.cutFrom = 3000;
             scenario.cutUntil = 8000;
-            const Found found = Model(scenario).run();
+            const Result found = Model(scenario).run();
             const double borne = borneInASecond(rate, WarmUpBounds());
             CHECK_TEXT(found.most <= borne, foundText(scenario, found, borne).c_str());
         }
@@ -407,7 +407,7 @@
     scenario.gateways = 43;
     scenario.cutFrom = 2000;
     scenario.cutUntil = 20000;
-    const Found found = Model(scenario).run();
+    const Result found = Model(scenario).run();
     CHECK_TEXT(found.most <= borneInASecond(26.0, bounds),
                foundText(scenario, found, borneInASecond(26.0, bounds)).c_str());
 }
@@ -418,7 +418,7 @@
     Scenario scenario = warmingWorld(26.0, WarmUpBounds());
     scenario.gateways = 43;
     scenario.millis = 20000;
-    const Found found = Model(scenario).run();
+    const Result found = Model(scenario).run();
     const double handedOut = scenario.limit * kIssuedShare * scenario.millis / 1000.0;
     CHECK_TEXT(found.total >= 0.5 * handedOut,
                fmt::format("{} requests of {:.0f}", found.total, handedOut).c_str());
@@ -442,7 +442,7 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         double rate = 0.0;
         const Scenario scenario = drawnWarming(seed, rate);
-        const Found found = Model(scenario).run();
+        const Result found = Model(scenario).run();
         const double borne = borneInASecond(rate, WarmUpBounds());
         CHECK_TEXT(found.most <= borne, foundText(scenario, found, borne).c_str());
     }
