--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -101,7 +101,7 @@
                 }
             }
         }
-        return found_;
+        return result_;
     }
 
 private:
@@ -164,7 +164,7 @@
                                              at(now_));
                 }
             } else {
-                ++found_.questions;
+                ++result_.questions;
                 Message answer{0, message.to, message.from,    true,
                                0, {},         message.askedAt, message.life};
                 answer.answer = gateway.issuer.issue(kUpstream, RequestRate(scenario_.limit),
@@ -200,9 +200,9 @@
         while (arrivals_.front() <= now_ - scenario_.spanMs) {
             arrivals_.pop_front();
         }
-        found_.most = std::max(found_.most, static_cast<int>(arrivals_.size()));
-        found_.firstMs = found_.firstMs < 0 ? now_ : found_.firstMs;
-        ++found_.total;
+        result_.most = std::max(result_.most, static_cast<int>(arrivals_.size()));
+        result_.firstMs = result_.firstMs < 0 ? now_ : result_.firstMs;
+        ++result_.total;
     }
 
     static InstanceId idOf(std::size_t index) { return InstanceId(fmt::format("g-{}", index)); }
@@ -214,7 +214,7 @@
     std::priority_queue<Message, std::vector<Message>, std::greater<>> messages_;
     std::deque<int> arrivals_;
     int now_ = 0;
-    Result found_;
+    Result result_;
 };
 
 double borne(double limit)
