--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -222,11 +222,11 @@
     return 1.5 * limit * kSpanMs / 1000.0 + 5.0;
 }
 
-void checkBorne(const Scenario &scenario, const Result &found)
+void checkBorne(const Scenario &scenario, const Result &result)
 {
-    CHECK_TEXT(found.most <= borne(scenario.limit),
+    CHECK_TEXT(result.most <= borne(scenario.limit),
                fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, {} are borne",
-                           scenario.seed, scenario.gateways, scenario.limit, found.most,
+                           scenario.seed, scenario.gateways, scenario.limit, result.most,
                            borne(scenario.limit))
                    .c_str());
 }
@@ -281,8 +281,8 @@
                 scenario.busy = busy;
                 scenario.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
                 scenario.millis = 40000;
-                const Result found = Model(scenario).run();
-                const double part = found.total / (limit * scenario.millis / 1000.0);
+                const Result result = Model(scenario).run();
+                const double part = result.total / (limit * scenario.millis / 1000.0);
                 CHECK_TEXT(part >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
                                        busy, limit, part)
@@ -297,10 +297,10 @@
     Scenario scenario;
     scenario.limit = 0.0;
     scenario.millis = 60000;
-    const Result found = Model(scenario).run();
-    checkBorne(scenario, found);
-    CHECK_TRUE(found.total >= 1);
-    CHECK_TRUE(found.total <= 7);
+    const Result result = Model(scenario).run();
+    checkBorne(scenario, result);
+    CHECK_TRUE(result.total >= 1);
+    CHECK_TRUE(result.total <= 7);
 }
 
 TEST(SharedLimitTest, PermitsAreNotSavedUpOverAPause)
@@ -373,11 +373,11 @@
     return scenario;
 }
 
-std::string foundText(const Scenario &scenario, const Result &found, double borne)
+std::string foundText(const Scenario &scenario, const Result &result, double borne)
 {
     return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, {} "
                        "are borne",
-                       scenario.seed, scenario.gateways, scenario.limit, found.most, borne);
+                       scenario.seed, scenario.gateways, scenario.limit, result.most, borne);
 }
 
 } // namespace
@@ -393,9 +393,9 @@
             scenario.millis = 8000;
             scenario.cutFrom = 3000;
             scenario.cutUntil = 8000;
-            const Result found = Model(scenario).run();
+            const Result result = Model(scenario).run();
             const double borne = borneInASecond(rate, WarmUpBounds());
-            CHECK_TEXT(found.most <= borne, foundText(scenario, found, borne).c_str());
+            CHECK_TEXT(result.most <= borne, foundText(scenario, result, borne).c_str());
         }
     }
 }
@@ -407,9 +407,9 @@
     scenario.gateways = 43;
     scenario.cutFrom = 2000;
     scenario.cutUntil = 20000;
-    const Result found = Model(scenario).run();
-    CHECK_TEXT(found.most <= borneInASecond(26.0, bounds),
-               foundText(scenario, found, borneInASecond(26.0, bounds)).c_str());
+    const Result result = Model(scenario).run();
+    CHECK_TEXT(result.most <= borneInASecond(26.0, bounds),
+               foundText(scenario, result, borneInASecond(26.0, bounds)).c_str());
 }
 
 // Where all of a service warm up, what they bear is used: an issuer hands out 6.8 a second here.
@@ -418,10 +418,10 @@
     Scenario scenario = warmingWorld(26.0, WarmUpBounds());
     scenario.gateways = 43;
     scenario.millis = 20000;
-    const Result found = Model(scenario).run();
+    const Result result = Model(scenario).run();
     const double handedOut = scenario.limit * kIssuedShare * scenario.millis / 1000.0;
-    CHECK_TEXT(found.total >= 0.5 * handedOut,
-               fmt::format("{} requests of {:.0f}", found.total, handedOut).c_str());
+    CHECK_TEXT(result.total >= 0.5 * handedOut,
+               fmt::format("{} requests of {:.0f}", result.total, handedOut).c_str());
 }
 
 TEST(WarmUpLimitTest, PermitsByTheWholeRateAreCaught)
@@ -442,8 +442,8 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         double rate = 0.0;
         const Scenario scenario = drawnWarming(seed, rate);
-        const Result found = Model(scenario).run();
+        const Result result = Model(scenario).run();
         const double borne = borneInASecond(rate, WarmUpBounds());
-        CHECK_TEXT(found.most <= borne, foundText(scenario, found, borne).c_str());
+        CHECK_TEXT(result.most <= borne, foundText(scenario, result, borne).c_str());
     }
 }
