--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -373,7 +373,7 @@
     return scenario;
 }
 
-std::string foundText(const Scenario &scenario, const Result &result, double borne)
+std::string describe(const Scenario &scenario, const Result &result, double borne)
 {
     return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, {} "
                        "are borne",
@@ -395,7 +395,7 @@
             scenario.cutUntil = 8000;
             const Result result = Model(scenario).run();
             const double borne = borneInASecond(rate, WarmUpBounds());
-            CHECK_TEXT(result.most <= borne, foundText(scenario, result, borne).c_str());
+            CHECK_TEXT(result.most <= borne, describe(scenario, result, borne).c_str());
         }
     }
 }
@@ -409,7 +409,7 @@
     scenario.cutUntil = 20000;
     const Result result = Model(scenario).run();
     CHECK_TEXT(result.most <= borneInASecond(26.0, bounds),
-               foundText(scenario, result, borneInASecond(26.0, bounds)).c_str());
+               describe(scenario, result, borneInASecond(26.0, bounds)).c_str());
 }
 
 // Where all of a service warm up, what they bear is used: an issuer hands out 6.8 a second here.
@@ -444,6 +444,6 @@
         const Scenario scenario = drawnWarming(seed, rate);
         const Result result = Model(scenario).run();
         const double borne = borneInASecond(rate, WarmUpBounds());
-        CHECK_TEXT(result.most <= borne, foundText(scenario, result, borne).c_str());
+        CHECK_TEXT(result.most <= borne, describe(scenario, result, borne).c_str());
     }
 }
