--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -80,10 +80,10 @@
     int life = 0; // Counts its starts.
 };
 
-class Model
+class Simulation
 {
 public:
-    explicit Model(const Scenario &scenario)
+    explicit Simulation(const Scenario &scenario)
         : scenario_(scenario)
         , random_(scenario.seed)
         , gateways_(scenario.gateways)
@@ -265,7 +265,7 @@
             scenario.gateways = gateways;
             scenario.limit = limit;
             scenario.millis = 12000;
-            checkBorne(scenario, Model(scenario).run());
+            checkBorne(scenario, Simulation(scenario).run());
         }
     }
 }
@@ -281,7 +281,7 @@
                 scenario.busy = busy;
                 scenario.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
                 scenario.millis = 40000;
-                const Result result = Model(scenario).run();
+                const Result result = Simulation(scenario).run();
                 const double part = result.total / (limit * scenario.millis / 1000.0);
                 CHECK_TEXT(part >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
@@ -297,7 +297,7 @@
     Scenario scenario;
     scenario.limit = 0.0;
     scenario.millis = 60000;
-    const Result result = Model(scenario).run();
+    const Result result = Simulation(scenario).run();
     checkBorne(scenario, result);
     CHECK_TRUE(result.total >= 1);
     CHECK_TRUE(result.total <= 7);
@@ -336,7 +336,7 @@
     const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const Scenario scenario = drawn(seed);
-        checkBorne(scenario, Model(scenario).run());
+        checkBorne(scenario, Simulation(scenario).run());
     }
 }
 
@@ -393,7 +393,7 @@
             scenario.millis = 8000;
             scenario.cutFrom = 3000;
             scenario.cutUntil = 8000;
-            const Result result = Model(scenario).run();
+            const Result result = Simulation(scenario).run();
             const double borne = borneInASecond(rate, WarmUpBounds());
             CHECK_TEXT(result.most <= borne, describe(scenario, result, borne).c_str());
         }
@@ -407,7 +407,7 @@
     scenario.gateways = 43;
     scenario.cutFrom = 2000;
     scenario.cutUntil = 20000;
-    const Result result = Model(scenario).run();
+    const Result result = Simulation(scenario).run();
     CHECK_TEXT(result.most <= borneInASecond(26.0, bounds),
                describe(scenario, result, borneInASecond(26.0, bounds)).c_str());
 }
@@ -418,7 +418,7 @@
     Scenario scenario = warmingWorld(26.0, WarmUpBounds());
     scenario.gateways = 43;
     scenario.millis = 20000;
-    const Result result = Model(scenario).run();
+    const Result result = Simulation(scenario).run();
     const double handedOut = scenario.limit * kIssuedShare * scenario.millis / 1000.0;
     CHECK_TEXT(result.total >= 0.5 * handedOut,
                fmt::format("{} requests of {:.0f}", result.total, handedOut).c_str());
@@ -431,7 +431,7 @@
     scenario.limit = 26.0 / kIssuedShare;
     scenario.cutFrom = 2000;
     scenario.cutUntil = 20000;
-    CHECK_TRUE(Model(scenario).run().most > borneInASecond(26.0, WarmUpBounds()));
+    CHECK_TRUE(Simulation(scenario).run().most > borneInASecond(26.0, WarmUpBounds()));
 }
 
 // More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
@@ -442,7 +442,7 @@
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         double rate = 0.0;
         const Scenario scenario = drawnWarming(seed, rate);
-        const Result result = Model(scenario).run();
+        const Result result = Simulation(scenario).run();
         const double borne = borneInASecond(rate, WarmUpBounds());
         CHECK_TEXT(result.most <= borne, describe(scenario, result, borne).c_str());
     }
