--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -232,7 +232,7 @@
 }
 
 // Returns a world that is drawn at random.
-Scenario drawn(std::uint64_t seed)
+Scenario randomScenario(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     const auto between = [&random](double least, double most) {
@@ -335,7 +335,7 @@
     const char *wanted = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
     const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const Scenario scenario = drawn(seed);
+        const Scenario scenario = randomScenario(seed);
         checkBorne(scenario, Simulation(scenario).run());
     }
 }
@@ -364,7 +364,7 @@
     std::mt19937_64 random(seed);
     rate = std::exp(std::uniform_real_distribution<>(std::log(2.0), std::log(100.0))(random));
     const Scenario warming = warmingWorld(rate, WarmUpBounds());
-    Scenario scenario = drawn(seed);
+    Scenario scenario = randomScenario(seed);
     scenario.limit = warming.limit;
     scenario.spanMs = warming.spanMs;
     scenario.parts = warming.parts;
