--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -359,7 +359,7 @@
 }
 
 // Returns a world that is drawn at random, before an upstream that bears `rate` a second.
-Scenario drawnWarming(std::uint64_t seed, double &rate)
+Scenario randomWarmUpScenario(std::uint64_t seed, double &rate)
 {
     std::mt19937_64 random(seed);
     rate = std::exp(std::uniform_real_distribution<>(std::log(2.0), std::log(100.0))(random));
@@ -441,7 +441,7 @@
     const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         double rate = 0.0;
-        const Scenario scenario = drawnWarming(seed, rate);
+        const Scenario scenario = randomWarmUpScenario(seed, rate);
         const Result result = Simulation(scenario).run();
         const double borne = borneInASecond(rate, WarmUpBounds());
         CHECK_TEXT(result.most <= borne, describe(scenario, result, borne).c_str());
