--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -349,7 +349,7 @@
 }
 
 // A world before an upstream that warms up and bears `rate` a second.
-Scenario warmingWorld(double rate, const WarmUpBounds &bounds)
+Scenario warmUpScenario(double rate, const WarmUpBounds &bounds)
 {
     Scenario scenario;
     scenario.limit = warmUpLimit(RequestRate(rate), bounds).perSecond();
@@ -363,7 +363,7 @@
 {
     std::mt19937_64 random(seed);
     rate = std::exp(std::uniform_real_distribution<>(std::log(2.0), std::log(100.0))(random));
-    const Scenario warming = warmingWorld(rate, WarmUpBounds());
+    const Scenario warming = warmUpScenario(rate, WarmUpBounds());
     Scenario scenario = randomScenario(seed);
     scenario.limit = warming.limit;
     scenario.spanMs = warming.spanMs;
@@ -388,7 +388,7 @@
 {
     for (const std::size_t gateways : {7U, 43U, 67U, 531U}) {
         for (const double rate : {2.0, 26.0, 60.0}) {
-            Scenario scenario = warmingWorld(rate, WarmUpBounds());
+            Scenario scenario = warmUpScenario(rate, WarmUpBounds());
             scenario.gateways = gateways;
             scenario.millis = 8000;
             scenario.cutFrom = 3000;
@@ -403,7 +403,7 @@
 TEST(WarmUpLimitTest, BoundHoldsAlsoWithoutSlack)
 {
     const WarmUpBounds bounds{1.0, 0.0};
-    Scenario scenario = warmingWorld(26.0, bounds);
+    Scenario scenario = warmUpScenario(26.0, bounds);
     scenario.gateways = 43;
     scenario.cutFrom = 2000;
     scenario.cutUntil = 20000;
@@ -415,7 +415,7 @@
 // Where all of a service warm up, what they bear is used: an issuer hands out 6.8 a second here.
 TEST(WarmUpLimitTest, HalfOfWhatIsHandedOutIsUsedWhereThereIsNothingElse)
 {
-    Scenario scenario = warmingWorld(26.0, WarmUpBounds());
+    Scenario scenario = warmUpScenario(26.0, WarmUpBounds());
     scenario.gateways = 43;
     scenario.millis = 20000;
     const Result result = Simulation(scenario).run();
@@ -426,7 +426,7 @@
 
 TEST(WarmUpLimitTest, PermitsByTheWholeRateAreCaught)
 {
-    Scenario scenario = warmingWorld(26.0, WarmUpBounds());
+    Scenario scenario = warmUpScenario(26.0, WarmUpBounds());
     scenario.gateways = 43;
     scenario.limit = 26.0 / kIssuedShare;
     scenario.cutFrom = 2000;
