--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -41,7 +41,7 @@
     double wantsPerSecond = 8.0; // Requests of one gateway that would go to the upstream.
     std::size_t busy = 0;        // So many gateways have callers; zero: all.
     int mostDelay = 3;           // Of a question or an answer, in ms.
-    double lost = 0.0;           // Part of the questions and answers that are lost.
+    double lossRate = 0.0;       // Part of the questions and answers that are lost.
     double trouble = 0.0;        // Events a second: starts anew, standstills.
     int cutFrom = 0;             // Gateways of different parts do not reach each other.
     int cutUntil = 0;
@@ -139,7 +139,7 @@
 
     void send(Message message)
     {
-        if (chance(scenario_.lost)) {
+        if (chance(scenario_.lossRate)) {
             return;
         }
         message.at = now_ + 1 + draw(scenario_.mostDelay);
@@ -245,7 +245,7 @@
     scenario.wantsPerSecond = between(0.5, 40.0);
     scenario.busy = between(0.0, 1.0) < 0.3 ? 1 : 0;
     scenario.mostDelay = static_cast<int>(between(0.0, 200.0));
-    scenario.lost = between(0.0, 0.3);
+    scenario.lossRate = between(0.0, 0.3);
     scenario.trouble = between(0.0, 1.0);
     scenario.cutFrom = static_cast<int>(between(0.0, 10000.0));
     scenario.cutUntil = scenario.cutFrom + static_cast<int>(between(0.0, 8000.0));
