--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -38,12 +38,12 @@
     std::size_t gateways = 7;
     double limit = 1.0;
     int millis = 20000;
-    double wantsPerSecond = 8.0; // Requests of one gateway that would go to the upstream.
-    std::size_t busy = 0;        // So many gateways have callers; zero: all.
-    int mostDelay = 3;           // Of a question or an answer, in ms.
-    double lossRate = 0.0;       // Part of the questions and answers that are lost.
-    double trouble = 0.0;        // Events a second: starts anew, standstills.
-    int cutFrom = 0;             // Gateways of different parts do not reach each other.
+    double wantsPerSecond = 8.0;  // Requests of one gateway that would go to the upstream.
+    std::size_t busy = 0;         // So many gateways have callers; zero: all.
+    int mostDelay = 3;            // Of a question or an answer, in ms.
+    double lossRate = 0.0;        // Part of the questions and answers that are lost.
+    double faultsPerSecond = 0.0; // Events a second: starts anew, standstills.
+    int cutFrom = 0;              // Gateways of different parts do not reach each other.
     int cutUntil = 0;
     std::size_t parts = 2;
     int spanMs = kSpanMs; // In which the upstream counts.
@@ -123,7 +123,7 @@
 
     void disturb()
     {
-        if (!chance(scenario_.trouble / 1000.0)) {
+        if (!chance(scenario_.faultsPerSecond / 1000.0)) {
             return;
         }
         Gateway &gateway =
@@ -246,7 +246,7 @@
     scenario.busy = between(0.0, 1.0) < 0.3 ? 1 : 0;
     scenario.mostDelay = static_cast<int>(between(0.0, 200.0));
     scenario.lossRate = between(0.0, 0.3);
-    scenario.trouble = between(0.0, 1.0);
+    scenario.faultsPerSecond = between(0.0, 1.0);
     scenario.cutFrom = static_cast<int>(between(0.0, 10000.0));
     scenario.cutUntil = scenario.cutFrom + static_cast<int>(between(0.0, 8000.0));
     scenario.millis = 15000;
