--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -40,7 +40,7 @@
     int millis = 20000;
     double wantsPerSecond = 8.0;  // Requests of one gateway that would go to the upstream.
     std::size_t busy = 0;         // So many gateways have callers; zero: all.
-    int mostDelay = 3;            // Of a question or an answer, in ms.
+    int maxDelayMs = 3;           // Of a question or an answer, in ms.
     double lossRate = 0.0;        // Part of the questions and answers that are lost.
     double faultsPerSecond = 0.0; // Events a second: starts anew, standstills.
     int cutFrom = 0;              // Gateways of different parts do not reach each other.
@@ -142,7 +142,7 @@
         if (chance(scenario_.lossRate)) {
             return;
         }
-        message.at = now_ + 1 + draw(scenario_.mostDelay);
+        message.at = now_ + 1 + draw(scenario_.maxDelayMs);
         messages_.push(message);
     }
 
@@ -244,7 +244,7 @@
     scenario.limit = std::exp(between(std::log(0.1), std::log(40.0)));
     scenario.wantsPerSecond = between(0.5, 40.0);
     scenario.busy = between(0.0, 1.0) < 0.3 ? 1 : 0;
-    scenario.mostDelay = static_cast<int>(between(0.0, 200.0));
+    scenario.maxDelayMs = static_cast<int>(between(0.0, 200.0));
     scenario.lossRate = between(0.0, 0.3);
     scenario.faultsPerSecond = between(0.0, 1.0);
     scenario.cutFrom = static_cast<int>(between(0.0, 10000.0));
