--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -43,7 +43,7 @@
     int maxDelayMs = 3;           // Of a question or an answer, in ms.
     double lossRate = 0.0;        // Part of the questions and answers that are lost.
     double faultsPerSecond = 0.0; // Events a second: starts anew, standstills.
-    int cutFrom = 0;              // Gateways of different parts do not reach each other.
+    int partitionStartMs = 0;     // Gateways of different parts do not reach each other.
     int cutUntil = 0;
     std::size_t parts = 2;
     int spanMs = kSpanMs; // In which the upstream counts.
@@ -108,7 +108,7 @@
     bool chance(double part) { return std::uniform_real_distribution<>(0.0, 1.0)(random_) < part; }
     int draw(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
 
-    bool cut() const { return now_ >= scenario_.cutFrom && now_ < scenario_.cutUntil; }
+    bool cut() const { return now_ >= scenario_.partitionStartMs && now_ < scenario_.cutUntil; }
     std::size_t partOf(std::size_t index) const
     {
         return index * scenario_.parts / gateways_.size();
@@ -247,8 +247,8 @@
     scenario.maxDelayMs = static_cast<int>(between(0.0, 200.0));
     scenario.lossRate = between(0.0, 0.3);
     scenario.faultsPerSecond = between(0.0, 1.0);
-    scenario.cutFrom = static_cast<int>(between(0.0, 10000.0));
-    scenario.cutUntil = scenario.cutFrom + static_cast<int>(between(0.0, 8000.0));
+    scenario.partitionStartMs = static_cast<int>(between(0.0, 10000.0));
+    scenario.cutUntil = scenario.partitionStartMs + static_cast<int>(between(0.0, 8000.0));
     scenario.millis = 15000;
     return scenario;
 }
@@ -391,7 +391,7 @@
             Scenario scenario = warmUpScenario(rate, WarmUpBounds());
             scenario.gateways = gateways;
             scenario.millis = 8000;
-            scenario.cutFrom = 3000;
+            scenario.partitionStartMs = 3000;
             scenario.cutUntil = 8000;
             const Result result = Simulation(scenario).run();
             const double borne = borneInASecond(rate, WarmUpBounds());
@@ -405,7 +405,7 @@
     const WarmUpBounds bounds{1.0, 0.0};
     Scenario scenario = warmUpScenario(26.0, bounds);
     scenario.gateways = 43;
-    scenario.cutFrom = 2000;
+    scenario.partitionStartMs = 2000;
     scenario.cutUntil = 20000;
     const Result result = Simulation(scenario).run();
     CHECK_TEXT(result.most <= borneInASecond(26.0, bounds),
@@ -429,7 +429,7 @@
     Scenario scenario = warmUpScenario(26.0, WarmUpBounds());
     scenario.gateways = 43;
     scenario.limit = 26.0 / kIssuedShare;
-    scenario.cutFrom = 2000;
+    scenario.partitionStartMs = 2000;
     scenario.cutUntil = 20000;
     CHECK_TRUE(Simulation(scenario).run().most > borneInASecond(26.0, WarmUpBounds()));
 }
