--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -44,7 +44,7 @@
     double lossRate = 0.0;        // Part of the questions and answers that are lost.
     double faultsPerSecond = 0.0; // Events a second: starts anew, standstills.
     int partitionStartMs = 0;     // Gateways of different parts do not reach each other.
-    int cutUntil = 0;
+    int partitionEndMs = 0;
     std::size_t parts = 2;
     int spanMs = kSpanMs; // In which the upstream counts.
     std::uint64_t seed = 1;
@@ -108,7 +108,10 @@
     bool chance(double part) { return std::uniform_real_distribution<>(0.0, 1.0)(random_) < part; }
     int draw(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
 
-    bool cut() const { return now_ >= scenario_.partitionStartMs && now_ < scenario_.cutUntil; }
+    bool cut() const
+    {
+        return now_ >= scenario_.partitionStartMs && now_ < scenario_.partitionEndMs;
+    }
     std::size_t partOf(std::size_t index) const
     {
         return index * scenario_.parts / gateways_.size();
@@ -248,7 +251,7 @@
     scenario.lossRate = between(0.0, 0.3);
     scenario.faultsPerSecond = between(0.0, 1.0);
     scenario.partitionStartMs = static_cast<int>(between(0.0, 10000.0));
-    scenario.cutUntil = scenario.partitionStartMs + static_cast<int>(between(0.0, 8000.0));
+    scenario.partitionEndMs = scenario.partitionStartMs + static_cast<int>(between(0.0, 8000.0));
     scenario.millis = 15000;
     return scenario;
 }
@@ -392,7 +395,7 @@
             scenario.gateways = gateways;
             scenario.millis = 8000;
             scenario.partitionStartMs = 3000;
-            scenario.cutUntil = 8000;
+            scenario.partitionEndMs = 8000;
             const Result result = Simulation(scenario).run();
             const double borne = borneInASecond(rate, WarmUpBounds());
             CHECK_TEXT(result.most <= borne, describe(scenario, result, borne).c_str());
@@ -406,7 +409,7 @@
     Scenario scenario = warmUpScenario(26.0, bounds);
     scenario.gateways = 43;
     scenario.partitionStartMs = 2000;
-    scenario.cutUntil = 20000;
+    scenario.partitionEndMs = 20000;
     const Result result = Simulation(scenario).run();
     CHECK_TEXT(result.most <= borneInASecond(26.0, bounds),
                describe(scenario, result, borneInASecond(26.0, bounds)).c_str());
@@ -430,7 +433,7 @@
     scenario.gateways = 43;
     scenario.limit = 26.0 / kIssuedShare;
     scenario.partitionStartMs = 2000;
-    scenario.cutUntil = 20000;
+    scenario.partitionEndMs = 20000;
     CHECK_TRUE(Simulation(scenario).run().most > borneInASecond(26.0, WarmUpBounds()));
 }
 
