--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -108,7 +108,7 @@
     bool chance(double part) { return std::uniform_real_distribution<>(0.0, 1.0)(random_) < part; }
     int draw(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
 
-    bool cut() const
+    bool isPartitioned() const
     {
         return now_ >= scenario_.partitionStartMs && now_ < scenario_.partitionEndMs;
     }
@@ -120,7 +120,7 @@
     // Each part has one that it asks, its first.
     std::size_t issuerFor(std::size_t index) const
     {
-        const std::size_t part = cut() ? partOf(index) : 0;
+        const std::size_t part = isPartitioned() ? partOf(index) : 0;
         return (part * gateways_.size() + scenario_.parts - 1) / scenario_.parts;
     }
 
@@ -155,7 +155,7 @@
             Message message = messages_.top();
             messages_.pop();
             Gateway &gateway = gateways_[message.to];
-            if (cut() && partOf(message.from) != partOf(message.to)) {
+            if (isPartitioned() && partOf(message.from) != partOf(message.to)) {
                 continue;
             }
             if (gateway.standsUntil > now_) {
