--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -45,7 +45,7 @@
     double faultsPerSecond = 0.0; // Events a second: starts anew, standstills.
     int partitionStartMs = 0;     // Gateways of different parts do not reach each other.
     int partitionEndMs = 0;
-    std::size_t parts = 2;
+    std::size_t partitions = 2;
     int spanMs = kSpanMs; // In which the upstream counts.
     std::uint64_t seed = 1;
 };
@@ -114,14 +114,14 @@
     }
     std::size_t partOf(std::size_t index) const
     {
-        return index * scenario_.parts / gateways_.size();
+        return index * scenario_.partitions / gateways_.size();
     }
 
     // Each part has one that it asks, its first.
     std::size_t issuerFor(std::size_t index) const
     {
         const std::size_t part = isPartitioned() ? partOf(index) : 0;
-        return (part * gateways_.size() + scenario_.parts - 1) / scenario_.parts;
+        return (part * gateways_.size() + scenario_.partitions - 1) / scenario_.partitions;
     }
 
     void disturb()
@@ -357,7 +357,7 @@
     Scenario scenario;
     scenario.limit = warmUpLimit(RequestRate(rate), bounds).perSecond();
     scenario.spanMs = 1000;
-    scenario.parts = 3;
+    scenario.partitions = 3;
     return scenario;
 }
 
@@ -370,7 +370,7 @@
     Scenario scenario = randomScenario(seed);
     scenario.limit = warming.limit;
     scenario.spanMs = warming.spanMs;
-    scenario.parts = warming.parts;
+    scenario.partitions = warming.partitions;
     scenario.gateways += 3;
     scenario.millis = 8000;
     return scenario;
