--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -112,7 +112,7 @@
     {
         return now_ >= scenario_.partitionStartMs && now_ < scenario_.partitionEndMs;
     }
-    std::size_t partOf(std::size_t index) const
+    std::size_t partitionOf(std::size_t index) const
     {
         return index * scenario_.partitions / gateways_.size();
     }
@@ -120,7 +120,7 @@
     // Each part has one that it asks, its first.
     std::size_t issuerFor(std::size_t index) const
     {
-        const std::size_t part = isPartitioned() ? partOf(index) : 0;
+        const std::size_t part = isPartitioned() ? partitionOf(index) : 0;
         return (part * gateways_.size() + scenario_.partitions - 1) / scenario_.partitions;
     }
 
@@ -155,7 +155,7 @@
             Message message = messages_.top();
             messages_.pop();
             Gateway &gateway = gateways_[message.to];
-            if (isPartitioned() && partOf(message.from) != partOf(message.to)) {
+            if (isPartitioned() && partitionOf(message.from) != partitionOf(message.to)) {
                 continue;
             }
             if (gateway.standsUntil > now_) {
