--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -120,8 +120,8 @@
     // Each part has one that it asks, its first.
     std::size_t issuerFor(std::size_t index) const
     {
-        const std::size_t part = isPartitioned() ? partitionOf(index) : 0;
-        return (part * gateways_.size() + scenario_.partitions - 1) / scenario_.partitions;
+        const std::size_t partition = isPartitioned() ? partitionOf(index) : 0;
+        return (partition * gateways_.size() + scenario_.partitions - 1) / scenario_.partitions;
     }
 
     void disturb()
@@ -286,7 +286,7 @@
                 scenario.millis = 40000;
                 const Result result = Simulation(scenario).run();
                 const double part = result.total / (limit * scenario.millis / 1000.0);
-                CHECK_TEXT(part >= 0.5,
+                CHECK_TEXT(partition >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
                                        busy, limit, part)
                                .c_str());
