--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -105,7 +105,10 @@
     }
 
 private:
-    bool chance(double part) { return std::uniform_real_distribution<>(0.0, 1.0)(random_) < part; }
+    bool chance(double usedShare)
+    {
+        return std::uniform_real_distribution<>(0.0, 1.0)(random_) < usedShare;
+    }
     int draw(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
 
     bool isPartitioned() const
@@ -285,10 +288,10 @@
                 scenario.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
                 scenario.millis = 40000;
                 const Result result = Simulation(scenario).run();
-                const double part = result.total / (limit * scenario.millis / 1000.0);
+                const double usedShare = result.total / (limit * scenario.millis / 1000.0);
                 CHECK_TEXT(partition >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
-                                       busy, limit, part)
+                                       busy, limit, usedShare)
                                .c_str());
             }
         }
