--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -46,7 +46,7 @@
     int partitionStartMs = 0;     // Gateways of different parts do not reach each other.
     int partitionEndMs = 0;
     std::size_t partitions = 2;
-    int spanMs = kSpanMs; // In which the upstream counts.
+    int windowMs = kSpanMs; // In which the upstream counts.
     std::uint64_t seed = 1;
 };
 
@@ -203,7 +203,7 @@
     void arrive()
     {
         arrivals_.push_back(now_);
-        while (arrivals_.front() <= now_ - scenario_.spanMs) {
+        while (arrivals_.front() <= now_ - scenario_.windowMs) {
             arrivals_.pop_front();
         }
         result_.most = std::max(result_.most, static_cast<int>(arrivals_.size()));
@@ -359,7 +359,7 @@
 {
     Scenario scenario;
     scenario.limit = warmUpLimit(RequestRate(rate), bounds).perSecond();
-    scenario.spanMs = 1000;
+    scenario.windowMs = 1000;
     scenario.partitions = 3;
     return scenario;
 }
@@ -372,7 +372,7 @@
     const Scenario warming = warmUpScenario(rate, WarmUpBounds());
     Scenario scenario = randomScenario(seed);
     scenario.limit = warming.limit;
-    scenario.spanMs = warming.spanMs;
+    scenario.windowMs = warming.windowMs;
     scenario.partitions = warming.partitions;
     scenario.gateways += 3;
     scenario.millis = 8000;
