--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-constexpr int kSpanMs = 4000;
+constexpr int kWindowMs = 4000;
 
 TimePoint at(int millis)
 {
@@ -46,7 +46,7 @@
     int partitionStartMs = 0;     // Gateways of different parts do not reach each other.
     int partitionEndMs = 0;
     std::size_t partitions = 2;
-    int windowMs = kSpanMs; // In which the upstream counts.
+    int windowMs = kWindowMs; // In which the upstream counts.
     std::uint64_t seed = 1;
 };
 
@@ -225,7 +225,7 @@
 
 double borne(double limit)
 {
-    return 1.5 * limit * kSpanMs / 1000.0 + 5.0;
+    return 1.5 * limit * kWindowMs / 1000.0 + 5.0;
 }
 
 void checkBorne(const Scenario &scenario, const Result &result)
