--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -76,7 +76,7 @@
 {
     SendPermits permits;
     PermitIssuer issuer;
-    int standsUntil = 0;
+    int pausedUntil = 0;
     int life = 0; // Counts its starts.
 };
 
@@ -96,7 +96,7 @@
             deliver();
             const std::size_t busy = scenario_.busy == 0 ? gateways_.size() : scenario_.busy;
             for (std::size_t index = 0; index < busy; ++index) {
-                if (gateways_[index].standsUntil <= now_) {
+                if (gateways_[index].pausedUntil <= now_) {
                     step(index);
                 }
             }
@@ -135,7 +135,7 @@
         Gateway &gateway =
             gateways_[chance(0.3) ? 0 : draw(static_cast<int>(gateways_.size()) - 1)];
         if (chance(0.5)) {
-            gateway.standsUntil = now_ + draw(3000);
+            gateway.pausedUntil = now_ + draw(3000);
         } else {
             const int life = gateway.life + 1;
             gateway = Gateway();
@@ -161,8 +161,8 @@
             if (isPartitioned() && partitionOf(message.from) != partitionOf(message.to)) {
                 continue;
             }
-            if (gateway.standsUntil > now_) {
-                message.at = gateway.standsUntil;
+            if (gateway.pausedUntil > now_) {
+                message.at = gateway.pausedUntil;
                 messages_.push(message);
             } else if (message.answers) {
                 if (message.life == gateway.life) {
