--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -67,7 +67,7 @@
     std::uint32_t wanted = 0;
     PermitGrant answer;
     int askedAt = 0;
-    int life = 0; // Of the gateway that asked.
+    int incarnation = 0; // Of the gateway that asked.
 
     bool operator>(const Message &other) const { return at > other.at; }
 };
@@ -77,7 +77,7 @@
     SendPermits permits;
     PermitIssuer issuer;
     int pausedUntil = 0;
-    int life = 0; // Counts its starts.
+    int incarnation = 0; // Counts its starts.
 };
 
 class Simulation
@@ -137,9 +137,9 @@
         if (chance(0.5)) {
             gateway.pausedUntil = now_ + draw(3000);
         } else {
-            const int life = gateway.life + 1;
+            const int incarnation = gateway.incarnation + 1;
             gateway = Gateway();
-            gateway.life = life;
+            gateway.incarnation = incarnation;
         }
     }
 
@@ -165,14 +165,14 @@
                 message.at = gateway.pausedUntil;
                 messages_.push(message);
             } else if (message.answers) {
-                if (message.life == gateway.life) {
+                if (message.incarnation == gateway.incarnation) {
                     gateway.permits.onAnswer(kUpstream, message.answer, at(message.askedAt),
                                              at(now_));
                 }
             } else {
                 ++result_.questions;
                 Message answer{0, message.to, message.from,    true,
-                               0, {},         message.askedAt, message.life};
+                               0, {},         message.askedAt, message.incarnation};
                 answer.answer = gateway.issuer.issue(kUpstream, RequestRate(scenario_.limit),
                                                      idOf(message.from), message.wanted, at(now_));
                 send(answer);
@@ -192,7 +192,7 @@
             }
         }
         for (const SendPermits::Query &ask : gateway.permits.takeQueries(at(now_))) {
-            send({0, index, issuerFor(index), false, ask.wanted, {}, now_, gateway.life});
+            send({0, index, issuerFor(index), false, ask.wanted, {}, now_, gateway.incarnation});
         }
         if (now_ % 25 == 0) {
             gateway.permits.expire(at(now_));
