--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -92,7 +92,7 @@
     Result run()
     {
         for (now_ = 0; now_ < scenario_.millis; ++now_) {
-            disturb();
+            injectFaults();
             deliver();
             const std::size_t busy = scenario_.busy == 0 ? gateways_.size() : scenario_.busy;
             for (std::size_t index = 0; index < busy; ++index) {
@@ -127,7 +127,7 @@
         return (partition * gateways_.size() + scenario_.partitions - 1) / scenario_.partitions;
     }
 
-    void disturb()
+    void injectFaults()
     {
         if (!chance(scenario_.faultsPerSecond / 1000.0)) {
             return;
