--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -223,17 +223,17 @@
     Result result_;
 };
 
-double borne(double limit)
+double maxBorne(double limit)
 {
     return 1.5 * limit * kWindowMs / 1000.0 + 5.0;
 }
 
 void checkBorne(const Scenario &scenario, const Result &result)
 {
-    CHECK_TEXT(result.most <= borne(scenario.limit),
+    CHECK_TEXT(result.most <= maxBorne(scenario.limit),
                fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, {} are borne",
                            scenario.seed, scenario.gateways, scenario.limit, result.most,
-                           borne(scenario.limit))
+                           maxBorne(scenario.limit))
                    .c_str());
 }
 
@@ -379,11 +379,11 @@
     return scenario;
 }
 
-std::string describe(const Scenario &scenario, const Result &result, double borne)
+std::string describe(const Scenario &scenario, const Result &result, double maxBorne)
 {
     return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, {} "
                        "are borne",
-                       scenario.seed, scenario.gateways, scenario.limit, result.most, borne);
+                       scenario.seed, scenario.gateways, scenario.limit, result.most, maxBorne);
 }
 
 } // namespace
@@ -400,8 +400,8 @@
             scenario.partitionStartMs = 3000;
             scenario.partitionEndMs = 8000;
             const Result result = Simulation(scenario).run();
-            const double borne = borneInASecond(rate, WarmUpBounds());
-            CHECK_TEXT(result.most <= borne, describe(scenario, result, borne).c_str());
+            const double maxBorne = borneInASecond(rate, WarmUpBounds());
+            CHECK_TEXT(result.most <= maxBorne, describe(scenario, result, maxBorne).c_str());
         }
     }
 }
@@ -449,7 +449,7 @@
         double rate = 0.0;
         const Scenario scenario = randomWarmUpScenario(seed, rate);
         const Result result = Simulation(scenario).run();
-        const double borne = borneInASecond(rate, WarmUpBounds());
-        CHECK_TEXT(result.most <= borne, describe(scenario, result, borne).c_str());
+        const double maxBorne = borneInASecond(rate, WarmUpBounds());
+        CHECK_TEXT(result.most <= maxBorne, describe(scenario, result, maxBorne).c_str());
     }
 }
