--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -228,7 +228,7 @@
     return 1.5 * limit * kWindowMs / 1000.0 + 5.0;
 }
 
-void checkBorne(const Scenario &scenario, const Result &result)
+void checkLimit(const Scenario &scenario, const Result &result)
 {
     CHECK_TEXT(result.most <= maxBorne(scenario.limit),
                fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, {} are borne",
@@ -271,7 +271,7 @@
             scenario.gateways = gateways;
             scenario.limit = limit;
             scenario.millis = 12000;
-            checkBorne(scenario, Simulation(scenario).run());
+            checkLimit(scenario, Simulation(scenario).run());
         }
     }
 }
@@ -304,7 +304,7 @@
     scenario.limit = 0.0;
     scenario.millis = 60000;
     const Result result = Simulation(scenario).run();
-    checkBorne(scenario, result);
+    checkLimit(scenario, result);
     CHECK_TRUE(result.total >= 1);
     CHECK_TRUE(result.total <= 7);
 }
@@ -342,7 +342,7 @@
     const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const Scenario scenario = randomScenario(seed);
-        checkBorne(scenario, Simulation(scenario).run());
+        checkLimit(scenario, Simulation(scenario).run());
     }
 }
 
