--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -349,7 +349,7 @@
 namespace {
 
 // What an upstream that warms up bears of `rate` in one second.
-double borneInASecond(double rate, const WarmUpBounds &bounds)
+double maxBornePerSecond(double rate, const WarmUpBounds &bounds)
 {
     return rate * bounds.factor + bounds.slack;
 }
@@ -400,7 +400,7 @@
             scenario.partitionStartMs = 3000;
             scenario.partitionEndMs = 8000;
             const Result result = Simulation(scenario).run();
-            const double maxBorne = borneInASecond(rate, WarmUpBounds());
+            const double maxBorne = maxBornePerSecond(rate, WarmUpBounds());
             CHECK_TEXT(result.most <= maxBorne, describe(scenario, result, maxBorne).c_str());
         }
     }
@@ -414,8 +414,8 @@
     scenario.partitionStartMs = 2000;
     scenario.partitionEndMs = 20000;
     const Result result = Simulation(scenario).run();
-    CHECK_TEXT(result.most <= borneInASecond(26.0, bounds),
-               describe(scenario, result, borneInASecond(26.0, bounds)).c_str());
+    CHECK_TEXT(result.most <= maxBornePerSecond(26.0, bounds),
+               describe(scenario, result, maxBornePerSecond(26.0, bounds)).c_str());
 }
 
 // Where all of a service warm up, what they bear is used: an issuer hands out 6.8 a second here.
@@ -437,7 +437,7 @@
     scenario.limit = 26.0 / kIssuedShare;
     scenario.partitionStartMs = 2000;
     scenario.partitionEndMs = 20000;
-    CHECK_TRUE(Simulation(scenario).run().most > borneInASecond(26.0, WarmUpBounds()));
+    CHECK_TRUE(Simulation(scenario).run().most > maxBornePerSecond(26.0, WarmUpBounds()));
 }
 
 // More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
@@ -449,7 +449,7 @@
         double rate = 0.0;
         const Scenario scenario = randomWarmUpScenario(seed, rate);
         const Result result = Simulation(scenario).run();
-        const double maxBorne = borneInASecond(rate, WarmUpBounds());
+        const double maxBorne = maxBornePerSecond(rate, WarmUpBounds());
         CHECK_TEXT(result.most <= maxBorne, describe(scenario, result, maxBorne).c_str());
     }
 }
