--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -52,8 +52,8 @@
 
 struct Result
 {
-    int most = 0;  // Requests in the worst 4 s.
-    int total = 0; // Requests over the run.
+    int maxInWindow = 0; // Requests in the worst 4 s.
+    int total = 0;       // Requests over the run.
     int questions = 0;
     int firstMs = -1;
 };
@@ -109,7 +109,7 @@
     {
         return std::uniform_real_distribution<>(0.0, 1.0)(random_) < usedShare;
     }
-    int draw(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
+    int draw(int maxInWindow) { return std::uniform_int_distribution<>(0, most)(random_); }
 
     bool isPartitioned() const
     {
@@ -206,7 +206,7 @@
         while (arrivals_.front() <= now_ - scenario_.windowMs) {
             arrivals_.pop_front();
         }
-        result_.most = std::max(result_.most, static_cast<int>(arrivals_.size()));
+        result_.maxInWindow = std::max(result_.maxInWindow, static_cast<int>(arrivals_.size()));
         result_.firstMs = result_.firstMs < 0 ? now_ : result_.firstMs;
         ++result_.total;
     }
@@ -230,9 +230,9 @@
 
 void checkLimit(const Scenario &scenario, const Result &result)
 {
-    CHECK_TEXT(result.most <= maxBorne(scenario.limit),
+    CHECK_TEXT(result.maxInWindow <= maxBorne(scenario.limit),
                fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, {} are borne",
-                           scenario.seed, scenario.gateways, scenario.limit, result.most,
+                           scenario.seed, scenario.gateways, scenario.limit, result.maxInWindow,
                            maxBorne(scenario.limit))
                    .c_str());
 }
@@ -383,7 +383,8 @@
 {
     return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, {} "
                        "are borne",
-                       scenario.seed, scenario.gateways, scenario.limit, result.most, maxBorne);
+                       scenario.seed, scenario.gateways, scenario.limit, result.maxInWindow,
+                       maxBorne);
 }
 
 } // namespace
@@ -401,7 +402,8 @@
             scenario.partitionEndMs = 8000;
             const Result result = Simulation(scenario).run();
             const double maxBorne = maxBornePerSecond(rate, WarmUpBounds());
-            CHECK_TEXT(result.most <= maxBorne, describe(scenario, result, maxBorne).c_str());
+            CHECK_TEXT(result.maxInWindow <= maxBorne,
+                       describe(scenario, result, maxBorne).c_str());
         }
     }
 }
@@ -414,7 +416,7 @@
     scenario.partitionStartMs = 2000;
     scenario.partitionEndMs = 20000;
     const Result result = Simulation(scenario).run();
-    CHECK_TEXT(result.most <= maxBornePerSecond(26.0, bounds),
+    CHECK_TEXT(result.maxInWindow <= maxBornePerSecond(26.0, bounds),
                describe(scenario, result, maxBornePerSecond(26.0, bounds)).c_str());
 }
 
@@ -437,7 +439,7 @@
     scenario.limit = 26.0 / kIssuedShare;
     scenario.partitionStartMs = 2000;
     scenario.partitionEndMs = 20000;
-    CHECK_TRUE(Simulation(scenario).run().most > maxBornePerSecond(26.0, WarmUpBounds()));
+    CHECK_TRUE(Simulation(scenario).run().maxInWindow > maxBornePerSecond(26.0, WarmUpBounds()));
 }
 
 // More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
@@ -450,6 +452,6 @@
         const Scenario scenario = randomWarmUpScenario(seed, rate);
         const Result result = Simulation(scenario).run();
         const double maxBorne = maxBornePerSecond(rate, WarmUpBounds());
-        CHECK_TEXT(result.most <= maxBorne, describe(scenario, result, maxBorne).c_str());
+        CHECK_TEXT(result.maxInWindow <= maxBorne, describe(scenario, result, maxBorne).c_str());
     }
 }
