--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -27,7 +27,7 @@
 
 constexpr int kWindowMs = 4000;
 
-TimePoint at(int millis)
+TimePoint at(int durationMs)
 {
     // Zero stands for no time in what is tested.
     return TimePoint(std::chrono::milliseconds(millis + 1));
@@ -37,7 +37,7 @@
 {
     std::size_t gateways = 7;
     double limit = 1.0;
-    int millis = 20000;
+    int durationMs = 20000;
     double wantsPerSecond = 8.0;  // Requests of one gateway that would go to the upstream.
     std::size_t busy = 0;         // So many gateways have callers; zero: all.
     int maxDelayMs = 3;           // Of a question or an answer, in ms.
@@ -91,7 +91,7 @@
 
     Result run()
     {
-        for (now_ = 0; now_ < scenario_.millis; ++now_) {
+        for (now_ = 0; now_ < scenario_.durationMs; ++now_) {
             injectFaults();
             deliver();
             const std::size_t busy = scenario_.busy == 0 ? gateways_.size() : scenario_.busy;
@@ -255,7 +255,7 @@
     scenario.faultsPerSecond = between(0.0, 1.0);
     scenario.partitionStartMs = static_cast<int>(between(0.0, 10000.0));
     scenario.partitionEndMs = scenario.partitionStartMs + static_cast<int>(between(0.0, 8000.0));
-    scenario.millis = 15000;
+    scenario.durationMs = 15000;
     return scenario;
 }
 
@@ -270,7 +270,7 @@
             Scenario scenario;
             scenario.gateways = gateways;
             scenario.limit = limit;
-            scenario.millis = 12000;
+            scenario.durationMs = 12000;
             checkLimit(scenario, Simulation(scenario).run());
         }
     }
@@ -286,9 +286,9 @@
                 scenario.limit = limit;
                 scenario.busy = busy;
                 scenario.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
-                scenario.millis = 40000;
+                scenario.durationMs = 40000;
                 const Result result = Simulation(scenario).run();
-                const double usedShare = result.total / (limit * scenario.millis / 1000.0);
+                const double usedShare = result.total / (limit * scenario.durationMs / 1000.0);
                 CHECK_TEXT(partition >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
                                        busy, limit, usedShare)
@@ -302,7 +302,7 @@
 {
     Scenario scenario;
     scenario.limit = 0.0;
-    scenario.millis = 60000;
+    scenario.durationMs = 60000;
     const Result result = Simulation(scenario).run();
     checkLimit(scenario, result);
     CHECK_TRUE(result.total >= 1);
@@ -375,7 +375,7 @@
     scenario.windowMs = warming.windowMs;
     scenario.partitions = warming.partitions;
     scenario.gateways += 3;
-    scenario.millis = 8000;
+    scenario.durationMs = 8000;
     return scenario;
 }
 
@@ -397,7 +397,7 @@
         for (const double rate : {2.0, 26.0, 60.0}) {
             Scenario scenario = warmUpScenario(rate, WarmUpBounds());
             scenario.gateways = gateways;
-            scenario.millis = 8000;
+            scenario.durationMs = 8000;
             scenario.partitionStartMs = 3000;
             scenario.partitionEndMs = 8000;
             const Result result = Simulation(scenario).run();
@@ -425,9 +425,9 @@
 {
     Scenario scenario = warmUpScenario(26.0, WarmUpBounds());
     scenario.gateways = 43;
-    scenario.millis = 20000;
+    scenario.durationMs = 20000;
     const Result result = Simulation(scenario).run();
-    const double handedOut = scenario.limit * kIssuedShare * scenario.millis / 1000.0;
+    const double handedOut = scenario.limit * kIssuedShare * scenario.durationMs / 1000.0;
     CHECK_TEXT(result.total >= 0.5 * handedOut,
                fmt::format("{} requests of {:.0f}", result.total, handedOut).c_str());
 }
