--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -39,7 +39,7 @@
     double limit = 1.0;
     int durationMs = 20000;
     double wantsPerSecond = 8.0;  // Requests of one gateway that would go to the upstream.
-    std::size_t busy = 0;         // So many gateways have callers; zero: all.
+    std::size_t busyGateways = 0; // So many gateways have callers; zero: all.
     int maxDelayMs = 3;           // Of a question or an answer, in ms.
     double lossRate = 0.0;        // Part of the questions and answers that are lost.
     double faultsPerSecond = 0.0; // Events a second: starts anew, standstills.
@@ -94,7 +94,8 @@
         for (now_ = 0; now_ < scenario_.durationMs; ++now_) {
             injectFaults();
             deliver();
-            const std::size_t busy = scenario_.busy == 0 ? gateways_.size() : scenario_.busy;
+            const std::size_t busyGateways =
+                scenario_.busyGateways == 0 ? gateways_.size() : scenario_.busyGateways;
             for (std::size_t index = 0; index < busy; ++index) {
                 if (gateways_[index].pausedUntil <= now_) {
                     step(index);
@@ -249,7 +250,7 @@
     scenario.gateways = 2 + static_cast<std::size_t>(between(0.0, 12.0));
     scenario.limit = std::exp(between(std::log(0.1), std::log(40.0)));
     scenario.wantsPerSecond = between(0.5, 40.0);
-    scenario.busy = between(0.0, 1.0) < 0.3 ? 1 : 0;
+    scenario.busyGateways = between(0.0, 1.0) < 0.3 ? 1 : 0;
     scenario.maxDelayMs = static_cast<int>(between(0.0, 200.0));
     scenario.lossRate = between(0.0, 0.3);
     scenario.faultsPerSecond = between(0.0, 1.0);
@@ -280,11 +281,11 @@
 {
     for (const std::size_t gateways : {7U, 149U, 340U}) {
         for (const double limit : {1.0, 1.3, 20.0}) {
-            for (const std::size_t busy : {std::size_t{1}, std::size_t{0}}) {
+            for (const std::size_t busyGateways : {std::size_t{1}, std::size_t{0}}) {
                 Scenario scenario;
                 scenario.gateways = gateways;
                 scenario.limit = limit;
-                scenario.busy = busy;
+                scenario.busyGateways = busy;
                 scenario.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
                 scenario.durationMs = 40000;
                 const Result result = Simulation(scenario).run();
