--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -38,12 +38,12 @@
     std::size_t gateways = 7;
     double limit = 1.0;
     int durationMs = 20000;
-    double wantsPerSecond = 8.0;  // Requests of one gateway that would go to the upstream.
-    std::size_t busyGateways = 0; // So many gateways have callers; zero: all.
-    int maxDelayMs = 3;           // Of a question or an answer, in ms.
-    double lossRate = 0.0;        // Part of the questions and answers that are lost.
-    double faultsPerSecond = 0.0; // Events a second: starts anew, standstills.
-    int partitionStartMs = 0;     // Gateways of different parts do not reach each other.
+    double requestsPerSecond = 8.0; // Requests of one gateway that would go to the upstream.
+    std::size_t busyGateways = 0;   // So many gateways have callers; zero: all.
+    int maxDelayMs = 3;             // Of a question or an answer, in ms.
+    double lossRate = 0.0;          // Part of the questions and answers that are lost.
+    double faultsPerSecond = 0.0;   // Events a second: starts anew, standstills.
+    int partitionStartMs = 0;       // Gateways of different parts do not reach each other.
     int partitionEndMs = 0;
     std::size_t partitions = 2;
     int windowMs = kWindowMs; // In which the upstream counts.
@@ -184,7 +184,7 @@
     void step(std::size_t index)
     {
         Gateway &gateway = gateways_[index];
-        if (chance(scenario_.wantsPerSecond / 1000.0)) {
+        if (chance(scenario_.requestsPerSecond / 1000.0)) {
             if (gateway.permits.has(kUpstream, at(now_))) {
                 gateway.permits.consume(kUpstream, at(now_));
                 arrive();
@@ -249,7 +249,7 @@
     scenario.seed = seed;
     scenario.gateways = 2 + static_cast<std::size_t>(between(0.0, 12.0));
     scenario.limit = std::exp(between(std::log(0.1), std::log(40.0)));
-    scenario.wantsPerSecond = between(0.5, 40.0);
+    scenario.requestsPerSecond = between(0.5, 40.0);
     scenario.busyGateways = between(0.0, 1.0) < 0.3 ? 1 : 0;
     scenario.maxDelayMs = static_cast<int>(between(0.0, 200.0));
     scenario.lossRate = between(0.0, 0.3);
@@ -286,7 +286,7 @@
                 scenario.gateways = gateways;
                 scenario.limit = limit;
                 scenario.busyGateways = busy;
-                scenario.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
+                scenario.requestsPerSecond = busy == 1 ? 60.0 : 8.0;
                 scenario.durationMs = 40000;
                 const Result result = Simulation(scenario).run();
                 const double usedShare = result.total / (limit * scenario.durationMs / 1000.0);
