--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -54,7 +54,7 @@
 {
     int maxInWindow = 0; // Requests in the worst 4 s.
     int total = 0;       // Requests over the run.
-    int questions = 0;
+    int queries = 0;
     int firstMs = -1;
 };
 
@@ -171,7 +171,7 @@
                                              at(now_));
                 }
             } else {
-                ++result_.questions;
+                ++result_.queries;
                 Message answer{0, message.to, message.from,    true,
                                0, {},         message.askedAt, message.incarnation};
                 answer.answer = gateway.issuer.issue(kUpstream, RequestRate(scenario_.limit),
