--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -63,7 +63,7 @@
     int at = 0;
     std::size_t from = 0;
     std::size_t to = 0;
-    bool answers = false;
+    bool isAnswer = false;
     std::uint32_t wanted = 0;
     PermitGrant answer;
     int askedAt = 0;
@@ -165,7 +165,7 @@
             if (gateway.pausedUntil > now_) {
                 message.at = gateway.pausedUntil;
                 messages_.push(message);
-            } else if (message.answers) {
+            } else if (message.isAnswer) {
                 if (message.incarnation == gateway.incarnation) {
                     gateway.permits.onAnswer(kUpstream, message.answer, at(message.askedAt),
                                              at(now_));
