--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -192,8 +192,8 @@
                 gateway.permits.request(kUpstream);
             }
         }
-        for (const SendPermits::Query &ask : gateway.permits.takeQueries(at(now_))) {
-            send({0, index, issuerFor(index), false, ask.wanted, {}, now_, gateway.incarnation});
+        for (const SendPermits::Query &query : gateway.permits.takeQueries(at(now_))) {
+            send({0, index, issuerFor(index), false, query.wanted, {}, now_, gateway.incarnation});
         }
         if (now_ % 25 == 0) {
             gateway.permits.expire(at(now_));
