--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -339,8 +339,8 @@
 // More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
 TEST(SharedLimitTest, LimitHoldsOnEverySchedule)
 {
-    const char *wanted = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
-    const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
+    const char *seedCount = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
+    const std::uint64_t seeds = seedCount == nullptr ? 400 : std::strtoull(seedCount, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const Scenario scenario = randomScenario(seed);
         checkLimit(scenario, Simulation(scenario).run());
@@ -446,8 +446,8 @@
 // More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
 TEST(WarmUpLimitTest, BoundHoldsOnEverySchedule)
 {
-    const char *wanted = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
-    const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
+    const char *seedCount = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
+    const std::uint64_t seeds = seedCount == nullptr ? 400 : std::strtoull(seedCount, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         double rate = 0.0;
         const Scenario scenario = randomWarmUpScenario(seed, rate);
