--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -277,7 +277,7 @@
     }
 }
 
-TEST(SharedLimitTest, HalfOfItIsUsedAlsoWhereOneGatewayHasAllCallers)
+TEST(SharedLimitTest, HalfOfTheLimitIsUsedEvenByASingleBusyGateway)
 {
     for (const std::size_t gateways : {7U, 149U, 340U}) {
         for (const double limit : {1.0, 1.3, 20.0}) {
