--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -299,7 +299,7 @@
     }
 }
 
-TEST(SharedLimitTest, OneThatTakesNothingIsAskedNowAndThen)
+TEST(SharedLimitTest, UpstreamWithAZeroLimitIsProbedPeriodically)
 {
     Scenario scenario;
     scenario.limit = 0.0;
