--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -310,7 +310,7 @@
     CHECK_TRUE(result.total <= 7);
 }
 
-TEST(SharedLimitTest, PermitsAreNotSavedUpOverAPause)
+TEST(SharedLimitTest, PermitsDoNotAccumulateDuringAPause)
 {
     SendPermits permits;
     PermitIssuer issuer;
