--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -326,7 +326,7 @@
     CHECK_FALSE(permits.has(upstream, at(30500)));
 }
 
-TEST(SharedLimitTest, AnswerThatComesAfterAStandstillGrantsNothing)
+TEST(SharedLimitTest, LateAnswerGrantsNothing)
 {
     SendPermits permits;
     const InstanceId upstream("up");
