--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -392,7 +392,7 @@
 
 TEST_GROUP(WarmUpLimitTest){};
 
-TEST(WarmUpLimitTest, ThreeIssuersAtOnceStayWithinWhatIsBorne)
+TEST(WarmUpLimitTest, ThreeConcurrentIssuersStayWithinTheBound)
 {
     for (const std::size_t gateways : {7U, 43U, 67U, 531U}) {
         for (const double rate : {2.0, 26.0, 60.0}) {
