--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -422,7 +422,7 @@
 }
 
 // Where all of a service warm up, what they bear is used: an issuer hands out 6.8 a second here.
-TEST(WarmUpLimitTest, HalfOfWhatIsHandedOutIsUsedWhereThereIsNothingElse)
+TEST(WarmUpLimitTest, HalfOfTheIssuedPermitsAreUsedIfThereIsNoOtherUpstream)
 {
     Scenario scenario = warmUpScenario(26.0, WarmUpBounds());
     scenario.gateways = 43;
