--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -433,7 +433,7 @@
                fmt::format("{} requests of {:.0f}", result.total, issued).c_str());
 }
 
-TEST(WarmUpLimitTest, PermitsByTheWholeRateAreCaught)
+TEST(WarmUpLimitTest, IssuingTheWholeRateExceedsTheBound)
 {
     Scenario scenario = warmUpScenario(26.0, WarmUpBounds());
     scenario.gateways = 43;
