--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -114,7 +114,7 @@
     }
 };
 
-TEST(RestingUpstreamTest, FirstTriesLeaveItAloneUntilItsRestIsOver)
+TEST(RestingUpstreamTest, FirstAttemptsAvoidARestingUpstream)
 {
     const InstanceId resting = askForRest(Kind::Repeatable, 0);
     for (const int now : {1, 200, 1000, kRestMs - 1}) {
