--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -125,7 +125,7 @@
     CHECK_TRUE(sentTo(resting, kRestMs) > 0);
 }
 
-TEST(RestingUpstreamTest, SecondTriesOfAllKindsLeaveItAlone)
+TEST(RestingUpstreamTest, RetriesAvoidARestingUpstream)
 {
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         start(1, {"one", "two"});
