--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -139,7 +139,7 @@
     }
 }
 
-TEST(RestingUpstreamTest, StreamThatBreaksOffIsNotTakenUpThere)
+TEST(RestingUpstreamTest, BrokenStreamIsNotResumedAtARestingUpstream)
 {
     start(1, {"one", "two"});
     const InstanceId resting = askForRest(Kind::Stream, 0);
