--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -152,7 +152,7 @@
     CHECK_TRUE(last<BreakAnswer>() != nullptr);
 }
 
-TEST(RestingUpstreamTest, RequestMovesOffASilentUpstreamToOneThatDoesNotRest)
+TEST(RestingUpstreamTest, SilentUpstreamIsReplacedByOneThatIsNotResting)
 {
     const InstanceId resting = askForRest(Kind::Repeatable, 0);
     actions.clear();
