--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -163,7 +163,7 @@
     CHECK_TRUE(last<StartAttempt>()->upstream.id != resting);
 }
 
-TEST(RestingUpstreamTest, NoLaterAnswerOrListCutsTheRestShort)
+TEST(RestingUpstreamTest, LaterAnswersAndListsDoNotShortenARest)
 {
     const InstanceId resting = askForRest(Kind::Repeatable, 0);
     actions.clear();
