--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -174,7 +174,7 @@
     LONGS_EQUAL(0, sentTo(resting, 330));
 }
 
-TEST(RestingUpstreamTest, ShorterWishThatComesLaterDoesNotCutALongerOneShort)
+TEST(RestingUpstreamTest, LaterShorterRestDoesNotShortenALongerOne)
 {
     const RequestNumber first = begin(Kind::Repeatable, 0);
     const InstanceId upstream = last<StartAttempt>()->upstream.id;
