--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -183,7 +183,7 @@
     LONGS_EQUAL(0, sentTo(upstream, kRestMs - 10));
 }
 
-TEST(RestingUpstreamTest, CallersHearHowLongAllRest)
+TEST(RestingUpstreamTest, RejectionCarriesTheEarliestRestEnd)
 {
     start(1, {"one", "two"});
     const RequestNumber number = begin(Kind::Repeatable, 0);
