--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -199,7 +199,7 @@
     CHECK_TRUE(last<RejectRequest>()->retryAfter == Duration(std::chrono::milliseconds(2000)));
 }
 
-TEST(RestingUpstreamTest, UpstreamWithoutRoomThatAsksForNothingIsTriedAgainSoon)
+TEST(RestingUpstreamTest, FullUpstreamWithoutARestIsRetriedSoon)
 {
     const RequestNumber number = begin(Kind::Repeatable, 0);
     const InstanceId full = last<StartAttempt>()->upstream.id;
