--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -207,7 +207,7 @@
     CHECK_TRUE(sentTo(full, 200) > 0);
 }
 
-TEST(RestingUpstreamTest, UpstreamThatSaysItLeavesGetsNothingNewAndFinishesWhatItHas)
+TEST(RestingUpstreamTest, LeavingUpstreamFinishesItsRequestsAndGetsNoNewOnes)
 {
     const RequestNumber number = begin(Kind::Stream, 0);
     const InstanceId leaving = last<StartAttempt>()->upstream.id;
