--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -221,7 +221,7 @@
 }
 
 // Every order of events that a seed draws. What a gateway was asked for holds at each send.
-TEST(RestingUpstreamTest, NoScheduleSendsToOneThatRestsOrLeaves)
+TEST(RestingUpstreamTest, NoScheduleSendsToARestingOrLeavingUpstream)
 {
     const char *seedCount = std::getenv("SEAMARCH_SEEDS");
     const int seeds = seedCount == nullptr ? 400 : std::atoi(seedCount);
