--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -28,7 +28,7 @@
 
 constexpr int kRestMs = 3000;
 const UpstreamNotice kRest{std::chrono::milliseconds(kRestMs), false, false};
-const UpstreamNotice kLeaves{std::nullopt, false, true};
+const UpstreamNotice kLeaving{std::nullopt, false, true};
 
 UpstreamRecord record(const std::string &id)
 {
@@ -212,7 +212,7 @@
     const RequestNumber number = begin(Kind::Stream, 0);
     const InstanceId leaving = last<StartAttempt>()->upstream.id;
     actions.clear();
-    core->onNotice(number, kLeaves, at(10));
+    core->onNotice(number, kLeaving, at(10));
     CHECK_TRUE(core->onHead(number, AnswerKind::Success, at(10), actions));
     LONGS_EQUAL(0, sentTo(leaving, 20));
     actions.clear();
@@ -257,7 +257,7 @@
                         core->onNotice(number, {rest, false, false}, at(now));
                     } else if (draw(10) == 0) {
                         leaving.insert(chosen->second);
-                        core->onNotice(number, kLeaves, at(now));
+                        core->onNotice(number, kLeaving, at(now));
                     }
                     const std::array kinds{AnswerKind::Full, AnswerKind::Failure,
                                            AnswerKind::Invalid, AnswerKind::Success};
