--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -227,13 +227,14 @@
             return static_cast<int>(random() % static_cast<std::uint64_t>(most));
         };
         std::map<InstanceId, std::uint32_t> granted;
-        std::map<RequestNumber, InstanceId> open; // Attempts under way.
+        std::map<RequestNumber, InstanceId> attempts; // Attempts under way.
         for (int step = 0, now = 0; step < 300; ++step) {
             now += draw(40);
             actions.clear();
-            const auto chosen = open.empty()
-                                    ? open.end()
-                                    : std::next(open.begin(), draw(static_cast<int>(open.size())));
+            const auto chosen =
+                attempts.empty()
+                    ? attempts.end()
+                    : std::next(attempts.begin(), draw(static_cast<int>(attempts.size())));
             switch (draw(8)) {
             case 0:
             case 1:
@@ -241,7 +242,7 @@
                 break;
             case 2:
             case 3:
-                if (chosen != open.end()) {
+                if (chosen != attempts.end()) {
                     const RequestNumber number = chosen->first;
                     const auto limit = draw(3) == 0 ? std::nullopt : std::optional(kLimit);
                     core->onLimit(number, limit, at(now));
@@ -252,11 +253,11 @@
                 }
                 break;
             case 4:
-                if (chosen != open.end()) {
+                if (chosen != attempts.end()) {
                     const std::array ends{AttemptEnd::Complete, AttemptEnd::NotSent,
                                           AttemptEnd::Lost};
                     const RequestNumber number = chosen->first;
-                    open.erase(chosen);
+                    attempts.erase(chosen);
                     core->onEnd(number, ends[static_cast<std::size_t>(draw(3))], at(now), actions);
                 }
                 break;
@@ -289,9 +290,9 @@
                         CHECK_TEXT(granted[to] > 0, text.c_str());
                         --granted[to];
                     }
-                    open[sent->request] = to;
+                    attempts[sent->request] = to;
                 } else if (const auto *cancelled = std::get_if<CancelAttempt>(&action)) {
-                    open.erase(cancelled->request);
+                    attempts.erase(cancelled->request);
                 }
             }
         }
--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -234,13 +234,14 @@
         };
         std::map<InstanceId, TimePoint> restUntil;
         std::set<InstanceId> leaving;
-        std::map<RequestNumber, InstanceId> open; // Attempts under way.
+        std::map<RequestNumber, InstanceId> attempts; // Attempts under way.
         for (int step = 0, now = 0; step < 300; ++step) {
             now += draw(60);
             actions.clear();
-            const auto chosen = open.empty()
-                                    ? open.end()
-                                    : std::next(open.begin(), draw(static_cast<int>(open.size())));
+            const auto chosen =
+                attempts.empty()
+                    ? attempts.end()
+                    : std::next(attempts.begin(), draw(static_cast<int>(attempts.size())));
             switch (draw(8)) {
             case 0:
             case 1:
@@ -248,7 +249,7 @@
                 break;
             case 2:
             case 3:
-                if (chosen != open.end()) {
+                if (chosen != attempts.end()) {
                     const RequestNumber number = chosen->first;
                     if (draw(2) == 0) {
                         const Duration rest = std::chrono::milliseconds(draw(2000));
@@ -266,11 +267,11 @@
                 }
                 break;
             case 4:
-                if (chosen != open.end()) {
+                if (chosen != attempts.end()) {
                     const std::array ends{AttemptEnd::Complete, AttemptEnd::NotSent,
                                           AttemptEnd::Lost};
                     const RequestNumber number = chosen->first;
-                    open.erase(chosen);
+                    attempts.erase(chosen);
                     core->onEnd(number, ends[static_cast<std::size_t>(draw(3))], at(now), actions);
                 }
                 break;
@@ -293,9 +294,9 @@
                     const std::string text = fmt::format(
                         "seed {}, {} ms: sent to {}, which rests or leaves", seed, now, to.value());
                     CHECK_TEXT(restUntil[to] <= at(now) && !leaving.contains(to), text.c_str());
-                    open[sent->request] = to;
+                    attempts[sent->request] = to;
                 } else if (const auto *cancelled = std::get_if<CancelAttempt>(&action)) {
-                    open.erase(cancelled->request);
+                    attempts.erase(cancelled->request);
                 }
             }
         }
