--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -103,7 +103,7 @@
     }
 };
 
-TEST(ResidencyTest, NothingNamedIsAnywhere)
+TEST(ResidencyTest, NoRestrictionAllowsEveryRegion)
 {
     CHECK_TRUE(boundTo({}).allows(kCoast));
     CHECK_TRUE(boundTo({}).allows(RegionId()));
