--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -109,7 +109,7 @@
     CHECK_TRUE(boundTo({}).allows(RegionId()));
 }
 
-TEST(ResidencyTest, WhatSeveralNameIsWhatAllOfThemName)
+TEST(ResidencyTest, RestrictionsIntersect)
 {
     Residency residency = boundTo({kCentre, kCoast});
     residency.restrictTo({});
