--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -122,7 +122,7 @@
     CHECK_FALSE(residency.isUnrestricted());
 }
 
-TEST(ResidencyTest, RegionThatIsNotKnownIsNoneOfThoseNamed)
+TEST(ResidencyTest, UnknownRegionIsNotAllowed)
 {
     CHECK_FALSE(boundTo({kCoast}).allows(RegionId()));
 }
