--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -127,7 +127,7 @@
     CHECK_FALSE(boundTo({kCoast}).allows(RegionId()));
 }
 
-TEST(ResidencyTest, RequestThatNoAllowedRegionServesIsRejectedAtOnce)
+TEST(ResidencyTest, RequestWithoutAnUpstreamInItsRegionsIsRejectedAtOnce)
 {
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         begin(kind, boundTo({RegionId("hills")}), 0);
