--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -148,7 +148,7 @@
 }
 
 // Every order of events that a seed draws; more seeds by hand with SEAMARCH_SEEDS.
-TEST(ResidencyTest, NoScheduleSendsToAnotherRegionOrToADrainedHall)
+TEST(ResidencyTest, NoScheduleSendsOutsideTheRegionsOrToADrainedHall)
 {
     const char *seedCount = std::getenv("SEAMARCH_SEEDS");
     const int seeds = seedCount == nullptr ? 400 : std::atoi(seedCount);
