--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -42,7 +42,7 @@
     return record;
 }
 
-Residency boundTo(const std::vector<RegionId> &regions)
+Residency restrictedTo(const std::vector<RegionId> &regions)
 {
     Residency residency;
     residency.restrictTo(regions);
@@ -105,13 +105,13 @@
 
 TEST(ResidencyTest, NoRestrictionAllowsEveryRegion)
 {
-    CHECK_TRUE(boundTo({}).allows(kCoast));
-    CHECK_TRUE(boundTo({}).allows(RegionId()));
+    CHECK_TRUE(restrictedTo({}).allows(kCoast));
+    CHECK_TRUE(restrictedTo({}).allows(RegionId()));
 }
 
 TEST(ResidencyTest, RestrictionsIntersect)
 {
-    Residency residency = boundTo({kCentre, kCoast});
+    Residency residency = restrictedTo({kCentre, kCoast});
     residency.restrictTo({});
     residency.restrictTo({kCoast, RegionId("hills")});
     CHECK_TRUE(residency.allows(kCoast));
@@ -124,13 +124,13 @@
 
 TEST(ResidencyTest, UnknownRegionIsNotAllowed)
 {
-    CHECK_FALSE(boundTo({kCoast}).allows(RegionId()));
+    CHECK_FALSE(restrictedTo({kCoast}).allows(RegionId()));
 }
 
 TEST(ResidencyTest, RequestWithoutAnUpstreamInItsRegionsIsRejectedAtOnce)
 {
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
-        begin(kind, boundTo({RegionId("hills")}), 0);
+        begin(kind, restrictedTo({RegionId("hills")}), 0);
         CHECK_TRUE(rejection() != nullptr);
         CHECK_TRUE(rejection()->failure == FailureCode::NoUpstreamInRegions);
         CHECK_TRUE(rejection()->outcome == Outcome::NotRun);
@@ -141,7 +141,7 @@
 TEST(ResidencyTest, RequestIsRejectedAtOnceWhileTheOnlyHallOfItsRegionIsDrained)
 {
     core->upstreams().setDrainedHalls({HallId("north")});
-    begin(Kind::Stream, boundTo({kCentre}), 0);
+    begin(Kind::Stream, restrictedTo({kCentre}), 0);
     CHECK_TRUE(rejection()->failure == FailureCode::NoUpstreamInRegions);
     begin(Kind::Stream, Residency(), 0);
     CHECK_TRUE(rejection() == nullptr);
@@ -152,8 +152,8 @@
 {
     const char *seedCount = std::getenv("SEAMARCH_SEEDS");
     const int seeds = seedCount == nullptr ? 400 : std::atoi(seedCount);
-    const std::array residencies{Residency(), boundTo({kCentre}), boundTo({kCoast}),
-                                 boundTo({kCentre, kCoast})};
+    const std::array residencies{Residency(), restrictedTo({kCentre}), restrictedTo({kCoast}),
+                                 restrictedTo({kCentre, kCoast})};
     for (int seed = 1; seed <= seeds; ++seed) {
         start(static_cast<std::uint64_t>(seed));
         std::mt19937_64 random(static_cast<std::uint64_t>(seed));
