--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -158,26 +158,27 @@
         start(static_cast<std::uint64_t>(seed));
         std::mt19937_64 random(static_cast<std::uint64_t>(seed));
         const auto draw = [&random](std::size_t most) { return random() % most; };
-        std::map<RequestNumber, Residency> open;
+        std::map<RequestNumber, Residency> openRequests;
         for (int step = 0, now = 0; step < 300; ++step) {
             now += static_cast<int>(draw(60));
             actions.clear();
             const auto chosen =
-                open.empty()
-                    ? open.end()
-                    : std::next(open.begin(), static_cast<std::ptrdiff_t>(draw(open.size())));
+                openRequests.empty()
+                    ? openRequests.end()
+                    : std::next(openRequests.begin(),
+                                static_cast<std::ptrdiff_t>(draw(openRequests.size())));
             switch (draw(9)) {
             case 0:
             case 1: {
                 const Residency &residency = residencies[draw(residencies.size())];
                 const auto kind = static_cast<Kind>(draw(3));
                 const RequestNumber number = begin(kind, residency, now);
-                open.emplace(number, residency);
+                openRequests.emplace(number, residency);
                 break;
             }
             case 2:
             case 3:
-                if (chosen != open.end()) {
+                if (chosen != openRequests.end()) {
                     const std::array kinds{AnswerKind::Full, AnswerKind::Failure,
                                            AnswerKind::Invalid, AnswerKind::Success,
                                            AnswerKind::WrongInstance};
@@ -185,7 +186,7 @@
                 }
                 break;
             case 4:
-                if (chosen != open.end()) {
+                if (chosen != openRequests.end()) {
                     const std::array ends{AttemptEnd::Complete, AttemptEnd::NotSent,
                                           AttemptEnd::Lost};
                     core->onEnd(chosen->first, ends[draw(ends.size())], at(now), actions);
@@ -223,7 +224,7 @@
                 const HallId &hall = sent->upstream.hall;
                 const auto region = regions.find(hall);
                 const bool allowed =
-                    open.at(sent->request)
+                    openRequests.at(sent->request)
                         .allows(region == regions.end() ? RegionId() : region->second);
                 const std::string text =
                     fmt::format("seed {}, {} ms: sent to hall {}", seed, now, hall.value());
