--- a/test/decision/gateway/routetable_test.cpp
+++ b/test/decision/gateway/routetable_test.cpp
@@ -32,7 +32,7 @@
     RouteTable table{document()};
 };
 
-TEST(RouteTableTest, TakesTheLongestPrefixOfTheHost)
+TEST(RouteTableTest, MatchesTheLongestPrefixOfTheHost)
 {
     STRCMP_EQUAL("long", table.match("a.example", "/x/y/z")->name.c_str());
     STRCMP_EQUAL("short", table.match("a.example", "/x/z")->name.c_str());
