--- a/test/decision/gateway/routetable_test.cpp
+++ b/test/decision/gateway/routetable_test.cpp
@@ -44,7 +44,7 @@
     STRCMP_EQUAL("short", table.match("A.Example:80", "/x/")->name.c_str());
 }
 
-TEST(RouteTableTest, KnowsNoRouteOfAnotherHostOrPath)
+TEST(RouteTableTest, ReturnsNullForAnUnknownHostOrPath)
 {
     POINTERS_EQUAL(nullptr, table.match("c.example", "/x/"));
     POINTERS_EQUAL(nullptr, table.match("a.example", "/xy/"));
