--- a/test/decision/gateway/routetable_test.cpp
+++ b/test/decision/gateway/routetable_test.cpp
@@ -57,7 +57,7 @@
     POINTERS_EQUAL(nullptr, table.accountOf(""));
 }
 
-TEST(RouteTableTest, ShortestPauseGoalIsThatOfTheRoutesToTheService)
+TEST(RouteTableTest, ShortestGapTargetCoversOnlyRoutesToTheService)
 {
     RoutingDocument document;
     const auto add = [&document](const char *service, int pause) {
