--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -44,7 +44,7 @@
     }
 };
 
-TEST(UpstreamHistoryTest, TellsWhatWasListedChangedAndRemoved)
+TEST(UpstreamHistoryTest, ReportsAddedChangedAndRemovedUpstreams)
 {
     note(1, {record(1), record(2), record(3), record(4), record(5), record(6), record(7)});
     note(2, {record(1), record(2), record(3), record(4), record(5), record(6), record(7, 2)});
