--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -56,7 +56,7 @@
     CHECK_TRUE(history.changedSince(3)->empty());
 }
 
-TEST(UpstreamHistoryTest, StateThatIsNotRememberedTakesTheWholeList)
+TEST(UpstreamHistoryTest, UnknownStateRequiresTheWholeList)
 {
     CHECK_FALSE(history.changedSince(1).has_value());
     for (std::size_t state = 1; state <= UpstreamHistory::kMaxStates + 2; ++state) {
