--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -66,7 +66,7 @@
     CHECK_TRUE(history.changedSince(2).has_value());
 }
 
-TEST(UpstreamHistoryTest, ChangesOfMostOfTheListAreNotWorthTelling)
+TEST(UpstreamHistoryTest, ChangesOfMostOfTheListRequireTheWholeList)
 {
     note(1, {record(1), record(2)});
     note(2, {record(3), record(4)});
