--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -73,7 +73,7 @@
     CHECK_FALSE(history.changedSince(1).has_value());
 }
 
-TEST(UpstreamHistoryTest, WhatDiffersBetweenGatewaysIsNoChange)
+TEST(UpstreamHistoryTest, GatewayLocalFieldsAreIgnored)
 {
     std::vector<UpstreamRecord> list{record(1), record(2), record(3)};
     note(1, list);
