--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -85,7 +85,7 @@
 
 // Whatever state a gateway holds, what it is told makes its list that of the teller. More seeds by
 // hand: SEAMARCH_SEEDS.
-TEST(UpstreamHistoryTest, ListWithItsChangesIsTheListOfTheTeller)
+TEST(UpstreamHistoryTest, AppliedChangesReproduceTheList)
 {
     const char *seedCount = std::getenv("SEAMARCH_SEEDS");
     const int seeds = seedCount == nullptr ? 200 : std::atoi(seedCount);
