--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -91,17 +91,17 @@
     const int seeds = seedCount == nullptr ? 200 : std::atoi(seedCount);
     for (int seed = 1; seed <= seeds; ++seed) {
         std::mt19937_64 random(static_cast<std::uint64_t>(seed));
-        UpstreamHistory teller;
+        UpstreamHistory sender;
         std::vector<std::vector<UpstreamRecord>> states;
         std::vector<UpstreamRecord> list;
         for (int number = 0; number < 40; ++number) {
             list.push_back(record(number));
         }
         for (std::uint64_t mark = 1; mark <= 60; ++mark) {
-            teller.recordState(mark, pointersTo(list));
+            sender.recordState(mark, pointersTo(list));
             states.push_back(list);
             const std::uint64_t held = 1 + random() % mark;
-            if (const auto changed = teller.changedSince(held)) {
+            if (const auto changed = sender.changedSince(held)) {
                 std::vector<UpstreamRecord> told;
                 std::set<InstanceId> removed = *changed;
                 for (const UpstreamRecord &each : list) {
