--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -102,14 +102,14 @@
             states.push_back(list);
             const std::uint64_t held = 1 + random() % mark;
             if (const auto changed = sender.changedSince(held)) {
-                std::vector<UpstreamRecord> told;
+                std::vector<UpstreamRecord> sent;
                 std::set<InstanceId> removed = *changed;
                 for (const UpstreamRecord &each : list) {
                     if (removed.erase(each.id) > 0) {
-                        told.push_back(each);
+                        sent.push_back(each);
                     }
                 }
-                const auto made = applyChanges(pointersTo(states[held - 1]), told, removed);
+                const auto made = applyChanges(pointersTo(states[held - 1]), sent, removed);
                 CHECK_TEXT(made == list,
                            fmt::format("seed {}, from {} to {}", seed, held, mark).c_str());
             }
