--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -100,8 +100,8 @@
         for (std::uint64_t mark = 1; mark <= 60; ++mark) {
             sender.recordState(mark, pointersTo(list));
             states.push_back(list);
-            const std::uint64_t held = 1 + random() % mark;
-            if (const auto changed = sender.changedSince(held)) {
+            const std::uint64_t base = 1 + random() % mark;
+            if (const auto changed = sender.changedSince(base)) {
                 std::vector<UpstreamRecord> sent;
                 std::set<InstanceId> removed = *changed;
                 for (const UpstreamRecord &each : list) {
@@ -109,9 +109,9 @@
                         sent.push_back(each);
                     }
                 }
-                const auto made = applyChanges(pointersTo(states[held - 1]), sent, removed);
+                const auto made = applyChanges(pointersTo(states[base - 1]), sent, removed);
                 CHECK_TEXT(made == list,
-                           fmt::format("seed {}, from {} to {}", seed, held, mark).c_str());
+                           fmt::format("seed {}, from {} to {}", seed, base, mark).c_str());
             }
             const std::size_t place = random() % list.size();
             if (random() % 2 == 0) {
