--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -109,8 +109,8 @@
                         sent.push_back(each);
                     }
                 }
-                const auto made = applyChanges(pointersTo(states[base - 1]), sent, removed);
-                CHECK_TEXT(made == list,
+                const auto applied = applyChanges(pointersTo(states[base - 1]), sent, removed);
+                CHECK_TEXT(applied == list,
                            fmt::format("seed {}, from {} to {}", seed, base, mark).c_str());
             }
             const std::size_t place = random() % list.size();
