--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -38,9 +38,9 @@
 {
     UpstreamHistory history;
 
-    void note(std::uint64_t mark, const std::vector<UpstreamRecord> &records)
+    void note(std::uint64_t digest, const std::vector<UpstreamRecord> &records)
     {
-        history.recordState(mark, pointersTo(records));
+        history.recordState(digest, pointersTo(records));
     }
 };
 
@@ -97,10 +97,10 @@
         for (int number = 0; number < 40; ++number) {
             list.push_back(record(number));
         }
-        for (std::uint64_t mark = 1; mark <= 60; ++mark) {
-            sender.recordState(mark, pointersTo(list));
+        for (std::uint64_t digest = 1; digest <= 60; ++digest) {
+            sender.recordState(digest, pointersTo(list));
             states.push_back(list);
-            const std::uint64_t base = 1 + random() % mark;
+            const std::uint64_t base = 1 + random() % digest;
             if (const auto changed = sender.changedSince(base)) {
                 std::vector<UpstreamRecord> sent;
                 std::set<InstanceId> removed = *changed;
@@ -111,15 +111,15 @@
                 }
                 const auto applied = applyChanges(pointersTo(states[base - 1]), sent, removed);
                 CHECK_TEXT(applied == list,
-                           fmt::format("seed {}, from {} to {}", seed, base, mark).c_str());
+                           fmt::format("seed {}, from {} to {}", seed, base, digest).c_str());
             }
             const std::size_t place = random() % list.size();
             if (random() % 2 == 0) {
-                list[place].start = UpstreamStart(static_cast<std::int64_t>(mark + 1));
+                list[place].start = UpstreamStart(static_cast<std::int64_t>(digest + 1));
             } else if (list.size() > 20) {
                 list.erase(list.begin() + static_cast<std::ptrdiff_t>(place));
             }
-            list.push_back(record(static_cast<int>(100 + mark)));
+            list.push_back(record(static_cast<int>(100 + digest)));
         }
     }
 }
