--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -45,7 +45,7 @@
     }
 };
 
-TEST(UpstreamLimitsTest, LimitBindsFromTheAnswerThatNamesIt)
+TEST(UpstreamLimitsTest, LimitAppliesFromTheAnswerThatReportsIt)
 {
     CHECK_FALSE(limits.limitOf(record("up")).has_value());
     CHECK_TRUE(answer(kOne, 0, 10) == Change::Begun);
