--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -53,7 +53,7 @@
     CHECK_FALSE(limits.limitOf(record("another")).has_value());
 }
 
-TEST(UpstreamLimitsTest, LaterAnswerChangesOrEndsIt)
+TEST(UpstreamLimitsTest, LaterAnswerChangesOrEndsTheLimit)
 {
     answer(kOne, 0, 10);
     CHECK_TRUE(answer(kTwo, 5, 20) == Change::Changed);
