--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -63,7 +63,7 @@
 }
 
 // Its request was sent before the limit was heard of: which of the two was said later is not known.
-TEST(UpstreamLimitsTest, AnswerThatMayBeTheEarlierOneEndsNothing)
+TEST(UpstreamLimitsTest, AnswerToAnEarlierRequestDoesNotEndTheLimit)
 {
     answer(kOne, 0, 10);
     CHECK_TRUE(answer(std::nullopt, 9, 30) == Change::None);
