--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -70,7 +70,7 @@
     CHECK_TRUE(limits.limitOf(record("up")) == kOne);
 }
 
-TEST(UpstreamLimitsTest, RepeatedWordIsNoChangeAndCountsAsSaidThen)
+TEST(UpstreamLimitsTest, RepeatedReportIsNoChangeButRefreshesItsTime)
 {
     answer(kOne, 0, 10);
     const std::uint64_t version = limits.version();
