--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -79,7 +79,7 @@
     CHECK_TRUE(answer(std::nullopt, 30, 50) == Change::None);
 }
 
-TEST(UpstreamLimitsTest, NewStartHasNoLimitUntilItNamesOne)
+TEST(UpstreamLimitsTest, RestartedUpstreamHasNoLimitUntilItReportsOne)
 {
     answer(kOne, 0, 10);
     CHECK_FALSE(limits.limitOf(record("up", 2)).has_value());
