--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -88,7 +88,7 @@
     CHECK_TRUE(limits.limitOf(record("up", 2)) == kTwo);
 }
 
-TEST(UpstreamLimitsTest, StartThatIsNotToldIsTheOneThatSpoke)
+TEST(UpstreamLimitsTest, UnknownStartMatchesTheReportedOne)
 {
     answer(kOne, 0, 10);
     CHECK_TRUE(limits.limitOf(record("up", 0)) == kOne);
