--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -94,7 +94,7 @@
     CHECK_TRUE(limits.limitOf(record("up", 0)) == kOne);
 }
 
-TEST(UpstreamLimitsTest, WordOfAnotherGatewayBindsAsTheOwn)
+TEST(UpstreamLimitsTest, ReportFromAnotherGatewayApplies)
 {
     CHECK_TRUE(limits.merge(report("up", kOne, 10), at(20)));
     CHECK_TRUE(limits.limitOf(record("up")) == kOne);
