--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -102,7 +102,7 @@
     UNSIGNED_LONGS_EQUAL(0, limits.localChanges());
 }
 
-TEST(UpstreamLimitsTest, LaterWordOfAnotherGatewayCounts)
+TEST(UpstreamLimitsTest, LaterReportFromAnotherGatewayWins)
 {
     answer(kOne, 0, 1000);
     CHECK_FALSE(limits.merge(report("up", kTwo, 500), at(1500)));
