--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -113,7 +113,7 @@
 }
 
 // Ages of two gateways compare to within some round trips.
-TEST(UpstreamLimitsTest, LimitWinsWhileItCannotBeToldWhichWordIsTheLaterOne)
+TEST(UpstreamLimitsTest, LimitWinsOverNoLimitIfTheReportOrderIsAmbiguous)
 {
     answer(kOne, 0, 1000);
     CHECK_FALSE(limits.merge(report("up", std::nullopt, 1050), at(1100)));
