--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -122,7 +122,7 @@
     CHECK_TRUE(limits.limitOf(record("up")) == kOne);
 }
 
-TEST(UpstreamLimitsTest, LowerLimitWinsWhileItCannotBeToldWhichWordIsTheLaterOne)
+TEST(UpstreamLimitsTest, LowerLimitWinsIfTheReportOrderIsAmbiguous)
 {
     answer(kOne, 0, 1000);
     CHECK_FALSE(limits.merge(report("up", kTwo, 1050), at(1100)));
