--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -129,7 +129,7 @@
     CHECK_TRUE(limits.merge(report("up", RequestRate(0.5), 950), at(1100)));
 }
 
-TEST(UpstreamLimitsTest, WordThatNobodyRepeatsIsForgottenAndOneThatIsRepeatedIsNot)
+TEST(UpstreamLimitsTest, ReportExpiresUnlessItIsRepeated)
 {
     const int timeToLive = static_cast<int>(toMillis(UpstreamLimits::Settings().timeToLive));
     answer(kOne, 0, 10);
