--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -140,7 +140,7 @@
     CHECK_FALSE(limits.limitOf(record("up")).has_value());
 }
 
-TEST(UpstreamLimitsTest, OthersHearNowAndThenThatAWordWasRepeated)
+TEST(UpstreamLimitsTest, RepeatedReportIsPublishedPeriodically)
 {
     const int renewal = static_cast<int>(toMillis(UpstreamLimits::Settings().renewalInterval));
     answer(kOne, 0, 10);
