--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -149,7 +149,7 @@
     CHECK_TRUE(limits.version() != version);
 }
 
-TEST(UpstreamLimitsTest, MemoryIsBoundedAndTheOldestGoesFirst)
+TEST(UpstreamLimitsTest, OldestReportIsEvictedFirst)
 {
     for (std::size_t index = 0; index <= UpstreamLimits::kMaxEntries; ++index) {
         const int now = static_cast<int>(index) + 1;
