--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -28,7 +28,7 @@
     const TargetName portal{"portal"};
 };
 
-TEST(UpstreamTableTest, LeavingUpstreamGetsNothingNew)
+TEST(UpstreamTableTest, LeavingUpstreamGetsNoNewRequests)
 {
     table.put(record("one"));
     table.put(record("two", true));
