--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -36,7 +36,7 @@
     CHECK_FALSE(table.mayReceive(InstanceId("two")));
 }
 
-TEST(UpstreamTableTest, VanishedUpstreamGetsNothingAtOnce)
+TEST(UpstreamTableTest, RemovedUpstreamGetsNoNewRequests)
 {
     table.put(record("one"));
     table.remove(InstanceId("one"), at(0));
