--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -43,7 +43,7 @@
     CHECK_FALSE(table.mayReceive(InstanceId("one")));
 }
 
-TEST(UpstreamTableTest, RecordThatLapsedAroundAnOutageStaysInUseForAWhile)
+TEST(UpstreamTableTest, RecordLapsedAroundAnOutageIsKeptForTheGracePeriod)
 {
     table.put(record("one"));
     table.onOutage(at(0));
