--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -63,7 +63,7 @@
     POINTERS_EQUAL(nullptr, table.find(InstanceId("one")));
 }
 
-TEST(UpstreamTableTest, RecordThatComesBackIsNotDropped)
+TEST(UpstreamTableTest, RelistedRecordDoesNotExpire)
 {
     table.put(record("one"));
     table.onOutage(at(0));
