--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -73,7 +73,7 @@
     CHECK_TRUE(table.mayReceive(InstanceId("one")));
 }
 
-TEST(UpstreamTableTest, ListReplacesWhatWasKnown)
+TEST(UpstreamTableTest, ReplaceAllRemovesUnlistedUpstreams)
 {
     table.put(record("one"));
     table.replaceAll({record("two")}, at(0));
