--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -81,7 +81,7 @@
     CHECK_TRUE(table.mayReceive(InstanceId("two")));
 }
 
-TEST(UpstreamTableTest, MirrorsAnotherListWithoutAGraceOfItsOwn)
+TEST(UpstreamTableTest, MirrorAppliesNoGracePeriod)
 {
     table.put(record("one"));
     table.onOutage(at(1000));
