--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -91,7 +91,7 @@
     CHECK_TRUE(table.changes() > before);
 }
 
-TEST(UpstreamTableTest, SameRecordAgainIsNoChange)
+TEST(UpstreamTableTest, IdenticalRecordIsNoChange)
 {
     table.put(record("one"));
     const std::uint64_t before = table.changes();
