--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -118,7 +118,7 @@
     }
 };
 
-TEST(UpstreamTableAfterPowerCutTest, AddressBelongsToTheUpstreamThatWasListedThereLast)
+TEST(UpstreamTableAfterPowerCutTest, AddressBelongsToTheLatestListedUpstream)
 {
     table.replaceAll({placed("new", "10.1.0.1", 90), placed("old", "10.1.0.1", 7),
                       placed("other", "10.1.0.2", 8)},
