--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -129,7 +129,7 @@
     LONGS_EQUAL(2, table.candidates(portal).size());
 }
 
-TEST(UpstreamTableAfterPowerCutTest, OrderInWhichTheyAreReadDoesNotMatter)
+TEST(UpstreamTableAfterPowerCutTest, ReadOrderDoesNotMatter)
 {
     table.replaceAll({placed("a-old", "10.1.0.1", 7), placed("b-new", "10.1.0.1", 90)}, at(0));
     LONGS_EQUAL(1, table.candidates(portal).size());
