--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -139,7 +139,7 @@
     CHECK_FALSE(table.mayReceive(InstanceId("a-old")));
 }
 
-TEST(UpstreamTableAfterPowerCutTest, EndOfTheOldRecordLeavesTheNewOne)
+TEST(UpstreamTableAfterPowerCutTest, RemovingTheOldRecordKeepsTheNewOne)
 {
     table.put(placed("old", "10.1.0.1", 7));
     table.put(placed("new", "10.1.0.1", 90));
