--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -149,7 +149,7 @@
     LONGS_EQUAL(0, table.candidates(portal).size());
 }
 
-TEST(UpstreamTableAfterPowerCutTest, ListOfAnotherGatewayReplacesWhatWasKnownOfAnAddress)
+TEST(UpstreamTableAfterPowerCutTest, MirroredListReplacesTheHolderOfAnAddress)
 {
     table.put(placed("old", "10.1.0.1", 7));
     table.mirror({placed("new", "10.1.0.1", 0)});
