--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -68,7 +68,7 @@
     }
 };
 
-TEST(WarmUpLimitsTest, WarmUpstreamHasNone)
+TEST(WarmUpLimitsTest, WarmUpstreamHasNoLimit)
 {
     WarmUpLimits limits;
     limits.setServices(servicesBearing(26.0));
