--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -76,7 +76,7 @@
     CHECK_TRUE(limits.limitOf(record("one", 1000), at(999)).has_value());
 }
 
-TEST(WarmUpLimitsTest, ServiceWithoutARateHasNone)
+TEST(WarmUpLimitsTest, ServiceWithoutARateHasNoLimit)
 {
     WarmUpLimits limits;
     limits.setServices(servicesBearing(0.0));
