--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -83,7 +83,7 @@
     CHECK_FALSE(limits.limitOf(record("one", 1000), at(0)).has_value());
 }
 
-TEST(WarmUpLimitsTest, RequestsOfAllKindsLeaveOneThatWarmsUpWithoutAPermit)
+TEST(WarmUpLimitsTest, RequestsWithoutAPermitAvoidAWarmingUpstream)
 {
     core->upstreams().put(record("one", 5000));
     core->upstreams().put(record("two", 0));
