--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -107,7 +107,7 @@
     CHECK_TRUE(begin(Kind::Repeatable, 15) == nullptr);
 }
 
-TEST(WarmUpLimitsTest, OneThatIsWarmAgainGetsRequestsWithoutPermits)
+TEST(WarmUpLimitsTest, WarmedUpUpstreamNeedsNoPermit)
 {
     core->upstreams().put(record("one", 5000));
     CHECK_TRUE(begin(Kind::Repeatable, 4999) == nullptr);
