--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -114,7 +114,7 @@
     CHECK_TRUE(begin(Kind::Repeatable, 5000) != nullptr);
 }
 
-TEST(WarmUpLimitsTest, RequestAsksFewIssuersWhereAllOfAServiceWarmUp)
+TEST(WarmUpLimitsTest, RequestQueriesFewIssuersWhileAWholeServiceWarmsUp)
 {
     for (int index = 0; index < 72; ++index) {
         core->upstreams().put(record(fmt::format("i-{}", index), 5000));
