--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -31,7 +31,7 @@
     return record;
 }
 
-std::vector<ServiceRule> servicesBearing(double perSecond)
+std::vector<ServiceRule> servicesWithWarmUpRate(double perSecond)
 {
     ServiceRule service;
     service.name = TargetName("service");
@@ -53,7 +53,7 @@
         settings.hall = HallId("north");
         settings.seed = 1;
         core = std::make_unique<GatewayCore>(settings);
-        core->warmUps().setServices(servicesBearing(26.0));
+        core->warmUps().setServices(servicesWithWarmUpRate(26.0));
     }
 
     const StartAttempt *begin(Kind kind, int now)
@@ -71,7 +71,7 @@
 TEST(WarmUpLimitsTest, WarmUpstreamHasNoLimit)
 {
     WarmUpLimits limits;
-    limits.setServices(servicesBearing(26.0));
+    limits.setServices(servicesWithWarmUpRate(26.0));
     CHECK_FALSE(limits.limitOf(record("one", 1000), at(1000)).has_value());
     CHECK_TRUE(limits.limitOf(record("one", 1000), at(999)).has_value());
 }
@@ -79,7 +79,7 @@
 TEST(WarmUpLimitsTest, ServiceWithoutARateHasNoLimit)
 {
     WarmUpLimits limits;
-    limits.setServices(servicesBearing(0.0));
+    limits.setServices(servicesWithWarmUpRate(0.0));
     CHECK_FALSE(limits.limitOf(record("one", 1000), at(0)).has_value());
 }
 
