--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -27,7 +27,7 @@
 
 constexpr int kWindowMs = 4000;
 
-TimePoint at(int durationMs)
+TimePoint at(int millis)
 {
     // Zero stands for no time in what is tested.
     return TimePoint(std::chrono::milliseconds(millis + 1));
