--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -106,9 +106,9 @@
     }
 
 private:
-    bool chance(double usedShare)
+    bool chance(double probability)
     {
-        return std::uniform_real_distribution<>(0.0, 1.0)(random_) < usedShare;
+        return std::uniform_real_distribution<>(0.0, 1.0)(random_) < probability;
     }
     int draw(int maxInWindow) { return std::uniform_int_distribution<>(0, most)(random_); }
 
