--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -110,7 +110,7 @@
     {
         return std::uniform_real_distribution<>(0.0, 1.0)(random_) < probability;
     }
-    int draw(int maxInWindow) { return std::uniform_int_distribution<>(0, most)(random_); }
+    int draw(int upper) { return std::uniform_int_distribution<>(0, most)(random_); }
 
     bool isPartitioned() const
     {
