--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -242,8 +242,8 @@
 Scenario randomScenario(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
-    const auto between = [&random](double least, double most) {
-        return std::uniform_real_distribution<>(least, most)(random);
+    const auto between = [&random](double lower, double most) {
+        return std::uniform_real_distribution<>(lower, most)(random);
     };
     Scenario scenario;
     scenario.seed = seed;
