--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -96,7 +96,7 @@
             deliver();
             const std::size_t busyGateways =
                 scenario_.busyGateways == 0 ? gateways_.size() : scenario_.busyGateways;
-            for (std::size_t index = 0; index < busy; ++index) {
+            for (std::size_t index = 0; index < busyGateways; ++index) {
                 if (gateways_[index].pausedUntil <= now_) {
                     step(index);
                 }
@@ -285,14 +285,14 @@
                 Scenario scenario;
                 scenario.gateways = gateways;
                 scenario.limit = limit;
-                scenario.busyGateways = busy;
-                scenario.requestsPerSecond = busy == 1 ? 60.0 : 8.0;
+                scenario.busyGateways = busyGateways;
+                scenario.requestsPerSecond = busyGateways == 1 ? 60.0 : 8.0;
                 scenario.durationMs = 40000;
                 const Result result = Simulation(scenario).run();
                 const double usedShare = result.total / (limit * scenario.durationMs / 1000.0);
                 CHECK_TEXT(partition >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
-                                       busy, limit, usedShare)
+                                       busyGateways, limit, usedShare)
                                .c_str());
             }
         }
