--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -290,7 +290,7 @@
                 scenario.durationMs = 40000;
                 const Result result = Simulation(scenario).run();
                 const double usedShare = result.total / (limit * scenario.durationMs / 1000.0);
-                CHECK_TEXT(partition >= 0.5,
+                CHECK_TEXT(usedShare >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
                                        busyGateways, limit, usedShare)
                                .c_str());
