--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -110,7 +110,7 @@
     {
         return std::uniform_real_distribution<>(0.0, 1.0)(random_) < probability;
     }
-    int draw(int upper) { return std::uniform_int_distribution<>(0, most)(random_); }
+    int draw(int upper) { return std::uniform_int_distribution<>(0, upper)(random_); }
 
     bool isPartitioned() const
     {
@@ -242,8 +242,8 @@
 Scenario randomScenario(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
-    const auto between = [&random](double lower, double most) {
-        return std::uniform_real_distribution<>(lower, most)(random);
+    const auto between = [&random](double lower, double upper) {
+        return std::uniform_real_distribution<>(lower, upper)(random);
     };
     Scenario scenario;
     scenario.seed = seed;
