--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -38,7 +38,7 @@
 {
     UpstreamHistory history;
 
-    void note(std::uint64_t digest, const std::vector<UpstreamRecord> &records)
+    void recordState(std::uint64_t digest, const std::vector<UpstreamRecord> &records)
     {
         history.recordState(digest, pointersTo(records));
     }
@@ -46,9 +46,11 @@
 
 TEST(UpstreamHistoryTest, ReportsAddedChangedAndRemovedUpstreams)
 {
-    note(1, {record(1), record(2), record(3), record(4), record(5), record(6), record(7)});
-    note(2, {record(1), record(2), record(3), record(4), record(5), record(6), record(7, 2)});
-    note(3, {record(2), record(3), record(4), record(5), record(6), record(7, 2), record(8)});
+    recordState(1, {record(1), record(2), record(3), record(4), record(5), record(6), record(7)});
+    recordState(2,
+                {record(1), record(2), record(3), record(4), record(5), record(6), record(7, 2)});
+    recordState(3,
+                {record(2), record(3), record(4), record(5), record(6), record(7, 2), record(8)});
     const std::set<InstanceId> sinceTwo{record(1).id, record(8).id};
     CHECK_TRUE(history.changedSince(2) == sinceTwo);
     const std::set<InstanceId> sinceOne{record(1).id, record(7).id, record(8).id};
@@ -60,7 +62,7 @@
 {
     CHECK_FALSE(history.changedSince(1).has_value());
     for (std::size_t state = 1; state <= UpstreamHistory::kMaxStates + 2; ++state) {
-        note(state, {record(1, static_cast<std::int64_t>(state)), record(2), record(3)});
+        recordState(state, {record(1, static_cast<std::int64_t>(state)), record(2), record(3)});
     }
     CHECK_FALSE(history.changedSince(1).has_value());
     CHECK_TRUE(history.changedSince(2).has_value());
@@ -68,18 +70,18 @@
 
 TEST(UpstreamHistoryTest, ChangesOfMostOfTheListRequireTheWholeList)
 {
-    note(1, {record(1), record(2)});
-    note(2, {record(3), record(4)});
+    recordState(1, {record(1), record(2)});
+    recordState(2, {record(3), record(4)});
     CHECK_FALSE(history.changedSince(1).has_value());
 }
 
 TEST(UpstreamHistoryTest, GatewayLocalFieldsAreIgnored)
 {
     std::vector<UpstreamRecord> list{record(1), record(2), record(3)};
-    note(1, list);
+    recordState(1, list);
     list[0].warmAt = TimePoint(std::chrono::seconds(9));
     list[1].listedAt = 7;
-    note(2, list);
+    recordState(2, list);
     CHECK_TRUE(history.changedSince(1)->empty());
 }
 
