--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -7,8 +7,8 @@
 namespace seamarch {
 namespace {
 
-// A group that copies experts or reads a prompt is slow as a whole, so ranks are held against each
-// other and not against a fixed figure.
+// Returns the median pace of `members`. Ranks are compared with each other and not with a fixed
+// pace, because a group that copies experts or processes a prompt is slow as a whole.
 double medianPace(const std::vector<GroupMember> &members)
 {
     std::vector<double> paces;
@@ -71,9 +71,9 @@
     }
 }
 
-// Notes where the members belong. An engine that is no longer named stays where it was until
-// another group names it: an agent that has just begun to decide does not know all ranks yet, and a
-// rank that is frozen or dead has not left its group.
+// Updates the memberships of the engines in `snapshot`. An engine that is missing from a report
+// stays in its group until another group reports it: an agent that has just become the decider does
+// not know all ranks yet, and a rank that is frozen or dead has not left its group.
 void GroupTable::indexMembers(const Snapshot &snapshot)
 {
     const GroupFacts &facts = snapshot.facts;
--- a/src/decision/gateway/grouptable.h
+++ b/src/decision/gateway/grouptable.h
@@ -1,13 +1,12 @@
-// The groups of engines as a gateway knows them: which upstreams make their passes together, and
-// how each group fares.
+// The engine groups that a gateway knows: the members of each group and its state.
 //
-// All ranks of a group make every pass together, so what gets slow, stands still or breaks is a
-// group, and never one upstream of it. The list of upstreams does not say which of them form a
-// group; their engines do, and the agents beside the engines pass it on. What is known of a group
-// was true at some moment: a gateway takes the newest word, whoever brings it. An upstream of which
-// nobody has said anything belongs to the group without a name.
+// All ranks of a group run every forward pass together, so slowness, stalls and failures affect the
+// whole group and not a single upstream. The store's list of upstreams does not contain the groups:
+// engines report them, and the agents beside the engines forward the reports. Each report carries
+// the time at which it was true, and the newest report wins, whichever source delivers it. An
+// upstream that no report mentions belongs to the unnamed group.
 //
-// Pure and single-threaded.
+// Performs no I/O and is not thread-safe.
 #pragma once
 
 #include "decision/gateway/upstreamtable.h"
@@ -25,50 +24,50 @@
 // One rank of a group.
 struct GroupMember
 {
-    std::string host; // Of its engine, as the list of upstreams names it.
+    std::string host; // Of the rank's engine, spelled as in the list of upstreams.
     int port = 0;
-    double pace = 1.0; // Over 1: it takes so many times as long for its work.
+    double pace = 1.0; // Time per unit of work, relative to the normal time.
 
     bool operator==(const GroupMember &) const = default;
 };
 
-// What the agent that decides on a group's map tells of the group.
+// The state of a group, as reported by the agent that decides on the group's expert map.
 struct GroupFacts
 {
     GroupId group;
-    std::uint64_t epoch = 0;          // Rises each time that the group forms.
-    bool open = true;                 // It takes requests.
-    bool forming = false;             // It does not yet, but all its ranks are there.
-    std::vector<GroupMember> members; // In the order of their ranks.
+    std::uint64_t epoch = 0;          // Incremented each time the group forms.
+    bool open = true;                 // The group accepts requests.
+    bool forming = false;             // Not open yet, but all ranks are present.
+    std::vector<GroupMember> members; // Ordered by rank.
 
     bool operator==(const GroupFacts &) const = default;
 };
 
-// Returns a digest of the facts, by which those who have them already name them.
+// Returns a digest of `facts`. Peers compare digests to avoid sending facts that the receiver has.
 std::uint64_t digestOf(const GroupFacts &facts);
 
+// Stores the latest state of each group, and finds the group of an upstream by its address.
 class GroupTable
 {
 public:
     struct Settings
     {
-        // How long a group counts as closed after the word that it is: it opens within that time
-        // once its ranks are back, and callers must not be kept from it by a word that nobody
-        // renews.
+        // How long a report that a group is closed stays valid. A group reopens within this time
+        // once its ranks are back, and a report that is not renewed must not block callers.
         Duration closedTimeToLive = std::chrono::milliseconds(2000);
-        // How long a rank counts as slow after the word that it is.
+        // How long the reported pace of a rank stays valid.
         Duration paceTimeToLive = std::chrono::seconds(5);
-        // Word of each group comes several times a second, through two waits of 0.4 s. When that of
-        // one has not come for the first time, and that of another is younger by the second, the
-        // way to the one is cut.
+        // A group is isolated if its last report is older than `isolationTimeout` and that of some
+        // other group is newer by at least `isolationLag`. Reports normally arrive several times
+        // a second and pass through two polling intervals of 0.4 s.
         Duration isolationTimeout = std::chrono::milliseconds(2500);
         Duration isolationLag = std::chrono::milliseconds(1500);
-        // A group of which nothing was heard for this long is forgotten: its agents are gone, and
-        // its engines may be in other groups by then.
+        // Groups without a report for this long are removed: their agents are gone, and their
+        // engines may have joined other groups.
         Duration timeToLive = std::chrono::seconds(60);
     };
 
-    // A group and the moment at which it was so.
+    // The state of a group and the time at which it was true.
     struct Snapshot
     {
         GroupFacts facts;
@@ -80,36 +79,38 @@
         : settings_(settings)
     {}
 
-    // Takes what was so at `asOf`. Returns false, and takes nothing, when a later word is known.
+    // Stores `facts`, which were true at `asOf`. Returns false, without any change, if the table
+    // has facts of this group that are as new or newer.
     bool update(const GroupFacts &facts, TimePoint asOf);
-    // What is known of `group` was still so at `asOf`.
+    // Records that the stored facts of `group` were still true at `asOf`.
     void renew(const GroupId &group, TimePoint asOf);
-    // Forgets groups of which nothing was heard for too long.
+    // Removes the groups that have had no report for longer than their time to live.
     void expire(TimePoint now);
 
-    // Returns the group that `upstream` belongs to; the one without a name when nobody has said.
+    // Returns the group of `upstream`, or the unnamed group if no report mentions it.
     GroupId groupOf(const UpstreamRecord &upstream) const;
-    // Returns how many times as long as the group's median rank the upstream takes for its work; 1
-    // when nothing is known of late.
+    // Returns the pace of the upstream relative to the median of its group. Values above 1 are
+    // slower than the median. Returns 1 if there is no recent report.
     double slowness(const UpstreamRecord &upstream, TimePoint now) const;
-    // Tells whether the group has said of late that it takes no requests.
+    // Returns whether a recent report says that the group does not accept requests.
     bool isClosed(const GroupId &group, TimePoint now) const;
 
-    // Tells whether some group is known to have the engine at an address.
+    // Returns whether any group has the engine at this address as a member.
     bool hasMember(const std::string &host, int port) const
     {
         return memberships_.contains({host, port});
     }
 
-    // Tells whether the group has said of late that it takes no requests yet, and soon will.
+    // Returns whether a recent report says that the group is closed but about to open.
     bool isForming(const GroupId &group, TimePoint now) const;
-    // Tells whether word of the group stays away while that of others comes.
+    // Returns whether reports of the group have stopped while those of other groups still arrive,
+    // which means that the connection to it is cut.
     bool isIsolated(const GroupId &group, TimePoint now) const;
 
     const std::map<GroupId, Snapshot> &groups() const { return groups_; }
-    // Returns a number that rises with every change of what groups there are and who is in them.
+    // Returns a counter that rises with every change of the set of groups or of their members.
     std::uint64_t changes() const { return changes_; }
-    // Returns a digest of all facts, without their ages: tables that hold the same name it alike.
+    // Returns a digest of all facts without their ages; equal for tables with equal facts.
     std::uint64_t digest() const { return digest_; }
 
 private:
@@ -129,7 +130,7 @@
     std::map<GroupId, Snapshot> groups_;
     std::map<Address, Membership> memberships_;
     std::uint64_t changes_ = 0;
-    std::uint64_t digest_ = 0; // Zero while no group is known.
+    std::uint64_t digest_ = 0; // Zero if the table is empty.
 };
 
 } // namespace seamarch
