--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -6,7 +6,7 @@
 
 namespace seamarch {
 
-// Tells whether `upstream` shows an earlier start than the one whose word is known.
+// Returns whether `upstream` shows an earlier start than the recorded departure.
 bool LeavingUpstreams::isOfEarlierStart(const UpstreamRecord &upstream) const
 {
     const auto found = departures_.find(upstream.id);
--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -1,17 +1,19 @@
-// The upstreams that leave or are gone, as they have said themselves or as the store has told.
+// The upstreams that are leaving or were removed, as announced by themselves or by the store.
 //
-// A word of leaving counts from the moment that it is heard, whatever any later list says: the
-// store may be away, behind, or back from an older copy. It holds for the start of the upstream
-// that it was said of, and ends with a later start alone (isLaterStart). Where the list does not
-// tell starts, the first that it tells afterwards is taken for the one that leaves. A word of an
-// earlier start, out of an older copy of the store, does not take its place: the later start would
-// be believed again.
+// The announcement of an upstream takes effect at once and overrides any later list, because the
+// store may be unreachable, behind, or restored from an older copy. It applies to one start of the
+// upstream and is cleared only by a later start (see isLaterStart). If the start is unknown, the
+// first start that a list shows afterwards is taken for the one that leaves. An announcement for an
+// earlier start, read from an older copy of the store, does not replace that of a later start;
+// otherwise the later start would be accepted again.
 //
-// One that the store has taken away is the same, unless the store lists it anew: an upstream that
-// was cut off from the store lapses there and comes back in a new entry. An entry that was listed
-// when the one that went was listed is that one, out of an older copy.
+// A removal from the store is treated alike, except that a new entry of the store also clears it:
+// the entry of an upstream that is cut off from the store lapses, and the upstream returns with a
+// new entry. An entry with the creation revision of the removed one comes from an older copy of the
+// store and does not clear it.
 //
-// Bounded: beyond `kMaxEntries` the oldest is forgotten. Pure and single-threaded.
+// Holds at most `kMaxEntries` upstreams and evicts the oldest. Performs no I/O and is not
+// thread-safe.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -25,28 +27,29 @@
 
 struct UpstreamRecord;
 
+// Remembers departures, and rejects list entries of upstreams that have departed.
 class LeavingUpstreams
 {
 public:
-    static constexpr std::size_t kMaxEntries = 4096; // Some 150 bytes each.
+    static constexpr std::size_t kMaxEntries = 4096; // About 150 bytes each.
 
-    // `upstream`, listed like this when it was heard of, leaves.
+    // Records that `upstream` is leaving. `upstream` is its record at the time of the announcement.
     void addLeaving(const UpstreamRecord &upstream);
-    // The store no longer lists `upstream`, which was listed like this.
+    // Records that the store has removed `upstream`. `upstream` is its last record.
     void addRemoved(const UpstreamRecord &upstream);
-    // Tells whether an upstream that is listed like this leaves or is gone. Forgets what was known
-    // of a start, or of an entry, that `listed` shows to be over.
+    // Returns whether the upstream of record `listed` is leaving or was removed. If `listed` shows
+    // a later start or a new entry that clears the departure, erases it and returns false.
     bool contains(const UpstreamRecord &listed);
     std::size_t size() const { return departures_.size(); }
 
 private:
-    // The start that leaves or is gone.
+    // The start that is leaving or was removed.
     struct Departure
     {
         UpstreamStart start;
         std::uint64_t listedAt = 0;
         std::uint64_t createdAt = 0;
-        bool isLeaving = false; // Else it is only gone from the list.
+        bool isLeaving = false; // False: the store removed it without an announcement.
     };
 
     bool isOfEarlierStart(const UpstreamRecord &upstream) const;
@@ -54,7 +57,7 @@
     static bool isObsolete(const Departure &departure, const UpstreamRecord &listed);
 
     std::unordered_map<InstanceId, Departure> departures_;
-    std::deque<InstanceId> oldestFirst_; // The oldest first.
+    std::deque<InstanceId> oldestFirst_;
 };
 
 } // namespace seamarch
