--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -1,17 +1,17 @@
-// Hands out the permits to send requests to upstreams that name a limit for all gateways together,
-// or that are warming up.
+// Issues permits to send requests to upstreams that report a limit on the request rate of all
+// gateways together, or that are warming up.
 //
-// Each such upstream has one gateway that all ask (GatewayDirectory::issuerOf). Weighed: an equal
-// part for each gateway leaves nearly all of a small limit unused where one of them has the
-// callers, and lets as many requests go at once as there are gateways. Nothing is agreed on and
-// nothing is stored: where gateways differ for a while on whom to ask, two hand out at once, so
-// each hands out less than three quarters of the limit. An upstream bears one and a half times what
-// it names for a while.
+// All gateways request the permits for one upstream from the same gateway
+// (GatewayDirectory::issuerOf). The alternative, an equal share for each gateway, would leave most
+// of a small limit unused if one gateway has all callers, and would allow as many simultaneous
+// requests as there are gateways. There is no consensus and no stored state. While gateways
+// disagree on the issuer, two issuers may be active at once; each therefore issues less than three
+// quarters of the limit, because an upstream tolerates one and a half times its limit for a while.
 //
-// An issuer begins with no permits: what was handed out before it took over is not known here.
-// Permits of the past are not saved up, so that a pause is not followed by a heap of requests.
+// A new issuer starts without permits, as it does not know what its predecessor has issued. Unused
+// permits do not accumulate, so that a pause is not followed by a burst of requests.
 //
-// Pure and single-threaded.
+// Performs no I/O and is not thread-safe.
 #pragma once
 
 #include "decision/admission/tokenbucket.h"
@@ -24,29 +24,33 @@
 
 namespace seamarch {
 
-// The part of a limit that an issuer hands out.
+// The share of a limit that one issuer issues.
 inline constexpr double kIssuedShare = 0.65;
 
+// The answer of an issuer to a request for permits.
 struct PermitGrant
 {
     std::uint32_t granted = 0;
-    Duration retryAfter{}; // In vain sooner, where not all that was wanted is granted.
+    // When fewer permits are granted than requested: the time until the next one may be granted.
+    Duration retryAfter{};
 };
 
+// Issues permits from one token bucket for each upstream.
 class PermitIssuer
 {
 public:
     struct Settings
     {
         double issuedShare = kIssuedShare;
-        // Requests a second by which an upstream that takes nothing is asked whether that holds.
+        // Lower bound of the issued rate, in requests per second. An upstream with a limit of zero
+        // still gets these requests, so that its answers show whether the limit has changed.
         RequestRate minRate{0.1};
-        // How much of a second's permits may lie ready.
+        // Capacity of a bucket, in seconds of its rate (at least one permit).
         double burstSeconds = 0.1;
-        // The time that each gateway which asked within the last second keeps from the next
-        // question of one that got nothing; it bounds the questions that an issuer gets.
+        // `retryAfter` is at least this long for each gateway that has sent a request within the
+        // last second, which bounds the rate of requests to the issuer.
         Duration retryDelayPerRequester = std::chrono::milliseconds(5);
-        // What is kept of an upstream that nobody has asked about for so long is dropped.
+        // The state of an upstream without requests for this long is removed.
         Duration idleTimeToLive = std::chrono::minutes(1);
     };
 
@@ -57,17 +61,17 @@
         : settings_(settings)
     {}
 
-    // Hands `asker` up to `wanted` permits to send to `upstream`, which takes `limit`.
+    // Issues up to `wanted` permits for `upstream`, whose limit is `limit`, to `requester`.
     PermitGrant issue(const InstanceId &upstream, RequestRate limit, const InstanceId &requester,
                       std::uint32_t wanted, TimePoint now);
-    // Drops what is not used any more. Call it now and then.
+    // Removes the state of idle upstreams. To be called periodically.
     void expire(TimePoint now);
 
 private:
     struct UpstreamState
     {
         TokenBucket bucket;
-        std::unordered_map<InstanceId, TimePoint> requesters; // When each asked last.
+        std::unordered_map<InstanceId, TimePoint> requesters; // Time of the last request.
         TimePoint lastUsedAt{};
     };
 
