--- a/src/decision/gateway/requestrate.h
+++ b/src/decision/gateway/requestrate.h
@@ -1,15 +1,16 @@
-// How many requests a second somebody takes.
+// A rate of requests.
 #pragma once
 
 #include <compare>
 
 namespace seamarch {
 
+// A number of requests per second, as a type of its own.
 class RequestRate
 {
 public:
     constexpr RequestRate() = default;
-    // `perSecond` is finite and not negative.
+    // `perSecond` must be finite and not negative.
     constexpr explicit RequestRate(double perSecond)
         : perSecond_(perSecond)
     {}
--- a/src/decision/gateway/residency.h
+++ b/src/decision/gateway/residency.h
@@ -1,8 +1,9 @@
-// In which regions a request may be served, as its route and its client account name them.
+// The regions in which a request may be served, as configured for its route and its client account.
 //
-// Each that names regions binds, so what is left is what all of them name; that may be nothing.
+// Each configured list restricts the request further: the allowed regions are the intersection of
+// all lists, which may be empty.
 //
-// Pure.
+// Performs no I/O and is not thread-safe.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -13,14 +14,17 @@
 
 namespace seamarch {
 
+// A set of allowed regions; allows every region until it is restricted.
 class Residency
 {
 public:
-    // Binds the request to `regions`, besides those before; none bind nothing.
+    // Restricts the request to `regions`, in addition to earlier calls. An empty list restricts
+    // nothing.
     void restrictTo(const std::vector<RegionId> &regions);
-    // Tells whether the request may be served anywhere.
+    // Returns whether the request may be served in every region.
     bool isUnrestricted() const { return !regions_.has_value(); }
-    // Tells whether it may be served in `region`; one that is not known is none of those named.
+    // Returns whether the request may be served in `region`. The empty id stands for an unknown
+    // region, which a restricted request may not use.
     bool allows(const RegionId &region) const
     {
         return isUnrestricted() || regions_->contains(region);
