--- a/src/decision/gateway/routetable.cpp
+++ b/src/decision/gateway/routetable.cpp
@@ -7,7 +7,7 @@
 namespace seamarch {
 namespace {
 
-// Returns a host in lower case and without a port.
+// Returns `host` in lower case and without its port.
 std::string normalizedHost(std::string_view host)
 {
     std::string plain(host.substr(0, host.find(':')));
