--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -61,7 +61,7 @@
 {
     const auto found = states_.find(upstream);
     if (found == states_.end() || found->second.queriedAt != queriedAt) {
-        return; // Given up; what it grants is as good as used.
+        return; // The query was given up; its permits stay unused.
     }
     State &state = found->second;
     state.queriedAt = {};
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -1,12 +1,12 @@
-// The permits that a gateway holds to send requests to upstreams that name a limit or are warming
-// up.
+// The permits of this gateway to send requests to upstreams that report a limit or are warming up.
 //
-// A permit is asked for when a request would have gone to such an upstream and there was none; the
-// request goes elsewhere, or waits a moment where there is nothing else. A permit lasts for half a
-// second after the question, so that one that came for a request that went elsewhere serves the
-// next one, and none is saved up over a standstill.
+// The gateway queries the issuer for a permit when such an upstream is the best choice for a
+// request and no permit is available. The request goes to another upstream, or waits briefly if
+// there is none. A permit is valid for half a second after the query: if its request went
+// elsewhere, the next request can use it, but permits do not accumulate while the process stands
+// still.
 //
-// Pure and single-threaded.
+// Performs no I/O and is not thread-safe.
 #pragma once
 
 #include "decision/gateway/permitissuer.h"
@@ -19,19 +19,20 @@
 
 namespace seamarch {
 
+// Tracks the permits held for each upstream and the pending queries to their issuers.
 class SendPermits
 {
 public:
     struct Settings
     {
-        // How long a permit lasts, from the question on.
+        // How long a permit is valid, counted from the query.
         Duration permitTimeToLive = std::chrono::milliseconds(500);
-        // How long an answer is waited for: some round trips between halls.
+        // When an unanswered query is given up: several round trips between halls.
         Duration answerTimeout = std::chrono::milliseconds(350);
-        std::uint32_t maxWantedPerQuery = 16; // In one question.
+        std::uint32_t maxWantedPerQuery = 16;
     };
 
-    // A question that is due.
+    // A query for permits that is due to be sent to the issuer.
     struct Query
     {
         InstanceId upstream;
@@ -45,24 +46,25 @@
         : settings_(settings)
     {}
 
-    // Tells whether a request may go to `upstream`.
+    // Returns whether a valid permit for `upstream` is available.
     bool has(const InstanceId &upstream, TimePoint now) const;
-    // A request goes there.
+    // Uses one permit, if there is one, for a request that is sent to `upstream`.
     void consume(const InstanceId &upstream, TimePoint now);
-    // A request would have gone there.
+    // Adds one permit for `upstream` to the next query.
     void request(const InstanceId &upstream);
-    // Tells whether a permit may come until `end`.
+    // Returns whether a permit for `upstream` can arrive before `end`: a query is pending or may be
+    // sent before then.
     bool mayArriveBefore(const InstanceId &upstream, TimePoint end, TimePoint now) const;
 
-    // Returns from when on a permit may be asked for; the distant past when that is now.
+    // Returns the earliest time of the next query for `upstream`; a time in the past means now.
     TimePoint nextQueryAt(const InstanceId &upstream) const;
 
-    // Returns the questions that are due; they are under way from now on.
+    // Returns the queries that are due and marks them as pending.
     std::vector<Query> takeQueries(TimePoint now);
     // The question about `upstream` that was asked at `queriedAt` is answered.
     void onAnswer(const InstanceId &upstream, const PermitGrant &grant, TimePoint queriedAt,
                   TimePoint now);
-    // Forgets what means nothing any more.
+    // Removes the state of upstreams without permits and queries. To be called periodically.
     void expire(TimePoint now);
 
 private:
@@ -71,7 +73,7 @@
         std::uint32_t held = 0;
         TimePoint expiresAt{};
         std::uint32_t wanted = 0;
-        TimePoint queriedAt{}; // The question under way; none where this is zero.
+        TimePoint queriedAt{}; // Time of the pending query; zero: none is pending.
         TimePoint nextQueryAt{};
     };
 
