--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -48,7 +48,7 @@
 // upstreams, from 0 to 1.
 double UpstreamChooser::score(const UpstreamRecord &record, double position) const
 {
-    constexpr double kPositionWeight = 0.5; // Less than one request in flight.
+    constexpr double kPositionWeight = 0.5; // Less than the weight of one request in flight.
     const double penalty = record.hall == settings_.hall ? 0.0 : settings_.remoteHallPenalty;
     return inFlightAt(record.id) + penalty + kPositionWeight * position;
 }
@@ -88,9 +88,9 @@
     return needsPermit(upstream, now) && !permits_.has(upstream.id, now);
 }
 
-// Wants permits for the best of them that can be had now. One request takes one permit; a second
-// question covers an issuer that has none. To ask for all of a service that warms up would take as
-// many questions as it has upstreams, for each request.
+// Requests permits for the best of `upstreams` whose issuers may be queried now. One request needs
+// one permit; the second query covers the case that the first issuer has none. Querying for all
+// upstreams would, while a whole service warms up, send one query per upstream for each request.
 void UpstreamChooser::requestPermits(std::vector<Ranked> upstreams, TimePoint now)
 {
     constexpr std::size_t kMaxQueries = 2;
@@ -204,7 +204,7 @@
 
 void UpstreamChooser::onRestRequested(const InstanceId &upstream, TimePoint until)
 {
-    // Answers may pass each other on their connections; each rest that was asked for holds.
+    // Answers may arrive out of order on different connections; the latest end of a rest applies.
     TimePoint &restUntil = states_[upstream].restUntil;
     restUntil = std::max(restUntil, until);
 }
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -1,27 +1,27 @@
-// Which upstream of a service, or of one group of it, a gateway sends a request to.
+// Selects the upstream of a service, or of one of its groups, to which a gateway sends a request.
 //
-// The upstream with the fewest of this gateway's requests is the best; one in another hall is
-// charged for the way. Upstreams that failed, that could not be reached, or that are slow ranks of
-// their group are passed over while others are left. Upstreams without room are passed over always,
-// because asking them again at once only adds to their load.
+// The upstream with the fewest requests of this gateway in flight is the best; upstreams in other
+// halls get a penalty. Upstreams that have failed, that were unreachable, or that are slow ranks of
+// their group are selected only if there are no others. Full upstreams are never selected, because
+// sending to them again at once only adds to their load.
 //
-// A slow rank is worth a rule of its own: its group makes no pass faster than it, so a prompt that
-// it reads, or a stream that it writes, at a fifth of the speed makes every stream of the group
-// wait, while any other rank could have taken it.
+// Slow ranks are avoided because a group runs no pass faster than its slowest rank: if a rank that
+// runs at a fifth of the speed processes a prompt or generates a stream, every stream of the group
+// waits, while any other rank could have taken the request.
 //
-// An upstream that asks for rest gets nothing before the rest is over, by whatever way a request
-// comes to be sent: no list, no answer of another kind and no lack of others cuts it short. It
-// knows why it asks; what it gets all the same is turned away and costs its callers a try.
+// An upstream that asks for rest gets no request until the rest is over, for first attempts,
+// retries and resumed streams alike. No list, no other answer and no lack of other upstreams ends
+// the rest early: the upstream would reject the request, which would cost the caller an attempt.
 //
-// An upstream that names a limit for all gateways together, or is warming up, gets a request only
-// for a permit that this gateway holds, by whatever way the request comes to be sent. With a permit
-// it is chosen as any other is: what it still takes is worth having, and only an answer shows that
-// it names no limit any more.
+// An upstream that reports a limit for all gateways together, or is warming up, gets a request only
+// if this gateway holds a permit for it; this, too, holds for every kind of attempt. With a permit
+// it is selected like any other: its remaining capacity is useful, and only an answer can show that
+// the limit has ended.
 //
-// A request that may be served in some regions only goes to upstreams of halls that are known to be
-// in these, by whatever way it comes to be sent.
+// A request with a residency restriction goes only to upstreams in halls that are known to be in
+// the allowed regions, for every kind of attempt.
 //
-// Pure and single-threaded. The tables outlive the object.
+// Performs no I/O and is not thread-safe.
 #pragma once
 
 #include "decision/gateway/grouptable.h"
@@ -47,6 +47,9 @@
 // The region of each hall.
 using HallRegions = std::map<HallId, RegionId>;
 
+// Tracks the requests in flight and the recent failures of each upstream, and selects the best
+// upstream. Keeps references to the tables that are passed to the constructor; they must outlive
+// the object.
 class UpstreamChooser
 {
 public:
@@ -54,28 +57,28 @@
     {
         HallId hall;
         HallRegions regions;
-        // What an upstream in another hall is charged, in requests in flight: bytes between halls
-        // are dear, and the way there can be cut.
+        // Penalty of an upstream in another hall, in requests in flight: traffic between halls is
+        // expensive, and the connection can fail.
         double remoteHallPenalty = 2.0;
-        // A rank that takes so many times as long as the median of its group is slow. Ranks that
-        // are well differ by a few parts in a hundred.
+        // A rank is slow if its pace is at least this multiple of the median of its group. Healthy
+        // ranks differ by a few percent.
         double slowRankRatio = 1.5;
-        // How long an upstream that refused for want of room is passed over.
+        // How long an upstream that rejected a request as full is not selected.
         Duration fullPause = std::chrono::milliseconds(150);
-        // How long an upstream that could not be connected to is passed over.
+        // How long an upstream is deprioritized after a failed connection attempt.
         Duration unreachablePause = std::chrono::seconds(1);
-        // How long an address that another instance holds is passed over: a list that is out of
-        // date is corrected within that time.
+        // How long an upstream is deprioritized after another instance answered at its address; an
+        // outdated list is corrected within this time.
         Duration wrongInstancePause = std::chrono::seconds(5);
         OutlierDetector::Settings outliers;
     };
 
-    // The upstreams of one group that may get requests, in the order of their ids.
+    // The upstreams of one group that may get new requests, ordered by id.
     struct Group
     {
         std::vector<const UpstreamRecord *> upstreams;
         double slots = 0.0;
-        bool inOwnHall = false; // At least one of them is.
+        bool inOwnHall = false; // At least one upstream is in this gateway's hall.
         bool spansHalls = false;
     };
 
@@ -85,33 +88,35 @@
                     const GroupTable &groups, const UpstreamLimits &limits,
                     const WarmUpLimits &warmUps, SendPermits &permits);
 
-    // Takes where this gateway stands among those of its hall.
+    // Sets the position of this gateway among those of its hall.
     void setPlace(const HallPlace &place) { place_ = place; }
 
-    // Returns the groups of `service` that have upstreams. Valid until a table changes.
+    // Returns the groups of `service` that have upstreams. The reference is valid until a table
+    // changes.
     const Groups &groupsOf(const TargetName &service);
 
-    // Where a request is to be sent.
+    // Restricts the upstreams among which a request may be sent.
     struct Target
     {
         const TargetName &service;
-        const std::optional<GroupId> &group; // Nothing: any.
+        const std::optional<GroupId> &group; // nullopt: any group.
         const Residency &residency;
     };
 
-    // Returns the best upstream of `target` that is not in `tried`. Wants permits for those that
-    // would be better.
+    // Returns the best upstream of `target` that is not in `tried`, or nullopt if there is none.
+    // Requests permits for better upstreams that were skipped for lack of a permit.
     std::optional<InstanceId> choose(const Target &target, const std::set<InstanceId> &tried,
                                      TimePoint now);
-    // Tells whether `service` has an upstream where a request with this residency may be served, or
-    // the request may be served anywhere.
+    // Returns whether `service` has an upstream in an allowed region of `residency`. Always returns
+    // true for an unrestricted residency.
     bool hasUpstream(const TargetName &service, const Residency &residency);
 
-    // A request goes to `upstream`; it is there no more.
+    // Counts a request that is sent to `upstream` as in flight, and uses a permit if one is needed.
     void onSent(const UpstreamRecord &upstream, TimePoint now);
+    // Ends one request in flight at `upstream`, whatever its result.
     void onFinished(const InstanceId &upstream);
     void onFull(const InstanceId &upstream, TimePoint now);
-    // `upstream` wants nothing before `until`.
+    // Sends nothing to `upstream` before `until`.
     void onRestRequested(const InstanceId &upstream, TimePoint until);
     void onWrongInstance(const InstanceId &upstream, TimePoint now);
     void onUnreachable(const InstanceId &upstream, TimePoint now);
@@ -121,23 +126,24 @@
         outliers_.onFailure(upstream, now);
     }
 
-    // Forgets what means nothing any more. Call it now and then.
+    // Removes the state of upstreams without requests in flight and pauses. To be called
+    // periodically.
     void expire(TimePoint now);
 
-    // Returns when the first upstream of `service` takes requests again; nothing when there is none
-    // or some do not rest.
+    // Returns the earliest end of a rest if all upstreams of `service` are resting; nullopt if it
+    // has no upstream or any of them is not resting.
     std::optional<TimePoint> earliestRestEnd(const TargetName &service, TimePoint now);
-    // Tells whether a permit for an upstream of `service` that a request with this residency may go
-    // to may come until `end`.
+    // Returns whether a permit can arrive before `end` for an upstream of `service` that is allowed
+    // by `residency`.
     bool mayGetPermitBefore(const TargetName &service, const Residency &residency, TimePoint end,
                             TimePoint now);
-    // Returns from when on a permit for an upstream of `service` may be had; nothing when some take
-    // requests without one.
+    // Returns the earliest time of a query for a permit if all upstreams of `service` lack one;
+    // nullopt if it has no upstream or any of them needs none or has one.
     std::optional<TimePoint> earliestPermitAt(const TargetName &service, TimePoint now);
-    // Returns the upstreams that rest, and until when, in the order of their ids.
+    // Returns the resting upstreams with the end of their rest.
     std::map<InstanceId, TimePoint> resting(TimePoint now) const;
 
-    // Returns this gateway's requests in flight at an upstream.
+    // Returns the number of requests of this gateway in flight at `upstream`.
     std::uint32_t inFlightAt(const InstanceId &upstream) const;
 
 private:
@@ -145,11 +151,11 @@
     {
         std::uint32_t inFlight = 0;
         TimePoint deprioritizedUntil{};
-        TimePoint fullUntil{}; // By this gateway's own guess.
-        TimePoint restUntil{}; // By the upstream's word.
+        TimePoint fullUntil{}; // Estimated by this gateway.
+        TimePoint restUntil{}; // Requested by the upstream.
     };
 
-    // The groups of a service, as the tables stood after so many changes.
+    // The groups of a service, with the change counters of the tables that they were built from.
     struct CachedGroups
     {
         std::uint64_t upstreamChanges = 0;
@@ -164,7 +170,7 @@
     bool isFullOrResting(const InstanceId &upstream, TimePoint now) const;
     bool needsPermit(const UpstreamRecord &upstream, TimePoint now) const;
     bool lacksPermit(const UpstreamRecord &upstream, TimePoint now) const;
-    // An upstream that is passed over for want of a permit, by its rank among the candidates.
+    // An upstream without a permit, with its rank among the candidates; lower ranks are better.
     using Ranked = std::pair<std::pair<bool, double>, InstanceId>;
     void requestPermits(std::vector<Ranked> upstreams, TimePoint now);
     Positions positionsOf(const std::vector<const UpstreamRecord *> &upstreams) const;
