--- a/src/decision/gateway/routetable.h
+++ b/src/decision/gateway/routetable.h
@@ -34,9 +34,9 @@
     std::string host;
     std::string pathPrefix; // Starts and ends with a slash.
     std::vector<RouteTarget> targets;
-    bool repeatable = false;      // A request may run more than once.
-    bool streamed = false;        // Answers are streams of events.
-    bool resumable = false;       // A broken stream may be taken up at another upstream.
+    bool repeatable = false;      // A request may be executed more than once.
+    bool streamed = false;        // Answers are event streams.
+    bool resumable = false;       // A broken stream may be resumed at another upstream.
     bool allowsAnonymous = false; // Requests need no key.
     Duration timeout{};           // Maximum total time of a request.
     Duration latencyTarget{};     // Time to the answer, or to the first event.
--- a/src/decision/gateway/sendpermits.h
+++ b/src/decision/gateway/sendpermits.h
@@ -61,7 +61,8 @@
 
     // Returns the queries that are due and marks them as pending.
     std::vector<Query> takeQueries(TimePoint now);
-    // The question about `upstream` that was asked at `queriedAt` is answered.
+    // Handles the answer to the query for `upstream` that was sent at `queriedAt`. Ignores answers
+    // to queries that were given up.
     void onAnswer(const InstanceId &upstream, const PermitGrant &grant, TimePoint queriedAt,
                   TimePoint now);
     // Removes the state of upstreams without permits and queries. To be called periodically.
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -53,7 +53,8 @@
     return inFlightAt(record.id) + penalty + kPositionWeight * position;
 }
 
-// Returns the turn of each upstream in this gateway's order of its hall's upstreams, from 0 to 1.
+// Returns the relative position of each upstream, from 0 to 1, in this gateway's order of the
+// upstreams of its hall.
 UpstreamChooser::Positions
 UpstreamChooser::positionsOf(const std::vector<const UpstreamRecord *> &upstreams) const
 {
