--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -6,7 +6,7 @@
 namespace seamarch {
 namespace {
 
-// Returns the record without what differs between gateways that hold the same list.
+// Returns `record` without the fields that differ between gateways with the same list.
 UpstreamRecord withoutLocalFields(const UpstreamRecord &record)
 {
     UpstreamRecord copy = record;
@@ -51,7 +51,8 @@
 
 std::optional<std::set<InstanceId>> UpstreamHistory::changedSince(std::uint64_t digest) const
 {
-    constexpr std::size_t kMinSizeRatio = 2; // At most one part in so many of the list.
+    constexpr std::size_t kMinSizeRatio =
+        2; // The list is at least this many times as long as a delta.
     std::set<InstanceId> changed;
     if (digest == digest_) {
         return changed;
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -1,13 +1,13 @@
-// What has changed in a gateway's list of upstreams, from state to state, for the gateways that
-// ask.
+// The history of a gateway's list of upstreams, from which deltas for other gateways are computed.
 //
-// While many upstreams come and go the list changes several times a second. Handed on whole to all
-// that follow, it takes the bytes of gateways times upstreams for each change; what has changed
-// takes those of the change. States are named by the marks of the list, which gateways with the
-// same list compute alike, so one may ask another than before and still be told changes alone.
+// While many upstreams start and stop, the list changes several times a second. Sending the whole
+// list to all followers would cost bytes in proportion to gateways times upstreams for each change;
+// a delta costs only the changed records. A state of the list is identified by its digest, which is
+// the same on all gateways with the same list, so a follower can switch to another gateway and
+// still receive deltas.
 //
-// Bounded: `kMaxStates` states are remembered; one that names an earlier state is handed the whole
-// list. Pure and single-threaded.
+// Keeps `kMaxStates` states; a follower with an older state must get the whole list. Performs no
+// I/O and is not thread-safe.
 #pragma once
 
 #include "decision/gateway/upstreamtable.h"
@@ -23,6 +23,7 @@
 
 namespace seamarch {
 
+// A bounded log of the changes between successive states of the list.
 class UpstreamHistory
 {
 public:
@@ -35,7 +36,7 @@
     std::optional<std::set<InstanceId>> changedSince(std::uint64_t digest) const;
 
 private:
-    // From the state `from` to the one after it.
+    // The changes from the state with digest `fromDigest` to the next state.
     struct Delta
     {
         std::uint64_t fromDigest = 0;
@@ -44,11 +45,11 @@
 
     std::map<InstanceId, UpstreamRecord> records_;
     std::uint64_t digest_ = 0;
-    std::deque<Delta> deltas_; // The oldest first.
+    std::deque<Delta> deltas_; // Oldest first.
 };
 
-// Returns `list` with `changed` in the place of those that it lists already, or besides, and
-// without `removed`; in the order of ids.
+// Returns `list` with the records of `changed` replaced or added and those of `removed` left out,
+// ordered by id.
 std::vector<UpstreamRecord> applyChanges(const std::vector<const UpstreamRecord *> &list,
                                          const std::vector<UpstreamRecord> &changed,
                                          const std::set<InstanceId> &removed);
