--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -49,7 +49,7 @@
         return Change::None;
     }
     if (!rate && sentAt <= found->second.report.reportedAt) {
-        return Change::None; // It may be the earlier word of the two.
+        return Change::None; // The answer may be older than the limit.
     }
     store({upstream.id, upstream.start, rate, now}, now);
     ++localChanges_;
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -1,15 +1,17 @@
-// What upstreams say that they take from all gateways together.
+// The request rate limits that upstreams report for all gateways together.
 //
-// An upstream in need names in its answers how many requests a second it takes from everybody, for
-// as long as its answers say so. The word belongs to the start of the upstream that gave it. Any
-// gateway may hear it first, so gateways tell each other; the latest word counts.
+// An overloaded upstream reports in its answers how many requests per second it accepts from all
+// gateways together; the limit applies until an answer comes without it. A report belongs to the
+// start of the upstream that sent it. Any gateway may receive it first, so the gateways exchange
+// reports, and the latest one wins.
 //
-// Answers pass each other on their connections. An answer without a limit ends one only if its
-// request was sent after the limit was last heard of: it is then the later word. Between gateways,
-// whose clocks are compared by how long ago a thing was said, a limit wins while it cannot be told
-// which word is the later one: the next answer tells.
+// Answers may arrive out of order. An answer without a limit ends a limit only if its request was
+// sent after the limit was last reported, because only then is it certainly the later report.
+// Gateways exchange the ages of reports, which are comparable only within a tolerance. While the
+// order of two reports is ambiguous, a limit wins over no limit; the next answer resolves it.
 //
-// Bounded: beyond `kMaxEntries` what was said longest ago is forgotten. Pure and single-threaded.
+// Holds at most `kMaxEntries` reports and evicts the oldest. Performs no I/O and is not
+// thread-safe.
 #pragma once
 
 #include "decision/gateway/requestrate.h"
@@ -26,20 +28,22 @@
 
 struct UpstreamRecord;
 
-// What an upstream said last.
+// The latest limit that an upstream has reported.
 struct LimitReport
 {
     InstanceId upstream;
-    UpstreamStart start;             // Of the upstream as it spoke.
-    std::optional<RequestRate> rate; // Nothing: it names no limit any more.
-    TimePoint reportedAt{};          // At the latest.
+    UpstreamStart start;             // Of the upstream that sent the report.
+    std::optional<RequestRate> rate; // nullopt: the limit has ended.
+    TimePoint reportedAt{};          // Time of receipt, hence an upper bound.
 };
 
+// Stores the latest limit report of each upstream.
 class UpstreamLimits
 {
 public:
-    static constexpr std::size_t kMaxEntries = 256; // Some 100 bytes each.
+    static constexpr std::size_t kMaxEntries = 256; // About 100 bytes each.
 
+    // The effect of an answer on the limit of its upstream.
     enum class Change {
         None,
         Begun,
@@ -49,14 +53,15 @@
 
     struct Settings
     {
-        // A word that nobody has repeated for so long is forgotten: the upstream is gone, or nobody
-        // has anything to send to it.
+        // Reports that were not repeated for this long are removed: the upstream is gone, or no
+        // gateway sends requests to it.
         Duration timeToLive = std::chrono::minutes(10);
-        // Other gateways hear so often that a word was repeated, well within its life.
+        // How often the repetition of a report is published to other gateways; well below
+        // `timeToLive`.
         Duration renewalInterval = std::chrono::minutes(1);
-        // Times of two gateways are compared to within so much: some round trips between halls.
+        // Accuracy of times that come from another gateway: several round trips between halls.
         Duration clockTolerance = std::chrono::milliseconds(100);
-        // The first mark of the words that are known; not zero.
+        // The initial value of `version()`; not zero.
         std::uint64_t firstVersion = 1;
     };
 
@@ -68,8 +73,8 @@
         , version_(settings.firstVersion)
     {}
 
-    // An answer of `upstream`, as it was listed when the attempt began that was sent at `sentAt`,
-    // names `rate`, or no limit.
+    // Handles an answer that reports `rate`, or no limit, to a request that was sent at `sentAt`.
+    // `upstream` is the record of the upstream when the attempt started.
     Change onAnswer(const UpstreamRecord &upstream, std::optional<RequestRate> rate,
                     TimePoint sentAt, TimePoint now);
     // Another gateway knows `word`. Returns whether it was the later one.
@@ -77,23 +82,24 @@
     // Returns the word of an upstream that is listed like this; nothing when none is known. Valid
     // until the next change.
     const LimitReport *find(const UpstreamRecord &upstream) const;
-    // Returns what an upstream that is listed like this takes; nothing: it names no limit.
+    // Returns the limit for the start of `upstream`, or nullopt if it has none.
     std::optional<RequestRate> limitOf(const UpstreamRecord &upstream) const;
-    // Forgets words that nobody has repeated for long.
+    // Removes the reports that have exceeded their time to live.
     void expire(TimePoint now);
 
-    // Returns all words, in no order.
+    // Returns all reports, in no particular order.
     std::vector<LimitReport> all() const;
-    // Returns a number that names the state of the words; not zero.
+    // Returns a number that changes whenever there is something to publish to other gateways; never
+    // zero.
     std::uint64_t version() const { return version_; }
-    // Returns how many changes this gateway has seen itself.
+    // Returns the number of changes that came from answers to this gateway.
     std::uint64_t localChanges() const { return localChanges_; }
 
 private:
     struct Entry
     {
         LimitReport report;
-        TimePoint publishedAt{}; // Since when others can know of it.
+        TimePoint publishedAt{}; // When it was last published to other gateways.
     };
 
     void store(const LimitReport &report, TimePoint now);
