--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -44,8 +44,8 @@
     return groups;
 }
 
-// Rates an upstream; the lowest is the best. `turn` is its place in the own order of its hall's
-// upstreams, from 0 to 1.
+// Returns the score of an upstream; the lowest is the best. `position` is its relative position,
+// from 0 to 1, in this gateway's order of the upstreams of its hall.
 double UpstreamChooser::score(const UpstreamRecord &record, double position) const
 {
     constexpr double kPositionWeight = 0.5; // Less than the weight of one request in flight.
--- a/src/decision/gateway/upstreamhistory.h
+++ b/src/decision/gateway/upstreamhistory.h
@@ -29,10 +29,12 @@
 public:
     static constexpr std::size_t kMaxStates = 256;
 
-    // The list is `records` from now on, and is named `mark`.
+    // Records that the list is now `records`, with digest `digest`. Does nothing if the digest has
+    // not changed.
     void recordState(std::uint64_t digest, const std::vector<const UpstreamRecord *> &records);
-    // Returns the upstreams that were listed, changed or removed since the list was named `mark`;
-    // nothing when that state is not remembered, or when the whole list is hardly longer.
+    // Returns the upstreams that were added, changed or removed since the list had digest `digest`;
+    // nullopt if that state is not known or more than half of the list has changed, so that the
+    // whole list should be sent.
     std::optional<std::set<InstanceId>> changedSince(std::uint64_t digest) const;
 
 private:
--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -8,8 +8,8 @@
 namespace seamarch {
 namespace {
 
-// Tells whether a word of the start `said` may be one of the upstream that is listed as `listed`.
-// Where one of them is not told, an id stands for one start.
+// Returns whether a report for the start `reported` may apply to the start `listed`. An unknown
+// start matches every start.
 bool mayBeSameStart(UpstreamStart reported, UpstreamStart listed)
 {
     return reported == listed || reported == UpstreamStart() || listed == UpstreamStart();
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -77,10 +77,11 @@
     // `upstream` is the record of the upstream when the attempt started.
     Change onAnswer(const UpstreamRecord &upstream, std::optional<RequestRate> rate,
                     TimePoint sentAt, TimePoint now);
-    // Another gateway knows `word`. Returns whether it was the later one.
+    // Takes over `report` from another gateway if it is newer than the stored one. Returns whether
+    // the limit or the start of the upstream has changed.
     bool merge(const LimitReport &report, TimePoint now);
-    // Returns the word of an upstream that is listed like this; nothing when none is known. Valid
-    // until the next change.
+    // Returns the report for the start of `upstream`, or nullptr if there is none. The pointer is
+    // valid until the next change.
     const LimitReport *find(const UpstreamRecord &upstream) const;
     // Returns the limit for the start of `upstream`, or nullopt if it has none.
     std::optional<RequestRate> limitOf(const UpstreamRecord &upstream) const;
@@ -89,8 +90,8 @@
 
     // Returns all reports, in no particular order.
     std::vector<LimitReport> all() const;
-    // Returns a number that changes whenever there is something to publish to other gateways; never
-    // zero.
+    // Returns the version of the table, which rises when a report is stored, published again or
+    // removed; never zero.
     std::uint64_t version() const { return version_; }
     // Returns the number of changes that came from answers to this gateway.
     std::uint64_t localChanges() const { return localChanges_; }
--- a/src/decision/gateway/upstreamnotice.h
+++ b/src/decision/gateway/upstreamnotice.h
@@ -1,4 +1,5 @@
-// What an upstream says about itself in the head of an answer, whatever it says of the request.
+// The state that an upstream reports about itself in the head of an answer, independently of the
+// result of the request.
 #pragma once
 
 #include "decision/gateway/requestrate.h"
@@ -8,17 +9,20 @@
 
 namespace seamarch {
 
+// The parsed notice of one answer.
 struct UpstreamNotice
 {
-    // It wants nothing from this gateway for so long from now on. Other gateways are not meant: an
-    // upstream asks each of its senders by itself.
+    // The upstream asks this gateway to send nothing for this long from now on. It does not apply
+    // to other gateways: an upstream asks each sender separately.
     std::optional<Duration> rest;
-    bool restUnreadable = false; // It asks for rest, and for how long makes no sense.
-    bool leaving = false;        // It will end, and wants nothing new from anybody.
-    // What it takes from all gateways together, for as long as its answers say so.
+    bool restUnreadable = false; // The duration of the requested rest could not be parsed.
+    bool leaving = false;        // The upstream will stop and accepts no new requests.
+    // The rate that the upstream accepts from all gateways together, until an answer comes without
+    // it.
     std::optional<RequestRate> limit = std::nullopt;
-    bool limitUnreadable = false; // It names a limit, and how much makes no sense.
+    bool limitUnreadable = false; // The reported limit could not be parsed.
 
+    // Returns whether the answer contained no notice.
     bool empty() const
     {
         return !rest && !restUnreadable && !leaving && !limit && !limitUnreadable;
