--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -45,8 +45,8 @@
     return true;
 }
 
-// Takes the record's address from whichever upstream had it before. Returns false when that one was
-// listed later.
+// Assigns the address of `record` to it and erases the previous holder. Returns false, without any
+// change of the holder, if the holder was listed later.
 bool UpstreamTable::claimAddress(const UpstreamRecord &record)
 {
     const Address address{record.host, record.port};
@@ -55,7 +55,7 @@
         erase(record.id);
     }
     if (record.host.empty()) {
-        return true; // It has none, which whoever sends to it finds out.
+        return true; // Without an address; requests to it will fail.
     }
     const auto [holder, isNew] = byAddress_.try_emplace(address, record.id);
     if (isNew || holder->second == record.id) {
@@ -84,8 +84,8 @@
     ++changes_;
 }
 
-// Erases a record that the store has taken away for good. An older copy of the store may list it
-// once more; its word to leave, or its end, binds all the same.
+// Erases a record that the store has removed, and remembers the removal: an older copy of the store
+// may list the record again.
 void UpstreamTable::eraseRemoved(const InstanceId &id)
 {
     const auto found = entries_.find(id);
@@ -95,7 +95,8 @@
     }
 }
 
-// Tells whether a record that the list lacks goes at once. One that may have lapsed stays a while.
+// Returns whether a record that is missing from the list must be erased now. Starts the grace
+// period of a record that may have lapsed.
 bool UpstreamTable::shouldErase(const InstanceId &id, TimePoint now)
 {
     const auto found = entries_.find(id);
--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -1,21 +1,22 @@
-// The upstreams that a gateway may send requests to, as the platform's store lists them.
+// The upstreams to which a gateway may send requests, as listed by the platform's store.
 //
-// An upstream that is leaving, or that the store no longer lists, gets nothing new. One exception:
-// while the store is away, the records of living upstreams may lapse. A record that vanishes around
-// an outage is therefore kept in use for a short time, in which a living upstream lists itself
-// again; after that it is gone.
+// An upstream that is leaving, or that the store no longer lists, gets no new requests, with one
+// exception: during an outage of the store, the records of running upstreams may lapse. A record
+// that disappears around an outage therefore stays in use for a grace period, in which a running
+// upstream registers again; after that it is removed.
 //
-// An address belongs to the upstream that was listed there last: the one before has ended, though
-// its record may stay for some seconds. After the loss of all machines every address is listed
-// twice, and half of the requests would go to instances that are gone.
+// An address belongs to the upstream that was listed there last: the previous one has ended, though
+// its record may remain for some seconds. Otherwise, after a power failure of all machines, every
+// address would be listed twice and half of the requests would go to instances that no longer
+// exist.
 //
-// Nor do the upstreams of a hall that the operators drain, until they take that back; what is under
-// way there goes on.
+// Upstreams in a hall that the operators drain get no new requests until the drain is cancelled;
+// requests in flight continue.
 //
-// An upstream may say that it leaves in its own answers, before the store does or while the store
-// cannot be heard; its word goes before any list (LeavingUpstreams).
+// An upstream may announce in its own answers that it is leaving, before the store does or while
+// the store is unreachable. The announcement overrides any list (see LeavingUpstreams).
 //
-// Pure and single-threaded.
+// Performs no I/O and is not thread-safe.
 #pragma once
 
 #include "decision/gateway/leavingupstreams.h"
@@ -33,7 +34,8 @@
 
 namespace seamarch {
 
-// One upstream, as it is listed. It may start again under its id; `start` then tells the two apart.
+// One listed upstream. An upstream may restart under the same id; `start` then distinguishes the
+// two starts.
 struct UpstreamRecord
 {
     InstanceId id;
@@ -41,37 +43,39 @@
     std::string host; // An IP number.
     int port = 0;
     HallId hall;
-    std::uint32_t slots = 1; // Requests that it runs at once.
+    std::uint32_t slots = 1; // Number of requests that it runs concurrently.
     bool leaving = false;
-    // Rises from record to record in the order in which the store has taken them; zero: not known,
-    // as of records that a gateway of an earlier version has handed on.
+    // Rises with each record in the order in which the store accepted them. Zero: unknown, for
+    // example in records that were forwarded by a gateway of an earlier version.
     std::uint64_t listedAt = 0;
-    // The store's revision at which the entry was created; zero: not known. It names the entry,
-    // also in an older copy of the store, whose revisions have no order with those before.
+    // The store's revision at which the entry was created; zero: unknown. Identifies the entry,
+    // also in an older copy of the store, whose later revisions are not ordered with earlier ones.
     std::uint64_t createdAt = 0;
     UpstreamStart start;
-    // How long it still warmed up when it wrote its entry; nothing: the entry does not tell.
+    // Remaining warm-up time when the upstream wrote its entry; nullopt: not in the entry.
     std::optional<Duration> warmUpLeft;
-    TimePoint warmAt{}; // It is warm from then on, at the latest.
+    TimePoint warmAt{}; // Latest end of the warm-up.
 
     bool operator==(const UpstreamRecord &) const = default;
 };
 
-// Tells whether `listed` shows a later start of an upstream than the one that was known by `start`
-// and listed at `listedAt`. Where either start is not told it shows none. A host's clock may have
-// been set back between two starts: then the order in which the store has taken them decides.
+// Returns whether `listed` shows a later start of an upstream than `start`, whose record had the
+// position `listedAt`. Returns false if either start is unknown. A start with an earlier time
+// counts as later if the store accepted its record later, because the host's clock may have been
+// set back between the two starts.
 bool isLaterStart(const UpstreamRecord &listed, UpstreamStart start, std::uint64_t listedAt);
 
+// Stores the listed upstreams and decides which of them may get new requests.
 class UpstreamTable
 {
 public:
     struct Settings
     {
-        // How long a record that vanished around an outage of the store stays in use: living
-        // upstreams are listed again about two seconds after the store is back, and one that has
-        // really left must get nothing after two seconds either.
+        // How long a record that disappeared around an outage of the store stays in use. Running
+        // upstreams are listed again about two seconds after the store is back, and an upstream
+        // that has really left must get no requests after two seconds either.
         Duration lapseGrace = std::chrono::milliseconds(1500);
-        // How long after an outage a vanished record counts as lapsed.
+        // How long after an outage a record that disappears counts as lapsed.
         Duration outageWindow = std::chrono::seconds(3);
     };
 
@@ -80,41 +84,46 @@
         : settings_(settings)
     {}
 
-    // Changes how long a record that vanished around an outage stays in use.
+    // Changes the grace period; see Settings::lapseGrace.
     void setLapseGrace(Duration grace) { settings_.lapseGrace = grace; }
-    // Takes one record, new or changed, unless a later one has its address.
+    // Adds or replaces one record, unless a record that was listed later has its address.
     void put(const UpstreamRecord &record);
-    // The store lists `id` in a way that makes no sense; nothing is said of whether it lives.
+    // Drops `id` because its entry in the store cannot be parsed. Unlike `remove`, this does not
+    // mean that the upstream has ended.
     void dropUnreadable(const InstanceId &id, TimePoint now);
-    // The store no longer lists `id`.
+    // Handles that the store no longer lists `id`.
     void remove(const InstanceId &id, TimePoint now);
-    // Takes the whole list: what is not in it has vanished.
+    // Replaces the whole list. Upstreams that are not in `records` are treated as by `remove`.
     void replaceAll(const std::vector<UpstreamRecord> &records, TimePoint now);
-    // Takes the list of another gateway, which has kept lapsed records in use already.
+    // Replaces the whole list by that of another gateway, without a grace period for missing
+    // records, because the other gateway has applied it already.
     void mirror(const std::vector<UpstreamRecord> &records);
-    // Takes the halls that are drained, in place of those before. Returns whether they differ.
+    // Replaces the set of drained halls. Returns whether it has changed.
     bool setDrainedHalls(std::set<HallId> halls);
     const std::set<HallId> &drainedHalls() const { return drainedHalls_; }
-    // An upstream, as it was listed when it was asked, has said in its answer that it leaves. That
-    // binds from now on, whatever lists say. Returns false when it was known to leave.
+    // Handles an answer that announces that its upstream is leaving, which overrides any later
+    // list. `upstream` is the record at the time of the request. Returns whether a listed upstream
+    // is newly marked as leaving.
     bool markLeaving(const UpstreamRecord &upstream);
-    // A call to the store has failed.
+    // Handles a failed call to the store.
     void onOutage(TimePoint now) { lastOutage_ = now; }
-    // The store has come back from an older copy. What vanishes now counts as lapsed, and the order
-    // in which it had taken records until then means nothing for those to come.
+    // Handles that the store was restored from an older copy. Records that disappear now count as
+    // lapsed, and the positions of earlier records are not compared with those of later ones.
     void onStoreRolledBack(TimePoint now);
-    // Drops lapsed records whose time is over. Returns those dropped.
+    // Removes the lapsed records whose grace period is over. Returns their ids.
     std::vector<InstanceId> expire(TimePoint now);
 
+    // Returns the record of `id`, or nullptr if it is not listed. Valid until the next change.
     const UpstreamRecord *find(const InstanceId &id) const;
-    // Tells whether `id` may get new requests.
+    // Returns whether `id` may get new requests.
     bool mayReceive(const InstanceId &id) const;
-    // Tells whether `id` is listed and has not been told to leave.
+    // Returns whether `id` is listed and not leaving. Its hall may be drained.
     bool isActive(const InstanceId &id) const;
-    // Returns the upstreams of `service` that may get new requests, in the order of their ids.
+    // Returns the upstreams of `service` that may get new requests, ordered by id.
     std::vector<const UpstreamRecord *> candidates(const TargetName &service) const;
+    // Returns all listed upstreams, ordered by id.
     std::vector<const UpstreamRecord *> all() const;
-    // Returns a number that rises with every change of what `all` and `candidates` return.
+    // Returns a counter that rises with every change of the results of `all` and `candidates`.
     std::uint64_t changes() const { return changes_; }
 
 private:
