--- a/src/decision/gateway/warmuplimits.cpp
+++ b/src/decision/gateway/warmuplimits.cpp
@@ -9,10 +9,11 @@
 RequestRate warmUpLimit(RequestRate rate, const WarmUpBounds &bounds)
 {
     constexpr double kIssuers = 3.0;
-    // A permit is used up to half a second after it was given, and the request is sent up to half a
-    // second later, when its connection is made: one second gets the permits of two.
+    // A permit is used up to half a second after it is issued, and its request is sent up to half a
+    // second later, when the connection is established. The requests of one second may therefore
+    // use the permits of two.
     constexpr double kUseWindowSeconds = 2.0;
-    constexpr double kBurstPermits = 1.0; // A permit that lay ready at the issuer.
+    constexpr double kBurstPermits = 1.0; // The permit that an issuer may have in its bucket.
     const double maxPerSecond = rate.perSecond() * bounds.factor + bounds.slack;
     const double issuedPerSecond = (maxPerSecond / kIssuers - kBurstPermits) / kUseWindowSeconds;
     return RequestRate(std::max(0.0, issuedPerSecond / kIssuedShare));
--- a/src/decision/gateway/warmuplimits.h
+++ b/src/decision/gateway/warmuplimits.h
@@ -1,16 +1,16 @@
-// What upstreams that are warming up take from all gateways together.
+// The request rate limits of upstreams that are warming up, for all gateways together.
 //
-// An upstream that has just started is slow and ends under many requests, and one may have to warm
-// up anew at any moment. Its entry in the store tells for how long; its service's configuration
-// tells how many requests a second it bears meanwhile. So a request goes there for a permit alone,
-// as to an upstream that names a limit itself (SendPermits, PermitIssuer).
+// An upstream that has just started is slow and fails under many requests, and an upstream may have
+// to warm up again at any time. Its entry in the store contains the remaining warm-up time, and the
+// configuration of its service contains the rate that it tolerates during that time. Such an
+// upstream gets a request only with a permit, like one that reports a limit itself (see SendPermits
+// and PermitIssuer).
 //
-// What an upstream bears is counted in single seconds, and permits are used some time after they
-// were given. Gateways may also differ for a while on whom to ask for them, as when halls are cut
-// off from each other. The limit is therefore so low that three issuers at once stay within what
-// is borne.
+// The tolerated rate applies to each single second, while permits are used some time after they are
+// issued. In addition, gateways may disagree on the issuer for a while, for example while halls
+// are partitioned. The limit is therefore low enough for three simultaneous issuers.
 //
-// Pure and single-threaded.
+// Performs no I/O and is not thread-safe.
 #pragma once
 
 #include "decision/gateway/requestrate.h"
@@ -25,28 +25,30 @@
 
 namespace seamarch {
 
-// What an upstream that warms up gets at most in one second: its rate times `factor`, and `slack`.
+// The maximum number of requests that a warming upstream may get in one second is its configured
+// rate times `factor`, plus `slack`.
 struct WarmUpBounds
 {
     double factor = 1.5;
     double slack = 5.0;
 };
 
-// Returns the limit under which an issuer hands out permits for an upstream that bears `rate`.
+// Returns the limit to pass to PermitIssuer for a warming upstream that tolerates `rate`.
 RequestRate warmUpLimit(RequestRate rate, const WarmUpBounds &bounds);
 
+// Looks up the limit of a warming upstream by its service.
 class WarmUpLimits
 {
 public:
     void setBounds(const WarmUpBounds &bounds) { bounds_ = bounds; }
-    // Takes the services as the configuration has them, in place of those before.
+    // Replaces the configured services.
     void setServices(const std::vector<ServiceRule> &services);
-    // Returns what `upstream` takes while it warms up; nothing: it is warm, or not bound.
+    // Returns the limit of `upstream`, or nullopt if it is warm or its service sets no rate.
     std::optional<RequestRate> limitOf(const UpstreamRecord &upstream, TimePoint now) const;
 
 private:
     WarmUpBounds bounds_;
-    std::unordered_map<TargetName, RequestRate> rates_; // Of services that have a bound.
+    std::unordered_map<TargetName, RequestRate> rates_; // Of the services that set a warm-up rate.
 };
 
 } // namespace seamarch
