--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -56,8 +56,8 @@
     CHECK_FALSE(table.isClosed(GroupId("one"), at(100)));
 }
 
-// An agent that takes the role of deciding knows few ranks at first. An engine that dropped out of
-// its group for that would look like an empty group of its own, and draw all streams to it.
+// A new decider knows few ranks at first. If an engine that it does not report left its group, the
+// engine would look like an empty group and attract all streams.
 TEST(GroupTableTest, EngineMissingFromALaterReportStaysInItsGroup)
 {
     table.update(facts("one", {"a", "b"}), at(0));
@@ -71,7 +71,8 @@
     const std::uint64_t before = table.changes();
     table.update(facts("two", {"a"}), at(10));
     STRCMP_EQUAL("two", groupOf("a").c_str());
-    CHECK_TEXT(table.changes() > before, "those who group upstreams must see that one has moved");
+    CHECK_TEXT(table.changes() > before,
+               "the change counter must rise when an engine moves to another group");
 }
 
 TEST(GroupTableTest, LaterReportOfTheOldGroupWithoutTheEngineDoesNotMoveItBack)
@@ -114,7 +115,7 @@
     CHECK_TRUE(table.isClosed(GroupId("one"), at(3000)));
 }
 
-// A hall that is cut off: word of its group stays away, while that of the own hall's comes.
+// When a hall is cut off, reports of its group stop while those of the local hall still arrive.
 TEST(GroupTableTest, GroupThatAloneStopsReportingIsIsolated)
 {
     table.update(facts("near", {"a"}), at(0));
@@ -124,7 +125,7 @@
     CHECK_FALSE(table.isIsolated(GroupId("near"), at(2600)));
 }
 
-// Word comes through two waits of 0.4 s, and an agent that plans a map answers late.
+// Reports pass through two polling intervals of 0.4 s, and an agent that plans a map answers late.
 TEST(GroupTableTest, LateReportDoesNotIsolateAGroup)
 {
     table.update(facts("near", {"a"}), at(0));
@@ -133,7 +134,7 @@
     CHECK_FALSE(table.isIsolated(GroupId("far"), at(2100)));
 }
 
-// The gateway that asks for all has died: that says nothing of the groups.
+// The gateway that polls the groups on behalf of all has died, which says nothing about the groups.
 TEST(GroupTableTest, NoGroupIsIsolatedWhenAllStopReporting)
 {
     table.update(facts("near", {"a"}), at(0));
