--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -39,7 +39,7 @@
     table.put(record("one", 5));
     CHECK_TRUE(table.markLeaving(record("one", 5)));
     CHECK_FALSE(table.mayReceive(one));
-    CHECK_FALSE(table.markLeaving(record("one", 5))); // It is known by now.
+    CHECK_FALSE(table.markLeaving(record("one", 5))); // Already known.
 }
 
 TEST(LeavingUpstreamsTest, LeavingSurvivesEveryKindOfListUpdate)
@@ -58,7 +58,7 @@
     CHECK_FALSE(table.mayReceive(one));
 }
 
-// An older copy of the store lists the start before the one that leaves.
+// An older copy of the store lists the start before the one that is leaving.
 TEST(LeavingUpstreamsTest, EarlierStartDoesNotReplaceALaterDeparture)
 {
     table.put(record("one", 5));
@@ -80,7 +80,8 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-// A list that lags, or a store that came back older, shows the start before the one that leaves.
+// An outdated list, or a store restored from an older copy, shows the start before the one that is
+// leaving.
 TEST(LeavingUpstreamsTest, EarlierStartIsNotTreatedAsARestart)
 {
     table.put(record("one", 5, 40));
@@ -111,7 +112,7 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-// The answer came from the start before the one that is listed by now.
+// The answer came from the start before the one that is listed now.
 TEST(LeavingUpstreamsTest, DepartureOfAnEarlierStartDoesNotAffectTheLaterOne)
 {
     table.put(record("one", 6));
@@ -139,7 +140,7 @@
     CHECK_TRUE(departures.contains(record("10")));
 }
 
-// The store came back from an older copy, in which the upstream was ready.
+// The store was restored from an older copy, in which the upstream was not leaving yet.
 TEST(LeavingUpstreamsTest, LeavingMarkFromTheStoreSurvivesARollback)
 {
     UpstreamRecord leaving = record("one", 5, 40);
@@ -167,7 +168,7 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-// Of a list that another gateway handed on it is not known when its entries were listed.
+// The records in a list from another gateway have no store revisions.
 TEST(LeavingUpstreamsTest, RemovedUpstreamReturnsIfItsEntryRevisionIsUnknown)
 {
     table.put(record("one", 5));
@@ -199,7 +200,7 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-// Revisions are given out again: that of the earlier holder of the address says nothing any more.
+// The restored store reuses revisions, so that of the earlier holder of the address is meaningless.
 TEST(LeavingUpstreamsTest, UpstreamListedAfterARollbackTakesOverTheAddress)
 {
     UpstreamRecord earlier = record("one", 5, 90);
