--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: upstreams name limits for all gateways together, while first tries,
-// second tries, streams that are taken up, waiting ones and moves off silent upstreams go on, lists
-// come and go, and permits are granted, refused or not answered.
+// Tests that a gateway sends to an upstream with a reported limit only if it holds a permit: for
+// first attempts, retries, resumed and queued streams and requests moved from silent upstreams,
+// while lists change and permits are granted, refused or not answered.
 #include "decision/gateway/gatewaycore.h"
 
 #include "decision/gateway/routekinds.h"
@@ -91,7 +91,7 @@
         core->limits().merge({InstanceId(id), UpstreamStart(1), limit, at(now)}, at(now));
     }
 
-    // Answers every question that is due. Returns how many there were.
+    // Answers every query that is due with `answer`. Returns the number of queries.
     std::size_t answerQueries(const PermitGrant &answer, int now)
     {
         actions.clear();
@@ -213,8 +213,8 @@
     CHECK_TRUE(last<StartAttempt>() != nullptr);
 }
 
-// Every order of events that a seed draws: each request that goes to an upstream that names a limit
-// has a permit of its own.
+// Checks random sequences of events: every request that is sent to an upstream with a limit uses a
+// permit of its own. SEAMARCH_SEEDS sets the number of seeds.
 TEST(LimitedUpstreamTest, NoScheduleSendsWithoutAPermit)
 {
     const char *seedCount = std::getenv("SEAMARCH_SEEDS");
@@ -227,7 +227,7 @@
             return static_cast<int>(random() % static_cast<std::uint64_t>(most));
         };
         std::map<InstanceId, std::uint32_t> granted;
-        std::map<RequestNumber, InstanceId> attempts; // Attempts under way.
+        std::map<RequestNumber, InstanceId> attempts; // In flight.
         for (int step = 0, now = 0; step < 300; ++step) {
             now += draw(40);
             actions.clear();
