--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: routes and client accounts name the regions in which their requests
-// may be served, while upstreams refuse, fail, break streams and fall silent, come and go, and
-// halls are drained.
+// Tests that requests restricted to regions by their route or client account are sent only to
+// upstreams in these regions, while upstreams reject requests, fail, break streams, stop
+// responding, start and stop, and halls are drained.
 #include "decision/gateway/residency.h"
 
 #include "decision/gateway/gatewaycore.h"
@@ -147,7 +147,7 @@
     CHECK_TRUE(rejection() == nullptr);
 }
 
-// Every order of events that a seed draws; more seeds by hand with SEAMARCH_SEEDS.
+// Checks random sequences of events. SEAMARCH_SEEDS sets the number of seeds.
 TEST(ResidencyTest, NoScheduleSendsOutsideTheRegionsOrToADrainedHall)
 {
     const char *seedCount = std::getenv("SEAMARCH_SEEDS");
