--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: upstreams that shed load ask each gateway that they turn away for
-// some seconds of rest, while first tries, second tries, streams that are taken up, waiting ones
-// and moves off silent upstreams go on, and lists come and go.
+// Tests that a gateway sends nothing to an upstream that sheds load and has asked the gateway for
+// some seconds of rest: no first attempts, retries, resumed or queued streams and no requests moved
+// from silent upstreams, while lists change.
 #include "decision/gateway/gatewaycore.h"
 
 #include "decision/gateway/routekinds.h"
@@ -88,7 +88,8 @@
         return found;
     }
 
-    // Begins a request and has its upstream turn it away and ask for rest. Its caller then leaves.
+    // Starts a request whose upstream rejects it and asks for rest; the caller then disconnects.
+    // Returns the upstream.
     InstanceId askForRest(Kind kind, int now)
     {
         const RequestNumber number = begin(kind, now);
@@ -99,7 +100,7 @@
         return upstream;
     }
 
-    // Returns how many of `count` requests go first to `upstream`.
+    // Starts `count` requests and returns how many of their first attempts go to `upstream`.
     int sentTo(const InstanceId &upstream, int now, int count = 12)
     {
         int sent = 0;
@@ -133,7 +134,7 @@
         actions.clear();
         const RequestNumber number = begin(kind, 500);
         core->onHead(number, AnswerKind::Full, at(510), actions);
-        core->onTick(at(900), actions); // A stream waits for the group to open meanwhile.
+        core->onTick(at(900), actions); // A stream is queued until the group opens.
         CHECK_TRUE(last<StartAttempt>()->upstream.id != resting);
         CHECK_TRUE(kind == Kind::Stream || last<RejectRequest>() != nullptr);
     }
@@ -189,7 +190,7 @@
     const RequestNumber number = begin(Kind::Repeatable, 0);
     core->onNotice(number, kRest, at(0));
     core->onHead(number, AnswerKind::Full, at(0), actions);
-    core->onNotice(number, kRest, at(200)); // Its second try, at the other.
+    core->onNotice(number, kRest, at(200)); // The retry, at the other upstream.
     core->onHead(number, AnswerKind::Full, at(200), actions);
     CHECK_TRUE(last<RejectRequest>()->retryAfter == Duration(std::chrono::milliseconds(2800)));
     actions.clear();
@@ -217,10 +218,11 @@
     LONGS_EQUAL(0, sentTo(leaving, 20));
     actions.clear();
     core->onEnd(number, AttemptEnd::Complete, at(900), actions);
-    CHECK_TRUE(actions.empty()); // Its answer was delivered whole.
+    CHECK_TRUE(actions.empty()); // The answer was delivered completely.
 }
 
-// Every order of events that a seed draws. What a gateway was asked for holds at each send.
+// Checks random sequences of events: no attempt is sent to an upstream that is resting or leaving
+// at that time. SEAMARCH_SEEDS sets the number of seeds.
 TEST(RestingUpstreamTest, NoScheduleSendsToARestingOrLeavingUpstream)
 {
     const char *seedCount = std::getenv("SEAMARCH_SEEDS");
@@ -234,7 +236,7 @@
         };
         std::map<InstanceId, TimePoint> restUntil;
         std::set<InstanceId> leaving;
-        std::map<RequestNumber, InstanceId> attempts; // Attempts under way.
+        std::map<RequestNumber, InstanceId> attempts; // In flight.
         for (int step = 0, now = 0; step < 300; ++step) {
             now += draw(60);
             actions.clear();
@@ -291,8 +293,9 @@
             for (const GatewayAction &action : actions) {
                 if (const auto *sent = std::get_if<StartAttempt>(&action)) {
                     const InstanceId &to = sent->upstream.id;
-                    const std::string text = fmt::format(
-                        "seed {}, {} ms: sent to {}, which rests or leaves", seed, now, to.value());
+                    const std::string text =
+                        fmt::format("seed {}, {} ms: sent to {}, which is resting or leaving", seed,
+                                    now, to.value());
                     CHECK_TEXT(restUntil[to] <= at(now) && !leaving.contains(to), text.c_str());
                     attempts[sent->request] = to;
                 } else if (const auto *cancelled = std::get_if<CancelAttempt>(&action)) {
