--- a/test/decision/gateway/routekinds.h
+++ b/test/decision/gateway/routekinds.h
@@ -1,4 +1,4 @@
-// Routes of each kind of request, for tests of what upstreams get.
+// Route tables with a single route, for tests of which upstreams get the requests.
 #pragma once
 
 #include "decision/gateway/routetable.h"
@@ -8,8 +8,10 @@
 
 namespace seamarch::testing {
 
+// The kinds of requests, which differ in how they may be retried.
 enum class Kind { AtMostOnce, Repeatable, Stream };
 
+// Returns a table whose only route, for host "x" and every path, serves requests of `kind`.
 inline std::shared_ptr<const RouteTable> tableFor(Kind kind)
 {
     RouteRule route;
