--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -1,10 +1,10 @@
-// The load that this answers: one upstream names a limit for all gateways together, and all of them
-// want to send there, or one that has nearly all callers, while answers are late or lost, gateways
-// stand still, start anew, and differ on whom to ask for permits.
+// Simulates gateways that share the limit of one upstream by permits. Either all gateways have
+// callers or a single one has nearly all of them, while messages are delayed or lost and gateways
+// pause, restart and disagree on the issuer.
 //
-// The upstream counts what arrives in each 4 s and bears one and a half times its limit and five
-// requests. One that warms up counts in single seconds, and gateways may be in three parts that do
-// not reach each other.
+// The upstream tolerates, in each window of 4 s, five requests more than one and a half times its
+// limit. An upstream that is warming up has a window of 1 s, and the gateways may be split into
+// three partitions.
 #include "decision/gateway/permitissuer.h"
 #include "decision/gateway/sendpermits.h"
 #include "decision/gateway/warmuplimits.h"
@@ -29,31 +29,33 @@
 
 TimePoint at(int millis)
 {
-    // Zero stands for no time in what is tested.
+    // Offset by 1 ms, because the tested classes use time zero for "not set".
     return TimePoint(std::chrono::milliseconds(millis + 1));
 }
 
+// The parameters of a simulation.
 struct Scenario
 {
     std::size_t gateways = 7;
     double limit = 1.0;
     int durationMs = 20000;
-    double requestsPerSecond = 8.0; // Requests of one gateway that would go to the upstream.
-    std::size_t busyGateways = 0;   // So many gateways have callers; zero: all.
-    int maxDelayMs = 3;             // Of a question or an answer, in ms.
-    double lossRate = 0.0;          // Part of the questions and answers that are lost.
-    double faultsPerSecond = 0.0;   // Events a second: starts anew, standstills.
-    int partitionStartMs = 0;       // Gateways of different parts do not reach each other.
+    double requestsPerSecond = 8.0; // Requests of one gateway for the upstream.
+    std::size_t busyGateways = 0;   // Number of gateways with callers; zero: all.
+    int maxDelayMs = 3;             // Of a query or an answer.
+    double lossRate = 0.0;          // Share of the queries and answers that are lost.
+    double faultsPerSecond = 0.0;   // Rate of restarts and pauses.
+    int partitionStartMs = 0;       // Messages between partitions are dropped until the end.
     int partitionEndMs = 0;
     std::size_t partitions = 2;
-    int windowMs = kWindowMs; // In which the upstream counts.
+    int windowMs = kWindowMs; // In which the upstream counts requests.
     std::uint64_t seed = 1;
 };
 
+// The requests that arrived at the upstream and the queries that arrived at issuers.
 struct Result
 {
-    int maxInWindow = 0; // Requests in the worst 4 s.
-    int total = 0;       // Requests over the run.
+    int maxInWindow = 0; // Requests in the worst window.
+    int total = 0;       // Requests in the whole run.
     int queries = 0;
     int firstMs = -1;
 };
@@ -67,7 +69,7 @@
     std::uint32_t wanted = 0;
     PermitGrant answer;
     int askedAt = 0;
-    int incarnation = 0; // Of the gateway that asked.
+    int incarnation = 0; // Of the gateway that sent the query.
 
     bool operator>(const Message &other) const { return at > other.at; }
 };
@@ -77,9 +79,10 @@
     SendPermits permits;
     PermitIssuer issuer;
     int pausedUntil = 0;
-    int incarnation = 0; // Counts its starts.
+    int incarnation = 0; // Number of restarts.
 };
 
+// Runs gateways, a network and the upstream in steps of 1 ms.
 class Simulation
 {
 public:
@@ -121,7 +124,8 @@
         return index * scenario_.partitions / gateways_.size();
     }
 
-    // Each part has one that it asks, its first.
+    // Returns the issuer for the gateway at `index`: the first gateway of its partition, or of all
+    // gateways while there is no partition.
     std::size_t issuerFor(std::size_t index) const
     {
         const std::size_t partition = isPartitioned() ? partitionOf(index) : 0;
@@ -224,6 +228,7 @@
     Result result_;
 };
 
+// Returns the number of requests that an upstream with `limit` tolerates in 4 s.
 double maxBorne(double limit)
 {
     return 1.5 * limit * kWindowMs / 1000.0 + 5.0;
@@ -232,13 +237,13 @@
 void checkLimit(const Scenario &scenario, const Result &result)
 {
     CHECK_TEXT(result.maxInWindow <= maxBorne(scenario.limit),
-               fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, {} are borne",
+               fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, tolerates {}",
                            scenario.seed, scenario.gateways, scenario.limit, result.maxInWindow,
                            maxBorne(scenario.limit))
                    .c_str());
 }
 
-// Returns a world that is drawn at random.
+// Returns a random scenario for `seed`.
 Scenario randomScenario(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
@@ -336,7 +341,7 @@
     CHECK_FALSE(permits.has(upstream, at(700)));
 }
 
-// More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
+// SEAMARCH_SHARED_LIMIT_SEEDS sets the number of seeds.
 TEST(SharedLimitTest, LimitHoldsOnEverySchedule)
 {
     const char *seedCount = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
@@ -349,13 +354,13 @@
 
 namespace {
 
-// What an upstream that warms up bears of `rate` in one second.
+// Returns the number of requests that a warming upstream tolerates in one second.
 double maxBornePerSecond(double rate, const WarmUpBounds &bounds)
 {
     return rate * bounds.factor + bounds.slack;
 }
 
-// A world before an upstream that warms up and bears `rate` a second.
+// Returns a scenario with a warming upstream that tolerates `rate`.
 Scenario warmUpScenario(double rate, const WarmUpBounds &bounds)
 {
     Scenario scenario;
@@ -365,7 +370,7 @@
     return scenario;
 }
 
-// Returns a world that is drawn at random, before an upstream that bears `rate` a second.
+// Returns a random scenario with a warming upstream, and sets `rate` to the rate that it tolerates.
 Scenario randomWarmUpScenario(std::uint64_t seed, double &rate)
 {
     std::mt19937_64 random(seed);
@@ -382,8 +387,8 @@
 
 std::string describe(const Scenario &scenario, const Result &result, double maxBorne)
 {
-    return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, {} "
-                       "are borne",
+    return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, "
+                       "tolerates {}",
                        scenario.seed, scenario.gateways, scenario.limit, result.maxInWindow,
                        maxBorne);
 }
@@ -421,7 +426,8 @@
                describe(scenario, result, maxBornePerSecond(26.0, bounds)).c_str());
 }
 
-// Where all of a service warm up, what they bear is used: an issuer hands out 6.8 a second here.
+// While a whole service warms up, its upstreams must still be used at the tolerated rate. The
+// issuer issues 6.8 permits per second here.
 TEST(WarmUpLimitTest, HalfOfTheIssuedPermitsAreUsedIfThereIsNoOtherUpstream)
 {
     Scenario scenario = warmUpScenario(26.0, WarmUpBounds());
@@ -443,7 +449,7 @@
     CHECK_TRUE(Simulation(scenario).run().maxInWindow > maxBornePerSecond(26.0, WarmUpBounds()));
 }
 
-// More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
+// SEAMARCH_SHARED_LIMIT_SEEDS sets the number of seeds.
 TEST(WarmUpLimitTest, BoundHoldsOnEverySchedule)
 {
     const char *seedCount = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
