--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -1,5 +1,5 @@
-// The load that this answers: dozens of upstreams are replaced one after the other while hundreds
-// of gateways follow the list, ask one gateway and then another, and miss some states of it.
+// Tests the deltas that gateways get while dozens of upstreams are replaced one after another and
+// hundreds of gateways follow the list, switch between senders and miss some of its states.
 #include "decision/gateway/upstreamhistory.h"
 
 #include <cstdlib>
@@ -85,8 +85,8 @@
     CHECK_TRUE(history.changedSince(1)->empty());
 }
 
-// Whatever state a gateway holds, what it is told makes its list that of the teller. More seeds by
-// hand: SEAMARCH_SEEDS.
+// Checks with random histories that applying a delta to any earlier state yields the list of the
+// sender. SEAMARCH_SEEDS sets the number of seeds.
 TEST(UpstreamHistoryTest, AppliedChangesReproduceTheList)
 {
     const char *seedCount = std::getenv("SEAMARCH_SEEDS");
