--- a/test/decision/gateway/upstreamlimits_test.cpp
+++ b/test/decision/gateway/upstreamlimits_test.cpp
@@ -62,7 +62,7 @@
     CHECK_FALSE(limits.limitOf(record("up")).has_value());
 }
 
-// Its request was sent before the limit was heard of: which of the two was said later is not known.
+// The request was sent before the limit was reported, so the order of the two answers is unknown.
 TEST(UpstreamLimitsTest, AnswerToAnEarlierRequestDoesNotEndTheLimit)
 {
     answer(kOne, 0, 10);
@@ -112,7 +112,7 @@
     CHECK_FALSE(limits.limitOf(record("up")).has_value());
 }
 
-// Ages of two gateways compare to within some round trips.
+// Times from different gateways are comparable only within several round trips.
 TEST(UpstreamLimitsTest, LimitWinsOverNoLimitIfTheReportOrderIsAmbiguous)
 {
     answer(kOne, 0, 1000);
