--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -101,8 +101,8 @@
     CHECK_TRUE(table.changes() > before);
 }
 
-// The load that this answers: all machines have lost power. Each engine is back under a new id at
-// its old address, and the store goes on listing the old ids for some seconds.
+// After a power failure of all machines, each engine returns with a new id at its old address,
+// while the store lists the old ids for some more seconds.
 TEST_GROUP(UpstreamTableAfterPowerCutTest)
 {
     UpstreamTable table;
@@ -134,7 +134,7 @@
     table.replaceAll({placed("a-old", "10.1.0.1", 7), placed("b-new", "10.1.0.1", 90)}, at(0));
     LONGS_EQUAL(1, table.candidates(portal).size());
     CHECK_TRUE(table.mayReceive(InstanceId("b-new")));
-    table.put(placed("a-old", "10.1.0.1", 7)); // A change of the old record that comes late.
+    table.put(placed("a-old", "10.1.0.1", 7)); // A late update of the old record.
     CHECK_TRUE(table.mayReceive(InstanceId("b-new")));
     CHECK_FALSE(table.mayReceive(InstanceId("a-old")));
 }
