--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -1,5 +1,5 @@
-// The load that this answers: upstreams of a service start anew, or warm up again, one or all of
-// them, while all gateways go on sending.
+// Tests that upstreams get requests only with permits while they warm up after a restart, or warm
+// up again; a single one or a whole service at once.
 #include "decision/gateway/warmuplimits.h"
 
 #include "decision/gateway/gatewaycore.h"
