--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -229,17 +229,17 @@
 };
 
 // Returns the number of requests that an upstream with `limit` tolerates in 4 s.
-double maxBorne(double limit)
+double maxTolerated(double limit)
 {
     return 1.5 * limit * kWindowMs / 1000.0 + 5.0;
 }
 
 void checkLimit(const Scenario &scenario, const Result &result)
 {
-    CHECK_TEXT(result.maxInWindow <= maxBorne(scenario.limit),
+    CHECK_TEXT(result.maxInWindow <= maxTolerated(scenario.limit),
                fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, tolerates {}",
                            scenario.seed, scenario.gateways, scenario.limit, result.maxInWindow,
-                           maxBorne(scenario.limit))
+                           maxTolerated(scenario.limit))
                    .c_str());
 }
 
@@ -385,12 +385,12 @@
     return scenario;
 }
 
-std::string describe(const Scenario &scenario, const Result &result, double maxBorne)
+std::string describe(const Scenario &scenario, const Result &result, double maxTolerated)
 {
     return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, "
                        "tolerates {}",
                        scenario.seed, scenario.gateways, scenario.limit, result.maxInWindow,
-                       maxBorne);
+                       maxTolerated);
 }
 
 } // namespace
@@ -407,9 +407,9 @@
             scenario.partitionStartMs = 3000;
             scenario.partitionEndMs = 8000;
             const Result result = Simulation(scenario).run();
-            const double maxBorne = maxBornePerSecond(rate, WarmUpBounds());
-            CHECK_TEXT(result.maxInWindow <= maxBorne,
-                       describe(scenario, result, maxBorne).c_str());
+            const double maxTolerated = maxBornePerSecond(rate, WarmUpBounds());
+            CHECK_TEXT(result.maxInWindow <= maxTolerated,
+                       describe(scenario, result, maxTolerated).c_str());
         }
     }
 }
@@ -458,7 +458,8 @@
         double rate = 0.0;
         const Scenario scenario = randomWarmUpScenario(seed, rate);
         const Result result = Simulation(scenario).run();
-        const double maxBorne = maxBornePerSecond(rate, WarmUpBounds());
-        CHECK_TEXT(result.maxInWindow <= maxBorne, describe(scenario, result, maxBorne).c_str());
+        const double maxTolerated = maxBornePerSecond(rate, WarmUpBounds());
+        CHECK_TEXT(result.maxInWindow <= maxTolerated,
+                   describe(scenario, result, maxTolerated).c_str());
     }
 }
