--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -355,7 +355,7 @@
 namespace {
 
 // Returns the number of requests that a warming upstream tolerates in one second.
-double maxBornePerSecond(double rate, const WarmUpBounds &bounds)
+double maxToleratedPerSecond(double rate, const WarmUpBounds &bounds)
 {
     return rate * bounds.factor + bounds.slack;
 }
@@ -407,7 +407,7 @@
             scenario.partitionStartMs = 3000;
             scenario.partitionEndMs = 8000;
             const Result result = Simulation(scenario).run();
-            const double maxTolerated = maxBornePerSecond(rate, WarmUpBounds());
+            const double maxTolerated = maxToleratedPerSecond(rate, WarmUpBounds());
             CHECK_TEXT(result.maxInWindow <= maxTolerated,
                        describe(scenario, result, maxTolerated).c_str());
         }
@@ -422,8 +422,8 @@
     scenario.partitionStartMs = 2000;
     scenario.partitionEndMs = 20000;
     const Result result = Simulation(scenario).run();
-    CHECK_TEXT(result.maxInWindow <= maxBornePerSecond(26.0, bounds),
-               describe(scenario, result, maxBornePerSecond(26.0, bounds)).c_str());
+    CHECK_TEXT(result.maxInWindow <= maxToleratedPerSecond(26.0, bounds),
+               describe(scenario, result, maxToleratedPerSecond(26.0, bounds)).c_str());
 }
 
 // While a whole service warms up, its upstreams must still be used at the tolerated rate. The
@@ -446,7 +446,8 @@
     scenario.limit = 26.0 / kIssuedShare;
     scenario.partitionStartMs = 2000;
     scenario.partitionEndMs = 20000;
-    CHECK_TRUE(Simulation(scenario).run().maxInWindow > maxBornePerSecond(26.0, WarmUpBounds()));
+    CHECK_TRUE(Simulation(scenario).run().maxInWindow
+               > maxToleratedPerSecond(26.0, WarmUpBounds()));
 }
 
 // SEAMARCH_SHARED_LIMIT_SEEDS sets the number of seeds.
@@ -458,7 +459,7 @@
         double rate = 0.0;
         const Scenario scenario = randomWarmUpScenario(seed, rate);
         const Result result = Simulation(scenario).run();
-        const double maxTolerated = maxBornePerSecond(rate, WarmUpBounds());
+        const double maxTolerated = maxToleratedPerSecond(rate, WarmUpBounds());
         CHECK_TEXT(result.maxInWindow <= maxTolerated,
                    describe(scenario, result, maxTolerated).c_str());
     }
