--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -8,7 +8,8 @@
 // Answers may arrive out of order. An answer without a limit ends a limit only if its request was
 // sent after the limit was last reported, because only then is it certainly the later report.
 // Gateways exchange the ages of reports, which are comparable only within a tolerance. While the
-// order of two reports is ambiguous, a limit wins over no limit; the next answer resolves it.
+// order of two reports is ambiguous, a limit wins over no limit, and a lower limit over a higher
+// one; the next answer resolves it.
 //
 // Holds at most `kMaxEntries` reports and evicts the oldest. Performs no I/O and is not
 // thread-safe.
