--- a/src/decision/gateway/leavingupstreams.h
+++ b/src/decision/gateway/leavingupstreams.h
@@ -38,7 +38,8 @@
     // Records that the store has removed `upstream`. `upstream` is its last record.
     void addRemoved(const UpstreamRecord &upstream);
     // Returns whether the upstream of record `listed` is leaving or was removed. If `listed` shows
-    // a later start or a new entry that clears the departure, erases it and returns false.
+    // a later start or a new entry that clears the departure, erases it and returns false. If the
+    // start of the departure is unknown, sets it to that of `listed`.
     bool contains(const UpstreamRecord &listed);
     std::size_t size() const { return departures_.size(); }
 
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -47,10 +47,10 @@
         RequestRate minRate{0.1};
         // Capacity of a bucket, in seconds of its rate (at least one permit).
         double burstSeconds = 0.1;
-        // `retryAfter` is at least this long for each gateway that has sent a request within the
-        // last second, which bounds the rate of requests to the issuer.
+        // `retryAfter` is at least this time multiplied by the number of gateways that have
+        // requested permits within the last second, which bounds the load of the issuer.
         Duration retryDelayPerRequester = std::chrono::milliseconds(5);
-        // The state of an upstream without requests for this long is removed.
+        // The state of an upstream for which no permits were requested for this long is removed.
         Duration idleTimeToLive = std::chrono::minutes(1);
     };
 
@@ -71,7 +71,7 @@
     struct UpstreamState
     {
         TokenBucket bucket;
-        std::unordered_map<InstanceId, TimePoint> requesters; // Time of the last request.
+        std::unordered_map<InstanceId, TimePoint> requesters; // When each last requested permits.
         TimePoint lastUsedAt{};
     };
 
--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -51,8 +51,7 @@
 
 std::optional<std::set<InstanceId>> UpstreamHistory::changedSince(std::uint64_t digest) const
 {
-    constexpr std::size_t kMinSizeRatio =
-        2; // The list is at least this many times as long as a delta.
+    constexpr std::size_t kMinSizeRatio = 2; // Of the list to a delta that is worth sending.
     std::set<InstanceId> changed;
     if (digest == digest_) {
         return changed;
--- a/src/decision/gateway/upstreamtable.h
+++ b/src/decision/gateway/upstreamtable.h
@@ -40,16 +40,17 @@
 {
     InstanceId id;
     TargetName service;
-    std::string host; // An IP number.
+    std::string host; // An IP address.
     int port = 0;
     HallId hall;
     std::uint32_t slots = 1; // Number of requests that it runs concurrently.
     bool leaving = false;
-    // Rises with each record in the order in which the store accepted them. Zero: unknown, for
+    // Sequence number in the order in which the store accepted the records. Zero: unknown, for
     // example in records that were forwarded by a gateway of an earlier version.
     std::uint64_t listedAt = 0;
     // The store's revision at which the entry was created; zero: unknown. Identifies the entry,
-    // also in an older copy of the store, whose later revisions are not ordered with earlier ones.
+    // also in a store restored from an older copy, whose new revisions cannot be ordered against
+    // those from before.
     std::uint64_t createdAt = 0;
     UpstreamStart start;
     // Remaining warm-up time when the upstream wrote its entry; nullopt: not in the entry.
@@ -60,9 +61,9 @@
 };
 
 // Returns whether `listed` shows a later start of an upstream than `start`, whose record had the
-// position `listedAt`. Returns false if either start is unknown. A start with an earlier time
-// counts as later if the store accepted its record later, because the host's clock may have been
-// set back between the two starts.
+// sequence number `listedAt`. Returns false if either start is unknown. A start with an earlier
+// time counts as later if the store accepted its record later, because the host's clock may have
+// been set back between the two starts.
 bool isLaterStart(const UpstreamRecord &listed, UpstreamStart start, std::uint64_t listedAt);
 
 // Stores the listed upstreams and decides which of them may get new requests.
@@ -108,7 +109,8 @@
     // Handles a failed call to the store.
     void onOutage(TimePoint now) { lastOutage_ = now; }
     // Handles that the store was restored from an older copy. Records that disappear now count as
-    // lapsed, and the positions of earlier records are not compared with those of later ones.
+    // lapsed, and the sequence numbers of earlier records are not compared with those of later
+    // ones.
     void onStoreRolledBack(TimePoint now);
     // Removes the lapsed records whose grace period is over. Returns their ids.
     std::vector<InstanceId> expire(TimePoint now);
