--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -41,8 +41,8 @@
         const RequestRate warmUp = readRate(question.getWarmUpPerSecond());
         rate = std::min(rate.value_or(warmUp), warmUp);
     }
-    return permitIssuer_.take(word.upstream, rate.value_or(RequestRate()), from.id,
-                              question.getWanted(), now);
+    return permitIssuer_.issue(word.upstream, rate.value_or(RequestRate()), from.id,
+                               question.getWanted(), now);
 }
 
 void GatewayPeers::askForPermits(const GatewayRecord &issuer, const PermitQuestion &question,
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -118,7 +118,7 @@
     if (peers_ == nullptr || record == nullptr) {
         const InstanceId &self = settings_.instance;
         const RequestRate rate = question.limit ? *question.limit->rate : *question.warmUp;
-        answered(beliefs_.permitIssuer.take(
+        answered(beliefs_.permitIssuer.issue(
             ask.upstream, std::min(rate, question.warmUp.value_or(rate)), self, ask.wanted, now));
         return;
     }
