--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -218,7 +218,7 @@
 
 void GatewayCore::detachUpstream(Request &request)
 {
-    chooser_.onLeft(request.upstream);
+    chooser_.onFinished(request.upstream);
     if (request.request.route->streamed) {
         trackerOf(request).onStreamEnd(request.hasEvents);
     }
@@ -255,10 +255,10 @@
         return;
     }
     if (notice.rest) {
-        chooser_.onRestWanted(request->upstream, now + *notice.rest);
+        chooser_.onRestRequested(request->upstream, now + *notice.rest);
     }
     if (notice.leaving) {
-        upstreams_.announceLeaving(request->upstreamRecord);
+        upstreams_.markLeaving(request->upstreamRecord);
     }
 }
 
@@ -401,8 +401,8 @@
 {
     const Duration wait =
         request.retryAfterHint > Duration{} ? request.retryAfterHint : settings_.retryAfter;
-    const TimePoint restsUntil = chooser_.restsUntil(request.service, now).value_or(now);
-    const TimePoint permitsFrom = chooser_.permitsFrom(request.service, now).value_or(now);
+    const TimePoint restsUntil = chooser_.earliestRestEnd(request.service, now).value_or(now);
+    const TimePoint permitsFrom = chooser_.earliestPermitAt(request.service, now).value_or(now);
     return std::max({wait, restsUntil - now, permitsFrom - now});
 }
 
@@ -429,7 +429,7 @@
                                   GatewayActions &actions)
 {
     // An upstream that is leaving, or that the store no longer lists, ends as planned.
-    if (upstreams_.stays(upstream)) {
+    if (upstreams_.isActive(upstream)) {
         crashes_.onEnded(digest, account, upstream, at);
         giveUpSuspects(now, actions);
     }
@@ -465,7 +465,7 @@
     const RouteRule &route = *request.request.route;
     const bool mayFailOver =
         request.upstream != InstanceId() && (!request.headSent || route.resumable);
-    const Duration silenceLimit = std::min(route.silenceLimit, request.request.deadline);
+    const Duration silenceLimit = std::min(route.silenceTimeout, request.request.deadline);
     return mayFailOver && silenceLimit > Duration{}
            && toSeconds(now - request.progressAt)
                   >= toSeconds(silenceLimit) * settings_.silenceFraction;
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -211,9 +211,12 @@
     UpstreamLimits::Change onLimit(RequestNumber request, std::optional<RequestRate> limit,
                                    TimePoint now);
     // Returns the permit requests that are due and marks them as sent.
-    std::vector<SendPermits::Ask> takePermitAsks(TimePoint now) { return permits_.takeAsks(now); }
+    std::vector<SendPermits::Query> takePermitAsks(TimePoint now)
+    {
+        return permits_.takeQueries(now);
+    }
     // Handles the answer to the permit request for `upstream` that was sent at `askedAt`.
-    void onPermits(const InstanceId &upstream, const PermitAnswer &answer, TimePoint askedAt,
+    void onPermits(const InstanceId &upstream, const PermitGrant &answer, TimePoint askedAt,
                    TimePoint now, GatewayActions &actions);
     // Handles the end of the current attempt's connection.
     void onEnd(RequestNumber request, AttemptEnd end, TimePoint now, GatewayActions &actions);
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -17,7 +17,7 @@
     }
     const TimePoint end = std::min(now + settings_.permitTimeout, request.failAt);
     if (mayBeSent(request, now)
-        && chooser_.awaitsPermit(request.service, request.request.residency, end, now)) {
+        && chooser_.mayGetPermitBefore(request.service, request.request.residency, end, now)) {
         request.permitDeadline = end;
         permitWaiters_.insert(number);
         return;
@@ -36,8 +36,8 @@
         if (sent) {
             permitWaiters_.erase(number);
         } else if (now >= request.permitDeadline
-                   || !chooser_.awaitsPermit(request.service, request.request.residency,
-                                             request.permitDeadline, now)) {
+                   || !chooser_.mayGetPermitBefore(request.service, request.request.residency,
+                                                   request.permitDeadline, now)) {
             giveUp(number, FailureCode::NoUpstream, now, actions);
         }
     }
@@ -53,7 +53,7 @@
     return limits_.onAnswer(request->upstreamRecord, limit, request->attemptStartedAt, now);
 }
 
-void GatewayCore::onPermits(const InstanceId &upstream, const PermitAnswer &answer,
+void GatewayCore::onPermits(const InstanceId &upstream, const PermitGrant &answer,
                             TimePoint askedAt, TimePoint now, GatewayActions &actions)
 {
     permits_.onAnswer(upstream, answer, askedAt, now);
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -16,7 +16,7 @@
 StreamQueue::Entry GatewayCore::queueEntryFor(RequestNumber number, const Request &request,
                                               const ServiceState &service)
 {
-    const Duration goal = request.request.route->latencyGoal;
+    const Duration goal = request.request.route->latencyTarget;
     StreamQueue::Entry entry;
     entry.number = number;
     entry.priority = request.request.priority;
@@ -31,7 +31,7 @@
 // Returns how long a stream may be queued; its caller disconnects shortly after that.
 Duration GatewayCore::maxQueueTime(const Request &request) const
 {
-    return request.request.route->silenceLimit - settings_.queueTimeoutMargin;
+    return request.request.route->silenceTimeout - settings_.queueTimeoutMargin;
 }
 
 // Returns the longest retry delay that the caller honours.
@@ -162,7 +162,7 @@
     Request *request = find(number);
     if (request != nullptr && request->upstream != InstanceId()) {
         request->progressAt = now;
-        const Duration goal = request->request.route->pauseGoal;
+        const Duration goal = request->request.route->gapTarget;
         trackerOf(*request).onPause(pause, goal, now);
     }
 }
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -65,7 +65,7 @@
         tracker.limiter().resetToMinimum();
         return;
     }
-    const std::size_t sharers = group.inManyHalls ? share_.gateways : share_.position.gateways;
+    const std::size_t sharers = group.spansHalls ? share_.gateways : share_.position.gateways;
     tracker.limiter().resetToShare(group.slots, static_cast<double>(sharers));
 }
 
@@ -83,10 +83,10 @@
     const auto known = groups_->find(group); // Missing if its last upstream has left.
     const bool remote = known == groups_->end() || !known->second.inOwnHall;
     if (tracker.isUnreachable()
-        || (remote && table.outOfTouch(group, now) && tracker.isQuiet(now))) {
+        || (remote && table.isIsolated(group, now) && tracker.isQuiet(now))) {
         return Fault::Unreachable;
     }
-    if (tracker.isRefusing(now) || tracker.mayBeForming(now) || table.closed(group, now)) {
+    if (tracker.isRefusing(now) || tracker.mayBeForming(now) || table.isClosed(group, now)) {
         return Fault::Refusing;
     }
     return tracker.isStalled() ? Fault::Stalled : Fault::None;
@@ -140,8 +140,8 @@
         GroupTracker &tracker = trackers_.at(candidate.group);
         // A group without contact is not probed either: the caller would disconnect first.
         const bool closed =
-            table.closed(candidate.group, now) && !table.forming(candidate.group, now);
-        const bool probeUseless = closed || table.outOfTouch(candidate.group, now);
+            table.isClosed(candidate.group, now) && !table.isForming(candidate.group, now);
+        const bool probeUseless = closed || table.isIsolated(candidate.group, now);
         const bool eligible = candidate.fault != Fault::None && !probeUseless;
         if (eligible && tracker.isProbeDue(now)) {
             tracker.onProbe(now);
@@ -225,8 +225,8 @@
     bool soon = false;
     for (const auto &[id, group] : *groups_) {
         const GroupTracker &tracker = trackers_.at(id);
-        const bool isForming = tracker.mayBeForming(now) || table.forming(id, now);
-        if (!isForming && !tracker.isRefusing(now) && !table.closed(id, now)) {
+        const bool isForming = tracker.mayBeForming(now) || table.isForming(id, now);
+        if (!isForming && !tracker.isRefusing(now) && !table.isClosed(id, now)) {
             return false;
         }
         soon = soon || isForming;
--- a/src/decision/gateway/grouptable.cpp
+++ b/src/decision/gateway/grouptable.cpp
@@ -7,8 +7,8 @@
 namespace seamarch {
 namespace {
 
-// A group that copies experts or reads a prompt is slow as a whole, so ranks are held against each
-// other and not against a fixed figure.
+// Returns the median pace of `members`. Ranks are compared with each other and not with a fixed
+// pace, because a group that copies experts or processes a prompt is slow as a whole.
 double medianPace(const std::vector<GroupMember> &members)
 {
     std::vector<double> paces;
@@ -24,7 +24,7 @@
     return *middle;
 }
 
-std::string describe(const GroupFacts &facts)
+std::string serialize(const GroupFacts &facts)
 {
     std::string text =
         fmt::format("{} {} {}{}", facts.group.value(), facts.epoch, facts.open, facts.forming);
@@ -34,30 +34,30 @@
     return text;
 }
 
-std::uint64_t digest(const std::string &text)
+std::uint64_t xxh3(const std::string &text)
 {
     return XXH3_64bits(text.data(), text.size());
 }
 
 } // namespace
 
-std::uint64_t markOf(const GroupFacts &facts)
+std::uint64_t digestOf(const GroupFacts &facts)
 {
-    return digest(describe(facts));
+    return xxh3(serialize(facts));
 }
 
-bool GroupTable::learn(const GroupFacts &facts, TimePoint asOf)
+bool GroupTable::update(const GroupFacts &facts, TimePoint asOf)
 {
     const auto [found, added] = groups_.try_emplace(facts.group);
-    Known &known = found->second;
-    if (!added && asOf <= known.asOf) {
+    Snapshot &snapshot = found->second;
+    if (!added && asOf <= snapshot.asOf) {
         return false;
     }
-    const bool same = !added && known.facts == facts;
-    known = {facts, asOf};
-    index(known);
+    const bool same = !added && snapshot.facts == facts;
+    snapshot = {facts, asOf};
+    indexMembers(snapshot);
     if (!same) {
-        remark();
+        updateDigest();
     }
     return true;
 }
@@ -67,83 +67,86 @@
     const auto found = groups_.find(group);
     if (found != groups_.end() && asOf > found->second.asOf) {
         found->second.asOf = asOf;
-        index(found->second);
+        indexMembers(found->second);
     }
 }
 
-// Notes where the members belong. An engine that is no longer named stays where it was until
-// another group names it: an agent that has just begun to decide does not know all ranks yet, and a
-// rank that is frozen or dead has not left its group.
-void GroupTable::index(const Known &known)
+// Updates the memberships of the engines in `snapshot`. An engine that is missing from a report
+// stays in its group until another group reports it: an agent that has just become the decider does
+// not know all ranks yet, and a rank that is frozen or dead has not left its group.
+void GroupTable::indexMembers(const Snapshot &snapshot)
 {
-    const GroupFacts &facts = known.facts;
+    const GroupFacts &facts = snapshot.facts;
     const double median = medianPace(facts.members);
     for (const GroupMember &member : facts.members) {
-        Place &place = places_[{member.host, member.port}];
-        if (place.asOf <= known.asOf) {
-            changes_ += place.group == facts.group ? 0 : 1;
-            place = {facts.group, known.asOf, median > 0.0 ? member.pace / median : 1.0};
+        Membership &membership = memberships_[{member.host, member.port}];
+        if (membership.asOf <= snapshot.asOf) {
+            changes_ += membership.group == facts.group ? 0 : 1;
+            membership = {facts.group, snapshot.asOf, median > 0.0 ? member.pace / median : 1.0};
         }
     }
 }
 
 void GroupTable::expire(TimePoint now)
 {
-    const auto over = [&](const auto &entry) { return now - entry.second.asOf > settings_.life; };
-    if (std::erase_if(groups_, over) == 0) {
+    const auto isExpired = [&](const auto &entry) {
+        return now - entry.second.asOf > settings_.timeToLive;
+    };
+    if (std::erase_if(groups_, isExpired) == 0) {
         return;
     }
-    std::erase_if(places_,
+    std::erase_if(memberships_,
                   [this](const auto &entry) { return !groups_.contains(entry.second.group); });
     ++changes_;
-    remark();
+    updateDigest();
 }
 
 GroupId GroupTable::groupOf(const UpstreamRecord &upstream) const
 {
-    const auto found = places_.find({upstream.host, upstream.port});
-    return found == places_.end() ? GroupId() : found->second.group;
+    const auto found = memberships_.find({upstream.host, upstream.port});
+    return found == memberships_.end() ? GroupId() : found->second.group;
 }
 
 double GroupTable::slowness(const UpstreamRecord &upstream, TimePoint now) const
 {
-    const auto found = places_.find({upstream.host, upstream.port});
-    const bool known = found != places_.end() && now - found->second.asOf < settings_.paceLife;
-    return known ? found->second.slowness : 1.0;
+    const auto found = memberships_.find({upstream.host, upstream.port});
+    const bool isFresh =
+        found != memberships_.end() && now - found->second.asOf < settings_.paceTimeToLive;
+    return isFresh ? found->second.slowness : 1.0;
 }
 
-bool GroupTable::closed(const GroupId &group, TimePoint now) const
+bool GroupTable::isClosed(const GroupId &group, TimePoint now) const
 {
     const auto found = groups_.find(group);
     return found != groups_.end() && !found->second.facts.open
-           && now - found->second.asOf < settings_.closedLife;
+           && now - found->second.asOf < settings_.closedTimeToLive;
 }
 
-bool GroupTable::forming(const GroupId &group, TimePoint now) const
+bool GroupTable::isForming(const GroupId &group, TimePoint now) const
 {
     const auto found = groups_.find(group);
-    return closed(group, now) && found->second.facts.forming;
+    return isClosed(group, now) && found->second.facts.forming;
 }
 
-bool GroupTable::outOfTouch(const GroupId &group, TimePoint now) const
+bool GroupTable::isIsolated(const GroupId &group, TimePoint now) const
 {
     const auto found = groups_.find(group);
-    if (found == groups_.end() || now - found->second.asOf < settings_.touchLife) {
+    if (found == groups_.end() || now - found->second.asOf < settings_.isolationTimeout) {
         return false;
     }
     return std::any_of(groups_.begin(), groups_.end(), [&](const auto &entry) {
-        return entry.second.asOf - found->second.asOf >= settings_.touchLag;
+        return entry.second.asOf - found->second.asOf >= settings_.isolationLag;
     });
 }
 
-void GroupTable::remark()
+void GroupTable::updateDigest()
 {
     std::string text;
-    for (const auto &[group, known] : groups_) {
-        text += describe(known.facts);
+    for (const auto &[group, snapshot] : groups_) {
+        text += serialize(snapshot.facts);
         text += '\n';
     }
-    mark_ = text.empty() ? 0 : digest(text);
+    digest_ = text.empty() ? 0 : xxh3(text);
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/leavingupstreams.cpp
+++ b/src/decision/gateway/leavingupstreams.cpp
@@ -6,71 +6,72 @@
 
 namespace seamarch {
 
-// Tells whether `upstream` shows an earlier start than the one whose word is known.
+// Returns whether `upstream` shows an earlier start than the recorded departure.
 bool LeavingUpstreams::isOfEarlierStart(const UpstreamRecord &upstream) const
 {
-    const auto found = words_.find(upstream.id);
-    if (found == words_.end()) {
+    const auto found = departures_.find(upstream.id);
+    if (found == departures_.end()) {
         return false;
     }
-    const Word &word = found->second;
-    const bool told = word.start != UpstreamStart() && upstream.start != UpstreamStart();
-    return told && upstream.start != word.start
-           && !isLaterStart(upstream, word.start, word.listedAt);
+    const Departure &departure = found->second;
+    const bool bothKnown = departure.start != UpstreamStart() && upstream.start != UpstreamStart();
+    return bothKnown && upstream.start != departure.start
+           && !isLaterStart(upstream, departure.start, departure.listedAt);
 }
 
-LeavingUpstreams::Word &LeavingUpstreams::take(const UpstreamRecord &upstream)
+LeavingUpstreams::Departure &LeavingUpstreams::upsert(const UpstreamRecord &upstream)
 {
-    const auto [found, added] = words_.try_emplace(upstream.id);
-    Word &word = found->second;
-    word.start = upstream.start;
-    word.listedAt = upstream.listedAt;
-    word.createdAt = upstream.createdAt;
+    const auto [found, added] = departures_.try_emplace(upstream.id);
+    Departure &departure = found->second;
+    departure.start = upstream.start;
+    departure.listedAt = upstream.listedAt;
+    departure.createdAt = upstream.createdAt;
     if (added) {
-        order_.push_back(upstream.id);
+        oldestFirst_.push_back(upstream.id);
     }
-    if (order_.size() > kMost) {
-        words_.erase(order_.front());
-        order_.pop_front();
+    if (oldestFirst_.size() > kMaxEntries) {
+        departures_.erase(oldestFirst_.front());
+        oldestFirst_.pop_front();
     }
-    return word;
+    return departure;
 }
 
-void LeavingUpstreams::add(const UpstreamRecord &upstream)
+void LeavingUpstreams::addLeaving(const UpstreamRecord &upstream)
 {
     if (!isOfEarlierStart(upstream)) {
-        take(upstream).leaves = true;
+        upsert(upstream).isLeaving = true;
     }
 }
 
-void LeavingUpstreams::addGone(const UpstreamRecord &upstream)
+void LeavingUpstreams::addRemoved(const UpstreamRecord &upstream)
 {
     if (!isOfEarlierStart(upstream)) {
-        take(upstream);
+        upsert(upstream);
     }
 }
 
-bool LeavingUpstreams::isOver(const Word &word, const UpstreamRecord &listed)
+bool LeavingUpstreams::isObsolete(const Departure &departure, const UpstreamRecord &listed)
 {
-    const bool told = word.createdAt != 0 && listed.createdAt != 0;
-    const bool listedAnew = !told || listed.createdAt != word.createdAt;
-    return isLaterStart(listed, word.start, word.listedAt) || (!word.leaves && listedAnew);
+    const bool bothKnown = departure.createdAt != 0 && listed.createdAt != 0;
+    const bool listedAnew = !bothKnown || listed.createdAt != departure.createdAt;
+    return isLaterStart(listed, departure.start, departure.listedAt)
+           || (!departure.isLeaving && listedAnew);
 }
 
 bool LeavingUpstreams::contains(const UpstreamRecord &listed)
 {
-    const auto found = words_.find(listed.id);
-    if (found == words_.end()) {
+    const auto found = departures_.find(listed.id);
+    if (found == departures_.end()) {
         return false;
     }
-    Word &word = found->second;
-    if (isOver(word, listed)) {
-        words_.erase(found);
-        order_.erase(std::find(order_.begin(), order_.end(), listed.id));
+    Departure &departure = found->second;
+    if (isObsolete(departure, listed)) {
+        departures_.erase(found);
+        oldestFirst_.erase(std::find(oldestFirst_.begin(), oldestFirst_.end(), listed.id));
         return false;
     }
-    if (word.start == UpstreamStart()) {
-        word.start = listed.start;
+    if (departure.start == UpstreamStart()) {
+        departure.start = listed.start;
     }
     return true;
 }
--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -5,45 +5,49 @@
 namespace seamarch {
 namespace {
 
-constexpr Duration kAskersSpan = std::chrono::seconds(1);
+constexpr Duration kRequesterWindow = std::chrono::seconds(1);
 
 } // namespace
 
-PermitIssuer::Book &PermitIssuer::bookOf(const InstanceId &upstream, RequestRate limit,
-                                         TimePoint now)
+PermitIssuer::UpstreamState &PermitIssuer::stateOf(const InstanceId &upstream, RequestRate limit,
+                                                   TimePoint now)
 {
-    const double rate = std::max(limit.perSecond() * settings_.part, settings_.least.perSecond());
-    constexpr double kNothingSaved = 0.0;
-    Book &book = books_.try_emplace(upstream, Book{TokenBucket(rate, kNothingSaved, now), {}, now})
-                     .first->second;
-    book.bucket.setRate(rate, std::max(1.0, rate * settings_.savedSeconds), now);
-    book.usedAt = now;
-    return book;
+    const double rate =
+        std::max(limit.perSecond() * settings_.issuedShare, settings_.minRate.perSecond());
+    constexpr double kInitialTokens = 0.0;
+    UpstreamState &state =
+        states_
+            .try_emplace(upstream, UpstreamState{TokenBucket(rate, kInitialTokens, now), {}, now})
+            .first->second;
+    state.bucket.setRate(rate, std::max(1.0, rate * settings_.burstSeconds), now);
+    state.lastUsedAt = now;
+    return state;
 }
 
-PermitAnswer PermitIssuer::take(const InstanceId &upstream, RequestRate limit,
-                                const InstanceId &asker, std::uint32_t wanted, TimePoint now)
+PermitGrant PermitIssuer::issue(const InstanceId &upstream, RequestRate limit,
+                                const InstanceId &requester, std::uint32_t wanted, TimePoint now)
 {
-    Book &book = bookOf(upstream, limit, now);
-    std::erase_if(book.askers,
-                  [now](const auto &entry) { return now - entry.second > kAskersSpan; });
-    book.askers[asker] = now;
-    PermitAnswer answer;
-    while (answer.granted < wanted) {
-        if (const auto wait = book.bucket.take(now)) {
-            const auto askers = static_cast<Duration::rep>(book.askers.size());
-            answer.askAgain = std::max(*wait, settings_.pausePerAsker * askers);
-            return answer;
+    UpstreamState &state = stateOf(upstream, limit, now);
+    std::erase_if(state.requesters,
+                  [now](const auto &entry) { return now - entry.second > kRequesterWindow; });
+    state.requesters[requester] = now;
+    PermitGrant grant;
+    while (grant.granted < wanted) {
+        if (const auto wait = state.bucket.take(now)) {
+            const auto requesters = static_cast<Duration::rep>(state.requesters.size());
+            grant.retryAfter = std::max(*wait, settings_.retryDelayPerRequester * requesters);
+            return grant;
         }
-        ++answer.granted;
+        ++grant.granted;
     }
-    return answer;
+    return grant;
 }
 
 void PermitIssuer::expire(TimePoint now)
 {
-    std::erase_if(books_,
-                  [&](const auto &entry) { return now - entry.second.usedAt > settings_.life; });
+    std::erase_if(states_, [&](const auto &entry) {
+        return now - entry.second.lastUsedAt > settings_.idleTimeToLive;
+    });
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/routetable.cpp
+++ b/src/decision/gateway/routetable.cpp
@@ -7,8 +7,8 @@
 namespace seamarch {
 namespace {
 
-// Returns a host in lower case and without a port.
-std::string plainHost(std::string_view host)
+// Returns `host` in lower case and without its port.
+std::string normalizedHost(std::string_view host)
 {
     std::string plain(host.substr(0, host.find(':')));
     std::transform(plain.begin(), plain.end(), plain.begin(),
@@ -18,16 +18,16 @@
 
 } // namespace
 
-Duration shortestPauseGoal(const RoutingDocument &document, const TargetName &service)
+Duration shortestGapTarget(const RoutingDocument &document, const TargetName &service)
 {
     Duration shortest{};
     for (const RouteRule &route : document.routes) {
-        const bool leadsThere =
+        const bool servesService =
             std::any_of(route.targets.begin(), route.targets.end(),
                         [&service](const auto &target) { return target.service == service; });
-        const bool stated = leadsThere && route.pauseGoal > Duration{};
-        if (stated && (shortest == Duration{} || route.pauseGoal < shortest)) {
-            shortest = route.pauseGoal;
+        const bool hasTarget = servesService && route.gapTarget > Duration{};
+        if (hasTarget && (shortest == Duration{} || route.gapTarget < shortest)) {
+            shortest = route.gapTarget;
         }
     }
     return shortest;
@@ -37,7 +37,7 @@
     : document_(std::move(document))
 {
     for (std::size_t index = 0; index < document_.routes.size(); ++index) {
-        byHost_[plainHost(document_.routes[index].host)].push_back(index);
+        byHost_[normalizedHost(document_.routes[index].host)].push_back(index);
     }
     for (auto &[host, indexes] : byHost_) {
         std::stable_sort(indexes.begin(), indexes.end(),
@@ -58,7 +58,7 @@
 
 const RouteRule *RouteTable::match(std::string_view host, std::string_view path) const
 {
-    const auto found = byHost_.find(plainHost(host));
+    const auto found = byHost_.find(normalizedHost(host));
     if (found == byHost_.end()) {
         return nullptr;
     }
--- a/src/decision/gateway/sendpermits.cpp
+++ b/src/decision/gateway/sendpermits.cpp
@@ -7,10 +7,10 @@
 bool SendPermits::has(const InstanceId &upstream, TimePoint now) const
 {
     const auto found = states_.find(upstream);
-    return found != states_.end() && found->second.held > 0 && found->second.heldUntil > now;
+    return found != states_.end() && found->second.held > 0 && found->second.expiresAt > now;
 }
 
-void SendPermits::use(const InstanceId &upstream, TimePoint now)
+void SendPermits::consume(const InstanceId &upstream, TimePoint now)
 {
     const auto found = states_.find(upstream);
     if (found != states_.end() && has(upstream, now)) {
@@ -18,68 +18,68 @@
     }
 }
 
-void SendPermits::want(const InstanceId &upstream)
+void SendPermits::request(const InstanceId &upstream)
 {
     State &state = states_[upstream];
-    state.wanted = std::min(state.wanted + 1, settings_.mostWanted);
+    state.wanted = std::min(state.wanted + 1, settings_.maxWantedPerQuery);
 }
 
-bool SendPermits::waitsForAnswer(const State &state, TimePoint now) const
+bool SendPermits::awaitsAnswer(const State &state, TimePoint now) const
 {
-    return state.askedAt != TimePoint{} && now - state.askedAt < settings_.patience;
+    return state.queriedAt != TimePoint{} && now - state.queriedAt < settings_.answerTimeout;
 }
 
-bool SendPermits::mayComeUntil(const InstanceId &upstream, TimePoint end, TimePoint now) const
+bool SendPermits::mayArriveBefore(const InstanceId &upstream, TimePoint end, TimePoint now) const
 {
     const auto found = states_.find(upstream);
-    return found == states_.end() || waitsForAnswer(found->second, now)
-           || found->second.notBefore < end;
+    return found == states_.end() || awaitsAnswer(found->second, now)
+           || found->second.nextQueryAt < end;
 }
 
-TimePoint SendPermits::notBefore(const InstanceId &upstream) const
+TimePoint SendPermits::nextQueryAt(const InstanceId &upstream) const
 {
     const auto found = states_.find(upstream);
-    return found == states_.end() ? TimePoint() : found->second.notBefore;
+    return found == states_.end() ? TimePoint() : found->second.nextQueryAt;
 }
 
-std::vector<SendPermits::Ask> SendPermits::takeAsks(TimePoint now)
+std::vector<SendPermits::Query> SendPermits::takeQueries(TimePoint now)
 {
-    std::vector<Ask> asks;
+    std::vector<Query> queries;
     for (auto &[upstream, state] : states_) {
-        if (state.wanted == 0 || waitsForAnswer(state, now) || state.notBefore > now) {
+        if (state.wanted == 0 || awaitsAnswer(state, now) || state.nextQueryAt > now) {
             continue;
         }
-        asks.push_back({upstream, state.wanted});
+        queries.push_back({upstream, state.wanted});
         state.wanted = 0;
-        state.askedAt = now;
+        state.queriedAt = now;
     }
-    return asks;
+    return queries;
 }
 
-void SendPermits::onAnswer(const InstanceId &upstream, const PermitAnswer &answer,
-                           TimePoint askedAt, TimePoint now)
+void SendPermits::onAnswer(const InstanceId &upstream, const PermitGrant &grant,
+                           TimePoint queriedAt, TimePoint now)
 {
     const auto found = states_.find(upstream);
-    if (found == states_.end() || found->second.askedAt != askedAt) {
-        return; // Given up; what it grants is as good as used.
+    if (found == states_.end() || found->second.queriedAt != queriedAt) {
+        return; // The query was given up; its permits stay unused.
     }
     State &state = found->second;
-    state.askedAt = {};
-    state.notBefore = now + answer.askAgain;
-    const TimePoint until = askedAt + settings_.life;
-    if (answer.granted == 0 || until <= now) {
+    state.queriedAt = {};
+    state.nextQueryAt = now + grant.retryAfter;
+    const TimePoint until = queriedAt + settings_.permitTimeToLive;
+    if (grant.granted == 0 || until <= now) {
         return;
     }
-    state.held = (has(upstream, now) ? state.held : 0) + answer.granted;
-    state.heldUntil = until;
+    state.held = (has(upstream, now) ? state.held : 0) + grant.granted;
+    state.expiresAt = until;
 }
 
 void SendPermits::expire(TimePoint now)
 {
     std::erase_if(states_, [&](const auto &entry) {
         const State &state = entry.second;
-        const bool holds = state.held > 0 && state.heldUntil > now;
-        return !holds && state.wanted == 0 && !waitsForAnswer(state, now) && state.notBefore <= now;
+        const bool holds = state.held > 0 && state.expiresAt > now;
+        return !holds && state.wanted == 0 && !awaitsAnswer(state, now) && state.nextQueryAt <= now;
     });
 }
 
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -19,23 +19,23 @@
 
 const UpstreamChooser::Groups &UpstreamChooser::groupsOf(const TargetName &service)
 {
-    const auto [found, added] = grouped_.try_emplace(service);
-    Grouped &grouped = found->second;
-    const bool changed = grouped.upstreamChanges != upstreams_.changes()
-                         || grouped.groupChanges != groups_.changes();
+    const auto [found, added] = groupCache_.try_emplace(service);
+    CachedGroups &cached = found->second;
+    const bool changed =
+        cached.upstreamChanges != upstreams_.changes() || cached.groupChanges != groups_.changes();
     if (added || changed) {
-        grouped = {upstreams_.changes(), groups_.changes(), collect(service)};
+        cached = {upstreams_.changes(), groups_.changes(), buildGroups(service)};
     }
-    return grouped.groups;
+    return cached.groups;
 }
 
-UpstreamChooser::Groups UpstreamChooser::collect(const TargetName &service) const
+UpstreamChooser::Groups UpstreamChooser::buildGroups(const TargetName &service) const
 {
     Groups groups;
     for (const UpstreamRecord *record : upstreams_.candidates(service)) {
         Group &group = groups[groups_.groupOf(*record)];
-        group.inManyHalls =
-            group.inManyHalls
+        group.spansHalls =
+            group.spansHalls
             || (!group.upstreams.empty() && group.upstreams.front()->hall != record->hall);
         group.inOwnHall = group.inOwnHall || record->hall == settings_.hall;
         group.slots += record->slots;
@@ -44,34 +44,35 @@
     return groups;
 }
 
-// Rates an upstream; the lowest is the best. `turn` is its place in the own order of its hall's
-// upstreams, from 0 to 1.
-double UpstreamChooser::score(const UpstreamRecord &record, double turn) const
+// Returns the score of an upstream; the lowest is the best. `position` is its relative position,
+// from 0 to 1, in this gateway's order of the upstreams of its hall.
+double UpstreamChooser::score(const UpstreamRecord &record, double position) const
 {
-    constexpr double kTurnWeight = 0.5; // Less than one request in flight.
-    const double penalty = record.hall == settings_.hall ? 0.0 : settings_.otherHallPenalty;
-    return inFlightAt(record.id) + penalty + kTurnWeight * turn;
+    constexpr double kPositionWeight = 0.5; // Less than the weight of one request in flight.
+    const double penalty = record.hall == settings_.hall ? 0.0 : settings_.remoteHallPenalty;
+    return inFlightAt(record.id) + penalty + kPositionWeight * position;
 }
 
-// Returns the turn of each upstream in this gateway's order of its hall's upstreams, from 0 to 1.
-UpstreamChooser::Turns
-UpstreamChooser::turnsOf(const std::vector<const UpstreamRecord *> &upstreams) const
+// Returns the relative position of each upstream, from 0 to 1, in this gateway's order of the
+// upstreams of its hall.
+UpstreamChooser::Positions
+UpstreamChooser::positionsOf(const std::vector<const UpstreamRecord *> &upstreams) const
 {
     std::unordered_map<HallId, std::vector<InstanceId>> halls;
     for (const UpstreamRecord *record : upstreams) {
         halls[record->hall].push_back(record->id);
     }
-    Turns turns;
+    Positions positions;
     for (const auto &[hall, ids] : halls) {
         for (std::size_t index = 0; index < ids.size(); ++index) {
-            const auto turn = static_cast<double>(fillPosition(index, ids.size(), place_));
-            turns.emplace(ids[index], turn / static_cast<double>(ids.size()));
+            const auto position = static_cast<double>(fillPosition(index, ids.size(), place_));
+            positions.emplace(ids[index], position / static_cast<double>(ids.size()));
         }
     }
-    return turns;
+    return positions;
 }
 
-bool UpstreamChooser::takesNothing(const InstanceId &upstream, TimePoint now) const
+bool UpstreamChooser::isFullOrResting(const InstanceId &upstream, TimePoint now) const
 {
     const auto state = states_.find(upstream);
     return state != states_.end()
@@ -88,17 +89,17 @@
     return needsPermit(upstream, now) && !permits_.has(upstream.id, now);
 }
 
-// Wants permits for the best of them that can be had now. One request takes one permit; a second
-// question covers an issuer that has none. To ask for all of a service that warms up would take as
-// many questions as it has upstreams, for each request.
-void UpstreamChooser::wantPermits(std::vector<Ranked> upstreams, TimePoint now)
+// Requests permits for the best of `upstreams` whose issuers may be queried now. One request needs
+// one permit; the second query covers the case that the first issuer has none. Querying for all
+// upstreams would, while a whole service warms up, send one query per upstream for each request.
+void UpstreamChooser::requestPermits(std::vector<Ranked> upstreams, TimePoint now)
 {
-    constexpr std::size_t kMostWanted = 2;
+    constexpr std::size_t kMaxQueries = 2;
     std::erase_if(upstreams,
-                  [&](const Ranked &ranked) { return permits_.notBefore(ranked.second) > now; });
+                  [&](const Ranked &ranked) { return permits_.nextQueryAt(ranked.second) > now; });
     std::sort(upstreams.begin(), upstreams.end());
-    for (std::size_t index = 0; index < std::min(kMostWanted, upstreams.size()); ++index) {
-        permits_.want(upstreams[index].second);
+    for (std::size_t index = 0; index < std::min(kMaxQueries, upstreams.size()); ++index) {
+        permits_.request(upstreams[index].second);
     }
 }
 
@@ -110,7 +111,7 @@
 
 bool UpstreamChooser::hasUpstream(const TargetName &service, const Residency &residency)
 {
-    if (residency.isFree()) {
+    if (residency.isUnrestricted()) {
         return true;
     }
     const Groups &groups = groupsOf(service);
@@ -131,9 +132,9 @@
             candidates.insert(candidates.end(), members.upstreams.begin(), members.upstreams.end());
         }
     }
-    const Turns turns = turnsOf(candidates);
+    const Positions positions = positionsOf(candidates);
     std::erase_if(candidates, [&](const UpstreamRecord *record) {
-        return takesNothing(record->id, now) || tried.contains(record->id)
+        return isFullOrResting(record->id, now) || tried.contains(record->id)
                || !mayServe(*record, target.residency);
     });
     std::vector<InstanceId> ids;
@@ -141,18 +142,19 @@
     for (const UpstreamRecord *record : candidates) {
         ids.push_back(record->id);
     }
-    const std::vector<InstanceId> trusted = outliers_.remaining(ids, now);
-    const auto isDoubtful = [&](const UpstreamRecord *record) {
+    const std::vector<InstanceId> healthy = outliers_.remaining(ids, now);
+    const auto isLastResort = [&](const UpstreamRecord *record) {
         const auto state = states_.find(record->id);
-        const bool avoided = state != states_.end() && state->second.avoidUntil > now;
-        return avoided || groups_.slowness(*record, now) >= settings_.slowRank
-               || std::find(trusted.begin(), trusted.end(), record->id) == trusted.end();
+        const bool isDeprioritized =
+            state != states_.end() && state->second.deprioritizedUntil > now;
+        return isDeprioritized || groups_.slowness(*record, now) >= settings_.slowRankRatio
+               || std::find(healthy.begin(), healthy.end(), record->id) == healthy.end();
     };
     std::optional<InstanceId> best;
     std::pair<bool, double> bestRank;
     std::vector<Ranked> withoutPermit;
     for (const UpstreamRecord *record : candidates) {
-        const std::pair rank(isDoubtful(record), score(*record, turns.at(record->id)));
+        const std::pair rank(isLastResort(record), score(*record, positions.at(record->id)));
         if (lacksPermit(*record, now)) {
             withoutPermit.emplace_back(rank, record->id);
         } else if (!best || rank < bestRank) {
@@ -162,7 +164,7 @@
     }
     std::erase_if(withoutPermit,
                   [&](const Ranked &ranked) { return best && ranked.first >= bestRank; });
-    wantPermits(std::move(withoutPermit), now);
+    requestPermits(std::move(withoutPermit), now);
     return best;
 }
 
@@ -170,17 +172,17 @@
 {
     ++states_[upstream.id].inFlight;
     if (needsPermit(upstream, now)) {
-        permits_.use(upstream.id, now);
+        permits_.consume(upstream.id, now);
     }
 }
 
-bool UpstreamChooser::awaitsPermit(const TargetName &service, const Residency &residency,
-                                   TimePoint end, TimePoint now)
+bool UpstreamChooser::mayGetPermitBefore(const TargetName &service, const Residency &residency,
+                                         TimePoint end, TimePoint now)
 {
     for (const auto &[id, group] : groupsOf(service)) {
         for (const UpstreamRecord *record : group.upstreams) {
-            if (!takesNothing(record->id, now) && mayServe(*record, residency)
-                && lacksPermit(*record, now) && permits_.mayComeUntil(record->id, end, now)) {
+            if (!isFullOrResting(record->id, now) && mayServe(*record, residency)
+                && lacksPermit(*record, now) && permits_.mayArriveBefore(record->id, end, now)) {
                 return true;
             }
         }
@@ -188,7 +190,7 @@
     return false;
 }
 
-void UpstreamChooser::onLeft(const InstanceId &upstream)
+void UpstreamChooser::onFinished(const InstanceId &upstream)
 {
     const auto found = states_.find(upstream);
     if (found != states_.end() && found->second.inFlight > 0) {
@@ -201,26 +203,27 @@
     states_[upstream].fullUntil = now + settings_.fullPause;
 }
 
-void UpstreamChooser::onRestWanted(const InstanceId &upstream, TimePoint until)
+void UpstreamChooser::onRestRequested(const InstanceId &upstream, TimePoint until)
 {
-    // Answers may pass each other on their connections; each rest that was asked for holds.
+    // Answers may arrive out of order on different connections; the latest end of a rest applies.
     TimePoint &restUntil = states_[upstream].restUntil;
     restUntil = std::max(restUntil, until);
 }
 
-std::optional<TimePoint> UpstreamChooser::restsUntil(const TargetName &service, TimePoint now)
+std::optional<TimePoint> UpstreamChooser::earliestRestEnd(const TargetName &service, TimePoint now)
 {
-    std::optional<TimePoint> first;
+    std::optional<TimePoint> earliest;
     for (const auto &[id, group] : groupsOf(service)) {
         for (const UpstreamRecord *record : group.upstreams) {
             const auto state = states_.find(record->id);
             if (state == states_.end() || state->second.restUntil <= now) {
                 return std::nullopt;
             }
-            first = std::min(first.value_or(state->second.restUntil), state->second.restUntil);
+            earliest =
+                std::min(earliest.value_or(state->second.restUntil), state->second.restUntil);
         }
     }
-    return first;
+    return earliest;
 }
 
 std::map<InstanceId, TimePoint> UpstreamChooser::resting(TimePoint now) const
@@ -234,36 +237,36 @@
     return resting;
 }
 
-std::optional<TimePoint> UpstreamChooser::permitsFrom(const TargetName &service, TimePoint now)
+std::optional<TimePoint> UpstreamChooser::earliestPermitAt(const TargetName &service, TimePoint now)
 {
-    std::optional<TimePoint> first;
+    std::optional<TimePoint> earliest;
     for (const auto &[id, group] : groupsOf(service)) {
         for (const UpstreamRecord *record : group.upstreams) {
             if (!lacksPermit(*record, now)) {
                 return std::nullopt;
             }
-            const TimePoint from = permits_.notBefore(record->id);
-            first = std::min(first.value_or(from), from);
+            const TimePoint from = permits_.nextQueryAt(record->id);
+            earliest = std::min(earliest.value_or(from), from);
         }
     }
-    return first;
+    return earliest;
 }
 
 void UpstreamChooser::onWrongInstance(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].avoidUntil = now + settings_.wrongInstancePause;
+    states_[upstream].deprioritizedUntil = now + settings_.wrongInstancePause;
 }
 
 void UpstreamChooser::onUnreachable(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].avoidUntil = now + settings_.unreachablePause;
+    states_[upstream].deprioritizedUntil = now + settings_.unreachablePause;
 }
 
 void UpstreamChooser::expire(TimePoint now)
 {
     std::erase_if(states_, [now](const auto &entry) {
         const State &state = entry.second;
-        return state.inFlight == 0 && state.avoidUntil <= now && state.fullUntil <= now
+        return state.inFlight == 0 && state.deprioritizedUntil <= now && state.fullUntil <= now
                && state.restUntil <= now;
     });
 }
--- a/src/decision/gateway/upstreamhistory.cpp
+++ b/src/decision/gateway/upstreamhistory.cpp
@@ -6,70 +6,71 @@
 namespace seamarch {
 namespace {
 
-// Returns the record without what differs between gateways that hold the same list.
-UpstreamRecord comparable(const UpstreamRecord &record)
+// Returns `record` without the fields that differ between gateways with the same list.
+UpstreamRecord withoutLocalFields(const UpstreamRecord &record)
 {
-    UpstreamRecord same = record;
-    same.listedAt = 0;
-    same.createdAt = 0;
-    same.warmAt = {};
-    return same;
+    UpstreamRecord copy = record;
+    copy.listedAt = 0;
+    copy.createdAt = 0;
+    copy.warmAt = {};
+    return copy;
 }
 
 } // namespace
 
-void UpstreamHistory::note(std::uint64_t mark, const std::vector<const UpstreamRecord *> &records)
+void UpstreamHistory::recordState(std::uint64_t digest,
+                                  const std::vector<const UpstreamRecord *> &records)
 {
-    if (mark == mark_) {
+    if (digest == digest_) {
         return;
     }
-    Step step;
-    step.from = mark_;
+    Delta delta;
+    delta.fromDigest = digest_;
     std::map<InstanceId, UpstreamRecord> list;
     for (const UpstreamRecord *record : records) {
-        const auto &[id, listed] = *list.emplace(record->id, comparable(*record)).first;
-        const auto before = list_.find(id);
-        if (before == list_.end() || before->second != listed) {
-            step.changed.push_back(id);
+        const auto &[id, listed] = *list.emplace(record->id, withoutLocalFields(*record)).first;
+        const auto before = records_.find(id);
+        if (before == records_.end() || before->second != listed) {
+            delta.changed.push_back(id);
         }
     }
-    for (const auto &[id, record] : list_) {
+    for (const auto &[id, record] : records_) {
         if (!list.contains(id)) {
-            step.changed.push_back(id);
+            delta.changed.push_back(id);
         }
     }
-    list_ = std::move(list);
-    mark_ = mark;
-    if (step.from != 0) {
-        steps_.push_back(std::move(step));
+    records_ = std::move(list);
+    digest_ = digest;
+    if (delta.fromDigest != 0) {
+        deltas_.push_back(std::move(delta));
     }
-    if (steps_.size() > kMostStates) {
-        steps_.pop_front();
+    if (deltas_.size() > kMaxStates) {
+        deltas_.pop_front();
     }
 }
 
-std::optional<std::set<InstanceId>> UpstreamHistory::changedSince(std::uint64_t mark) const
+std::optional<std::set<InstanceId>> UpstreamHistory::changedSince(std::uint64_t digest) const
 {
-    constexpr std::size_t kWorthwhile = 2; // At most one part in so many of the list.
+    constexpr std::size_t kMinSizeRatio = 2; // Of the list to a delta that is worth sending.
     std::set<InstanceId> changed;
-    if (mark == mark_) {
+    if (digest == digest_) {
         return changed;
     }
-    for (auto step = steps_.rbegin(); step != steps_.rend(); ++step) {
-        changed.insert(step->changed.begin(), step->changed.end());
-        if (changed.size() * kWorthwhile > list_.size()) {
+    for (auto delta = deltas_.rbegin(); delta != deltas_.rend(); ++delta) {
+        changed.insert(delta->changed.begin(), delta->changed.end());
+        if (changed.size() * kMinSizeRatio > records_.size()) {
             return std::nullopt;
         }
-        if (step->from == mark) {
+        if (delta->fromDigest == digest) {
             return changed;
         }
     }
     return std::nullopt;
 }
 
-std::vector<UpstreamRecord> withChanges(const std::vector<const UpstreamRecord *> &list,
-                                        const std::vector<UpstreamRecord> &changed,
-                                        const std::set<InstanceId> &removed)
+std::vector<UpstreamRecord> applyChanges(const std::vector<const UpstreamRecord *> &list,
+                                         const std::vector<UpstreamRecord> &changed,
+                                         const std::set<InstanceId> &removed)
 {
     std::map<InstanceId, UpstreamRecord> records;
     for (const UpstreamRecord *record : list) {
--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -8,122 +8,127 @@
 namespace seamarch {
 namespace {
 
-// Tells whether a word of the start `said` may be one of the upstream that is listed as `listed`.
-// Where one of them is not told, an id stands for one start.
-bool mayBeOf(UpstreamStart said, UpstreamStart listed)
+// Returns whether a report for the start `reported` may apply to the start `listed`. An unknown
+// start matches every start.
+bool mayBeSameStart(UpstreamStart reported, UpstreamStart listed)
 {
-    return said == listed || said == UpstreamStart() || listed == UpstreamStart();
+    return reported == listed || reported == UpstreamStart() || listed == UpstreamStart();
 }
 
 } // namespace
 
-void UpstreamLimits::put(const LimitWord &word, TimePoint now)
+void UpstreamLimits::store(const LimitReport &report, TimePoint now)
 {
-    words_[word.upstream] = {word, now};
-    ++mark_;
-    if (words_.size() <= kMost) {
+    entries_[report.upstream] = {report, now};
+    ++version_;
+    if (entries_.size() <= kMaxEntries) {
         return;
     }
     const auto oldest =
-        std::min_element(words_.begin(), words_.end(), [](const auto &left, const auto &right) {
-            return left.second.word.saidAt < right.second.word.saidAt;
+        std::min_element(entries_.begin(), entries_.end(), [](const auto &left, const auto &right) {
+            return left.second.report.reportedAt < right.second.report.reportedAt;
         });
-    words_.erase(oldest);
+    entries_.erase(oldest);
 }
 
 UpstreamLimits::Change UpstreamLimits::onAnswer(const UpstreamRecord &upstream,
                                                 std::optional<RequestRate> rate, TimePoint sentAt,
                                                 TimePoint now)
 {
-    const auto found = words_.find(upstream.id);
-    const bool known = found != words_.end() && mayBeOf(found->second.word.start, upstream.start);
-    const auto before = known ? found->second.word.rate : std::nullopt;
+    const auto found = entries_.find(upstream.id);
+    const bool known =
+        found != entries_.end() && mayBeSameStart(found->second.report.start, upstream.start);
+    const auto before = known ? found->second.report.rate : std::nullopt;
     if (before == rate) {
         if (rate) {
-            found->second.word.saidAt = std::max(found->second.word.saidAt, now);
-            if (now - found->second.toldAt >= settings_.renewal) {
-                put(found->second.word, now);
+            found->second.report.reportedAt = std::max(found->second.report.reportedAt, now);
+            if (now - found->second.publishedAt >= settings_.renewalInterval) {
+                store(found->second.report, now);
             }
         }
         return Change::None;
     }
-    if (!rate && sentAt <= found->second.word.saidAt) {
-        return Change::None; // It may be the earlier word of the two.
+    if (!rate && sentAt <= found->second.report.reportedAt) {
+        return Change::None; // The answer may be older than the limit.
     }
-    put({upstream.id, upstream.start, rate, now}, now);
-    ++ownChanges_;
+    store({upstream.id, upstream.start, rate, now}, now);
+    ++localChanges_;
     if (!rate) {
         return Change::Ended;
     }
     return before ? Change::Changed : Change::Begun;
 }
 
-bool UpstreamLimits::isLater(const LimitWord &word, const LimitWord &known) const
+// Returns whether `report` replaces `known`. If their order is ambiguous, a limit wins over no
+// limit and the lower of two limits wins.
+bool UpstreamLimits::supersedes(const LimitReport &report, const LimitReport &known) const
 {
-    const bool doubtful = word.saidAt > known.saidAt - settings_.doubt
-                          && word.saidAt < known.saidAt + settings_.doubt;
-    if (doubtful && word.rate.has_value() != known.rate.has_value()) {
-        return word.rate.has_value();
+    const bool ambiguous = report.reportedAt > known.reportedAt - settings_.clockTolerance
+                           && report.reportedAt < known.reportedAt + settings_.clockTolerance;
+    if (ambiguous && report.rate.has_value() != known.rate.has_value()) {
+        return report.rate.has_value();
     }
-    if (doubtful && word.rate && known.rate) {
-        return *word.rate < *known.rate;
+    if (ambiguous && report.rate && known.rate) {
+        return *report.rate < *known.rate;
     }
-    return word.saidAt > known.saidAt;
+    return report.reportedAt > known.reportedAt;
 }
 
-bool UpstreamLimits::learn(const LimitWord &word, TimePoint now)
+bool UpstreamLimits::merge(const LimitReport &report, TimePoint now)
 {
-    if (now - word.saidAt > settings_.life) {
+    if (now - report.reportedAt > settings_.timeToLive) {
         return false;
     }
-    const auto found = words_.find(word.upstream);
-    if (found == words_.end()) {
-        if (!word.rate) {
+    const auto found = entries_.find(report.upstream);
+    if (found == entries_.end()) {
+        if (!report.rate) {
             return false;
         }
-        put(word, now);
+        store(report, now);
         return true;
     }
-    LimitWord &known = found->second.word;
-    if (!isLater(word, known)) {
+    LimitReport &known = found->second.report;
+    if (!supersedes(report, known)) {
         return false;
     }
-    if (known.rate == word.rate && known.start == word.start) {
-        known.saidAt = word.saidAt;
+    if (known.rate == report.rate && known.start == report.start) {
+        known.reportedAt = report.reportedAt;
         return false;
     }
-    put(word, now);
+    store(report, now);
     return true;
 }
 
-const LimitWord *UpstreamLimits::find(const UpstreamRecord &upstream) const
+const LimitReport *UpstreamLimits::find(const UpstreamRecord &upstream) const
 {
-    const auto found = words_.find(upstream.id);
-    const bool known = found != words_.end() && mayBeOf(found->second.word.start, upstream.start);
-    return known ? &found->second.word : nullptr;
+    const auto found = entries_.find(upstream.id);
+    const bool known =
+        found != entries_.end() && mayBeSameStart(found->second.report.start, upstream.start);
+    return known ? &found->second.report : nullptr;
 }
 
 std::optional<RequestRate> UpstreamLimits::limitOf(const UpstreamRecord &upstream) const
 {
-    const LimitWord *word = find(upstream);
-    return word == nullptr ? std::nullopt : word->rate;
+    const LimitReport *report = find(upstream);
+    return report == nullptr ? std::nullopt : report->rate;
 }
 
 void UpstreamLimits::expire(TimePoint now)
 {
-    const std::size_t forgotten = std::erase_if(
-        words_, [&](const auto &entry) { return now - entry.second.word.saidAt > settings_.life; });
-    mark_ += forgotten;
+    const std::size_t forgotten = std::erase_if(entries_, [&](const auto &entry) {
+        return now - entry.second.report.reportedAt > settings_.timeToLive;
+    });
+    version_ += forgotten;
 }
 
-std::vector<LimitWord> UpstreamLimits::all() const
+std::vector<LimitReport> UpstreamLimits::all() const
 {
-    std::vector<LimitWord> words;
-    words.reserve(words_.size());
-    for (const auto &[upstream, entry] : words_) {
-        words.push_back(entry.word);
+    std::vector<LimitReport> reports;
+    reports.reserve(entries_.size());
+    for (const auto &[upstream, entry] : entries_) {
+        reports.push_back(entry.report);
     }
-    return words;
+    return reports;
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/upstreamtable.cpp
+++ b/src/decision/gateway/upstreamtable.cpp
@@ -8,8 +8,8 @@
 
 bool isLaterStart(const UpstreamRecord &listed, UpstreamStart start, std::uint64_t listedAt)
 {
-    const bool told = listed.start != UpstreamStart() && start != UpstreamStart();
-    if (!told || listed.start == start) {
+    const bool bothKnown = listed.start != UpstreamStart() && start != UpstreamStart();
+    if (!bothKnown || listed.start == start) {
         return false;
     }
     const bool listedLater = listedAt != 0 && listed.listedAt > listedAt;
@@ -18,23 +18,23 @@
 
 void UpstreamTable::put(const UpstreamRecord &record)
 {
-    if (!takeAddress(record)) {
+    if (!claimAddress(record)) {
         erase(record.id);
         return;
     }
-    UpstreamRecord taken = record;
+    UpstreamRecord updated = record;
     if (record.leaving) {
-        leaving_.add(record);
+        leaving_.addLeaving(record);
     }
-    taken.leaving = leaving_.contains(record);
+    updated.leaving = leaving_.contains(record);
     Entry &entry = entries_[record.id];
-    changes_ += entry.record == taken ? 0 : 1;
-    entry = {std::move(taken), std::nullopt};
+    changes_ += entry.record == updated ? 0 : 1;
+    entry = {std::move(updated), std::nullopt};
 }
 
-bool UpstreamTable::announceLeaving(const UpstreamRecord &upstream)
+bool UpstreamTable::markLeaving(const UpstreamRecord &upstream)
 {
-    leaving_.add(upstream);
+    leaving_.addLeaving(upstream);
     const auto found = entries_.find(upstream.id);
     if (found == entries_.end() || found->second.record.leaving
         || !leaving_.contains(found->second.record)) {
@@ -45,17 +45,17 @@
     return true;
 }
 
-// Takes the record's address from whichever upstream had it before. Returns false when that one was
-// listed later.
-bool UpstreamTable::takeAddress(const UpstreamRecord &record)
+// Assigns the address of `record` to it and erases the previous holder. Returns false, without any
+// change of the holder, if the holder was listed later.
+bool UpstreamTable::claimAddress(const UpstreamRecord &record)
 {
     const Address address{record.host, record.port};
-    const auto held = entries_.find(record.id);
-    if (held != entries_.end() && addressOf(held->second.record) != address) {
+    const auto previous = entries_.find(record.id);
+    if (previous != entries_.end() && addressOf(previous->second.record) != address) {
         erase(record.id);
     }
     if (record.host.empty()) {
-        return true; // It has none, which whoever sends to it finds out.
+        return true; // Without an address; requests to it will fail.
     }
     const auto [holder, isNew] = byAddress_.try_emplace(address, record.id);
     if (isNew || holder->second == record.id) {
@@ -84,25 +84,26 @@
     ++changes_;
 }
 
-// Erases a record that the store has taken away for good. An older copy of the store may list it
-// once more; its word to leave, or its end, binds all the same.
-void UpstreamTable::eraseGone(const InstanceId &id)
+// Erases a record that the store has removed, and remembers the removal: an older copy of the store
+// may list the record again.
+void UpstreamTable::eraseRemoved(const InstanceId &id)
 {
     const auto found = entries_.find(id);
     if (found != entries_.end()) {
-        leaving_.addGone(found->second.record);
+        leaving_.addRemoved(found->second.record);
         erase(id);
     }
 }
 
-// Tells whether a record that the list lacks goes at once. One that may have lapsed stays a while.
-bool UpstreamTable::vanishes(const InstanceId &id, TimePoint now)
+// Returns whether a record that is missing from the list must be erased now. Starts the grace
+// period of a record that may have lapsed.
+bool UpstreamTable::shouldErase(const InstanceId &id, TimePoint now)
 {
     const auto found = entries_.find(id);
     if (found == entries_.end()) {
         return false;
     }
-    const bool outage = lastOutage_ && now - *lastOutage_ < settings_.outageMemory;
+    const bool outage = lastOutage_ && now - *lastOutage_ < settings_.outageWindow;
     if (!outage || found->second.record.leaving) {
         return true;
     }
@@ -112,21 +113,21 @@
     return false;
 }
 
-void UpstreamTable::drop(const InstanceId &id, TimePoint now)
+void UpstreamTable::dropUnreadable(const InstanceId &id, TimePoint now)
 {
-    if (vanishes(id, now)) {
+    if (shouldErase(id, now)) {
         erase(id);
     }
 }
 
 void UpstreamTable::remove(const InstanceId &id, TimePoint now)
 {
-    if (vanishes(id, now)) {
-        eraseGone(id);
+    if (shouldErase(id, now)) {
+        eraseRemoved(id);
     }
 }
 
-void UpstreamTable::onStoreWentBack(TimePoint now)
+void UpstreamTable::onStoreRolledBack(TimePoint now)
 {
     onOutage(now);
     for (auto &[id, entry] : entries_) {
@@ -164,16 +165,16 @@
 
 std::vector<InstanceId> UpstreamTable::expire(TimePoint now)
 {
-    std::vector<InstanceId> over;
+    std::vector<InstanceId> expired;
     for (const auto &[id, entry] : entries_) {
         if (entry.lapsedAt && now - *entry.lapsedAt >= settings_.lapseGrace) {
-            over.push_back(id);
+            expired.push_back(id);
         }
     }
-    for (const InstanceId &id : over) {
-        eraseGone(id);
+    for (const InstanceId &id : expired) {
+        eraseRemoved(id);
     }
-    return over;
+    return expired;
 }
 
 const UpstreamRecord *UpstreamTable::find(const InstanceId &id) const
@@ -192,7 +193,7 @@
     return true;
 }
 
-bool UpstreamTable::stays(const InstanceId &id) const
+bool UpstreamTable::isActive(const InstanceId &id) const
 {
     const UpstreamRecord *record = find(id);
     return record != nullptr && !record->leaving;
@@ -200,7 +201,7 @@
 
 bool UpstreamTable::mayReceive(const InstanceId &id) const
 {
-    return stays(id) && !drainedHalls_.contains(find(id)->hall);
+    return isActive(id) && !drainedHalls_.contains(find(id)->hall);
 }
 
 std::vector<const UpstreamRecord *> UpstreamTable::candidates(const TargetName &service) const
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -205,7 +205,7 @@
         }
     }
     if (wentBack(storePlace_, items.place)) {
-        upstreams_.onStoreWentBack(loop_.now());
+        upstreams_.onStoreRolledBack(loop_.now());
     }
     storePlace_ = items.place;
     upstreams_.replaceAll(records, loop_.now());
@@ -229,7 +229,7 @@
 void ExpertAgent::takeItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
-        pauseGoal_ = shortestPauseGoal(*document, settings_.service);
+        pauseGoal_ = shortestGapTarget(*document, settings_.service);
         for (const ServiceRule &service : document->services) {
             if (service.name == settings_.service && service.experts) {
                 rule_ = service.experts;
@@ -240,7 +240,7 @@
         upstreams_.put(*record);
     } else if (const auto *gone = std::get_if<UpstreamGone>(&item)) {
         if (gone->unreadable) {
-            upstreams_.drop(gone->id, loop_.now());
+            upstreams_.dropUnreadable(gone->id, loop_.now());
         } else {
             upstreams_.remove(gone->id, loop_.now());
         }
--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -30,14 +30,14 @@
 {
     const TimePoint toldAt = askedAt + Duration(news.getHeldMicros());
     for (const auto &limit : news.getLimits()) {
-        const LimitWord word = readLimit(limit, toldAt);
-        if (limits_.learn(word, loop_.now())) {
+        const LimitReport word = readLimit(limit, toldAt);
+        if (limits_.merge(word, loop_.now())) {
             logLine(LogLevel::Info, "limit.heard",
                     {{"from", link.id.value()},
                      {"upstream", word.upstream.value()},
                      {"perSecond",
                       word.rate ? nlohmann::json(word.rate->perSecond()) : nlohmann::json()},
-                     {"ageMs", toMillis(loop_.now() - word.saidAt)}});
+                     {"ageMs", toMillis(loop_.now() - word.reportedAt)}});
         }
     }
     link.limitsMark = news.getLimitsMark();
@@ -48,11 +48,11 @@
     if (!asker.wantsLimits) {
         return;
     }
-    news.setLimitsMark(limits_.mark());
-    if (limits_.mark() == asker.limitsMark) {
+    news.setLimitsMark(limits_.version());
+    if (limits_.version() == asker.limitsMark) {
         return;
     }
-    const std::vector<LimitWord> words = limits_.all();
+    const std::vector<LimitReport> words = limits_.all();
     auto list = news.initLimits(static_cast<std::uint32_t>(words.size()));
     for (std::uint32_t index = 0; index < list.size(); ++index) {
         writeLimit(words[index], loop_.now(), list[index]);
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -58,7 +58,7 @@
              {"eraBefore", place_.era},
              {"revision", place.revision},
              {"revisionBefore", place_.revision}});
-    upstreams_.onStoreWentBack(loop_.now());
+    upstreams_.onStoreRolledBack(loop_.now());
 }
 
 void GatewayKnowledge::takePlace(const StorePlace &place)
@@ -227,7 +227,7 @@
              {"warmUpLeftMs", record->warmUpLeft ? json(toMillis(*record->warmUpLeft)) : json()}});
     } else if (const auto *gone = std::get_if<UpstreamGone>(&item)) {
         if (gone->unreadable) {
-            upstreams_.drop(gone->id, loop_.now());
+            upstreams_.dropUnreadable(gone->id, loop_.now());
         } else {
             upstreams_.remove(gone->id, loop_.now());
         }
@@ -305,7 +305,7 @@
     const Duration longest =
         admitted.route->timeout > Duration{} ? admitted.route->timeout : kDefaultDeadline;
     admitted.deadline = facts.deadline.value_or(longest);
-    if (admitted.route->openToAll || !table_->hasAccounts()) {
+    if (admitted.route->allowsAnonymous || !table_->hasAccounts()) {
         return admitted;
     }
     const AccountRule *account = table_->accountOf(facts.key);
--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -86,13 +86,13 @@
 void GatewayService::askForPermits()
 {
     const TimePoint now = loop_.now();
-    for (const SendPermits::Ask &ask : core_.takePermitAsks(now)) {
-        sources_->askForPermits(ask, [this, ask, now](const PermitAnswer &answer) {
+    for (const SendPermits::Query &ask : core_.takePermitAsks(now)) {
+        sources_->askForPermits(ask, [this, ask, now](const PermitGrant &answer) {
             logLine(LogLevel::Debug, "permits.answered",
                     {{"upstream", ask.upstream.value()},
                      {"wanted", ask.wanted},
                      {"granted", answer.granted},
-                     {"askAgainMs", toMillis(answer.askAgain)},
+                     {"askAgainMs", toMillis(answer.retryAfter)},
                      {"ms", toMillis(loop_.now() - now)}});
             metrics_.count("seamarch_send_permits_total", answer.granted > 0 ? "granted" : "none");
             GatewayActions actions;
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -71,9 +71,9 @@
 
     kj::Promise<void> permits(PermitsContext context) override
     {
-        const PermitAnswer answer = peers_.handPermits(context.getParams());
+        const PermitGrant answer = peers_.handPermits(context.getParams());
         context.getResults().setGranted(answer.granted);
-        context.getResults().setAskAgainMicros(answer.askAgain.count());
+        context.getResults().setAskAgainMicros(answer.retryAfter.count());
         return kj::READY_NOW;
     }
 
@@ -95,7 +95,7 @@
     , heard_(std::move(heard))
     , waiting_(loop)
     , toldCrashes_(crashes_.cursor())
-    , toldLimits_(limits_.mark())
+    , toldLimits_(limits_.version())
     , firstOwnNews_(ownNews())
     , announcedNews_(ownNews())
     , startedAt_(loop.now())
@@ -184,7 +184,7 @@
     request.setWantsGateways(gateways);
     request.setGatewaysMark(directory_.mark());
     request.setWaitMicros(longest.count());
-    link.groupsMark = link.groupsMark == 0 ? groups_.mark() : link.groupsMark;
+    link.groupsMark = link.groupsMark == 0 ? groups_.digest() : link.groupsMark;
     request.setGroupsMark(link.groupsMark);
     request.setCrashCursor(link.crashCursor);
     request.setWantsLimits(true);
@@ -312,11 +312,11 @@
 {
     const Duration held(news.getHeldMicros());
     const bool told = link.groupsMark == news.getGroupsMark();
-    const bool same = groups_.mark() == news.getGroupsMark();
+    const bool same = groups_.digest() == news.getGroupsMark();
     for (const auto &group : news.getGroups()) {
         const TimePoint asOf = askedAt + held - Duration(group.getAgeMicros());
         if (!told) {
-            groups_.learn(readGroup(group), asOf);
+            groups_.update(readGroup(group), asOf);
         } else if (same) {
             groups_.renew(GroupId(group.getGroup().cStr()), asOf);
         }
@@ -329,14 +329,14 @@
     const bool groups = toldGroupsMark_ != 0 && toldGroupsMark_ != asker.groupsMark;
     return knowledge_.version() > asker.version || knowledge_.upstreamsMark() != asker.upstreamsMark
            || groups || crashes_.hasChangedSince(asker.crashCursor)
-           || (asker.wantsLimits && limits_.mark() != asker.limitsMark);
+           || (asker.wantsLimits && limits_.version() != asker.limitsMark);
 }
 
 void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const
 {
     const TimePoint now = loop_.now();
-    const auto &known = groups_.known();
-    const std::uint64_t ownMark = groups_.mark();
+    const auto &known = groups_.groups();
+    const std::uint64_t ownMark = groups_.digest();
     news.setGroupsMark(ownMark);
     auto list = news.initGroups(static_cast<std::uint32_t>(known.size()));
     std::uint32_t index = 0;
@@ -380,7 +380,7 @@
 void GatewayPeers::noteList()
 {
     if (knowledge_.confirmed()) {
-        history_.note(knowledge_.upstreamsMark(), knowledge_.upstreams().all());
+        history_.recordState(knowledge_.upstreamsMark(), knowledge_.upstreams().all());
     }
 }
 
@@ -429,22 +429,22 @@
     for (const auto &id : news.getRemovedUpstreams()) {
         removed.insert(InstanceId(id.cStr()));
     }
-    return withChanges(knowledge_.upstreams().all(), records, removed);
+    return applyChanges(knowledge_.upstreams().all(), records, removed);
 }
 
 void GatewayPeers::tick()
 {
     const TimePoint now = loop_.now();
-    const std::uint64_t groupsMark = groups_.mark();
+    const std::uint64_t groupsMark = groups_.digest();
     if (knowledge_.upstreamsMark() != toldMark_ || knowledge_.version() != toldVersion_
         || groupsMark != toldGroupsMark_ || crashes_.cursor() != toldCrashes_
-        || limits_.mark() != toldLimits_) {
+        || limits_.version() != toldLimits_) {
         noteList();
         toldMark_ = knowledge_.upstreamsMark();
         toldVersion_ = knowledge_.version();
         toldGroupsMark_ = groupsMark;
         toldCrashes_ = crashes_.cursor();
-        toldLimits_ = limits_.mark();
+        toldLimits_ = limits_.version();
         waiting_.wakeAll();
     }
     announce(now);
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -65,14 +65,14 @@
     // id of one that was never heard of is empty.
     void ask(const SocketAddress &address, const InstanceId &id, Duration longest,
              AskList list = AskList::IfDue);
-    using PermitsAnswered = std::function<void(const PermitAnswer &)>;
+    using PermitsAnswered = std::function<void(const PermitGrant &)>;
     // What permits are asked for.
     struct PermitQuestion
     {
         InstanceId upstream;
         UpstreamStart start;
         std::uint32_t wanted = 0;
-        std::optional<LimitWord> limit;    // That the upstream named; nothing: none.
+        std::optional<LimitReport> limit;  // That the upstream named; nothing: none.
         std::optional<RequestRate> warmUp; // What it takes while it warms up; nothing: it is warm.
     };
     // Asks the gateway `issuer` for permits. `answered` is called once, also when no answer comes.
@@ -117,12 +117,12 @@
     void takeGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    PermitAnswer handPermits(wire::GatewayPeer::PermitsParams::Reader question);
+    PermitGrant handPermits(wire::GatewayPeer::PermitsParams::Reader question);
     void onHasNews(const GatewayRecord &from);
     // Counts the crashes and the changes of limits that this gateway saw itself.
     std::uint64_t ownNews() const
     {
-        return crashes_.cursor() - learnedCrashes_ + limits_.ownChanges();
+        return crashes_.cursor() - learnedCrashes_ + limits_.localChanges();
     }
     void announce(TimePoint now);
     void announceTo(const HallId &hall, TimePoint now);
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -23,14 +23,14 @@
 } // namespace
 
 // Hands out by the lowest of what the asker and this gateway know.
-PermitAnswer GatewayPeers::handPermits(wire::GatewayPeer::PermitsParams::Reader question)
+PermitGrant GatewayPeers::handPermits(wire::GatewayPeer::PermitsParams::Reader question)
 {
     const TimePoint now = loop_.now();
     const GatewayRecord from = readGateway(question.getSelf());
     directory_.hear(from, now);
-    const LimitWord word = readLimit(question.getLimit(), now);
+    const LimitReport word = readLimit(question.getLimit(), now);
     if (word.rate) {
-        limits_.learn(word, now);
+        limits_.merge(word, now);
     }
     UpstreamRecord upstream;
     upstream.id = word.upstream;
@@ -41,8 +41,8 @@
         const RequestRate warmUp = readRate(question.getWarmUpPerSecond());
         rate = std::min(rate.value_or(warmUp), warmUp);
     }
-    return permitIssuer_.take(word.upstream, rate.value_or(RequestRate()), from.id,
-                              question.getWanted(), now);
+    return permitIssuer_.issue(word.upstream, rate.value_or(RequestRate()), from.id,
+                               question.getWanted(), now);
 }
 
 void GatewayPeers::askForPermits(const GatewayRecord &issuer, const PermitQuestion &question,
@@ -51,13 +51,13 @@
     const SocketAddress address{issuer.host, issuer.port};
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().permitsRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
-    const LimitWord none{question.upstream, question.start, std::nullopt, TimePoint{}};
+    const LimitReport none{question.upstream, question.start, std::nullopt, TimePoint{}};
     writeLimit(question.limit.value_or(none), loop_.now(), request.initLimit());
     request.setWanted(question.wanted);
     request.setWarmUpPerSecond(question.warmUp.value_or(RequestRate()).perSecond());
     // Whichever comes first, the answer or the end of patience, ends the question.
     const auto over = std::make_shared<bool>(false);
-    const auto conclude = [over, answered = std::move(answered)](const PermitAnswer &answer) {
+    const auto conclude = [over, answered = std::move(answered)](const PermitGrant &answer) {
         if (!std::exchange(*over, true)) {
             answered(answer);
         }
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -27,7 +27,7 @@
     core.retries = retryLimits(settings.bounds);
     core.crashes.life = settings.crashMemory;
     core.crashes.seed = randomIdentity();
-    core.limits.firstMark = randomIdentity() | 1U;
+    core.limits.firstVersion = randomIdentity() | 1U;
     return core;
 }
 
@@ -111,8 +111,8 @@
     core_.warmUps().setServices(table.services());
     const CallerBounds &bounds = table.bounds();
     HttpServerOptions options;
-    options.maxHeaderBytes = bounds.headerBytes;
-    options.maxBodyBytes = bounds.bodyBytes;
+    options.maxHeaderBytes = bounds.maxHeaderBytes;
+    options.maxBodyBytes = bounds.maxBodyBytes;
     options.headerTimeout = bounds.headerTimeout;
     options.idleTimeout = bounds.idleTimeout;
     server_->setBounds(options);
@@ -361,10 +361,10 @@
 {
     const TimePoint now = loop_.now();
     json shown = json::object();
-    for (const LimitWord &word : core_.limits().all()) {
+    for (const LimitReport &word : core_.limits().all()) {
         if (word.rate) {
             shown[word.upstream.value()] = {{"perSecond", word.rate->perSecond()},
-                                            {"msAgo", toMillis(now - word.saidAt)}};
+                                            {"msAgo", toMillis(now - word.reportedAt)}};
         }
     }
     return shown;
@@ -389,7 +389,7 @@
             {"secondAttempts", core_.secondAttempts()},
             {"connectionsMade", client_->connectionsMade()},
             {"upstreams", core_.upstreams().all().size()},
-            {"groups", core_.groups().known().size()},
+            {"groups", core_.groups().groups().size()},
             {"restingUpstreams", resting()},
             {"limitedUpstreams", limited()},
             {"requestsThatEndUpstreams", suspects()}};
--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -83,18 +83,18 @@
     return halls;
 }
 
-void writeLimit(const LimitWord &word, TimePoint now, wire::UpstreamLimit::Builder to)
+void writeLimit(const LimitReport &word, TimePoint now, wire::UpstreamLimit::Builder to)
 {
     to.setUpstream(word.upstream.value());
     to.setStartedUnixMillis(word.start.value());
     to.setNamed(word.rate.has_value());
     to.setPerSecond(word.rate.value_or(RequestRate()).perSecond());
-    to.setSaidMicrosAgo((now - word.saidAt).count());
+    to.setSaidMicrosAgo((now - word.reportedAt).count());
 }
 
-LimitWord readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt)
+LimitReport readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt)
 {
-    LimitWord word;
+    LimitReport word;
     word.upstream = InstanceId(from.getUpstream().cStr());
     word.start = UpstreamStart(from.getStartedUnixMillis());
     // A rate that makes no sense binds as none at all would: the upstream is asked now and then.
@@ -103,7 +103,7 @@
     if (from.getNamed()) {
         word.rate = RequestRate(readable ? perSecond : 0.0);
     }
-    word.saidAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
+    word.reportedAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
     return word;
 }
 
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -95,7 +95,7 @@
     return {};
 }
 
-void KnowledgeSources::askForPermits(const SendPermits::Ask &ask,
+void KnowledgeSources::askForPermits(const SendPermits::Query &ask,
                                      GatewayPeers::PermitsAnswered answered)
 {
     const TimePoint now = loop_.now();
@@ -105,7 +105,7 @@
         return;
     }
     GatewayPeers::PermitQuestion question{upstream->id, upstream->start, ask.wanted, {}, {}};
-    if (const LimitWord *word = beliefs_.limits.find(*upstream); word != nullptr && word->rate) {
+    if (const LimitReport *word = beliefs_.limits.find(*upstream); word != nullptr && word->rate) {
         question.limit = *word;
     }
     question.warmUp = beliefs_.warmUps.limitOf(*upstream, now);
@@ -118,7 +118,7 @@
     if (peers_ == nullptr || record == nullptr) {
         const InstanceId &self = settings_.instance;
         const RequestRate rate = question.limit ? *question.limit->rate : *question.warmUp;
-        answered(beliefs_.permitIssuer.take(
+        answered(beliefs_.permitIssuer.issue(
             ask.upstream, std::min(rate, question.warmUp.value_or(rate)), self, ask.wanted, now));
         return;
     }
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -25,8 +25,8 @@
     rule.streamed = kind == Kind::Stream;
     rule.resumable = kind == Kind::Stream;
     rule.timeout = std::chrono::seconds(2);
-    rule.latencyGoal = std::chrono::milliseconds(500);
-    rule.pauseGoal = std::chrono::milliseconds(120);
+    rule.latencyTarget = std::chrono::milliseconds(500);
+    rule.gapTarget = std::chrono::milliseconds(120);
     rule.maxAttempts = 2;
     return rule;
 }
@@ -499,7 +499,7 @@
     facts.open = false;
     facts.forming = true;
     facts.members = {{"", 0, 1.0}}; // The address of the test's upstreams.
-    core->groups().learn(facts, at(10'000));
+    core->groups().update(facts, at(10'000));
     begin(10'010); // The probe.
     begin(10'020);
     begin(10'030);
--- a/test/decision/gateway/grouptable_test.cpp
+++ b/test/decision/gateway/grouptable_test.cpp
@@ -42,119 +42,120 @@
     }
 };
 
-TEST(GroupTableTest, UpstreamOfWhichNobodyHasSpokenIsInTheGroupWithoutName)
+TEST(GroupTableTest, UnreportedUpstreamBelongsToTheUnnamedGroup)
 {
     STRCMP_EQUAL("", groupOf("a").c_str());
 }
 
-TEST(GroupTableTest, NewestWordHolds)
+TEST(GroupTableTest, NewestReportWins)
 {
-    CHECK_TRUE(table.learn(facts("one", {"a"}), at(100)));
+    CHECK_TRUE(table.update(facts("one", {"a"}), at(100)));
     GroupFacts older = facts("one", {"a"});
     older.open = false;
-    CHECK_FALSE(table.learn(older, at(50)));
-    CHECK_FALSE(table.closed(GroupId("one"), at(100)));
+    CHECK_FALSE(table.update(older, at(50)));
+    CHECK_FALSE(table.isClosed(GroupId("one"), at(100)));
 }
 
-// An agent that takes the role of deciding knows few ranks at first. An engine that dropped out of
-// its group for that would look like an empty group of its own, and draw all streams to it.
-TEST(GroupTableTest, EngineThatIsNotNamedAnyMoreStaysInItsGroup)
+// A new decider knows few ranks at first. If an engine that it does not report left its group, the
+// engine would look like an empty group and attract all streams.
+TEST(GroupTableTest, EngineMissingFromALaterReportStaysInItsGroup)
 {
-    table.learn(facts("one", {"a", "b"}), at(0));
-    table.learn(facts("one", {"b"}), at(10));
+    table.update(facts("one", {"a", "b"}), at(0));
+    table.update(facts("one", {"b"}), at(10));
     STRCMP_EQUAL("one", groupOf("a").c_str());
 }
 
-TEST(GroupTableTest, EngineThatAnotherGroupNamesHasMoved)
+TEST(GroupTableTest, EngineReportedByAnotherGroupMoves)
 {
-    table.learn(facts("one", {"a", "b"}), at(0));
+    table.update(facts("one", {"a", "b"}), at(0));
     const std::uint64_t before = table.changes();
-    table.learn(facts("two", {"a"}), at(10));
+    table.update(facts("two", {"a"}), at(10));
     STRCMP_EQUAL("two", groupOf("a").c_str());
-    CHECK_TEXT(table.changes() > before, "those who group upstreams must see that one has moved");
+    CHECK_TEXT(table.changes() > before,
+               "the change counter must rise when an engine moves to another group");
 }
 
-TEST(GroupTableTest, LaterWordOfTheOldGroupDoesNotMoveAnEngineBackUnlessItNamesIt)
+TEST(GroupTableTest, LaterReportOfTheOldGroupWithoutTheEngineDoesNotMoveItBack)
 {
-    table.learn(facts("one", {"a", "b"}), at(0));
-    table.learn(facts("two", {"a"}), at(10));
-    table.learn(facts("one", {"b"}), at(20));
+    table.update(facts("one", {"a", "b"}), at(0));
+    table.update(facts("two", {"a"}), at(10));
+    table.update(facts("one", {"b"}), at(20));
     STRCMP_EQUAL("two", groupOf("a").c_str());
 }
 
-TEST(GroupTableTest, SlownessIsMeasuredAgainstTheMedianOfTheGroup)
+TEST(GroupTableTest, SlownessIsRelativeToTheMedianOfTheGroup)
 {
     GroupFacts slow = facts("one", {"a", "b", "c"});
     for (GroupMember &member : slow.members) {
         member.pace = 2.0;
     }
     slow.members[2].pace = 10.0;
-    table.learn(slow, at(0));
+    table.update(slow, at(0));
     DOUBLES_EQUAL(1.0, table.slowness(upstream("a"), at(0)), 0.001);
     DOUBLES_EQUAL(5.0, table.slowness(upstream("c"), at(0)), 0.001);
 }
 
-TEST(GroupTableTest, OldWordOfASlowRankCountsNoMore)
+TEST(GroupTableTest, SlownessExpires)
 {
     GroupFacts slow = facts("one", {"a", "b", "c"});
     slow.members[2].pace = 5.0;
-    table.learn(slow, at(0));
+    table.update(slow, at(0));
     DOUBLES_EQUAL(5.0, table.slowness(upstream("c"), at(4000)), 0.001);
     DOUBLES_EQUAL(1.0, table.slowness(upstream("c"), at(6000)), 0.001);
 }
 
-TEST(GroupTableTest, WordThatAGroupIsClosedLapses)
+TEST(GroupTableTest, ClosedStateExpires)
 {
     GroupFacts closed = facts("one", {"a"});
     closed.open = false;
-    table.learn(closed, at(0));
-    CHECK_TRUE(table.closed(GroupId("one"), at(1000)));
-    CHECK_FALSE(table.closed(GroupId("one"), at(3000)));
+    table.update(closed, at(0));
+    CHECK_TRUE(table.isClosed(GroupId("one"), at(1000)));
+    CHECK_FALSE(table.isClosed(GroupId("one"), at(3000)));
     table.renew(GroupId("one"), at(2500));
-    CHECK_TRUE(table.closed(GroupId("one"), at(3000)));
+    CHECK_TRUE(table.isClosed(GroupId("one"), at(3000)));
 }
 
-// A hall that is cut off: word of its group stays away, while that of the own hall's comes.
-TEST(GroupTableTest, GroupWhoseWordStaysAwayAloneIsOutOfTouch)
+// When a hall is cut off, reports of its group stop while those of the local hall still arrive.
+TEST(GroupTableTest, GroupThatAloneStopsReportingIsIsolated)
 {
-    table.learn(facts("near", {"a"}), at(0));
-    table.learn(facts("far", {"b"}), at(0));
+    table.update(facts("near", {"a"}), at(0));
+    table.update(facts("far", {"b"}), at(0));
     table.renew(GroupId("near"), at(2500));
-    CHECK_TRUE(table.outOfTouch(GroupId("far"), at(2600)));
-    CHECK_FALSE(table.outOfTouch(GroupId("near"), at(2600)));
+    CHECK_TRUE(table.isIsolated(GroupId("far"), at(2600)));
+    CHECK_FALSE(table.isIsolated(GroupId("near"), at(2600)));
 }
 
-// Word comes through two waits of 0.4 s, and an agent that plans a map answers late.
-TEST(GroupTableTest, LateWordIsNoCut)
+// Reports pass through two polling intervals of 0.4 s, and an agent that plans a map answers late.
+TEST(GroupTableTest, LateReportDoesNotIsolateAGroup)
 {
-    table.learn(facts("near", {"a"}), at(0));
-    table.learn(facts("far", {"b"}), at(0));
+    table.update(facts("near", {"a"}), at(0));
+    table.update(facts("far", {"b"}), at(0));
     table.renew(GroupId("near"), at(2000));
-    CHECK_FALSE(table.outOfTouch(GroupId("far"), at(2100)));
+    CHECK_FALSE(table.isIsolated(GroupId("far"), at(2100)));
 }
 
-// The gateway that asks for all has died: that says nothing of the groups.
-TEST(GroupTableTest, NoGroupIsOutOfTouchWhenWordOfAllStaysAway)
+// The gateway that polls the groups on behalf of all has died, which says nothing about the groups.
+TEST(GroupTableTest, NoGroupIsIsolatedWhenAllStopReporting)
 {
-    table.learn(facts("near", {"a"}), at(0));
-    table.learn(facts("far", {"b"}), at(0));
-    CHECK_FALSE(table.outOfTouch(GroupId("far"), at(5000)));
+    table.update(facts("near", {"a"}), at(0));
+    table.update(facts("far", {"b"}), at(0));
+    CHECK_FALSE(table.isIsolated(GroupId("far"), at(5000)));
 }
 
-TEST(GroupTableTest, MarkNamesTheFactsAndNotTheirAge)
+TEST(GroupTableTest, DigestCoversTheFactsButNotTheirAge)
 {
     GroupTable other;
-    table.learn(facts("one", {"a"}), at(0));
-    other.learn(facts("one", {"a"}), at(700));
-    CHECK_EQUAL(table.mark(), other.mark());
-    other.learn(facts("one", {"a", "b"}), at(800));
-    CHECK_TRUE(table.mark() != other.mark());
+    table.update(facts("one", {"a"}), at(0));
+    other.update(facts("one", {"a"}), at(700));
+    CHECK_EQUAL(table.digest(), other.digest());
+    other.update(facts("one", {"a", "b"}), at(800));
+    CHECK_TRUE(table.digest() != other.digest());
 }
 
-TEST(GroupTableTest, GroupOfWhichNothingIsHeardIsForgotten)
+TEST(GroupTableTest, GroupWithoutReportsExpires)
 {
-    table.learn(facts("one", {"a"}), at(0));
+    table.update(facts("one", {"a"}), at(0));
     table.expire(at(61'000));
     STRCMP_EQUAL("", groupOf("a").c_str());
-    LONGS_EQUAL(0, table.mark());
+    LONGS_EQUAL(0, table.digest());
 }
--- a/test/decision/gateway/leavingupstreams_test.cpp
+++ b/test/decision/gateway/leavingupstreams_test.cpp
@@ -34,18 +34,18 @@
     const InstanceId one{"one"};
 };
 
-TEST(LeavingUpstreamsTest, WordCountsAtOnce)
+TEST(LeavingUpstreamsTest, LeavingTakesEffectImmediately)
 {
     table.put(record("one", 5));
-    CHECK_TRUE(table.announceLeaving(record("one", 5)));
+    CHECK_TRUE(table.markLeaving(record("one", 5)));
     CHECK_FALSE(table.mayReceive(one));
-    CHECK_FALSE(table.announceLeaving(record("one", 5))); // It is known by now.
+    CHECK_FALSE(table.markLeaving(record("one", 5))); // Already known.
 }
 
-TEST(LeavingUpstreamsTest, WordOutlivesEveryKindOfList)
+TEST(LeavingUpstreamsTest, LeavingSurvivesEveryKindOfListUpdate)
 {
     table.put(record("one", 5));
-    table.announceLeaving(record("one", 5));
+    table.markLeaving(record("one", 5));
     table.put(record("one", 5, 9));
     CHECK_FALSE(table.mayReceive(one));
     table.mirror({record("one", 5)});
@@ -58,11 +58,11 @@
     CHECK_FALSE(table.mayReceive(one));
 }
 
-// An older copy of the store lists the start before the one that leaves.
-TEST(LeavingUpstreamsTest, WordOfAnEarlierStartDoesNotTakeThePlaceOfALaterOne)
+// An older copy of the store lists the start before the one that is leaving.
+TEST(LeavingUpstreamsTest, EarlierStartDoesNotReplaceALaterDeparture)
 {
     table.put(record("one", 5));
-    table.announceLeaving(record("one", 5));
+    table.markLeaving(record("one", 5));
     UpstreamRecord earlier = record("one", 4);
     earlier.leaving = true;
     table.put(earlier);
@@ -75,34 +75,35 @@
 TEST(LeavingUpstreamsTest, LaterStartGetsRequestsAgain)
 {
     table.put(record("one", 5));
-    table.announceLeaving(record("one", 5));
+    table.markLeaving(record("one", 5));
     table.put(record("one", 6));
     CHECK_TRUE(table.mayReceive(one));
 }
 
-// A list that lags, or a store that came back older, shows the start before the one that leaves.
-TEST(LeavingUpstreamsTest, EarlierStartIsNoNewOne)
+// An outdated list, or a store restored from an older copy, shows the start before the one that is
+// leaving.
+TEST(LeavingUpstreamsTest, EarlierStartIsNotTreatedAsARestart)
 {
     table.put(record("one", 5, 40));
-    table.announceLeaving(record("one", 5, 40));
+    table.markLeaving(record("one", 5, 40));
     table.put(record("one", 4, 30));
     CHECK_FALSE(table.mayReceive(one));
     table.mirror({record("one", 4)});
     CHECK_FALSE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, StartUnderAClockThatWasSetBackIsKnownByWhenItWasListed)
+TEST(LeavingUpstreamsTest, RestartAfterClockSetBackIsDetectedByListingOrder)
 {
     table.put(record("one", 5, 40));
-    table.announceLeaving(record("one", 5, 40));
+    table.markLeaving(record("one", 5, 40));
     table.put(record("one", 4, 41));
     CHECK_TRUE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, FirstStartThatIsToldAfterTheWordIsTheOneThatLeaves)
+TEST(LeavingUpstreamsTest, FirstStartKnownAfterwardsIsTheOneThatLeaves)
 {
     table.put(record("one"));
-    table.announceLeaving(record("one"));
+    table.markLeaving(record("one"));
     table.put(record("one", 5));
     CHECK_FALSE(table.mayReceive(one));
     table.put(record("one"));
@@ -111,55 +112,55 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-// The answer came from the start before the one that is listed by now.
-TEST(LeavingUpstreamsTest, WordOfAnEarlierStartDoesNotBindTheLaterOne)
+// The answer came from the start before the one that is listed now.
+TEST(LeavingUpstreamsTest, DepartureOfAnEarlierStartDoesNotAffectTheLaterOne)
 {
     table.put(record("one", 6));
-    CHECK_FALSE(table.announceLeaving(record("one", 5)));
+    CHECK_FALSE(table.markLeaving(record("one", 5)));
     CHECK_TRUE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, LeavingUpstreamThatVanishesAroundAnOutageIsGone)
+TEST(LeavingUpstreamsTest, LeavingUpstreamRemovedAroundAnOutageGetsNoGracePeriod)
 {
     table.put(record("one", 5));
-    table.announceLeaving(record("one", 5));
+    table.markLeaving(record("one", 5));
     table.onOutage(at(0));
     table.remove(one, at(10));
     CHECK_TRUE(table.find(one) == nullptr);
 }
 
-TEST(LeavingUpstreamsTest, MemoryIsBoundedAndTheOldestWordGoesFirst)
+TEST(LeavingUpstreamsTest, OldestDepartureIsEvictedFirst)
 {
-    LeavingUpstreams words;
-    for (std::size_t number = 0; number < LeavingUpstreams::kMost + 10; ++number) {
-        words.add(record(std::to_string(number)));
+    LeavingUpstreams departures;
+    for (std::size_t number = 0; number < LeavingUpstreams::kMaxEntries + 10; ++number) {
+        departures.addLeaving(record(std::to_string(number)));
     }
-    LONGS_EQUAL(LeavingUpstreams::kMost, words.size());
-    CHECK_FALSE(words.contains(record("9")));
-    CHECK_TRUE(words.contains(record("10")));
+    LONGS_EQUAL(LeavingUpstreams::kMaxEntries, departures.size());
+    CHECK_FALSE(departures.contains(record("9")));
+    CHECK_TRUE(departures.contains(record("10")));
 }
 
-// The store came back from an older copy, in which the upstream was ready.
-TEST(LeavingUpstreamsTest, UpstreamThatTheStoreToldToLeaveStaysSo)
+// The store was restored from an older copy, in which the upstream was not leaving yet.
+TEST(LeavingUpstreamsTest, LeavingMarkFromTheStoreSurvivesARollback)
 {
     UpstreamRecord leaving = record("one", 5, 40);
     leaving.leaving = true;
     table.put(leaving);
-    table.onStoreWentBack(at(0));
+    table.onStoreRolledBack(at(0));
     table.replaceAll({record("one", 5, 40)}, at(0));
     CHECK_FALSE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, UpstreamThatWasGoneIsNotBackWithTheEntryThatItHad)
+TEST(LeavingUpstreamsTest, RemovedUpstreamDoesNotReturnWithItsOldEntry)
 {
     table.put(record("one", 5, 40));
     table.remove(one, at(0));
-    table.onStoreWentBack(at(10));
+    table.onStoreRolledBack(at(10));
     table.replaceAll({record("one", 5, 40)}, at(10));
     CHECK_FALSE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, UpstreamThatLapsedIsBackWithANewEntry)
+TEST(LeavingUpstreamsTest, LapsedUpstreamReturnsWithANewEntry)
 {
     table.put(record("one", 5, 40));
     table.remove(one, at(0));
@@ -167,8 +168,8 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-// Of a list that another gateway handed on it is not known when its entries were listed.
-TEST(LeavingUpstreamsTest, UpstreamThatWasGoneIsBackWhereItIsNotKnownWhenItWasListed)
+// The records in a list from another gateway have no store revisions.
+TEST(LeavingUpstreamsTest, RemovedUpstreamReturnsIfItsEntryRevisionIsUnknown)
 {
     table.put(record("one", 5));
     table.remove(one, at(0));
@@ -176,19 +177,19 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, EntryThatMadeNoSenseForAWhileIsNoEnd)
+TEST(LeavingUpstreamsTest, UnreadableEntryDoesNotCountAsRemoval)
 {
     table.put(record("one", 5, 40));
-    table.drop(one, at(0));
+    table.dropUnreadable(one, at(0));
     CHECK_FALSE(table.mayReceive(one));
     table.put(record("one", 5, 40));
     CHECK_TRUE(table.mayReceive(one));
 }
 
-TEST(LeavingUpstreamsTest, LivingUpstreamThatAnOlderCopyLacksIsKeptForAWhile)
+TEST(LeavingUpstreamsTest, UpstreamMissingAfterARollbackIsKeptForTheGracePeriod)
 {
     table.put(record("one", 5, 40));
-    table.onStoreWentBack(at(0));
+    table.onStoreRolledBack(at(0));
     table.replaceAll({}, at(0));
     CHECK_TRUE(table.mayReceive(one));
     table.expire(at(1400));
@@ -199,14 +200,14 @@
     CHECK_TRUE(table.mayReceive(one));
 }
 
-// Revisions are given out again: that of the earlier holder of the address says nothing any more.
-TEST(LeavingUpstreamsTest, UpstreamThatIsListedAfterTheStoreWentBackKeepsItsAddress)
+// The restored store reuses revisions, so that of the earlier holder of the address is meaningless.
+TEST(LeavingUpstreamsTest, UpstreamListedAfterARollbackTakesOverTheAddress)
 {
     UpstreamRecord earlier = record("one", 5, 90);
     UpstreamRecord later = record("two", 6, 41);
     later.port = earlier.port;
     table.put(earlier);
-    table.onStoreWentBack(at(0));
+    table.onStoreRolledBack(at(0));
     table.replaceAll({later}, at(0));
     CHECK_TRUE(table.mayReceive(InstanceId("two")));
     CHECK_FALSE(table.mayReceive(one));
--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: upstreams name limits for all gateways together, while first tries,
-// second tries, streams that are taken up, waiting ones and moves off silent upstreams go on, lists
-// come and go, and permits are granted, refused or not answered.
+// Tests that a gateway sends to an upstream with a reported limit only if it holds a permit: for
+// first attempts, retries, resumed and queued streams and requests moved from silent upstreams,
+// while lists change and permits are granted, refused or not answered.
 #include "decision/gateway/gatewaycore.h"
 
 #include "decision/gateway/routekinds.h"
@@ -80,30 +80,30 @@
     {
         const Action *found = nullptr;
         for (const GatewayAction &action : actions) {
-            const auto *each = std::get_if<Action>(&action);
-            found = each == nullptr ? found : each;
+            const auto *matching = std::get_if<Action>(&action);
+            found = matching == nullptr ? found : matching;
         }
         return found;
     }
 
-    void learnLimit(const std::string &id, int now, std::optional<RequestRate> limit = kLimit)
+    void addLimit(const std::string &id, int now, std::optional<RequestRate> limit = kLimit)
     {
-        core->limits().learn({InstanceId(id), UpstreamStart(1), limit, at(now)}, at(now));
+        core->limits().merge({InstanceId(id), UpstreamStart(1), limit, at(now)}, at(now));
     }
 
-    // Answers every question that is due. Returns how many there were.
-    std::size_t answerAsks(const PermitAnswer &answer, int now)
+    // Answers every query that is due with `answer`. Returns the number of queries.
+    std::size_t answerQueries(const PermitGrant &answer, int now)
     {
         actions.clear();
-        const auto asks = core->takePermitAsks(at(now));
-        for (const SendPermits::Ask &ask : asks) {
-            core->onPermits(ask.upstream, answer, at(now), at(now), actions);
+        const auto queries = core->takePermitAsks(at(now));
+        for (const SendPermits::Query &query : queries) {
+            core->onPermits(query.upstream, answer, at(now), at(now), actions);
         }
-        return asks.size();
+        return queries.size();
     }
 };
 
-TEST(LimitedUpstreamTest, AnswerThatNamesALimitBindsTheNextRequest)
+TEST(LimitedUpstreamTest, LimitAppliesToTheNextRequest)
 {
     start(1, {"one"});
     const RequestNumber first = begin(Kind::Repeatable, 0);
@@ -113,9 +113,9 @@
     CHECK_TRUE(last<StartAttempt>() == nullptr);
 }
 
-TEST(LimitedUpstreamTest, RequestsOfAllKindsGoToOthersWithoutAPermit)
+TEST(LimitedUpstreamTest, RequestsWithoutAPermitGoToOtherUpstreams)
 {
-    learnLimit("one", 0);
+    addLimit("one", 0);
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         for (int count = 0; count < 6; ++count) {
             begin(kind, 1);
@@ -124,66 +124,66 @@
     }
 }
 
-TEST(LimitedUpstreamTest, PermitLetsOneRequestGoThere)
+TEST(LimitedUpstreamTest, PermitAdmitsOneRequest)
 {
-    learnLimit("one", 0);
+    addLimit("one", 0);
     begin(Kind::Repeatable, 1);
     begin(Kind::Repeatable, 1);
-    UNSIGNED_LONGS_EQUAL(1, answerAsks({1, Duration{}}, 2));
+    UNSIGNED_LONGS_EQUAL(1, answerQueries({1, Duration{}}, 2));
     begin(Kind::Repeatable, 3);
     CHECK_TRUE(last<StartAttempt>()->upstream.id == InstanceId("one"));
     begin(Kind::Repeatable, 4);
     CHECK_TRUE(last<StartAttempt>()->upstream.id == InstanceId("two"));
 }
 
-TEST(LimitedUpstreamTest, NoPermitIsAskedForWhileOthersAreBetter)
+TEST(LimitedUpstreamTest, NoPermitIsRequestedWhileOthersRankHigher)
 {
     start(1, {"one"});
     UpstreamRecord far = record("two");
     far.hall = HallId("south");
     core->upstreams().put(far);
-    learnLimit("two", 0);
+    addLimit("two", 0);
     begin(Kind::Repeatable, 1);
     UNSIGNED_LONGS_EQUAL(0, core->takePermitAsks(at(1)).size());
 }
 
-TEST(LimitedUpstreamTest, SecondTriesLeaveItAloneWithoutAPermit)
+TEST(LimitedUpstreamTest, RetryIsNotSentWithoutAPermit)
 {
-    learnLimit("one", 0);
+    addLimit("one", 0);
     const RequestNumber number = begin(Kind::Repeatable, 1);
     actions.clear();
     core->onHead(number, AnswerKind::Full, at(5), actions);
     CHECK_TRUE(last<StartAttempt>() == nullptr);
 }
 
-TEST(LimitedUpstreamTest, RequestWaitsForAPermitWhereThereIsNothingElse)
+TEST(LimitedUpstreamTest, RequestWaitsForAPermitIfThereIsNoOtherUpstream)
 {
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         start(1, {"one"});
-        learnLimit("one", 0);
+        addLimit("one", 0);
         begin(kind, 1);
         CHECK_TRUE(actions.empty());
-        UNSIGNED_LONGS_EQUAL(1, answerAsks({1, Duration{}}, 5));
+        UNSIGNED_LONGS_EQUAL(1, answerQueries({1, Duration{}}, 5));
         CHECK_TRUE(last<StartAttempt>()->upstream.id == InstanceId("one"));
     }
 }
 
-TEST(LimitedUpstreamTest, RequestIsRejectedAtOnceWhenNoPermitCanComeInTime)
+TEST(LimitedUpstreamTest, RequestIsRejectedAtOnceIfNoPermitCanArriveInTime)
 {
     start(1, {"one"});
-    learnLimit("one", 0);
+    addLimit("one", 0);
     begin(Kind::Repeatable, 1);
-    UNSIGNED_LONGS_EQUAL(1, answerAsks({0, std::chrono::milliseconds(900)}, 5));
+    UNSIGNED_LONGS_EQUAL(1, answerQueries({0, std::chrono::milliseconds(900)}, 5));
     CHECK_TRUE(last<RejectRequest>()->outcome == Outcome::NotRun);
     CHECK_TRUE(last<RejectRequest>()->retryAfter == Duration(std::chrono::milliseconds(900)));
     begin(Kind::AtMostOnce, 105);
     CHECK_TRUE(last<RejectRequest>()->retryAfter == Duration(std::chrono::milliseconds(800)));
 }
 
-TEST(LimitedUpstreamTest, WaitThatIsNotAnsweredEnds)
+TEST(LimitedUpstreamTest, WaitForAPermitTimesOut)
 {
     start(1, {"one"});
-    learnLimit("one", 0);
+    addLimit("one", 0);
     begin(Kind::Repeatable, 1);
     core->takePermitAsks(at(1));
     actions.clear();
@@ -194,31 +194,31 @@
     UNSIGNED_LONGS_EQUAL(0, core->inFlight());
 }
 
-TEST(LimitedUpstreamTest, CallerThatLeavesWaitsNoMore)
+TEST(LimitedUpstreamTest, DisconnectedCallerDoesNotUseThePermit)
 {
     start(1, {"one"});
-    learnLimit("one", 0);
+    addLimit("one", 0);
     const RequestNumber number = begin(Kind::Repeatable, 1);
     core->onCallerGone(number, actions);
-    answerAsks({1, Duration{}}, 5);
+    answerQueries({1, Duration{}}, 5);
     CHECK_TRUE(last<StartAttempt>() == nullptr);
 }
 
-TEST(LimitedUpstreamTest, NewStartGetsRequestsUntilItNamesALimit)
+TEST(LimitedUpstreamTest, RestartedUpstreamHasNoLimit)
 {
     start(1, {"one"});
-    learnLimit("one", 0);
+    addLimit("one", 0);
     core->upstreams().put(record("one", 2));
     begin(Kind::Repeatable, 1);
     CHECK_TRUE(last<StartAttempt>() != nullptr);
 }
 
-// Every order of events that a seed draws: each request that goes to an upstream that names a limit
-// has a permit of its own.
-TEST(LimitedUpstreamTest, NoScheduleSendsThereWithoutAPermit)
+// Checks random sequences of events: every request that is sent to an upstream with a limit uses a
+// permit of its own. SEAMARCH_SEEDS sets the number of seeds.
+TEST(LimitedUpstreamTest, NoScheduleSendsWithoutAPermit)
 {
-    const char *asked = std::getenv("SEAMARCH_SEEDS");
-    const int seeds = asked == nullptr ? 400 : std::atoi(asked);
+    const char *seedCount = std::getenv("SEAMARCH_SEEDS");
+    const int seeds = seedCount == nullptr ? 400 : std::atoi(seedCount);
     const std::vector<std::string> ids{"one", "two", "three"};
     for (int seed = 1; seed <= seeds; ++seed) {
         start(static_cast<std::uint64_t>(seed), ids);
@@ -227,13 +227,14 @@
             return static_cast<int>(random() % static_cast<std::uint64_t>(most));
         };
         std::map<InstanceId, std::uint32_t> granted;
-        std::map<RequestNumber, InstanceId> open; // Attempts under way.
+        std::map<RequestNumber, InstanceId> attempts; // In flight.
         for (int step = 0, now = 0; step < 300; ++step) {
             now += draw(40);
             actions.clear();
-            const auto chosen = open.empty()
-                                    ? open.end()
-                                    : std::next(open.begin(), draw(static_cast<int>(open.size())));
+            const auto chosen =
+                attempts.empty()
+                    ? attempts.end()
+                    : std::next(attempts.begin(), draw(static_cast<int>(attempts.size())));
             switch (draw(8)) {
             case 0:
             case 1:
@@ -241,7 +242,7 @@
                 break;
             case 2:
             case 3:
-                if (chosen != open.end()) {
+                if (chosen != attempts.end()) {
                     const RequestNumber number = chosen->first;
                     const auto limit = draw(3) == 0 ? std::nullopt : std::optional(kLimit);
                     core->onLimit(number, limit, at(now));
@@ -252,11 +253,11 @@
                 }
                 break;
             case 4:
-                if (chosen != open.end()) {
+                if (chosen != attempts.end()) {
                     const std::array ends{AttemptEnd::Complete, AttemptEnd::NotSent,
                                           AttemptEnd::Lost};
                     const RequestNumber number = chosen->first;
-                    open.erase(chosen);
+                    attempts.erase(chosen);
                     core->onEnd(number, ends[static_cast<std::size_t>(draw(3))], at(now), actions);
                 }
                 break;
@@ -266,12 +267,13 @@
                 core->upstreams().replaceAll(listed, at(now));
                 break;
             case 6:
-                for (const SendPermits::Ask &ask : core->takePermitAsks(at(now))) {
+                for (const SendPermits::Query &query : core->takePermitAsks(at(now))) {
                     if (draw(3) != 0) {
                         const auto count = static_cast<std::uint32_t>(draw(3));
-                        granted[ask.upstream] += count;
-                        core->onPermits(ask.upstream, {count, std::chrono::milliseconds(draw(300))},
-                                        at(now), at(now), actions);
+                        granted[query.upstream] += count;
+                        core->onPermits(query.upstream,
+                                        {count, std::chrono::milliseconds(draw(300))}, at(now),
+                                        at(now), actions);
                     }
                 }
                 break;
@@ -288,9 +290,9 @@
                         CHECK_TEXT(granted[to] > 0, text.c_str());
                         --granted[to];
                     }
-                    open[sent->request] = to;
+                    attempts[sent->request] = to;
                 } else if (const auto *cancelled = std::get_if<CancelAttempt>(&action)) {
-                    open.erase(cancelled->request);
+                    attempts.erase(cancelled->request);
                 }
             }
         }
--- a/test/decision/gateway/residency_test.cpp
+++ b/test/decision/gateway/residency_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: routes and client accounts name the regions in which their requests
-// may be served, while upstreams refuse, fail, break streams and fall silent, come and go, and
-// halls are drained.
+// Tests that requests restricted to regions by their route or client account are sent only to
+// upstreams in these regions, while upstreams reject requests, fail, break streams, stop
+// responding, start and stop, and halls are drained.
 #include "decision/gateway/residency.h"
 
 #include "decision/gateway/gatewaycore.h"
@@ -42,7 +42,7 @@
     return record;
 }
 
-Residency boundTo(const std::vector<RegionId> &regions)
+Residency restrictedTo(const std::vector<RegionId> &regions)
 {
     Residency residency;
     residency.restrictTo(regions);
@@ -103,15 +103,15 @@
     }
 };
 
-TEST(ResidencyTest, NothingNamedIsAnywhere)
+TEST(ResidencyTest, NoRestrictionAllowsEveryRegion)
 {
-    CHECK_TRUE(boundTo({}).allows(kCoast));
-    CHECK_TRUE(boundTo({}).allows(RegionId()));
+    CHECK_TRUE(restrictedTo({}).allows(kCoast));
+    CHECK_TRUE(restrictedTo({}).allows(RegionId()));
 }
 
-TEST(ResidencyTest, WhatSeveralNameIsWhatAllOfThemName)
+TEST(ResidencyTest, RestrictionsIntersect)
 {
-    Residency residency = boundTo({kCentre, kCoast});
+    Residency residency = restrictedTo({kCentre, kCoast});
     residency.restrictTo({});
     residency.restrictTo({kCoast, RegionId("hills")});
     CHECK_TRUE(residency.allows(kCoast));
@@ -119,18 +119,18 @@
     CHECK_FALSE(residency.allows(RegionId("hills")));
     residency.restrictTo({kCentre});
     CHECK_FALSE(residency.allows(kCoast));
-    CHECK_FALSE(residency.isFree());
+    CHECK_FALSE(residency.isUnrestricted());
 }
 
-TEST(ResidencyTest, RegionThatIsNotKnownIsNoneOfThoseNamed)
+TEST(ResidencyTest, UnknownRegionIsNotAllowed)
 {
-    CHECK_FALSE(boundTo({kCoast}).allows(RegionId()));
+    CHECK_FALSE(restrictedTo({kCoast}).allows(RegionId()));
 }
 
-TEST(ResidencyTest, RequestThatNoAllowedRegionServesIsRejectedAtOnce)
+TEST(ResidencyTest, RequestWithoutAnUpstreamInItsRegionsIsRejectedAtOnce)
 {
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
-        begin(kind, boundTo({RegionId("hills")}), 0);
+        begin(kind, restrictedTo({RegionId("hills")}), 0);
         CHECK_TRUE(rejection() != nullptr);
         CHECK_TRUE(rejection()->failure == FailureCode::NoUpstreamInRegions);
         CHECK_TRUE(rejection()->outcome == Outcome::NotRun);
@@ -141,43 +141,44 @@
 TEST(ResidencyTest, RequestIsRejectedAtOnceWhileTheOnlyHallOfItsRegionIsDrained)
 {
     core->upstreams().setDrainedHalls({HallId("north")});
-    begin(Kind::Stream, boundTo({kCentre}), 0);
+    begin(Kind::Stream, restrictedTo({kCentre}), 0);
     CHECK_TRUE(rejection()->failure == FailureCode::NoUpstreamInRegions);
     begin(Kind::Stream, Residency(), 0);
     CHECK_TRUE(rejection() == nullptr);
 }
 
-// Every order of events that a seed draws; more seeds by hand with SEAMARCH_SEEDS.
-TEST(ResidencyTest, NoScheduleSendsToAnotherRegionOrToADrainedHall)
+// Checks random sequences of events. SEAMARCH_SEEDS sets the number of seeds.
+TEST(ResidencyTest, NoScheduleSendsOutsideTheRegionsOrToADrainedHall)
 {
-    const char *asked = std::getenv("SEAMARCH_SEEDS");
-    const int seeds = asked == nullptr ? 400 : std::atoi(asked);
-    const std::array residencies{Residency(), boundTo({kCentre}), boundTo({kCoast}),
-                                 boundTo({kCentre, kCoast})};
+    const char *seedCount = std::getenv("SEAMARCH_SEEDS");
+    const int seeds = seedCount == nullptr ? 400 : std::atoi(seedCount);
+    const std::array residencies{Residency(), restrictedTo({kCentre}), restrictedTo({kCoast}),
+                                 restrictedTo({kCentre, kCoast})};
     for (int seed = 1; seed <= seeds; ++seed) {
         start(static_cast<std::uint64_t>(seed));
         std::mt19937_64 random(static_cast<std::uint64_t>(seed));
         const auto draw = [&random](std::size_t most) { return random() % most; };
-        std::map<RequestNumber, Residency> open;
+        std::map<RequestNumber, Residency> openRequests;
         for (int step = 0, now = 0; step < 300; ++step) {
             now += static_cast<int>(draw(60));
             actions.clear();
             const auto chosen =
-                open.empty()
-                    ? open.end()
-                    : std::next(open.begin(), static_cast<std::ptrdiff_t>(draw(open.size())));
+                openRequests.empty()
+                    ? openRequests.end()
+                    : std::next(openRequests.begin(),
+                                static_cast<std::ptrdiff_t>(draw(openRequests.size())));
             switch (draw(9)) {
             case 0:
             case 1: {
                 const Residency &residency = residencies[draw(residencies.size())];
                 const auto kind = static_cast<Kind>(draw(3));
                 const RequestNumber number = begin(kind, residency, now);
-                open.emplace(number, residency);
+                openRequests.emplace(number, residency);
                 break;
             }
             case 2:
             case 3:
-                if (chosen != open.end()) {
+                if (chosen != openRequests.end()) {
                     const std::array kinds{AnswerKind::Full, AnswerKind::Failure,
                                            AnswerKind::Invalid, AnswerKind::Success,
                                            AnswerKind::WrongInstance};
@@ -185,7 +186,7 @@
                 }
                 break;
             case 4:
-                if (chosen != open.end()) {
+                if (chosen != openRequests.end()) {
                     const std::array ends{AttemptEnd::Complete, AttemptEnd::NotSent,
                                           AttemptEnd::Lost};
                     core->onEnd(chosen->first, ends[draw(ends.size())], at(now), actions);
@@ -223,7 +224,7 @@
                 const HallId &hall = sent->upstream.hall;
                 const auto region = regions.find(hall);
                 const bool allowed =
-                    open.at(sent->request)
+                    openRequests.at(sent->request)
                         .allows(region == regions.end() ? RegionId() : region->second);
                 const std::string text =
                     fmt::format("seed {}, {} ms: sent to hall {}", seed, now, hall.value());
--- a/test/decision/gateway/restingupstream_test.cpp
+++ b/test/decision/gateway/restingupstream_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: upstreams that shed load ask each gateway that they turn away for
-// some seconds of rest, while first tries, second tries, streams that are taken up, waiting ones
-// and moves off silent upstreams go on, and lists come and go.
+// Tests that a gateway sends nothing to an upstream that sheds load and has asked the gateway for
+// some seconds of rest: no first attempts, retries, resumed or queued streams and no requests moved
+// from silent upstreams, while lists change.
 #include "decision/gateway/gatewaycore.h"
 
 #include "decision/gateway/routekinds.h"
@@ -28,7 +28,7 @@
 
 constexpr int kRestMs = 3000;
 const UpstreamNotice kRest{std::chrono::milliseconds(kRestMs), false, false};
-const UpstreamNotice kLeaves{std::nullopt, false, true};
+const UpstreamNotice kLeaving{std::nullopt, false, true};
 
 UpstreamRecord record(const std::string &id)
 {
@@ -82,13 +82,14 @@
     {
         const Action *found = nullptr;
         for (const GatewayAction &action : actions) {
-            const auto *each = std::get_if<Action>(&action);
-            found = each == nullptr ? found : each;
+            const auto *matching = std::get_if<Action>(&action);
+            found = matching == nullptr ? found : matching;
         }
         return found;
     }
 
-    // Begins a request and has its upstream turn it away and ask for rest. Its caller then leaves.
+    // Starts a request whose upstream rejects it and asks for rest; the caller then disconnects.
+    // Returns the upstream.
     InstanceId askForRest(Kind kind, int now)
     {
         const RequestNumber number = begin(kind, now);
@@ -99,7 +100,7 @@
         return upstream;
     }
 
-    // Returns how many of `count` requests go first to `upstream`.
+    // Starts `count` requests and returns how many of their first attempts go to `upstream`.
     int sentTo(const InstanceId &upstream, int now, int count = 12)
     {
         int sent = 0;
@@ -114,7 +115,7 @@
     }
 };
 
-TEST(RestingUpstreamTest, FirstTriesLeaveItAloneUntilItsRestIsOver)
+TEST(RestingUpstreamTest, FirstAttemptsAvoidARestingUpstream)
 {
     const InstanceId resting = askForRest(Kind::Repeatable, 0);
     for (const int now : {1, 200, 1000, kRestMs - 1}) {
@@ -125,7 +126,7 @@
     CHECK_TRUE(sentTo(resting, kRestMs) > 0);
 }
 
-TEST(RestingUpstreamTest, SecondTriesOfAllKindsLeaveItAlone)
+TEST(RestingUpstreamTest, RetriesAvoidARestingUpstream)
 {
     for (const Kind kind : {Kind::AtMostOnce, Kind::Repeatable, Kind::Stream}) {
         start(1, {"one", "two"});
@@ -133,13 +134,13 @@
         actions.clear();
         const RequestNumber number = begin(kind, 500);
         core->onHead(number, AnswerKind::Full, at(510), actions);
-        core->onTick(at(900), actions); // A stream waits for the group to open meanwhile.
+        core->onTick(at(900), actions); // A stream is queued until the group opens.
         CHECK_TRUE(last<StartAttempt>()->upstream.id != resting);
         CHECK_TRUE(kind == Kind::Stream || last<RejectRequest>() != nullptr);
     }
 }
 
-TEST(RestingUpstreamTest, StreamThatBreaksOffIsNotTakenUpThere)
+TEST(RestingUpstreamTest, BrokenStreamIsNotResumedAtARestingUpstream)
 {
     start(1, {"one", "two"});
     const InstanceId resting = askForRest(Kind::Stream, 0);
@@ -152,7 +153,7 @@
     CHECK_TRUE(last<AbortAnswer>() != nullptr);
 }
 
-TEST(RestingUpstreamTest, RequestMovesOffASilentUpstreamToOneThatDoesNotRest)
+TEST(RestingUpstreamTest, SilentUpstreamIsReplacedByOneThatIsNotResting)
 {
     const InstanceId resting = askForRest(Kind::Repeatable, 0);
     actions.clear();
@@ -163,7 +164,7 @@
     CHECK_TRUE(last<StartAttempt>()->upstream.id != resting);
 }
 
-TEST(RestingUpstreamTest, NoLaterAnswerOrListCutsTheRestShort)
+TEST(RestingUpstreamTest, LaterAnswersAndListsDoNotShortenARest)
 {
     const InstanceId resting = askForRest(Kind::Repeatable, 0);
     actions.clear();
@@ -174,7 +175,7 @@
     LONGS_EQUAL(0, sentTo(resting, 330));
 }
 
-TEST(RestingUpstreamTest, ShorterWishThatComesLaterDoesNotCutALongerOneShort)
+TEST(RestingUpstreamTest, LaterShorterRestDoesNotShortenALongerOne)
 {
     const RequestNumber first = begin(Kind::Repeatable, 0);
     const InstanceId upstream = last<StartAttempt>()->upstream.id;
@@ -183,13 +184,13 @@
     LONGS_EQUAL(0, sentTo(upstream, kRestMs - 10));
 }
 
-TEST(RestingUpstreamTest, CallersHearHowLongAllRest)
+TEST(RestingUpstreamTest, RejectionCarriesTheEarliestRestEnd)
 {
     start(1, {"one", "two"});
     const RequestNumber number = begin(Kind::Repeatable, 0);
     core->onNotice(number, kRest, at(0));
     core->onHead(number, AnswerKind::Full, at(0), actions);
-    core->onNotice(number, kRest, at(200)); // Its second try, at the other.
+    core->onNotice(number, kRest, at(200)); // The retry, at the other upstream.
     core->onHead(number, AnswerKind::Full, at(200), actions);
     CHECK_TRUE(last<RejectRequest>()->retryAfter == Duration(std::chrono::milliseconds(2800)));
     actions.clear();
@@ -199,7 +200,7 @@
     CHECK_TRUE(last<RejectRequest>()->retryAfter == Duration(std::chrono::milliseconds(2000)));
 }
 
-TEST(RestingUpstreamTest, UpstreamWithoutRoomThatAsksForNothingIsTriedAgainSoon)
+TEST(RestingUpstreamTest, FullUpstreamWithoutARestIsRetriedSoon)
 {
     const RequestNumber number = begin(Kind::Repeatable, 0);
     const InstanceId full = last<StartAttempt>()->upstream.id;
@@ -207,24 +208,25 @@
     CHECK_TRUE(sentTo(full, 200) > 0);
 }
 
-TEST(RestingUpstreamTest, UpstreamThatSaysItLeavesGetsNothingNewAndFinishesWhatItHas)
+TEST(RestingUpstreamTest, LeavingUpstreamFinishesItsRequestsAndGetsNoNewOnes)
 {
     const RequestNumber number = begin(Kind::Stream, 0);
     const InstanceId leaving = last<StartAttempt>()->upstream.id;
     actions.clear();
-    core->onNotice(number, kLeaves, at(10));
+    core->onNotice(number, kLeaving, at(10));
     CHECK_TRUE(core->onHead(number, AnswerKind::Success, at(10), actions));
     LONGS_EQUAL(0, sentTo(leaving, 20));
     actions.clear();
     core->onEnd(number, AttemptEnd::Complete, at(900), actions);
-    CHECK_TRUE(actions.empty()); // Its answer was delivered whole.
+    CHECK_TRUE(actions.empty()); // The answer was delivered completely.
 }
 
-// Every order of events that a seed draws. What a gateway was asked for holds at each send.
-TEST(RestingUpstreamTest, NoScheduleSendsToOneThatRestsOrLeaves)
+// Checks random sequences of events: no attempt is sent to an upstream that is resting or leaving
+// at that time. SEAMARCH_SEEDS sets the number of seeds.
+TEST(RestingUpstreamTest, NoScheduleSendsToARestingOrLeavingUpstream)
 {
-    const char *asked = std::getenv("SEAMARCH_SEEDS");
-    const int seeds = asked == nullptr ? 400 : std::atoi(asked);
+    const char *seedCount = std::getenv("SEAMARCH_SEEDS");
+    const int seeds = seedCount == nullptr ? 400 : std::atoi(seedCount);
     const std::vector<std::string> ids{"one", "two", "three", "four"};
     for (int seed = 1; seed <= seeds; ++seed) {
         start(static_cast<std::uint64_t>(seed), ids);
@@ -234,13 +236,14 @@
         };
         std::map<InstanceId, TimePoint> restUntil;
         std::set<InstanceId> leaving;
-        std::map<RequestNumber, InstanceId> open; // Attempts under way.
+        std::map<RequestNumber, InstanceId> attempts; // In flight.
         for (int step = 0, now = 0; step < 300; ++step) {
             now += draw(60);
             actions.clear();
-            const auto chosen = open.empty()
-                                    ? open.end()
-                                    : std::next(open.begin(), draw(static_cast<int>(open.size())));
+            const auto chosen =
+                attempts.empty()
+                    ? attempts.end()
+                    : std::next(attempts.begin(), draw(static_cast<int>(attempts.size())));
             switch (draw(8)) {
             case 0:
             case 1:
@@ -248,7 +251,7 @@
                 break;
             case 2:
             case 3:
-                if (chosen != open.end()) {
+                if (chosen != attempts.end()) {
                     const RequestNumber number = chosen->first;
                     if (draw(2) == 0) {
                         const Duration rest = std::chrono::milliseconds(draw(2000));
@@ -257,7 +260,7 @@
                         core->onNotice(number, {rest, false, false}, at(now));
                     } else if (draw(10) == 0) {
                         leaving.insert(chosen->second);
-                        core->onNotice(number, kLeaves, at(now));
+                        core->onNotice(number, kLeaving, at(now));
                     }
                     const std::array kinds{AnswerKind::Full, AnswerKind::Failure,
                                            AnswerKind::Invalid, AnswerKind::Success};
@@ -266,11 +269,11 @@
                 }
                 break;
             case 4:
-                if (chosen != open.end()) {
+                if (chosen != attempts.end()) {
                     const std::array ends{AttemptEnd::Complete, AttemptEnd::NotSent,
                                           AttemptEnd::Lost};
                     const RequestNumber number = chosen->first;
-                    open.erase(chosen);
+                    attempts.erase(chosen);
                     core->onEnd(number, ends[static_cast<std::size_t>(draw(3))], at(now), actions);
                 }
                 break;
@@ -290,12 +293,13 @@
             for (const GatewayAction &action : actions) {
                 if (const auto *sent = std::get_if<StartAttempt>(&action)) {
                     const InstanceId &to = sent->upstream.id;
-                    const std::string text = fmt::format(
-                        "seed {}, {} ms: sent to {}, which rests or leaves", seed, now, to.value());
+                    const std::string text =
+                        fmt::format("seed {}, {} ms: sent to {}, which is resting or leaving", seed,
+                                    now, to.value());
                     CHECK_TEXT(restUntil[to] <= at(now) && !leaving.contains(to), text.c_str());
-                    open[sent->request] = to;
+                    attempts[sent->request] = to;
                 } else if (const auto *cancelled = std::get_if<CancelAttempt>(&action)) {
-                    open.erase(cancelled->request);
+                    attempts.erase(cancelled->request);
                 }
             }
         }
--- a/test/decision/gateway/routetable_test.cpp
+++ b/test/decision/gateway/routetable_test.cpp
@@ -32,7 +32,7 @@
     RouteTable table{document()};
 };
 
-TEST(RouteTableTest, TakesTheLongestPrefixOfTheHost)
+TEST(RouteTableTest, MatchesTheLongestPrefixOfTheHost)
 {
     STRCMP_EQUAL("long", table.match("a.example", "/x/y/z")->name.c_str());
     STRCMP_EQUAL("short", table.match("a.example", "/x/z")->name.c_str());
@@ -44,7 +44,7 @@
     STRCMP_EQUAL("short", table.match("A.Example:80", "/x/")->name.c_str());
 }
 
-TEST(RouteTableTest, KnowsNoRouteOfAnotherHostOrPath)
+TEST(RouteTableTest, ReturnsNullForAnUnknownHostOrPath)
 {
     POINTERS_EQUAL(nullptr, table.match("c.example", "/x/"));
     POINTERS_EQUAL(nullptr, table.match("a.example", "/xy/"));
@@ -57,19 +57,19 @@
     POINTERS_EQUAL(nullptr, table.accountOf(""));
 }
 
-TEST(RouteTableTest, ShortestPauseGoalIsThatOfTheRoutesToTheService)
+TEST(RouteTableTest, ShortestGapTargetCoversOnlyRoutesToTheService)
 {
     RoutingDocument document;
     const auto add = [&document](const char *service, int pause) {
         RouteRule rule;
         rule.targets = {{TargetName(service), 1}};
-        rule.pauseGoal = std::chrono::milliseconds(pause);
+        rule.gapTarget = std::chrono::milliseconds(pause);
         document.routes.push_back(rule);
     };
     add("model", 200);
     add("model", 150);
     add("model", 0);
     add("other", 40);
-    CHECK_TRUE(shortestPauseGoal(document, TargetName("model")) == std::chrono::milliseconds(150));
-    CHECK_TRUE(shortestPauseGoal(document, TargetName("nobody")) == Duration{});
+    CHECK_TRUE(shortestGapTarget(document, TargetName("model")) == std::chrono::milliseconds(150));
+    CHECK_TRUE(shortestGapTarget(document, TargetName("nobody")) == Duration{});
 }
--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -1,10 +1,10 @@
-// The load that this answers: one upstream names a limit for all gateways together, and all of them
-// want to send there, or one that has nearly all callers, while answers are late or lost, gateways
-// stand still, start anew, and differ on whom to ask for permits.
+// Simulates gateways that share the limit of one upstream by permits. Either all gateways have
+// callers or a single one has nearly all of them, while messages are delayed or lost and gateways
+// pause, restart and disagree on the issuer.
 //
-// The upstream counts what arrives in each 4 s and bears one and a half times its limit and five
-// requests. One that warms up counts in single seconds, and gateways may be in three parts that do
-// not reach each other.
+// The upstream tolerates, in each window of 4 s, five requests more than one and a half times its
+// limit. An upstream that is warming up has a window of 1 s, and the gateways may be split into
+// three partitions.
 #include "decision/gateway/permitissuer.h"
 #include "decision/gateway/sendpermits.h"
 #include "decision/gateway/warmuplimits.h"
@@ -25,36 +25,38 @@
 
 namespace {
 
-constexpr int kSpanMs = 4000;
+constexpr int kWindowMs = 4000;
 
 TimePoint at(int millis)
 {
-    // Zero stands for no time in what is tested.
+    // Offset by 1 ms, because the tested classes use time zero for "not set".
     return TimePoint(std::chrono::milliseconds(millis + 1));
 }
 
-struct World
+// The parameters of a simulation.
+struct Scenario
 {
     std::size_t gateways = 7;
     double limit = 1.0;
-    int millis = 20000;
-    double wantsPerSecond = 8.0; // Requests of one gateway that would go to the upstream.
-    std::size_t busy = 0;        // So many gateways have callers; zero: all.
-    int mostDelay = 3;           // Of a question or an answer, in ms.
-    double lost = 0.0;           // Part of the questions and answers that are lost.
-    double trouble = 0.0;        // Events a second: starts anew, standstills.
-    int cutFrom = 0;             // Gateways of different parts do not reach each other.
-    int cutUntil = 0;
-    std::size_t parts = 2;
-    int spanMs = kSpanMs; // In which the upstream counts.
+    int durationMs = 20000;
+    double requestsPerSecond = 8.0; // Requests of one gateway for the upstream.
+    std::size_t busyGateways = 0;   // Number of gateways with callers; zero: all.
+    int maxDelayMs = 3;             // Of a query or an answer.
+    double lossRate = 0.0;          // Share of the queries and answers that are lost.
+    double faultsPerSecond = 0.0;   // Rate of restarts and pauses.
+    int partitionStartMs = 0;       // Messages between partitions are dropped until the end.
+    int partitionEndMs = 0;
+    std::size_t partitions = 2;
+    int windowMs = kWindowMs; // In which the upstream counts requests.
     std::uint64_t seed = 1;
 };
 
-struct Found
+// The requests that arrived at the upstream and the queries that arrived at issuers.
+struct Result
 {
-    int most = 0;  // Requests in the worst 4 s.
-    int total = 0; // Requests over the run.
-    int questions = 0;
+    int maxInWindow = 0; // Requests in the worst window.
+    int total = 0;       // Requests in the whole run.
+    int queries = 0;
     int firstMs = -1;
 };
 
@@ -63,11 +65,11 @@
     int at = 0;
     std::size_t from = 0;
     std::size_t to = 0;
-    bool answers = false;
+    bool isAnswer = false;
     std::uint32_t wanted = 0;
-    PermitAnswer answer;
+    PermitGrant answer;
     int askedAt = 0;
-    int life = 0; // Of the gateway that asked.
+    int incarnation = 0; // Of the gateway that sent the query.
 
     bool operator>(const Message &other) const { return at > other.at; }
 };
@@ -76,70 +78,82 @@
 {
     SendPermits permits;
     PermitIssuer issuer;
-    int standsUntil = 0;
-    int life = 0; // Counts its starts.
+    int pausedUntil = 0;
+    int incarnation = 0; // Number of restarts.
 };
 
-class Model
+// Runs gateways, a network and the upstream in steps of 1 ms.
+class Simulation
 {
 public:
-    explicit Model(const World &world)
-        : world_(world)
-        , random_(world.seed)
-        , gateways_(world.gateways)
+    explicit Simulation(const Scenario &scenario)
+        : scenario_(scenario)
+        , random_(scenario.seed)
+        , gateways_(scenario.gateways)
     {}
 
-    Found run()
+    Result run()
     {
-        for (now_ = 0; now_ < world_.millis; ++now_) {
-            disturb();
+        for (now_ = 0; now_ < scenario_.durationMs; ++now_) {
+            injectFaults();
             deliver();
-            const std::size_t busy = world_.busy == 0 ? gateways_.size() : world_.busy;
-            for (std::size_t index = 0; index < busy; ++index) {
-                if (gateways_[index].standsUntil <= now_) {
+            const std::size_t busyGateways =
+                scenario_.busyGateways == 0 ? gateways_.size() : scenario_.busyGateways;
+            for (std::size_t index = 0; index < busyGateways; ++index) {
+                if (gateways_[index].pausedUntil <= now_) {
                     step(index);
                 }
             }
         }
-        return found_;
+        return result_;
     }
 
 private:
-    bool chance(double part) { return std::uniform_real_distribution<>(0.0, 1.0)(random_) < part; }
-    int draw(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
+    bool chance(double probability)
+    {
+        return std::uniform_real_distribution<>(0.0, 1.0)(random_) < probability;
+    }
+    int draw(int upper) { return std::uniform_int_distribution<>(0, upper)(random_); }
 
-    bool cut() const { return now_ >= world_.cutFrom && now_ < world_.cutUntil; }
-    std::size_t partOf(std::size_t index) const { return index * world_.parts / gateways_.size(); }
+    bool isPartitioned() const
+    {
+        return now_ >= scenario_.partitionStartMs && now_ < scenario_.partitionEndMs;
+    }
+    std::size_t partitionOf(std::size_t index) const
+    {
+        return index * scenario_.partitions / gateways_.size();
+    }
 
-    // Each part has one that it asks, its first.
+    // Returns the issuer for the gateway at `index`: the first gateway of its partition, or of all
+    // gateways while there is no partition.
     std::size_t issuerFor(std::size_t index) const
     {
-        const std::size_t part = cut() ? partOf(index) : 0;
-        return (part * gateways_.size() + world_.parts - 1) / world_.parts;
+        const std::size_t partition = isPartitioned() ? partitionOf(index) : 0;
+        return (partition * gateways_.size() + scenario_.partitions - 1) / scenario_.partitions;
     }
 
-    void disturb()
+    void injectFaults()
     {
-        if (!chance(world_.trouble / 1000.0)) {
+        if (!chance(scenario_.faultsPerSecond / 1000.0)) {
             return;
         }
         Gateway &gateway =
             gateways_[chance(0.3) ? 0 : draw(static_cast<int>(gateways_.size()) - 1)];
         if (chance(0.5)) {
-            gateway.standsUntil = now_ + draw(3000);
+            gateway.pausedUntil = now_ + draw(3000);
         } else {
-            const int life = gateway.life + 1;
+            const int incarnation = gateway.incarnation + 1;
             gateway = Gateway();
-            gateway.life = life;
+            gateway.incarnation = incarnation;
         }
     }
 
     void send(Message message)
     {
-        if (chance(world_.lost)) {
+        if (chance(scenario_.lossRate)) {
             return;
         }
-        message.at = now_ + 1 + draw(world_.mostDelay);
+        message.at = now_ + 1 + draw(scenario_.maxDelayMs);
         messages_.push(message);
     }
 
@@ -149,23 +163,23 @@
             Message message = messages_.top();
             messages_.pop();
             Gateway &gateway = gateways_[message.to];
-            if (cut() && partOf(message.from) != partOf(message.to)) {
+            if (isPartitioned() && partitionOf(message.from) != partitionOf(message.to)) {
                 continue;
             }
-            if (gateway.standsUntil > now_) {
-                message.at = gateway.standsUntil;
+            if (gateway.pausedUntil > now_) {
+                message.at = gateway.pausedUntil;
                 messages_.push(message);
-            } else if (message.answers) {
-                if (message.life == gateway.life) {
+            } else if (message.isAnswer) {
+                if (message.incarnation == gateway.incarnation) {
                     gateway.permits.onAnswer(kUpstream, message.answer, at(message.askedAt),
                                              at(now_));
                 }
             } else {
-                ++found_.questions;
+                ++result_.queries;
                 Message answer{0, message.to, message.from,    true,
-                               0, {},         message.askedAt, message.life};
-                answer.answer = gateway.issuer.take(kUpstream, RequestRate(world_.limit),
-                                                    idOf(message.from), message.wanted, at(now_));
+                               0, {},         message.askedAt, message.incarnation};
+                answer.answer = gateway.issuer.issue(kUpstream, RequestRate(scenario_.limit),
+                                                     idOf(message.from), message.wanted, at(now_));
                 send(answer);
             }
         }
@@ -174,16 +188,16 @@
     void step(std::size_t index)
     {
         Gateway &gateway = gateways_[index];
-        if (chance(world_.wantsPerSecond / 1000.0)) {
+        if (chance(scenario_.requestsPerSecond / 1000.0)) {
             if (gateway.permits.has(kUpstream, at(now_))) {
-                gateway.permits.use(kUpstream, at(now_));
+                gateway.permits.consume(kUpstream, at(now_));
                 arrive();
             } else {
-                gateway.permits.want(kUpstream);
+                gateway.permits.request(kUpstream);
             }
         }
-        for (const SendPermits::Ask &ask : gateway.permits.takeAsks(at(now_))) {
-            send({0, index, issuerFor(index), false, ask.wanted, {}, now_, gateway.life});
+        for (const SendPermits::Query &query : gateway.permits.takeQueries(at(now_))) {
+            send({0, index, issuerFor(index), false, query.wanted, {}, now_, gateway.incarnation});
         }
         if (now_ % 25 == 0) {
             gateway.permits.expire(at(now_));
@@ -194,59 +208,61 @@
     void arrive()
     {
         arrivals_.push_back(now_);
-        while (arrivals_.front() <= now_ - world_.spanMs) {
+        while (arrivals_.front() <= now_ - scenario_.windowMs) {
             arrivals_.pop_front();
         }
-        found_.most = std::max(found_.most, static_cast<int>(arrivals_.size()));
-        found_.firstMs = found_.firstMs < 0 ? now_ : found_.firstMs;
-        ++found_.total;
+        result_.maxInWindow = std::max(result_.maxInWindow, static_cast<int>(arrivals_.size()));
+        result_.firstMs = result_.firstMs < 0 ? now_ : result_.firstMs;
+        ++result_.total;
     }
 
     static InstanceId idOf(std::size_t index) { return InstanceId(fmt::format("g-{}", index)); }
 
     inline static const InstanceId kUpstream{"up"};
-    World world_;
+    Scenario scenario_;
     std::mt19937_64 random_;
     std::vector<Gateway> gateways_;
     std::priority_queue<Message, std::vector<Message>, std::greater<>> messages_;
     std::deque<int> arrivals_;
     int now_ = 0;
-    Found found_;
+    Result result_;
 };
 
-double borne(double limit)
+// Returns the number of requests that an upstream with `limit` tolerates in 4 s.
+double maxTolerated(double limit)
 {
-    return 1.5 * limit * kSpanMs / 1000.0 + 5.0;
+    return 1.5 * limit * kWindowMs / 1000.0 + 5.0;
 }
 
-void checkBorne(const World &world, const Found &found)
+void checkLimit(const Scenario &scenario, const Result &result)
 {
-    CHECK_TEXT(found.most <= borne(world.limit),
-               fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, {} are borne",
-                           world.seed, world.gateways, world.limit, found.most, borne(world.limit))
+    CHECK_TEXT(result.maxInWindow <= maxTolerated(scenario.limit),
+               fmt::format("seed {}, {} gateways, {} a second: {} requests in 4 s, tolerates {}",
+                           scenario.seed, scenario.gateways, scenario.limit, result.maxInWindow,
+                           maxTolerated(scenario.limit))
                    .c_str());
 }
 
-// Returns a world that is drawn at random.
-World drawn(std::uint64_t seed)
+// Returns a random scenario for `seed`.
+Scenario randomScenario(std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
-    const auto between = [&random](double least, double most) {
-        return std::uniform_real_distribution<>(least, most)(random);
+    const auto between = [&random](double lower, double upper) {
+        return std::uniform_real_distribution<>(lower, upper)(random);
     };
-    World world;
-    world.seed = seed;
-    world.gateways = 2 + static_cast<std::size_t>(between(0.0, 12.0));
-    world.limit = std::exp(between(std::log(0.1), std::log(40.0)));
-    world.wantsPerSecond = between(0.5, 40.0);
-    world.busy = between(0.0, 1.0) < 0.3 ? 1 : 0;
-    world.mostDelay = static_cast<int>(between(0.0, 200.0));
-    world.lost = between(0.0, 0.3);
-    world.trouble = between(0.0, 1.0);
-    world.cutFrom = static_cast<int>(between(0.0, 10000.0));
-    world.cutUntil = world.cutFrom + static_cast<int>(between(0.0, 8000.0));
-    world.millis = 15000;
-    return world;
+    Scenario scenario;
+    scenario.seed = seed;
+    scenario.gateways = 2 + static_cast<std::size_t>(between(0.0, 12.0));
+    scenario.limit = std::exp(between(std::log(0.1), std::log(40.0)));
+    scenario.requestsPerSecond = between(0.5, 40.0);
+    scenario.busyGateways = between(0.0, 1.0) < 0.3 ? 1 : 0;
+    scenario.maxDelayMs = static_cast<int>(between(0.0, 200.0));
+    scenario.lossRate = between(0.0, 0.3);
+    scenario.faultsPerSecond = between(0.0, 1.0);
+    scenario.partitionStartMs = static_cast<int>(between(0.0, 10000.0));
+    scenario.partitionEndMs = scenario.partitionStartMs + static_cast<int>(between(0.0, 8000.0));
+    scenario.durationMs = 15000;
+    return scenario;
 }
 
 } // namespace
@@ -257,141 +273,143 @@
 {
     for (const std::size_t gateways : {7U, 149U, 340U}) {
         for (const double limit : {0.2, 1.0, 1.3, 20.0, 500.0}) {
-            World world;
-            world.gateways = gateways;
-            world.limit = limit;
-            world.millis = 12000;
-            checkBorne(world, Model(world).run());
+            Scenario scenario;
+            scenario.gateways = gateways;
+            scenario.limit = limit;
+            scenario.durationMs = 12000;
+            checkLimit(scenario, Simulation(scenario).run());
         }
     }
 }
 
-TEST(SharedLimitTest, HalfOfItIsUsedAlsoWhereOneGatewayHasAllCallers)
+TEST(SharedLimitTest, HalfOfTheLimitIsUsedEvenByASingleBusyGateway)
 {
     for (const std::size_t gateways : {7U, 149U, 340U}) {
         for (const double limit : {1.0, 1.3, 20.0}) {
-            for (const std::size_t busy : {std::size_t{1}, std::size_t{0}}) {
-                World world;
-                world.gateways = gateways;
-                world.limit = limit;
-                world.busy = busy;
-                world.wantsPerSecond = busy == 1 ? 60.0 : 8.0;
-                world.millis = 40000;
-                const Found found = Model(world).run();
-                const double part = found.total / (limit * world.millis / 1000.0);
-                CHECK_TEXT(part >= 0.5,
+            for (const std::size_t busyGateways : {std::size_t{1}, std::size_t{0}}) {
+                Scenario scenario;
+                scenario.gateways = gateways;
+                scenario.limit = limit;
+                scenario.busyGateways = busyGateways;
+                scenario.requestsPerSecond = busyGateways == 1 ? 60.0 : 8.0;
+                scenario.durationMs = 40000;
+                const Result result = Simulation(scenario).run();
+                const double usedShare = result.total / (limit * scenario.durationMs / 1000.0);
+                CHECK_TEXT(usedShare >= 0.5,
                            fmt::format("{} gateways, {} busy, {} a second: {:.2f} used", gateways,
-                                       busy, limit, part)
+                                       busyGateways, limit, usedShare)
                                .c_str());
             }
         }
     }
 }
 
-TEST(SharedLimitTest, OneThatTakesNothingIsAskedNowAndThen)
+TEST(SharedLimitTest, UpstreamWithAZeroLimitIsProbedPeriodically)
 {
-    World world;
-    world.limit = 0.0;
-    world.millis = 60000;
-    const Found found = Model(world).run();
-    checkBorne(world, found);
-    CHECK_TRUE(found.total >= 1);
-    CHECK_TRUE(found.total <= 7);
+    Scenario scenario;
+    scenario.limit = 0.0;
+    scenario.durationMs = 60000;
+    const Result result = Simulation(scenario).run();
+    checkLimit(scenario, result);
+    CHECK_TRUE(result.total >= 1);
+    CHECK_TRUE(result.total <= 7);
 }
 
-TEST(SharedLimitTest, PermitsAreNotSavedUpOverAPause)
+TEST(SharedLimitTest, PermitsDoNotAccumulateDuringAPause)
 {
     SendPermits permits;
     PermitIssuer issuer;
     const InstanceId upstream("up");
     const InstanceId self("g");
-    issuer.take(upstream, RequestRate(1.0), self, 1, at(0));
-    const PermitAnswer answer = issuer.take(upstream, RequestRate(1.0), self, 16, at(30000));
+    issuer.issue(upstream, RequestRate(1.0), self, 1, at(0));
+    const PermitGrant answer = issuer.issue(upstream, RequestRate(1.0), self, 16, at(30000));
     UNSIGNED_LONGS_EQUAL(1, answer.granted);
-    permits.want(upstream);
-    permits.takeAsks(at(30000));
+    permits.request(upstream);
+    permits.takeQueries(at(30000));
     permits.onAnswer(upstream, answer, at(30000), at(30001));
     CHECK_TRUE(permits.has(upstream, at(30400)));
     CHECK_FALSE(permits.has(upstream, at(30500)));
 }
 
-TEST(SharedLimitTest, AnswerThatComesAfterAStandstillGrantsNothing)
+TEST(SharedLimitTest, LateAnswerGrantsNothing)
 {
     SendPermits permits;
     const InstanceId upstream("up");
-    permits.want(upstream);
-    LONGS_EQUAL(1, permits.takeAsks(at(0)).size());
+    permits.request(upstream);
+    LONGS_EQUAL(1, permits.takeQueries(at(0)).size());
     permits.onAnswer(upstream, {1, Duration{}}, at(0), at(700));
     CHECK_FALSE(permits.has(upstream, at(700)));
 }
 
-// More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
+// SEAMARCH_SHARED_LIMIT_SEEDS sets the number of seeds.
 TEST(SharedLimitTest, LimitHoldsOnEverySchedule)
 {
-    const char *wanted = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
-    const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
+    const char *seedCount = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
+    const std::uint64_t seeds = seedCount == nullptr ? 400 : std::strtoull(seedCount, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const World world = drawn(seed);
-        checkBorne(world, Model(world).run());
+        const Scenario scenario = randomScenario(seed);
+        checkLimit(scenario, Simulation(scenario).run());
     }
 }
 
 namespace {
 
-// What an upstream that warms up bears of `rate` in one second.
-double borneInASecond(double rate, const WarmUpBounds &bounds)
+// Returns the number of requests that a warming upstream tolerates in one second.
+double maxToleratedPerSecond(double rate, const WarmUpBounds &bounds)
 {
     return rate * bounds.factor + bounds.slack;
 }
 
-// A world before an upstream that warms up and bears `rate` a second.
-World warmingWorld(double rate, const WarmUpBounds &bounds)
+// Returns a scenario with a warming upstream that tolerates `rate`.
+Scenario warmUpScenario(double rate, const WarmUpBounds &bounds)
 {
-    World world;
-    world.limit = warmUpLimit(RequestRate(rate), bounds).perSecond();
-    world.spanMs = 1000;
-    world.parts = 3;
-    return world;
+    Scenario scenario;
+    scenario.limit = warmUpLimit(RequestRate(rate), bounds).perSecond();
+    scenario.windowMs = 1000;
+    scenario.partitions = 3;
+    return scenario;
 }
 
-// Returns a world that is drawn at random, before an upstream that bears `rate` a second.
-World drawnWarming(std::uint64_t seed, double &rate)
+// Returns a random scenario with a warming upstream, and sets `rate` to the rate that it tolerates.
+Scenario randomWarmUpScenario(std::uint64_t seed, double &rate)
 {
     std::mt19937_64 random(seed);
     rate = std::exp(std::uniform_real_distribution<>(std::log(2.0), std::log(100.0))(random));
-    const World warming = warmingWorld(rate, WarmUpBounds());
-    World world = drawn(seed);
-    world.limit = warming.limit;
-    world.spanMs = warming.spanMs;
-    world.parts = warming.parts;
-    world.gateways += 3;
-    world.millis = 8000;
-    return world;
+    const Scenario warming = warmUpScenario(rate, WarmUpBounds());
+    Scenario scenario = randomScenario(seed);
+    scenario.limit = warming.limit;
+    scenario.windowMs = warming.windowMs;
+    scenario.partitions = warming.partitions;
+    scenario.gateways += 3;
+    scenario.durationMs = 8000;
+    return scenario;
 }
 
-std::string foundText(const World &world, const Found &found, double borne)
+std::string describe(const Scenario &scenario, const Result &result, double maxTolerated)
 {
-    return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, {} "
-                       "are borne",
-                       world.seed, world.gateways, world.limit, found.most, borne);
+    return fmt::format("seed {}, {} gateways, permits of {:.1f} a second: {} requests in 1 s, "
+                       "tolerates {}",
+                       scenario.seed, scenario.gateways, scenario.limit, result.maxInWindow,
+                       maxTolerated);
 }
 
 } // namespace
 
 TEST_GROUP(WarmUpLimitTest){};
 
-TEST(WarmUpLimitTest, ThreeIssuersAtOnceStayWithinWhatIsBorne)
+TEST(WarmUpLimitTest, ThreeConcurrentIssuersStayWithinTheBound)
 {
     for (const std::size_t gateways : {7U, 43U, 67U, 531U}) {
         for (const double rate : {2.0, 26.0, 60.0}) {
-            World world = warmingWorld(rate, WarmUpBounds());
-            world.gateways = gateways;
-            world.millis = 8000;
-            world.cutFrom = 3000;
-            world.cutUntil = 8000;
-            const Found found = Model(world).run();
-            const double borne = borneInASecond(rate, WarmUpBounds());
-            CHECK_TEXT(found.most <= borne, foundText(world, found, borne).c_str());
+            Scenario scenario = warmUpScenario(rate, WarmUpBounds());
+            scenario.gateways = gateways;
+            scenario.durationMs = 8000;
+            scenario.partitionStartMs = 3000;
+            scenario.partitionEndMs = 8000;
+            const Result result = Simulation(scenario).run();
+            const double maxTolerated = maxToleratedPerSecond(rate, WarmUpBounds());
+            CHECK_TEXT(result.maxInWindow <= maxTolerated,
+                       describe(scenario, result, maxTolerated).c_str());
         }
     }
 }
@@ -399,47 +417,50 @@
 TEST(WarmUpLimitTest, BoundHoldsAlsoWithoutSlack)
 {
     const WarmUpBounds bounds{1.0, 0.0};
-    World world = warmingWorld(26.0, bounds);
-    world.gateways = 43;
-    world.cutFrom = 2000;
-    world.cutUntil = 20000;
-    const Found found = Model(world).run();
-    CHECK_TEXT(found.most <= borneInASecond(26.0, bounds),
-               foundText(world, found, borneInASecond(26.0, bounds)).c_str());
+    Scenario scenario = warmUpScenario(26.0, bounds);
+    scenario.gateways = 43;
+    scenario.partitionStartMs = 2000;
+    scenario.partitionEndMs = 20000;
+    const Result result = Simulation(scenario).run();
+    CHECK_TEXT(result.maxInWindow <= maxToleratedPerSecond(26.0, bounds),
+               describe(scenario, result, maxToleratedPerSecond(26.0, bounds)).c_str());
 }
 
-// Where all of a service warm up, what they bear is used: an issuer hands out 6.8 a second here.
-TEST(WarmUpLimitTest, HalfOfWhatIsHandedOutIsUsedWhereThereIsNothingElse)
+// While a whole service warms up, its upstreams must still be used at the tolerated rate. The
+// issuer issues 6.8 permits per second here.
+TEST(WarmUpLimitTest, HalfOfTheIssuedPermitsAreUsedIfThereIsNoOtherUpstream)
 {
-    World world = warmingWorld(26.0, WarmUpBounds());
-    world.gateways = 43;
-    world.millis = 20000;
-    const Found found = Model(world).run();
-    const double handedOut = world.limit * kHandedOutPart * world.millis / 1000.0;
-    CHECK_TEXT(found.total >= 0.5 * handedOut,
-               fmt::format("{} requests of {:.0f}", found.total, handedOut).c_str());
+    Scenario scenario = warmUpScenario(26.0, WarmUpBounds());
+    scenario.gateways = 43;
+    scenario.durationMs = 20000;
+    const Result result = Simulation(scenario).run();
+    const double issued = scenario.limit * kIssuedShare * scenario.durationMs / 1000.0;
+    CHECK_TEXT(result.total >= 0.5 * issued,
+               fmt::format("{} requests of {:.0f}", result.total, issued).c_str());
 }
 
-TEST(WarmUpLimitTest, PermitsByTheWholeRateAreCaught)
+TEST(WarmUpLimitTest, IssuingTheWholeRateExceedsTheBound)
 {
-    World world = warmingWorld(26.0, WarmUpBounds());
-    world.gateways = 43;
-    world.limit = 26.0 / kHandedOutPart;
-    world.cutFrom = 2000;
-    world.cutUntil = 20000;
-    CHECK_TRUE(Model(world).run().most > borneInASecond(26.0, WarmUpBounds()));
+    Scenario scenario = warmUpScenario(26.0, WarmUpBounds());
+    scenario.gateways = 43;
+    scenario.limit = 26.0 / kIssuedShare;
+    scenario.partitionStartMs = 2000;
+    scenario.partitionEndMs = 20000;
+    CHECK_TRUE(Simulation(scenario).run().maxInWindow
+               > maxToleratedPerSecond(26.0, WarmUpBounds()));
 }
 
-// More seeds by hand: SEAMARCH_SHARED_LIMIT_SEEDS says how many.
+// SEAMARCH_SHARED_LIMIT_SEEDS sets the number of seeds.
 TEST(WarmUpLimitTest, BoundHoldsOnEverySchedule)
 {
-    const char *wanted = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
-    const std::uint64_t seeds = wanted == nullptr ? 400 : std::strtoull(wanted, nullptr, 10);
+    const char *seedCount = std::getenv("SEAMARCH_SHARED_LIMIT_SEEDS");
+    const std::uint64_t seeds = seedCount == nullptr ? 400 : std::strtoull(seedCount, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         double rate = 0.0;
-        const World world = drawnWarming(seed, rate);
-        const Found found = Model(world).run();
-        const double borne = borneInASecond(rate, WarmUpBounds());
-        CHECK_TEXT(found.most <= borne, foundText(world, found, borne).c_str());
+        const Scenario scenario = randomWarmUpScenario(seed, rate);
+        const Result result = Simulation(scenario).run();
+        const double maxTolerated = maxToleratedPerSecond(rate, WarmUpBounds());
+        CHECK_TEXT(result.maxInWindow <= maxTolerated,
+                   describe(scenario, result, maxTolerated).c_str());
     }
 }
--- a/test/decision/gateway/silentupstream_test.cpp
+++ b/test/decision/gateway/silentupstream_test.cpp
@@ -43,9 +43,9 @@
         route.streamed = true;
         route.resumable = true;
         route.timeout = std::chrono::seconds(8);
-        route.latencyGoal = std::chrono::milliseconds(500);
-        route.pauseGoal = std::chrono::milliseconds(150);
-        route.silenceLimit = std::chrono::seconds(2);
+        route.latencyTarget = std::chrono::milliseconds(500);
+        route.gapTarget = std::chrono::milliseconds(150);
+        route.silenceTimeout = std::chrono::seconds(2);
         route.maxAttempts = 2;
         document.routes = {route};
     }
@@ -69,7 +69,7 @@
         for (const int port : ports) {
             facts.members.push_back({name, port, 1.0});
         }
-        core->groups().learn(facts, at(0));
+        core->groups().update(facts, at(0));
     }
 
     RequestNumber begin(int now)
--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -1,5 +1,5 @@
-// The load that this answers: dozens of upstreams are replaced one after the other while hundreds
-// of gateways follow the list, ask one gateway and then another, and miss some states of it.
+// Tests the deltas that gateways get while dozens of upstreams are replaced one after another and
+// hundreds of gateways follow the list, switch between senders and miss some of its states.
 #include "decision/gateway/upstreamhistory.h"
 
 #include <cstdlib>
@@ -38,17 +38,19 @@
 {
     UpstreamHistory history;
 
-    void note(std::uint64_t mark, const std::vector<UpstreamRecord> &records)
+    void recordState(std::uint64_t digest, const std::vector<UpstreamRecord> &records)
     {
-        history.note(mark, pointersTo(records));
+        history.recordState(digest, pointersTo(records));
     }
 };
 
-TEST(UpstreamHistoryTest, TellsWhatWasListedChangedAndRemoved)
+TEST(UpstreamHistoryTest, ReportsAddedChangedAndRemovedUpstreams)
 {
-    note(1, {record(1), record(2), record(3), record(4), record(5), record(6), record(7)});
-    note(2, {record(1), record(2), record(3), record(4), record(5), record(6), record(7, 2)});
-    note(3, {record(2), record(3), record(4), record(5), record(6), record(7, 2), record(8)});
+    recordState(1, {record(1), record(2), record(3), record(4), record(5), record(6), record(7)});
+    recordState(2,
+                {record(1), record(2), record(3), record(4), record(5), record(6), record(7, 2)});
+    recordState(3,
+                {record(2), record(3), record(4), record(5), record(6), record(7, 2), record(8)});
     const std::set<InstanceId> sinceTwo{record(1).id, record(8).id};
     CHECK_TRUE(history.changedSince(2) == sinceTwo);
     const std::set<InstanceId> sinceOne{record(1).id, record(7).id, record(8).id};
@@ -56,70 +58,70 @@
     CHECK_TRUE(history.changedSince(3)->empty());
 }
 
-TEST(UpstreamHistoryTest, StateThatIsNotRememberedTakesTheWholeList)
+TEST(UpstreamHistoryTest, UnknownStateRequiresTheWholeList)
 {
     CHECK_FALSE(history.changedSince(1).has_value());
-    for (std::size_t state = 1; state <= UpstreamHistory::kMostStates + 2; ++state) {
-        note(state, {record(1, static_cast<std::int64_t>(state)), record(2), record(3)});
+    for (std::size_t state = 1; state <= UpstreamHistory::kMaxStates + 2; ++state) {
+        recordState(state, {record(1, static_cast<std::int64_t>(state)), record(2), record(3)});
     }
     CHECK_FALSE(history.changedSince(1).has_value());
     CHECK_TRUE(history.changedSince(2).has_value());
 }
 
-TEST(UpstreamHistoryTest, ChangesOfMostOfTheListAreNotWorthTelling)
+TEST(UpstreamHistoryTest, ChangesOfMostOfTheListRequireTheWholeList)
 {
-    note(1, {record(1), record(2)});
-    note(2, {record(3), record(4)});
+    recordState(1, {record(1), record(2)});
+    recordState(2, {record(3), record(4)});
     CHECK_FALSE(history.changedSince(1).has_value());
 }
 
-TEST(UpstreamHistoryTest, WhatDiffersBetweenGatewaysIsNoChange)
+TEST(UpstreamHistoryTest, GatewayLocalFieldsAreIgnored)
 {
     std::vector<UpstreamRecord> list{record(1), record(2), record(3)};
-    note(1, list);
+    recordState(1, list);
     list[0].warmAt = TimePoint(std::chrono::seconds(9));
     list[1].listedAt = 7;
-    note(2, list);
+    recordState(2, list);
     CHECK_TRUE(history.changedSince(1)->empty());
 }
 
-// Whatever state a gateway holds, what it is told makes its list that of the teller. More seeds by
-// hand: SEAMARCH_SEEDS.
-TEST(UpstreamHistoryTest, ListWithItsChangesIsTheListOfTheTeller)
+// Checks with random histories that applying a delta to any earlier state yields the list of the
+// sender. SEAMARCH_SEEDS sets the number of seeds.
+TEST(UpstreamHistoryTest, AppliedChangesReproduceTheList)
 {
-    const char *asked = std::getenv("SEAMARCH_SEEDS");
-    const int seeds = asked == nullptr ? 200 : std::atoi(asked);
+    const char *seedCount = std::getenv("SEAMARCH_SEEDS");
+    const int seeds = seedCount == nullptr ? 200 : std::atoi(seedCount);
     for (int seed = 1; seed <= seeds; ++seed) {
         std::mt19937_64 random(static_cast<std::uint64_t>(seed));
-        UpstreamHistory teller;
+        UpstreamHistory sender;
         std::vector<std::vector<UpstreamRecord>> states;
         std::vector<UpstreamRecord> list;
         for (int number = 0; number < 40; ++number) {
             list.push_back(record(number));
         }
-        for (std::uint64_t mark = 1; mark <= 60; ++mark) {
-            teller.note(mark, pointersTo(list));
+        for (std::uint64_t digest = 1; digest <= 60; ++digest) {
+            sender.recordState(digest, pointersTo(list));
             states.push_back(list);
-            const std::uint64_t held = 1 + random() % mark;
-            if (const auto changed = teller.changedSince(held)) {
-                std::vector<UpstreamRecord> told;
+            const std::uint64_t base = 1 + random() % digest;
+            if (const auto changed = sender.changedSince(base)) {
+                std::vector<UpstreamRecord> sent;
                 std::set<InstanceId> removed = *changed;
                 for (const UpstreamRecord &each : list) {
                     if (removed.erase(each.id) > 0) {
-                        told.push_back(each);
+                        sent.push_back(each);
                     }
                 }
-                const auto made = withChanges(pointersTo(states[held - 1]), told, removed);
-                CHECK_TEXT(made == list,
-                           fmt::format("seed {}, from {} to {}", seed, held, mark).c_str());
+                const auto applied = applyChanges(pointersTo(states[base - 1]), sent, removed);
+                CHECK_TEXT(applied == list,
+                           fmt::format("seed {}, from {} to {}", seed, base, digest).c_str());
             }
             const std::size_t place = random() % list.size();
             if (random() % 2 == 0) {
-                list[place].start = UpstreamStart(static_cast<std::int64_t>(mark + 1));
+                list[place].start = UpstreamStart(static_cast<std::int64_t>(digest + 1));
             } else if (list.size() > 20) {
                 list.erase(list.begin() + static_cast<std::ptrdiff_t>(place));
             }
-            list.push_back(record(static_cast<int>(100 + mark)));
+            list.push_back(record(static_cast<int>(100 + digest)));
         }
     }
 }
--- a/test/decision/gateway/upstreamtable_test.cpp
+++ b/test/decision/gateway/upstreamtable_test.cpp
@@ -28,7 +28,7 @@
     const TargetName portal{"portal"};
 };
 
-TEST(UpstreamTableTest, LeavingUpstreamGetsNothingNew)
+TEST(UpstreamTableTest, LeavingUpstreamGetsNoNewRequests)
 {
     table.put(record("one"));
     table.put(record("two", true));
@@ -36,14 +36,14 @@
     CHECK_FALSE(table.mayReceive(InstanceId("two")));
 }
 
-TEST(UpstreamTableTest, VanishedUpstreamGetsNothingAtOnce)
+TEST(UpstreamTableTest, RemovedUpstreamGetsNoNewRequests)
 {
     table.put(record("one"));
     table.remove(InstanceId("one"), at(0));
     CHECK_FALSE(table.mayReceive(InstanceId("one")));
 }
 
-TEST(UpstreamTableTest, RecordThatLapsedAroundAnOutageStaysInUseForAWhile)
+TEST(UpstreamTableTest, RecordLapsedAroundAnOutageIsKeptForTheGracePeriod)
 {
     table.put(record("one"));
     table.onOutage(at(0));
@@ -55,7 +55,7 @@
     CHECK_FALSE(table.mayReceive(InstanceId("one")));
 }
 
-TEST(UpstreamTableTest, LeavingUpstreamThatVanishesAroundAnOutageIsGone)
+TEST(UpstreamTableTest, LeavingUpstreamRemovedAroundAnOutageGetsNoGracePeriod)
 {
     table.put(record("one", true));
     table.onOutage(at(0));
@@ -63,7 +63,7 @@
     POINTERS_EQUAL(nullptr, table.find(InstanceId("one")));
 }
 
-TEST(UpstreamTableTest, RecordThatComesBackIsNotDropped)
+TEST(UpstreamTableTest, RelistedRecordDoesNotExpire)
 {
     table.put(record("one"));
     table.onOutage(at(0));
@@ -73,7 +73,7 @@
     CHECK_TRUE(table.mayReceive(InstanceId("one")));
 }
 
-TEST(UpstreamTableTest, ListReplacesWhatWasKnown)
+TEST(UpstreamTableTest, ReplaceAllRemovesUnlistedUpstreams)
 {
     table.put(record("one"));
     table.replaceAll({record("two")}, at(0));
@@ -81,7 +81,7 @@
     CHECK_TRUE(table.mayReceive(InstanceId("two")));
 }
 
-TEST(UpstreamTableTest, MirrorsAnotherListWithoutAGraceOfItsOwn)
+TEST(UpstreamTableTest, MirrorAppliesNoGracePeriod)
 {
     table.put(record("one"));
     table.onOutage(at(1000));
@@ -91,7 +91,7 @@
     CHECK_TRUE(table.changes() > before);
 }
 
-TEST(UpstreamTableTest, SameRecordAgainIsNoChange)
+TEST(UpstreamTableTest, IdenticalRecordIsNoChange)
 {
     table.put(record("one"));
     const std::uint64_t before = table.changes();
@@ -101,8 +101,8 @@
     CHECK_TRUE(table.changes() > before);
 }
 
-// The load that this answers: all machines have lost power. Each engine is back under a new id at
-// its old address, and the store goes on listing the old ids for some seconds.
+// After a power failure of all machines, each engine returns with a new id at its old address,
+// while the store lists the old ids for some more seconds.
 TEST_GROUP(UpstreamTableAfterPowerCutTest)
 {
     UpstreamTable table;
@@ -118,7 +118,7 @@
     }
 };
 
-TEST(UpstreamTableAfterPowerCutTest, AddressBelongsToTheUpstreamThatWasListedThereLast)
+TEST(UpstreamTableAfterPowerCutTest, AddressBelongsToTheLatestListedUpstream)
 {
     table.replaceAll({placed("new", "10.1.0.1", 90), placed("old", "10.1.0.1", 7),
                       placed("other", "10.1.0.2", 8)},
@@ -129,17 +129,17 @@
     LONGS_EQUAL(2, table.candidates(portal).size());
 }
 
-TEST(UpstreamTableAfterPowerCutTest, OrderInWhichTheyAreReadDoesNotMatter)
+TEST(UpstreamTableAfterPowerCutTest, ReadOrderDoesNotMatter)
 {
     table.replaceAll({placed("a-old", "10.1.0.1", 7), placed("b-new", "10.1.0.1", 90)}, at(0));
     LONGS_EQUAL(1, table.candidates(portal).size());
     CHECK_TRUE(table.mayReceive(InstanceId("b-new")));
-    table.put(placed("a-old", "10.1.0.1", 7)); // A change of the old record that comes late.
+    table.put(placed("a-old", "10.1.0.1", 7)); // A late update of the old record.
     CHECK_TRUE(table.mayReceive(InstanceId("b-new")));
     CHECK_FALSE(table.mayReceive(InstanceId("a-old")));
 }
 
-TEST(UpstreamTableAfterPowerCutTest, EndOfTheOldRecordLeavesTheNewOne)
+TEST(UpstreamTableAfterPowerCutTest, RemovingTheOldRecordKeepsTheNewOne)
 {
     table.put(placed("old", "10.1.0.1", 7));
     table.put(placed("new", "10.1.0.1", 90));
@@ -149,7 +149,7 @@
     LONGS_EQUAL(0, table.candidates(portal).size());
 }
 
-TEST(UpstreamTableAfterPowerCutTest, ListOfAnotherGatewayReplacesWhatWasKnownOfAnAddress)
+TEST(UpstreamTableAfterPowerCutTest, MirroredListReplacesTheHolderOfAnAddress)
 {
     table.put(placed("old", "10.1.0.1", 7));
     table.mirror({placed("new", "10.1.0.1", 0)});
--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -1,5 +1,5 @@
-// The load that this answers: upstreams of a service start anew, or warm up again, one or all of
-// them, while all gateways go on sending.
+// Tests that upstreams get requests only with permits while they warm up after a restart, or warm
+// up again; a single one or a whole service at once.
 #include "decision/gateway/warmuplimits.h"
 
 #include "decision/gateway/gatewaycore.h"
@@ -31,7 +31,7 @@
     return record;
 }
 
-std::vector<ServiceRule> servicesBearing(double perSecond)
+std::vector<ServiceRule> servicesWithWarmUpRate(double perSecond)
 {
     ServiceRule service;
     service.name = TargetName("service");
@@ -53,7 +53,7 @@
         settings.hall = HallId("north");
         settings.seed = 1;
         core = std::make_unique<GatewayCore>(settings);
-        core->warmUps().setServices(servicesBearing(26.0));
+        core->warmUps().setServices(servicesWithWarmUpRate(26.0));
     }
 
     const StartAttempt *begin(Kind kind, int now)
@@ -68,22 +68,22 @@
     }
 };
 
-TEST(WarmUpLimitsTest, WarmUpstreamHasNone)
+TEST(WarmUpLimitsTest, WarmUpstreamHasNoLimit)
 {
     WarmUpLimits limits;
-    limits.setServices(servicesBearing(26.0));
+    limits.setServices(servicesWithWarmUpRate(26.0));
     CHECK_FALSE(limits.limitOf(record("one", 1000), at(1000)).has_value());
     CHECK_TRUE(limits.limitOf(record("one", 1000), at(999)).has_value());
 }
 
-TEST(WarmUpLimitsTest, ServiceWithoutARateHasNone)
+TEST(WarmUpLimitsTest, ServiceWithoutARateHasNoLimit)
 {
     WarmUpLimits limits;
-    limits.setServices(servicesBearing(0.0));
+    limits.setServices(servicesWithWarmUpRate(0.0));
     CHECK_FALSE(limits.limitOf(record("one", 1000), at(0)).has_value());
 }
 
-TEST(WarmUpLimitsTest, RequestsOfAllKindsLeaveOneThatWarmsUpWithoutAPermit)
+TEST(WarmUpLimitsTest, RequestsWithoutAPermitAvoidAWarmingUpstream)
 {
     core->upstreams().put(record("one", 5000));
     core->upstreams().put(record("two", 0));
@@ -95,26 +95,26 @@
     }
 }
 
-TEST(WarmUpLimitsTest, PermitLetsOneRequestGoThere)
+TEST(WarmUpLimitsTest, PermitAdmitsOneRequest)
 {
     core->upstreams().put(record("one", 5000));
     CHECK_TRUE(begin(Kind::Repeatable, 10) == nullptr);
-    const auto asks = core->takePermitAsks(at(10));
-    UNSIGNED_LONGS_EQUAL(1, asks.size());
+    const auto queries = core->takePermitAsks(at(10));
+    UNSIGNED_LONGS_EQUAL(1, queries.size());
     actions.clear();
-    core->onPermits(asks[0].upstream, {1, Duration{}}, at(10), at(14), actions);
+    core->onPermits(queries[0].upstream, {1, Duration{}}, at(10), at(14), actions);
     UNSIGNED_LONGS_EQUAL(1, actions.size());
     CHECK_TRUE(begin(Kind::Repeatable, 15) == nullptr);
 }
 
-TEST(WarmUpLimitsTest, OneThatIsWarmAgainGetsRequestsWithoutPermits)
+TEST(WarmUpLimitsTest, WarmedUpUpstreamNeedsNoPermit)
 {
     core->upstreams().put(record("one", 5000));
     CHECK_TRUE(begin(Kind::Repeatable, 4999) == nullptr);
     CHECK_TRUE(begin(Kind::Repeatable, 5000) != nullptr);
 }
 
-TEST(WarmUpLimitsTest, RequestAsksFewIssuersWhereAllOfAServiceWarmUp)
+TEST(WarmUpLimitsTest, RequestQueriesFewIssuersWhileAWholeServiceWarmsUp)
 {
     for (int index = 0; index < 72; ++index) {
         core->upstreams().put(record(fmt::format("i-{}", index), 5000));
