--- a/src/decision/expertmap/grouproster.cpp
+++ b/src/decision/expertmap/grouproster.cpp
@@ -1,4 +1,4 @@
-#include "decision/expertmap/grouproster.h"
+#include "decision/expertmap/groupmembership.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -9,7 +9,7 @@
 // Single-threaded. What the constructor is given outlives the object.
 #pragma once
 
-#include "decision/expertmap/grouproster.h"
+#include "decision/expertmap/groupmembership.h"
 #include "experts/rankclient.h"
 #include "experts/rankwire.h"
 #include "net/eventloop.h"
