--- a/src/decision/expertmap/handedorders.cpp
+++ b/src/decision/expertmap/handedorders.cpp
@@ -1,4 +1,4 @@
-#include "decision/expertmap/handedorders.h"
+#include "decision/expertmap/forwardedorders.h"
 
 #include <algorithm>
 
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "decision/expertmap/choicecounts.h"
-#include "decision/expertmap/handedorders.h"
+#include "decision/expertmap/forwardedorders.h"
 #include "experts/rankclient.h"
 #include "experts/rankwire.h"
 #include "net/eventloop.h"
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -4,7 +4,7 @@
 // ranks hold different maps, and no group may stay held.
 #include "decision/expertmap/groupdecider.h"
 
-#include "decision/expertmap/handedorders.h"
+#include "decision/expertmap/forwardedorders.h"
 #include "decision/expertmap/mapversion.h"
 
 #include <algorithm>
