--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -4,7 +4,7 @@
 #include "config/versioned.h"
 #include "decision/dispatch/agentcore.h"
 #include "decision/dispatch/entrycore.h"
-#include "decision/expertmap/mapswitch.h"
+#include "decision/expertmap/mapswitchparticipant.h"
 #include "decision/placement/balancer.h"
 #include "observe/metrics.h"
 
--- a/src/decision/expertmap/mapswitch.cpp
+++ b/src/decision/expertmap/mapswitch.cpp
@@ -1,4 +1,4 @@
-#include "decision/expertmap/mapswitch.h"
+#include "decision/expertmap/mapswitchparticipant.h"
 
 #include <algorithm>
 
