--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -5,7 +5,7 @@
 
 namespace seamarch {
 
-void GroupRoster::setListed(const std::vector<InstanceId> &engines)
+void GroupMembership::setListed(const std::vector<InstanceId> &engines)
 {
     std::map<InstanceId, std::optional<Place>> places;
     for (const InstanceId &engine : engines) {
@@ -15,7 +15,7 @@
     places_ = std::move(places);
 }
 
-void GroupRoster::note(const InstanceId &engine, const GroupId &group, std::uint32_t rank)
+void GroupMembership::note(const InstanceId &engine, const GroupId &group, std::uint32_t rank)
 {
     const auto found = places_.find(engine);
     if (found == places_.end()) {
@@ -31,18 +31,18 @@
     found->second = place;
 }
 
-bool GroupRoster::isForeign(const InstanceId &engine) const
+bool GroupMembership::isForeign(const InstanceId &engine) const
 {
     const auto found = places_.find(engine);
     return found != places_.end() && found->second && found->second->group != group_;
 }
 
-Duration GroupRoster::gapFor(const InstanceId &engine, Duration ownGap) const
+Duration GroupMembership::gapFor(const InstanceId &engine, Duration ownGap) const
 {
     return isForeign(engine) ? std::max(ownGap, settings_.otherGroupGap) : ownGap;
 }
 
-std::map<std::uint32_t, InstanceId> GroupRoster::engines() const
+std::map<std::uint32_t, InstanceId> GroupMembership::engines() const
 {
     std::map<std::uint32_t, InstanceId> engines;
     for (const auto &[engine, place] : places_) {
@@ -53,7 +53,7 @@
     return engines;
 }
 
-std::optional<InstanceId> GroupRoster::engineOf(std::uint32_t rank) const
+std::optional<InstanceId> GroupMembership::engineOf(std::uint32_t rank) const
 {
     const Place place{group_, rank};
     const auto found = std::find_if(places_.begin(), places_.end(),
--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -19,7 +19,7 @@
 
 namespace seamarch {
 
-class GroupRoster
+class GroupMembership
 {
 public:
     struct Settings
@@ -29,10 +29,10 @@
         Duration otherGroupGap = std::chrono::seconds(2);
     };
 
-    explicit GroupRoster(GroupId group)
-        : GroupRoster(std::move(group), Settings())
+    explicit GroupMembership(GroupId group)
+        : GroupMembership(std::move(group), Settings())
     {}
-    GroupRoster(GroupId group, const Settings &settings)
+    GroupMembership(GroupId group, const Settings &settings)
         : group_(std::move(group))
         , settings_(settings)
     {}
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -104,7 +104,7 @@
     RankClient &ranks_;
     Settings settings_;
     RankPeersListener &listener_;
-    GroupRoster roster_;
+    GroupMembership roster_;
     std::uint64_t relayTurn_ = 0;
     std::map<InstanceId, Peer> peers_;
     // Timers and answers of engines ask whether the peers still exist.
--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -17,7 +17,7 @@
 
 TEST_GROUP(GroupRosterTest)
 {
-    GroupRoster roster{kOwn};
+    GroupMembership roster{kOwn};
 
     void setup() override
     {
