--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_GROUP(GroupRosterTest)
+TEST_GROUP(GroupMembershipTest)
 {
     GroupMembership roster{kOwn};
 
@@ -25,7 +25,7 @@
     }
 };
 
-TEST(GroupRosterTest, FindsTheRankOfItsOwnGroupOnly)
+TEST(GroupMembershipTest, FindsTheRankOfItsOwnGroupOnly)
 {
     roster.note(kFirst, kOther, 3);
     roster.note(kSecond, kOwn, 3);
@@ -33,7 +33,7 @@
     CHECK_FALSE(roster.engineOf(4).has_value());
 }
 
-TEST(GroupRosterTest, AsksEnginesOfOtherGroupsSeldom)
+TEST(GroupMembershipTest, AsksEnginesOfOtherGroupsSeldom)
 {
     roster.note(kFirst, kOther, 0);
     roster.note(kSecond, kOwn, 0);
@@ -41,13 +41,13 @@
     CHECK_TRUE(roster.gapFor(kSecond, kGap) == kGap);
 }
 
-TEST(GroupRosterTest, AsksAnEngineThatHasNotAnsweredAsOftenAsItsOwn)
+TEST(GroupMembershipTest, AsksAnEngineThatHasNotAnsweredAsOftenAsItsOwn)
 {
     CHECK_TRUE(roster.gapFor(kFirst, kGap) == kGap);
     CHECK_FALSE(roster.isForeign(kFirst));
 }
 
-TEST(GroupRosterTest, FollowsAnEngineIntoItsGroup)
+TEST(GroupMembershipTest, FollowsAnEngineIntoItsGroup)
 {
     roster.note(kFirst, kOther, 2);
     roster.note(kFirst, kOwn, 5);
@@ -57,14 +57,14 @@
     CHECK_FALSE(roster.engineOf(5).has_value());
 }
 
-TEST(GroupRosterTest, SuccessorTakesTheRankOfAnEngineThatIsStillListed)
+TEST(GroupMembershipTest, SuccessorTakesTheRankOfAnEngineThatIsStillListed)
 {
     roster.note(kFirst, kOwn, 1);
     roster.note(kSecond, kOwn, 1);
     CHECK_TRUE(roster.engineOf(1) == kSecond);
 }
 
-TEST(GroupRosterTest, ForgetsWhatIsNoLongerListed)
+TEST(GroupMembershipTest, ForgetsWhatIsNoLongerListed)
 {
     roster.note(kFirst, kOwn, 1);
     roster.setListed({kSecond});
