--- a/src/decision/expertmap/forwardedorders.cpp
+++ b/src/decision/expertmap/forwardedorders.cpp
@@ -5,7 +5,7 @@
 namespace seamarch {
 
 // Forgets what an earlier epoch had: versions begin anew in each.
-void HandedOrders::enter(std::uint64_t epoch)
+void ForwardedOrders::enter(std::uint64_t epoch)
 {
     if (epoch > epoch_) {
         epoch_ = epoch;
@@ -15,7 +15,7 @@
     }
 }
 
-void HandedOrders::noteReport(std::uint64_t epoch, std::uint64_t prepared)
+void ForwardedOrders::noteReport(std::uint64_t epoch, std::uint64_t prepared)
 {
     enter(epoch);
     if (epoch == epoch_) {
@@ -24,7 +24,7 @@
     }
 }
 
-bool HandedOrders::add(const MapOrder &order)
+bool ForwardedOrders::add(const MapOrder &order)
 {
     if (order.fence < fence_) {
         return false;
--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -14,7 +14,7 @@
 
 namespace seamarch {
 
-class HandedOrders
+class ForwardedOrders
 {
 public:
     // Tells whether the order may be handed to the engine, and remembers it if so. One under a
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -44,7 +44,7 @@
     RankClient &ranks_;
     SocketAddress engine_;
     ChoiceLedger ledger_;
-    HandedOrders handed_;
+    ForwardedOrders handed_;
     // Timers and answers ask whether the object still exists.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -22,7 +22,7 @@
 
 TEST_GROUP(HandedOrdersTest)
 {
-    HandedOrders handed;
+    ForwardedOrders handed;
 
     void setup() override
     {
@@ -59,7 +59,7 @@
 
 TEST(HandedOrdersTest, AgentThatStartedAfterTheCopyVouchesForNothing)
 {
-    HandedOrders fresh;
+    ForwardedOrders fresh;
     fresh.noteReport(kEpoch, 9);
     fresh.add(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(0, fresh.neverArmed(kEpoch));
@@ -67,7 +67,7 @@
 
 TEST(HandedOrdersTest, AgentThatHasHeardNothingOfItsEngineVouchesForNothing)
 {
-    HandedOrders fresh;
+    ForwardedOrders fresh;
     fresh.add(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(0, fresh.neverArmed(kEpoch));
 }
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -123,7 +123,7 @@
         settings.ownRank = rank;
         settings.seed = random_();
         deciders_[rank] = std::make_unique<GroupDecider>(settings);
-        agents_[rank] = HandedOrders();
+        agents_[rank] = ForwardedOrders();
     }
 
     bool frozen(std::uint32_t rank) const
@@ -328,7 +328,7 @@
             replace(rank);
         }
         if (faults_ && chance(0.005)) {
-            agents_[kRanks - 1] = HandedOrders(); // That of another rank starts anew.
+            agents_[kRanks - 1] = ForwardedOrders(); // That of another rank starts anew.
         }
         for (std::uint32_t other = 0; other < kRanks; ++other) {
             if (!faults_ || !chance(0.1)) {
@@ -404,7 +404,7 @@
     std::mt19937_64 random_;
     Planted planted_;
     std::vector<Engine> engines_;
-    std::vector<HandedOrders> agents_; // Beside the engines.
+    std::vector<ForwardedOrders> agents_; // Beside the engines.
     std::map<std::uint32_t, std::unique_ptr<GroupDecider>> deciders_;
     std::map<std::uint32_t, TimePoint> frozenUntil_; // Machines, by rank.
     TimePoint frozenAt_{};
