--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-TEST_GROUP(HandedOrdersTest)
+TEST_GROUP(ForwardedOrdersTest)
 {
     ForwardedOrders handed;
 
@@ -30,7 +30,7 @@
     }
 };
 
-TEST(HandedOrdersTest, VouchesForWhatWasPreparedAndNotArmed)
+TEST(ForwardedOrdersTest, VouchesForWhatWasPreparedAndNotArmed)
 {
     handed.add(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(9, handed.neverArmed(kEpoch));
@@ -41,7 +41,7 @@
 }
 
 // Whether the engine carries an arm out at once or seconds later, nobody can tell.
-TEST(HandedOrdersTest, PrepareThatComesAgainUndoesNoArm)
+TEST(ForwardedOrdersTest, PrepareThatComesAgainUndoesNoArm)
 {
     handed.add(order(MapOrderKind::Prepare, 9));
     handed.add(order(MapOrderKind::Arm, 9));
@@ -49,7 +49,7 @@
     LONGS_EQUAL(0, handed.neverArmed(kEpoch));
 }
 
-TEST(HandedOrdersTest, DisarmLeavesTheArmRemembered)
+TEST(ForwardedOrdersTest, DisarmLeavesTheArmRemembered)
 {
     handed.add(order(MapOrderKind::Prepare, 9));
     handed.add(order(MapOrderKind::Arm, 9));
@@ -57,7 +57,7 @@
     LONGS_EQUAL(0, handed.neverArmed(kEpoch));
 }
 
-TEST(HandedOrdersTest, AgentThatStartedAfterTheCopyVouchesForNothing)
+TEST(ForwardedOrdersTest, AgentThatStartedAfterTheCopyVouchesForNothing)
 {
     ForwardedOrders fresh;
     fresh.noteReport(kEpoch, 9);
@@ -65,14 +65,14 @@
     LONGS_EQUAL(0, fresh.neverArmed(kEpoch));
 }
 
-TEST(HandedOrdersTest, AgentThatHasHeardNothingOfItsEngineVouchesForNothing)
+TEST(ForwardedOrdersTest, AgentThatHasHeardNothingOfItsEngineVouchesForNothing)
 {
     ForwardedOrders fresh;
     fresh.add(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(0, fresh.neverArmed(kEpoch));
 }
 
-TEST(HandedOrdersTest, LowerFenceIsRefusedAndNotRemembered)
+TEST(ForwardedOrdersTest, LowerFenceIsRefusedAndNotRemembered)
 {
     handed.add(order(MapOrderKind::Prepare, 9));
     CHECK_TRUE(handed.add(order(MapOrderKind::Disarm, 10, 7)));
@@ -81,7 +81,7 @@
     LONGS_EQUAL(7, handed.fence());
 }
 
-TEST(HandedOrdersTest, NewEpochVoidsTheOneBefore)
+TEST(ForwardedOrdersTest, NewEpochVoidsTheOneBefore)
 {
     handed.add(order(MapOrderKind::Prepare, 9));
     handed.noteReport(kEpoch + 1, 0);
