--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -9,14 +9,14 @@
 
 } // namespace
 
-MapSwitchRank::MapSwitchRank(const Settings &settings)
+MapSwitchParticipant::MapSwitchParticipant(const Settings &settings)
     : settings_(settings)
     , lives_(settings.ranks, 0)
 {
     lives_[settings_.rank.value()] = settings_.life;
 }
 
-GroupMessage MapSwitchRank::make(GroupMessage::Kind kind) const
+GroupMessage MapSwitchParticipant::make(GroupMessage::Kind kind) const
 {
     GroupMessage message;
     message.kind = kind;
@@ -26,12 +26,13 @@
     return message;
 }
 
-void MapSwitchRank::send(RankIndex to, const GroupMessage &message, GroupActions &actions) const
+void MapSwitchParticipant::send(RankIndex to, const GroupMessage &message,
+                                GroupActions &actions) const
 {
     actions.emplace_back(SendToRank{to, message});
 }
 
-void MapSwitchRank::sendAll(const GroupMessage &message, GroupActions &actions) const
+void MapSwitchParticipant::sendAll(const GroupMessage &message, GroupActions &actions) const
 {
     for (std::uint32_t rank = 0; rank < settings_.ranks; ++rank) {
         if (RankIndex(rank) != settings_.rank) {
@@ -40,7 +41,8 @@
     }
 }
 
-void MapSwitchRank::onMessage(const GroupMessage &message, TimePoint now, GroupActions &actions)
+void MapSwitchParticipant::onMessage(const GroupMessage &message, TimePoint now,
+                                     GroupActions &actions)
 {
     if (retired_) {
         return;
@@ -79,7 +81,7 @@
     }
 }
 
-void MapSwitchRank::learnLives(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::learnLives(const GroupMessage &message, GroupActions &actions)
 {
     for (std::size_t rank = 0; rank < lives_.size() && rank < message.generation.size(); ++rank) {
         const RankLife life = message.generation[rank];
@@ -92,7 +94,7 @@
     joinIfComplete(actions);
 }
 
-void MapSwitchRank::joinIfComplete(GroupActions &actions)
+void MapSwitchParticipant::joinIfComplete(GroupActions &actions)
 {
     const bool complete = std::find(lives_.begin(), lives_.end(), RankLife{0}) == lives_.end();
     if (!complete || lives_ == joined_) {
@@ -121,7 +123,7 @@
     formIfAllJoined(actions);
 }
 
-void MapSwitchRank::onJoin(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onJoin(const GroupMessage &message, GroupActions &actions)
 {
     if (message.generation != joined_) {
         return;
@@ -130,7 +132,7 @@
     formIfAllJoined(actions);
 }
 
-void MapSwitchRank::formIfAllJoined(GroupActions &actions)
+void MapSwitchParticipant::formIfAllJoined(GroupActions &actions)
 {
     if (formed_ || joins_.size() != settings_.ranks) {
         return;
@@ -151,7 +153,7 @@
     actions.emplace_back(LoadMap{start});
 }
 
-void MapSwitchRank::onLoaded(const MapFence &map, GroupActions &actions)
+void MapSwitchParticipant::onLoaded(const MapFence &map, GroupActions &actions)
 {
     if (formed_ && !ready_ && map == active_) {
         ready_ = true;
@@ -173,7 +175,7 @@
     }
 }
 
-ChangeState MapSwitchRank::stateOf(const MapFence &fence) const
+ChangeState MapSwitchParticipant::stateOf(const MapFence &fence) const
 {
     // A rank that still waits for the outcome of the newest commit keeps all later ones from being
     // committed, so the active map is the only commit that may be asked for; it is never forgotten.
@@ -190,7 +192,7 @@
     return ChangeState::Vowed;
 }
 
-void MapSwitchRank::vow(const MapFence &fence, GroupActions &actions)
+void MapSwitchParticipant::vow(const MapFence &fence, GroupActions &actions)
 {
     floor_ = std::max(floor_, fence);
     // A committed change waits for its boundary and is no longer this rank's to give up.
@@ -200,8 +202,8 @@
     }
 }
 
-std::optional<MapFence> MapSwitchRank::propose(std::uint64_t configVersion, TimePoint now,
-                                               GroupActions &actions)
+std::optional<MapFence> MapSwitchParticipant::propose(std::uint64_t configVersion, TimePoint now,
+                                                      GroupActions &actions)
 {
     if (!formed_ || !ready_ || change_ || proposal_ || retired_) {
         return std::nullopt;
@@ -220,13 +222,14 @@
     return proposal.fence;
 }
 
-bool MapSwitchRank::busy() const
+bool MapSwitchParticipant::busy() const
 {
     return change_
            && (change_->state == ChangeState::Armed || change_->state == ChangeState::Committed);
 }
 
-void MapSwitchRank::onPrepare(const GroupMessage &message, TimePoint now, GroupActions &actions)
+void MapSwitchParticipant::onPrepare(const GroupMessage &message, TimePoint now,
+                                     GroupActions &actions)
 {
     highestBallot_ = std::max(highestBallot_, message.fence.ballot);
     if (change_ && change_->fence == message.fence) {
@@ -253,7 +256,7 @@
     actions.emplace_back(LoadMap{message.fence});
 }
 
-void MapSwitchRank::onPrepared(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onPrepared(const GroupMessage &message, GroupActions &actions)
 {
     if (!proposal_ || proposal_->fence != message.fence || proposal_->arming) {
         return;
@@ -272,7 +275,7 @@
     onArm(arm, actions);
 }
 
-void MapSwitchRank::onArm(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onArm(const GroupMessage &message, GroupActions &actions)
 {
     const bool mine = change_ && change_->fence == message.fence;
     if (mine && change_->state == ChangeState::Loaded) {
@@ -295,7 +298,7 @@
     }
 }
 
-void MapSwitchRank::onQuery(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onQuery(const GroupMessage &message, GroupActions &actions)
 {
     const ChangeState state = stateOf(message.fence);
     if (state != ChangeState::Armed && state != ChangeState::Committed
@@ -309,7 +312,7 @@
     send(message.from, answer, actions);
 }
 
-void MapSwitchRank::onPeerState(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onPeerState(const GroupMessage &message, GroupActions &actions)
 {
     if (!change_ || change_->fence != message.fence || change_->state != ChangeState::Armed) {
         return;
@@ -331,7 +334,7 @@
     }
 }
 
-void MapSwitchRank::noteArmed(RankIndex peer, GroupActions &actions)
+void MapSwitchParticipant::noteArmed(RankIndex peer, GroupActions &actions)
 {
     change_->armed.insert(peer);
     if (change_->armed.size() + 1 == settings_.ranks) {
@@ -339,7 +342,7 @@
     }
 }
 
-void MapSwitchRank::decide(bool commit, GroupActions &actions)
+void MapSwitchParticipant::decide(bool commit, GroupActions &actions)
 {
     const MapFence fence = change_->fence;
     outcomes_[fence] = commit;
@@ -363,7 +366,7 @@
     activateAtBoundary(actions);
 }
 
-void MapSwitchRank::activateAtBoundary(GroupActions &actions)
+void MapSwitchParticipant::activateAtBoundary(GroupActions &actions)
 {
     const bool due =
         change_ && change_->state == ChangeState::Committed && step_ >= change_->boundary;
@@ -377,13 +380,13 @@
     actions.emplace_back(ReleaseMap{before});
 }
 
-void MapSwitchRank::onStepped(GroupActions &actions)
+void MapSwitchParticipant::onStepped(GroupActions &actions)
 {
     ++step_;
     activateAtBoundary(actions);
 }
 
-std::optional<std::pair<MapFence, ChangeState>> MapSwitchRank::change() const
+std::optional<std::pair<MapFence, ChangeState>> MapSwitchParticipant::change() const
 {
     if (!change_) {
         return std::nullopt;
@@ -391,7 +394,7 @@
     return std::pair(change_->fence, change_->state);
 }
 
-bool MapSwitchRank::mayStep() const
+bool MapSwitchParticipant::mayStep() const
 {
     if (retired_ || !formed_ || !ready_) {
         return false;
@@ -400,7 +403,7 @@
     return !undecided || step_ < change_->boundary;
 }
 
-void MapSwitchRank::abandonOld(TimePoint now, GroupActions &actions)
+void MapSwitchParticipant::abandonOld(TimePoint now, GroupActions &actions)
 {
     // Nothing is told: a rank that has armed asks, and one that has not is free to vow.
     if (proposal_ && now - proposal_->startedAt > settings_.abandonAfter) {
@@ -411,7 +414,7 @@
     }
 }
 
-void MapSwitchRank::sendAgain(GroupActions &actions)
+void MapSwitchParticipant::sendAgain(GroupActions &actions)
 {
     GroupMessage hello = make(GroupMessage::Kind::Hello);
     hello.generation = lives_;
@@ -440,7 +443,7 @@
     }
 }
 
-void MapSwitchRank::onTick(TimePoint now, GroupActions &actions)
+void MapSwitchParticipant::onTick(TimePoint now, GroupActions &actions)
 {
     if (retired_) {
         return;
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -95,7 +95,7 @@
 using GroupAction = std::variant<SendToRank, LoadMap, ActivateMap, ReleaseMap>;
 using GroupActions = std::vector<GroupAction>;
 
-class MapSwitchRank
+class MapSwitchParticipant
 {
 public:
     struct Settings
@@ -109,7 +109,7 @@
     };
 
     // A fresh life: it knows no map and takes part in nothing until its group has formed.
-    explicit MapSwitchRank(const Settings &settings);
+    explicit MapSwitchParticipant(const Settings &settings);
 
     void onMessage(const GroupMessage &message, TimePoint now, GroupActions &actions);
     // The engine has loaded a map's weights.
--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -70,7 +70,7 @@
 
     struct Rank
     {
-        explicit Rank(const MapSwitchRank::Settings &settings)
+        explicit Rank(const MapSwitchParticipant::Settings &settings)
             : rank(settings.rank.value())
             , life(settings.life)
             , core(settings)
@@ -78,7 +78,7 @@
 
         std::uint32_t rank;
         RankLife life;
-        MapSwitchRank core;
+        MapSwitchParticipant core;
         TimePoint pausedUntil{};
         bool dead = false;
     };
@@ -110,7 +110,7 @@
 
     void start(std::uint32_t rank)
     {
-        MapSwitchRank::Settings settings;
+        MapSwitchParticipant::Settings settings;
         settings.rank = RankIndex(rank);
         settings.ranks = kRanks;
         settings.life = ++nextLife_;
@@ -163,7 +163,7 @@
 
     void receive(std::size_t index, GroupMessage message)
     {
-        MapSwitchRank &core = ranks_[index]->core;
+        MapSwitchParticipant &core = ranks_[index]->core;
         const bool vote =
             message.kind != GroupMessage::Kind::Hello && message.kind != GroupMessage::Kind::Join;
         if (fault_ == PlantedFault::ForgetGeneration && vote) {
