--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -319,9 +319,9 @@
 
 } // namespace
 
-TEST_GROUP(MapSwitchTest){};
+TEST_GROUP(MapSwitchParticipantTest){};
 
-TEST(MapSwitchTest, NeverMixesMapsOverManySchedules)
+TEST(MapSwitchParticipantTest, NeverMixesMapsOverManySchedules)
 {
     int switches = 0;
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
@@ -339,7 +339,7 @@
     CHECK(switches > static_cast<int>(seedCount()) * 20);
 }
 
-TEST(MapSwitchTest, LateOrderForAnOldChangeLeavesACommittedOneAlone)
+TEST(MapSwitchParticipantTest, LateOrderForAnOldChangeLeavesACommittedOneAlone)
 {
     // Found by this seed: the order to arm for an aborted change came late, while a newer change
     // was committed and waited for its boundary; the rank dropped the newer one.
@@ -348,22 +348,22 @@
     CHECK_EQUAL(0, GroupWorld(kSeed, PlantedFault::None).run());
 }
 
-TEST(MapSwitchTest, CheckerCatchesALieAboutArming)
+TEST(MapSwitchParticipantTest, CheckerCatchesALieAboutArming)
 {
     CHECK(caught(PlantedFault::LieAboutArming));
 }
 
-TEST(MapSwitchTest, CheckerCatchesAForgottenGeneration)
+TEST(MapSwitchParticipantTest, CheckerCatchesAForgottenGeneration)
 {
     CHECK(caught(PlantedFault::ForgetGeneration));
 }
 
-TEST(MapSwitchTest, CheckerCatchesAStepPastTheBoundary)
+TEST(MapSwitchParticipantTest, CheckerCatchesAStepPastTheBoundary)
 {
     CHECK(caught(PlantedFault::PassBoundary));
 }
 
-TEST(MapSwitchTest, CheckerCatchesASwitchBeforeTheBoundary)
+TEST(MapSwitchParticipantTest, CheckerCatchesASwitchBeforeTheBoundary)
 {
     CHECK(caught(PlantedFault::SwitchOnArming));
 }
