--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -33,11 +33,11 @@
 std::vector<double> choicesOf(const ChoiceCounts &counts);
 
 // Keeps what a rank counted at the last few moments.
-class ChoiceLedger
+class ChoiceCountHistory
 {
 public:
     // `firstMark` is drawn at random, so that a mark of an earlier life of the process is unknown.
-    explicit ChoiceLedger(std::uint64_t firstMark)
+    explicit ChoiceCountHistory(std::uint64_t firstMark)
         : nextMark_(firstMark == 0 ? 1 : firstMark)
     {}
 
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -43,7 +43,7 @@
     EventLoop &loop_;
     RankClient &ranks_;
     SocketAddress engine_;
-    ChoiceLedger ledger_;
+    ChoiceCountHistory ledger_;
     ForwardedOrders handed_;
     // Timers and answers ask whether the object still exists.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -17,7 +17,7 @@
 
 TEST_GROUP(ChoiceLedgerTest)
 {
-    ChoiceLedger ledger{kFirstMark};
+    ChoiceCountHistory ledger{kFirstMark};
 };
 
 TEST(ChoiceLedgerTest, TellsWhatWasChosenSinceTheMomentThatIsNamed)
