--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -15,12 +15,12 @@
 
 } // namespace
 
-TEST_GROUP(ChoiceLedgerTest)
+TEST_GROUP(ChoiceCountHistoryTest)
 {
     ChoiceCountHistory ledger{kFirstMark};
 };
 
-TEST(ChoiceLedgerTest, TellsWhatWasChosenSinceTheMomentThatIsNamed)
+TEST(ChoiceCountHistoryTest, TellsWhatWasChosenSinceTheMomentThatIsNamed)
 {
     const auto first = ledger.note({10, 20, 30}, 0);
     ledger.note({11, 20, 30}, first.mark);
@@ -29,20 +29,20 @@
     CHECK_TRUE(choicesOf(third) == (std::vector<double>{5, 0, 7}));
 }
 
-TEST(ChoiceLedgerTest, TellsNothingToAnAskerThatNamesNoMoment)
+TEST(ChoiceCountHistoryTest, TellsNothingToAnAskerThatNamesNoMoment)
 {
     const auto first = ledger.note({10, 20, 30}, 0);
     LONGS_EQUAL(0, first.since);
     CHECK_TRUE(choicesOf(first).empty());
 }
 
-TEST(ChoiceLedgerTest, TellsNothingSinceAMomentOfAnotherLife)
+TEST(ChoiceCountHistoryTest, TellsNothingSinceAMomentOfAnotherLife)
 {
     ledger.note({10, 20, 30}, 0);
     LONGS_EQUAL(0, ledger.note({11, 21, 31}, kFirstMark - 1).since);
 }
 
-TEST(ChoiceLedgerTest, EngineThatStartedAnewIsNoLoad)
+TEST(ChoiceCountHistoryTest, EngineThatStartedAnewIsNoLoad)
 {
     const auto first = ledger.note({10, 20, 30}, 0);
     const auto second = ledger.note({0, 1, 0}, first.mark);
@@ -51,7 +51,7 @@
     CHECK_TRUE(choicesOf(third) == (std::vector<double>{0, 3, 0}));
 }
 
-TEST(ChoiceLedgerTest, KeepsEachExpertWithinOnePartIn500OfItsBlocksMost)
+TEST(ChoiceCountHistoryTest, KeepsEachExpertWithinOnePartIn500OfItsBlocksMost)
 {
     constexpr std::size_t kExperts = 2016;
     const auto first = ledger.note(counted(kExperts, 0), 0);
@@ -66,7 +66,7 @@
     }
 }
 
-TEST(ChoiceLedgerTest, FitsTwoThousandExpertsInLessThanThreeKilobytes)
+TEST(ChoiceCountHistoryTest, FitsTwoThousandExpertsInLessThanThreeKilobytes)
 {
     constexpr std::size_t kExperts = 2016;
     const auto first = ledger.note(counted(kExperts, 0), 0);
@@ -74,7 +74,7 @@
     CHECK_TRUE(second.parts.size() + second.units.size() * sizeof(float) < 3000);
 }
 
-TEST(ChoiceLedgerTest, CountsThatDoNotFitTogetherAreLeftOut)
+TEST(ChoiceCountHistoryTest, CountsThatDoNotFitTogetherAreLeftOut)
 {
     ChoiceCounts torn{2, 1, {}, {1, 2, 3}};
     CHECK_TRUE(choicesOf(torn).empty());
