--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -63,7 +63,7 @@
     return choices;
 }
 
-ChoiceCounts ChoiceCountHistory::note(std::vector<std::uint64_t> counts, std::uint64_t since)
+ChoiceCounts ChoiceCountHistory::record(std::vector<std::uint64_t> counts, std::uint64_t since)
 {
     ChoiceCounts noted;
     noted.mark = nextMark_++;
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -43,7 +43,7 @@
 
     // Notes the counts since the engine's start, and returns those since the moment `since`. An
     // engine that has started anew has counted less than before; then nothing is returned.
-    ChoiceCounts note(std::vector<std::uint64_t> counts, std::uint64_t since);
+    ChoiceCounts record(std::vector<std::uint64_t> counts, std::uint64_t since);
 
 private:
     struct Moment
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -47,7 +47,7 @@
                    facts.report.neverArmed = handed_.neverArmed(facts.report.epoch);
                    if (!engine->counts.empty()) {
                        facts.choices =
-                           ledger_.note(std::move(engine->counts), question.countsSince);
+                           ledger_.record(std::move(engine->counts), question.countsSince);
                    }
                    done(std::move(facts));
                });
