--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -17,49 +17,49 @@
 
 TEST_GROUP(ChoiceCountHistoryTest)
 {
-    ChoiceCountHistory ledger{kFirstMark};
+    ChoiceCountHistory history{kFirstMark};
 };
 
 TEST(ChoiceCountHistoryTest, TellsWhatWasChosenSinceTheMomentThatIsNamed)
 {
-    const auto first = ledger.record({10, 20, 30}, 0);
-    ledger.record({11, 20, 30}, first.mark);
-    const auto third = ledger.record({15, 20, 37}, first.mark);
+    const auto first = history.record({10, 20, 30}, 0);
+    history.record({11, 20, 30}, first.mark);
+    const auto third = history.record({15, 20, 37}, first.mark);
     LONGS_EQUAL(first.mark, third.since);
     CHECK_TRUE(choicesOf(third) == (std::vector<double>{5, 0, 7}));
 }
 
 TEST(ChoiceCountHistoryTest, TellsNothingToAnAskerThatNamesNoMoment)
 {
-    const auto first = ledger.record({10, 20, 30}, 0);
+    const auto first = history.record({10, 20, 30}, 0);
     LONGS_EQUAL(0, first.since);
     CHECK_TRUE(choicesOf(first).empty());
 }
 
 TEST(ChoiceCountHistoryTest, TellsNothingSinceAMomentOfAnotherLife)
 {
-    ledger.record({10, 20, 30}, 0);
-    LONGS_EQUAL(0, ledger.record({11, 21, 31}, kFirstMark - 1).since);
+    history.record({10, 20, 30}, 0);
+    LONGS_EQUAL(0, history.record({11, 21, 31}, kFirstMark - 1).since);
 }
 
 TEST(ChoiceCountHistoryTest, EngineThatStartedAnewIsNoLoad)
 {
-    const auto first = ledger.record({10, 20, 30}, 0);
-    const auto second = ledger.record({0, 1, 0}, first.mark);
+    const auto first = history.record({10, 20, 30}, 0);
+    const auto second = history.record({0, 1, 0}, first.mark);
     CHECK_TRUE(choicesOf(second).empty());
-    const auto third = ledger.record({0, 4, 0}, second.mark);
+    const auto third = history.record({0, 4, 0}, second.mark);
     CHECK_TRUE(choicesOf(third) == (std::vector<double>{0, 3, 0}));
 }
 
 TEST(ChoiceCountHistoryTest, KeepsEachExpertWithinOnePartIn500OfItsBlocksMost)
 {
     constexpr std::size_t kExperts = 2016;
-    const auto first = ledger.record(counted(kExperts, 0), 0);
+    const auto first = history.record(counted(kExperts, 0), 0);
     std::vector<std::uint64_t> later;
     for (std::size_t expert = 0; expert < kExperts; ++expert) {
         later.push_back(expert * expert % 9973);
     }
-    const std::vector<double> choices = choicesOf(ledger.record(later, first.mark));
+    const std::vector<double> choices = choicesOf(history.record(later, first.mark));
     LONGS_EQUAL(kExperts, choices.size());
     for (std::size_t expert = 0; expert < kExperts; ++expert) {
         DOUBLES_EQUAL(static_cast<double>(later[expert]), choices[expert], 9973.0 / 500.0);
@@ -69,8 +69,8 @@
 TEST(ChoiceCountHistoryTest, FitsTwoThousandExpertsInLessThanThreeKilobytes)
 {
     constexpr std::size_t kExperts = 2016;
-    const auto first = ledger.record(counted(kExperts, 0), 0);
-    const auto second = ledger.record(counted(kExperts, 5000), first.mark);
+    const auto first = history.record(counted(kExperts, 0), 0);
+    const auto second = history.record(counted(kExperts, 5000), first.mark);
     CHECK_TRUE(second.parts.size() + second.units.size() * sizeof(float) < 3000);
 }
 
