--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -65,22 +65,22 @@
 
 ChoiceCounts ChoiceCountHistory::record(std::vector<std::uint64_t> counts, std::uint64_t since)
 {
-    ChoiceCounts noted;
-    noted.mark = nextMark_++;
+    ChoiceCounts result;
+    result.mark = nextMark_++;
     const auto found = std::find_if(moments_.begin(), moments_.end(),
                                     [since](const Moment &moment) { return moment.mark == since; });
     if (since != 0 && found != moments_.end()) {
         const std::vector<std::uint64_t> chosen = difference(found->counts, counts);
         if (!chosen.empty()) {
-            noted.since = since;
-            pack(chosen, noted);
+            result.since = since;
+            pack(chosen, result);
         }
     }
-    moments_.push_back({noted.mark, std::move(counts)});
+    moments_.push_back({result.mark, std::move(counts)});
     if (moments_.size() > kKept) {
         moments_.pop_front();
     }
-    return noted;
+    return result;
 }
 
 } // namespace seamarch
