--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -77,7 +77,7 @@
         }
     }
     moments_.push_back({result.mark, std::move(counts)});
-    if (moments_.size() > kKept) {
+    if (moments_.size() > kMaxSnapshots) {
         moments_.pop_front();
     }
     return result;
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -53,7 +53,7 @@
     };
 
     // Two deciders may ask in turn for a moment; more than a few moments nobody names again.
-    static constexpr std::size_t kKept = 4;
+    static constexpr std::size_t kMaxSnapshots = 4;
 
     std::deque<Moment> moments_;
     std::uint64_t nextMark_;
