--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -67,8 +67,9 @@
 {
     ChoiceCounts result;
     result.mark = nextMark_++;
-    const auto found = std::find_if(moments_.begin(), moments_.end(),
-                                    [since](const Moment &moment) { return moment.mark == since; });
+    const auto found =
+        std::find_if(moments_.begin(), moments_.end(),
+                     [since](const Snapshot &moment) { return moment.mark == since; });
     if (since != 0 && found != moments_.end()) {
         const std::vector<std::uint64_t> chosen = difference(found->counts, counts);
         if (!chosen.empty()) {
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -46,7 +46,7 @@
     ChoiceCounts record(std::vector<std::uint64_t> counts, std::uint64_t since);
 
 private:
-    struct Moment
+    struct Snapshot
     {
         std::uint64_t mark = 0;
         std::vector<std::uint64_t> counts;
@@ -55,7 +55,7 @@
     // Two deciders may ask in turn for a moment; more than a few moments nobody names again.
     static constexpr std::size_t kMaxSnapshots = 4;
 
-    std::deque<Moment> moments_;
+    std::deque<Snapshot> moments_;
     std::uint64_t nextMark_;
 };
 
