--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -68,18 +68,18 @@
     ChoiceCounts result;
     result.mark = nextMark_++;
     const auto found =
-        std::find_if(moments_.begin(), moments_.end(),
+        std::find_if(snapshots_.begin(), snapshots_.end(),
                      [since](const Snapshot &moment) { return moment.mark == since; });
-    if (since != 0 && found != moments_.end()) {
+    if (since != 0 && found != snapshots_.end()) {
         const std::vector<std::uint64_t> chosen = difference(found->counts, counts);
         if (!chosen.empty()) {
             result.since = since;
             pack(chosen, result);
         }
     }
-    moments_.push_back({result.mark, std::move(counts)});
-    if (moments_.size() > kMaxSnapshots) {
-        moments_.pop_front();
+    snapshots_.push_back({result.mark, std::move(counts)});
+    if (snapshots_.size() > kMaxSnapshots) {
+        snapshots_.pop_front();
     }
     return result;
 }
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -55,7 +55,7 @@
     // Two deciders may ask in turn for a moment; more than a few moments nobody names again.
     static constexpr std::size_t kMaxSnapshots = 4;
 
-    std::deque<Snapshot> moments_;
+    std::deque<Snapshot> snapshots_;
     std::uint64_t nextMark_;
 };
 
