--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -69,7 +69,7 @@
     result.mark = nextMark_++;
     const auto found =
         std::find_if(snapshots_.begin(), snapshots_.end(),
-                     [since](const Snapshot &moment) { return moment.mark == since; });
+                     [since](const Snapshot &snapshot) { return snapshot.mark == since; });
     if (since != 0 && found != snapshots_.end()) {
         const std::vector<std::uint64_t> chosen = difference(found->counts, counts);
         if (!chosen.empty()) {
