--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -8,7 +8,7 @@
 namespace seamarch {
 namespace {
 
-constexpr double kMostParts = std::numeric_limits<std::uint8_t>::max();
+constexpr double kMaxQuantized = std::numeric_limits<std::uint8_t>::max();
 
 // Returns what was chosen from `earlier` to `later`; nothing when the engine has started anew.
 std::vector<std::uint64_t> difference(const std::vector<std::uint64_t> &earlier,
@@ -36,11 +36,11 @@
         for (std::size_t index = begin; index < end; ++index) {
             most = std::max(most, chosen[index]);
         }
-        const double unit = std::max(1.0, static_cast<double>(most) / kMostParts);
+        const double unit = std::max(1.0, static_cast<double>(most) / kMaxQuantized);
         counts.units.push_back(static_cast<float>(unit));
         for (std::size_t index = begin; index < end; ++index) {
             const double parts = std::round(static_cast<double>(chosen[index]) / unit);
-            counts.parts.push_back(static_cast<std::uint8_t>(std::min(parts, kMostParts)));
+            counts.parts.push_back(static_cast<std::uint8_t>(std::min(parts, kMaxQuantized)));
         }
     }
 }
