--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -29,7 +29,7 @@
 
 void pack(const std::vector<std::uint64_t> &chosen, ChoiceCounts &counts)
 {
-    counts.parts.reserve(chosen.size());
+    counts.quantized.reserve(chosen.size());
     for (std::size_t begin = 0; begin < chosen.size(); begin += ChoiceCounts::kBlock) {
         const std::size_t end = std::min(begin + ChoiceCounts::kBlock, chosen.size());
         std::uint64_t most = 1;
@@ -39,8 +39,9 @@
         const double unit = std::max(1.0, static_cast<double>(most) / kMaxQuantized);
         counts.units.push_back(static_cast<float>(unit));
         for (std::size_t index = begin; index < end; ++index) {
-            const double parts = std::round(static_cast<double>(chosen[index]) / unit);
-            counts.parts.push_back(static_cast<std::uint8_t>(std::min(parts, kMaxQuantized)));
+            const double quantized = std::round(static_cast<double>(chosen[index]) / unit);
+            counts.quantized.push_back(
+                static_cast<std::uint8_t>(std::min(quantized, kMaxQuantized)));
         }
     }
 }
@@ -50,14 +51,14 @@
 std::vector<double> choicesOf(const ChoiceCounts &counts)
 {
     const std::size_t blocks =
-        (counts.parts.size() + ChoiceCounts::kBlock - 1) / ChoiceCounts::kBlock;
+        (counts.quantized.size() + ChoiceCounts::kBlock - 1) / ChoiceCounts::kBlock;
     if (counts.since == 0 || counts.units.size() != blocks) {
         return {};
     }
     std::vector<double> choices;
-    choices.reserve(counts.parts.size());
-    for (std::size_t index = 0; index < counts.parts.size(); ++index) {
-        choices.push_back(counts.parts[index]
+    choices.reserve(counts.quantized.size());
+    for (std::size_t index = 0; index < counts.quantized.size(); ++index) {
+        choices.push_back(counts.quantized[index]
                           * static_cast<double>(counts.units[index / ChoiceCounts::kBlock]));
     }
     return choices;
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -23,7 +23,7 @@
     std::uint64_t since = 0; // Names the earlier one; zero: there is none, and all counts are zero.
     // The choices that one part stands for, by block of kBlock experts.
     std::vector<float> units;
-    std::vector<std::uint8_t> parts; // By expert.
+    std::vector<std::uint8_t> quantized; // By expert.
 
     static constexpr std::size_t kBlock = 64;
 };
--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -41,7 +41,7 @@
     for (std::uint32_t index = 0; index < units.size(); ++index) {
         units.set(index, counts.units[index]);
     }
-    to.setParts(kj::arrayPtr(counts.parts.data(), counts.parts.size()));
+    to.setParts(kj::arrayPtr(counts.quantized.data(), counts.quantized.size()));
 }
 
 ChoiceCounts readChoices(wire::ChoiceCounts::Reader from)
@@ -53,7 +53,7 @@
         counts.units.push_back(unit);
     }
     const auto parts = from.getParts();
-    counts.parts.assign(parts.begin(), parts.end());
+    counts.quantized.assign(parts.begin(), parts.end());
     return counts;
 }
 
--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -33,7 +33,7 @@
     LONGS_EQUAL(8, read.choices->mark);
     LONGS_EQUAL(7, read.choices->since);
     CHECK_TRUE(read.choices->units == facts.choices->units);
-    CHECK_TRUE(read.choices->parts == facts.choices->parts);
+    CHECK_TRUE(read.choices->quantized == facts.choices->quantized);
     CHECK_TRUE(read.experts->bySet == facts.experts->bySet);
     LONGS_EQUAL(5, read.experts->map);
 }
