--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -37,7 +37,7 @@
             most = std::max(most, chosen[index]);
         }
         const double unit = std::max(1.0, static_cast<double>(most) / kMaxQuantized);
-        counts.units.push_back(static_cast<float>(unit));
+        counts.scales.push_back(static_cast<float>(unit));
         for (std::size_t index = begin; index < end; ++index) {
             const double quantized = std::round(static_cast<double>(chosen[index]) / unit);
             counts.quantized.push_back(
@@ -52,14 +52,14 @@
 {
     const std::size_t blocks =
         (counts.quantized.size() + ChoiceCounts::kBlock - 1) / ChoiceCounts::kBlock;
-    if (counts.since == 0 || counts.units.size() != blocks) {
+    if (counts.since == 0 || counts.scales.size() != blocks) {
         return {};
     }
     std::vector<double> choices;
     choices.reserve(counts.quantized.size());
     for (std::size_t index = 0; index < counts.quantized.size(); ++index) {
         choices.push_back(counts.quantized[index]
-                          * static_cast<double>(counts.units[index / ChoiceCounts::kBlock]));
+                          * static_cast<double>(counts.scales[index / ChoiceCounts::kBlock]));
     }
     return choices;
 }
--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -37,9 +37,9 @@
 {
     to.setMark(counts.mark);
     to.setSince(counts.since);
-    auto units = to.initUnits(sizeOf(counts.units));
+    auto units = to.initUnits(sizeOf(counts.scales));
     for (std::uint32_t index = 0; index < units.size(); ++index) {
-        units.set(index, counts.units[index]);
+        units.set(index, counts.scales[index]);
     }
     to.setParts(kj::arrayPtr(counts.quantized.data(), counts.quantized.size()));
 }
@@ -50,7 +50,7 @@
     counts.mark = from.getMark();
     counts.since = from.getSince();
     for (const float unit : from.getUnits()) {
-        counts.units.push_back(unit);
+        counts.scales.push_back(unit);
     }
     const auto parts = from.getParts();
     counts.quantized.assign(parts.begin(), parts.end());
--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -71,7 +71,7 @@
     constexpr std::size_t kExperts = 2016;
     const auto first = history.record(counted(kExperts, 0), 0);
     const auto second = history.record(counted(kExperts, 5000), first.mark);
-    CHECK_TRUE(second.quantized.size() + second.units.size() * sizeof(float) < 3000);
+    CHECK_TRUE(second.quantized.size() + second.scales.size() * sizeof(float) < 3000);
 }
 
 TEST(ChoiceCountHistoryTest, CountsThatDoNotFitTogetherAreLeftOut)
--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -32,7 +32,7 @@
     STRCMP_EQUAL("north", read.report.group.value().c_str());
     LONGS_EQUAL(8, read.choices->mark);
     LONGS_EQUAL(7, read.choices->since);
-    CHECK_TRUE(read.choices->units == facts.choices->units);
+    CHECK_TRUE(read.choices->scales == facts.choices->scales);
     CHECK_TRUE(read.choices->quantized == facts.choices->quantized);
     CHECK_TRUE(read.experts->bySet == facts.experts->bySet);
     LONGS_EQUAL(5, read.experts->map);
