--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -36,10 +36,10 @@
         for (std::size_t index = begin; index < end; ++index) {
             most = std::max(most, chosen[index]);
         }
-        const double unit = std::max(1.0, static_cast<double>(most) / kMaxQuantized);
-        counts.scales.push_back(static_cast<float>(unit));
+        const double scale = std::max(1.0, static_cast<double>(most) / kMaxQuantized);
+        counts.scales.push_back(static_cast<float>(scale));
         for (std::size_t index = begin; index < end; ++index) {
-            const double quantized = std::round(static_cast<double>(chosen[index]) / unit);
+            const double quantized = std::round(static_cast<double>(chosen[index]) / scale);
             counts.quantized.push_back(
                 static_cast<std::uint8_t>(std::min(quantized, kMaxQuantized)));
         }
