--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -32,11 +32,11 @@
     counts.quantized.reserve(chosen.size());
     for (std::size_t begin = 0; begin < chosen.size(); begin += ChoiceCounts::kBlock) {
         const std::size_t end = std::min(begin + ChoiceCounts::kBlock, chosen.size());
-        std::uint64_t most = 1;
+        std::uint64_t maxCount = 1;
         for (std::size_t index = begin; index < end; ++index) {
-            most = std::max(most, chosen[index]);
+            maxCount = std::max(maxCount, chosen[index]);
         }
-        const double scale = std::max(1.0, static_cast<double>(most) / kMaxQuantized);
+        const double scale = std::max(1.0, static_cast<double>(maxCount) / kMaxQuantized);
         counts.scales.push_back(static_cast<float>(scale));
         for (std::size_t index = begin; index < end; ++index) {
             const double quantized = std::round(static_cast<double>(chosen[index]) / scale);
