--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -30,8 +30,8 @@
 void pack(const std::vector<std::uint64_t> &chosen, ChoiceCounts &counts)
 {
     counts.quantized.reserve(chosen.size());
-    for (std::size_t begin = 0; begin < chosen.size(); begin += ChoiceCounts::kBlock) {
-        const std::size_t end = std::min(begin + ChoiceCounts::kBlock, chosen.size());
+    for (std::size_t begin = 0; begin < chosen.size(); begin += ChoiceCounts::kBlockSize) {
+        const std::size_t end = std::min(begin + ChoiceCounts::kBlockSize, chosen.size());
         std::uint64_t maxCount = 1;
         for (std::size_t index = begin; index < end; ++index) {
             maxCount = std::max(maxCount, chosen[index]);
@@ -51,7 +51,7 @@
 std::vector<double> choicesOf(const ChoiceCounts &counts)
 {
     const std::size_t blocks =
-        (counts.quantized.size() + ChoiceCounts::kBlock - 1) / ChoiceCounts::kBlock;
+        (counts.quantized.size() + ChoiceCounts::kBlockSize - 1) / ChoiceCounts::kBlockSize;
     if (counts.since == 0 || counts.scales.size() != blocks) {
         return {};
     }
@@ -59,7 +59,7 @@
     choices.reserve(counts.quantized.size());
     for (std::size_t index = 0; index < counts.quantized.size(); ++index) {
         choices.push_back(counts.quantized[index]
-                          * static_cast<double>(counts.scales[index / ChoiceCounts::kBlock]));
+                          * static_cast<double>(counts.scales[index / ChoiceCounts::kBlockSize]));
     }
     return choices;
 }
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -21,11 +21,11 @@
 {
     std::uint64_t mark = 0;  // Names the later moment.
     std::uint64_t since = 0; // Names the earlier one; zero: there is none, and all counts are zero.
-    // The choices that one part stands for, by block of kBlock experts.
+    // The choices that one part stands for, by block of kBlockSize experts.
     std::vector<float> scales;
     std::vector<std::uint8_t> quantized; // By expert.
 
-    static constexpr std::size_t kBlock = 64;
+    static constexpr std::size_t kBlockSize = 64;
 };
 
 // Returns the choices by expert; none, where `counts` holds no earlier moment or does not fit
