--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -11,7 +11,7 @@
 constexpr double kMaxQuantized = std::numeric_limits<std::uint8_t>::max();
 
 // Returns what was chosen from `earlier` to `later`; nothing when the engine has started anew.
-std::vector<std::uint64_t> difference(const std::vector<std::uint64_t> &earlier,
+std::vector<std::uint64_t> countDelta(const std::vector<std::uint64_t> &earlier,
                                       const std::vector<std::uint64_t> &later)
 {
     if (earlier.size() != later.size()) {
@@ -72,7 +72,7 @@
         std::find_if(snapshots_.begin(), snapshots_.end(),
                      [since](const Snapshot &snapshot) { return snapshot.mark == since; });
     if (since != 0 && found != snapshots_.end()) {
-        const std::vector<std::uint64_t> chosen = difference(found->counts, counts);
+        const std::vector<std::uint64_t> chosen = countDelta(found->counts, counts);
         if (!chosen.empty()) {
             result.since = since;
             pack(chosen, result);
