--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -27,7 +27,7 @@
     return chosen;
 }
 
-void pack(const std::vector<std::uint64_t> &chosen, ChoiceCounts &counts)
+void quantize(const std::vector<std::uint64_t> &chosen, ChoiceCounts &counts)
 {
     counts.quantized.reserve(chosen.size());
     for (std::size_t begin = 0; begin < chosen.size(); begin += ChoiceCounts::kBlockSize) {
@@ -75,7 +75,7 @@
         const std::vector<std::uint64_t> chosen = countDelta(found->counts, counts);
         if (!chosen.empty()) {
             result.since = since;
-            pack(chosen, result);
+            quantize(chosen, result);
         }
     }
     snapshots_.push_back({result.mark, std::move(counts)});
