--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -48,7 +48,7 @@
 
 } // namespace
 
-std::vector<double> choicesOf(const ChoiceCounts &counts)
+std::vector<double> decodeChoices(const ChoiceCounts &counts)
 {
     const std::size_t blocks =
         (counts.quantized.size() + ChoiceCounts::kBlockSize - 1) / ChoiceCounts::kBlockSize;
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -30,7 +30,7 @@
 
 // Returns the choices by expert; none, where `counts` holds no earlier moment or does not fit
 // together.
-std::vector<double> choicesOf(const ChoiceCounts &counts);
+std::vector<double> decodeChoices(const ChoiceCounts &counts);
 
 // Keeps what a rank counted at the last few moments.
 class ChoiceCountHistory
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -512,7 +512,7 @@
         experts_[report.rank] = *facts.experts;
     }
     if (facts.choices) {
-        planner_.onChoices(choicesOf(*facts.choices), loop_.now());
+        planner_.onChoices(decodeChoices(*facts.choices), loop_.now());
     }
     decider_->onReport(report, askedAt, loop_.now());
 }
--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -26,14 +26,14 @@
     history.record({11, 20, 30}, first.mark);
     const auto third = history.record({15, 20, 37}, first.mark);
     LONGS_EQUAL(first.mark, third.since);
-    CHECK_TRUE(choicesOf(third) == (std::vector<double>{5, 0, 7}));
+    CHECK_TRUE(decodeChoices(third) == (std::vector<double>{5, 0, 7}));
 }
 
 TEST(ChoiceCountHistoryTest, TellsNothingToAnAskerThatNamesNoMoment)
 {
     const auto first = history.record({10, 20, 30}, 0);
     LONGS_EQUAL(0, first.since);
-    CHECK_TRUE(choicesOf(first).empty());
+    CHECK_TRUE(decodeChoices(first).empty());
 }
 
 TEST(ChoiceCountHistoryTest, TellsNothingSinceAMomentOfAnotherLife)
@@ -46,9 +46,9 @@
 {
     const auto first = history.record({10, 20, 30}, 0);
     const auto second = history.record({0, 1, 0}, first.mark);
-    CHECK_TRUE(choicesOf(second).empty());
+    CHECK_TRUE(decodeChoices(second).empty());
     const auto third = history.record({0, 4, 0}, second.mark);
-    CHECK_TRUE(choicesOf(third) == (std::vector<double>{0, 3, 0}));
+    CHECK_TRUE(decodeChoices(third) == (std::vector<double>{0, 3, 0}));
 }
 
 TEST(ChoiceCountHistoryTest, KeepsEachExpertWithinOnePartIn500OfItsBlocksMost)
@@ -59,7 +59,7 @@
     for (std::size_t expert = 0; expert < kExperts; ++expert) {
         later.push_back(expert * expert % 9973);
     }
-    const std::vector<double> choices = choicesOf(history.record(later, first.mark));
+    const std::vector<double> choices = decodeChoices(history.record(later, first.mark));
     LONGS_EQUAL(kExperts, choices.size());
     for (std::size_t expert = 0; expert < kExperts; ++expert) {
         DOUBLES_EQUAL(static_cast<double>(later[expert]), choices[expert], 9973.0 / 500.0);
@@ -77,5 +77,5 @@
 TEST(ChoiceCountHistoryTest, CountsThatDoNotFitTogetherAreLeftOut)
 {
     ChoiceCounts torn{2, 1, {}, {1, 2, 3}};
-    CHECK_TRUE(choicesOf(torn).empty());
+    CHECK_TRUE(decodeChoices(torn).empty());
 }
