--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint64_t kFirstMark = 700;
 
-std::vector<std::uint64_t> counted(std::size_t experts, std::uint64_t each)
+std::vector<std::uint64_t> uniformCounts(std::size_t experts, std::uint64_t each)
 {
     return std::vector<std::uint64_t>(experts, each);
 }
@@ -54,7 +54,7 @@
 TEST(ChoiceCountHistoryTest, KeepsEachExpertWithinOnePartIn500OfItsBlocksMost)
 {
     constexpr std::size_t kExperts = 2016;
-    const auto first = history.record(counted(kExperts, 0), 0);
+    const auto first = history.record(uniformCounts(kExperts, 0), 0);
     std::vector<std::uint64_t> later;
     for (std::size_t expert = 0; expert < kExperts; ++expert) {
         later.push_back(expert * expert % 9973);
@@ -69,8 +69,8 @@
 TEST(ChoiceCountHistoryTest, FitsTwoThousandExpertsInLessThanThreeKilobytes)
 {
     constexpr std::size_t kExperts = 2016;
-    const auto first = history.record(counted(kExperts, 0), 0);
-    const auto second = history.record(counted(kExperts, 5000), first.mark);
+    const auto first = history.record(uniformCounts(kExperts, 0), 0);
+    const auto second = history.record(uniformCounts(kExperts, 5000), first.mark);
     CHECK_TRUE(second.quantized.size() + second.scales.size() * sizeof(float) < 3000);
 }
 
