--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -76,6 +76,6 @@
 
 TEST(ChoiceCountHistoryTest, CountsThatDoNotFitTogetherAreLeftOut)
 {
-    ChoiceCounts torn{2, 1, {}, {1, 2, 3}};
-    CHECK_TRUE(decodeChoices(torn).empty());
+    ChoiceCounts inconsistent{2, 1, {}, {1, 2, 3}};
+    CHECK_TRUE(decodeChoices(inconsistent).empty());
 }
