--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -20,7 +20,7 @@
     ChoiceCountHistory history{kFirstMark};
 };
 
-TEST(ChoiceCountHistoryTest, TellsWhatWasChosenSinceTheMomentThatIsNamed)
+TEST(ChoiceCountHistoryTest, ReturnsDeltaSinceNamedSnapshot)
 {
     const auto first = history.record({10, 20, 30}, 0);
     history.record({11, 20, 30}, first.mark);
