--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -42,7 +42,7 @@
     LONGS_EQUAL(0, history.record({11, 21, 31}, kFirstMark - 1).since);
 }
 
-TEST(ChoiceCountHistoryTest, EngineThatStartedAnewIsNoLoad)
+TEST(ChoiceCountHistoryTest, ReturnsNoDeltaAcrossEngineRestart)
 {
     const auto first = history.record({10, 20, 30}, 0);
     const auto second = history.record({0, 1, 0}, first.mark);
