--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -51,7 +51,7 @@
     CHECK_TRUE(decodeChoices(third) == (std::vector<double>{0, 3, 0}));
 }
 
-TEST(ChoiceCountHistoryTest, KeepsEachExpertWithinOnePartIn500OfItsBlocksMost)
+TEST(ChoiceCountHistoryTest, QuantizationErrorIsBelowOneIn500OfBlockMaximum)
 {
     constexpr std::size_t kExperts = 2016;
     const auto first = history.record(uniformCounts(kExperts, 0), 0);
