--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -66,7 +66,7 @@
     }
 }
 
-TEST(ChoiceCountHistoryTest, FitsTwoThousandExpertsInLessThanThreeKilobytes)
+TEST(ChoiceCountHistoryTest, EncodesTwoThousandExpertsInLessThanThreeKilobytes)
 {
     constexpr std::size_t kExperts = 2016;
     const auto first = history.record(uniformCounts(kExperts, 0), 0);
