--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -74,7 +74,7 @@
     CHECK_TRUE(second.quantized.size() + second.scales.size() * sizeof(float) < 3000);
 }
 
-TEST(ChoiceCountHistoryTest, CountsThatDoNotFitTogetherAreLeftOut)
+TEST(ChoiceCountHistoryTest, DecodesInconsistentCountsToNothing)
 {
     ChoiceCounts inconsistent{2, 1, {}, {1, 2, 3}};
     CHECK_TRUE(decodeChoices(inconsistent).empty());
