--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -37,9 +37,9 @@
     const auto bytes = static_cast<double>(std::max<std::uint64_t>(1, inputs.countsBytes));
     const double countsRate = inputs.linkBytesPerSecond * kCountsShare;
     CollectionPlan plan;
-    plan.reportGap = std::max(
+    plan.reportInterval = std::max(
         kLeastGap, timeFor(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
-    plan.reportLife = 2 * plan.reportGap + kLateAnswer;
+    plan.reportLife = 2 * plan.reportInterval + kLateAnswer;
     const Duration all = timeFor(ranks * bytes, countsRate);
     const Duration fewest = timeFor(std::min(ranks, double{kLeastCounted}) * bytes, countsRate);
     plan.countsGap = std::max(std::clamp(all, kLeastGap, kMostCountsGap), fewest);
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -456,10 +456,10 @@
         askOwn({true, question.experts, 0});
         peers_->askCounts(question, plan.countedRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
-               || now - ownAskedAt_ >= plan.reportGap) {
+               || now - ownAskedAt_ >= plan.reportInterval) {
         askOwn(question);
     }
-    peers_->askReports(question, plan.reportGap, kTick, *ownRank_);
+    peers_->askReports(question, plan.reportInterval, kTick, *ownRank_);
 }
 
 // Takes the group and rank that the own engine names. In another group, what was known of the one
--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -45,7 +45,7 @@
     constexpr double kReportBytes = 400.0;
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
-        const double reports = group.ranks * kReportBytes / toSeconds(plan.reportGap);
+        const double reports = group.ranks * kReportBytes / toSeconds(plan.reportInterval);
         const double counts =
             plan.countedRanks * static_cast<double>(group.countsBytes) / toSeconds(plan.countsGap);
         CHECK_TEXT(reports + counts < group.megabits * kBytesPerMegabit * 2.0 / 3.0,
@@ -57,7 +57,7 @@
 {
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
-        CHECK_TEXT(plan.reportLife >= 2 * plan.reportGap + std::chrono::milliseconds(500),
+        CHECK_TEXT(plan.reportLife >= 2 * plan.reportInterval + std::chrono::milliseconds(500),
                    nameOf(group).c_str());
     }
 }
@@ -71,7 +71,7 @@
         const CollectionPlan plan = planFor(group);
         LONGS_EQUAL(group.ranks, plan.countedRanks);
         CHECK_TRUE(plan.countsGap == std::chrono::milliseconds(100));
-        CHECK_TRUE(plan.reportGap == std::chrono::milliseconds(100));
+        CHECK_TRUE(plan.reportInterval == std::chrono::milliseconds(100));
     }
 }
 
@@ -98,6 +98,6 @@
 TEST(CollectionPlanTest, HoldsForAGroupThatIsNotKnownYet)
 {
     const CollectionPlan plan = planCollection({0, 0, 750'000.0});
-    CHECK_TRUE(plan.reportGap == std::chrono::milliseconds(100));
+    CHECK_TRUE(plan.reportInterval == std::chrono::milliseconds(100));
     LONGS_EQUAL(0, plan.countedRanks);
 }
