--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -39,7 +39,7 @@
     CollectionPlan plan;
     plan.reportInterval = std::max(
         kLeastGap, timeFor(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
-    plan.reportLife = 2 * plan.reportInterval + kLateAnswer;
+    plan.reportTtl = 2 * plan.reportInterval + kLateAnswer;
     const Duration all = timeFor(ranks * bytes, countsRate);
     const Duration fewest = timeFor(std::min(ranks, double{kLeastCounted}) * bytes, countsRate);
     plan.countsGap = std::max(std::clamp(all, kLeastGap, kMostCountsGap), fewest);
--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -88,7 +88,7 @@
 bool GroupDecider::fresh(const Rank &rank, TimePoint now) const
 {
     return rank.known && rank.report.epoch == epoch_ && rank.report.open
-           && now - rank.askedAt <= settings_.reportLife;
+           && now - rank.askedAt <= settings_.reportTtl;
 }
 
 bool GroupDecider::whole(TimePoint now) const
@@ -113,7 +113,7 @@
 {
     const auto reports = [&](const auto &entry) {
         const Rank &rank = entry.second;
-        return rank.known && now - rank.askedAt <= settings_.reportLife;
+        return rank.known && now - rank.askedAt <= settings_.reportTtl;
     };
     return size_ > 0 && ranks_.size() == size_ && !takesRequests()
            && std::all_of(ranks_.begin(), ranks_.end(), reports);
@@ -402,7 +402,7 @@
 {
     return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
         const Rank &rank = entry.second;
-        return rank.known && !rank.report.open && now - rank.askedAt <= settings_.reportLife;
+        return rank.known && !rank.report.open && now - rank.askedAt <= settings_.reportTtl;
     });
 }
 
--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -57,7 +57,7 @@
 {
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
-        CHECK_TEXT(plan.reportLife >= 2 * plan.reportInterval + std::chrono::milliseconds(500),
+        CHECK_TEXT(plan.reportTtl >= 2 * plan.reportInterval + std::chrono::milliseconds(500),
                    nameOf(group).c_str());
     }
 }
