--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -149,7 +149,7 @@
         Duration prepareLimit = std::chrono::seconds(8);
         // A change whose arms are not all confirmed by then is cleared, because the group waits.
         Duration armLimit = std::chrono::milliseconds(1500);
-        // A report counts as current for this long, unless setReportLife() says otherwise.
+        // A report counts as current for this long, unless setReportTtl() says otherwise.
         Duration reportTtl = std::chrono::milliseconds(700);
         // Arms and holds that nobody resolves are cleared after this; their decider may be at it.
         Duration foreignPatience = std::chrono::milliseconds(1200);
@@ -190,7 +190,7 @@
     bool abandon(TimePoint now);
 
     // Sets how long a report counts as current: it depends on how often ranks are asked.
-    void setReportLife(Duration life) { settings_.reportTtl = life; }
+    void setReportTtl(Duration life) { settings_.reportTtl = life; }
 
     // This agent no longer decides. What is under way stays as it is; whoever decides clears it.
     void resign();
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -444,7 +444,7 @@
     inputs.countsBytes = rule_ ? std::uint64_t{rule_->sets} * rule_->experts : 0;
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
     const CollectionPlan plan = planCollection(inputs);
-    decider_->setReportLife(plan.reportTtl);
+    decider_->setReportTtl(plan.reportTtl);
     planner_.setRoundSpan(plan.roundSpan);
     // An alarm is confirmed or dropped as soon as a round can be.
     const Duration countsGap =
