--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -42,8 +42,8 @@
     plan.reportTtl = 2 * plan.reportInterval + kLateAnswer;
     const Duration all = timeFor(ranks * bytes, countsRate);
     const Duration fewest = timeFor(std::min(ranks, double{kLeastCounted}) * bytes, countsRate);
-    plan.countsGap = std::max(std::clamp(all, kLeastGap, kMostCountsGap), fewest);
-    const double fitting = std::floor(toSeconds(plan.countsGap) * countsRate / bytes);
+    plan.countsInterval = std::max(std::clamp(all, kLeastGap, kMostCountsGap), fewest);
+    const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.countedRanks = static_cast<std::uint32_t>(
         std::clamp(fitting, std::min(ranks, double{kLeastCounted}), ranks));
     plan.roundSpan = std::max(
--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -46,8 +46,8 @@
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
         const double reports = group.ranks * kReportBytes / toSeconds(plan.reportInterval);
-        const double counts =
-            plan.countedRanks * static_cast<double>(group.countsBytes) / toSeconds(plan.countsGap);
+        const double counts = plan.countedRanks * static_cast<double>(group.countsBytes)
+                              / toSeconds(plan.countsInterval);
         CHECK_TEXT(reports + counts < group.megabits * kBytesPerMegabit * 2.0 / 3.0,
                    nameOf(group).c_str());
     }
@@ -70,7 +70,7 @@
         }
         const CollectionPlan plan = planFor(group);
         LONGS_EQUAL(group.ranks, plan.countedRanks);
-        CHECK_TRUE(plan.countsGap == std::chrono::milliseconds(100));
+        CHECK_TRUE(plan.countsInterval == std::chrono::milliseconds(100));
         CHECK_TRUE(plan.reportInterval == std::chrono::milliseconds(100));
     }
 }
@@ -79,10 +79,10 @@
 TEST(CollectionPlanTest, SamplesTheCountsOfALargeGroup)
 {
     const CollectionPlan plan = planFor({129, 16 * 258, 6});
-    CHECK_TRUE(plan.countsGap <= std::chrono::milliseconds(250));
+    CHECK_TRUE(plan.countsInterval <= std::chrono::milliseconds(250));
     CHECK_TRUE(plan.countedRanks >= 8);
     CHECK_TRUE(plan.countedRanks <= 32);
-    CHECK_TRUE(plan.roundSpan < plan.countsGap);
+    CHECK_TRUE(plan.roundSpan < plan.countsInterval);
 }
 
 TEST(CollectionPlanTest, AnswersOfARoundComeWithinItsSpan)
