--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -447,8 +447,9 @@
     decider_->setReportTtl(plan.reportTtl);
     planner_.setRoundSpan(plan.roundSpan);
     // An alarm is confirmed or dropped as soon as a round can be.
-    const Duration countsGap =
-        planner_.doubting() ? std::max(plan.countsGap / 2, plan.roundSpan) : plan.countsGap;
+    const Duration countsGap = planner_.doubting()
+                                   ? std::max(plan.countsInterval / 2, plan.roundSpan)
+                                   : plan.countsInterval;
     const bool counts = now - countsAskedAt_ >= std::max(countsGap, kLeastCountsGap);
     const RankQuestion question{false, !known_, 0};
     if (counts) {
