--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -44,10 +44,10 @@
     const Duration fewest = timeFor(std::min(ranks, double{kLeastCounted}) * bytes, countsRate);
     plan.countsInterval = std::max(std::clamp(all, kLeastGap, kMostCountsGap), fewest);
     const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
-    plan.countedRanks = static_cast<std::uint32_t>(
+    plan.sampledRanks = static_cast<std::uint32_t>(
         std::clamp(fitting, std::min(ranks, double{kLeastCounted}), ranks));
     plan.roundSpan = std::max(
-        kAnswerTime, timeFor(plan.countedRanks * bytes * kRoundSlack, inputs.linkBytesPerSecond));
+        kAnswerTime, timeFor(plan.sampledRanks * bytes * kRoundSlack, inputs.linkBytesPerSecond));
     return plan;
 }
 
--- a/src/decision/expertmap/collectionplan.h
+++ b/src/decision/expertmap/collectionplan.h
@@ -33,7 +33,7 @@
     Duration reportInterval{};      // Between two reports of one rank.
     Duration reportTtl{};           // How long a report counts as current.
     Duration countsInterval{};      // Between two rounds of counts.
-    std::uint32_t countedRanks = 0; // How many ranks a round of counts asks.
+    std::uint32_t sampledRanks = 0; // How many ranks a round of counts asks.
     Duration roundSpan{};           // Within which all answers of a round have come.
 };
 
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -455,7 +455,7 @@
     if (counts) {
         countsAskedAt_ = now;
         askOwn({true, question.experts, 0});
-        peers_->askCounts(question, plan.countedRanks, decider_->size(), *ownRank_);
+        peers_->askCounts(question, plan.sampledRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
                || now - ownAskedAt_ >= plan.reportInterval) {
         askOwn(question);
--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -46,7 +46,7 @@
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
         const double reports = group.ranks * kReportBytes / toSeconds(plan.reportInterval);
-        const double counts = plan.countedRanks * static_cast<double>(group.countsBytes)
+        const double counts = plan.sampledRanks * static_cast<double>(group.countsBytes)
                               / toSeconds(plan.countsInterval);
         CHECK_TEXT(reports + counts < group.megabits * kBytesPerMegabit * 2.0 / 3.0,
                    nameOf(group).c_str());
@@ -69,7 +69,7 @@
             continue;
         }
         const CollectionPlan plan = planFor(group);
-        LONGS_EQUAL(group.ranks, plan.countedRanks);
+        LONGS_EQUAL(group.ranks, plan.sampledRanks);
         CHECK_TRUE(plan.countsInterval == std::chrono::milliseconds(100));
         CHECK_TRUE(plan.reportInterval == std::chrono::milliseconds(100));
     }
@@ -80,8 +80,8 @@
 {
     const CollectionPlan plan = planFor({129, 16 * 258, 6});
     CHECK_TRUE(plan.countsInterval <= std::chrono::milliseconds(250));
-    CHECK_TRUE(plan.countedRanks >= 8);
-    CHECK_TRUE(plan.countedRanks <= 32);
+    CHECK_TRUE(plan.sampledRanks >= 8);
+    CHECK_TRUE(plan.sampledRanks <= 32);
     CHECK_TRUE(plan.roundSpan < plan.countsInterval);
 }
 
@@ -89,7 +89,7 @@
 {
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
-        const double seconds = plan.countedRanks * static_cast<double>(group.countsBytes)
+        const double seconds = plan.sampledRanks * static_cast<double>(group.countsBytes)
                                / (group.megabits * kBytesPerMegabit);
         CHECK_TEXT(toSeconds(plan.roundSpan) >= seconds, nameOf(group).c_str());
     }
@@ -99,5 +99,5 @@
 {
     const CollectionPlan plan = planCollection({0, 0, 750'000.0});
     CHECK_TRUE(plan.reportInterval == std::chrono::milliseconds(100));
-    LONGS_EQUAL(0, plan.countedRanks);
+    LONGS_EQUAL(0, plan.sampledRanks);
 }
