--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -46,7 +46,7 @@
     const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.sampledRanks = static_cast<std::uint32_t>(
         std::clamp(fitting, std::min(ranks, double{kLeastCounted}), ranks));
-    plan.roundSpan = std::max(
+    plan.roundWindow = std::max(
         kAnswerTime, timeFor(plan.sampledRanks * bytes * kRoundSlack, inputs.linkBytesPerSecond));
     return plan;
 }
--- a/src/decision/expertmap/collectionplan.h
+++ b/src/decision/expertmap/collectionplan.h
@@ -34,7 +34,7 @@
     Duration reportTtl{};           // How long a report counts as current.
     Duration countsInterval{};      // Between two rounds of counts.
     std::uint32_t sampledRanks = 0; // How many ranks a round of counts asks.
-    Duration roundSpan{};           // Within which all answers of a round have come.
+    Duration roundWindow{};         // Within which all answers of a round have come.
 };
 
 // Returns the plan for a group. Without ranks, the plan is that of the smallest group.
--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -124,7 +124,7 @@
 
 void ExpertPlanner::look(const std::optional<ExpertMap> &current, TimePoint now)
 {
-    const bool complete = roundSince_ && now - *roundSince_ >= settings_.roundSpan;
+    const bool complete = roundSince_ && now - *roundSince_ >= settings_.roundWindow;
     if (!complete || sumOf(round_) < settings_.leastCounts) {
         return;
     }
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -42,7 +42,7 @@
         Duration halfLife = std::chrono::milliseconds(4000);
         // The ranks' answers to one question come within this time, unless setRoundSpan() says
         // otherwise.
-        Duration roundSpan = std::chrono::milliseconds(40);
+        Duration roundWindow = std::chrono::milliseconds(40);
         // The distance of a round from what is remembered, in parts of all choices that differ,
         // from which on demand has shifted: this many times what it is while demand is calm, within
         // bounds.
@@ -96,7 +96,7 @@
     // Takes how often each expert was chosen at a rank since that rank's last report, set by set.
     void onChoices(std::span<const double> choices, TimePoint now);
     // Sets within which time the answers of one round come: it depends on the link.
-    void setRoundSpan(Duration span) { settings_.roundSpan = span; }
+    void setRoundSpan(Duration span) { settings_.roundWindow = span; }
     // Takes how many times as long as a sound rank each rank takes, by rank.
     void setPaces(std::vector<double> paces) { paces_ = std::move(paces); }
 
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -445,10 +445,10 @@
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
     const CollectionPlan plan = planCollection(inputs);
     decider_->setReportTtl(plan.reportTtl);
-    planner_.setRoundSpan(plan.roundSpan);
+    planner_.setRoundSpan(plan.roundWindow);
     // An alarm is confirmed or dropped as soon as a round can be.
     const Duration countsGap = planner_.doubting()
-                                   ? std::max(plan.countsInterval / 2, plan.roundSpan)
+                                   ? std::max(plan.countsInterval / 2, plan.roundWindow)
                                    : plan.countsInterval;
     const bool counts = now - countsAskedAt_ >= std::max(countsGap, kLeastCountsGap);
     const RankQuestion question{false, !known_, 0};
--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -82,7 +82,7 @@
     CHECK_TRUE(plan.countsInterval <= std::chrono::milliseconds(250));
     CHECK_TRUE(plan.sampledRanks >= 8);
     CHECK_TRUE(plan.sampledRanks <= 32);
-    CHECK_TRUE(plan.roundSpan < plan.countsInterval);
+    CHECK_TRUE(plan.roundWindow < plan.countsInterval);
 }
 
 TEST(CollectionPlanTest, AnswersOfARoundComeWithinItsSpan)
@@ -91,7 +91,7 @@
         const CollectionPlan plan = planFor(group);
         const double seconds = plan.sampledRanks * static_cast<double>(group.countsBytes)
                                / (group.megabits * kBytesPerMegabit);
-        CHECK_TEXT(toSeconds(plan.roundSpan) >= seconds, nameOf(group).c_str());
+        CHECK_TEXT(toSeconds(plan.roundWindow) >= seconds, nameOf(group).c_str());
     }
 }
 
