--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -40,7 +40,7 @@
     {
         // Counts lose half their weight in this time while demand is calm.
         Duration halfLife = std::chrono::milliseconds(4000);
-        // The ranks' answers to one question come within this time, unless setRoundSpan() says
+        // The ranks' answers to one question come within this time, unless setRoundWindow() says
         // otherwise.
         Duration roundWindow = std::chrono::milliseconds(40);
         // The distance of a round from what is remembered, in parts of all choices that differ,
@@ -96,7 +96,7 @@
     // Takes how often each expert was chosen at a rank since that rank's last report, set by set.
     void onChoices(std::span<const double> choices, TimePoint now);
     // Sets within which time the answers of one round come: it depends on the link.
-    void setRoundSpan(Duration span) { settings_.roundWindow = span; }
+    void setRoundWindow(Duration span) { settings_.roundWindow = span; }
     // Takes how many times as long as a sound rank each rank takes, by rank.
     void setPaces(std::vector<double> paces) { paces_ = std::move(paces); }
 
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -445,7 +445,7 @@
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
     const CollectionPlan plan = planCollection(inputs);
     decider_->setReportTtl(plan.reportTtl);
-    planner_.setRoundSpan(plan.roundWindow);
+    planner_.setRoundWindow(plan.roundWindow);
     // An alarm is confirmed or dropped as soon as a round can be.
     const Duration countsGap = planner_.doubting()
                                    ? std::max(plan.countsInterval / 2, plan.roundWindow)
