--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -12,7 +12,7 @@
 constexpr double kReportShare = 0.25;
 constexpr double kCountsShare = 0.35;
 // Asking more often than about once a pass tells nothing new.
-constexpr Duration kLeastGap = std::chrono::milliseconds(100);
+constexpr Duration kMinInterval = std::chrono::milliseconds(100);
 // Demand may shift every few seconds: two rounds, which confirm a shift, take half a second.
 constexpr Duration kMostCountsGap = std::chrono::milliseconds(250);
 // A round of fewer ranks says too little; on a link that does not carry these, rounds come later.
@@ -38,11 +38,11 @@
     const double countsRate = inputs.linkBytesPerSecond * kCountsShare;
     CollectionPlan plan;
     plan.reportInterval = std::max(
-        kLeastGap, timeFor(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
+        kMinInterval, timeFor(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
     plan.reportTtl = 2 * plan.reportInterval + kLateAnswer;
     const Duration all = timeFor(ranks * bytes, countsRate);
     const Duration fewest = timeFor(std::min(ranks, double{kLeastCounted}) * bytes, countsRate);
-    plan.countsInterval = std::max(std::clamp(all, kLeastGap, kMostCountsGap), fewest);
+    plan.countsInterval = std::max(std::clamp(all, kMinInterval, kMostCountsGap), fewest);
     const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.sampledRanks = static_cast<std::uint32_t>(
         std::clamp(fitting, std::min(ranks, double{kLeastCounted}), ranks));
