--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -14,7 +14,7 @@
 // Asking more often than about once a pass tells nothing new.
 constexpr Duration kMinInterval = std::chrono::milliseconds(100);
 // Demand may shift every few seconds: two rounds, which confirm a shift, take half a second.
-constexpr Duration kMostCountsGap = std::chrono::milliseconds(250);
+constexpr Duration kMaxCountsInterval = std::chrono::milliseconds(250);
 // A round of fewer ranks says too little; on a link that does not carry these, rounds come later.
 constexpr std::uint32_t kLeastCounted = 8;
 // What a question and its answer take beside the link: two processes' turns and the way.
@@ -42,7 +42,7 @@
     plan.reportTtl = 2 * plan.reportInterval + kLateAnswer;
     const Duration all = timeFor(ranks * bytes, countsRate);
     const Duration fewest = timeFor(std::min(ranks, double{kLeastCounted}) * bytes, countsRate);
-    plan.countsInterval = std::max(std::clamp(all, kMinInterval, kMostCountsGap), fewest);
+    plan.countsInterval = std::max(std::clamp(all, kMinInterval, kMaxCountsInterval), fewest);
     const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.sampledRanks = static_cast<std::uint32_t>(
         std::clamp(fitting, std::min(ranks, double{kLeastCounted}), ranks));
