--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -16,7 +16,7 @@
 // Demand may shift every few seconds: two rounds, which confirm a shift, take half a second.
 constexpr Duration kMaxCountsInterval = std::chrono::milliseconds(250);
 // A round of fewer ranks says too little; on a link that does not carry these, rounds come later.
-constexpr std::uint32_t kLeastCounted = 8;
+constexpr std::uint32_t kMinSampledRanks = 8;
 // What a question and its answer take beside the link: two processes' turns and the way.
 constexpr Duration kAnswerTime = std::chrono::milliseconds(40);
 // A report counts for two gaps and the time in which an agent that is late may still answer.
@@ -41,11 +41,11 @@
         kMinInterval, timeFor(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
     plan.reportTtl = 2 * plan.reportInterval + kLateAnswer;
     const Duration all = timeFor(ranks * bytes, countsRate);
-    const Duration fewest = timeFor(std::min(ranks, double{kLeastCounted}) * bytes, countsRate);
+    const Duration fewest = timeFor(std::min(ranks, double{kMinSampledRanks}) * bytes, countsRate);
     plan.countsInterval = std::max(std::clamp(all, kMinInterval, kMaxCountsInterval), fewest);
     const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.sampledRanks = static_cast<std::uint32_t>(
-        std::clamp(fitting, std::min(ranks, double{kLeastCounted}), ranks));
+        std::clamp(fitting, std::min(ranks, double{kMinSampledRanks}), ranks));
     plan.roundWindow = std::max(
         kAnswerTime, timeFor(plan.sampledRanks * bytes * kRoundSlack, inputs.linkBytesPerSecond));
     return plan;
