--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -18,7 +18,7 @@
 // A round of fewer ranks says too little; on a link that does not carry these, rounds come later.
 constexpr std::uint32_t kMinSampledRanks = 8;
 // What a question and its answer take beside the link: two processes' turns and the way.
-constexpr Duration kAnswerTime = std::chrono::milliseconds(40);
+constexpr Duration kRoundTripTime = std::chrono::milliseconds(40);
 // A report counts for two gaps and the time in which an agent that is late may still answer.
 constexpr Duration kLateAnswer = std::chrono::milliseconds(500);
 // The answers of a round share the link with reports and orders.
@@ -46,8 +46,8 @@
     const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.sampledRanks = static_cast<std::uint32_t>(
         std::clamp(fitting, std::min(ranks, double{kMinSampledRanks}), ranks));
-    plan.roundWindow = std::max(
-        kAnswerTime, timeFor(plan.sampledRanks * bytes * kRoundSlack, inputs.linkBytesPerSecond));
+    plan.roundWindow = std::max(kRoundTripTime, timeFor(plan.sampledRanks * bytes * kRoundSlack,
+                                                        inputs.linkBytesPerSecond));
     return plan;
 }
 
