--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -20,7 +20,7 @@
 // What a question and its answer take beside the link: two processes' turns and the way.
 constexpr Duration kRoundTripTime = std::chrono::milliseconds(40);
 // A report counts for two gaps and the time in which an agent that is late may still answer.
-constexpr Duration kLateAnswer = std::chrono::milliseconds(500);
+constexpr Duration kLateAnswerAllowance = std::chrono::milliseconds(500);
 // The answers of a round share the link with reports and orders.
 constexpr double kRoundSlack = 1.5;
 
@@ -39,7 +39,7 @@
     CollectionPlan plan;
     plan.reportInterval = std::max(
         kMinInterval, timeFor(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
-    plan.reportTtl = 2 * plan.reportInterval + kLateAnswer;
+    plan.reportTtl = 2 * plan.reportInterval + kLateAnswerAllowance;
     const Duration all = timeFor(ranks * bytes, countsRate);
     const Duration fewest = timeFor(std::min(ranks, double{kMinSampledRanks}) * bytes, countsRate);
     plan.countsInterval = std::max(std::clamp(all, kMinInterval, kMaxCountsInterval), fewest);
