--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -24,7 +24,7 @@
 // The answers of a round share the link with reports and orders.
 constexpr double kRoundSlack = 1.5;
 
-Duration timeFor(double bytes, double bytesPerSecond)
+Duration transferTime(double bytes, double bytesPerSecond)
 {
     return bytesPerSecond > 0.0 ? fromSeconds(bytes / bytesPerSecond) : Duration{};
 }
@@ -38,16 +38,18 @@
     const double countsRate = inputs.linkBytesPerSecond * kCountsShare;
     CollectionPlan plan;
     plan.reportInterval = std::max(
-        kMinInterval, timeFor(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
+        kMinInterval, transferTime(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
     plan.reportTtl = 2 * plan.reportInterval + kLateAnswerAllowance;
-    const Duration all = timeFor(ranks * bytes, countsRate);
-    const Duration fewest = timeFor(std::min(ranks, double{kMinSampledRanks}) * bytes, countsRate);
+    const Duration all = transferTime(ranks * bytes, countsRate);
+    const Duration fewest =
+        transferTime(std::min(ranks, double{kMinSampledRanks}) * bytes, countsRate);
     plan.countsInterval = std::max(std::clamp(all, kMinInterval, kMaxCountsInterval), fewest);
     const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.sampledRanks = static_cast<std::uint32_t>(
         std::clamp(fitting, std::min(ranks, double{kMinSampledRanks}), ranks));
-    plan.roundWindow = std::max(kRoundTripTime, timeFor(plan.sampledRanks * bytes * kRoundSlack,
-                                                        inputs.linkBytesPerSecond));
+    plan.roundWindow =
+        std::max(kRoundTripTime,
+                 transferTime(plan.sampledRanks * bytes * kRoundSlack, inputs.linkBytesPerSecond));
     return plan;
 }
 
