--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -40,10 +40,11 @@
     plan.reportInterval = std::max(
         kMinInterval, transferTime(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
     plan.reportTtl = 2 * plan.reportInterval + kLateAnswerAllowance;
-    const Duration all = transferTime(ranks * bytes, countsRate);
+    const Duration allRanksTime = transferTime(ranks * bytes, countsRate);
     const Duration fewest =
         transferTime(std::min(ranks, double{kMinSampledRanks}) * bytes, countsRate);
-    plan.countsInterval = std::max(std::clamp(all, kMinInterval, kMaxCountsInterval), fewest);
+    plan.countsInterval =
+        std::max(std::clamp(allRanksTime, kMinInterval, kMaxCountsInterval), fewest);
     const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.sampledRanks = static_cast<std::uint32_t>(
         std::clamp(fitting, std::min(ranks, double{kMinSampledRanks}), ranks));
