--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -41,10 +41,10 @@
         kMinInterval, transferTime(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
     plan.reportTtl = 2 * plan.reportInterval + kLateAnswerAllowance;
     const Duration allRanksTime = transferTime(ranks * bytes, countsRate);
-    const Duration fewest =
+    const Duration minRanksTime =
         transferTime(std::min(ranks, double{kMinSampledRanks}) * bytes, countsRate);
     plan.countsInterval =
-        std::max(std::clamp(allRanksTime, kMinInterval, kMaxCountsInterval), fewest);
+        std::max(std::clamp(allRanksTime, kMinInterval, kMaxCountsInterval), minRanksTime);
     const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.sampledRanks = static_cast<std::uint32_t>(
         std::clamp(fitting, std::min(ranks, double{kMinSampledRanks}), ranks));
