--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -45,9 +45,9 @@
         transferTime(std::min(ranks, double{kMinSampledRanks}) * bytes, countsRate);
     plan.countsInterval =
         std::max(std::clamp(allRanksTime, kMinInterval, kMaxCountsInterval), minRanksTime);
-    const double fitting = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
+    const double fittingRanks = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
     plan.sampledRanks = static_cast<std::uint32_t>(
-        std::clamp(fitting, std::min(ranks, double{kMinSampledRanks}), ranks));
+        std::clamp(fittingRanks, std::min(ranks, double{kMinSampledRanks}), ranks));
     plan.roundWindow =
         std::max(kRoundTripTime,
                  transferTime(plan.sampledRanks * bytes * kRoundSlack, inputs.linkBytesPerSecond));
