--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -40,7 +40,7 @@
 
 TEST_GROUP(CollectionPlanTest){};
 
-TEST(CollectionPlanTest, LeavesAThirdOfTheLinkToOrdersAtAnySize)
+TEST(CollectionPlanTest, ReservesOneThirdOfLinkForOrders)
 {
     constexpr double kReportBytes = 400.0;
     for (const Group &group : kGroups) {
