--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -53,7 +53,7 @@
     }
 }
 
-TEST(CollectionPlanTest, AReportOutlivesTwoQuestionsAndALateAnswer)
+TEST(CollectionPlanTest, ReportTtlCoversTwoIntervalsAndOneLateAnswer)
 {
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
