--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -62,7 +62,7 @@
     }
 }
 
-TEST(CollectionPlanTest, AskEveryRankOfASmallGroupOnceAPass)
+TEST(CollectionPlanTest, PollsEveryRankOfSmallGroupOncePerPass)
 {
     for (const Group &group : kGroups) {
         if (group.ranks > 24 || group.countsBytes > 1000) {
