--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -76,7 +76,7 @@
 }
 
 // 129 ranks with 4 KB of counts each are 0.7 s of a link of 6 Mbit/s: reports queued behind them.
-TEST(CollectionPlanTest, SamplesTheCountsOfALargeGroup)
+TEST(CollectionPlanTest, SamplesCountsOfLargeGroup)
 {
     const CollectionPlan plan = planFor({129, 16 * 258, 6});
     CHECK_TRUE(plan.countsInterval <= std::chrono::milliseconds(250));
