--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -85,7 +85,7 @@
     CHECK_TRUE(plan.roundWindow < plan.countsInterval);
 }
 
-TEST(CollectionPlanTest, AnswersOfARoundComeWithinItsSpan)
+TEST(CollectionPlanTest, RoundWindowCoversTransferOfAllAnswers)
 {
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
