--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -95,7 +95,7 @@
     }
 }
 
-TEST(CollectionPlanTest, HoldsForAGroupThatIsNotKnownYet)
+TEST(CollectionPlanTest, PlansForUnknownGroupSize)
 {
     const CollectionPlan plan = planCollection({0, 0, 750'000.0});
     CHECK_TRUE(plan.reportInterval == std::chrono::milliseconds(100));
