--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -253,7 +253,7 @@
     template <typename Consider>
     void considerPlacing(std::uint16_t expert, std::size_t from, std::size_t to, Consider consider)
     {
-        if (placement_[to].size() < bounds_.places) {
+        if (placement_[to].size() < bounds_.maxExperts) {
             consider(Change{expert, to, std::nullopt, std::nullopt, false});
         }
         for (const std::uint16_t other : placement_[to]) {
--- a/src/decision/expertmap/evenplacement.h
+++ b/src/decision/expertmap/evenplacement.h
@@ -25,7 +25,7 @@
 
 struct PlacementBounds
 {
-    std::uint32_t places = 0;      // Experts that a rank holds at most.
+    std::uint32_t maxExperts = 0;  // Experts that a rank holds at most.
     std::uint32_t newExperts = 0;  // Of those, how many may be new to it.
     std::uint32_t maxChanges = 64; // Bounds the time that the search takes.
     // The search stops at this skew: every copy has a price and takes time, and the counts of a
