--- a/src/decision/expertmap/evenplacement.h
+++ b/src/decision/expertmap/evenplacement.h
@@ -25,13 +25,13 @@
 
 struct PlacementBounds
 {
-    std::uint32_t maxExperts = 0;  // Experts that a rank holds at most.
-    std::uint32_t newExperts = 0;  // Of those, how many may be new to it.
-    std::uint32_t maxChanges = 64; // Bounds the time that the search takes.
+    std::uint32_t maxExperts = 0;    // Experts that a rank holds at most.
+    std::uint32_t maxNewExperts = 0; // Of those, how many may be new to it.
+    std::uint32_t maxChanges = 64;   // Bounds the time that the search takes.
     // The search stops at this skew: every copy has a price and takes time, and the counts of a
     // moment are no better than this.
     double goodEnough = 1.0;
-    // Where given, how many experts may still be new to each rank, in place of `newExperts`: the
+    // Where given, how many experts may still be new to each rank, in place of `maxNewExperts`: the
     // sets of a group share what a rank can copy in a given time.
     std::span<const std::uint32_t> newByRank{};
     // How many experts may be new in all, counted by rank.
