--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -127,7 +127,7 @@
     RankExperts run()
     {
         for (std::uint32_t count = 0; count < bounds_.maxChanges; ++count) {
-            if (skew() <= bounds_.goodEnough) {
+            if (skew() <= bounds_.targetSkew) {
                 break;
             }
             const auto change = best();
--- a/src/decision/expertmap/evenplacement.h
+++ b/src/decision/expertmap/evenplacement.h
@@ -30,7 +30,7 @@
     std::uint32_t maxChanges = 64;   // Bounds the time that the search takes.
     // The search stops at this skew: every copy has a price and takes time, and the counts of a
     // moment are no better than this.
-    double goodEnough = 1.0;
+    double targetSkew = 1.0;
     // Where given, how many experts may still be new to each rank, in place of `maxNewExperts`: the
     // sets of a group share what a rank can copy in a given time.
     std::span<const std::uint32_t> newByRank{};
--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -218,7 +218,7 @@
         }
         PlacementBounds bounds{
             rule_.places,         rule_.newExperts, settings_.maxChanges,
-            settings_.goodEnough, allowed,          (all + setsLeft - 1) / setsLeft};
+            settings_.targetSkew, allowed,          (all + setsLeft - 1) / setsLeft};
         result.map[set] = improvePlacement(current[set], shares[set], bounds, paces_);
         for (std::size_t rank = 0; rank < ranks; ++rank) {
             const auto &before = current[set][rank];
@@ -276,7 +276,7 @@
     }
     weighed_ = true;
     const double before = skew(current);
-    if (1.0 - passTime(settings_.goodEnough) / passTime(before) <= settings_.leastGain) {
+    if (1.0 - passTime(settings_.targetSkew) / passTime(before) <= settings_.leastGain) {
         return std::nullopt; // Not even the best that the search goes for: it is spared.
     }
     if (servesNobody(before)) {
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -81,7 +81,7 @@
         // Copies that take less than this part of it are not worth a change of their own.
         double leastCopying = 0.125;
         // A set's placement is not improved beyond this skew.
-        double goodEnough = 1.08;
+        double targetSkew = 1.08;
         std::uint32_t maxChanges = 96;
         // Choices of experts below which the counts are mostly noise.
         double leastCounts = 20'000.0;
