--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -209,7 +209,7 @@
     const std::vector<std::size_t> &leastLoaded()
     {
         const std::vector<double> &loads = trial_.loads();
-        const std::size_t count = std::min(bounds_.targets, loads.size());
+        const std::size_t count = std::min(bounds_.maxTargets, loads.size());
         targets_.resize(loads.size());
         std::iota(targets_.begin(), targets_.end(), std::size_t{0});
         std::partial_sort(targets_.begin(), targets_.begin() + static_cast<std::ptrdiff_t>(count),
--- a/src/decision/expertmap/evenplacement.h
+++ b/src/decision/expertmap/evenplacement.h
@@ -38,7 +38,7 @@
     std::uint32_t mostNew = std::numeric_limits<std::uint32_t>::max();
     // Experts of the most loaded rank go to one of this many least loaded ranks: others are hardly
     // ever better, and weighing all of them takes a time that grows with the square of the group.
-    std::size_t targets = 12;
+    std::size_t maxTargets = 12;
 };
 
 // How many times as long as a sound rank each rank takes for the same load. A rank without an entry
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -166,7 +166,7 @@
     }
     PlacementBounds bounds{3, 2, 96, 1.08};
     const double few = placementSkew(improvePlacement(placement, shares, bounds), shares);
-    bounds.targets = kManyRanks;
+    bounds.maxTargets = kManyRanks;
     const double all = placementSkew(improvePlacement(placement, shares, bounds), shares);
     CHECK_TRUE(placementSkew(placement, shares) > 2.0);
     CHECK_TRUE(few < all + 0.1);
