--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -158,7 +158,7 @@
     {
         const std::uint32_t bound =
             bounds_.newByRank.empty() ? bounds_.maxNewExperts : bounds_.newByRank[rank];
-        return (newOn_[rank] < bound && allNew_ < bounds_.mostNew)
+        return (newOn_[rank] < bound && allNew_ < bounds_.maxNewTotal)
                || holds(original_, rank, expert);
     }
 
--- a/src/decision/expertmap/evenplacement.h
+++ b/src/decision/expertmap/evenplacement.h
@@ -35,7 +35,7 @@
     // sets of a group share what a rank can copy in a given time.
     std::span<const std::uint32_t> newByRank{};
     // How many experts may be new in all, counted by rank.
-    std::uint32_t mostNew = std::numeric_limits<std::uint32_t>::max();
+    std::uint32_t maxNewTotal = std::numeric_limits<std::uint32_t>::max();
     // Experts of the most loaded rank go to one of this many least loaded ranks: others are hardly
     // ever better, and weighing all of them takes a time that grows with the square of the group.
     std::size_t maxTargets = 12;
