--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -157,7 +157,7 @@
     bool mayGet(std::size_t rank, std::uint16_t expert) const
     {
         const std::uint32_t bound =
-            bounds_.newByRank.empty() ? bounds_.maxNewExperts : bounds_.newByRank[rank];
+            bounds_.maxNewByRank.empty() ? bounds_.maxNewExperts : bounds_.maxNewByRank[rank];
         return (newOn_[rank] < bound && allNew_ < bounds_.maxNewTotal)
                || holds(original_, rank, expert);
     }
--- a/src/decision/expertmap/evenplacement.h
+++ b/src/decision/expertmap/evenplacement.h
@@ -33,7 +33,7 @@
     double targetSkew = 1.0;
     // Where given, how many experts may still be new to each rank, in place of `maxNewExperts`: the
     // sets of a group share what a rank can copy in a given time.
-    std::span<const std::uint32_t> newByRank{};
+    std::span<const std::uint32_t> maxNewByRank{};
     // How many experts may be new in all, counted by rank.
     std::uint32_t maxNewTotal = std::numeric_limits<std::uint32_t>::max();
     // Experts of the most loaded rank go to one of this many least loaded ranks: others are hardly
