--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -33,7 +33,7 @@
     std::size_t to = 0;
     std::optional<std::uint16_t> dropped;
     std::optional<std::size_t> from;
-    bool leaves = false;
+    bool removesReplica = false;
 };
 
 double paceOf(RankPaces paces, std::size_t rank)
@@ -186,7 +186,7 @@
 
     void tryChange(const Change &change)
     {
-        if (change.leaves) {
+        if (change.removesReplica) {
             tryDrop(change.expert, change.to);
             return;
         }
@@ -291,7 +291,7 @@
     {
         tryChange(change);
         trial_.take();
-        if (change.leaves) {
+        if (change.removesReplica) {
             erase(change.to, change.expert);
             return;
         }
