--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -70,7 +70,7 @@
     }
 
     // Returns by how much the objective would rise, and forgets what was added.
-    double riseAndClear()
+    double evaluateAndReset()
     {
         double rise = 0.0;
         for (const std::size_t rank : touched_) {
@@ -231,7 +231,7 @@
         double least = -trial_.objective() * kLeastGain;
         const auto consider = [&](const Change &change) {
             tryChange(change);
-            const double rise = trial_.riseAndClear();
+            const double rise = trial_.evaluateAndReset();
             if (rise < least) {
                 least = rise;
                 found = change;
