--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -82,7 +82,7 @@
     }
 
     // Makes what was added the loads.
-    void take()
+    void commit()
     {
         for (const std::size_t rank : touched_) {
             loads_[rank] += deltas_[rank];
@@ -290,7 +290,7 @@
     void apply(const Change &change)
     {
         tryChange(change);
-        trial_.take();
+        trial_.commit();
         if (change.removesReplica) {
             erase(change.to, change.expert);
             return;
