--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -154,7 +154,7 @@
     }
 
     // Tells whether `rank` may get `expert` within the bound on new experts.
-    bool mayGet(std::size_t rank, std::uint16_t expert) const
+    bool canReceive(std::size_t rank, std::uint16_t expert) const
     {
         const std::uint32_t bound =
             bounds_.maxNewByRank.empty() ? bounds_.maxNewExperts : bounds_.maxNewByRank[rank];
@@ -242,7 +242,7 @@
                 consider(Change{expert, most, std::nullopt, std::nullopt, true});
             }
             for (const std::size_t to : targets) {
-                if (to != most && !holds(placement_, to, expert) && mayGet(to, expert)) {
+                if (to != most && !holds(placement_, to, expert) && canReceive(to, expert)) {
                     considerPlacing(expert, most, to, consider);
                 }
             }
@@ -260,7 +260,7 @@
             if (holders_[other].size() > 1) {
                 consider(Change{expert, to, other, std::nullopt, false});
             }
-            if (!holds(placement_, from, other) && mayGet(from, other)) {
+            if (!holds(placement_, from, other) && canReceive(from, other)) {
                 consider(Change{expert, to, other, from, false});
             }
         }
