--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -130,7 +130,7 @@
             if (skew() <= bounds_.targetSkew) {
                 break;
             }
-            const auto change = best();
+            const auto change = findBestChange();
             if (!change) {
                 break;
             }
@@ -221,7 +221,7 @@
         return targets_;
     }
 
-    std::optional<Change> best()
+    std::optional<Change> findBestChange()
     {
         const std::vector<double> &loads = trial_.loads();
         const std::vector<std::size_t> &targets = leastLoaded();
