--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -227,14 +227,14 @@
         const std::vector<std::size_t> &targets = leastLoaded();
         const auto most =
             static_cast<std::size_t>(std::max_element(loads.begin(), loads.end()) - loads.begin());
-        std::optional<Change> found;
+        std::optional<Change> bestChange;
         double least = -trial_.objective() * kLeastGain;
         const auto consider = [&](const Change &change) {
             tryChange(change);
             const double rise = trial_.evaluateAndReset();
             if (rise < least) {
                 least = rise;
-                found = change;
+                bestChange = change;
             }
         };
         for (const std::uint16_t expert : placement_[most]) {
@@ -247,7 +247,7 @@
                 }
             }
         }
-        return found;
+        return bestChange;
     }
 
     template <typename Consider>
