--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -228,12 +228,12 @@
         const auto most =
             static_cast<std::size_t>(std::max_element(loads.begin(), loads.end()) - loads.begin());
         std::optional<Change> bestChange;
-        double least = -trial_.objective() * kLeastGain;
+        double bestRise = -trial_.objective() * kLeastGain;
         const auto consider = [&](const Change &change) {
             tryChange(change);
             const double rise = trial_.evaluateAndReset();
-            if (rise < least) {
-                least = rise;
+            if (rise < bestRise) {
+                bestRise = rise;
                 bestChange = change;
             }
         };
