--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -225,7 +225,7 @@
     {
         const std::vector<double> &loads = trial_.loads();
         const std::vector<std::size_t> &targets = leastLoaded();
-        const auto most =
+        const auto mostLoaded =
             static_cast<std::size_t>(std::max_element(loads.begin(), loads.end()) - loads.begin());
         std::optional<Change> bestChange;
         double bestRise = -trial_.objective() * kLeastGain;
@@ -237,13 +237,13 @@
                 bestChange = change;
             }
         };
-        for (const std::uint16_t expert : placement_[most]) {
+        for (const std::uint16_t expert : placement_[mostLoaded]) {
             if (holders_[expert].size() > 1) {
-                consider(Change{expert, most, std::nullopt, std::nullopt, true});
+                consider(Change{expert, mostLoaded, std::nullopt, std::nullopt, true});
             }
             for (const std::size_t to : targets) {
-                if (to != most && !holds(placement_, to, expert) && canReceive(to, expert)) {
-                    considerPlacing(expert, most, to, consider);
+                if (to != mostLoaded && !holds(placement_, to, expert) && canReceive(to, expert)) {
+                    considerPlacing(expert, mostLoaded, to, consider);
                 }
             }
         }
