--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -115,7 +115,7 @@
         , total_(std::accumulate(shares.begin(), shares.end(), 0.0))
         , trial_(rankLoads(current, shares, paces), paces)
         , holders_(shares.size())
-        , newOn_(current.size(), 0)
+        , newExperts_(current.size(), 0)
     {
         for (std::size_t rank = 0; rank < placement_.size(); ++rank) {
             for (const std::uint16_t expert : placement_[rank]) {
@@ -158,7 +158,7 @@
     {
         const std::uint32_t bound =
             bounds_.maxNewByRank.empty() ? bounds_.maxNewExperts : bounds_.maxNewByRank[rank];
-        return (newOn_[rank] < bound && allNew_ < bounds_.maxNewTotal)
+        return (newExperts_[rank] < bound && allNew_ < bounds_.maxNewTotal)
                || holds(original_, rank, expert);
     }
 
@@ -272,7 +272,7 @@
         experts.insert(std::lower_bound(experts.begin(), experts.end(), expert), expert);
         holders_[expert].push_back(rank);
         if (!holds(original_, rank, expert)) {
-            ++newOn_[rank];
+            ++newExperts_[rank];
             ++allNew_;
         }
     }
@@ -282,7 +282,7 @@
         std::erase(placement_[rank], expert);
         std::erase(holders_[expert], rank);
         if (!holds(original_, rank, expert)) {
-            --newOn_[rank];
+            --newExperts_[rank];
             --allNew_;
         }
     }
@@ -312,7 +312,7 @@
     double total_; // Of the shares.
     LoadTrial trial_;
     std::vector<std::vector<std::size_t>> holders_; // The ranks that hold each expert.
-    std::vector<std::uint32_t> newOn_;
+    std::vector<std::uint32_t> newExperts_;
     std::uint32_t allNew_ = 0;
     std::vector<std::size_t> targets_; // Of the change that is looked for.
 };
