--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -158,7 +158,7 @@
     {
         const std::uint32_t bound =
             bounds_.maxNewByRank.empty() ? bounds_.maxNewExperts : bounds_.maxNewByRank[rank];
-        return (newExperts_[rank] < bound && allNew_ < bounds_.maxNewTotal)
+        return (newExperts_[rank] < bound && totalNew_ < bounds_.maxNewTotal)
                || holds(original_, rank, expert);
     }
 
@@ -273,7 +273,7 @@
         holders_[expert].push_back(rank);
         if (!holds(original_, rank, expert)) {
             ++newExperts_[rank];
-            ++allNew_;
+            ++totalNew_;
         }
     }
 
@@ -283,7 +283,7 @@
         std::erase(holders_[expert], rank);
         if (!holds(original_, rank, expert)) {
             --newExperts_[rank];
-            --allNew_;
+            --totalNew_;
         }
     }
 
@@ -313,7 +313,7 @@
     LoadTrial trial_;
     std::vector<std::vector<std::size_t>> holders_; // The ranks that hold each expert.
     std::vector<std::uint32_t> newExperts_;
-    std::uint32_t allNew_ = 0;
+    std::uint32_t totalNew_ = 0;
     std::vector<std::size_t> targets_; // Of the change that is looked for.
 };
 
