--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -14,7 +14,7 @@
 // sees a gain while several ranks share the largest.
 constexpr int kPower = 8;
 // Changes that win less than this part of the objective are not worth a copy.
-constexpr double kLeastGain = 1e-3;
+constexpr double kMinGain = 1e-3;
 
 double power(double load)
 {
@@ -228,7 +228,7 @@
         const auto mostLoaded =
             static_cast<std::size_t>(std::max_element(loads.begin(), loads.end()) - loads.begin());
         std::optional<Change> bestChange;
-        double bestRise = -trial_.objective() * kLeastGain;
+        double bestRise = -trial_.objective() * kMinGain;
         const auto consider = [&](const Change &change) {
             tryChange(change);
             const double rise = trial_.evaluateAndReset();
