--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -64,7 +64,7 @@
     void add(std::size_t rank, double load)
     {
         if (deltas_[rank] == 0.0) {
-            touched_.push_back(rank);
+            changedRanks_.push_back(rank);
         }
         deltas_[rank] += load * paceOf(paces_, rank);
     }
@@ -73,25 +73,25 @@
     double evaluateAndReset()
     {
         double rise = 0.0;
-        for (const std::size_t rank : touched_) {
+        for (const std::size_t rank : changedRanks_) {
             rise += power(loads_[rank] + deltas_[rank]) - powers_[rank];
             deltas_[rank] = 0.0;
         }
-        touched_.clear();
+        changedRanks_.clear();
         return rise;
     }
 
     // Makes what was added the loads.
     void commit()
     {
-        for (const std::size_t rank : touched_) {
+        for (const std::size_t rank : changedRanks_) {
             loads_[rank] += deltas_[rank];
             objective_ -= powers_[rank];
             powers_[rank] = power(loads_[rank]);
             objective_ += powers_[rank];
             deltas_[rank] = 0.0;
         }
-        touched_.clear();
+        changedRanks_.clear();
     }
 
 private:
@@ -100,7 +100,7 @@
     std::vector<double> powers_; // Of the loads.
     double objective_ = 0.0;     // Their sum.
     std::vector<double> deltas_; // Of the change on trial.
-    std::vector<std::size_t> touched_;
+    std::vector<std::size_t> changedRanks_;
 };
 
 class Search
