--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -243,7 +243,7 @@
             }
             for (const std::size_t to : targets) {
                 if (to != mostLoaded && !holds(placement_, to, expert) && canReceive(to, expert)) {
-                    considerPlacing(expert, mostLoaded, to, consider);
+                    considerMove(expert, mostLoaded, to, consider);
                 }
             }
         }
@@ -251,7 +251,7 @@
     }
 
     template <typename Consider>
-    void considerPlacing(std::uint16_t expert, std::size_t from, std::size_t to, Consider consider)
+    void considerMove(std::uint16_t expert, std::size_t from, std::size_t to, Consider consider)
     {
         if (placement_[to].size() < bounds_.maxExperts) {
             consider(Change{expert, to, std::nullopt, std::nullopt, false});
