--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint32_t kExperts = 72;
 
 // The first map of an epoch: experts are dealt in turn.
-RankExperts dealt()
+RankExperts roundRobinPlacement()
 {
     RankExperts placement(kRanks);
     for (std::uint16_t expert = 0; expert < kExperts; ++expert) {
@@ -102,8 +102,9 @@
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         const std::vector<double> shares = skewedShares(seed);
-        const RankExperts placement = improvePlacement(dealt(), shares, {8, 3, 64, 1.08});
-        CHECK_TRUE(placementSkew(dealt(), shares) > 2.0);
+        const RankExperts placement =
+            improvePlacement(roundRobinPlacement(), shares, {8, 3, 64, 1.08});
+        CHECK_TRUE(placementSkew(roundRobinPlacement(), shares) > 2.0);
         CHECK_TRUE(placementSkew(placement, shares) < 1.3);
         std::set<std::uint16_t> placed;
         for (std::uint32_t rank = 0; rank < kRanks; ++rank) {
@@ -111,7 +112,7 @@
             std::size_t added = 0;
             for (const std::uint16_t expert : placement[rank]) {
                 placed.insert(expert);
-                const std::vector<std::uint16_t> before = dealt()[rank];
+                const std::vector<std::uint16_t> before = roundRobinPlacement()[rank];
                 added += std::find(before.begin(), before.end(), expert) == before.end() ? 1 : 0;
             }
             CHECK_TRUE(added <= 3);
@@ -123,7 +124,8 @@
 TEST(EvenPlacementTest, LeavesAnEvenLoadAlone)
 {
     const std::vector<double> even(kExperts, 1.0 / kExperts);
-    CHECK_TRUE(improvePlacement(dealt(), even, {8, 3, 64, 1.0}) == dealt());
+    CHECK_TRUE(improvePlacement(roundRobinPlacement(), even, {8, 3, 64, 1.0})
+               == roundRobinPlacement());
 }
 
 TEST(EvenPlacementTest, EvensALargeGroupWithinFewChanges)
@@ -177,7 +179,7 @@
     const std::vector<double> shares = skewedShares(3);
     std::vector<double> paces(kRanks, 1.0);
     paces[4] = 4.0;
-    RankExperts placement = dealt();
+    RankExperts placement = roundRobinPlacement();
     for (int change = 0; change < 3; ++change) {
         placement = improvePlacement(placement, shares, {8, 3, 64, 1.08}, paces);
     }
@@ -209,21 +211,21 @@
 
 TEST(ExpertPlannerTest, PlansNothingWithoutCounts)
 {
-    CHECK_FALSE(planner.plan({dealt()}, at(0)).has_value());
+    CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(0)).has_value());
 }
 
 TEST(ExpertPlannerTest, PlansABetterMapForASkewedLoad)
 {
     feed(planner, skewedShares(1), 0, 2000);
-    const auto planned = planner.plan({dealt()}, at(2000));
+    const auto planned = planner.plan({roundRobinPlacement()}, at(2000));
     CHECK_TRUE(planned.has_value());
-    CHECK_TRUE(planner.skew(*planned) < planner.skew({dealt()}) / 2.0);
+    CHECK_TRUE(planner.skew(*planned) < planner.skew({roundRobinPlacement()}) / 2.0);
 }
 
 TEST(ExpertPlannerTest, LeavesAMapThatIsGoodEnough)
 {
     feed(planner, skewedShares(1), 0, 2000);
-    auto map = *planner.plan({dealt()}, at(2000));
+    auto map = *planner.plan({roundRobinPlacement()}, at(2000));
     for (int time = 2000; time < 6000; time += 1000) {
         feed(planner, skewedShares(1), time, time + 1000);
         map = planner.plan(map, at(time + 1000)).value_or(map);
@@ -242,9 +244,9 @@
 TEST(ExpertPlannerTest, LeavesOutChoicesThatDoNotFitTheRule)
 {
     feed(planner, skewedShares(1), 0, 2000);
-    const double before = planner.skew({dealt()});
+    const double before = planner.skew({roundRobinPlacement()});
     planner.onChoices(std::vector<double>(kExperts + 1, 1e6), at(2000));
-    DOUBLES_EQUAL(before, planner.skew({dealt()}), 1e-6);
+    DOUBLES_EQUAL(before, planner.skew({roundRobinPlacement()}), 1e-6);
 }
 
 TEST(ExpertPlannerTest, SeesASmallShiftWhereCountsAreCalm)
@@ -264,20 +266,20 @@
     ExpertRule rule{1, kExperts, 8, 3, std::chrono::seconds(20), 0.85};
     planner.setRule(rule);
     feed(planner, skewedShares(1), 0, 2000);
-    CHECK_FALSE(planner.plan({dealt()}, at(2000)).has_value());
+    CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
     rule.copyTime = std::chrono::milliseconds(100);
     planner.setRule(rule);
     feed(planner, skewedShares(1), 2000, 3000);
-    CHECK_TRUE(planner.plan({dealt()}, at(3000)).has_value());
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(3000)).has_value());
 }
 
 TEST(ExpertPlannerTest, UrgentChangeCopiesFewExpertsWhereCopyingTakesLong)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
     feed(planner, skewedShares(1), 0, 2000);
-    const auto planned = planner.plan({dealt()}, at(2000));
+    const auto planned = planner.plan({roundRobinPlacement()}, at(2000));
     CHECK_TRUE(planned.has_value());
-    LONGS_EQUAL(1, mostCopies({dealt()}, *planned));
+    LONGS_EQUAL(1, mostCopies({roundRobinPlacement()}, *planned));
 }
 
 // At 129 ranks orders take half a second to reach all. Two small changes take twice that.
@@ -290,9 +292,9 @@
         for (int change = 0; change < 5; ++change) {
             learning.noteInUse(inUse);
         }
-        const auto planned = learning.plan({dealt()}, at(2000));
+        const auto planned = learning.plan({roundRobinPlacement()}, at(2000));
         CHECK_TRUE(planned.has_value());
-        return mostCopies({dealt()}, *planned);
+        return mostCopies({roundRobinPlacement()}, *planned);
     };
     CHECK_TRUE(copies(std::chrono::milliseconds(1500)) > copies(std::chrono::milliseconds(100)));
 }
@@ -307,7 +309,7 @@
         shares.insert(shares.end(), ofSet.begin(), ofSet.end());
     }
     feed(planner, shares, 0, 2000);
-    const ExpertMap current(kSets, dealt());
+    const ExpertMap current(kSets, roundRobinPlacement());
     const auto planned = planner.plan(current, at(2000));
     CHECK_TRUE(planned.has_value());
     LONGS_EQUAL(1, mostCopies(current, *planned));
@@ -325,9 +327,9 @@
         blend[expert] = (blend[expert] + later[expert]) / 2.0;
     }
     feed(planner, blend, 8000, 8200);
-    CHECK_FALSE(planner.plan({dealt()}, at(8200)).has_value());
+    CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(8200)).has_value());
     feed(planner, later, 8200, 8400);
-    CHECK_TRUE(planner.plan({dealt()}, at(8400)).has_value());
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(8400)).has_value());
     LONGS_EQUAL(1, planner.shifts());
 }
 
@@ -345,7 +347,7 @@
 TEST(ExpertPlannerTest, TellsThatAPlanIsLeftBehind)
 {
     feed(planner, skewedShares(1), 0, 2000);
-    CHECK_TRUE(planner.plan({dealt()}, at(2000)).has_value());
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
     CHECK_FALSE(planner.outdated());
     feed(planner, skewedShares(2), 2000, 2400);
     CHECK_TRUE(planner.outdated());
@@ -369,7 +371,7 @@
     LONGS_EQUAL(0, planner.shifts());
     feed(planner, calm, time, time + 200);
     CHECK_TRUE(planner.expectedLife(at(time)) >= std::chrono::seconds(5));
-    CHECK_TRUE(planner.plan({dealt()}, at(time)).has_value());
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(time)).has_value());
 }
 
 // The blends of one shift must not count as a mixture that lasted for a moment: with so short a
@@ -387,7 +389,7 @@
     feed(planner, later, 4400, 5400);
     LONGS_EQUAL(1, planner.shifts());
     CHECK_TRUE(planner.expectedLife(at(5400)) >= std::chrono::seconds(3));
-    CHECK_TRUE(planner.plan({dealt()}, at(5400)).has_value());
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(5400)).has_value());
 }
 
 // The load that this answers: a calm day, on which passes take half of the pause that callers bear
@@ -395,31 +397,31 @@
 TEST(ExpertPlannerTest, LeavesAModeratelyUnevenMapWhilePassesAreFarInsideTheGoal)
 {
     feed(planner, mildlySkewedShares(), 0, 2000);
-    const double skew = planner.skew({dealt()});
+    const double skew = planner.skew({roundRobinPlacement()});
     CHECK_TRUE(skew > 1.3 && skew < 2.0);
     planner.setPasses(std::chrono::milliseconds(80), std::chrono::milliseconds(150));
-    CHECK_FALSE(planner.plan({dealt()}, at(2000)).has_value());
+    CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
 TEST(ExpertPlannerTest, ChangesItOncePassesComeNearTheGoal)
 {
     feed(planner, mildlySkewedShares(), 0, 2000);
     planner.setPasses(std::chrono::milliseconds(100), std::chrono::milliseconds(150));
-    CHECK_TRUE(planner.plan({dealt()}, at(2000)).has_value());
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
 // Passes were measured before demand shifted, and streams that last longer make them longer still.
 TEST(ExpertPlannerTest, ChangesAMapThatAShiftHasMadeUselessWhateverThePasses)
 {
     feed(planner, skewedShares(1), 0, 2000);
-    CHECK_TRUE(planner.skew({dealt()}) >= 2.0);
+    CHECK_TRUE(planner.skew({roundRobinPlacement()}) >= 2.0);
     planner.setPasses(std::chrono::milliseconds(50), std::chrono::milliseconds(150));
-    CHECK_TRUE(planner.plan({dealt()}, at(2000)).has_value());
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
 TEST(ExpertPlannerTest, ChangesItWhereNothingIsKnownOfPauses)
 {
     feed(planner, mildlySkewedShares(), 0, 2000);
     planner.setPasses(std::chrono::milliseconds(50), Duration{});
-    CHECK_TRUE(planner.plan({dealt()}, at(2000)).has_value());
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
