--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -61,7 +61,7 @@
 }
 
 // Feeds choices that follow `shares`, from `from` to `to`.
-void feed(ExpertPlanner &planner, const std::vector<double> &shares, int from, int to)
+void feedChoices(ExpertPlanner &planner, const std::vector<double> &shares, int from, int to)
 {
     constexpr double kPerPeriod = 10'000.0; // Choices of a rank.
     for (int time = from; time < to; time += 200) {
@@ -216,7 +216,7 @@
 
 TEST(ExpertPlannerTest, PlansABetterMapForASkewedLoad)
 {
-    feed(planner, skewedShares(1), 0, 2000);
+    feedChoices(planner, skewedShares(1), 0, 2000);
     const auto planned = planner.plan({roundRobinPlacement()}, at(2000));
     CHECK_TRUE(planned.has_value());
     CHECK_TRUE(planner.skew(*planned) < planner.skew({roundRobinPlacement()}) / 2.0);
@@ -224,26 +224,26 @@
 
 TEST(ExpertPlannerTest, LeavesAMapThatIsGoodEnough)
 {
-    feed(planner, skewedShares(1), 0, 2000);
+    feedChoices(planner, skewedShares(1), 0, 2000);
     auto map = *planner.plan({roundRobinPlacement()}, at(2000));
     for (int time = 2000; time < 6000; time += 1000) {
-        feed(planner, skewedShares(1), time, time + 1000);
+        feedChoices(planner, skewedShares(1), time, time + 1000);
         map = planner.plan(map, at(time + 1000)).value_or(map);
     }
-    feed(planner, skewedShares(1), 6000, 7000);
+    feedChoices(planner, skewedShares(1), 6000, 7000);
     CHECK_FALSE(planner.plan(map, at(7000)).has_value());
 }
 
 TEST(ExpertPlannerTest, ForgetsTheOldMixWhenDemandShifts)
 {
-    feed(planner, skewedShares(1), 0, 8000);
-    feed(planner, skewedShares(2), 8000, 8800);
+    feedChoices(planner, skewedShares(1), 0, 8000);
+    feedChoices(planner, skewedShares(2), 8000, 8800);
     LONGS_EQUAL(1, planner.shifts());
 }
 
 TEST(ExpertPlannerTest, LeavesOutChoicesThatDoNotFitTheRule)
 {
-    feed(planner, skewedShares(1), 0, 2000);
+    feedChoices(planner, skewedShares(1), 0, 2000);
     const double before = planner.skew({roundRobinPlacement()});
     planner.onChoices(std::vector<double>(kExperts + 1, 1e6), at(2000));
     DOUBLES_EQUAL(before, planner.skew({roundRobinPlacement()}), 1e-6);
@@ -252,12 +252,12 @@
 TEST(ExpertPlannerTest, SeesASmallShiftWhereCountsAreCalm)
 {
     std::vector<double> shares = skewedShares(1);
-    feed(planner, shares, 0, 8000);
+    feedChoices(planner, shares, 0, 8000);
     // Eight choices in a hundred move from the most liked expert to another one.
     const auto most = std::max_element(shares.begin(), shares.end());
     *most -= 0.08;
     shares[most == shares.begin() ? 1 : 0] += 0.08;
-    feed(planner, shares, 8000, 8800);
+    feedChoices(planner, shares, 8000, 8800);
     LONGS_EQUAL(1, planner.shifts());
 }
 
@@ -265,18 +265,18 @@
 {
     ExpertRule rule{1, kExperts, 8, 3, std::chrono::seconds(20), 0.85};
     planner.setRule(rule);
-    feed(planner, skewedShares(1), 0, 2000);
+    feedChoices(planner, skewedShares(1), 0, 2000);
     CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
     rule.copyTime = std::chrono::milliseconds(100);
     planner.setRule(rule);
-    feed(planner, skewedShares(1), 2000, 3000);
+    feedChoices(planner, skewedShares(1), 2000, 3000);
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(3000)).has_value());
 }
 
 TEST(ExpertPlannerTest, UrgentChangeCopiesFewExpertsWhereCopyingTakesLong)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
-    feed(planner, skewedShares(1), 0, 2000);
+    feedChoices(planner, skewedShares(1), 0, 2000);
     const auto planned = planner.plan({roundRobinPlacement()}, at(2000));
     CHECK_TRUE(planned.has_value());
     LONGS_EQUAL(1, mostCopies({roundRobinPlacement()}, *planned));
@@ -288,7 +288,7 @@
     const auto copies = [](Duration inUse) {
         ExpertPlanner learning;
         learning.setRule({1, kExperts, 8, 8, std::chrono::milliseconds(40), 0.85});
-        feed(learning, skewedShares(1), 0, 2000);
+        feedChoices(learning, skewedShares(1), 0, 2000);
         for (int change = 0; change < 5; ++change) {
             learning.noteInUse(inUse);
         }
@@ -308,7 +308,7 @@
         const std::vector<double> ofSet = skewedShares(set + 1);
         shares.insert(shares.end(), ofSet.begin(), ofSet.end());
     }
-    feed(planner, shares, 0, 2000);
+    feedChoices(planner, shares, 0, 2000);
     const ExpertMap current(kSets, roundRobinPlacement());
     const auto planned = planner.plan(current, at(2000));
     CHECK_TRUE(planned.has_value());
@@ -320,15 +320,15 @@
 
 TEST(ExpertPlannerTest, PlansNothingForABlendOfTwoMixtures)
 {
-    feed(planner, skewedShares(1), 0, 8000);
+    feedChoices(planner, skewedShares(1), 0, 8000);
     std::vector<double> blend = skewedShares(1);
     const std::vector<double> later = skewedShares(2);
     for (std::size_t expert = 0; expert < blend.size(); ++expert) {
         blend[expert] = (blend[expert] + later[expert]) / 2.0;
     }
-    feed(planner, blend, 8000, 8200);
+    feedChoices(planner, blend, 8000, 8200);
     CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(8200)).has_value());
-    feed(planner, later, 8200, 8400);
+    feedChoices(planner, later, 8200, 8400);
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(8400)).has_value());
     LONGS_EQUAL(1, planner.shifts());
 }
@@ -336,8 +336,8 @@
 TEST(ExpertPlannerTest, LearnsHowLongAMixtureLasts)
 {
     for (int shift = 0; shift < 6; ++shift) {
-        feed(planner, skewedShares(static_cast<std::uint64_t>(shift)), 3000 * shift,
-             3000 * (shift + 1));
+        feedChoices(planner, skewedShares(static_cast<std::uint64_t>(shift)), 3000 * shift,
+                    3000 * (shift + 1));
     }
     const Duration life = planner.expectedLife(at(16'050)); // A second into the last mixture.
     CHECK_TRUE(life > std::chrono::milliseconds(1500));
@@ -346,10 +346,10 @@
 
 TEST(ExpertPlannerTest, TellsThatAPlanIsLeftBehind)
 {
-    feed(planner, skewedShares(1), 0, 2000);
+    feedChoices(planner, skewedShares(1), 0, 2000);
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
     CHECK_FALSE(planner.outdated());
-    feed(planner, skewedShares(2), 2000, 2400);
+    feedChoices(planner, skewedShares(2), 2000, 2400);
     CHECK_TRUE(planner.outdated());
 }
 
@@ -364,12 +364,12 @@
     *most *= 1.8;
     int time = 0;
     for (int count = 0; count < 20; ++count) {
-        feed(planner, calm, time, time + 800);
-        feed(planner, odd, time + 800, time + 1000);
+        feedChoices(planner, calm, time, time + 800);
+        feedChoices(planner, odd, time + 800, time + 1000);
         time += 1000;
     }
     LONGS_EQUAL(0, planner.shifts());
-    feed(planner, calm, time, time + 200);
+    feedChoices(planner, calm, time, time + 200);
     CHECK_TRUE(planner.expectedLife(at(time)) >= std::chrono::seconds(5));
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(time)).has_value());
 }
@@ -379,14 +379,14 @@
 TEST(ExpertPlannerTest, ShiftThatTakesTwoRoundsCountsOnce)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
-    feed(planner, skewedShares(1), 0, 4000);
+    feedChoices(planner, skewedShares(1), 0, 4000);
     std::vector<double> blend = skewedShares(1);
     const std::vector<double> later = skewedShares(2);
     for (std::size_t expert = 0; expert < blend.size(); ++expert) {
         blend[expert] = (blend[expert] + later[expert]) / 2.0;
     }
-    feed(planner, blend, 4000, 4400);
-    feed(planner, later, 4400, 5400);
+    feedChoices(planner, blend, 4000, 4400);
+    feedChoices(planner, later, 4400, 5400);
     LONGS_EQUAL(1, planner.shifts());
     CHECK_TRUE(planner.expectedLife(at(5400)) >= std::chrono::seconds(3));
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(5400)).has_value());
@@ -396,7 +396,7 @@
 // and every second change of a map copies 2 TB for nobody.
 TEST(ExpertPlannerTest, LeavesAModeratelyUnevenMapWhilePassesAreFarInsideTheGoal)
 {
-    feed(planner, mildlySkewedShares(), 0, 2000);
+    feedChoices(planner, mildlySkewedShares(), 0, 2000);
     const double skew = planner.skew({roundRobinPlacement()});
     CHECK_TRUE(skew > 1.3 && skew < 2.0);
     planner.setPasses(std::chrono::milliseconds(80), std::chrono::milliseconds(150));
@@ -405,7 +405,7 @@
 
 TEST(ExpertPlannerTest, ChangesItOncePassesComeNearTheGoal)
 {
-    feed(planner, mildlySkewedShares(), 0, 2000);
+    feedChoices(planner, mildlySkewedShares(), 0, 2000);
     planner.setPasses(std::chrono::milliseconds(100), std::chrono::milliseconds(150));
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
@@ -413,7 +413,7 @@
 // Passes were measured before demand shifted, and streams that last longer make them longer still.
 TEST(ExpertPlannerTest, ChangesAMapThatAShiftHasMadeUselessWhateverThePasses)
 {
-    feed(planner, skewedShares(1), 0, 2000);
+    feedChoices(planner, skewedShares(1), 0, 2000);
     CHECK_TRUE(planner.skew({roundRobinPlacement()}) >= 2.0);
     planner.setPasses(std::chrono::milliseconds(50), std::chrono::milliseconds(150));
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
@@ -421,7 +421,7 @@
 
 TEST(ExpertPlannerTest, ChangesItWhereNothingIsKnownOfPauses)
 {
-    feed(planner, mildlySkewedShares(), 0, 2000);
+    feedChoices(planner, mildlySkewedShares(), 0, 2000);
     planner.setPasses(std::chrono::milliseconds(50), Duration{});
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
