--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -77,7 +77,7 @@
 }
 
 // Returns the most experts that are new to one rank, over all sets.
-std::ptrdiff_t mostCopies(const ExpertMap &before, const ExpertMap &after)
+std::ptrdiff_t maxCopiesPerRank(const ExpertMap &before, const ExpertMap &after)
 {
     std::ptrdiff_t most = 0;
     for (std::size_t rank = 0; rank < before.front().size(); ++rank) {
@@ -279,7 +279,7 @@
     feedChoices(planner, skewedShares(1), 0, 2000);
     const auto planned = planner.plan({roundRobinPlacement()}, at(2000));
     CHECK_TRUE(planned.has_value());
-    LONGS_EQUAL(1, mostCopies({roundRobinPlacement()}, *planned));
+    LONGS_EQUAL(1, maxCopiesPerRank({roundRobinPlacement()}, *planned));
 }
 
 // At 129 ranks orders take half a second to reach all. Two small changes take twice that.
@@ -294,7 +294,7 @@
         }
         const auto planned = learning.plan({roundRobinPlacement()}, at(2000));
         CHECK_TRUE(planned.has_value());
-        return mostCopies({roundRobinPlacement()}, *planned);
+        return maxCopiesPerRank({roundRobinPlacement()}, *planned);
     };
     CHECK_TRUE(copies(std::chrono::milliseconds(1500)) > copies(std::chrono::milliseconds(100)));
 }
@@ -312,7 +312,7 @@
     const ExpertMap current(kSets, roundRobinPlacement());
     const auto planned = planner.plan(current, at(2000));
     CHECK_TRUE(planned.has_value());
-    LONGS_EQUAL(1, mostCopies(current, *planned));
+    LONGS_EQUAL(1, maxCopiesPerRank(current, *planned));
     for (std::uint32_t set = 0; set < kSets; ++set) {
         CHECK_TEXT((*planned)[set] != current[set], "each set gets a part of the copies");
     }
