--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -30,8 +30,8 @@
 std::vector<double> skewedShares(std::uint64_t seed)
 {
     std::vector<double> shares(kExperts);
-    for (std::size_t place = 0; place < shares.size(); ++place) {
-        shares[place] = 1.0 / std::pow(static_cast<double>(place + 1), 1.3);
+    for (std::size_t position = 0; position < shares.size(); ++position) {
+        shares[position] = 1.0 / std::pow(static_cast<double>(position + 1), 1.3);
     }
     std::shuffle(shares.begin(), shares.end(), std::mt19937_64(seed));
     const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
