--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -98,7 +98,7 @@
 
 TEST_GROUP(EvenPlacementTest){};
 
-TEST(EvenPlacementTest, EvensASkewedLoadWithinTheBounds)
+TEST(EvenPlacementTest, BalancesSkewedLoadWithinBounds)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         const std::vector<double> shares = skewedShares(seed);
