--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -121,7 +121,7 @@
     }
 }
 
-TEST(EvenPlacementTest, LeavesAnEvenLoadAlone)
+TEST(EvenPlacementTest, KeepsPlacementOfEvenLoad)
 {
     const std::vector<double> even(kExperts, 1.0 / kExperts);
     CHECK_TRUE(improvePlacement(roundRobinPlacement(), even, {8, 3, 64, 1.0})
