--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -128,7 +128,7 @@
                == roundRobinPlacement());
 }
 
-TEST(EvenPlacementTest, EvensALargeGroupWithinFewChanges)
+TEST(EvenPlacementTest, BalancesLargeGroupWithinChangeLimit)
 {
     constexpr std::uint16_t kManyRanks = 63;
     constexpr std::uint16_t kManyExperts = 252;
