--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -174,7 +174,7 @@
     CHECK_TRUE(few < all + 0.1);
 }
 
-TEST(EvenPlacementTest, SparesASlowRank)
+TEST(EvenPlacementTest, ReducesLoadOfSlowRank)
 {
     const std::vector<double> shares = skewedShares(3);
     std::vector<double> paces(kRanks, 1.0);
