--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -192,7 +192,7 @@
     LONGS_EQUAL(kExperts, placed.size());
 }
 
-TEST(EvenPlacementTest, SharesAnExpertEvenlyAmongItsRanks)
+TEST(EvenPlacementTest, SplitsExpertLoadEvenlyAmongHolders)
 {
     const std::vector<double> shares = {0.6, 0.4};
     const std::vector<double> loads = rankLoads({{0}, {0, 1}}, shares);
