--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -222,7 +222,7 @@
     CHECK_TRUE(planner.skew(*planned) < planner.skew({roundRobinPlacement()}) / 2.0);
 }
 
-TEST(ExpertPlannerTest, LeavesAMapThatIsGoodEnough)
+TEST(ExpertPlannerTest, KeepsMapNearTargetSkew)
 {
     feedChoices(planner, skewedShares(1), 0, 2000);
     auto map = *planner.plan({roundRobinPlacement()}, at(2000));
