--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -234,7 +234,7 @@
     CHECK_FALSE(planner.plan(map, at(7000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ForgetsTheOldMixWhenDemandShifts)
+TEST(ExpertPlannerTest, DetectsShiftOfDemand)
 {
     feedChoices(planner, skewedShares(1), 0, 8000);
     feedChoices(planner, skewedShares(2), 8000, 8800);
