--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -241,7 +241,7 @@
     LONGS_EQUAL(1, planner.shifts());
 }
 
-TEST(ExpertPlannerTest, LeavesOutChoicesThatDoNotFitTheRule)
+TEST(ExpertPlannerTest, IgnoresChoicesOfWrongSize)
 {
     feedChoices(planner, skewedShares(1), 0, 2000);
     const double before = planner.skew({roundRobinPlacement()});
