--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -249,7 +249,7 @@
     DOUBLES_EQUAL(before, planner.skew({roundRobinPlacement()}), 1e-6);
 }
 
-TEST(ExpertPlannerTest, SeesASmallShiftWhereCountsAreCalm)
+TEST(ExpertPlannerTest, DetectsSmallShiftWhenCountsAreSteady)
 {
     std::vector<double> shares = skewedShares(1);
     feedChoices(planner, shares, 0, 8000);
