--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -261,7 +261,7 @@
     LONGS_EQUAL(1, planner.shifts());
 }
 
-TEST(ExpertPlannerTest, PlansNothingThatCopyingWouldEatUp)
+TEST(ExpertPlannerTest, PlansNothingWhenCopyingCostsMoreThanItGains)
 {
     ExpertRule rule{1, kExperts, 8, 3, std::chrono::seconds(20), 0.85};
     planner.setRule(rule);
