--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -273,7 +273,7 @@
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(3000)).has_value());
 }
 
-TEST(ExpertPlannerTest, UrgentChangeCopiesFewExpertsWhereCopyingTakesLong)
+TEST(ExpertPlannerTest, PrefersFewCopiesWhenCopyingIsSlow)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
     feedChoices(planner, skewedShares(1), 0, 2000);
