--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -283,7 +283,7 @@
 }
 
 // At 129 ranks orders take half a second to reach all. Two small changes take twice that.
-TEST(ExpertPlannerTest, ChangesThatTakeLongToComeIntoUseCopyMore)
+TEST(ExpertPlannerTest, CopiesMoreWhenActivationIsSlow)
 {
     const auto copies = [](Duration inUse) {
         ExpertPlanner learning;
