--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -299,7 +299,7 @@
     CHECK_TRUE(copies(std::chrono::milliseconds(1500)) > copies(std::chrono::milliseconds(100)));
 }
 
-TEST(ExpertPlannerTest, SetsShareWhatARankCanCopyInTime)
+TEST(ExpertPlannerTest, SetsShareCopyBudgetOfRank)
 {
     constexpr std::uint32_t kSets = 3;
     planner.setRule({kSets, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
