--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -318,7 +318,7 @@
     }
 }
 
-TEST(ExpertPlannerTest, PlansNothingForABlendOfTwoMixtures)
+TEST(ExpertPlannerTest, PlansNothingForBlendOfTwoWorkloads)
 {
     feedChoices(planner, skewedShares(1), 0, 8000);
     std::vector<double> blend = skewedShares(1);
