--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -333,7 +333,7 @@
     LONGS_EQUAL(1, planner.shifts());
 }
 
-TEST(ExpertPlannerTest, LearnsHowLongAMixtureLasts)
+TEST(ExpertPlannerTest, LearnsWorkloadDuration)
 {
     for (int shift = 0; shift < 6; ++shift) {
         feedChoices(planner, skewedShares(static_cast<std::uint64_t>(shift)), 3000 * shift,
