--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -344,7 +344,7 @@
     CHECK_TRUE(life < std::chrono::milliseconds(2500));
 }
 
-TEST(ExpertPlannerTest, TellsThatAPlanIsLeftBehind)
+TEST(ExpertPlannerTest, ReportsPlanOutdatedAfterShift)
 {
     feedChoices(planner, skewedShares(1), 0, 2000);
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
