--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -355,7 +355,7 @@
 
 // Under an uneven map single rounds differ much in skew. Taken for shifts, they would make mixtures
 // look so short-lived that no change of the map paid, and the map would stay uneven.
-TEST(ExpertPlannerTest, TakesOneOddRoundForNoise)
+TEST(ExpertPlannerTest, TreatsSingleDeviatingRoundAsNoise)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
     const std::vector<double> calm = skewedShares(1);
