--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -376,7 +376,7 @@
 
 // The blends of one shift must not count as a mixture that lasted for a moment: with so short a
 // life expected, no change would pay, and the map would stay as uneven as the shift has left it.
-TEST(ExpertPlannerTest, ShiftThatTakesTwoRoundsCountsOnce)
+TEST(ExpertPlannerTest, CountsShiftSpanningTwoRoundsOnce)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
     feedChoices(planner, skewedShares(1), 0, 4000);
