--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -394,7 +394,7 @@
 
 // The load that this answers: a calm day, on which passes take half of the pause that callers bear
 // and every second change of a map copies 2 TB for nobody.
-TEST(ExpertPlannerTest, LeavesAModeratelyUnevenMapWhilePassesAreFarInsideTheGoal)
+TEST(ExpertPlannerTest, KeepsModeratelySkewedMapWhenPassesAreWellWithinGoal)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     const double skew = planner.skew({roundRobinPlacement()});
