--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -403,7 +403,7 @@
     CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ChangesItOncePassesComeNearTheGoal)
+TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenPassesNearGoal)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     planner.setPasses(std::chrono::milliseconds(100), std::chrono::milliseconds(150));
