--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -411,7 +411,7 @@
 }
 
 // Passes were measured before demand shifted, and streams that last longer make them longer still.
-TEST(ExpertPlannerTest, ChangesAMapThatAShiftHasMadeUselessWhateverThePasses)
+TEST(ExpertPlannerTest, ChangesHighlySkewedMapRegardlessOfPassTime)
 {
     feedChoices(planner, skewedShares(1), 0, 2000);
     CHECK_TRUE(planner.skew({roundRobinPlacement()}) >= 2.0);
