--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -419,7 +419,7 @@
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ChangesItWhereNothingIsKnownOfPauses)
+TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenGoalIsUnknown)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     planner.setPasses(std::chrono::milliseconds(50), Duration{});
