--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -359,13 +359,13 @@
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
     const std::vector<double> calm = skewedShares(1);
-    std::vector<double> odd = calm;
-    const auto most = std::max_element(odd.begin(), odd.end());
+    std::vector<double> deviating = calm;
+    const auto most = std::max_element(deviating.begin(), deviating.end());
     *most *= 1.8;
     int time = 0;
     for (int count = 0; count < 20; ++count) {
         feedChoices(planner, calm, time, time + 800);
-        feedChoices(planner, odd, time + 800, time + 1000);
+        feedChoices(planner, deviating, time + 800, time + 1000);
         time += 1000;
     }
     LONGS_EQUAL(0, planner.shifts());
