--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -358,18 +358,18 @@
 TEST(ExpertPlannerTest, TreatsSingleDeviatingRoundAsNoise)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
-    const std::vector<double> calm = skewedShares(1);
-    std::vector<double> deviating = calm;
+    const std::vector<double> steady = skewedShares(1);
+    std::vector<double> deviating = steady;
     const auto most = std::max_element(deviating.begin(), deviating.end());
     *most *= 1.8;
     int time = 0;
     for (int count = 0; count < 20; ++count) {
-        feedChoices(planner, calm, time, time + 800);
+        feedChoices(planner, steady, time, time + 800);
         feedChoices(planner, deviating, time + 800, time + 1000);
         time += 1000;
     }
     LONGS_EQUAL(0, planner.shifts());
-    feedChoices(planner, calm, time, time + 200);
+    feedChoices(planner, steady, time, time + 200);
     CHECK_TRUE(planner.expectedLife(at(time)) >= std::chrono::seconds(5));
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(time)).has_value());
 }
