--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -87,7 +87,7 @@
     if (sumOf(remembered) <= 0.0) {
         return false;
     }
-    const double limit = std::clamp(calmDistance_ * settings_.shiftOverCalm,
+    const double limit = std::clamp(calmDistance_ * settings_.shiftThresholdFactor,
                                     settings_.leastShiftDistance, settings_.mostShiftDistance);
     return distanceBetween(round_, remembered) > limit
            || (current
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -46,7 +46,7 @@
         // The distance of a round from what is remembered, in parts of all choices that differ,
         // from which on demand has shifted: this many times what it is while demand is calm, within
         // bounds.
-        double shiftOverCalm = 2.0;
+        double shiftThresholdFactor = 2.0;
         double leastShiftDistance = 0.04;
         double mostShiftDistance = 0.3;
         // The same, in parts of the skew: a shift to a few hot experts moves few choices and loads
