--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -47,7 +47,7 @@
         // from which on demand has shifted: this many times what it is while demand is calm, within
         // bounds.
         double shiftThresholdFactor = 2.0;
-        double leastShiftDistance = 0.04;
+        double minShiftDistance = 0.04;
         double mostShiftDistance = 0.3;
         // The same, in parts of the skew: a shift to a few hot experts moves few choices and loads
         // one rank.
