--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -88,7 +88,7 @@
         return false;
     }
     const double limit = std::clamp(calmDistance_ * settings_.shiftThresholdFactor,
-                                    settings_.minShiftDistance, settings_.mostShiftDistance);
+                                    settings_.minShiftDistance, settings_.maxShiftDistance);
     return distanceBetween(round_, remembered) > limit
            || (current
                && skewBy(round_, *current)
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -48,7 +48,7 @@
         // bounds.
         double shiftThresholdFactor = 2.0;
         double minShiftDistance = 0.04;
-        double mostShiftDistance = 0.3;
+        double maxShiftDistance = 0.3;
         // The same, in parts of the skew: a shift to a few hot experts moves few choices and loads
         // one rank.
         double shiftSkew = 0.3;
