--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -92,7 +92,7 @@
     return distanceBetween(round_, remembered) > limit
            || (current
                && skewBy(round_, *current)
-                      > skewBy(remembered, *current) * (1.0 + settings_.shiftSkew));
+                      > skewBy(remembered, *current) * (1.0 + settings_.shiftSkewIncrease));
 }
 
 void ExpertPlanner::noteShift(TimePoint now)
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -51,7 +51,7 @@
         double maxShiftDistance = 0.3;
         // The same, in parts of the skew: a shift to a few hot experts moves few choices and loads
         // one rank.
-        double shiftSkew = 0.3;
+        double shiftSkewIncrease = 0.3;
         // How long a mixture is taken to last before any shift was seen, and how many gaps between
         // shifts are remembered.
         Duration firstGap = std::chrono::seconds(10);
