--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -162,7 +162,7 @@
 Duration ExpertPlanner::expectedLife(TimePoint now) const
 {
     if (gaps_.empty()) {
-        return settings_.firstGap;
+        return settings_.initialShiftInterval;
     }
     const Duration age = now - *shiftedAt_;
     Duration left{};
@@ -176,7 +176,8 @@
         }
     }
     const auto seen = static_cast<std::int64_t>(gaps_.size());
-    const Duration mean = longer > 0 ? left / longer : (whole + settings_.firstGap) / (seen + 1);
+    const Duration mean =
+        longer > 0 ? left / longer : (whole + settings_.initialShiftInterval) / (seen + 1);
     return std::max(settings_.leastLife, mean);
 }
 
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -54,7 +54,7 @@
         double shiftSkewIncrease = 0.3;
         // How long a mixture is taken to last before any shift was seen, and how many gaps between
         // shifts are remembered.
-        Duration firstGap = std::chrono::seconds(10);
+        Duration initialShiftInterval = std::chrono::seconds(10);
         std::size_t gapsKept = 16;
         // The least time that a mixture is taken to last still.
         Duration leastLife = std::chrono::milliseconds(500);
