--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -105,7 +105,7 @@
     ++shifts_;
     if (shiftedAt_) {
         gaps_.push_back(now - *shiftedAt_);
-        if (gaps_.size() > settings_.gapsKept) {
+        if (gaps_.size() > settings_.maxShiftIntervals) {
             gaps_.pop_front();
         }
     }
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -55,7 +55,7 @@
         // How long a mixture is taken to last before any shift was seen, and how many gaps between
         // shifts are remembered.
         Duration initialShiftInterval = std::chrono::seconds(10);
-        std::size_t gapsKept = 16;
+        std::size_t maxShiftIntervals = 16;
         // The least time that a mixture is taken to last still.
         Duration leastLife = std::chrono::milliseconds(500);
         // What a change must win over its cost: the gain is an estimate.
