--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -99,7 +99,7 @@
 {
     shiftedSincePlan_ = true;
     // The ranks' passes end at different moments, so two blends in a row may come of one shift.
-    if (shiftedAt_ && now - *shiftedAt_ < settings_.leastLife) {
+    if (shiftedAt_ && now - *shiftedAt_ < settings_.minWorkloadDuration) {
         return;
     }
     ++shifts_;
@@ -178,7 +178,7 @@
     const auto seen = static_cast<std::int64_t>(gaps_.size());
     const Duration mean =
         longer > 0 ? left / longer : (whole + settings_.initialShiftInterval) / (seen + 1);
-    return std::max(settings_.leastLife, mean);
+    return std::max(settings_.minWorkloadDuration, mean);
 }
 
 // Returns how long a pass takes, in parts of one whose experts are loaded evenly.
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -57,7 +57,7 @@
         Duration initialShiftInterval = std::chrono::seconds(10);
         std::size_t maxShiftIntervals = 16;
         // The least time that a mixture is taken to last still.
-        Duration leastLife = std::chrono::milliseconds(500);
+        Duration minWorkloadDuration = std::chrono::milliseconds(500);
         // What a change must win over its cost: the gain is an estimate.
         double margin = 1.5;
         // The least part of a pass that it must win: while it is under way, a new shift waits.
