--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -247,7 +247,7 @@
     const double used = toSeconds(life - candidate.copying - settings_.takeUp);
     const double cost =
         settings_.copySlowdown * toSeconds(candidate.copying) + toSeconds(settings_.standstill);
-    return gain > settings_.leastGain ? gain * used - settings_.margin * cost : 0.0;
+    return gain > settings_.leastGain ? gain * used - settings_.minBenefitRatio * cost : 0.0;
 }
 
 void ExpertPlanner::noteInUse(Duration time)
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -59,7 +59,7 @@
         // The least time that a mixture is taken to last still.
         Duration minWorkloadDuration = std::chrono::milliseconds(500);
         // What a change must win over its cost: the gain is an estimate.
-        double margin = 1.5;
+        double minBenefitRatio = 1.5;
         // The least part of a pass that it must win: while it is under way, a new shift waits.
         double leastGain = 0.12;
         // Passes take this part longer while experts are copied (the engine's own figure), and the
