--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -247,7 +247,7 @@
     const double used = toSeconds(life - candidate.copying - settings_.takeUp);
     const double cost =
         settings_.copySlowdown * toSeconds(candidate.copying) + toSeconds(settings_.standstill);
-    return gain > settings_.leastGain ? gain * used - settings_.minBenefitRatio * cost : 0.0;
+    return gain > settings_.minGain ? gain * used - settings_.minBenefitRatio * cost : 0.0;
 }
 
 void ExpertPlanner::noteInUse(Duration time)
@@ -277,7 +277,7 @@
     }
     weighed_ = true;
     const double before = skew(current);
-    if (1.0 - passTime(settings_.targetSkew) / passTime(before) <= settings_.leastGain) {
+    if (1.0 - passTime(settings_.targetSkew) / passTime(before) <= settings_.minGain) {
         return std::nullopt; // Not even the best that the search goes for: it is spared.
     }
     if (servesNobody(before)) {
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -61,7 +61,7 @@
         // What a change must win over its cost: the gain is an estimate.
         double minBenefitRatio = 1.5;
         // The least part of a pass that it must win: while it is under way, a new shift waits.
-        double leastGain = 0.12;
+        double minGain = 0.12;
         // Passes take this part longer while experts are copied (the engine's own figure), and the
         // group stands still for about this long while a change comes into use.
         double copySlowdown = 0.15;
