--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -245,8 +245,8 @@
 {
     const double gain = 1.0 - passTime(candidate.skew) / passTime(before);
     const double used = toSeconds(life - candidate.copying - settings_.takeUp);
-    const double cost =
-        settings_.copySlowdown * toSeconds(candidate.copying) + toSeconds(settings_.standstill);
+    const double cost = settings_.copySlowdown * toSeconds(candidate.copying)
+                        + toSeconds(settings_.activationPause);
     return gain > settings_.minGain ? gain * used - settings_.minBenefitRatio * cost : 0.0;
 }
 
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -65,7 +65,7 @@
         // Passes take this part longer while experts are copied (the engine's own figure), and the
         // group stands still for about this long while a change comes into use.
         double copySlowdown = 0.15;
-        Duration standstill = std::chrono::milliseconds(50);
+        Duration activationPause = std::chrono::milliseconds(50);
         // What a change takes beside its copies until it is in use, before any was seen: the
         // orders' way, a hold some passes ahead, arms. The longer, the more copies go into one
         // change.
