--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -253,7 +253,7 @@
 void ExpertPlanner::noteInUse(Duration time)
 {
     const Duration seen = std::max(settings_.minActivationDelay, time - expectedCopying_);
-    const double weight = settings_.takeUpWeight;
+    const double weight = settings_.activationDelayWeight;
     settings_.takeUp =
         fromSeconds(weight * toSeconds(seen) + (1.0 - weight) * toSeconds(settings_.takeUp));
 }
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -72,7 +72,7 @@
         Duration takeUp = std::chrono::milliseconds(250);
         // The least that it is taken for, and the weight of the last change in the average.
         Duration minActivationDelay = std::chrono::milliseconds(100);
-        double takeUpWeight = 0.5;
+        double activationDelayWeight = 0.5;
         // Passes that take less than this part of the longest pause that callers bear make nobody
         // late, unless the load grows by more than half. Above the skew, a shift of demand has made
         // the map useless, and passes may be longer than those that were measured.
