--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -244,7 +244,7 @@
 double ExpertPlanner::worthOf(const Candidate &candidate, double before, Duration life) const
 {
     const double gain = 1.0 - passTime(candidate.skew) / passTime(before);
-    const double used = toSeconds(life - candidate.copying - settings_.takeUp);
+    const double used = toSeconds(life - candidate.copying - settings_.activationDelay);
     const double cost = settings_.copySlowdown * toSeconds(candidate.copying)
                         + toSeconds(settings_.activationPause);
     return gain > settings_.minGain ? gain * used - settings_.minBenefitRatio * cost : 0.0;
@@ -254,14 +254,15 @@
 {
     const Duration seen = std::max(settings_.minActivationDelay, time - expectedCopying_);
     const double weight = settings_.activationDelayWeight;
-    settings_.takeUp =
-        fromSeconds(weight * toSeconds(seen) + (1.0 - weight) * toSeconds(settings_.takeUp));
+    settings_.activationDelay = fromSeconds(
+        weight * toSeconds(seen) + (1.0 - weight) * toSeconds(settings_.activationDelay));
 }
 
 // Returns how many copies a rank the smallest change has: fewer would be in use hardly sooner.
 std::uint32_t ExpertPlanner::fewestCopies() const
 {
-    const Duration least = fromSeconds(toSeconds(settings_.takeUp) * settings_.leastCopying);
+    const Duration least =
+        fromSeconds(toSeconds(settings_.activationDelay) * settings_.leastCopying);
     std::uint32_t copies = 1;
     while (copies * 2 <= rule_.newExperts * rule_.sets && rule_.copyTime * (copies * 2) <= least) {
         copies *= 2;
@@ -292,7 +293,7 @@
         const double worth = worthOf(tried, before, life);
         // What is in use soon goes first: the change that wins most for the time that it takes.
         const double gain = 1.0 - passTime(tried.skew) / passTime(before);
-        const double rate = gain / toSeconds(tried.copying + settings_.takeUp);
+        const double rate = gain / toSeconds(tried.copying + settings_.activationDelay);
         if (worth > 0.0 && rate > bestRate) {
             bestRate = rate;
             best = tried;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -69,7 +69,7 @@
         // What a change takes beside its copies until it is in use, before any was seen: the
         // orders' way, a hold some passes ahead, arms. The longer, the more copies go into one
         // change.
-        Duration takeUp = std::chrono::milliseconds(250);
+        Duration activationDelay = std::chrono::milliseconds(250);
         // The least that it is taken for, and the weight of the last change in the average.
         Duration minActivationDelay = std::chrono::milliseconds(100);
         double activationDelayWeight = 0.5;
