--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -192,7 +192,7 @@
 {
     const bool known = pass_ > Duration{} && pauseGoal_ > Duration{};
     return known && skew < settings_.uselessSkew
-           && toSeconds(pass_) < settings_.comfortable * toSeconds(pauseGoal_);
+           && toSeconds(pass_) < settings_.relaxedPassRatio * toSeconds(pauseGoal_);
 }
 
 // Returns the best map that `copies` new experts a rank reach. The sets share the copies: the least
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -76,7 +76,7 @@
         // Passes that take less than this part of the longest pause that callers bear make nobody
         // late, unless the load grows by more than half. Above the skew, a shift of demand has made
         // the map useless, and passes may be longer than those that were measured.
-        double comfortable = 0.6;
+        double relaxedPassRatio = 0.6;
         double uselessSkew = 2.0;
         // Copies that take less than this part of it are not worth a change of their own.
         double leastCopying = 0.125;
