--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -191,7 +191,7 @@
 bool ExpertPlanner::servesNobody(double skew) const
 {
     const bool known = pass_ > Duration{} && pauseGoal_ > Duration{};
-    return known && skew < settings_.uselessSkew
+    return known && skew < settings_.forcedChangeSkew
            && toSeconds(pass_) < settings_.relaxedPassRatio * toSeconds(pauseGoal_);
 }
 
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -77,7 +77,7 @@
         // late, unless the load grows by more than half. Above the skew, a shift of demand has made
         // the map useless, and passes may be longer than those that were measured.
         double relaxedPassRatio = 0.6;
-        double uselessSkew = 2.0;
+        double forcedChangeSkew = 2.0;
         // Copies that take less than this part of it are not worth a change of their own.
         double leastCopying = 0.125;
         // A set's placement is not improved beyond this skew.
