--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -262,7 +262,7 @@
 std::uint32_t ExpertPlanner::fewestCopies() const
 {
     const Duration least =
-        fromSeconds(toSeconds(settings_.activationDelay) * settings_.leastCopying);
+        fromSeconds(toSeconds(settings_.activationDelay) * settings_.minCopyRatio);
     std::uint32_t copies = 1;
     while (copies * 2 <= rule_.newExperts * rule_.sets && rule_.copyTime * (copies * 2) <= least) {
         copies *= 2;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -79,7 +79,7 @@
         double relaxedPassRatio = 0.6;
         double forcedChangeSkew = 2.0;
         // Copies that take less than this part of it are not worth a change of their own.
-        double leastCopying = 0.125;
+        double minCopyRatio = 0.125;
         // A set's placement is not improved beyond this skew.
         double targetSkew = 1.08;
         std::uint32_t maxChanges = 96;
