--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -125,7 +125,7 @@
 void ExpertPlanner::look(const std::optional<ExpertMap> &current, TimePoint now)
 {
     const bool complete = roundSince_ && now - *roundSince_ >= settings_.roundWindow;
-    if (!complete || sumOf(round_) < settings_.leastCounts) {
+    if (!complete || sumOf(round_) < settings_.minChoices) {
         return;
     }
     judge(current, now);
@@ -273,7 +273,7 @@
 std::optional<ExpertMap> ExpertPlanner::plan(const ExpertMap &current, TimePoint now)
 {
     if (current.size() != rule_.sets || current.empty() || weighed_
-        || sumOf(memory_) < settings_.leastCounts) {
+        || sumOf(memory_) < settings_.minChoices) {
         return std::nullopt;
     }
     weighed_ = true;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -84,7 +84,7 @@
         double targetSkew = 1.08;
         std::uint32_t maxChanges = 96;
         // Choices of experts below which the counts are mostly noise.
-        double leastCounts = 20'000.0;
+        double minChoices = 20'000.0;
     };
 
     ExpertPlanner() = default;
