--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -26,7 +26,7 @@
     rule_ = rule;
 }
 
-void ExpertPlanner::onChoices(std::span<const double> choices, TimePoint now)
+void ExpertPlanner::addChoices(std::span<const double> choices, TimePoint now)
 {
     if (choices.size() != round_.size() || round_.empty()) {
         return;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -94,7 +94,7 @@
 
     void setRule(const ExpertRule &rule);
     // Takes how often each expert was chosen at a rank since that rank's last report, set by set.
-    void onChoices(std::span<const double> choices, TimePoint now);
+    void addChoices(std::span<const double> choices, TimePoint now);
     // Sets within which time the answers of one round come: it depends on the link.
     void setRoundWindow(Duration span) { settings_.roundWindow = span; }
     // Takes how many times as long as a sound rank each rank takes, by rank.
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -513,7 +513,7 @@
         experts_[report.rank] = *facts.experts;
     }
     if (facts.choices) {
-        planner_.onChoices(decodeChoices(*facts.choices), loop_.now());
+        planner_.addChoices(decodeChoices(*facts.choices), loop_.now());
     }
     decider_->onReport(report, askedAt, loop_.now());
 }
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -70,7 +70,7 @@
             for (const double share : shares) {
                 choices.push_back(std::floor(share * kPerPeriod));
             }
-            planner.onChoices(choices, at(time));
+            planner.addChoices(choices, at(time));
         }
         planner.look(std::nullopt, at(time + 50));
     }
@@ -245,7 +245,7 @@
 {
     feedChoices(planner, skewedShares(1), 0, 2000);
     const double before = planner.skew({roundRobinPlacement()});
-    planner.onChoices(std::vector<double>(kExperts + 1, 1e6), at(2000));
+    planner.addChoices(std::vector<double>(kExperts + 1, 1e6), at(2000));
     DOUBLES_EQUAL(before, planner.skew({roundRobinPlacement()}), 1e-6);
 }
 
