--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -102,7 +102,7 @@
 
     // Takes how long passes take, and the longest pause between events that callers bear; zero: not
     // known.
-    void setPasses(Duration pass, Duration goal)
+    void setPassTimes(Duration pass, Duration goal)
     {
         pass_ = pass;
         pauseGoal_ = goal;
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -582,7 +582,7 @@
 void ExpertAgent::replaceChange(MapOrders &orders)
 {
     planner_.setPaces(decider_->paces());
-    planner_.setPasses(decider_->passTime(), pauseGoal_);
+    planner_.setPassTimes(decider_->passTime(), pauseGoal_);
     auto planned = planner_.plan(*current_, loop_.now());
     if (planned && decider_->abandon(loop_.now())) {
         logLine(LogLevel::Info, "map.abandoned",
@@ -605,7 +605,7 @@
     }
     noteObstacle(kNoObstacle);
     planner_.setPaces(decider_->paces());
-    planner_.setPasses(decider_->passTime(), pauseGoal_);
+    planner_.setPassTimes(decider_->passTime(), pauseGoal_);
     logLine(LogLevel::Debug, "map.weighed",
             {{"distance", planner_.distance()}, {"skew", planner_.skew(*current_)}});
     if (auto planned = planner_.plan(*current_, loop_.now())) {
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -399,14 +399,14 @@
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     const double skew = planner.skew({roundRobinPlacement()});
     CHECK_TRUE(skew > 1.3 && skew < 2.0);
-    planner.setPasses(std::chrono::milliseconds(80), std::chrono::milliseconds(150));
+    planner.setPassTimes(std::chrono::milliseconds(80), std::chrono::milliseconds(150));
     CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
 TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenPassesNearGoal)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
-    planner.setPasses(std::chrono::milliseconds(100), std::chrono::milliseconds(150));
+    planner.setPassTimes(std::chrono::milliseconds(100), std::chrono::milliseconds(150));
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
@@ -415,13 +415,13 @@
 {
     feedChoices(planner, skewedShares(1), 0, 2000);
     CHECK_TRUE(planner.skew({roundRobinPlacement()}) >= 2.0);
-    planner.setPasses(std::chrono::milliseconds(50), std::chrono::milliseconds(150));
+    planner.setPassTimes(std::chrono::milliseconds(50), std::chrono::milliseconds(150));
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
 TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenGoalIsUnknown)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
-    planner.setPasses(std::chrono::milliseconds(50), Duration{});
+    planner.setPassTimes(std::chrono::milliseconds(50), Duration{});
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
