--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -122,7 +122,7 @@
     rememberedAt_ = now;
 }
 
-void ExpertPlanner::look(const std::optional<ExpertMap> &current, TimePoint now)
+void ExpertPlanner::endRound(const std::optional<ExpertMap> &current, TimePoint now)
 {
     const bool complete = roundSince_ && now - *roundSince_ >= settings_.roundWindow;
     if (!complete || sumOf(round_) < settings_.minChoices) {
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -110,7 +110,7 @@
 
     // Ends the round that is complete, if there is one, and learns from it. Called at each tick,
     // also while a change is under way. `current` is the map in use, where it is known.
-    void look(const std::optional<ExpertMap> &current, TimePoint now);
+    void endRound(const std::optional<ExpertMap> &current, TimePoint now);
     // Returns a better map than `current`, if there is one worth the change.
     std::optional<ExpertMap> plan(const ExpertMap &current, TimePoint now);
     // A change has come into use, so long after the plan for it was returned.
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -275,7 +275,7 @@
         updatePeers();
     }
     current_ = mapInUse();
-    planner_.look(current_, loop_.now());
+    planner_.endRound(current_, loop_.now());
     askGroup();
     runDecider();
     reportGroup();
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -72,7 +72,7 @@
             }
             planner.addChoices(choices, at(time));
         }
-        planner.look(std::nullopt, at(time + 50));
+        planner.endRound(std::nullopt, at(time + 50));
     }
 }
 
