--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -250,7 +250,7 @@
     return gain > settings_.minGain ? gain * used - settings_.minBenefitRatio * cost : 0.0;
 }
 
-void ExpertPlanner::noteInUse(Duration time)
+void ExpertPlanner::recordActivation(Duration time)
 {
     const Duration seen = std::max(settings_.minActivationDelay, time - expectedCopying_);
     const double weight = settings_.activationDelayWeight;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -114,7 +114,7 @@
     // Returns a better map than `current`, if there is one worth the change.
     std::optional<ExpertMap> plan(const ExpertMap &current, TimePoint now);
     // A change has come into use, so long after the plan for it was returned.
-    void noteInUse(Duration time);
+    void recordActivation(Duration time);
     // Tells whether demand has shifted since the last plan was returned.
     bool outdated() const { return shiftedSincePlan_; }
     // Tells whether the last round gave an alarm, on which the next one decides.
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -527,7 +527,7 @@
     }
     if (proposedVersion_ != 0 && *version == proposedVersion_) {
         if (!known_ || known_->version != *version) {
-            planner_.noteInUse(loop_.now() - proposedAt_);
+            planner_.recordActivation(loop_.now() - proposedAt_);
         }
         known_ = KnownMap{*version, proposed_};
     } else if (!known_ || known_->version != *version) {
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -290,7 +290,7 @@
         learning.setRule({1, kExperts, 8, 8, std::chrono::milliseconds(40), 0.85});
         feedChoices(learning, skewedShares(1), 0, 2000);
         for (int change = 0; change < 5; ++change) {
-            learning.noteInUse(inUse);
+            learning.recordActivation(inUse);
         }
         const auto planned = learning.plan({roundRobinPlacement()}, at(2000));
         CHECK_TRUE(planned.has_value());
