--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -159,7 +159,7 @@
 // The mean of what was left of the remembered gaps at the present mixture's age; a mixture that has
 // outlived them all may last as long as any did, or as one that is not known yet: too short an
 // estimate would make no change worth its copying.
-Duration ExpertPlanner::expectedLife(TimePoint now) const
+Duration ExpertPlanner::expectedWorkloadDuration(TimePoint now) const
 {
     if (gaps_.empty()) {
         return settings_.initialShiftInterval;
@@ -284,7 +284,7 @@
     if (servesNobody(before)) {
         return std::nullopt;
     }
-    const Duration life = expectedLife(now);
+    const Duration life = expectedWorkloadDuration(now);
     std::optional<Candidate> best;
     double bestRate = 0.0;
     for (std::uint32_t copies = fewestCopies(); copies <= rule_.newExperts * rule_.sets;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -125,7 +125,7 @@
     double expectedSkew() const { return expectedSkew_; }
     Duration expectedCopying() const { return expectedCopying_; }
     // Returns how long the mixture of requests is likely to last still.
-    Duration expectedLife(TimePoint now) const;
+    Duration expectedWorkloadDuration(TimePoint now) const;
     // Returns the part of all choices by which the last round differed from what was remembered.
     double distance() const { return distance_; }
     std::uint64_t shifts() const { return shifts_; }
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -627,7 +627,7 @@
                  {"skew", planner_.skew(*current_)},
                  {"expectedSkew", planner_.expectedSkew()},
                  {"expectedCopyMs", toMillis(planner_.expectedCopying())},
-                 {"expectedLifeMs", toMillis(planner_.expectedLife(loop_.now()))},
+                 {"expectedLifeMs", toMillis(planner_.expectedWorkloadDuration(loop_.now()))},
                  {"shifts", planner_.shifts()}});
     }
 }
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -339,7 +339,8 @@
         feedChoices(planner, skewedShares(static_cast<std::uint64_t>(shift)), 3000 * shift,
                     3000 * (shift + 1));
     }
-    const Duration life = planner.expectedLife(at(16'050)); // A second into the last mixture.
+    const Duration life =
+        planner.expectedWorkloadDuration(at(16'050)); // A second into the last mixture.
     CHECK_TRUE(life > std::chrono::milliseconds(1500));
     CHECK_TRUE(life < std::chrono::milliseconds(2500));
 }
@@ -370,7 +371,7 @@
     }
     LONGS_EQUAL(0, planner.shifts());
     feedChoices(planner, steady, time, time + 200);
-    CHECK_TRUE(planner.expectedLife(at(time)) >= std::chrono::seconds(5));
+    CHECK_TRUE(planner.expectedWorkloadDuration(at(time)) >= std::chrono::seconds(5));
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(time)).has_value());
 }
 
@@ -388,7 +389,7 @@
     feedChoices(planner, blend, 4000, 4400);
     feedChoices(planner, later, 4400, 5400);
     LONGS_EQUAL(1, planner.shifts());
-    CHECK_TRUE(planner.expectedLife(at(5400)) >= std::chrono::seconds(3));
+    CHECK_TRUE(planner.expectedWorkloadDuration(at(5400)) >= std::chrono::seconds(3));
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(5400)).has_value());
 }
 
