--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -118,7 +118,7 @@
     // Tells whether demand has shifted since the last plan was returned.
     bool outdated() const { return shiftedSincePlan_; }
     // Tells whether the last round gave an alarm, on which the next one decides.
-    bool doubting() const { return !doubted_.empty(); }
+    bool shiftSuspected() const { return !doubted_.empty(); }
     // Returns the mean over the sets of the largest load over the mean load.
     double skew(const ExpertMap &map) const;
     // Returns the skew that the last plan expects, and how long its copying takes.
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -447,7 +447,7 @@
     decider_->setReportTtl(plan.reportTtl);
     planner_.setRoundWindow(plan.roundWindow);
     // An alarm is confirmed or dropped as soon as a round can be.
-    const Duration countsGap = planner_.doubting()
+    const Duration countsGap = planner_.shiftSuspected()
                                    ? std::max(plan.countsInterval / 2, plan.roundWindow)
                                    : plan.countsInterval;
     const bool counts = now - countsAskedAt_ >= std::max(countsGap, kLeastCountsGap);
