--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -116,7 +116,7 @@
     // A change has come into use, so long after the plan for it was returned.
     void recordActivation(Duration time);
     // Tells whether demand has shifted since the last plan was returned.
-    bool outdated() const { return shiftedSincePlan_; }
+    bool planOutdated() const { return shiftedSincePlan_; }
     // Tells whether the last round gave an alarm, on which the next one decides.
     bool shiftSuspected() const { return !doubted_.empty(); }
     // Returns the mean over the sets of the largest load over the mean load.
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -564,7 +564,7 @@
     MapOrders orders;
     decider_->onTick(loop_.now(), orders);
     const bool leftBehind =
-        decider_->phase() == GroupDecider::Phase::Preparing && planner_.outdated() && current_;
+        decider_->phase() == GroupDecider::Phase::Preparing && planner_.planOutdated() && current_;
     if (leftBehind) {
         replaceChange(orders);
     } else if (decider_->phase() == GroupDecider::Phase::Idle) {
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -349,9 +349,9 @@
 {
     feedChoices(planner, skewedShares(1), 0, 2000);
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
-    CHECK_FALSE(planner.outdated());
+    CHECK_FALSE(planner.planOutdated());
     feedChoices(planner, skewedShares(2), 2000, 2400);
-    CHECK_TRUE(planner.outdated());
+    CHECK_TRUE(planner.planOutdated());
 }
 
 // Under an uneven map single rounds differ much in skew. Taken for shifts, they would make mixtures
