--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -127,7 +127,7 @@
     // Returns how long the mixture of requests is likely to last still.
     Duration expectedWorkloadDuration(TimePoint now) const;
     // Returns the part of all choices by which the last round differed from what was remembered.
-    double distance() const { return distance_; }
+    double roundDistance() const { return distance_; }
     std::uint64_t shifts() const { return shifts_; }
 
 private:
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -607,7 +607,7 @@
     planner_.setPaces(decider_->paces());
     planner_.setPassTimes(decider_->passTime(), pauseGoal_);
     logLine(LogLevel::Debug, "map.weighed",
-            {{"distance", planner_.distance()}, {"skew", planner_.skew(*current_)}});
+            {{"distance", planner_.roundDistance()}, {"skew", planner_.skew(*current_)}});
     if (auto planned = planner_.plan(*current_, loop_.now())) {
         propose(std::move(*planned), orders);
     }
