--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -17,8 +17,8 @@
 void ExpertPlanner::setRule(const ExpertRule &rule)
 {
     const std::size_t size = std::size_t{rule.sets} * rule.experts;
-    if (memory_.size() != size) {
-        memory_.assign(size, 0.0);
+    if (history_.size() != size) {
+        history_.assign(size, 0.0);
         round_.assign(size, 0.0);
         doubted_.clear();
         roundSince_.reset();
@@ -77,7 +77,7 @@
 
 double ExpertPlanner::skew(const ExpertMap &map) const
 {
-    return skewBy(memory_, map);
+    return skewBy(history_, map);
 }
 
 // Tells whether the round differs from what was remembered by more than noise.
@@ -116,8 +116,8 @@
 {
     const double seconds = std::max(0.0, toSeconds(now - rememberedAt_));
     const double factor = std::exp2(-seconds / toSeconds(settings_.halfLife));
-    for (std::size_t index = 0; index < memory_.size(); ++index) {
-        memory_[index] = memory_[index] * factor + round_[index];
+    for (std::size_t index = 0; index < history_.size(); ++index) {
+        history_[index] = history_[index] * factor + round_[index];
     }
     rememberedAt_ = now;
 }
@@ -141,13 +141,13 @@
         if (differs(doubted_, current)) {
             noteShift(now);
         } else {
-            memory_ = std::move(doubted_); // The alarm was noise.
+            history_ = std::move(doubted_); // The alarm was noise.
         }
         doubted_.clear();
     } else {
-        distance_ = distanceBetween(round_, memory_);
-        if (differs(memory_, current)) {
-            doubted_ = std::exchange(memory_, std::vector<double>(memory_.size(), 0.0));
+        distance_ = distanceBetween(round_, history_);
+        if (differs(history_, current)) {
+            doubted_ = std::exchange(history_, std::vector<double>(history_.size(), 0.0));
             return;
         }
         calmDistance_ += kCalmWeight * (distance_ - calmDistance_);
@@ -203,7 +203,7 @@
     std::vector<std::vector<double>> shares;
     std::vector<std::pair<double, std::uint32_t>> order;
     for (std::uint32_t set = 0; set < rule_.sets; ++set) {
-        shares.push_back(sharesOf(memory_, set, rule_.experts));
+        shares.push_back(sharesOf(history_, set, rule_.experts));
         order.emplace_back(-placementSkew(current[set], shares[set], paces_), set);
     }
     std::sort(order.begin(), order.end());
@@ -273,7 +273,7 @@
 std::optional<ExpertMap> ExpertPlanner::plan(const ExpertMap &current, TimePoint now)
 {
     if (current.size() != rule_.sets || current.empty() || weighed_
-        || sumOf(memory_) < settings_.minChoices) {
+        || sumOf(history_) < settings_.minChoices) {
         return std::nullopt;
     }
     weighed_ = true;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -156,8 +156,8 @@
 
     Settings settings_;
     ExpertRule rule_;
-    std::vector<double> memory_; // Counts by set and expert, with the weight of their age.
-    std::vector<double> round_;  // Of the round that is coming in.
+    std::vector<double> history_; // Counts by set and expert, with the weight of their age.
+    std::vector<double> round_;   // Of the round that is coming in.
     // What was remembered when an alarm was given that the next round decides on; empty: none was.
     std::vector<double> doubted_;
     std::optional<TimePoint> roundSince_;
