--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -20,7 +20,7 @@
     if (history_.size() != size) {
         history_.assign(size, 0.0);
         round_.assign(size, 0.0);
-        doubted_.clear();
+        suspectedHistory_.clear();
         roundSince_.reset();
     }
     rule_ = rule;
@@ -137,17 +137,17 @@
 void ExpertPlanner::judge(const std::optional<ExpertMap> &current, TimePoint now)
 {
     constexpr double kCalmWeight = 0.05; // Of one round among some ten a second.
-    if (!doubted_.empty()) {
-        if (differs(doubted_, current)) {
+    if (!suspectedHistory_.empty()) {
+        if (differs(suspectedHistory_, current)) {
             noteShift(now);
         } else {
-            history_ = std::move(doubted_); // The alarm was noise.
+            history_ = std::move(suspectedHistory_); // The alarm was noise.
         }
-        doubted_.clear();
+        suspectedHistory_.clear();
     } else {
         distance_ = distanceBetween(round_, history_);
         if (differs(history_, current)) {
-            doubted_ = std::exchange(history_, std::vector<double>(history_.size(), 0.0));
+            suspectedHistory_ = std::exchange(history_, std::vector<double>(history_.size(), 0.0));
             return;
         }
         calmDistance_ += kCalmWeight * (distance_ - calmDistance_);
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -118,7 +118,7 @@
     // Tells whether demand has shifted since the last plan was returned.
     bool planOutdated() const { return shiftedSincePlan_; }
     // Tells whether the last round gave an alarm, on which the next one decides.
-    bool shiftSuspected() const { return !doubted_.empty(); }
+    bool shiftSuspected() const { return !suspectedHistory_.empty(); }
     // Returns the mean over the sets of the largest load over the mean load.
     double skew(const ExpertMap &map) const;
     // Returns the skew that the last plan expects, and how long its copying takes.
@@ -159,7 +159,7 @@
     std::vector<double> history_; // Counts by set and expert, with the weight of their age.
     std::vector<double> round_;   // Of the round that is coming in.
     // What was remembered when an alarm was given that the next round decides on; empty: none was.
-    std::vector<double> doubted_;
+    std::vector<double> suspectedHistory_;
     std::optional<TimePoint> roundSince_;
     TimePoint rememberedAt_{};
     std::vector<double> paces_;
