--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -81,18 +81,18 @@
 }
 
 // Tells whether the round differs from what was remembered by more than noise.
-bool ExpertPlanner::differs(const std::vector<double> &remembered,
+bool ExpertPlanner::differs(const std::vector<double> &history,
                             const std::optional<ExpertMap> &current) const
 {
-    if (sumOf(remembered) <= 0.0) {
+    if (sumOf(history) <= 0.0) {
         return false;
     }
     const double limit = std::clamp(calmDistance_ * settings_.shiftThresholdFactor,
                                     settings_.minShiftDistance, settings_.maxShiftDistance);
-    return distanceBetween(round_, remembered) > limit
+    return distanceBetween(round_, history) > limit
            || (current
                && skewBy(round_, *current)
-                      > skewBy(remembered, *current) * (1.0 + settings_.shiftSkewIncrease));
+                      > skewBy(history, *current) * (1.0 + settings_.shiftSkewIncrease));
 }
 
 void ExpertPlanner::noteShift(TimePoint now)
