--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -81,8 +81,8 @@
 }
 
 // Tells whether the round differs from what was remembered by more than noise.
-bool ExpertPlanner::differs(const std::vector<double> &history,
-                            const std::optional<ExpertMap> &current) const
+bool ExpertPlanner::indicatesShift(const std::vector<double> &history,
+                                   const std::optional<ExpertMap> &current) const
 {
     if (sumOf(history) <= 0.0) {
         return false;
@@ -138,7 +138,7 @@
 {
     constexpr double kCalmWeight = 0.05; // Of one round among some ten a second.
     if (!suspectedHistory_.empty()) {
-        if (differs(suspectedHistory_, current)) {
+        if (indicatesShift(suspectedHistory_, current)) {
             noteShift(now);
         } else {
             history_ = std::move(suspectedHistory_); // The alarm was noise.
@@ -146,7 +146,7 @@
         suspectedHistory_.clear();
     } else {
         distance_ = distanceBetween(round_, history_);
-        if (differs(history_, current)) {
+        if (indicatesShift(history_, current)) {
             suspectedHistory_ = std::exchange(history_, std::vector<double>(history_.size(), 0.0));
             return;
         }
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -143,7 +143,8 @@
     double skewBy(const std::vector<double> &counts, const ExpertMap &map) const;
     static double distanceBetween(const std::vector<double> &counts,
                                   const std::vector<double> &others);
-    bool differs(const std::vector<double> &history, const std::optional<ExpertMap> &current) const;
+    bool indicatesShift(const std::vector<double> &history,
+                        const std::optional<ExpertMap> &current) const;
     void judge(const std::optional<ExpertMap> &current, TimePoint now);
     void noteShift(TimePoint now);
     void remember(TimePoint now);
