--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -128,13 +128,13 @@
     if (!complete || sumOf(round_) < settings_.minChoices) {
         return;
     }
-    judge(current, now);
+    evaluateRound(current, now);
     std::fill(round_.begin(), round_.end(), 0.0);
     roundSince_.reset();
 }
 
 // Learns from the complete round.
-void ExpertPlanner::judge(const std::optional<ExpertMap> &current, TimePoint now)
+void ExpertPlanner::evaluateRound(const std::optional<ExpertMap> &current, TimePoint now)
 {
     constexpr double kCalmWeight = 0.05; // Of one round among some ten a second.
     if (!suspectedHistory_.empty()) {
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -145,7 +145,7 @@
                                   const std::vector<double> &others);
     bool indicatesShift(const std::vector<double> &history,
                         const std::optional<ExpertMap> &current) const;
-    void judge(const std::optional<ExpertMap> &current, TimePoint now);
+    void evaluateRound(const std::optional<ExpertMap> &current, TimePoint now);
     void noteShift(TimePoint now);
     void remember(TimePoint now);
     double passTime(double skew) const;
