--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -95,7 +95,7 @@
                       > skewBy(history, *current) * (1.0 + settings_.shiftSkewIncrease));
 }
 
-void ExpertPlanner::noteShift(TimePoint now)
+void ExpertPlanner::recordShift(TimePoint now)
 {
     shiftedSincePlan_ = true;
     // The ranks' passes end at different moments, so two blends in a row may come of one shift.
@@ -139,7 +139,7 @@
     constexpr double kCalmWeight = 0.05; // Of one round among some ten a second.
     if (!suspectedHistory_.empty()) {
         if (indicatesShift(suspectedHistory_, current)) {
-            noteShift(now);
+            recordShift(now);
         } else {
             history_ = std::move(suspectedHistory_); // The alarm was noise.
         }
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -146,7 +146,7 @@
     bool indicatesShift(const std::vector<double> &history,
                         const std::optional<ExpertMap> &current) const;
     void evaluateRound(const std::optional<ExpertMap> &current, TimePoint now);
-    void noteShift(TimePoint now);
+    void recordShift(TimePoint now);
     void remember(TimePoint now);
     double passTime(double skew) const;
     bool servesNobody(double skew) const;
