--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -112,7 +112,7 @@
     shiftedAt_ = now;
 }
 
-void ExpertPlanner::remember(TimePoint now)
+void ExpertPlanner::mergeRound(TimePoint now)
 {
     const double seconds = std::max(0.0, toSeconds(now - rememberedAt_));
     const double factor = std::exp2(-seconds / toSeconds(settings_.halfLife));
@@ -152,7 +152,7 @@
         }
         calmDistance_ += kCalmWeight * (distance_ - calmDistance_);
     }
-    remember(now);
+    mergeRound(now);
     weighed_ = false;
 }
 
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -147,7 +147,7 @@
                         const std::optional<ExpertMap> &current) const;
     void evaluateRound(const std::optional<ExpertMap> &current, TimePoint now);
     void recordShift(TimePoint now);
-    void remember(TimePoint now);
+    void mergeRound(TimePoint now);
     double passTime(double skew) const;
     bool servesNobody(double skew) const;
     Candidate candidate(const ExpertMap &current, std::uint32_t copies) const;
