--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -114,12 +114,12 @@
 
 void ExpertPlanner::mergeRound(TimePoint now)
 {
-    const double seconds = std::max(0.0, toSeconds(now - rememberedAt_));
+    const double seconds = std::max(0.0, toSeconds(now - mergedAt_));
     const double factor = std::exp2(-seconds / toSeconds(settings_.halfLife));
     for (std::size_t index = 0; index < history_.size(); ++index) {
         history_[index] = history_[index] * factor + round_[index];
     }
-    rememberedAt_ = now;
+    mergedAt_ = now;
 }
 
 void ExpertPlanner::endRound(const std::optional<ExpertMap> &current, TimePoint now)
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -161,7 +161,7 @@
     // What was remembered when an alarm was given that the next round decides on; empty: none was.
     std::vector<double> suspectedHistory_;
     std::optional<TimePoint> roundSince_;
-    TimePoint rememberedAt_{};
+    TimePoint mergedAt_{};
     std::vector<double> paces_;
     Duration pass_{};
     Duration pauseGoal_{};
