--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -188,7 +188,7 @@
 }
 
 // Tells whether a more even map would make no stream earlier than its caller needs it.
-bool ExpertPlanner::servesNobody(double skew) const
+bool ExpertPlanner::isWithinLatencyGoal(double skew) const
 {
     const bool known = pass_ > Duration{} && pauseGoal_ > Duration{};
     return known && skew < settings_.forcedChangeSkew
@@ -281,7 +281,7 @@
     if (1.0 - passTime(settings_.targetSkew) / passTime(before) <= settings_.minGain) {
         return std::nullopt; // Not even the best that the search goes for: it is spared.
     }
-    if (servesNobody(before)) {
+    if (isWithinLatencyGoal(before)) {
         return std::nullopt;
     }
     const Duration life = expectedWorkloadDuration(now);
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -149,7 +149,7 @@
     void recordShift(TimePoint now);
     void mergeRound(TimePoint now);
     double passTime(double skew) const;
-    bool servesNobody(double skew) const;
+    bool isWithinLatencyGoal(double skew) const;
     Candidate candidate(const ExpertMap &current, std::uint32_t copies) const;
     std::uint32_t fewestCopies() const;
     double worthOf(const Candidate &candidate, double before, Duration life) const;
