--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -66,7 +66,7 @@
     return shares;
 }
 
-double ExpertPlanner::skewBy(const std::vector<double> &counts, const ExpertMap &map) const
+double ExpertPlanner::skewFor(const std::vector<double> &counts, const ExpertMap &map) const
 {
     double sum = 0.0;
     for (std::uint32_t set = 0; set < map.size() && set < rule_.sets; ++set) {
@@ -77,7 +77,7 @@
 
 double ExpertPlanner::skew(const ExpertMap &map) const
 {
-    return skewBy(history_, map);
+    return skewFor(history_, map);
 }
 
 // Tells whether the round differs from what was remembered by more than noise.
@@ -91,8 +91,8 @@
                                     settings_.minShiftDistance, settings_.maxShiftDistance);
     return distanceBetween(round_, history) > limit
            || (current
-               && skewBy(round_, *current)
-                      > skewBy(history, *current) * (1.0 + settings_.shiftSkewIncrease));
+               && skewFor(round_, *current)
+                      > skewFor(history, *current) * (1.0 + settings_.shiftSkewIncrease));
 }
 
 void ExpertPlanner::recordShift(TimePoint now)
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -140,7 +140,7 @@
 
     static std::vector<double> sharesOf(const std::vector<double> &counts, std::uint32_t set,
                                         std::uint32_t experts);
-    double skewBy(const std::vector<double> &counts, const ExpertMap &map) const;
+    double skewFor(const std::vector<double> &counts, const ExpertMap &map) const;
     static double distanceBetween(const std::vector<double> &counts,
                                   const std::vector<double> &others);
     bool indicatesShift(const std::vector<double> &history,
