--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -259,7 +259,7 @@
 }
 
 // Returns how many copies a rank the smallest change has: fewer would be in use hardly sooner.
-std::uint32_t ExpertPlanner::fewestCopies() const
+std::uint32_t ExpertPlanner::minCopiesPerRank() const
 {
     const Duration least =
         fromSeconds(toSeconds(settings_.activationDelay) * settings_.minCopyRatio);
@@ -287,7 +287,7 @@
     const Duration life = expectedWorkloadDuration(now);
     std::optional<Candidate> best;
     double bestRate = 0.0;
-    for (std::uint32_t copies = fewestCopies(); copies <= rule_.newExperts * rule_.sets;
+    for (std::uint32_t copies = minCopiesPerRank(); copies <= rule_.newExperts * rule_.sets;
          copies *= 2) {
         const Candidate tried = candidate(current, copies);
         const double worth = worthOf(tried, before, life);
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -151,7 +151,7 @@
     double passTime(double skew) const;
     bool isWithinLatencyGoal(double skew) const;
     Candidate candidate(const ExpertMap &current, std::uint32_t copies) const;
-    std::uint32_t fewestCopies() const;
+    std::uint32_t minCopiesPerRank() const;
     double worthOf(const Candidate &candidate, double before, Duration life) const;
 
     Settings settings_;
