--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -241,7 +241,7 @@
 
 // Returns the seconds of passes that a change wins, over what it costs; zero or less when it is not
 // worth it.
-double ExpertPlanner::worthOf(const Candidate &candidate, double before, Duration life) const
+double ExpertPlanner::netBenefit(const Candidate &candidate, double before, Duration life) const
 {
     const double gain = 1.0 - passTime(candidate.skew) / passTime(before);
     const double used = toSeconds(life - candidate.copying - settings_.activationDelay);
@@ -290,7 +290,7 @@
     for (std::uint32_t copies = minCopiesPerRank(); copies <= rule_.newExperts * rule_.sets;
          copies *= 2) {
         const Candidate tried = candidate(current, copies);
-        const double worth = worthOf(tried, before, life);
+        const double worth = netBenefit(tried, before, life);
         // What is in use soon goes first: the change that wins most for the time that it takes.
         const double gain = 1.0 - passTime(tried.skew) / passTime(before);
         const double rate = gain / toSeconds(tried.copying + settings_.activationDelay);
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -152,7 +152,7 @@
     bool isWithinLatencyGoal(double skew) const;
     Candidate candidate(const ExpertMap &current, std::uint32_t copies) const;
     std::uint32_t minCopiesPerRank() const;
-    double worthOf(const Candidate &candidate, double before, Duration life) const;
+    double netBenefit(const Candidate &candidate, double before, Duration life) const;
 
     Settings settings_;
     ExpertRule rule_;
