--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -153,7 +153,7 @@
         calmDistance_ += kCalmWeight * (distance_ - calmDistance_);
     }
     mergeRound(now);
-    weighed_ = false;
+    planned_ = false;
 }
 
 // The mean of what was left of the remembered gaps at the present mixture's age; a mixture that has
@@ -272,11 +272,11 @@
 
 std::optional<ExpertMap> ExpertPlanner::plan(const ExpertMap &current, TimePoint now)
 {
-    if (current.size() != rule_.sets || current.empty() || weighed_
+    if (current.size() != rule_.sets || current.empty() || planned_
         || sumOf(history_) < settings_.minChoices) {
         return std::nullopt;
     }
-    weighed_ = true;
+    planned_ = true;
     const double before = skew(current);
     if (1.0 - passTime(settings_.targetSkew) / passTime(before) <= settings_.minGain) {
         return std::nullopt; // Not even the best that the search goes for: it is spared.
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -169,7 +169,7 @@
     double calmDistance_ = 0.1;
     std::optional<TimePoint> shiftedAt_;
     std::deque<Duration> gaps_; // Between shifts.
-    bool weighed_ = false;      // The round last remembered has been planned for.
+    bool planned_ = false;      // The round last remembered has been planned for.
     bool shiftedSincePlan_ = false;
     double expectedSkew_ = 1.0;
     Duration expectedCopying_{};
