--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -104,9 +104,9 @@
     }
     ++shifts_;
     if (shiftedAt_) {
-        gaps_.push_back(now - *shiftedAt_);
-        if (gaps_.size() > settings_.maxShiftIntervals) {
-            gaps_.pop_front();
+        shiftIntervals_.push_back(now - *shiftedAt_);
+        if (shiftIntervals_.size() > settings_.maxShiftIntervals) {
+            shiftIntervals_.pop_front();
         }
     }
     shiftedAt_ = now;
@@ -161,21 +161,21 @@
 // estimate would make no change worth its copying.
 Duration ExpertPlanner::expectedWorkloadDuration(TimePoint now) const
 {
-    if (gaps_.empty()) {
+    if (shiftIntervals_.empty()) {
         return settings_.initialShiftInterval;
     }
     const Duration age = now - *shiftedAt_;
     Duration left{};
     Duration whole{};
     std::int64_t longer = 0;
-    for (const Duration gap : gaps_) {
+    for (const Duration gap : shiftIntervals_) {
         whole += gap;
         if (gap > age) {
             left += gap - age;
             ++longer;
         }
     }
-    const auto seen = static_cast<std::int64_t>(gaps_.size());
+    const auto seen = static_cast<std::int64_t>(shiftIntervals_.size());
     const Duration mean =
         longer > 0 ? left / longer : (whole + settings_.initialShiftInterval) / (seen + 1);
     return std::max(settings_.minWorkloadDuration, mean);
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -168,8 +168,8 @@
     double distance_ = 0.0;
     double calmDistance_ = 0.1;
     std::optional<TimePoint> shiftedAt_;
-    std::deque<Duration> gaps_; // Between shifts.
-    bool planned_ = false;      // The round last remembered has been planned for.
+    std::deque<Duration> shiftIntervals_; // Between shifts.
+    bool planned_ = false;                // The round last remembered has been planned for.
     bool shiftedSincePlan_ = false;
     double expectedSkew_ = 1.0;
     Duration expectedCopying_{};
