--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -87,7 +87,7 @@
     if (sumOf(history) <= 0.0) {
         return false;
     }
-    const double limit = std::clamp(calmDistance_ * settings_.shiftThresholdFactor,
+    const double limit = std::clamp(steadyDistance_ * settings_.shiftThresholdFactor,
                                     settings_.minShiftDistance, settings_.maxShiftDistance);
     return distanceBetween(round_, history) > limit
            || (current
@@ -150,7 +150,7 @@
             suspectedHistory_ = std::exchange(history_, std::vector<double>(history_.size(), 0.0));
             return;
         }
-        calmDistance_ += kCalmWeight * (distance_ - calmDistance_);
+        steadyDistance_ += kCalmWeight * (distance_ - steadyDistance_);
     }
     mergeRound(now);
     planned_ = false;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -166,7 +166,7 @@
     Duration pass_{};
     Duration pauseGoal_{};
     double distance_ = 0.0;
-    double calmDistance_ = 0.1;
+    double steadyDistance_ = 0.1;
     std::optional<TimePoint> shiftedAt_;
     std::deque<Duration> shiftIntervals_; // Between shifts.
     bool planned_ = false;                // The round last remembered has been planned for.
