--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -99,17 +99,17 @@
 {
     shiftedSincePlan_ = true;
     // The ranks' passes end at different moments, so two blends in a row may come of one shift.
-    if (shiftedAt_ && now - *shiftedAt_ < settings_.minWorkloadDuration) {
+    if (lastShiftAt_ && now - *lastShiftAt_ < settings_.minWorkloadDuration) {
         return;
     }
     ++shifts_;
-    if (shiftedAt_) {
-        shiftIntervals_.push_back(now - *shiftedAt_);
+    if (lastShiftAt_) {
+        shiftIntervals_.push_back(now - *lastShiftAt_);
         if (shiftIntervals_.size() > settings_.maxShiftIntervals) {
             shiftIntervals_.pop_front();
         }
     }
-    shiftedAt_ = now;
+    lastShiftAt_ = now;
 }
 
 void ExpertPlanner::mergeRound(TimePoint now)
@@ -164,7 +164,7 @@
     if (shiftIntervals_.empty()) {
         return settings_.initialShiftInterval;
     }
-    const Duration age = now - *shiftedAt_;
+    const Duration age = now - *lastShiftAt_;
     Duration left{};
     Duration whole{};
     std::int64_t longer = 0;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -167,7 +167,7 @@
     Duration pauseGoal_{};
     double distance_ = 0.0;
     double steadyDistance_ = 0.1;
-    std::optional<TimePoint> shiftedAt_;
+    std::optional<TimePoint> lastShiftAt_;
     std::deque<Duration> shiftIntervals_; // Between shifts.
     bool planned_ = false;                // The round last remembered has been planned for.
     bool shiftedSincePlan_ = false;
