--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -21,7 +21,7 @@
         history_.assign(size, 0.0);
         round_.assign(size, 0.0);
         suspectedHistory_.clear();
-        roundSince_.reset();
+        roundStartedAt_.reset();
     }
     rule_ = rule;
 }
@@ -34,7 +34,7 @@
     for (std::size_t index = 0; index < choices.size(); ++index) {
         round_[index] += choices[index];
     }
-    roundSince_ = roundSince_.value_or(now);
+    roundStartedAt_ = roundStartedAt_.value_or(now);
 }
 
 // Returns the part of all choices by which two counts differ; zero when one of them is empty.
@@ -124,13 +124,13 @@
 
 void ExpertPlanner::endRound(const std::optional<ExpertMap> &current, TimePoint now)
 {
-    const bool complete = roundSince_ && now - *roundSince_ >= settings_.roundWindow;
+    const bool complete = roundStartedAt_ && now - *roundStartedAt_ >= settings_.roundWindow;
     if (!complete || sumOf(round_) < settings_.minChoices) {
         return;
     }
     evaluateRound(current, now);
     std::fill(round_.begin(), round_.end(), 0.0);
-    roundSince_.reset();
+    roundStartedAt_.reset();
 }
 
 // Learns from the complete round.
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -160,7 +160,7 @@
     std::vector<double> round_;   // Of the round that is coming in.
     // What was remembered when an alarm was given that the next round decides on; empty: none was.
     std::vector<double> suspectedHistory_;
-    std::optional<TimePoint> roundSince_;
+    std::optional<TimePoint> roundStartedAt_;
     TimePoint mergedAt_{};
     std::vector<double> paces_;
     Duration pass_{};
