--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -105,7 +105,7 @@
     void setPassTimes(Duration pass, Duration goal)
     {
         pass_ = pass;
-        pauseGoal_ = goal;
+        latencyGoal_ = goal;
     }
 
     // Ends the round that is complete, if there is one, and learns from it. Called at each tick,
@@ -164,7 +164,7 @@
     TimePoint mergedAt_{};
     std::vector<double> paces_;
     Duration pass_{};
-    Duration pauseGoal_{};
+    Duration latencyGoal_{};
     double distance_ = 0.0;
     double steadyDistance_ = 0.1;
     std::optional<TimePoint> lastShiftAt_;
