--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -190,9 +190,9 @@
 // Tells whether a more even map would make no stream earlier than its caller needs it.
 bool ExpertPlanner::isWithinLatencyGoal(double skew) const
 {
-    const bool known = pass_ > Duration{} && latencyGoal_ > Duration{};
+    const bool known = passTime_ > Duration{} && latencyGoal_ > Duration{};
     return known && skew < settings_.forcedChangeSkew
-           && toSeconds(pass_) < settings_.relaxedPassRatio * toSeconds(latencyGoal_);
+           && toSeconds(passTime_) < settings_.relaxedPassRatio * toSeconds(latencyGoal_);
 }
 
 // Returns the best map that `copies` new experts a rank reach. The sets share the copies: the least
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -104,7 +104,7 @@
     // known.
     void setPassTimes(Duration pass, Duration goal)
     {
-        pass_ = pass;
+        passTime_ = pass;
         latencyGoal_ = goal;
     }
 
@@ -163,7 +163,7 @@
     std::optional<TimePoint> roundStartedAt_;
     TimePoint mergedAt_{};
     std::vector<double> paces_;
-    Duration pass_{};
+    Duration passTime_{};
     Duration latencyGoal_{};
     double distance_ = 0.0;
     double steadyDistance_ = 0.1;
