--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -136,7 +136,7 @@
 // Learns from the complete round.
 void ExpertPlanner::evaluateRound(const std::optional<ExpertMap> &current, TimePoint now)
 {
-    constexpr double kCalmWeight = 0.05; // Of one round among some ten a second.
+    constexpr double kSteadyWeight = 0.05; // Of one round among some ten a second.
     if (!suspectedHistory_.empty()) {
         if (indicatesShift(suspectedHistory_, current)) {
             recordShift(now);
@@ -150,7 +150,7 @@
             suspectedHistory_ = std::exchange(history_, std::vector<double>(history_.size(), 0.0));
             return;
         }
-        steadyDistance_ += kCalmWeight * (distance_ - steadyDistance_);
+        steadyDistance_ += kSteadyWeight * (distance_ - steadyDistance_);
     }
     mergeRound(now);
     planned_ = false;
