--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -165,19 +165,19 @@
         return settings_.initialShiftInterval;
     }
     const Duration age = now - *lastShiftAt_;
-    Duration left{};
+    Duration remaining{};
     Duration whole{};
     std::int64_t longer = 0;
     for (const Duration gap : shiftIntervals_) {
         whole += gap;
         if (gap > age) {
-            left += gap - age;
+            remaining += gap - age;
             ++longer;
         }
     }
     const auto seen = static_cast<std::int64_t>(shiftIntervals_.size());
     const Duration mean =
-        longer > 0 ? left / longer : (whole + settings_.initialShiftInterval) / (seen + 1);
+        longer > 0 ? remaining / longer : (whole + settings_.initialShiftInterval) / (seen + 1);
     return std::max(settings_.minWorkloadDuration, mean);
 }
 
@@ -208,12 +208,12 @@
     }
     std::sort(order.begin(), order.end());
     const std::size_t ranks = current.front().size();
-    std::vector<std::uint32_t> left(ranks, copies);
+    std::vector<std::uint32_t> remaining(ranks, copies);
     auto all = static_cast<std::uint32_t>(ranks * copies);
     Candidate result{current, 1.0, {}};
     std::uint32_t setsLeft = rule_.sets;
     for (const auto &[negativeSkew, set] : order) {
-        std::vector<std::uint32_t> allowed = left;
+        std::vector<std::uint32_t> allowed = remaining;
         for (std::uint32_t &allowance : allowed) {
             allowance = std::min(allowance, rule_.newExperts);
         }
@@ -229,13 +229,14 @@
             const auto &after = result.map[set][rank];
             const auto added =
                 static_cast<std::uint32_t>(std::count_if(after.begin(), after.end(), isNew));
-            left[rank] -= std::min(left[rank], added);
+            remaining[rank] -= std::min(remaining[rank], added);
             all -= std::min(all, added);
         }
         --setsLeft;
     }
     result.skew = skew(result.map);
-    result.copying = rule_.copyTime * (copies - *std::min_element(left.begin(), left.end()));
+    result.copying =
+        rule_.copyTime * (copies - *std::min_element(remaining.begin(), remaining.end()));
     return result;
 }
 
