--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -167,17 +167,17 @@
     const Duration age = now - *lastShiftAt_;
     Duration remaining{};
     Duration whole{};
-    std::int64_t longer = 0;
+    std::int64_t longerCount = 0;
     for (const Duration gap : shiftIntervals_) {
         whole += gap;
         if (gap > age) {
             remaining += gap - age;
-            ++longer;
+            ++longerCount;
         }
     }
     const auto seen = static_cast<std::int64_t>(shiftIntervals_.size());
-    const Duration mean =
-        longer > 0 ? remaining / longer : (whole + settings_.initialShiftInterval) / (seen + 1);
+    const Duration mean = longerCount > 0 ? remaining / longerCount
+                                          : (whole + settings_.initialShiftInterval) / (seen + 1);
     return std::max(settings_.minWorkloadDuration, mean);
 }
 
