--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -175,9 +175,10 @@
             ++longerCount;
         }
     }
-    const auto seen = static_cast<std::int64_t>(shiftIntervals_.size());
-    const Duration mean = longerCount > 0 ? remaining / longerCount
-                                          : (whole + settings_.initialShiftInterval) / (seen + 1);
+    const auto observed = static_cast<std::int64_t>(shiftIntervals_.size());
+    const Duration mean = longerCount > 0
+                              ? remaining / longerCount
+                              : (whole + settings_.initialShiftInterval) / (observed + 1);
     return std::max(settings_.minWorkloadDuration, mean);
 }
 
@@ -253,10 +254,10 @@
 
 void ExpertPlanner::recordActivation(Duration time)
 {
-    const Duration seen = std::max(settings_.minActivationDelay, time - expectedCopying_);
+    const Duration observed = std::max(settings_.minActivationDelay, time - expectedCopying_);
     const double weight = settings_.activationDelayWeight;
     settings_.activationDelay = fromSeconds(
-        weight * toSeconds(seen) + (1.0 - weight) * toSeconds(settings_.activationDelay));
+        weight * toSeconds(observed) + (1.0 - weight) * toSeconds(settings_.activationDelay));
 }
 
 // Returns how many copies a rank the smallest change has: fewer would be in use hardly sooner.
