--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -292,11 +292,11 @@
     for (std::uint32_t copies = minCopiesPerRank(); copies <= rule_.newExperts * rule_.sets;
          copies *= 2) {
         const Candidate tried = candidate(current, copies);
-        const double worth = netBenefit(tried, before, life);
+        const double benefit = netBenefit(tried, before, life);
         // What is in use soon goes first: the change that wins most for the time that it takes.
         const double gain = 1.0 - passTime(tried.skew) / passTime(before);
         const double rate = gain / toSeconds(tried.copying + settings_.activationDelay);
-        if (worth > 0.0 && rate > bestRate) {
+        if (benefit > 0.0 && rate > bestRate) {
             bestRate = rate;
             best = tried;
         } else if (best) {
