--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -210,7 +210,7 @@
     std::sort(order.begin(), order.end());
     const std::size_t ranks = current.front().size();
     std::vector<std::uint32_t> remaining(ranks, copies);
-    auto all = static_cast<std::uint32_t>(ranks * copies);
+    auto totalCopies = static_cast<std::uint32_t>(ranks * copies);
     Candidate result{current, 1.0, {}};
     std::uint32_t setsLeft = rule_.sets;
     for (const auto &[negativeSkew, set] : order) {
@@ -220,7 +220,7 @@
         }
         PlacementBounds bounds{
             rule_.places,         rule_.newExperts, settings_.maxChanges,
-            settings_.targetSkew, allowed,          (all + setsLeft - 1) / setsLeft};
+            settings_.targetSkew, allowed,          (totalCopies + setsLeft - 1) / setsLeft};
         result.map[set] = improvePlacement(current[set], shares[set], bounds, paces_);
         for (std::size_t rank = 0; rank < ranks; ++rank) {
             const auto &before = current[set][rank];
@@ -231,7 +231,7 @@
             const auto added =
                 static_cast<std::uint32_t>(std::count_if(after.begin(), after.end(), isNew));
             remaining[rank] -= std::min(remaining[rank], added);
-            all -= std::min(all, added);
+            totalCopies -= std::min(totalCopies, added);
         }
         --setsLeft;
     }
