--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -198,8 +198,8 @@
 
 // Returns the best map that `copies` new experts a rank reach. The sets share the copies: the least
 // even one comes first, and what it leaves goes to the next.
-ExpertPlanner::Candidate ExpertPlanner::candidate(const ExpertMap &current,
-                                                  std::uint32_t copies) const
+ExpertPlanner::Candidate ExpertPlanner::buildCandidate(const ExpertMap &current,
+                                                       std::uint32_t copies) const
 {
     std::vector<std::vector<double>> shares;
     std::vector<std::pair<double, std::uint32_t>> order;
@@ -291,7 +291,7 @@
     double bestRate = 0.0;
     for (std::uint32_t copies = minCopiesPerRank(); copies <= rule_.newExperts * rule_.sets;
          copies *= 2) {
-        const Candidate tried = candidate(current, copies);
+        const Candidate tried = buildCandidate(current, copies);
         const double benefit = netBenefit(tried, before, life);
         // What is in use soon goes first: the change that wins most for the time that it takes.
         const double gain = 1.0 - passTime(tried.skew) / passTime(before);
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -150,7 +150,7 @@
     void mergeRound(TimePoint now);
     double passTime(double skew) const;
     bool isWithinLatencyGoal(double skew) const;
-    Candidate candidate(const ExpertMap &current, std::uint32_t copies) const;
+    Candidate buildCandidate(const ExpertMap &current, std::uint32_t copies) const;
     std::uint32_t minCopiesPerRank() const;
     double netBenefit(const Candidate &candidate, double before, Duration life) const;
 
