--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -243,10 +243,11 @@
 
 // Returns the seconds of passes that a change wins, over what it costs; zero or less when it is not
 // worth it.
-double ExpertPlanner::netBenefit(const Candidate &candidate, double before, Duration life) const
+double ExpertPlanner::netBenefit(const Candidate &candidate, double before,
+                                 Duration workloadDuration) const
 {
     const double gain = 1.0 - passTime(candidate.skew) / passTime(before);
-    const double used = toSeconds(life - candidate.copying - settings_.activationDelay);
+    const double used = toSeconds(workloadDuration - candidate.copying - settings_.activationDelay);
     const double cost = settings_.copySlowdown * toSeconds(candidate.copying)
                         + toSeconds(settings_.activationPause);
     return gain > settings_.minGain ? gain * used - settings_.minBenefitRatio * cost : 0.0;
@@ -286,13 +287,13 @@
     if (isWithinLatencyGoal(before)) {
         return std::nullopt;
     }
-    const Duration life = expectedWorkloadDuration(now);
+    const Duration workloadDuration = expectedWorkloadDuration(now);
     std::optional<Candidate> best;
     double bestRate = 0.0;
     for (std::uint32_t copies = minCopiesPerRank(); copies <= rule_.newExperts * rule_.sets;
          copies *= 2) {
         const Candidate tried = buildCandidate(current, copies);
-        const double benefit = netBenefit(tried, before, life);
+        const double benefit = netBenefit(tried, before, workloadDuration);
         // What is in use soon goes first: the change that wins most for the time that it takes.
         const double gain = 1.0 - passTime(tried.skew) / passTime(before);
         const double rate = gain / toSeconds(tried.copying + settings_.activationDelay);
@@ -302,7 +303,7 @@
         } else if (best) {
             break; // Each copy more wins less than the one before it, and the search takes time.
         }
-        if (tried.copying > life) {
+        if (tried.copying > workloadDuration) {
             break;
         }
     }
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -152,7 +152,7 @@
     bool isWithinLatencyGoal(double skew) const;
     Candidate buildCandidate(const ExpertMap &current, std::uint32_t copies) const;
     std::uint32_t minCopiesPerRank() const;
-    double netBenefit(const Candidate &candidate, double before, Duration life) const;
+    double netBenefit(const Candidate &candidate, double before, Duration workloadDuration) const;
 
     Settings settings_;
     ExpertRule rule_;
