--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -92,7 +92,7 @@
 };
 
 // Which way an order goes to a rank.
-enum class OrderWay {
+enum class OrderRoute {
     Any,       // Through the agent beside the rank, or to the engine when the agent is silent.
     AgentOnly, // The agent must know of it.
     Engine,    // An agent that froze with it would leave nobody who can tell what became of it.
@@ -103,7 +103,7 @@
 {
     std::uint32_t rank = 0;
     MapOrder order;
-    OrderWay way = OrderWay::Any;
+    OrderRoute way = OrderRoute::Any;
 };
 
 using MapOrders = std::vector<SendMapOrder>;
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -57,7 +57,7 @@
         if (!rank.confirmed && !copying && due(rank, now)) {
             unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
-            orders.push_back({number, orderFor(MapOrderKind::Prepare), OrderWay::Any});
+            orders.push_back({number, orderFor(MapOrderKind::Prepare), OrderRoute::Any});
         }
     }
 }
@@ -68,7 +68,7 @@
         if (!rank.confirmed && due(rank, now) && mayArm(number)) {
             unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
-            const OrderWay way = armsOwnLast() ? OrderWay::AgentOnly : OrderWay::Any;
+            const OrderRoute way = armsOwnLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
             orders.push_back({number, orderFor(MapOrderKind::Arm), way});
         }
     }
@@ -88,7 +88,7 @@
             // The map in use cannot be disarmed; the order carries the fence alone.
             ++order.version;
         }
-        orders.push_back({number, order, OrderWay::Any});
+        orders.push_back({number, order, OrderRoute::Any});
     }
 }
 
@@ -106,7 +106,7 @@
         if (!own) {
             order.step = *rank.report.held;
         }
-        orders.push_back({number, order, OrderWay::Any});
+        orders.push_back({number, order, OrderRoute::Any});
     }
 }
 
@@ -170,7 +170,7 @@
     ranks_[holder_].sentAt = now;
     const bool straight = !clearing_ && armsOwnLast();
     orders.push_back(
-        {holder_, orderFor(MapOrderKind::Hold), straight ? OrderWay::Engine : OrderWay::Any});
+        {holder_, orderFor(MapOrderKind::Hold), straight ? OrderRoute::Engine : OrderRoute::Any});
 }
 
 } // namespace seamarch
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -259,10 +259,10 @@
             continue;
         }
         const bool silent = !agentAnswers(*peer);
-        if (silent && action.way == OrderWay::AgentOnly) {
+        if (silent && action.way == OrderRoute::AgentOnly) {
             continue; // The decider sends it again.
         }
-        if (silent || action.way == OrderWay::Engine) {
+        if (silent || action.way == OrderRoute::Engine) {
             sendToEngine(*peer, action);
         } else if (action.order.kind == MapOrderKind::Prepare) {
             prepares.push_back(action);
@@ -294,7 +294,7 @@
              {"bytes", inputs.orderBytes}});
     for (const RelayBlock &block : blocks) {
         if (block.size() == 1) {
-            sendThroughAgent(*peerOfRank(block.front()), {block.front(), order, OrderWay::Any});
+            sendThroughAgent(*peerOfRank(block.front()), {block.front(), order, OrderRoute::Any});
         } else {
             sendThroughRelay(block, order);
         }
