--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -169,8 +169,8 @@
     }
     ranks_[holder_].sentAt = now;
     const bool straight = !clearing_ && armsOwnLast();
-    orders.push_back(
-        {holder_, orderFor(MapOrderKind::Hold), straight ? OrderRoute::Engine : OrderRoute::Any});
+    orders.push_back({holder_, orderFor(MapOrderKind::Hold),
+                      straight ? OrderRoute::EngineOnly : OrderRoute::Any});
 }
 
 } // namespace seamarch
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -262,7 +262,7 @@
         if (silent && action.way == OrderRoute::AgentOnly) {
             continue; // The decider sends it again.
         }
-        if (silent || action.way == OrderRoute::Engine) {
+        if (silent || action.way == OrderRoute::EngineOnly) {
             sendToEngine(*peer, action);
         } else if (action.order.kind == MapOrderKind::Prepare) {
             prepares.push_back(action);
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -259,7 +259,7 @@
     {
         const bool late = faults_ && chance(0.15);
         const bool lateAtAgent = late && chance(0.5);
-        const bool past = action.way == OrderRoute::Engine
+        const bool past = action.way == OrderRoute::EngineOnly
                           || (action.way == OrderRoute::Any && faults_ && chance(0.05));
         const bool lostAnswer = late || (faults_ && chance(0.1));
         const Duration lateness = between(2000, 6000);
