--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -93,9 +93,9 @@
 
 // Which way an order goes to a rank.
 enum class OrderRoute {
-    Any,       // Through the agent beside the rank, or to the engine when the agent is silent.
-    AgentOnly, // The agent must know of it.
-    Engine,    // An agent that froze with it would leave nobody who can tell what became of it.
+    Any,        // Through the agent beside the rank, or to the engine when the agent is silent.
+    AgentOnly,  // The agent must know of it.
+    EngineOnly, // An agent that froze with it would leave nobody who can tell what became of it.
 };
 
 // Hand an order to a rank.
