--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -103,7 +103,7 @@
 {
     std::uint32_t rank = 0;
     MapOrder order;
-    OrderRoute way = OrderRoute::Any;
+    OrderRoute route = OrderRoute::Any;
 };
 
 using MapOrders = std::vector<SendMapOrder>;
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -68,7 +68,7 @@
         if (!rank.confirmed && due(rank, now) && mayArm(number)) {
             unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
-            const OrderRoute way = armsOwnLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
+            const OrderRoute route = armsOwnLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
             orders.push_back({number, orderFor(MapOrderKind::Arm), way});
         }
     }
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -259,10 +259,10 @@
             continue;
         }
         const bool silent = !agentAnswers(*peer);
-        if (silent && action.way == OrderRoute::AgentOnly) {
+        if (silent && action.route == OrderRoute::AgentOnly) {
             continue; // The decider sends it again.
         }
-        if (silent || action.way == OrderRoute::EngineOnly) {
+        if (silent || action.route == OrderRoute::EngineOnly) {
             sendToEngine(*peer, action);
         } else if (action.order.kind == MapOrderKind::Prepare) {
             prepares.push_back(action);
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -259,8 +259,8 @@
     {
         const bool late = faults_ && chance(0.15);
         const bool lateAtAgent = late && chance(0.5);
-        const bool past = action.way == OrderRoute::EngineOnly
-                          || (action.way == OrderRoute::Any && faults_ && chance(0.05));
+        const bool past = action.route == OrderRoute::EngineOnly
+                          || (action.route == OrderRoute::Any && faults_ && chance(0.05));
         const bool lostAnswer = late || (faults_ && chance(0.1));
         const Duration lateness = between(2000, 6000);
         const Duration atAgent = lateAtAgent ? lateness : between(1, 8);
@@ -721,7 +721,7 @@
         LONGS_EQUAL(1, arms.size());
         LONGS_EQUAL(expected, arms.at(0).rank);
         CHECK_TRUE(arms.at(0).order.kind == MapOrderKind::Arm);
-        CHECK_TRUE(arms.at(0).way == OrderRoute::AgentOnly);
+        CHECK_TRUE(arms.at(0).route == OrderRoute::AgentOnly);
         arms = confirm(decider, arms, now);
     }
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Releasing);
@@ -736,5 +736,5 @@
     const MapOrders arms = firstArms(decider, now, 2);
     LONGS_EQUAL(kTrio, arms.size());
     CHECK_FALSE(rankArmedLast(arms.at(0).order.version).has_value());
-    CHECK_TRUE(arms.at(0).way == OrderRoute::Any);
+    CHECK_TRUE(arms.at(0).route == OrderRoute::Any);
 }
