--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -121,7 +121,7 @@
         std::uint64_t fenceFloor = 0;
         // When the decider before this one was last heard, if it was: its patience with what that
         // one left armed or held runs from then.
-        std::optional<TimePoint> predecessorHeardAt;
+        std::optional<TimePoint> predecessorLastSeenAt;
         // A hold is placed before the first pass that begins after the lead; so many passes ahead
         // while their time is not known. The hold, the arms and their answers take some ten
         // milliseconds and more on a large group; a lead that is too short stops the group, which
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -41,7 +41,7 @@
         return;
     }
     foreignSince_ = foreignSince_.value_or(
-        std::exchange(settings_.predecessorHeardAt, std::nullopt).value_or(now));
+        std::exchange(settings_.predecessorLastSeenAt, std::nullopt).value_or(now));
     if (now - *foreignSince_ >= settings_.foreignPatience && whole(now)) {
         foreignSince_.reset();
         beginClearing(now);
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -369,7 +369,7 @@
     settings.seed = randomIdentity();
     settings.fenceFloor = static_cast<std::uint64_t>(wallNow() / kFenceUnit);
     if (lower_) {
-        settings.predecessorHeardAt = lower_->askedAt;
+        settings.predecessorLastSeenAt = lower_->askedAt;
     }
     decider_ = std::make_unique<GroupDecider>(settings);
     RankPeersListener &listener = *this;
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -647,14 +647,14 @@
     const TimePoint now{std::chrono::seconds(10)};
     GroupDecider::Settings settings;
     settings.ownRank = 1;
-    settings.predecessorHeardAt = now - settings.foreignPatience;
+    settings.predecessorLastSeenAt = now - settings.foreignPatience;
     GroupDecider decider(settings);
     reportPair(decider, now, 8);
     MapOrders orders;
     decider.onTick(now, orders);
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 
-    settings.predecessorHeardAt.reset();
+    settings.predecessorLastSeenAt.reset();
     GroupDecider patient(settings);
     reportPair(patient, now, 8);
     patient.onTick(now, orders);
