--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -128,7 +128,7 @@
         // every stream feels, a long one only keeps it on the old map. Before any arms were
         // measured, the lead grows with the group; then it is a multiple of the longest of the last
         // few, and no shorter than `lead`.
-        std::uint64_t unmeasuredMargin = 2;
+        std::uint64_t defaultMarginPasses = 2;
         Duration lead = std::chrono::milliseconds(120);
         Duration leadPerRank = std::chrono::milliseconds(3);
         double leadOverArms = 2.0;
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -136,7 +136,7 @@
 std::uint64_t GroupDecider::margin() const
 {
     if (passTime_ <= Duration{}) {
-        return settings_.unmeasuredMargin;
+        return settings_.defaultMarginPasses;
     }
     return static_cast<std::uint64_t>(lead() / passTime_ + 1);
 }
