--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -131,7 +131,7 @@
         std::uint64_t defaultMarginPasses = 2;
         Duration lead = std::chrono::milliseconds(120);
         Duration leadPerRank = std::chrono::milliseconds(3);
-        double leadOverArms = 2.0;
+        double leadPerArmTime = 2.0;
         std::size_t armTimesKept = 4;
         // Added when orders of the change were not answered: arms then take some rounds as well.
         Duration leadWhenLossy = std::chrono::milliseconds(450);
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -126,7 +126,7 @@
         return unmeasured + lossy;
     }
     const Duration longest = *std::max_element(armTimes_.begin(), armTimes_.end());
-    const Duration measured = fromSeconds(toSeconds(longest) * settings_.leadOverArms);
+    const Duration measured = fromSeconds(toSeconds(longest) * settings_.leadPerArmTime);
     return std::clamp(measured, settings_.lead, unmeasured) + lossy;
 }
 
