--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -354,7 +354,7 @@
 void GroupDecider::noteArmTime(Duration time)
 {
     armTimes_.push_back(time);
-    if (armTimes_.size() > settings_.armTimesKept) {
+    if (armTimes_.size() > settings_.maxArmTimes) {
         armTimes_.pop_front();
     }
 }
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -132,7 +132,7 @@
         Duration lead = std::chrono::milliseconds(120);
         Duration leadPerRank = std::chrono::milliseconds(3);
         double leadPerArmTime = 2.0;
-        std::size_t armTimesKept = 4;
+        std::size_t maxArmTimes = 4;
         // Added when orders of the change were not answered: arms then take some rounds as well.
         Duration leadWhenLossy = std::chrono::milliseconds(450);
         // An arm that was not answered is sent again after this: the group may be waiting for it.
