--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -134,7 +134,7 @@
         double leadPerArmTime = 2.0;
         std::size_t maxArmTimes = 4;
         // Added when orders of the change were not answered: arms then take some rounds as well.
-        Duration leadWhenLossy = std::chrono::milliseconds(450);
+        Duration lossyLeadExtra = std::chrono::milliseconds(450);
         // An arm that was not answered is sent again after this: the group may be waiting for it.
         Duration resendArm = std::chrono::milliseconds(100);
         // The time of a pass is measured over this long.
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -121,7 +121,7 @@
 Duration GroupDecider::lead() const
 {
     const Duration unmeasured = settings_.lead + settings_.leadPerRank * static_cast<int>(size_);
-    const Duration lossy = unanswered_ > 0 ? settings_.leadWhenLossy : Duration{};
+    const Duration lossy = unanswered_ > 0 ? settings_.lossyLeadExtra : Duration{};
     if (armTimes_.empty()) {
         return unmeasured + lossy;
     }
