--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -30,7 +30,7 @@
     case Phase::Preparing:
         return settings_.resendPrepare;
     case Phase::Arming:
-        return settings_.resendArm;
+        return settings_.armResendInterval;
     default:
         return settings_.resend;
     }
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -136,7 +136,7 @@
         // Added when orders of the change were not answered: arms then take some rounds as well.
         Duration lossyLeadExtra = std::chrono::milliseconds(450);
         // An arm that was not answered is sent again after this: the group may be waiting for it.
-        Duration resendArm = std::chrono::milliseconds(100);
+        Duration armResendInterval = std::chrono::milliseconds(100);
         // The time of a pass is measured over this long.
         Duration passWindow = std::chrono::milliseconds(400);
         // An order that was not answered is sent again after this.
