--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -28,7 +28,7 @@
 {
     switch (phase) {
     case Phase::Preparing:
-        return settings_.resendPrepare;
+        return settings_.prepareResendInterval;
     case Phase::Arming:
         return settings_.armResendInterval;
     default:
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -142,7 +142,7 @@
         // An order that was not answered is sent again after this.
         Duration resend = std::chrono::milliseconds(250);
         // A prepare is large, and is answered when its experts are copied or that takes long.
-        Duration resendPrepare = std::chrono::milliseconds(800);
+        Duration prepareResendInterval = std::chrono::milliseconds(800);
         // A hold whose step had begun already is placed anew after this.
         Duration holdAgain = std::chrono::milliseconds(50);
         // Copying takes a second or two; a rank that has not copied by then holds the change up.
