--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -32,7 +32,7 @@
     case Phase::Arming:
         return settings_.armResendInterval;
     default:
-        return settings_.resend;
+        return settings_.resendInterval;
     }
 }
 
@@ -170,7 +170,7 @@
         return;
     }
     if (!rank.known) {
-        rank.resendAfter = settings_.resend;
+        rank.resendAfter = settings_.resendInterval;
     }
     rank.known = true;
     rank.askedAt = askedAt;
@@ -323,7 +323,7 @@
         } else if (answer == MapOrderAnswer::Done) {
             rank.answeredAt = now; // Whether it is copied, its report tells.
         } else if (answer == MapOrderAnswer::Lost) {
-            rank.resendAfter = settings_.resend;
+            rank.resendAfter = settings_.resendInterval;
         } else {
             raiseFence(answer == MapOrderAnswer::Fenced);
             enter(Phase::Idle, now); // Nothing is armed; a new proposal takes a higher version.
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -140,7 +140,7 @@
         // The time of a pass is measured over this long.
         Duration passWindow = std::chrono::milliseconds(400);
         // An order that was not answered is sent again after this.
-        Duration resend = std::chrono::milliseconds(250);
+        Duration resendInterval = std::chrono::milliseconds(250);
         // A prepare is large, and is answered when its experts are copied or that takes long.
         Duration prepareResendInterval = std::chrono::milliseconds(800);
         // A hold whose step had begun already is placed anew after this.
