--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -24,7 +24,7 @@
     , fenceMark_(random_() % kFenceStride)
 {}
 
-Duration GroupDecider::resendIn(Phase phase) const
+Duration GroupDecider::resendIntervalFor(Phase phase) const
 {
     switch (phase) {
     case Phase::Preparing:
@@ -46,7 +46,7 @@
     for (auto &[rank, state] : ranks_) {
         state.confirmed = false;
         state.sentAt = {};
-        state.resendAfter = resendIn(phase);
+        state.resendAfter = resendIntervalFor(phase);
         state.answeredAt = {};
     }
 }
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -232,7 +232,7 @@
         TimePoint answeredAt{};
     };
 
-    Duration resendIn(Phase phase) const;
+    Duration resendIntervalFor(Phase phase) const;
     void enter(Phase phase, TimePoint now);
     void raiseFence(bool overtaken = false);
     std::uint64_t highestStep() const;
