--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -282,7 +282,7 @@
         enter(clearing_ ? Phase::Clearing : Phase::Arming, now);
         return;
     case MapOrderAnswer::Refused:
-        ranks_[holder_].resendAfter = settings_.holdAgain;
+        ranks_[holder_].resendAfter = settings_.holdRetryDelay;
         if (!clearing_) {
             // The step has begun meanwhile, and the reports may be as old as that.
             step_ = std::max(step_, highestStep()) + margin();
@@ -290,7 +290,7 @@
         return;
     case MapOrderAnswer::Fenced:
         raiseFence(true);
-        ranks_[holder_].resendAfter = settings_.holdAgain;
+        ranks_[holder_].resendAfter = settings_.holdRetryDelay;
         return;
     case MapOrderAnswer::Lost:
         return;
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -144,7 +144,7 @@
         // A prepare is large, and is answered when its experts are copied or that takes long.
         Duration prepareResendInterval = std::chrono::milliseconds(800);
         // A hold whose step had begun already is placed anew after this.
-        Duration holdAgain = std::chrono::milliseconds(50);
+        Duration holdRetryDelay = std::chrono::milliseconds(50);
         // Copying takes a second or two; a rank that has not copied by then holds the change up.
         Duration prepareLimit = std::chrono::seconds(8);
         // A change whose arms are not all confirmed by then is cleared, because the group waits.
