--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -420,7 +420,7 @@
     if (phase_ != Phase::Idle && broken(now)) {
         enter(Phase::Idle, now);
     }
-    if (phase_ == Phase::Preparing && now - phaseSince_ > settings_.prepareLimit) {
+    if (phase_ == Phase::Preparing && now - phaseSince_ > settings_.prepareTimeout) {
         enter(Phase::Idle, now); // Nothing is armed; what was copied does no harm.
     } else if (phase_ == Phase::Arming && now - phaseSince_ > settings_.armLimit) {
         beginClearing(now);
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -146,7 +146,7 @@
         // A hold whose step had begun already is placed anew after this.
         Duration holdRetryDelay = std::chrono::milliseconds(50);
         // Copying takes a second or two; a rank that has not copied by then holds the change up.
-        Duration prepareLimit = std::chrono::seconds(8);
+        Duration prepareTimeout = std::chrono::seconds(8);
         // A change whose arms are not all confirmed by then is cleared, because the group waits.
         Duration armLimit = std::chrono::milliseconds(1500);
         // A report counts as current for this long, unless setReportTtl() says otherwise.
