--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -422,9 +422,9 @@
     }
     if (phase_ == Phase::Preparing && now - phaseSince_ > settings_.prepareTimeout) {
         enter(Phase::Idle, now); // Nothing is armed; what was copied does no harm.
-    } else if (phase_ == Phase::Arming && now - phaseSince_ > settings_.armLimit) {
+    } else if (phase_ == Phase::Arming && now - phaseSince_ > settings_.armTimeout) {
         beginClearing(now);
-    } else if (phase_ == Phase::Holding && !clearing_ && now - phaseSince_ > settings_.armLimit) {
+    } else if (phase_ == Phase::Holding && !clearing_ && now - phaseSince_ > settings_.armTimeout) {
         beginClearing(now); // Whether the rank holds the step is not known.
     }
     switch (phase_) {
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -148,7 +148,7 @@
         // Copying takes a second or two; a rank that has not copied by then holds the change up.
         Duration prepareTimeout = std::chrono::seconds(8);
         // A change whose arms are not all confirmed by then is cleared, because the group waits.
-        Duration armLimit = std::chrono::milliseconds(1500);
+        Duration armTimeout = std::chrono::milliseconds(1500);
         // A report counts as current for this long, unless setReportTtl() says otherwise.
         Duration reportTtl = std::chrono::milliseconds(700);
         // Arms and holds that nobody resolves are cleared after this; their decider may be at it.
