--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -152,7 +152,7 @@
         // A report counts as current for this long, unless setReportTtl() says otherwise.
         Duration reportTtl = std::chrono::milliseconds(700);
         // Arms and holds that nobody resolves are cleared after this; their decider may be at it.
-        Duration foreignPatience = std::chrono::milliseconds(1200);
+        Duration foreignTimeout = std::chrono::milliseconds(1200);
         // The same where all ranks answer but that of their decider, which was silent for longer
         // before another took the role: a first answer takes some ten milliseconds.
         Duration silentPatience = std::chrono::milliseconds(150);
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -647,7 +647,7 @@
     const TimePoint now{std::chrono::seconds(10)};
     GroupDecider::Settings settings;
     settings.ownRank = 1;
-    settings.predecessorLastSeenAt = now - settings.foreignPatience;
+    settings.predecessorLastSeenAt = now - settings.foreignTimeout;
     GroupDecider decider(settings);
     reportPair(decider, now, 8);
     MapOrders orders;
