--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -155,7 +155,7 @@
         Duration foreignTimeout = std::chrono::milliseconds(1200);
         // The same where all ranks answer but that of their decider, which was silent for longer
         // before another took the role: a first answer takes some ten milliseconds.
-        Duration silentPatience = std::chrono::milliseconds(150);
+        Duration silentRankTimeout = std::chrono::milliseconds(150);
     };
 
     // What keeps a change from starting.
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -73,7 +73,7 @@
         return;
     }
     silentSince_ = silentSince_.value_or(now);
-    if (now - *silentSince_ >= settings_.silentPatience) {
+    if (now - *silentSince_ >= settings_.silentRankTimeout) {
         silentSince_.reset();
         beginClearing(now, silent);
     }
