--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -27,7 +27,7 @@
 
     // Returns the version of `epoch` that was prepared and of which no arm was handed over; zero
     // when there is none.
-    std::uint64_t neverArmed(std::uint64_t epoch) const
+    std::uint64_t unarmedVersion(std::uint64_t epoch) const
     {
         return epoch == epoch_ ? neverArmed_ : 0;
     }
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -65,7 +65,7 @@
     GroupId group;
     // The version that the agent beside the rank has handed on a prepare of, and no arm. Zero:
     // none, or the agent does not know, as after its start. Only that agent itself is told.
-    std::uint64_t neverArmed = 0;
+    std::uint64_t unarmedVersion = 0;
     bool byAgent = true; // Told by the agent beside the rank, else by the engine itself.
 };
 
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -56,7 +56,7 @@
     if (own == ranks_.end()) {
         return false;
     }
-    const std::uint64_t version = own->second.report.neverArmed;
+    const std::uint64_t version = own->second.report.unarmedVersion;
     const bool named = version != 0 && rankArmedLast(version) == silent;
     return named && std::all_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
                const RankReport &report = entry.second.report;
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -44,7 +44,7 @@
                    RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
                    handed_.noteReport(facts.report.epoch, facts.report.prepared);
                    facts.report.fence = handed_.fence();
-                   facts.report.neverArmed = handed_.neverArmed(facts.report.epoch);
+                   facts.report.unarmedVersion = handed_.unarmedVersion(facts.report.epoch);
                    if (!engine->counts.empty()) {
                        facts.choices =
                            ledger_.record(std::move(engine->counts), question.countsSince);
--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -33,11 +33,11 @@
 TEST(ForwardedOrdersTest, VouchesForWhatWasPreparedAndNotArmed)
 {
     handed.add(order(MapOrderKind::Prepare, 9));
-    LONGS_EQUAL(9, handed.neverArmed(kEpoch));
+    LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
     handed.add(order(MapOrderKind::Hold, 9));
-    LONGS_EQUAL(9, handed.neverArmed(kEpoch));
+    LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
     handed.add(order(MapOrderKind::Arm, 9));
-    LONGS_EQUAL(0, handed.neverArmed(kEpoch));
+    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
 }
 
 // Whether the engine carries an arm out at once or seconds later, nobody can tell.
@@ -46,7 +46,7 @@
     handed.add(order(MapOrderKind::Prepare, 9));
     handed.add(order(MapOrderKind::Arm, 9));
     handed.add(order(MapOrderKind::Prepare, 9));
-    LONGS_EQUAL(0, handed.neverArmed(kEpoch));
+    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, DisarmLeavesTheArmRemembered)
@@ -54,7 +54,7 @@
     handed.add(order(MapOrderKind::Prepare, 9));
     handed.add(order(MapOrderKind::Arm, 9));
     handed.add(order(MapOrderKind::Disarm, 9, 2));
-    LONGS_EQUAL(0, handed.neverArmed(kEpoch));
+    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, AgentThatStartedAfterTheCopyVouchesForNothing)
@@ -62,14 +62,14 @@
     ForwardedOrders fresh;
     fresh.noteReport(kEpoch, 9);
     fresh.add(order(MapOrderKind::Prepare, 9));
-    LONGS_EQUAL(0, fresh.neverArmed(kEpoch));
+    LONGS_EQUAL(0, fresh.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, AgentThatHasHeardNothingOfItsEngineVouchesForNothing)
 {
     ForwardedOrders fresh;
     fresh.add(order(MapOrderKind::Prepare, 9));
-    LONGS_EQUAL(0, fresh.neverArmed(kEpoch));
+    LONGS_EQUAL(0, fresh.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, LowerFenceIsRefusedAndNotRemembered)
@@ -77,7 +77,7 @@
     handed.add(order(MapOrderKind::Prepare, 9));
     CHECK_TRUE(handed.add(order(MapOrderKind::Disarm, 10, 7)));
     CHECK_FALSE(handed.add(order(MapOrderKind::Arm, 9, 6)));
-    LONGS_EQUAL(9, handed.neverArmed(kEpoch));
+    LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
     LONGS_EQUAL(7, handed.fence());
 }
 
@@ -85,8 +85,8 @@
 {
     handed.add(order(MapOrderKind::Prepare, 9));
     handed.noteReport(kEpoch + 1, 0);
-    LONGS_EQUAL(0, handed.neverArmed(kEpoch));
-    LONGS_EQUAL(0, handed.neverArmed(kEpoch + 1));
+    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
+    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch + 1));
     handed.add(order(MapOrderKind::Arm, 9)); // Of the epoch before, late.
-    LONGS_EQUAL(0, handed.neverArmed(kEpoch + 1));
+    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch + 1));
 }
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -392,7 +392,7 @@
         if (report.byAgent) {
             agents_[of].noteReport(epoch_, engine.prepared);
         }
-        report.neverArmed = of == to ? agents_[of].neverArmed(epoch_) : 0;
+        report.unarmedVersion = of == to ? agents_[of].unarmedVersion(epoch_) : 0;
         const TimePoint askedAt = now_;
         after(between(1, faults_ ? 80 : 10), [this, to, report, askedAt] {
             onMachine(to, [this, to, report, askedAt] {
