--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -218,7 +218,7 @@
     std::uint64_t changes() const { return changes_; }
     std::uint64_t cleared() const { return cleared_; }
     // Returns the rank that the clearing under way leaves out, because its agent is silent.
-    std::optional<std::uint32_t> leavesOut() const { return without_; }
+    std::optional<std::uint32_t> excludedRank() const { return without_; }
 
 private:
     struct Rank
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -645,7 +645,7 @@
 {
     const GroupDecider::Phase phase = decider_->phase();
     if (phase != notedPhase_) {
-        const auto leftOut = decider_->leavesOut();
+        const auto leftOut = decider_->excludedRank();
         logLine(LogLevel::Info, "map.phase",
                 {{"phase", wordFor(phase)},
                  {"epoch", epoch_},
