--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -41,7 +41,7 @@
     phase_ = phase;
     phaseSince_ = now;
     if (phase == Phase::Idle) {
-        without_.reset();
+        excludedRank_.reset();
     }
     for (auto &[rank, state] : ranks_) {
         state.confirmed = false;
@@ -336,7 +336,7 @@
     } else if (phase_ == Phase::Clearing && kind == MapOrderKind::Disarm) {
         if (answer == MapOrderAnswer::Fenced) {
             raiseFence(true);
-            beginClearing(now, without_);
+            beginClearing(now, excludedRank_);
         } else if (answer == MapOrderAnswer::Done) {
             rank.confirmed = true;
             rank.answeredAt = now;
@@ -362,7 +362,7 @@
 // Takes the step that the confirmations allow.
 void GroupDecider::advance(TimePoint now)
 {
-    const std::size_t silent = without_ && !ranks_.contains(*without_) ? 1 : 0;
+    const std::size_t silent = excludedRank_ && !ranks_.contains(*excludedRank_) ? 1 : 0;
     if (ranks_.size() + silent != size_ || size_ == 0) {
         return;
     }
@@ -376,7 +376,7 @@
         enter(Phase::Releasing, now);
     } else if (phase_ == Phase::Clearing && allConfirmed()) {
         // Its own engine has taken the fence by now: what this agent has not handed on, it refuses.
-        const bool cleared = !without_ || mayClearWithout(*without_);
+        const bool cleared = !excludedRank_ || mayClearWithout(*excludedRank_);
         cleared_ += cleared ? 1 : 0;
         enter(cleared ? Phase::Releasing : Phase::Idle, now);
     } else if (phase_ == Phase::Releasing && released()) {
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -218,7 +218,7 @@
     std::uint64_t changes() const { return changes_; }
     std::uint64_t cleared() const { return cleared_; }
     // Returns the rank that the clearing under way leaves out, because its agent is silent.
-    std::optional<std::uint32_t> excludedRank() const { return without_; }
+    std::optional<std::uint32_t> excludedRank() const { return excludedRank_; }
 
 private:
     struct Rank
@@ -245,7 +245,7 @@
     bool mayArm(std::uint32_t number) const;
     std::optional<std::uint32_t> soleSilentRank(TimePoint now) const;
     bool mayClearWithout(std::uint32_t silent) const;
-    bool leftOut(std::uint32_t number) const { return without_ == number; }
+    bool leftOut(std::uint32_t number) const { return excludedRank_ == number; }
     MapOrder orderFor(MapOrderKind kind) const;
     void sendPrepares(TimePoint now, MapOrders &orders);
     void sendHold(TimePoint now, MapOrders &orders);
@@ -292,7 +292,7 @@
     std::deque<Duration> armTimes_; // From the first arm to the last answer, of the last changes.
     std::optional<TimePoint> foreignSince_;
     std::optional<TimePoint> silentSince_; // All ranks but one answer, and something is foreign.
-    std::optional<std::uint32_t> without_; // The rank that the clearing under way leaves out.
+    std::optional<std::uint32_t> excludedRank_; // The rank that the clearing under way leaves out.
     std::uint64_t changes_ = 0;
     std::uint64_t cleared_ = 0;
 };
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -83,7 +83,7 @@
 // fence may have released that hold, and may be changing the map now.
 void GroupDecider::beginClearing(TimePoint now, std::optional<std::uint32_t> without)
 {
-    without_ = without;
+    excludedRank_ = without;
     clearing_ = true;
     committed_ = false;
     raiseFence();
