--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -192,7 +192,7 @@
         const Rank &rank = entry.second;
         const bool seen =
             phase_ != Phase::Clearing || (rank.askedAt > rank.answeredAt && rank.report.armed == 0);
-        return leftOut(entry.first) || (rank.confirmed && seen);
+        return isExcluded(entry.first) || (rank.confirmed && seen);
     });
 }
 
@@ -390,7 +390,7 @@
 bool GroupDecider::released() const
 {
     return std::all_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
-        const bool holds = entry.second.report.held.has_value() && !leftOut(entry.first);
+        const bool holds = entry.second.report.held.has_value() && !isExcluded(entry.first);
         const bool asked = entry.first == holder_ || (clearing_ && holds);
         return !asked || entry.second.confirmed;
     });
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -245,7 +245,7 @@
     bool mayArm(std::uint32_t number) const;
     std::optional<std::uint32_t> soleSilentRank(TimePoint now) const;
     bool mayClearWithout(std::uint32_t silent) const;
-    bool leftOut(std::uint32_t number) const { return excludedRank_ == number; }
+    bool isExcluded(std::uint32_t number) const { return excludedRank_ == number; }
     MapOrder orderFor(MapOrderKind kind) const;
     void sendPrepares(TimePoint now, MapOrders &orders);
     void sendHold(TimePoint now, MapOrders &orders);
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -77,7 +77,7 @@
 void GroupDecider::sendDisarms(TimePoint now, MapOrders &orders)
 {
     for (auto &[number, rank] : ranks_) {
-        if (rank.confirmed || !due(rank, now) || leftOut(number)) {
+        if (rank.confirmed || !due(rank, now) || isExcluded(number)) {
             continue;
         }
         rank.sentAt = now;
@@ -97,7 +97,7 @@
 {
     for (auto &[number, rank] : ranks_) {
         const bool own = number == holder_;
-        const bool holds = rank.report.held.has_value() && !leftOut(number);
+        const bool holds = rank.report.held.has_value() && !isExcluded(number);
         if (rank.confirmed || !due(rank, now) || !(own || (clearing_ && holds))) {
             continue;
         }
