--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -119,9 +119,9 @@
            && std::all_of(ranks_.begin(), ranks_.end(), reports);
 }
 
-TimePoint GroupDecider::heardAt() const
+TimePoint GroupDecider::lastReportAt() const
 {
-    TimePoint heardAt{};
+    TimePoint lastReportAt{};
     for (const auto &[number, rank] : ranks_) {
         heardAt = std::max(heardAt, rank.askedAt);
     }
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -211,7 +211,7 @@
     // Tells whether all ranks have reported lately and the group does not take requests: it forms.
     bool forming(TimePoint now) const;
     // Returns when the rank was asked that was asked last and has answered.
-    TimePoint heardAt() const;
+    TimePoint lastReportAt() const;
     // Returns the version in use at every rank; nothing while they differ or are not known.
     std::optional<std::uint64_t> mapInUse(TimePoint now) const;
     std::uint64_t epoch() const { return epoch_; }
