--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -226,7 +226,7 @@
 std::optional<std::uint64_t> GroupDecider::propose(ExpertMap experts, TimePoint now,
                                                    MapOrders &orders)
 {
-    if (!settled(now)) {
+    if (!canPropose(now)) {
         return std::nullopt;
     }
     std::uint64_t highest = version_;
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -179,7 +179,7 @@
     void onTick(TimePoint now, MapOrders &orders);
 
     // Tells whether a change may start: the group is whole, and the last change has come into use.
-    bool settled(TimePoint now) const { return obstacle(now) == Obstacle::None; }
+    bool canPropose(TimePoint now) const { return obstacle(now) == Obstacle::None; }
     // Tells what keeps a change from starting.
     Obstacle obstacle(TimePoint now) const;
     // Starts a change to `experts`. Returns the new map's version, or nothing while not settled.
