--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -91,7 +91,7 @@
            && now - rank.askedAt <= settings_.reportTtl;
 }
 
-bool GroupDecider::whole(TimePoint now) const
+bool GroupDecider::allRanksCurrent(TimePoint now) const
 {
     if (size_ == 0 || ranks_.size() != size_) {
         return false;
@@ -130,7 +130,7 @@
 
 std::optional<std::uint64_t> GroupDecider::mapInUse(TimePoint now) const
 {
-    if (!whole(now)) {
+    if (!allRanksCurrent(now)) {
         return std::nullopt;
     }
     const std::uint64_t map = ranks_.begin()->second.report.map;
@@ -207,7 +207,7 @@
     if (broken(now)) {
         return Obstacle::GroupBroken;
     }
-    if (!whole(now)) {
+    if (!allRanksCurrent(now)) {
         return Obstacle::ReportsOld;
     }
     if (!mapInUse(now)) {
@@ -366,7 +366,7 @@
     if (ranks_.size() + silent != size_ || size_ == 0) {
         return;
     }
-    if (phase_ == Phase::Preparing && allConfirmed() && whole(now)) {
+    if (phase_ == Phase::Preparing && allConfirmed() && allRanksCurrent(now)) {
         chooseStep();
         holder_ = armsOwnLast() ? successor() : settings_.ownRank;
         enter(Phase::Holding, now);
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -205,7 +205,7 @@
     std::uint32_t size() const { return size_; }
     Phase phase() const { return phase_; }
     // Tells whether every rank has reported lately, in one epoch, and the group is open.
-    bool whole(TimePoint now) const;
+    bool allRanksCurrent(TimePoint now) const;
     // Tells whether the group takes requests, as the rank says that was asked last.
     bool takesRequests() const;
     // Tells whether all ranks have reported lately and the group does not take requests: it forms.
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -42,7 +42,7 @@
     }
     foreignSince_ = foreignSince_.value_or(
         std::exchange(settings_.predecessorLastSeenAt, std::nullopt).value_or(now));
-    if (now - *foreignSince_ >= settings_.foreignTimeout && whole(now)) {
+    if (now - *foreignSince_ >= settings_.foreignTimeout && allRanksCurrent(now)) {
         foreignSince_.reset();
         beginClearing(now);
     }
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -513,7 +513,8 @@
         report.epoch = 9;
         report.map = 5;
         decider.onReport(report, now, now);
-        CHECK_FALSE_TEXT(decider.whole(now), "three ranks of the other group make no own group");
+        CHECK_FALSE_TEXT(decider.allRanksCurrent(now),
+                         "three ranks of the other group make no own group");
     }
     for (report.rank = 0; report.rank < kOwnRanks; ++report.rank) {
         report.group = GroupId("north");
