--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -100,7 +100,7 @@
                        [&](const auto &entry) { return fresh(entry.second, now); });
 }
 
-bool GroupDecider::takesRequests() const
+bool GroupDecider::acceptsRequests() const
 {
     const auto last =
         std::max_element(ranks_.begin(), ranks_.end(), [](const auto &left, const auto &right) {
@@ -115,7 +115,7 @@
         const Rank &rank = entry.second;
         return rank.known && now - rank.askedAt <= settings_.reportTtl;
     };
-    return size_ > 0 && ranks_.size() == size_ && !takesRequests()
+    return size_ > 0 && ranks_.size() == size_ && !acceptsRequests()
            && std::all_of(ranks_.begin(), ranks_.end(), reports);
 }
 
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -207,7 +207,7 @@
     // Tells whether every rank has reported lately, in one epoch, and the group is open.
     bool allRanksCurrent(TimePoint now) const;
     // Tells whether the group takes requests, as the rank says that was asked last.
-    bool takesRequests() const;
+    bool acceptsRequests() const;
     // Tells whether all ranks have reported lately and the group does not take requests: it forms.
     bool forming(TimePoint now) const;
     // Returns when the rank was asked that was asked last and has answered.
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -306,7 +306,7 @@
     GroupFacts facts;
     facts.group = ownGroup_;
     facts.epoch = decider_->epoch();
-    facts.open = decider_->takesRequests();
+    facts.open = decider_->acceptsRequests();
     facts.forming = decider_->forming(loop_.now());
     const std::vector<double> paces = decider_->paces();
     std::map<std::uint32_t, SocketAddress> engines = peers_->engines();
