--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -36,7 +36,7 @@
     }
 }
 
-void GroupDecider::enter(Phase phase, TimePoint now)
+void GroupDecider::enterPhase(Phase phase, TimePoint now)
 {
     phase_ = phase;
     phaseSince_ = now;
@@ -153,7 +153,7 @@
     foreignSince_.reset();
     measuredAt_ = {};
     passTime_ = {};
-    enter(Phase::Idle, now);
+    enterPhase(Phase::Idle, now);
 }
 
 void GroupDecider::onReport(const RankReport &report, TimePoint askedAt, TimePoint now)
@@ -244,7 +244,7 @@
     clearing_ = false;
     unanswered_ = 0;
     raiseFence();
-    enter(Phase::Preparing, now);
+    enterPhase(Phase::Preparing, now);
     sendPrepares(now, orders);
     return version_;
 }
@@ -279,7 +279,7 @@
     switch (answer) {
     case MapOrderAnswer::Copied: // Never of a hold.
     case MapOrderAnswer::Done:
-        enter(clearing_ ? Phase::Clearing : Phase::Arming, now);
+        enterPhase(clearing_ ? Phase::Clearing : Phase::Arming, now);
         return;
     case MapOrderAnswer::Refused:
         ranks_[holder_].resendAfter = settings_.holdRetryDelay;
@@ -326,7 +326,8 @@
             rank.resendAfter = settings_.resendInterval;
         } else {
             raiseFence(answer == MapOrderAnswer::Fenced);
-            enter(Phase::Idle, now); // Nothing is armed; a new proposal takes a higher version.
+            enterPhase(Phase::Idle,
+                       now); // Nothing is armed; a new proposal takes a higher version.
         }
     } else if (phase_ == Phase::Holding && kind == MapOrderKind::Hold && number == holder_
                && order.step == step_) {
@@ -343,7 +344,7 @@
         }
     } else if (phase_ == Phase::Releasing && kind == MapOrderKind::Go) {
         if (answer == MapOrderAnswer::Fenced) {
-            enter(Phase::Idle, now); // Another decider is at it, and releases what it holds.
+            enterPhase(Phase::Idle, now); // Another decider is at it, and releases what it holds.
         } else if (answer != MapOrderAnswer::Lost) {
             rank.confirmed = true;
         }
@@ -369,20 +370,20 @@
     if (phase_ == Phase::Preparing && allConfirmed() && allRanksCurrent(now)) {
         chooseStep();
         holder_ = armsOwnLast() ? successor() : settings_.ownRank;
-        enter(Phase::Holding, now);
+        enterPhase(Phase::Holding, now);
     } else if (phase_ == Phase::Arming && allConfirmed()) {
         committed_ = true;
         noteArmTime(now - phaseSince_);
-        enter(Phase::Releasing, now);
+        enterPhase(Phase::Releasing, now);
     } else if (phase_ == Phase::Clearing && allConfirmed()) {
         // Its own engine has taken the fence by now: what this agent has not handed on, it refuses.
         const bool cleared = !excludedRank_ || mayClearWithout(*excludedRank_);
         cleared_ += cleared ? 1 : 0;
-        enter(cleared ? Phase::Releasing : Phase::Idle, now);
+        enterPhase(cleared ? Phase::Releasing : Phase::Idle, now);
     } else if (phase_ == Phase::Releasing && released()) {
         changes_ += committed_ ? 1 : 0;
         releasedAt_ = now;
-        enter(Phase::Idle, now);
+        enterPhase(Phase::Idle, now);
     }
 }
 
@@ -411,17 +412,17 @@
     if (phase_ != Phase::Preparing) {
         return false;
     }
-    enter(Phase::Idle, now);
+    enterPhase(Phase::Idle, now);
     return true;
 }
 
 void GroupDecider::onTick(TimePoint now, MapOrders &orders)
 {
     if (phase_ != Phase::Idle && broken(now)) {
-        enter(Phase::Idle, now);
+        enterPhase(Phase::Idle, now);
     }
     if (phase_ == Phase::Preparing && now - phaseSince_ > settings_.prepareTimeout) {
-        enter(Phase::Idle, now); // Nothing is armed; what was copied does no harm.
+        enterPhase(Phase::Idle, now); // Nothing is armed; what was copied does no harm.
     } else if (phase_ == Phase::Arming && now - phaseSince_ > settings_.armTimeout) {
         beginClearing(now);
     } else if (phase_ == Phase::Holding && !clearing_ && now - phaseSince_ > settings_.armTimeout) {
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -233,7 +233,7 @@
     };
 
     Duration resendIntervalFor(Phase phase) const;
-    void enter(Phase phase, TimePoint now);
+    void enterPhase(Phase phase, TimePoint now);
     void raiseFence(bool overtaken = false);
     std::uint64_t highestStep() const;
     bool allConfirmed() const;
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -89,7 +89,7 @@
     raiseFence();
     chooseStep();
     chooseHolder();
-    enter(Phase::Holding, now);
+    enterPhase(Phase::Holding, now);
 }
 
 } // namespace seamarch
