--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -204,7 +204,7 @@
     if (size_ == 0 || ranks_.size() != size_) {
         return Obstacle::RanksUnknown;
     }
-    if (broken(now)) {
+    if (isGroupClosed(now)) {
         return Obstacle::GroupBroken;
     }
     if (!allRanksCurrent(now)) {
@@ -399,7 +399,7 @@
 
 // Tells whether the group has broken: it forms anew in another epoch, in which nothing of this one
 // counts.
-bool GroupDecider::broken(TimePoint now) const
+bool GroupDecider::isGroupClosed(TimePoint now) const
 {
     return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
         const Rank &rank = entry.second;
@@ -418,7 +418,7 @@
 
 void GroupDecider::onTick(TimePoint now, MapOrders &orders)
 {
-    if (phase_ != Phase::Idle && broken(now)) {
+    if (phase_ != Phase::Idle && isGroupClosed(now)) {
         enterPhase(Phase::Idle, now);
     }
     if (phase_ == Phase::Preparing && now - phaseSince_ > settings_.prepareTimeout) {
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -237,7 +237,7 @@
     void raiseFence(bool overtaken = false);
     std::uint64_t highestStep() const;
     bool allConfirmed() const;
-    bool broken(TimePoint now) const;
+    bool isGroupClosed(TimePoint now) const;
     bool due(const Rank &rank, TimePoint now) const;
     bool fresh(const Rank &rank, TimePoint now) const;
     bool armsOwnLast() const;
