--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -238,7 +238,7 @@
     std::uint64_t highestStep() const;
     bool allConfirmed() const;
     bool isGroupClosed(TimePoint now) const;
-    bool due(const Rank &rank, TimePoint now) const;
+    bool isResendDue(const Rank &rank, TimePoint now) const;
     bool fresh(const Rank &rank, TimePoint now) const;
     bool armsOwnLast() const;
     std::uint32_t successor() const;
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -45,7 +45,7 @@
     return order;
 }
 
-bool GroupDecider::due(const Rank &rank, TimePoint now) const
+bool GroupDecider::isResendDue(const Rank &rank, TimePoint now) const
 {
     return rank.sentAt == TimePoint{} || now - rank.sentAt >= rank.resendAfter;
 }
@@ -54,7 +54,7 @@
 {
     for (auto &[number, rank] : ranks_) {
         const bool copying = rank.answeredAt != TimePoint{};
-        if (!rank.confirmed && !copying && due(rank, now)) {
+        if (!rank.confirmed && !copying && isResendDue(rank, now)) {
             unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
             orders.push_back({number, orderFor(MapOrderKind::Prepare), OrderRoute::Any});
@@ -65,7 +65,7 @@
 void GroupDecider::sendArms(TimePoint now, MapOrders &orders)
 {
     for (auto &[number, rank] : ranks_) {
-        if (!rank.confirmed && due(rank, now) && mayArm(number)) {
+        if (!rank.confirmed && isResendDue(rank, now) && mayArm(number)) {
             unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
             const OrderRoute route = armsOwnLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
@@ -77,7 +77,7 @@
 void GroupDecider::sendDisarms(TimePoint now, MapOrders &orders)
 {
     for (auto &[number, rank] : ranks_) {
-        if (rank.confirmed || !due(rank, now) || isExcluded(number)) {
+        if (rank.confirmed || !isResendDue(rank, now) || isExcluded(number)) {
             continue;
         }
         rank.sentAt = now;
@@ -98,7 +98,7 @@
     for (auto &[number, rank] : ranks_) {
         const bool own = number == holder_;
         const bool holds = rank.report.held.has_value() && !isExcluded(number);
-        if (rank.confirmed || !due(rank, now) || !(own || (clearing_ && holds))) {
+        if (rank.confirmed || !isResendDue(rank, now) || !(own || (clearing_ && holds))) {
             continue;
         }
         rank.sentAt = now;
@@ -160,7 +160,7 @@
 
 void GroupDecider::sendHold(TimePoint now, MapOrders &orders)
 {
-    if (!due(ranks_[holder_], now)) {
+    if (!isResendDue(ranks_[holder_], now)) {
         return;
     }
     if (clearing_) {
