--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -85,7 +85,7 @@
     return highest;
 }
 
-bool GroupDecider::fresh(const Rank &rank, TimePoint now) const
+bool GroupDecider::isCurrent(const Rank &rank, TimePoint now) const
 {
     return rank.known && rank.report.epoch == epoch_ && rank.report.open
            && now - rank.askedAt <= settings_.reportTtl;
@@ -97,7 +97,7 @@
         return false;
     }
     return std::all_of(ranks_.begin(), ranks_.end(),
-                       [&](const auto &entry) { return fresh(entry.second, now); });
+                       [&](const auto &entry) { return isCurrent(entry.second, now); });
 }
 
 bool GroupDecider::acceptsRequests() const
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -239,7 +239,7 @@
     bool allConfirmed() const;
     bool isGroupClosed(TimePoint now) const;
     bool isResendDue(const Rank &rank, TimePoint now) const;
-    bool fresh(const Rank &rank, TimePoint now) const;
+    bool isCurrent(const Rank &rank, TimePoint now) const;
     bool armsOwnLast() const;
     std::uint32_t successor() const;
     bool mayArm(std::uint32_t number) const;
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -13,7 +13,7 @@
     std::optional<std::uint32_t> silent;
     for (std::uint32_t number = 0; number < size_; ++number) {
         const auto found = ranks_.find(number);
-        if (found != ranks_.end() && fresh(found->second, now)) {
+        if (found != ranks_.end() && isCurrent(found->second, now)) {
             continue;
         }
         if (silent) {
