--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -369,7 +369,7 @@
     }
     if (phase_ == Phase::Preparing && allConfirmed() && allRanksCurrent(now)) {
         chooseStep();
-        holder_ = armsOwnLast() ? successor() : settings_.ownRank;
+        holder_ = armsOwnRankLast() ? successor() : settings_.ownRank;
         enterPhase(Phase::Holding, now);
     } else if (phase_ == Phase::Arming && allConfirmed()) {
         committed_ = true;
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -240,7 +240,7 @@
     bool isGroupClosed(TimePoint now) const;
     bool isResendDue(const Rank &rank, TimePoint now) const;
     bool isCurrent(const Rank &rank, TimePoint now) const;
-    bool armsOwnLast() const;
+    bool armsOwnRankLast() const;
     std::uint32_t successor() const;
     bool mayArm(std::uint32_t number) const;
     std::optional<std::uint32_t> soleSilentRank(TimePoint now) const;
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -6,7 +6,7 @@
 
 namespace seamarch {
 
-bool GroupDecider::armsOwnLast() const
+bool GroupDecider::armsOwnRankLast() const
 {
     return rankArmedLast(version_) == settings_.ownRank;
 }
@@ -21,7 +21,7 @@
 bool GroupDecider::mayArm(std::uint32_t number) const
 {
     const bool last = number == settings_.ownRank;
-    if (!armsOwnLast() || (!last && number != successor())) {
+    if (!armsOwnRankLast() || (!last && number != successor())) {
         return true;
     }
     return std::all_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
@@ -68,7 +68,7 @@
         if (!rank.confirmed && isResendDue(rank, now) && mayArm(number)) {
             unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
-            const OrderRoute route = armsOwnLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
+            const OrderRoute route = armsOwnRankLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
             orders.push_back({number, orderFor(MapOrderKind::Arm), way});
         }
     }
@@ -168,7 +168,7 @@
         chooseHolder();
     }
     ranks_[holder_].sentAt = now;
-    const bool straight = !clearing_ && armsOwnLast();
+    const bool straight = !clearing_ && armsOwnRankLast();
     orders.push_back({holder_, orderFor(MapOrderKind::Hold),
                       straight ? OrderRoute::EngineOnly : OrderRoute::Any});
 }
