--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -242,7 +242,7 @@
     bool isCurrent(const Rank &rank, TimePoint now) const;
     bool armsOwnRankLast() const;
     std::uint32_t successor() const;
-    bool mayArm(std::uint32_t number) const;
+    bool canArm(std::uint32_t number) const;
     std::optional<std::uint32_t> soleSilentRank(TimePoint now) const;
     bool mayClearWithout(std::uint32_t silent) const;
     bool isExcluded(std::uint32_t number) const { return excludedRank_ == number; }
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -18,7 +18,7 @@
 }
 
 // Tells whether it is the rank's turn to be armed.
-bool GroupDecider::mayArm(std::uint32_t number) const
+bool GroupDecider::canArm(std::uint32_t number) const
 {
     const bool last = number == settings_.ownRank;
     if (!armsOwnRankLast() || (!last && number != successor())) {
@@ -65,7 +65,7 @@
 void GroupDecider::sendArms(TimePoint now, MapOrders &orders)
 {
     for (auto &[number, rank] : ranks_) {
-        if (!rank.confirmed && isResendDue(rank, now) && mayArm(number)) {
+        if (!rank.confirmed && isResendDue(rank, now) && canArm(number)) {
             unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
             const OrderRoute route = armsOwnRankLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
