--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -377,7 +377,7 @@
         enterPhase(Phase::Releasing, now);
     } else if (phase_ == Phase::Clearing && allConfirmed()) {
         // Its own engine has taken the fence by now: what this agent has not handed on, it refuses.
-        const bool cleared = !excludedRank_ || mayClearWithout(*excludedRank_);
+        const bool cleared = !excludedRank_ || canClearWithout(*excludedRank_);
         cleared_ += cleared ? 1 : 0;
         enterPhase(cleared ? Phase::Releasing : Phase::Idle, now);
     } else if (phase_ == Phase::Releasing && released()) {
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -244,7 +244,7 @@
     std::uint32_t successor() const;
     bool canArm(std::uint32_t number) const;
     std::optional<std::uint32_t> soleSilentRank(TimePoint now) const;
-    bool mayClearWithout(std::uint32_t silent) const;
+    bool canClearWithout(std::uint32_t silent) const;
     bool isExcluded(std::uint32_t number) const { return excludedRank_ == number; }
     MapOrder orderFor(MapOrderKind kind) const;
     void sendPrepares(TimePoint now, MapOrders &orders);
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -50,7 +50,7 @@
 
 // Tells whether the change that is under way can be cleared without the silent rank: that rank is
 // armed last, and this agent has handed on no arm, so that its own confirmation is still missing.
-bool GroupDecider::mayClearWithout(std::uint32_t silent) const
+bool GroupDecider::canClearWithout(std::uint32_t silent) const
 {
     const auto own = ranks_.find(settings_.ownRank);
     if (own == ranks_.end()) {
@@ -68,7 +68,7 @@
 void GroupDecider::watchSilent(bool foreign, TimePoint now)
 {
     const auto silent = foreign ? soleSilentRank(now) : std::nullopt;
-    if (!silent || *silent == settings_.ownRank || !mayClearWithout(*silent)) {
+    if (!silent || *silent == settings_.ownRank || !canClearWithout(*silent)) {
         silentSince_.reset();
         return;
     }
