--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -145,15 +145,15 @@
 // rank that holds nothing takes its place.
 void GroupDecider::chooseHolder()
 {
-    const auto mayHold = [this](const Rank &rank) {
+    const auto canHold = [this](const Rank &rank) {
         return !rank.report.held || *rank.report.held == step_;
     };
     holder_ = settings_.ownRank;
-    if (mayHold(ranks_[holder_])) {
+    if (canHold(ranks_[holder_])) {
         return;
     }
-    const auto found = std::find_if(ranks_.begin(), ranks_.end(), [&mayHold](const auto &entry) {
-        return mayHold(entry.second);
+    const auto found = std::find_if(ranks_.begin(), ranks_.end(), [&canHold](const auto &entry) {
+        return canHold(entry.second);
     });
     holder_ = found == ranks_.end() ? settings_.ownRank : found->first;
 }
