--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -430,7 +430,7 @@
     }
     switch (phase_) {
     case Phase::Idle:
-        watchForeign(now);
+        checkForeignState(now);
         return;
     case Phase::Preparing:
         sendPrepares(now, orders);
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -252,7 +252,7 @@
     void sendDisarms(TimePoint now, MapOrders &orders);
     void sendReleases(TimePoint now, MapOrders &orders);
     void sendArms(TimePoint now, MapOrders &orders);
-    void watchForeign(TimePoint now);
+    void checkForeignState(TimePoint now);
     void watchSilent(bool foreign, TimePoint now);
     bool isForeign(const RankReport &report) const;
     void beginClearing(TimePoint now, std::optional<std::uint32_t> without = std::nullopt);
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -30,7 +30,7 @@
     return (report.armed != 0 && !ownArm) || report.held.has_value();
 }
 
-void GroupDecider::watchForeign(TimePoint now)
+void GroupDecider::checkForeignState(TimePoint now)
 {
     const bool foreign = std::any_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         return isForeign(entry.second.report);
