--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -253,7 +253,7 @@
     void sendReleases(TimePoint now, MapOrders &orders);
     void sendArms(TimePoint now, MapOrders &orders);
     void checkForeignState(TimePoint now);
-    void watchSilent(bool foreign, TimePoint now);
+    void checkSilentRank(bool foreign, TimePoint now);
     bool isForeign(const RankReport &report) const;
     void beginClearing(TimePoint now, std::optional<std::uint32_t> without = std::nullopt);
     bool released() const;
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -35,7 +35,7 @@
     const bool foreign = std::any_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         return isForeign(entry.second.report);
     });
-    watchSilent(foreign, now);
+    checkSilentRank(foreign, now);
     if (!foreign) {
         foreignSince_.reset();
         return;
@@ -65,7 +65,7 @@
            });
 }
 
-void GroupDecider::watchSilent(bool foreign, TimePoint now)
+void GroupDecider::checkSilentRank(bool foreign, TimePoint now)
 {
     const auto silent = foreign ? soleSilentRank(now) : std::nullopt;
     if (!silent || *silent == settings_.ownRank || !canClearWithout(*silent)) {
