--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -303,7 +303,7 @@
         rank.confirmed = true;
     } else if (answer != MapOrderAnswer::Lost) {
         raiseFence(answer == MapOrderAnswer::Fenced);
-        beginClearing(now);
+        startClearing(now);
     }
 }
 
@@ -337,7 +337,7 @@
     } else if (phase_ == Phase::Clearing && kind == MapOrderKind::Disarm) {
         if (answer == MapOrderAnswer::Fenced) {
             raiseFence(true);
-            beginClearing(now, excludedRank_);
+            startClearing(now, excludedRank_);
         } else if (answer == MapOrderAnswer::Done) {
             rank.confirmed = true;
             rank.answeredAt = now;
@@ -424,9 +424,9 @@
     if (phase_ == Phase::Preparing && now - phaseSince_ > settings_.prepareTimeout) {
         enterPhase(Phase::Idle, now); // Nothing is armed; what was copied does no harm.
     } else if (phase_ == Phase::Arming && now - phaseSince_ > settings_.armTimeout) {
-        beginClearing(now);
+        startClearing(now);
     } else if (phase_ == Phase::Holding && !clearing_ && now - phaseSince_ > settings_.armTimeout) {
-        beginClearing(now); // Whether the rank holds the step is not known.
+        startClearing(now); // Whether the rank holds the step is not known.
     }
     switch (phase_) {
     case Phase::Idle:
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -44,7 +44,7 @@
         std::exchange(settings_.predecessorLastSeenAt, std::nullopt).value_or(now));
     if (now - *foreignSince_ >= settings_.foreignTimeout && allRanksCurrent(now)) {
         foreignSince_.reset();
-        beginClearing(now);
+        startClearing(now);
     }
 }
 
@@ -75,13 +75,13 @@
     silentSince_ = silentSince_.value_or(now);
     if (now - *silentSince_ >= settings_.silentRankTimeout) {
         silentSince_.reset();
-        beginClearing(now, silent);
+        startClearing(now, silent);
     }
 }
 
 // Places the hold anew, also where the own rank should hold already: another decider with a higher
 // fence may have released that hold, and may be changing the map now.
-void GroupDecider::beginClearing(TimePoint now, std::optional<std::uint32_t> without)
+void GroupDecider::startClearing(TimePoint now, std::optional<std::uint32_t> without)
 {
     excludedRank_ = without;
     clearing_ = true;
