--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -352,7 +352,7 @@
     advance(now);
 }
 
-void GroupDecider::noteArmTime(Duration time)
+void GroupDecider::recordArmTime(Duration time)
 {
     armTimes_.push_back(time);
     if (armTimes_.size() > settings_.maxArmTimes) {
@@ -373,7 +373,7 @@
         enterPhase(Phase::Holding, now);
     } else if (phase_ == Phase::Arming && allConfirmed()) {
         committed_ = true;
-        noteArmTime(now - phaseSince_);
+        recordArmTime(now - phaseSince_);
         enterPhase(Phase::Releasing, now);
     } else if (phase_ == Phase::Clearing && allConfirmed()) {
         // Its own engine has taken the fence by now: what this agent has not handed on, it refuses.
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -264,7 +264,7 @@
     void chooseHolder();
     void onHoldAnswer(MapOrderAnswer answer, TimePoint now);
     void onArmAnswer(Rank &rank, MapOrderAnswer answer, TimePoint now);
-    void noteArmTime(Duration time);
+    void recordArmTime(Duration time);
     void advance(TimePoint now);
     void forgetEpoch(std::uint64_t epoch, TimePoint now);
 
