--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -142,7 +142,7 @@
     return map;
 }
 
-void GroupDecider::forgetEpoch(std::uint64_t epoch, TimePoint now)
+void GroupDecider::startEpoch(std::uint64_t epoch, TimePoint now)
 {
     epoch_ = epoch;
     ranks_.clear();
@@ -162,7 +162,7 @@
         return;
     }
     if (report.epoch > epoch_) {
-        forgetEpoch(report.epoch, now);
+        startEpoch(report.epoch, now);
     }
     size_ = report.ranks;
     Rank &rank = ranks_[report.rank];
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -266,7 +266,7 @@
     void onArmAnswer(Rank &rank, MapOrderAnswer answer, TimePoint now);
     void recordArmTime(Duration time);
     void advance(TimePoint now);
-    void forgetEpoch(std::uint64_t epoch, TimePoint now);
+    void startEpoch(std::uint64_t epoch, TimePoint now);
 
     Settings settings_;
     std::mt19937_64 random_;
