--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -380,7 +380,7 @@
         const bool cleared = !excludedRank_ || canClearWithout(*excludedRank_);
         cleared_ += cleared ? 1 : 0;
         enterPhase(cleared ? Phase::Releasing : Phase::Idle, now);
-    } else if (phase_ == Phase::Releasing && released()) {
+    } else if (phase_ == Phase::Releasing && allHoldsReleased()) {
         changes_ += committed_ ? 1 : 0;
         releasedAt_ = now;
         enterPhase(Phase::Idle, now);
@@ -388,7 +388,7 @@
 }
 
 // Tells whether every hold that this agent releases is released.
-bool GroupDecider::released() const
+bool GroupDecider::allHoldsReleased() const
 {
     return std::all_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         const bool holds = entry.second.report.held.has_value() && !isExcluded(entry.first);
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -256,7 +256,7 @@
     void checkSilentRank(bool foreign, TimePoint now);
     bool isForeign(const RankReport &report) const;
     void startClearing(TimePoint now, std::optional<std::uint32_t> without = std::nullopt);
-    bool released() const;
+    bool allHoldsReleased() const;
     void measurePasses(TimePoint askedAt);
     Duration lead() const;
     std::uint64_t margin() const;
