--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -21,7 +21,7 @@
 GroupDecider::GroupDecider(const Settings &settings)
     : settings_(settings)
     , random_(settings.seed)
-    , fenceMark_(random_() % kFenceStride)
+    , fenceSuffix_(random_() % kFenceStride)
 {}
 
 Duration GroupDecider::resendIntervalFor(Phase phase) const
@@ -63,7 +63,7 @@
         highest += overtakenStrides_ * kFenceStride;
         overtakenStrides_ *= 2;
     }
-    fence_ = (highest / kFenceStride + 1) * kFenceStride + fenceMark_;
+    fence_ = (highest / kFenceStride + 1) * kFenceStride + fenceSuffix_;
 }
 
 std::vector<double> GroupDecider::paces() const
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -270,7 +270,7 @@
 
     Settings settings_;
     std::mt19937_64 random_;
-    std::uint64_t fenceMark_ = 0; // The low digits of this decider's fences.
+    std::uint64_t fenceSuffix_ = 0; // The low digits of this decider's fences.
     std::map<std::uint32_t, Rank> ranks_;
     std::uint32_t size_ = 0;
     std::uint64_t epoch_ = 0;
