--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -242,7 +242,7 @@
     experts_ = std::make_shared<const ExpertMap>(std::move(experts));
     committed_ = false;
     clearing_ = false;
-    unanswered_ = 0;
+    resentOrders_ = 0;
     raiseFence();
     enterPhase(Phase::Preparing, now);
     sendPrepares(now, orders);
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -285,7 +285,7 @@
     std::uint32_t holder_ = 0;  // The rank that holds it.
     bool committed_ = false;    // Every rank has armed `version_`.
     std::shared_ptr<const ExpertMap> experts_;
-    std::uint64_t unanswered_ = 0;   // Orders of the change under way that were sent again.
+    std::uint64_t resentOrders_ = 0; // Orders of the change under way that were sent again.
     std::uint64_t measuredStep_ = 0; // Where the measurement of the passes' time began.
     TimePoint measuredAt_{};
     Duration passTime_{};           // Zero: not measured yet.
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -55,7 +55,7 @@
     for (auto &[number, rank] : ranks_) {
         const bool copying = rank.answeredAt != TimePoint{};
         if (!rank.confirmed && !copying && isResendDue(rank, now)) {
-            unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
+            resentOrders_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
             orders.push_back({number, orderFor(MapOrderKind::Prepare), OrderRoute::Any});
         }
@@ -66,7 +66,7 @@
 {
     for (auto &[number, rank] : ranks_) {
         if (!rank.confirmed && isResendDue(rank, now) && canArm(number)) {
-            unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
+            resentOrders_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
             const OrderRoute route = armsOwnRankLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
             orders.push_back({number, orderFor(MapOrderKind::Arm), way});
@@ -121,7 +121,7 @@
 Duration GroupDecider::lead() const
 {
     const Duration unmeasured = settings_.lead + settings_.leadPerRank * static_cast<int>(size_);
-    const Duration lossy = unanswered_ > 0 ? settings_.lossyLeadExtra : Duration{};
+    const Duration lossy = resentOrders_ > 0 ? settings_.lossyLeadExtra : Duration{};
     if (armTimes_.empty()) {
         return unmeasured + lossy;
     }
