--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t kFenceStride = 1U << 18U;
 // Versions are drawn with a gap of up to this, so that an agent that starts anew never means
 // another map by a version that it drew in its earlier life. A thousandth of them are its own.
-constexpr std::uint64_t kVersionGap = 1U << 30U;
+constexpr std::uint64_t kMaxVersionGap = 1U << 30U;
 
 } // namespace
 
@@ -237,7 +237,7 @@
         size_ > 1 && std::all_of(ranks_.begin(), ranks_.end(), [](const auto &entry) {
             return entry.second.report.byAgent;
         });
-    version_ = mapVersionAbove(highest + random_() % kVersionGap,
+    version_ = mapVersionAbove(highest + random_() % kMaxVersionGap,
                                agentsOnly ? std::optional(settings_.ownRank) : std::nullopt);
     experts_ = std::make_shared<const ExpertMap>(std::move(experts));
     committed_ = false;
