--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -60,8 +60,8 @@
         highest = std::max(highest, state.report.fence);
     }
     if (overtaken) {
-        highest += overtakenStrides_ * kFenceStride;
-        overtakenStrides_ *= 2;
+        highest += fenceBackoffStrides_ * kFenceStride;
+        fenceBackoffStrides_ *= 2;
     }
     fence_ = (highest / kFenceStride + 1) * kFenceStride + fenceSuffix_;
 }
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -275,7 +275,8 @@
     std::uint32_t size_ = 0;
     std::uint64_t epoch_ = 0;
     std::uint64_t fence_ = 0;
-    std::uint64_t overtakenStrides_ = 1; // Added to a fence that was overtaken; doubles each time.
+    std::uint64_t fenceBackoffStrides_ =
+        1; // Added to a fence that was overtaken; doubles each time.
     Phase phase_ = Phase::Idle;
     TimePoint phaseSince_{};
     TimePoint releasedAt_{};    // When the last change or clearing ended.
