--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -190,9 +190,9 @@
 {
     return std::all_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         const Rank &rank = entry.second;
-        const bool seen =
+        const bool disarmReported =
             phase_ != Phase::Clearing || (rank.askedAt > rank.answeredAt && rank.report.armed == 0);
-        return isExcluded(entry.first) || (rank.confirmed && seen);
+        return isExcluded(entry.first) || (rank.confirmed && disarmReported);
     });
 }
 
