--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -168,9 +168,9 @@
         chooseHolder();
     }
     ranks_[holder_].sentAt = now;
-    const bool straight = !clearing_ && armsOwnRankLast();
+    const bool engineOnly = !clearing_ && armsOwnRankLast();
     orders.push_back({holder_, orderFor(MapOrderKind::Hold),
-                      straight ? OrderRoute::EngineOnly : OrderRoute::Any});
+                      engineOnly ? OrderRoute::EngineOnly : OrderRoute::Any});
 }
 
 } // namespace seamarch
