--- a/src/decision/expertmap/forwardedorders.cpp
+++ b/src/decision/expertmap/forwardedorders.cpp
@@ -24,7 +24,7 @@
     }
 }
 
-bool ForwardedOrders::add(const MapOrder &order)
+bool ForwardedOrders::admit(const MapOrder &order)
 {
     if (order.fence < fence_) {
         return false;
--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -20,7 +20,7 @@
     // Tells whether the order may be handed to the engine, and remembers it if so. One under a
     // lower fence than an earlier one may not: the engine would refuse it, and this agent may have
     // vouched that it has handed on no such order.
-    bool add(const MapOrder &order);
+    bool admit(const MapOrder &order);
 
     // The engine has reported that `prepared` is the last version that it has copied.
     void noteReport(std::uint64_t epoch, std::uint64_t prepared);
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -55,7 +55,7 @@
 
 void OwnEngine::order(const MapOrder &order, OrderDone done)
 {
-    if (!handed_.add(order)) {
+    if (!handed_.admit(order)) {
         logLine(LogLevel::Info, "order.fenced",
                 {{"kind", wordFor(order.kind)},
                  {"version", order.version},
--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -32,28 +32,28 @@
 
 TEST(ForwardedOrdersTest, VouchesForWhatWasPreparedAndNotArmed)
 {
-    handed.add(order(MapOrderKind::Prepare, 9));
+    handed.admit(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
-    handed.add(order(MapOrderKind::Hold, 9));
+    handed.admit(order(MapOrderKind::Hold, 9));
     LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
-    handed.add(order(MapOrderKind::Arm, 9));
+    handed.admit(order(MapOrderKind::Arm, 9));
     LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
 }
 
 // Whether the engine carries an arm out at once or seconds later, nobody can tell.
 TEST(ForwardedOrdersTest, PrepareThatComesAgainUndoesNoArm)
 {
-    handed.add(order(MapOrderKind::Prepare, 9));
-    handed.add(order(MapOrderKind::Arm, 9));
-    handed.add(order(MapOrderKind::Prepare, 9));
+    handed.admit(order(MapOrderKind::Prepare, 9));
+    handed.admit(order(MapOrderKind::Arm, 9));
+    handed.admit(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, DisarmLeavesTheArmRemembered)
 {
-    handed.add(order(MapOrderKind::Prepare, 9));
-    handed.add(order(MapOrderKind::Arm, 9));
-    handed.add(order(MapOrderKind::Disarm, 9, 2));
+    handed.admit(order(MapOrderKind::Prepare, 9));
+    handed.admit(order(MapOrderKind::Arm, 9));
+    handed.admit(order(MapOrderKind::Disarm, 9, 2));
     LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
 }
 
@@ -61,32 +61,32 @@
 {
     ForwardedOrders fresh;
     fresh.noteReport(kEpoch, 9);
-    fresh.add(order(MapOrderKind::Prepare, 9));
+    fresh.admit(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(0, fresh.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, AgentThatHasHeardNothingOfItsEngineVouchesForNothing)
 {
     ForwardedOrders fresh;
-    fresh.add(order(MapOrderKind::Prepare, 9));
+    fresh.admit(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(0, fresh.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, LowerFenceIsRefusedAndNotRemembered)
 {
-    handed.add(order(MapOrderKind::Prepare, 9));
-    CHECK_TRUE(handed.add(order(MapOrderKind::Disarm, 10, 7)));
-    CHECK_FALSE(handed.add(order(MapOrderKind::Arm, 9, 6)));
+    handed.admit(order(MapOrderKind::Prepare, 9));
+    CHECK_TRUE(handed.admit(order(MapOrderKind::Disarm, 10, 7)));
+    CHECK_FALSE(handed.admit(order(MapOrderKind::Arm, 9, 6)));
     LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
     LONGS_EQUAL(7, handed.fence());
 }
 
 TEST(ForwardedOrdersTest, NewEpochVoidsTheOneBefore)
 {
-    handed.add(order(MapOrderKind::Prepare, 9));
+    handed.admit(order(MapOrderKind::Prepare, 9));
     handed.noteReport(kEpoch + 1, 0);
     LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
     LONGS_EQUAL(0, handed.unarmedVersion(kEpoch + 1));
-    handed.add(order(MapOrderKind::Arm, 9)); // Of the epoch before, late.
+    handed.admit(order(MapOrderKind::Arm, 9)); // Of the epoch before, late.
     LONGS_EQUAL(0, handed.unarmedVersion(kEpoch + 1));
 }
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -293,7 +293,7 @@
         if (planted_ == Planted::AgentsForgetArms && action.order.kind == MapOrderKind::Arm) {
             return true;
         }
-        return agents_[action.rank].add(action.order);
+        return agents_[action.rank].admit(action.order);
     }
 
     // A prepare is answered when its experts are copied, or as begun when that takes long.
