--- a/src/decision/expertmap/forwardedorders.cpp
+++ b/src/decision/expertmap/forwardedorders.cpp
@@ -15,7 +15,7 @@
     }
 }
 
-void ForwardedOrders::noteReport(std::uint64_t epoch, std::uint64_t prepared)
+void ForwardedOrders::recordReport(std::uint64_t epoch, std::uint64_t prepared)
 {
     enter(epoch);
     if (epoch == epoch_) {
--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -23,7 +23,7 @@
     bool admit(const MapOrder &order);
 
     // The engine has reported that `prepared` is the last version that it has copied.
-    void noteReport(std::uint64_t epoch, std::uint64_t prepared);
+    void recordReport(std::uint64_t epoch, std::uint64_t prepared);
 
     // Returns the version of `epoch` that was prepared and of which no arm was handed over; zero
     // when there is none.
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -42,7 +42,7 @@
                        return;
                    }
                    RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
-                   handed_.noteReport(facts.report.epoch, facts.report.prepared);
+                   handed_.recordReport(facts.report.epoch, facts.report.prepared);
                    facts.report.fence = handed_.fence();
                    facts.report.unarmedVersion = handed_.unarmedVersion(facts.report.epoch);
                    if (!engine->counts.empty()) {
--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -26,7 +26,7 @@
 
     void setup() override
     {
-        handed.noteReport(kEpoch, 5);
+        handed.recordReport(kEpoch, 5);
     }
 };
 
@@ -60,7 +60,7 @@
 TEST(ForwardedOrdersTest, AgentThatStartedAfterTheCopyVouchesForNothing)
 {
     ForwardedOrders fresh;
-    fresh.noteReport(kEpoch, 9);
+    fresh.recordReport(kEpoch, 9);
     fresh.admit(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(0, fresh.unarmedVersion(kEpoch));
 }
@@ -84,7 +84,7 @@
 TEST(ForwardedOrdersTest, NewEpochVoidsTheOneBefore)
 {
     handed.admit(order(MapOrderKind::Prepare, 9));
-    handed.noteReport(kEpoch + 1, 0);
+    handed.recordReport(kEpoch + 1, 0);
     LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
     LONGS_EQUAL(0, handed.unarmedVersion(kEpoch + 1));
     handed.admit(order(MapOrderKind::Arm, 9)); // Of the epoch before, late.
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -390,7 +390,7 @@
         }
         report.byAgent = !faults_ || !chance(0.05);
         if (report.byAgent) {
-            agents_[of].noteReport(epoch_, engine.prepared);
+            agents_[of].recordReport(epoch_, engine.prepared);
         }
         report.unarmedVersion = of == to ? agents_[of].unarmedVersion(epoch_) : 0;
         const TimePoint askedAt = now_;
