--- a/src/decision/expertmap/forwardedorders.cpp
+++ b/src/decision/expertmap/forwardedorders.cpp
@@ -5,7 +5,7 @@
 namespace seamarch {
 
 // Forgets what an earlier epoch had: versions begin anew in each.
-void ForwardedOrders::enter(std::uint64_t epoch)
+void ForwardedOrders::startEpoch(std::uint64_t epoch)
 {
     if (epoch > epoch_) {
         epoch_ = epoch;
@@ -17,7 +17,7 @@
 
 void ForwardedOrders::recordReport(std::uint64_t epoch, std::uint64_t prepared)
 {
-    enter(epoch);
+    startEpoch(epoch);
     if (epoch == epoch_) {
         reported_ = true;
         prepared_ = std::max(prepared_, prepared);
@@ -30,7 +30,7 @@
         return false;
     }
     fence_ = order.fence;
-    enter(order.epoch);
+    startEpoch(order.epoch);
     if (order.epoch < epoch_) {
         return true; // The engine refuses it, and it concerns nothing that is remembered.
     }
--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -41,7 +41,7 @@
     bool reported_ = false;        // The engine has.
     std::uint64_t neverArmed_ = 0; // The version of the last prepare, until it is armed.
 
-    void enter(std::uint64_t epoch);
+    void startEpoch(std::uint64_t epoch);
 };
 
 } // namespace seamarch
