--- a/src/decision/expertmap/forwardedorders.cpp
+++ b/src/decision/expertmap/forwardedorders.cpp
@@ -10,7 +10,7 @@
     if (epoch > epoch_) {
         epoch_ = epoch;
         prepared_ = 0;
-        reported_ = false;
+        engineReported_ = false;
         neverArmed_ = 0;
     }
 }
@@ -19,7 +19,7 @@
 {
     startEpoch(epoch);
     if (epoch == epoch_) {
-        reported_ = true;
+        engineReported_ = true;
         prepared_ = std::max(prepared_, prepared);
     }
 }
@@ -37,7 +37,7 @@
     // A prepare that comes twice tells nothing of the arms between.
     if (order.kind == MapOrderKind::Prepare && order.version > prepared_) {
         prepared_ = order.version;
-        neverArmed_ = reported_ ? order.version : 0;
+        neverArmed_ = engineReported_ ? order.version : 0;
     } else if (order.kind == MapOrderKind::Arm && order.version == neverArmed_) {
         neverArmed_ = 0;
     }
--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -38,7 +38,7 @@
     std::uint64_t fence_ = 0;
     std::uint64_t epoch_ = 0;      // Of what follows.
     std::uint64_t prepared_ = 0;   // The highest version that was copied, or handed over for it.
-    bool reported_ = false;        // The engine has.
+    bool engineReported_ = false;  // The engine has.
     std::uint64_t neverArmed_ = 0; // The version of the last prepare, until it is armed.
 
     void startEpoch(std::uint64_t epoch);
