--- a/src/decision/expertmap/forwardedorders.cpp
+++ b/src/decision/expertmap/forwardedorders.cpp
@@ -9,7 +9,7 @@
 {
     if (epoch > epoch_) {
         epoch_ = epoch;
-        prepared_ = 0;
+        highestPrepared_ = 0;
         engineReported_ = false;
         neverArmed_ = 0;
     }
@@ -20,7 +20,7 @@
     startEpoch(epoch);
     if (epoch == epoch_) {
         engineReported_ = true;
-        prepared_ = std::max(prepared_, prepared);
+        highestPrepared_ = std::max(highestPrepared_, prepared);
     }
 }
 
@@ -35,8 +35,8 @@
         return true; // The engine refuses it, and it concerns nothing that is remembered.
     }
     // A prepare that comes twice tells nothing of the arms between.
-    if (order.kind == MapOrderKind::Prepare && order.version > prepared_) {
-        prepared_ = order.version;
+    if (order.kind == MapOrderKind::Prepare && order.version > highestPrepared_) {
+        highestPrepared_ = order.version;
         neverArmed_ = engineReported_ ? order.version : 0;
     } else if (order.kind == MapOrderKind::Arm && order.version == neverArmed_) {
         neverArmed_ = 0;
--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -36,8 +36,9 @@
 
 private:
     std::uint64_t fence_ = 0;
-    std::uint64_t epoch_ = 0;      // Of what follows.
-    std::uint64_t prepared_ = 0;   // The highest version that was copied, or handed over for it.
+    std::uint64_t epoch_ = 0; // Of what follows.
+    std::uint64_t highestPrepared_ =
+        0;                         // The highest version that was copied, or handed over for it.
     bool engineReported_ = false;  // The engine has.
     std::uint64_t neverArmed_ = 0; // The version of the last prepare, until it is armed.
 
