--- a/src/decision/expertmap/forwardedorders.cpp
+++ b/src/decision/expertmap/forwardedorders.cpp
@@ -11,7 +11,7 @@
         epoch_ = epoch;
         highestPrepared_ = 0;
         engineReported_ = false;
-        neverArmed_ = 0;
+        unarmedVersion_ = 0;
     }
 }
 
@@ -37,9 +37,9 @@
     // A prepare that comes twice tells nothing of the arms between.
     if (order.kind == MapOrderKind::Prepare && order.version > highestPrepared_) {
         highestPrepared_ = order.version;
-        neverArmed_ = engineReported_ ? order.version : 0;
-    } else if (order.kind == MapOrderKind::Arm && order.version == neverArmed_) {
-        neverArmed_ = 0;
+        unarmedVersion_ = engineReported_ ? order.version : 0;
+    } else if (order.kind == MapOrderKind::Arm && order.version == unarmedVersion_) {
+        unarmedVersion_ = 0;
     }
     return true;
 }
--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -29,7 +29,7 @@
     // when there is none.
     std::uint64_t unarmedVersion(std::uint64_t epoch) const
     {
-        return epoch == epoch_ ? neverArmed_ : 0;
+        return epoch == epoch_ ? unarmedVersion_ : 0;
     }
     // Returns the highest fence that was handed over.
     std::uint64_t fence() const { return fence_; }
@@ -38,9 +38,9 @@
     std::uint64_t fence_ = 0;
     std::uint64_t epoch_ = 0; // Of what follows.
     std::uint64_t highestPrepared_ =
-        0;                         // The highest version that was copied, or handed over for it.
-    bool engineReported_ = false;  // The engine has.
-    std::uint64_t neverArmed_ = 0; // The version of the last prepare, until it is armed.
+        0;                        // The highest version that was copied, or handed over for it.
+    bool engineReported_ = false; // The engine has.
+    std::uint64_t unarmedVersion_ = 0; // The version of the last prepare, until it is armed.
 
     void startEpoch(std::uint64_t epoch);
 };
