--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -32,7 +32,7 @@
         return epoch == epoch_ ? unarmedVersion_ : 0;
     }
     // Returns the highest fence that was handed over.
-    std::uint64_t fence() const { return fence_; }
+    std::uint64_t highestFence() const { return fence_; }
 
 private:
     std::uint64_t fence_ = 0;
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -43,7 +43,7 @@
                    }
                    RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
                    handed_.recordReport(facts.report.epoch, facts.report.prepared);
-                   facts.report.fence = handed_.fence();
+                   facts.report.fence = handed_.highestFence();
                    facts.report.unarmedVersion = handed_.unarmedVersion(facts.report.epoch);
                    if (!engine->counts.empty()) {
                        facts.choices =
@@ -60,7 +60,7 @@
                 {{"kind", wordFor(order.kind)},
                  {"version", order.version},
                  {"fence", order.fence},
-                 {"highest", handed_.fence()}});
+                 {"highest", handed_.highestFence()}});
         done(MapOrderAnswer::Fenced);
         return;
     }
--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint64_t kEpoch = 2;
 
-MapOrder order(MapOrderKind kind, std::uint64_t version, std::uint64_t fence = 1)
+MapOrder order(MapOrderKind kind, std::uint64_t version, std::uint64_t highestFence = 1)
 {
     MapOrder order;
     order.kind = kind;
@@ -78,7 +78,7 @@
     CHECK_TRUE(handed.admit(order(MapOrderKind::Disarm, 10, 7)));
     CHECK_FALSE(handed.admit(order(MapOrderKind::Arm, 9, 6)));
     LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
-    LONGS_EQUAL(7, handed.fence());
+    LONGS_EQUAL(7, handed.highestFence());
 }
 
 TEST(ForwardedOrdersTest, NewEpochVoidsTheOneBefore)
