--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -22,39 +22,39 @@
 
 TEST_GROUP(ForwardedOrdersTest)
 {
-    ForwardedOrders handed;
+    ForwardedOrders forwarded;
 
     void setup() override
     {
-        handed.recordReport(kEpoch, 5);
+        forwarded.recordReport(kEpoch, 5);
     }
 };
 
 TEST(ForwardedOrdersTest, VouchesForWhatWasPreparedAndNotArmed)
 {
-    handed.admit(order(MapOrderKind::Prepare, 9));
-    LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
-    handed.admit(order(MapOrderKind::Hold, 9));
-    LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
-    handed.admit(order(MapOrderKind::Arm, 9));
-    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
+    forwarded.admit(order(MapOrderKind::Prepare, 9));
+    LONGS_EQUAL(9, forwarded.unarmedVersion(kEpoch));
+    forwarded.admit(order(MapOrderKind::Hold, 9));
+    LONGS_EQUAL(9, forwarded.unarmedVersion(kEpoch));
+    forwarded.admit(order(MapOrderKind::Arm, 9));
+    LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch));
 }
 
 // Whether the engine carries an arm out at once or seconds later, nobody can tell.
 TEST(ForwardedOrdersTest, PrepareThatComesAgainUndoesNoArm)
 {
-    handed.admit(order(MapOrderKind::Prepare, 9));
-    handed.admit(order(MapOrderKind::Arm, 9));
-    handed.admit(order(MapOrderKind::Prepare, 9));
-    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
+    forwarded.admit(order(MapOrderKind::Prepare, 9));
+    forwarded.admit(order(MapOrderKind::Arm, 9));
+    forwarded.admit(order(MapOrderKind::Prepare, 9));
+    LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, DisarmLeavesTheArmRemembered)
 {
-    handed.admit(order(MapOrderKind::Prepare, 9));
-    handed.admit(order(MapOrderKind::Arm, 9));
-    handed.admit(order(MapOrderKind::Disarm, 9, 2));
-    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
+    forwarded.admit(order(MapOrderKind::Prepare, 9));
+    forwarded.admit(order(MapOrderKind::Arm, 9));
+    forwarded.admit(order(MapOrderKind::Disarm, 9, 2));
+    LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, AgentThatStartedAfterTheCopyVouchesForNothing)
@@ -74,19 +74,19 @@
 
 TEST(ForwardedOrdersTest, LowerFenceIsRefusedAndNotRemembered)
 {
-    handed.admit(order(MapOrderKind::Prepare, 9));
-    CHECK_TRUE(handed.admit(order(MapOrderKind::Disarm, 10, 7)));
-    CHECK_FALSE(handed.admit(order(MapOrderKind::Arm, 9, 6)));
-    LONGS_EQUAL(9, handed.unarmedVersion(kEpoch));
-    LONGS_EQUAL(7, handed.highestFence());
+    forwarded.admit(order(MapOrderKind::Prepare, 9));
+    CHECK_TRUE(forwarded.admit(order(MapOrderKind::Disarm, 10, 7)));
+    CHECK_FALSE(forwarded.admit(order(MapOrderKind::Arm, 9, 6)));
+    LONGS_EQUAL(9, forwarded.unarmedVersion(kEpoch));
+    LONGS_EQUAL(7, forwarded.highestFence());
 }
 
 TEST(ForwardedOrdersTest, NewEpochVoidsTheOneBefore)
 {
-    handed.admit(order(MapOrderKind::Prepare, 9));
-    handed.recordReport(kEpoch + 1, 0);
-    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch));
-    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch + 1));
-    handed.admit(order(MapOrderKind::Arm, 9)); // Of the epoch before, late.
-    LONGS_EQUAL(0, handed.unarmedVersion(kEpoch + 1));
+    forwarded.admit(order(MapOrderKind::Prepare, 9));
+    forwarded.recordReport(kEpoch + 1, 0);
+    LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch));
+    LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch + 1));
+    forwarded.admit(order(MapOrderKind::Arm, 9)); // Of the epoch before, late.
+    LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch + 1));
 }
