--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -59,17 +59,17 @@
 
 TEST(ForwardedOrdersTest, AgentThatStartedAfterTheCopyVouchesForNothing)
 {
-    ForwardedOrders fresh;
-    fresh.recordReport(kEpoch, 9);
-    fresh.admit(order(MapOrderKind::Prepare, 9));
-    LONGS_EQUAL(0, fresh.unarmedVersion(kEpoch));
+    ForwardedOrders restarted;
+    restarted.recordReport(kEpoch, 9);
+    restarted.admit(order(MapOrderKind::Prepare, 9));
+    LONGS_EQUAL(0, restarted.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, AgentThatHasHeardNothingOfItsEngineVouchesForNothing)
 {
-    ForwardedOrders fresh;
-    fresh.admit(order(MapOrderKind::Prepare, 9));
-    LONGS_EQUAL(0, fresh.unarmedVersion(kEpoch));
+    ForwardedOrders restarted;
+    restarted.admit(order(MapOrderKind::Prepare, 9));
+    LONGS_EQUAL(0, restarted.unarmedVersion(kEpoch));
 }
 
 TEST(ForwardedOrdersTest, LowerFenceIsRefusedAndNotRemembered)
