--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -30,7 +30,7 @@
     }
 };
 
-TEST(ForwardedOrdersTest, VouchesForWhatWasPreparedAndNotArmed)
+TEST(ForwardedOrdersTest, ReportsVersionPreparedButNotArmed)
 {
     forwarded.admit(order(MapOrderKind::Prepare, 9));
     LONGS_EQUAL(9, forwarded.unarmedVersion(kEpoch));
