--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -41,7 +41,7 @@
 }
 
 // Whether the engine carries an arm out at once or seconds later, nobody can tell.
-TEST(ForwardedOrdersTest, PrepareThatComesAgainUndoesNoArm)
+TEST(ForwardedOrdersTest, RepeatedPrepareDoesNotUndoArm)
 {
     forwarded.admit(order(MapOrderKind::Prepare, 9));
     forwarded.admit(order(MapOrderKind::Arm, 9));
