--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -49,7 +49,7 @@
     LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch));
 }
 
-TEST(ForwardedOrdersTest, DisarmLeavesTheArmRemembered)
+TEST(ForwardedOrdersTest, DisarmDoesNotUndoArm)
 {
     forwarded.admit(order(MapOrderKind::Prepare, 9));
     forwarded.admit(order(MapOrderKind::Arm, 9));
