--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -57,7 +57,7 @@
     LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch));
 }
 
-TEST(ForwardedOrdersTest, AgentThatStartedAfterTheCopyVouchesForNothing)
+TEST(ForwardedOrdersTest, AgentStartedAfterCopyReportsNothing)
 {
     ForwardedOrders restarted;
     restarted.recordReport(kEpoch, 9);
