--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -65,7 +65,7 @@
     LONGS_EQUAL(0, restarted.unarmedVersion(kEpoch));
 }
 
-TEST(ForwardedOrdersTest, AgentThatHasHeardNothingOfItsEngineVouchesForNothing)
+TEST(ForwardedOrdersTest, AgentWithoutEngineReportReportsNothing)
 {
     ForwardedOrders restarted;
     restarted.admit(order(MapOrderKind::Prepare, 9));
