--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -72,7 +72,7 @@
     LONGS_EQUAL(0, restarted.unarmedVersion(kEpoch));
 }
 
-TEST(ForwardedOrdersTest, LowerFenceIsRefusedAndNotRemembered)
+TEST(ForwardedOrdersTest, RejectsLowerFenceAndKeepsState)
 {
     forwarded.admit(order(MapOrderKind::Prepare, 9));
     CHECK_TRUE(forwarded.admit(order(MapOrderKind::Disarm, 10, 7)));
