--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -81,7 +81,7 @@
     LONGS_EQUAL(7, forwarded.highestFence());
 }
 
-TEST(ForwardedOrdersTest, NewEpochVoidsTheOneBefore)
+TEST(ForwardedOrdersTest, NewEpochDiscardsEarlierState)
 {
     forwarded.admit(order(MapOrderKind::Prepare, 9));
     forwarded.recordReport(kEpoch + 1, 0);
