--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -15,7 +15,8 @@
     places_ = std::move(places);
 }
 
-void GroupMembership::note(const InstanceId &engine, const GroupId &group, std::uint32_t rank)
+void GroupMembership::recordMember(const InstanceId &engine, const GroupId &group,
+                                   std::uint32_t rank)
 {
     const auto found = places_.find(engine);
     if (found == places_.end()) {
--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -40,7 +40,7 @@
     // Takes the list of engines. What was said by one that is no longer listed is forgotten.
     void setListed(const std::vector<InstanceId> &engines);
     // An engine, or the agent beside it, has named its group and rank.
-    void note(const InstanceId &engine, const GroupId &group, std::uint32_t rank);
+    void recordMember(const InstanceId &engine, const GroupId &group, std::uint32_t rank);
 
     // Returns the gap between two questions to `engine`; `ownGap` is that of the own group.
     Duration gapFor(const InstanceId &engine, Duration ownGap) const;
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -218,7 +218,7 @@
 // Notes where the engine belongs, and passes on what concerns the own group.
 void RankPeers::takeFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
 {
-    roster_.note(id, facts.report.group, facts.report.rank);
+    roster_.recordMember(id, facts.report.group, facts.report.rank);
     if (!roster_.isForeign(id)) {
         listener_.onPeerFacts(facts, askedAt);
     }
--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -27,16 +27,16 @@
 
 TEST(GroupMembershipTest, FindsTheRankOfItsOwnGroupOnly)
 {
-    membership.note(kFirst, kOther, 3);
-    membership.note(kSecond, kOwn, 3);
+    membership.recordMember(kFirst, kOther, 3);
+    membership.recordMember(kSecond, kOwn, 3);
     CHECK_TRUE(membership.engineOf(3) == kSecond);
     CHECK_FALSE(membership.engineOf(4).has_value());
 }
 
 TEST(GroupMembershipTest, AsksEnginesOfOtherGroupsSeldom)
 {
-    membership.note(kFirst, kOther, 0);
-    membership.note(kSecond, kOwn, 0);
+    membership.recordMember(kFirst, kOther, 0);
+    membership.recordMember(kSecond, kOwn, 0);
     CHECK_TRUE(membership.gapFor(kFirst, kGap) >= std::chrono::seconds(1));
     CHECK_TRUE(membership.gapFor(kSecond, kGap) == kGap);
 }
@@ -49,26 +49,26 @@
 
 TEST(GroupMembershipTest, FollowsAnEngineIntoItsGroup)
 {
-    membership.note(kFirst, kOther, 2);
-    membership.note(kFirst, kOwn, 5);
+    membership.recordMember(kFirst, kOther, 2);
+    membership.recordMember(kFirst, kOwn, 5);
     CHECK_TRUE(membership.engineOf(5) == kFirst);
     CHECK_FALSE(membership.isForeign(kFirst));
-    membership.note(kFirst, kOther, 2);
+    membership.recordMember(kFirst, kOther, 2);
     CHECK_FALSE(membership.engineOf(5).has_value());
 }
 
 TEST(GroupMembershipTest, SuccessorTakesTheRankOfAnEngineThatIsStillListed)
 {
-    membership.note(kFirst, kOwn, 1);
-    membership.note(kSecond, kOwn, 1);
+    membership.recordMember(kFirst, kOwn, 1);
+    membership.recordMember(kSecond, kOwn, 1);
     CHECK_TRUE(membership.engineOf(1) == kSecond);
 }
 
 TEST(GroupMembershipTest, ForgetsWhatIsNoLongerListed)
 {
-    membership.note(kFirst, kOwn, 1);
+    membership.recordMember(kFirst, kOwn, 1);
     membership.setListed({kSecond});
     CHECK_FALSE(membership.engineOf(1).has_value());
-    membership.note(kUnlisted, kOwn, 1);
+    membership.recordMember(kUnlisted, kOwn, 1);
     CHECK_FALSE(membership.engineOf(1).has_value());
 }
