--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -38,7 +38,7 @@
     return found != places_.end() && found->second && found->second->group != group_;
 }
 
-Duration GroupMembership::gapFor(const InstanceId &engine, Duration ownGap) const
+Duration GroupMembership::pollIntervalFor(const InstanceId &engine, Duration ownGap) const
 {
     return isForeign(engine) ? std::max(ownGap, settings_.otherGroupGap) : ownGap;
 }
--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -43,7 +43,7 @@
     void recordMember(const InstanceId &engine, const GroupId &group, std::uint32_t rank);
 
     // Returns the gap between two questions to `engine`; `ownGap` is that of the own group.
-    Duration gapFor(const InstanceId &engine, Duration ownGap) const;
+    Duration pollIntervalFor(const InstanceId &engine, Duration ownGap) const;
     // Tells whether `engine` is known to be in another group.
     bool isForeign(const InstanceId &engine) const;
     // Returns the engines of the own group, by rank.
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -107,7 +107,7 @@
     const TimePoint now = loop_.now();
     std::vector<std::pair<TimePoint, InstanceId>> due;
     for (const auto &[id, peer] : peers_) {
-        if (!peer.asking && now - peer.askedAt >= roster_.gapFor(id, gap)) {
+        if (!peer.asking && now - peer.askedAt >= roster_.pollIntervalFor(id, gap)) {
             due.emplace_back(peer.askedAt, id);
         }
     }
--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -37,13 +37,13 @@
 {
     membership.recordMember(kFirst, kOther, 0);
     membership.recordMember(kSecond, kOwn, 0);
-    CHECK_TRUE(membership.gapFor(kFirst, kGap) >= std::chrono::seconds(1));
-    CHECK_TRUE(membership.gapFor(kSecond, kGap) == kGap);
+    CHECK_TRUE(membership.pollIntervalFor(kFirst, kGap) >= std::chrono::seconds(1));
+    CHECK_TRUE(membership.pollIntervalFor(kSecond, kGap) == kGap);
 }
 
 TEST(GroupMembershipTest, AsksAnEngineThatHasNotAnsweredAsOftenAsItsOwn)
 {
-    CHECK_TRUE(membership.gapFor(kFirst, kGap) == kGap);
+    CHECK_TRUE(membership.pollIntervalFor(kFirst, kGap) == kGap);
     CHECK_FALSE(membership.isForeign(kFirst));
 }
 
