--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -40,7 +40,7 @@
 
 Duration GroupMembership::pollIntervalFor(const InstanceId &engine, Duration ownGap) const
 {
-    return isForeign(engine) ? std::max(ownGap, settings_.otherGroupGap) : ownGap;
+    return isForeign(engine) ? std::max(ownGap, settings_.otherGroupInterval) : ownGap;
 }
 
 std::map<std::uint32_t, InstanceId> GroupMembership::engines() const
--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -26,7 +26,7 @@
     {
         // How often an engine of another group is asked. It only bounds how long a group waits for
         // a rank that has changed groups without a new instance.
-        Duration otherGroupGap = std::chrono::seconds(2);
+        Duration otherGroupInterval = std::chrono::seconds(2);
     };
 
     explicit GroupMembership(GroupId group)
