--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -38,9 +38,9 @@
     return found != places_.end() && found->second && found->second->group != group_;
 }
 
-Duration GroupMembership::pollIntervalFor(const InstanceId &engine, Duration ownGap) const
+Duration GroupMembership::pollIntervalFor(const InstanceId &engine, Duration ownInterval) const
 {
-    return isForeign(engine) ? std::max(ownGap, settings_.otherGroupInterval) : ownGap;
+    return isForeign(engine) ? std::max(ownInterval, settings_.otherGroupInterval) : ownInterval;
 }
 
 std::map<std::uint32_t, InstanceId> GroupMembership::engines() const
--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -42,8 +42,8 @@
     // An engine, or the agent beside it, has named its group and rank.
     void recordMember(const InstanceId &engine, const GroupId &group, std::uint32_t rank);
 
-    // Returns the gap between two questions to `engine`; `ownGap` is that of the own group.
-    Duration pollIntervalFor(const InstanceId &engine, Duration ownGap) const;
+    // Returns the gap between two questions to `engine`; `ownInterval` is that of the own group.
+    Duration pollIntervalFor(const InstanceId &engine, Duration ownInterval) const;
     // Tells whether `engine` is known to be in another group.
     bool isForeign(const InstanceId &engine) const;
     // Returns the engines of the own group, by rank.
