--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -11,7 +11,7 @@
 const InstanceId kFirst("i-1");
 const InstanceId kSecond("i-2");
 const InstanceId kUnlisted("i-3");
-constexpr Duration kGap = std::chrono::milliseconds(100);
+constexpr Duration kInterval = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -37,13 +37,13 @@
 {
     membership.recordMember(kFirst, kOther, 0);
     membership.recordMember(kSecond, kOwn, 0);
-    CHECK_TRUE(membership.pollIntervalFor(kFirst, kGap) >= std::chrono::seconds(1));
-    CHECK_TRUE(membership.pollIntervalFor(kSecond, kGap) == kGap);
+    CHECK_TRUE(membership.pollIntervalFor(kFirst, kInterval) >= std::chrono::seconds(1));
+    CHECK_TRUE(membership.pollIntervalFor(kSecond, kInterval) == kInterval);
 }
 
 TEST(GroupMembershipTest, AsksAnEngineThatHasNotAnsweredAsOftenAsItsOwn)
 {
-    CHECK_TRUE(membership.pollIntervalFor(kFirst, kGap) == kGap);
+    CHECK_TRUE(membership.pollIntervalFor(kFirst, kInterval) == kInterval);
     CHECK_FALSE(membership.isForeign(kFirst));
 }
 
