--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -32,7 +32,7 @@
     found->second = place;
 }
 
-bool GroupMembership::isForeign(const InstanceId &engine) const
+bool GroupMembership::isInOtherGroup(const InstanceId &engine) const
 {
     const auto found = places_.find(engine);
     return found != places_.end() && found->second && found->second->group != group_;
@@ -40,7 +40,8 @@
 
 Duration GroupMembership::pollIntervalFor(const InstanceId &engine, Duration ownInterval) const
 {
-    return isForeign(engine) ? std::max(ownInterval, settings_.otherGroupInterval) : ownInterval;
+    return isInOtherGroup(engine) ? std::max(ownInterval, settings_.otherGroupInterval)
+                                  : ownInterval;
 }
 
 std::map<std::uint32_t, InstanceId> GroupMembership::engines() const
--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -45,7 +45,7 @@
     // Returns the gap between two questions to `engine`; `ownInterval` is that of the own group.
     Duration pollIntervalFor(const InstanceId &engine, Duration ownInterval) const;
     // Tells whether `engine` is known to be in another group.
-    bool isForeign(const InstanceId &engine) const;
+    bool isInOtherGroup(const InstanceId &engine) const;
     // Returns the engines of the own group, by rank.
     std::map<std::uint32_t, InstanceId> engines() const;
     // Returns the engine at `rank` of the own group; nothing while none has said that it is.
--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -44,7 +44,7 @@
 TEST(GroupMembershipTest, AsksAnEngineThatHasNotAnsweredAsOftenAsItsOwn)
 {
     CHECK_TRUE(membership.pollIntervalFor(kFirst, kInterval) == kInterval);
-    CHECK_FALSE(membership.isForeign(kFirst));
+    CHECK_FALSE(membership.isInOtherGroup(kFirst));
 }
 
 TEST(GroupMembershipTest, FollowsAnEngineIntoItsGroup)
@@ -52,7 +52,7 @@
     membership.recordMember(kFirst, kOther, 2);
     membership.recordMember(kFirst, kOwn, 5);
     CHECK_TRUE(membership.engineOf(5) == kFirst);
-    CHECK_FALSE(membership.isForeign(kFirst));
+    CHECK_FALSE(membership.isInOtherGroup(kFirst));
     membership.recordMember(kFirst, kOther, 2);
     CHECK_FALSE(membership.engineOf(5).has_value());
 }
