--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -164,7 +164,7 @@
         connect(peer);
     }
     askAgent(id, question, ownRank);
-    if (!agentAnswers(peer) && !roster_.isForeign(id)) {
+    if (!agentAnswers(peer) && !roster_.isInOtherGroup(id)) {
         askEngine(id, {false, question.experts, 0});
     }
 }
@@ -219,7 +219,7 @@
 void RankPeers::takeFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
 {
     roster_.recordMember(id, facts.report.group, facts.report.rank);
-    if (!roster_.isForeign(id)) {
+    if (!roster_.isInOtherGroup(id)) {
         listener_.onPeerFacts(facts, askedAt);
     }
 }
