--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -7,7 +7,7 @@
 
 void GroupMembership::setListed(const std::vector<InstanceId> &engines)
 {
-    std::map<InstanceId, std::optional<Place>> places;
+    std::map<InstanceId, std::optional<Position>> places;
     for (const InstanceId &engine : engines) {
         const auto known = places_.find(engine);
         places.emplace(engine, known == places_.end() ? std::nullopt : known->second);
@@ -22,7 +22,7 @@
     if (found == places_.end()) {
         return;
     }
-    const Place place{group, rank};
+    const Position place{group, rank};
     // A rank that was replaced stays listed for a while beside its successor.
     for (auto &[other, said] : places_) {
         if (other != engine && said == place) {
@@ -57,7 +57,7 @@
 
 std::optional<InstanceId> GroupMembership::engineOf(std::uint32_t rank) const
 {
-    const Place place{group_, rank};
+    const Position place{group_, rank};
     const auto found = std::find_if(places_.begin(), places_.end(),
                                     [&](const auto &entry) { return entry.second == place; });
     return found == places_.end() ? std::nullopt : std::optional(found->first);
--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -52,17 +52,17 @@
     std::optional<InstanceId> engineOf(std::uint32_t rank) const;
 
 private:
-    struct Place
+    struct Position
     {
         GroupId group;
         std::uint32_t rank = 0;
 
-        bool operator==(const Place &) const = default;
+        bool operator==(const Position &) const = default;
     };
 
     GroupId group_;
     Settings settings_;
-    std::map<InstanceId, std::optional<Place>> places_; // By listed engine; empty: not said yet.
+    std::map<InstanceId, std::optional<Position>> places_; // By listed engine; empty: not said yet.
 };
 
 } // namespace seamarch
