--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -22,14 +22,14 @@
     if (found == places_.end()) {
         return;
     }
-    const Position place{group, rank};
+    const Position position{group, rank};
     // A rank that was replaced stays listed for a while beside its successor.
     for (auto &[other, said] : places_) {
-        if (other != engine && said == place) {
+        if (other != engine && said == position) {
             said.reset();
         }
     }
-    found->second = place;
+    found->second = position;
 }
 
 bool GroupMembership::isInOtherGroup(const InstanceId &engine) const
@@ -47,9 +47,9 @@
 std::map<std::uint32_t, InstanceId> GroupMembership::engines() const
 {
     std::map<std::uint32_t, InstanceId> engines;
-    for (const auto &[engine, place] : places_) {
-        if (place && place->group == group_) {
-            engines.emplace(place->rank, engine);
+    for (const auto &[engine, position] : places_) {
+        if (position && position->group == group_) {
+            engines.emplace(position->rank, engine);
         }
     }
     return engines;
@@ -57,9 +57,9 @@
 
 std::optional<InstanceId> GroupMembership::engineOf(std::uint32_t rank) const
 {
-    const Position place{group_, rank};
+    const Position position{group_, rank};
     const auto found = std::find_if(places_.begin(), places_.end(),
-                                    [&](const auto &entry) { return entry.second == place; });
+                                    [&](const auto &entry) { return entry.second == position; });
     return found == places_.end() ? std::nullopt : std::optional(found->first);
 }
 
