--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -9,22 +9,22 @@
 {
     std::map<InstanceId, std::optional<Position>> places;
     for (const InstanceId &engine : engines) {
-        const auto known = places_.find(engine);
-        places.emplace(engine, known == places_.end() ? std::nullopt : known->second);
+        const auto known = positions_.find(engine);
+        places.emplace(engine, known == positions_.end() ? std::nullopt : known->second);
     }
-    places_ = std::move(places);
+    positions_ = std::move(places);
 }
 
 void GroupMembership::recordMember(const InstanceId &engine, const GroupId &group,
                                    std::uint32_t rank)
 {
-    const auto found = places_.find(engine);
-    if (found == places_.end()) {
+    const auto found = positions_.find(engine);
+    if (found == positions_.end()) {
         return;
     }
     const Position position{group, rank};
     // A rank that was replaced stays listed for a while beside its successor.
-    for (auto &[other, said] : places_) {
+    for (auto &[other, said] : positions_) {
         if (other != engine && said == position) {
             said.reset();
         }
@@ -34,8 +34,8 @@
 
 bool GroupMembership::isInOtherGroup(const InstanceId &engine) const
 {
-    const auto found = places_.find(engine);
-    return found != places_.end() && found->second && found->second->group != group_;
+    const auto found = positions_.find(engine);
+    return found != positions_.end() && found->second && found->second->group != group_;
 }
 
 Duration GroupMembership::pollIntervalFor(const InstanceId &engine, Duration ownInterval) const
@@ -47,7 +47,7 @@
 std::map<std::uint32_t, InstanceId> GroupMembership::engines() const
 {
     std::map<std::uint32_t, InstanceId> engines;
-    for (const auto &[engine, position] : places_) {
+    for (const auto &[engine, position] : positions_) {
         if (position && position->group == group_) {
             engines.emplace(position->rank, engine);
         }
@@ -58,9 +58,9 @@
 std::optional<InstanceId> GroupMembership::engineOf(std::uint32_t rank) const
 {
     const Position position{group_, rank};
-    const auto found = std::find_if(places_.begin(), places_.end(),
+    const auto found = std::find_if(positions_.begin(), positions_.end(),
                                     [&](const auto &entry) { return entry.second == position; });
-    return found == places_.end() ? std::nullopt : std::optional(found->first);
+    return found == positions_.end() ? std::nullopt : std::optional(found->first);
 }
 
 } // namespace seamarch
--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -62,7 +62,8 @@
 
     GroupId group_;
     Settings settings_;
-    std::map<InstanceId, std::optional<Position>> places_; // By listed engine; empty: not said yet.
+    std::map<InstanceId, std::optional<Position>>
+        positions_; // By listed engine; empty: not said yet.
 };
 
 } // namespace seamarch
