--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -7,12 +7,12 @@
 
 void GroupMembership::setListed(const std::vector<InstanceId> &engines)
 {
-    std::map<InstanceId, std::optional<Position>> places;
+    std::map<InstanceId, std::optional<Position>> positions;
     for (const InstanceId &engine : engines) {
         const auto known = positions_.find(engine);
-        places.emplace(engine, known == positions_.end() ? std::nullopt : known->second);
+        positions.emplace(engine, known == positions_.end() ? std::nullopt : known->second);
     }
-    positions_ = std::move(places);
+    positions_ = std::move(positions);
 }
 
 void GroupMembership::recordMember(const InstanceId &engine, const GroupId &group,
