--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -24,9 +24,9 @@
     }
     const Position position{group, rank};
     // A rank that was replaced stays listed for a while beside its successor.
-    for (auto &[other, said] : positions_) {
-        if (other != engine && said == position) {
-            said.reset();
+    for (auto &[other, otherPosition] : positions_) {
+        if (other != engine && otherPosition == position) {
+            otherPosition.reset();
         }
     }
     found->second = position;
