--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -25,7 +25,7 @@
     }
 };
 
-TEST(GroupMembershipTest, FindsTheRankOfItsOwnGroupOnly)
+TEST(GroupMembershipTest, FindsRankOfOwnGroupOnly)
 {
     membership.recordMember(kFirst, kOther, 3);
     membership.recordMember(kSecond, kOwn, 3);
