--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -33,7 +33,7 @@
     CHECK_FALSE(membership.engineOf(4).has_value());
 }
 
-TEST(GroupMembershipTest, AsksEnginesOfOtherGroupsSeldom)
+TEST(GroupMembershipTest, PollsEnginesOfOtherGroupsLessOften)
 {
     membership.recordMember(kFirst, kOther, 0);
     membership.recordMember(kSecond, kOwn, 0);
