--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -41,7 +41,7 @@
     CHECK_TRUE(membership.pollIntervalFor(kSecond, kInterval) == kInterval);
 }
 
-TEST(GroupMembershipTest, AsksAnEngineThatHasNotAnsweredAsOftenAsItsOwn)
+TEST(GroupMembershipTest, PollsUnknownEngineAsOftenAsOwnGroup)
 {
     CHECK_TRUE(membership.pollIntervalFor(kFirst, kInterval) == kInterval);
     CHECK_FALSE(membership.isInOtherGroup(kFirst));
