--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -47,7 +47,7 @@
     CHECK_FALSE(membership.isInOtherGroup(kFirst));
 }
 
-TEST(GroupMembershipTest, FollowsAnEngineIntoItsGroup)
+TEST(GroupMembershipTest, FollowsEngineThatChangesGroup)
 {
     membership.recordMember(kFirst, kOther, 2);
     membership.recordMember(kFirst, kOwn, 5);
