--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -57,7 +57,7 @@
     CHECK_FALSE(membership.engineOf(5).has_value());
 }
 
-TEST(GroupMembershipTest, SuccessorTakesTheRankOfAnEngineThatIsStillListed)
+TEST(GroupMembershipTest, ReplacementTakesRankOfEngineStillListed)
 {
     membership.recordMember(kFirst, kOwn, 1);
     membership.recordMember(kSecond, kOwn, 1);
