--- a/test/decision/expertmap/groupmembership_test.cpp
+++ b/test/decision/expertmap/groupmembership_test.cpp
@@ -64,7 +64,7 @@
     CHECK_TRUE(membership.engineOf(1) == kSecond);
 }
 
-TEST(GroupMembershipTest, ForgetsWhatIsNoLongerListed)
+TEST(GroupMembershipTest, DropsEnginesNoLongerListed)
 {
     membership.recordMember(kFirst, kOwn, 1);
     membership.setListed({kSecond});
