--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -84,7 +84,7 @@
 void MapSwitchParticipant::learnLives(const GroupMessage &message, GroupActions &actions)
 {
     for (std::size_t rank = 0; rank < lives_.size() && rank < message.generation.size(); ++rank) {
-        const RankLife life = message.generation[rank];
+        const RankIncarnation life = message.generation[rank];
         if (rank == settings_.rank.value() && life > settings_.life) {
             retired_ = true;
             return;
@@ -96,7 +96,8 @@
 
 void MapSwitchParticipant::joinIfComplete(GroupActions &actions)
 {
-    const bool complete = std::find(lives_.begin(), lives_.end(), RankLife{0}) == lives_.end();
+    const bool complete =
+        std::find(lives_.begin(), lives_.end(), RankIncarnation{0}) == lives_.end();
     if (!complete || lives_ == joined_) {
         return;
     }
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -45,10 +45,10 @@
 };
 
 // One life of a rank's agent. Later lives of one rank compare higher; only progress depends on it.
-using RankLife = std::uint64_t;
+using RankIncarnation = std::uint64_t;
 
 // The lives of all ranks, by rank.
-using Generation = std::vector<RankLife>;
+using Generation = std::vector<RankIncarnation>;
 
 // What a rank says of a change.
 enum class ChangeState { Vowed, Loading, Loaded, Armed, Committed, Aborted };
@@ -102,7 +102,7 @@
     {
         RankIndex rank;
         std::uint32_t ranks = 0;
-        RankLife life = 0;
+        RankIncarnation life = 0;
         Duration resend = std::chrono::milliseconds(200);
         Duration abandonAfter = std::chrono::seconds(10); // A proposal that has not finished.
         std::uint64_t boundaryMargin = 4;                 // Steps between arming and the boundary.
--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -77,7 +77,7 @@
         {}
 
         std::uint32_t rank;
-        RankLife life;
+        RankIncarnation life;
         MapSwitchParticipant core;
         TimePoint pausedUntil{};
         bool dead = false;
@@ -292,7 +292,7 @@
     TimePoint now_{};
     TimePoint cutUntil_{};
     std::uint32_t cutAt_ = 0;
-    RankLife nextLife_ = 0;
+    RankIncarnation nextLife_ = 0;
     std::vector<std::unique_ptr<Rank>> ranks_;
     std::vector<Event> events_;
     int steps_ = 0;
