--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -13,7 +13,7 @@
     : settings_(settings)
     , lives_(settings.ranks, 0)
 {
-    lives_[settings_.rank.value()] = settings_.life;
+    lives_[settings_.rank.value()] = settings_.incarnation;
 }
 
 GroupMessage MapSwitchParticipant::make(GroupMessage::Kind kind) const
@@ -84,12 +84,12 @@
 void MapSwitchParticipant::learnLives(const GroupMessage &message, GroupActions &actions)
 {
     for (std::size_t rank = 0; rank < lives_.size() && rank < message.generation.size(); ++rank) {
-        const RankIncarnation life = message.generation[rank];
-        if (rank == settings_.rank.value() && life > settings_.life) {
+        const RankIncarnation incarnation = message.generation[rank];
+        if (rank == settings_.rank.value() && incarnation > settings_.incarnation) {
             retired_ = true;
             return;
         }
-        lives_[rank] = std::max(lives_[rank], life);
+        lives_[rank] = std::max(lives_[rank], incarnation);
     }
     joinIfComplete(actions);
 }
--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -72,12 +72,12 @@
     {
         explicit Rank(const MapSwitchParticipant::Settings &settings)
             : rank(settings.rank.value())
-            , life(settings.life)
+            , incarnation(settings.incarnation)
             , core(settings)
         {}
 
         std::uint32_t rank;
-        RankIncarnation life;
+        RankIncarnation incarnation;
         MapSwitchParticipant core;
         TimePoint pausedUntil{};
         bool dead = false;
@@ -113,7 +113,7 @@
         MapSwitchParticipant::Settings settings;
         settings.rank = RankIndex(rank);
         settings.ranks = kRanks;
-        settings.life = ++nextLife_;
+        settings.incarnation = ++nextLife_;
         settings.abandonAfter = std::chrono::seconds(3);
         ranks_.push_back(std::make_unique<Rank>(settings));
     }
@@ -258,7 +258,7 @@
                 const Rank &each = *ranks_[index];
                 const Generation &generation = ranks_[lead]->core.generation();
                 const bool member = each.rank < generation.size()
-                                    && generation[each.rank] == each.life && awake(each)
+                                    && generation[each.rank] == each.incarnation && awake(each)
                                     && each.core.generation() == generation && maySteps(each)
                                     && each.core.step() == ranks_[lead]->core.step();
                 if (member) {
