--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -11,9 +11,9 @@
 
 MapSwitchParticipant::MapSwitchParticipant(const Settings &settings)
     : settings_(settings)
-    , lives_(settings.ranks, 0)
+    , incarnations_(settings.ranks, 0)
 {
-    lives_[settings_.rank.value()] = settings_.incarnation;
+    incarnations_[settings_.rank.value()] = settings_.incarnation;
 }
 
 GroupMessage MapSwitchParticipant::make(GroupMessage::Kind kind) const
@@ -83,22 +83,23 @@
 
 void MapSwitchParticipant::learnLives(const GroupMessage &message, GroupActions &actions)
 {
-    for (std::size_t rank = 0; rank < lives_.size() && rank < message.generation.size(); ++rank) {
+    for (std::size_t rank = 0; rank < incarnations_.size() && rank < message.generation.size();
+         ++rank) {
         const RankIncarnation incarnation = message.generation[rank];
         if (rank == settings_.rank.value() && incarnation > settings_.incarnation) {
             retired_ = true;
             return;
         }
-        lives_[rank] = std::max(lives_[rank], incarnation);
+        incarnations_[rank] = std::max(incarnations_[rank], incarnation);
     }
     joinIfComplete(actions);
 }
 
 void MapSwitchParticipant::joinIfComplete(GroupActions &actions)
 {
-    const bool complete =
-        std::find(lives_.begin(), lives_.end(), RankIncarnation{0}) == lives_.end();
-    if (!complete || lives_ == joined_) {
+    const bool complete = std::find(incarnations_.begin(), incarnations_.end(), RankIncarnation{0})
+                          == incarnations_.end();
+    if (!complete || incarnations_ == joined_) {
         return;
     }
     // From here on nothing is decided in the old generation. A change that was committed there is
@@ -115,7 +116,7 @@
     proposal_.reset();
     formed_ = false;
     ready_ = false;
-    joined_ = lives_;
+    joined_ = incarnations_;
     joins_.clear();
     joins_[settings_.rank] = {committed, step_};
     GroupMessage join = make(GroupMessage::Kind::Join);
@@ -418,7 +419,7 @@
 void MapSwitchParticipant::sendAgain(GroupActions &actions)
 {
     GroupMessage hello = make(GroupMessage::Kind::Hello);
-    hello.generation = lives_;
+    hello.generation = incarnations_;
     sendAll(hello, actions);
     if (!joined_.empty()) {
         // A peer may have missed the join of this generation, whether or not it has formed here.
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -186,7 +186,7 @@
     bool busy() const;
 
     Settings settings_;
-    Generation lives_;
+    Generation incarnations_;
     Generation joined_;
     std::map<RankIndex, JoinState> joins_;
     bool formed_ = false;
