--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -48,7 +48,7 @@
         return;
     }
     if (message.kind == GroupMessage::Kind::Hello || message.kind == GroupMessage::Kind::Join) {
-        learnLives(message, actions);
+        mergeIncarnations(message, actions);
         if (message.kind == GroupMessage::Kind::Join) {
             onJoin(message, actions);
         }
@@ -81,7 +81,7 @@
     }
 }
 
-void MapSwitchParticipant::learnLives(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::mergeIncarnations(const GroupMessage &message, GroupActions &actions)
 {
     for (std::size_t rank = 0; rank < incarnations_.size() && rank < message.generation.size();
          ++rank) {
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -166,7 +166,7 @@
     void send(RankIndex to, const GroupMessage &message, GroupActions &actions) const;
     void sendAll(const GroupMessage &message, GroupActions &actions) const;
 
-    void learnLives(const GroupMessage &message, GroupActions &actions);
+    void mergeIncarnations(const GroupMessage &message, GroupActions &actions);
     void joinIfComplete(GroupActions &actions);
     void onJoin(const GroupMessage &message, GroupActions &actions);
     void formIfAllJoined(GroupActions &actions);
