--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -113,7 +113,7 @@
         MapSwitchParticipant::Settings settings;
         settings.rank = RankIndex(rank);
         settings.ranks = kRanks;
-        settings.incarnation = ++nextLife_;
+        settings.incarnation = ++nextIncarnation_;
         settings.abandonAfter = std::chrono::seconds(3);
         ranks_.push_back(std::make_unique<Rank>(settings));
     }
@@ -292,7 +292,7 @@
     TimePoint now_{};
     TimePoint cutUntil_{};
     std::uint32_t cutAt_ = 0;
-    RankIncarnation nextLife_ = 0;
+    RankIncarnation nextIncarnation_ = 0;
     std::vector<std::unique_ptr<Rank>> ranks_;
     std::vector<Event> events_;
     int steps_ = 0;
