--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -191,7 +191,7 @@
     if (change_ && change_->fence == fence) {
         return change_->state;
     }
-    return ChangeState::Vowed;
+    return ChangeState::Refused;
 }
 
 void MapSwitchParticipant::vow(const MapFence &fence, GroupActions &actions)
@@ -324,7 +324,7 @@
         decide(true, actions);
         return;
     case ChangeState::Aborted:
-    case ChangeState::Vowed:
+    case ChangeState::Refused:
         decide(false, actions);
         return;
     case ChangeState::Armed:
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -51,7 +51,7 @@
 using Generation = std::vector<RankIncarnation>;
 
 // What a rank says of a change.
-enum class ChangeState { Vowed, Loading, Loaded, Armed, Committed, Aborted };
+enum class ChangeState { Refused, Loading, Loaded, Armed, Committed, Aborted };
 
 // A message between the agents of a group.
 struct GroupMessage
@@ -62,7 +62,7 @@
     RankIndex from;
     Generation generation; // Hello: the lives that the sender knows.
     MapFence fence;
-    ChangeState state = ChangeState::Vowed;
+    ChangeState state = ChangeState::Refused;
     std::uint64_t step = 0;
     std::uint64_t boundary = 0;
 };
--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -139,7 +139,7 @@
     {
         if (fault_ == PlantedFault::LieAboutArming
             && message.kind == GroupMessage::Kind::QueryAnswer
-            && message.state == ChangeState::Vowed && chance(0.5)) {
+            && message.state == ChangeState::Refused && chance(0.5)) {
             message.state = ChangeState::Armed;
         }
         // A message reaches every life of the rank that still runs.
