--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -194,7 +194,7 @@
     return ChangeState::Refused;
 }
 
-void MapSwitchParticipant::vow(const MapFence &fence, GroupActions &actions)
+void MapSwitchParticipant::refuse(const MapFence &fence, GroupActions &actions)
 {
     floor_ = std::max(floor_, fence);
     // A committed change waits for its boundary and is no longer this rank's to give up.
@@ -252,7 +252,7 @@
         if (change_->fence > message.fence) {
             return;
         }
-        vow(change_->fence, actions);
+        refuse(change_->fence, actions);
     }
     change_ = Change{message.fence, ChangeState::Loading, 0, {}, now};
     actions.emplace_back(LoadMap{message.fence});
@@ -282,13 +282,13 @@
     const bool mine = change_ && change_->fence == message.fence;
     if (mine && change_->state == ChangeState::Loaded) {
         if (step_ >= message.boundary) {
-            vow(message.fence, actions);
+            refuse(message.fence, actions);
         } else {
             change_->state = ChangeState::Armed;
             change_->boundary = message.boundary;
         }
     } else if (!mine && !outcomes_.contains(message.fence)) {
-        vow(message.fence, actions);
+        refuse(message.fence, actions);
     }
     GroupMessage answer = make(GroupMessage::Kind::ArmAnswer);
     answer.fence = message.fence;
@@ -306,7 +306,7 @@
     if (state != ChangeState::Armed && state != ChangeState::Committed
         && state != ChangeState::Aborted) {
         // Someone stands at the boundary and waits: this rank settles it by never arming.
-        vow(message.fence, actions);
+        refuse(message.fence, actions);
     }
     GroupMessage answer = make(GroupMessage::Kind::QueryAnswer);
     answer.fence = message.fence;
@@ -412,7 +412,7 @@
         proposal_.reset();
     }
     if (change_ && !busy() && now - change_->startedAt > settings_.abandonAfter) {
-        vow(change_->fence, actions);
+        refuse(change_->fence, actions);
     }
 }
 
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -177,7 +177,7 @@
     void onPeerState(const GroupMessage &message, GroupActions &actions);
 
     ChangeState stateOf(const MapFence &fence) const;
-    void vow(const MapFence &fence, GroupActions &actions);
+    void refuse(const MapFence &fence, GroupActions &actions);
     void decide(bool commit, GroupActions &actions);
     void noteArmed(RankIndex peer, GroupActions &actions);
     void activateAtBoundary(GroupActions &actions);
