--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -198,7 +198,7 @@
 {
     floor_ = std::max(floor_, fence);
     // A committed change waits for its boundary and is no longer this rank's to give up.
-    if (change_ && !busy() && change_->fence <= floor_) {
+    if (change_ && !isArmedOrCommitted() && change_->fence <= floor_) {
         actions.emplace_back(ReleaseMap{change_->fence});
         change_.reset();
     }
@@ -224,7 +224,7 @@
     return proposal.fence;
 }
 
-bool MapSwitchParticipant::busy() const
+bool MapSwitchParticipant::isArmedOrCommitted() const
 {
     return change_
            && (change_->state == ChangeState::Armed || change_->state == ChangeState::Committed);
@@ -244,7 +244,7 @@
         }
         return;
     }
-    if (busy() || message.fence <= floor_) {
+    if (isArmedOrCommitted() || message.fence <= floor_) {
         return;
     }
     // A higher change takes the place of one that has not armed: that one can no longer commit.
@@ -411,7 +411,7 @@
     if (proposal_ && now - proposal_->startedAt > settings_.abandonAfter) {
         proposal_.reset();
     }
-    if (change_ && !busy() && now - change_->startedAt > settings_.abandonAfter) {
+    if (change_ && !isArmedOrCommitted() && now - change_->startedAt > settings_.abandonAfter) {
         refuse(change_->fence, actions);
     }
 }
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -183,7 +183,7 @@
     void activateAtBoundary(GroupActions &actions);
     void abandonOld(TimePoint now, GroupActions &actions);
     void sendAgain(GroupActions &actions);
-    bool busy() const;
+    bool isArmedOrCommitted() const;
 
     Settings settings_;
     Generation incarnations_;
