--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -328,7 +328,7 @@
         decide(false, actions);
         return;
     case ChangeState::Armed:
-        noteArmed(message.from, actions);
+        recordArmed(message.from, actions);
         return;
     case ChangeState::Loading:
     case ChangeState::Loaded:
@@ -336,7 +336,7 @@
     }
 }
 
-void MapSwitchParticipant::noteArmed(RankIndex peer, GroupActions &actions)
+void MapSwitchParticipant::recordArmed(RankIndex peer, GroupActions &actions)
 {
     change_->armed.insert(peer);
     if (change_->armed.size() + 1 == settings_.ranks) {
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -179,7 +179,7 @@
     ChangeState stateOf(const MapFence &fence) const;
     void refuse(const MapFence &fence, GroupActions &actions);
     void decide(bool commit, GroupActions &actions);
-    void noteArmed(RankIndex peer, GroupActions &actions);
+    void recordArmed(RankIndex peer, GroupActions &actions);
     void activateAtBoundary(GroupActions &actions);
     void abandonOld(TimePoint now, GroupActions &actions);
     void sendAgain(GroupActions &actions);
