--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -405,7 +405,7 @@
     return !undecided || step_ < change_->boundary;
 }
 
-void MapSwitchParticipant::abandonOld(TimePoint now, GroupActions &actions)
+void MapSwitchParticipant::abandonExpired(TimePoint now, GroupActions &actions)
 {
     // Nothing is told: a rank that has armed asks, and one that has not is free to vow.
     if (proposal_ && now - proposal_->startedAt > settings_.abandonAfter) {
@@ -450,7 +450,7 @@
     if (retired_) {
         return;
     }
-    abandonOld(now, actions);
+    abandonExpired(now, actions);
     if (now - lastSent_ >= settings_.resend) {
         lastSent_ = now;
         sendAgain(actions);
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -181,7 +181,7 @@
     void decide(bool commit, GroupActions &actions);
     void recordArmed(RankIndex peer, GroupActions &actions);
     void activateAtBoundary(GroupActions &actions);
-    void abandonOld(TimePoint now, GroupActions &actions);
+    void abandonExpired(TimePoint now, GroupActions &actions);
     void sendAgain(GroupActions &actions);
     bool isArmedOrCommitted() const;
 
