--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -416,7 +416,7 @@
     }
 }
 
-void MapSwitchParticipant::sendAgain(GroupActions &actions)
+void MapSwitchParticipant::resendPending(GroupActions &actions)
 {
     GroupMessage hello = make(GroupMessage::Kind::Hello);
     hello.generation = incarnations_;
@@ -453,7 +453,7 @@
     abandonExpired(now, actions);
     if (now - lastSent_ >= settings_.resend) {
         lastSent_ = now;
-        sendAgain(actions);
+        resendPending(actions);
     }
 }
 
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -182,7 +182,7 @@
     void recordArmed(RankIndex peer, GroupActions &actions);
     void activateAtBoundary(GroupActions &actions);
     void abandonExpired(TimePoint now, GroupActions &actions);
-    void sendAgain(GroupActions &actions);
+    void resendPending(GroupActions &actions);
     bool isArmedOrCommitted() const;
 
     Settings settings_;
