--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -451,7 +451,7 @@
         return;
     }
     abandonExpired(now, actions);
-    if (now - lastSent_ >= settings_.resend) {
+    if (now - lastSent_ >= settings_.resendInterval) {
         lastSent_ = now;
         resendPending(actions);
     }
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -103,7 +103,7 @@
         RankIndex rank;
         std::uint32_t ranks = 0;
         RankIncarnation incarnation = 0;
-        Duration resend = std::chrono::milliseconds(200);
+        Duration resendInterval = std::chrono::milliseconds(200);
         Duration abandonAfter = std::chrono::seconds(10); // A proposal that has not finished.
         std::uint64_t boundaryMargin = 4;                 // Steps between arming and the boundary.
     };
