--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -408,10 +408,10 @@
 void MapSwitchParticipant::abandonExpired(TimePoint now, GroupActions &actions)
 {
     // Nothing is told: a rank that has armed asks, and one that has not is free to vow.
-    if (proposal_ && now - proposal_->startedAt > settings_.abandonAfter) {
+    if (proposal_ && now - proposal_->startedAt > settings_.changeTimeout) {
         proposal_.reset();
     }
-    if (change_ && !isArmedOrCommitted() && now - change_->startedAt > settings_.abandonAfter) {
+    if (change_ && !isArmedOrCommitted() && now - change_->startedAt > settings_.changeTimeout) {
         refuse(change_->fence, actions);
     }
 }
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -104,8 +104,8 @@
         std::uint32_t ranks = 0;
         RankIncarnation incarnation = 0;
         Duration resendInterval = std::chrono::milliseconds(200);
-        Duration abandonAfter = std::chrono::seconds(10); // A proposal that has not finished.
-        std::uint64_t boundaryMargin = 4;                 // Steps between arming and the boundary.
+        Duration changeTimeout = std::chrono::seconds(10); // A proposal that has not finished.
+        std::uint64_t boundaryMargin = 4;                  // Steps between arming and the boundary.
     };
 
     // A fresh life: it knows no map and takes part in nothing until its group has formed.
--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -114,7 +114,7 @@
         settings.rank = RankIndex(rank);
         settings.ranks = kRanks;
         settings.incarnation = ++nextIncarnation_;
-        settings.abandonAfter = std::chrono::seconds(3);
+        settings.changeTimeout = std::chrono::seconds(3);
         ranks_.push_back(std::make_unique<Rank>(settings));
     }
 
