--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -5,7 +5,7 @@
 namespace seamarch {
 namespace {
 
-constexpr std::size_t kRememberedOutcomes = 8;
+constexpr std::size_t kMaxOutcomes = 8;
 
 } // namespace
 
@@ -348,7 +348,7 @@
 {
     const MapFence fence = change_->fence;
     outcomes_[fence] = commit;
-    if (outcomes_.size() > kRememberedOutcomes) {
+    if (outcomes_.size() > kMaxOutcomes) {
         outcomes_.erase(outcomes_.begin());
     }
     floor_ = std::max(floor_, fence);
