--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -361,10 +361,10 @@
         return;
     }
     change_->state = ChangeState::Committed;
-    GroupMessage news = make(GroupMessage::Kind::QueryAnswer);
-    news.fence = fence;
-    news.state = ChangeState::Committed;
-    sendAll(news, actions);
+    GroupMessage notice = make(GroupMessage::Kind::QueryAnswer);
+    notice.fence = fence;
+    notice.state = ChangeState::Committed;
+    sendAll(notice, actions);
     activateAtBoundary(actions);
 }
 
