--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -436,9 +436,9 @@
         sendAll(message, actions);
     }
     // Asking earlier would make peers vow whose own order to arm is still on its way.
-    const bool waits =
+    const bool waitsAtBoundary =
         change_ && change_->state == ChangeState::Armed && step_ >= change_->boundary;
-    if (waits) {
+    if (waitsAtBoundary) {
         GroupMessage query = make(GroupMessage::Kind::Query);
         query.fence = change_->fence;
         sendAll(query, actions);
