--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -279,15 +279,15 @@
 
 void MapSwitchParticipant::onArm(const GroupMessage &message, GroupActions &actions)
 {
-    const bool mine = change_ && change_->fence == message.fence;
-    if (mine && change_->state == ChangeState::Loaded) {
+    const bool isCurrentChange = change_ && change_->fence == message.fence;
+    if (isCurrentChange && change_->state == ChangeState::Loaded) {
         if (step_ >= message.boundary) {
             refuse(message.fence, actions);
         } else {
             change_->state = ChangeState::Armed;
             change_->boundary = message.boundary;
         }
-    } else if (!mine && !outcomes_.contains(message.fence)) {
+    } else if (!isCurrentChange && !outcomes_.contains(message.fence)) {
         refuse(message.fence, actions);
     }
     GroupMessage answer = make(GroupMessage::Kind::ArmAnswer);
