--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -145,7 +145,7 @@
         start = std::max(start, join.committed);
         step_ = std::max(step_, join.step);
     }
-    floor_ = std::max(floor_, start);
+    fenceFloor_ = std::max(fenceFloor_, start);
     highestBallot_ = std::max(highestBallot_, start.ballot);
     if (start == active_) {
         ready_ = true;
@@ -196,9 +196,9 @@
 
 void MapSwitchParticipant::refuse(const MapFence &fence, GroupActions &actions)
 {
-    floor_ = std::max(floor_, fence);
+    fenceFloor_ = std::max(fenceFloor_, fence);
     // A committed change waits for its boundary and is no longer this rank's to give up.
-    if (change_ && !isArmedOrCommitted() && change_->fence <= floor_) {
+    if (change_ && !isArmedOrCommitted() && change_->fence <= fenceFloor_) {
         actions.emplace_back(ReleaseMap{change_->fence});
         change_.reset();
     }
@@ -212,7 +212,7 @@
     }
     Proposal proposal;
     proposal.fence = {configVersion, highestBallot_ + 1, settings_.rank.value()};
-    if (proposal.fence <= floor_) {
+    if (proposal.fence <= fenceFloor_) {
         return std::nullopt;
     }
     proposal.startedAt = now;
@@ -244,7 +244,7 @@
         }
         return;
     }
-    if (isArmedOrCommitted() || message.fence <= floor_) {
+    if (isArmedOrCommitted() || message.fence <= fenceFloor_) {
         return;
     }
     // A higher change takes the place of one that has not armed: that one can no longer commit.
@@ -351,7 +351,7 @@
     if (outcomes_.size() > kMaxOutcomes) {
         outcomes_.erase(outcomes_.begin());
     }
-    floor_ = std::max(floor_, fence);
+    fenceFloor_ = std::max(fenceFloor_, fence);
     if (proposal_ && proposal_->fence == fence) {
         proposal_.reset();
     }
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -193,7 +193,7 @@
     bool ready_ = false;
     bool retired_ = false;
     MapFence active_;
-    MapFence floor_; // No fence at or below it is armed any more.
+    MapFence fenceFloor_; // No fence at or below it is armed any more.
     std::uint64_t highestBallot_ = 0;
     std::uint64_t step_ = 0;
     std::optional<Change> change_;
