--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -16,7 +16,7 @@
     incarnations_[settings_.rank.value()] = settings_.incarnation;
 }
 
-GroupMessage MapSwitchParticipant::make(GroupMessage::Kind kind) const
+GroupMessage MapSwitchParticipant::makeMessage(GroupMessage::Kind kind) const
 {
     GroupMessage message;
     message.kind = kind;
@@ -119,7 +119,7 @@
     joined_ = incarnations_;
     joins_.clear();
     joins_[settings_.rank] = {committed, step_};
-    GroupMessage join = make(GroupMessage::Kind::Join);
+    GroupMessage join = makeMessage(GroupMessage::Kind::Join);
     join.fence = committed;
     sendAll(join, actions);
     formIfAllJoined(actions);
@@ -166,7 +166,7 @@
         return;
     }
     change_->state = ChangeState::Loaded;
-    GroupMessage answer = make(GroupMessage::Kind::Prepared);
+    GroupMessage answer = makeMessage(GroupMessage::Kind::Prepared);
     answer.fence = map;
     answer.state = ChangeState::Loaded;
     const RankIndex proposer(map.rank);
@@ -217,7 +217,7 @@
     }
     proposal.startedAt = now;
     proposal_ = proposal;
-    GroupMessage message = make(GroupMessage::Kind::Prepare);
+    GroupMessage message = makeMessage(GroupMessage::Kind::Prepare);
     message.fence = proposal.fence;
     sendAll(message, actions);
     onPrepare(message, now, actions);
@@ -237,7 +237,7 @@
     if (change_ && change_->fence == message.fence) {
         // The answer was lost, or the weights are still being loaded.
         if (change_->state == ChangeState::Loaded && message.from != settings_.rank) {
-            GroupMessage answer = make(GroupMessage::Kind::Prepared);
+            GroupMessage answer = makeMessage(GroupMessage::Kind::Prepared);
             answer.fence = message.fence;
             answer.state = ChangeState::Loaded;
             send(message.from, answer, actions);
@@ -270,7 +270,7 @@
     }
     proposal_->arming = true;
     proposal_->boundary = std::max(proposal_->highestStep, step_) + settings_.boundaryMargin;
-    GroupMessage arm = make(GroupMessage::Kind::Arm);
+    GroupMessage arm = makeMessage(GroupMessage::Kind::Arm);
     arm.fence = proposal_->fence;
     arm.boundary = proposal_->boundary;
     sendAll(arm, actions);
@@ -290,7 +290,7 @@
     } else if (!isCurrentChange && !outcomes_.contains(message.fence)) {
         refuse(message.fence, actions);
     }
-    GroupMessage answer = make(GroupMessage::Kind::ArmAnswer);
+    GroupMessage answer = makeMessage(GroupMessage::Kind::ArmAnswer);
     answer.fence = message.fence;
     answer.state = stateOf(message.fence);
     if (message.from != settings_.rank) {
@@ -308,7 +308,7 @@
         // Someone stands at the boundary and waits: this rank settles it by never arming.
         refuse(message.fence, actions);
     }
-    GroupMessage answer = make(GroupMessage::Kind::QueryAnswer);
+    GroupMessage answer = makeMessage(GroupMessage::Kind::QueryAnswer);
     answer.fence = message.fence;
     answer.state = stateOf(message.fence);
     send(message.from, answer, actions);
@@ -361,7 +361,7 @@
         return;
     }
     change_->state = ChangeState::Committed;
-    GroupMessage notice = make(GroupMessage::Kind::QueryAnswer);
+    GroupMessage notice = makeMessage(GroupMessage::Kind::QueryAnswer);
     notice.fence = fence;
     notice.state = ChangeState::Committed;
     sendAll(notice, actions);
@@ -418,19 +418,19 @@
 
 void MapSwitchParticipant::resendPending(GroupActions &actions)
 {
-    GroupMessage hello = make(GroupMessage::Kind::Hello);
+    GroupMessage hello = makeMessage(GroupMessage::Kind::Hello);
     hello.generation = incarnations_;
     sendAll(hello, actions);
     if (!joined_.empty()) {
         // A peer may have missed the join of this generation, whether or not it has formed here.
-        GroupMessage join = make(GroupMessage::Kind::Join);
+        GroupMessage join = makeMessage(GroupMessage::Kind::Join);
         join.fence = joins_.at(settings_.rank).committed;
         join.step = joins_.at(settings_.rank).step;
         sendAll(join, actions);
     }
     if (proposal_) {
         const auto kind = proposal_->arming ? GroupMessage::Kind::Arm : GroupMessage::Kind::Prepare;
-        GroupMessage message = make(kind);
+        GroupMessage message = makeMessage(kind);
         message.fence = proposal_->fence;
         message.boundary = proposal_->boundary;
         sendAll(message, actions);
@@ -439,7 +439,7 @@
     const bool waitsAtBoundary =
         change_ && change_->state == ChangeState::Armed && step_ >= change_->boundary;
     if (waitsAtBoundary) {
-        GroupMessage query = make(GroupMessage::Kind::Query);
+        GroupMessage query = makeMessage(GroupMessage::Kind::Query);
         query.fence = change_->fence;
         sendAll(query, actions);
     }
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -162,7 +162,7 @@
         std::uint64_t step = 0;
     };
 
-    GroupMessage make(GroupMessage::Kind kind) const;
+    GroupMessage makeMessage(GroupMessage::Kind kind) const;
     void send(RankIndex to, const GroupMessage &message, GroupActions &actions) const;
     void sendAll(const GroupMessage &message, GroupActions &actions) const;
 
