--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -21,7 +21,7 @@
     GroupMessage message;
     message.kind = kind;
     message.from = settings_.rank;
-    message.generation = joined_;
+    message.generation = generation_;
     message.step = step_;
     return message;
 }
@@ -55,7 +55,7 @@
         return;
     }
     // Words of another generation count for nothing: their sender may have lost its promises.
-    if (!formed_ || message.generation != joined_) {
+    if (!formed_ || message.generation != generation_) {
         return;
     }
     switch (message.kind) {
@@ -99,7 +99,7 @@
 {
     const bool complete = std::find(incarnations_.begin(), incarnations_.end(), RankIncarnation{0})
                           == incarnations_.end();
-    if (!complete || incarnations_ == joined_) {
+    if (!complete || incarnations_ == generation_) {
         return;
     }
     // From here on nothing is decided in the old generation. A change that was committed there is
@@ -116,7 +116,7 @@
     proposal_.reset();
     formed_ = false;
     ready_ = false;
-    joined_ = incarnations_;
+    generation_ = incarnations_;
     joins_.clear();
     joins_[settings_.rank] = {committed, step_};
     GroupMessage join = makeMessage(GroupMessage::Kind::Join);
@@ -127,7 +127,7 @@
 
 void MapSwitchParticipant::onJoin(const GroupMessage &message, GroupActions &actions)
 {
-    if (message.generation != joined_) {
+    if (message.generation != generation_) {
         return;
     }
     joins_[message.from] = {message.fence, message.step};
@@ -421,7 +421,7 @@
     GroupMessage hello = makeMessage(GroupMessage::Kind::Hello);
     hello.generation = incarnations_;
     sendAll(hello, actions);
-    if (!joined_.empty()) {
+    if (!generation_.empty()) {
         // A peer may have missed the join of this generation, whether or not it has formed here.
         GroupMessage join = makeMessage(GroupMessage::Kind::Join);
         join.fence = joins_.at(settings_.rank).committed;
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -127,7 +127,7 @@
     void onStepped(GroupActions &actions);
 
     std::uint64_t step() const { return step_; }
-    const Generation &generation() const { return joined_; }
+    const Generation &generation() const { return generation_; }
     const MapFence &activeMap() const { return active_; }
     // A newer life of this rank exists: this one must stop.
     bool retired() const { return retired_; }
@@ -187,7 +187,7 @@
 
     Settings settings_;
     Generation incarnations_;
-    Generation joined_;
+    Generation generation_;
     std::map<RankIndex, JoinState> joins_;
     bool formed_ = false;
     bool ready_ = false;
