--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -117,8 +117,8 @@
     formed_ = false;
     ready_ = false;
     generation_ = incarnations_;
-    joins_.clear();
-    joins_[settings_.rank] = {committed, step_};
+    joinsByRank_.clear();
+    joinsByRank_[settings_.rank] = {committed, step_};
     GroupMessage join = makeMessage(GroupMessage::Kind::Join);
     join.fence = committed;
     sendAll(join, actions);
@@ -130,18 +130,18 @@
     if (message.generation != generation_) {
         return;
     }
-    joins_[message.from] = {message.fence, message.step};
+    joinsByRank_[message.from] = {message.fence, message.step};
     formIfAllJoined(actions);
 }
 
 void MapSwitchParticipant::formIfAllJoined(GroupActions &actions)
 {
-    if (formed_ || joins_.size() != settings_.ranks) {
+    if (formed_ || joinsByRank_.size() != settings_.ranks) {
         return;
     }
     formed_ = true;
     MapFence start;
-    for (const auto &[rank, join] : joins_) {
+    for (const auto &[rank, join] : joinsByRank_) {
         start = std::max(start, join.committed);
         step_ = std::max(step_, join.step);
     }
@@ -424,8 +424,8 @@
     if (!generation_.empty()) {
         // A peer may have missed the join of this generation, whether or not it has formed here.
         GroupMessage join = makeMessage(GroupMessage::Kind::Join);
-        join.fence = joins_.at(settings_.rank).committed;
-        join.step = joins_.at(settings_.rank).step;
+        join.fence = joinsByRank_.at(settings_.rank).committed;
+        join.step = joinsByRank_.at(settings_.rank).step;
         sendAll(join, actions);
     }
     if (proposal_) {
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -188,7 +188,7 @@
     Settings settings_;
     Generation incarnations_;
     Generation generation_;
-    std::map<RankIndex, JoinState> joins_;
+    std::map<RankIndex, JoinState> joinsByRank_;
     bool formed_ = false;
     bool ready_ = false;
     bool retired_ = false;
