--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -115,7 +115,7 @@
     }
     proposal_.reset();
     formed_ = false;
-    ready_ = false;
+    mapLoaded_ = false;
     generation_ = incarnations_;
     joinsByRank_.clear();
     joinsByRank_[settings_.rank] = {committed, step_};
@@ -148,7 +148,7 @@
     fenceFloor_ = std::max(fenceFloor_, start);
     highestBallot_ = std::max(highestBallot_, start.ballot);
     if (start == active_) {
-        ready_ = true;
+        mapLoaded_ = true;
         return;
     }
     active_ = start;
@@ -157,8 +157,8 @@
 
 void MapSwitchParticipant::onLoaded(const MapFence &map, GroupActions &actions)
 {
-    if (formed_ && !ready_ && map == active_) {
-        ready_ = true;
+    if (formed_ && !mapLoaded_ && map == active_) {
+        mapLoaded_ = true;
         actions.emplace_back(ActivateMap{map});
         return;
     }
@@ -207,7 +207,7 @@
 std::optional<MapFence> MapSwitchParticipant::propose(std::uint64_t configVersion, TimePoint now,
                                                       GroupActions &actions)
 {
-    if (!formed_ || !ready_ || change_ || proposal_ || retired_) {
+    if (!formed_ || !mapLoaded_ || change_ || proposal_ || retired_) {
         return std::nullopt;
     }
     Proposal proposal;
@@ -398,7 +398,7 @@
 
 bool MapSwitchParticipant::mayStep() const
 {
-    if (retired_ || !formed_ || !ready_) {
+    if (retired_ || !formed_ || !mapLoaded_) {
         return false;
     }
     const bool undecided = change_ && change_->state == ChangeState::Armed;
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -190,7 +190,7 @@
     Generation generation_;
     std::map<RankIndex, JoinState> joinsByRank_;
     bool formed_ = false;
-    bool ready_ = false;
+    bool mapLoaded_ = false;
     bool retired_ = false;
     MapFence active_;
     MapFence fenceFloor_; // No fence at or below it is armed any more.
