--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -104,7 +104,7 @@
     }
     // From here on nothing is decided in the old generation. A change that was committed there is
     // what this rank brings along, whether or not its boundary was reached.
-    MapFence committed = active_;
+    MapFence committed = activeMap_;
     if (change_ && change_->state == ChangeState::Committed) {
         committed = change_->fence;
         change_.reset();
@@ -147,17 +147,17 @@
     }
     fenceFloor_ = std::max(fenceFloor_, start);
     highestBallot_ = std::max(highestBallot_, start.ballot);
-    if (start == active_) {
+    if (start == activeMap_) {
         mapLoaded_ = true;
         return;
     }
-    active_ = start;
+    activeMap_ = start;
     actions.emplace_back(LoadMap{start});
 }
 
 void MapSwitchParticipant::onLoaded(const MapFence &map, GroupActions &actions)
 {
-    if (formed_ && !mapLoaded_ && map == active_) {
+    if (formed_ && !mapLoaded_ && map == activeMap_) {
         mapLoaded_ = true;
         actions.emplace_back(ActivateMap{map});
         return;
@@ -181,7 +181,7 @@
 {
     // A rank that still waits for the outcome of the newest commit keeps all later ones from being
     // committed, so the active map is the only commit that may be asked for; it is never forgotten.
-    if (fence == active_) {
+    if (fence == activeMap_) {
         return ChangeState::Committed;
     }
     const auto outcome = outcomes_.find(fence);
@@ -375,10 +375,10 @@
     if (!due) {
         return;
     }
-    const MapFence before = active_;
-    active_ = change_->fence;
+    const MapFence before = activeMap_;
+    activeMap_ = change_->fence;
     change_.reset();
-    actions.emplace_back(ActivateMap{active_});
+    actions.emplace_back(ActivateMap{activeMap_});
     actions.emplace_back(ReleaseMap{before});
 }
 
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -128,7 +128,7 @@
 
     std::uint64_t step() const { return step_; }
     const Generation &generation() const { return generation_; }
-    const MapFence &activeMap() const { return active_; }
+    const MapFence &activeMap() const { return activeMap_; }
     // A newer life of this rank exists: this one must stop.
     bool retired() const { return retired_; }
     // Returns the change that is under way at this rank and how far it is.
@@ -192,7 +192,7 @@
     bool formed_ = false;
     bool mapLoaded_ = false;
     bool retired_ = false;
-    MapFence active_;
+    MapFence activeMap_;
     MapFence fenceFloor_; // No fence at or below it is armed any more.
     std::uint64_t highestBallot_ = 0;
     std::uint64_t step_ = 0;
