--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -370,9 +370,9 @@
 
 void MapSwitchParticipant::activateAtBoundary(GroupActions &actions)
 {
-    const bool due =
+    const bool boundaryReached =
         change_ && change_->state == ChangeState::Committed && step_ >= change_->boundary;
-    if (!due) {
+    if (!boundaryReached) {
         return;
     }
     const MapFence before = activeMap_;
--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -176,14 +176,14 @@
 
     void deliver()
     {
-        std::vector<Event> due;
+        std::vector<Event> boundaryReached;
         std::vector<Event> later;
         for (Event &event : events_) {
             const bool ready = event.at <= now_ && ranks_[event.to]->pausedUntil <= now_;
-            (ready ? due : later).push_back(std::move(event));
+            (ready ? boundaryReached : later).push_back(std::move(event));
         }
         events_ = std::move(later);
-        for (const Event &event : due) {
+        for (const Event &event : boundaryReached) {
             if (awake(*ranks_[event.to])) {
                 event.action();
             }
