--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -176,14 +176,14 @@
 
     void deliver()
     {
-        std::vector<Event> boundaryReached;
+        std::vector<Event> due;
         std::vector<Event> later;
         for (Event &event : events_) {
             const bool ready = event.at <= now_ && ranks_[event.to]->pausedUntil <= now_;
-            (ready ? boundaryReached : later).push_back(std::move(event));
+            (ready ? due : later).push_back(std::move(event));
         }
         events_ = std::move(later);
-        for (const Event &event : boundaryReached) {
+        for (const Event &event : due) {
             if (awake(*ranks_[event.to])) {
                 event.action();
             }
