--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -21,10 +21,10 @@
 };
 
 // A lock-step group of ranks with a fake network. Old lives of replaced ranks stay and may wake.
-class GroupWorld
+class GroupSimulation
 {
 public:
-    GroupWorld(std::uint64_t seed, PlantedFault fault)
+    GroupSimulation(std::uint64_t seed, PlantedFault fault)
         : random_(seed)
         , fault_(fault)
     {}
@@ -310,7 +310,7 @@
 bool caught(PlantedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        if (GroupWorld(seed, fault).run() > 0) {
+        if (GroupSimulation(seed, fault).run() > 0) {
             return true;
         }
     }
@@ -325,7 +325,7 @@
 {
     int switches = 0;
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
-        GroupWorld world(seed, PlantedFault::None);
+        GroupSimulation world(seed, PlantedFault::None);
         const int mixed = world.run();
         if (mixed != 0) {
             FAIL(fmt::format("seed {}: {} mixed steps", seed, mixed).c_str());
@@ -345,7 +345,7 @@
     // was committed and waited for its boundary; the rank dropped the newer one.
     constexpr std::uint64_t kSeed = 897;
 
-    CHECK_EQUAL(0, GroupWorld(kSeed, PlantedFault::None).run());
+    CHECK_EQUAL(0, GroupSimulation(kSeed, PlantedFault::None).run());
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesALieAboutArming)
