--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-enum class PlantedFault {
+enum class InjectedFault {
     None,
     LieAboutArming,   // A peer that has not armed says that it has.
     ForgetGeneration, // Words of another generation are taken for this one's.
@@ -24,7 +24,7 @@
 class GroupSimulation
 {
 public:
-    GroupSimulation(std::uint64_t seed, PlantedFault fault)
+    GroupSimulation(std::uint64_t seed, InjectedFault fault)
         : random_(seed)
         , fault_(fault)
     {}
@@ -137,7 +137,7 @@
 
     void sendTo(std::size_t from, RankIndex to, GroupMessage message)
     {
-        if (fault_ == PlantedFault::LieAboutArming
+        if (fault_ == InjectedFault::LieAboutArming
             && message.kind == GroupMessage::Kind::QueryAnswer
             && message.state == ChangeState::Refused && chance(0.5)) {
             message.state = ChangeState::Armed;
@@ -166,7 +166,7 @@
         MapSwitchParticipant &core = ranks_[index]->core;
         const bool vote =
             message.kind != GroupMessage::Kind::Hello && message.kind != GroupMessage::Kind::Join;
-        if (fault_ == PlantedFault::ForgetGeneration && vote) {
+        if (fault_ == InjectedFault::ForgetGeneration && vote) {
             message.generation = core.generation();
         }
         GroupActions actions;
@@ -232,7 +232,7 @@
     bool maySteps(const Rank &rank) const
     {
         const bool passes =
-            fault_ == PlantedFault::PassBoundary && rank.core.change() && chanceOf(rank);
+            fault_ == InjectedFault::PassBoundary && rank.core.change() && chanceOf(rank);
         return rank.core.mayStep() || passes;
     }
 
@@ -241,7 +241,7 @@
     MapFence usedMap(const Rank &rank) const
     {
         const auto change = rank.core.change();
-        const bool early = fault_ == PlantedFault::SwitchOnArming && change
+        const bool early = fault_ == InjectedFault::SwitchOnArming && change
                            && change->second == ChangeState::Armed;
         return early ? change->first : rank.core.activeMap();
     }
@@ -288,7 +288,7 @@
     }
 
     std::mt19937_64 random_;
-    PlantedFault fault_;
+    InjectedFault fault_;
     TimePoint now_{};
     TimePoint cutUntil_{};
     std::uint32_t cutAt_ = 0;
@@ -307,7 +307,7 @@
     return text == nullptr ? 1000 : std::strtoull(text, nullptr, 10);
 }
 
-bool caught(PlantedFault fault)
+bool caught(InjectedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         if (GroupSimulation(seed, fault).run() > 0) {
@@ -325,7 +325,7 @@
 {
     int switches = 0;
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
-        GroupSimulation world(seed, PlantedFault::None);
+        GroupSimulation world(seed, InjectedFault::None);
         const int mixed = world.run();
         if (mixed != 0) {
             FAIL(fmt::format("seed {}: {} mixed steps", seed, mixed).c_str());
@@ -345,25 +345,25 @@
     // was committed and waited for its boundary; the rank dropped the newer one.
     constexpr std::uint64_t kSeed = 897;
 
-    CHECK_EQUAL(0, GroupSimulation(kSeed, PlantedFault::None).run());
+    CHECK_EQUAL(0, GroupSimulation(kSeed, InjectedFault::None).run());
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesALieAboutArming)
 {
-    CHECK(caught(PlantedFault::LieAboutArming));
+    CHECK(caught(InjectedFault::LieAboutArming));
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesAForgottenGeneration)
 {
-    CHECK(caught(PlantedFault::ForgetGeneration));
+    CHECK(caught(InjectedFault::ForgetGeneration));
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesAStepPastTheBoundary)
 {
-    CHECK(caught(PlantedFault::PassBoundary));
+    CHECK(caught(InjectedFault::PassBoundary));
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesASwitchBeforeTheBoundary)
 {
-    CHECK(caught(PlantedFault::SwitchOnArming));
+    CHECK(caught(InjectedFault::SwitchOnArming));
 }
