--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -14,7 +14,7 @@
 
 enum class InjectedFault {
     None,
-    LieAboutArming,   // A peer that has not armed says that it has.
+    FalseArmedAnswer, // A peer that has not armed says that it has.
     ForgetGeneration, // Words of another generation are taken for this one's.
     PassBoundary,     // An armed rank steps past the boundary undecided.
     SwitchOnArming,   // A rank uses the new map as soon as it has armed.
@@ -137,7 +137,7 @@
 
     void sendTo(std::size_t from, RankIndex to, GroupMessage message)
     {
-        if (fault_ == InjectedFault::LieAboutArming
+        if (fault_ == InjectedFault::FalseArmedAnswer
             && message.kind == GroupMessage::Kind::QueryAnswer
             && message.state == ChangeState::Refused && chance(0.5)) {
             message.state = ChangeState::Armed;
@@ -350,7 +350,7 @@
 
 TEST(MapSwitchParticipantTest, CheckerCatchesALieAboutArming)
 {
-    CHECK(caught(InjectedFault::LieAboutArming));
+    CHECK(caught(InjectedFault::FalseArmedAnswer));
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesAForgottenGeneration)
