--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -15,7 +15,7 @@
 enum class InjectedFault {
     None,
     FalseArmedAnswer, // A peer that has not armed says that it has.
-    ForgetGeneration, // Words of another generation are taken for this one's.
+    IgnoreGeneration, // Words of another generation are taken for this one's.
     PassBoundary,     // An armed rank steps past the boundary undecided.
     SwitchOnArming,   // A rank uses the new map as soon as it has armed.
 };
@@ -166,7 +166,7 @@
         MapSwitchParticipant &core = ranks_[index]->core;
         const bool vote =
             message.kind != GroupMessage::Kind::Hello && message.kind != GroupMessage::Kind::Join;
-        if (fault_ == InjectedFault::ForgetGeneration && vote) {
+        if (fault_ == InjectedFault::IgnoreGeneration && vote) {
             message.generation = core.generation();
         }
         GroupActions actions;
@@ -355,7 +355,7 @@
 
 TEST(MapSwitchParticipantTest, CheckerCatchesAForgottenGeneration)
 {
-    CHECK(caught(InjectedFault::ForgetGeneration));
+    CHECK(caught(InjectedFault::IgnoreGeneration));
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesAStepPastTheBoundary)
