--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -58,7 +58,7 @@
     bool quiet() const
     {
         for (const auto &rank : ranks_) {
-            if (!rank->core.retired() && rank->core.change()) {
+            if (!rank->participant.retired() && rank->participant.change()) {
                 return false;
             }
         }
@@ -73,12 +73,12 @@
         explicit Rank(const MapSwitchParticipant::Settings &settings)
             : rank(settings.rank.value())
             , incarnation(settings.incarnation)
-            , core(settings)
+            , participant(settings)
         {}
 
         std::uint32_t rank;
         RankIncarnation incarnation;
-        MapSwitchParticipant core;
+        MapSwitchParticipant participant;
         TimePoint pausedUntil{};
         bool dead = false;
     };
@@ -105,7 +105,7 @@
 
     bool awake(const Rank &rank) const
     {
-        return !rank.dead && rank.pausedUntil <= now_ && !rank.core.retired();
+        return !rank.dead && rank.pausedUntil <= now_ && !rank.participant.retired();
     }
 
     void start(std::uint32_t rank)
@@ -126,7 +126,7 @@
             } else if (const auto *load = std::get_if<LoadMap>(&action)) {
                 events_.push_back({now_ + delay(10, 300), index, [this, index, map = load->map] {
                                        GroupActions next;
-                                       ranks_[index]->core.onLoaded(map, next);
+                                       ranks_[index]->participant.onLoaded(map, next);
                                        carryOut(index, next);
                                    }});
             } else if (std::holds_alternative<ActivateMap>(action)) {
@@ -163,14 +163,14 @@
 
     void receive(std::size_t index, GroupMessage message)
     {
-        MapSwitchParticipant &core = ranks_[index]->core;
+        MapSwitchParticipant &participant = ranks_[index]->participant;
         const bool vote =
             message.kind != GroupMessage::Kind::Hello && message.kind != GroupMessage::Kind::Join;
         if (fault_ == InjectedFault::IgnoreGeneration && vote) {
-            message.generation = core.generation();
+            message.generation = participant.generation();
         }
         GroupActions actions;
-        core.onMessage(message, now_, actions);
+        participant.onMessage(message, now_, actions);
         carryOut(index, actions);
     }
 
@@ -197,11 +197,11 @@
                 continue;
             }
             GroupActions actions;
-            ranks_[index]->core.onTick(now_, actions);
+            ranks_[index]->participant.onTick(now_, actions);
             // Two deciders with stale views propose at the same time now and then.
             const bool decider = ranks_[index]->rank < 2;
             if (decider && chance(0.01)) {
-                ranks_[index]->core.propose(1, now_, actions);
+                ranks_[index]->participant.propose(1, now_, actions);
             }
             carryOut(index, actions);
         }
@@ -232,18 +232,18 @@
     bool maySteps(const Rank &rank) const
     {
         const bool passes =
-            fault_ == InjectedFault::PassBoundary && rank.core.change() && chanceOf(rank);
-        return rank.core.mayStep() || passes;
+            fault_ == InjectedFault::PassBoundary && rank.participant.change() && chanceOf(rank);
+        return rank.participant.mayStep() || passes;
     }
 
-    static bool chanceOf(const Rank &rank) { return rank.core.step() % 3 == 0; }
+    static bool chanceOf(const Rank &rank) { return rank.participant.step() % 3 == 0; }
 
     MapFence usedMap(const Rank &rank) const
     {
-        const auto change = rank.core.change();
+        const auto change = rank.participant.change();
         const bool early = fault_ == InjectedFault::SwitchOnArming && change
                            && change->second == ChangeState::Armed;
-        return early ? change->first : rank.core.activeMap();
+        return early ? change->first : rank.participant.activeMap();
     }
 
     // Takes a step in every generation whose ranks all take part.
@@ -256,11 +256,11 @@
             std::vector<std::size_t> group;
             for (std::size_t index = 0; index < ranks_.size(); ++index) {
                 const Rank &each = *ranks_[index];
-                const Generation &generation = ranks_[lead]->core.generation();
+                const Generation &generation = ranks_[lead]->participant.generation();
                 const bool member = each.rank < generation.size()
                                     && generation[each.rank] == each.incarnation && awake(each)
-                                    && each.core.generation() == generation && maySteps(each)
-                                    && each.core.step() == ranks_[lead]->core.step();
+                                    && each.participant.generation() == generation && maySteps(each)
+                                    && each.participant.step() == ranks_[lead]->participant.step();
                 if (member) {
                     group.push_back(index);
                 }
@@ -282,7 +282,7 @@
         }
         for (const std::size_t index : group) {
             GroupActions actions;
-            ranks_[index]->core.onStepped(actions);
+            ranks_[index]->participant.onStepped(actions);
             carryOut(index, actions);
         }
     }
