--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -103,7 +103,7 @@
             std::uniform_int_distribution<int>(lowMs, highMs)(random_));
     }
 
-    bool awake(const Rank &rank) const
+    bool isRunning(const Rank &rank) const
     {
         return !rank.dead && rank.pausedUntil <= now_ && !rank.participant.retired();
     }
@@ -184,7 +184,7 @@
         }
         events_ = std::move(later);
         for (const Event &event : due) {
-            if (awake(*ranks_[event.to])) {
+            if (isRunning(*ranks_[event.to])) {
                 event.action();
             }
         }
@@ -193,7 +193,7 @@
     void tick()
     {
         for (std::size_t index = 0; index < ranks_.size(); ++index) {
-            if (!awake(*ranks_[index])) {
+            if (!isRunning(*ranks_[index])) {
                 continue;
             }
             GroupActions actions;
@@ -250,7 +250,7 @@
     void stepAll()
     {
         for (std::size_t lead = 0; lead < ranks_.size(); ++lead) {
-            if (ranks_[lead]->rank != 0 || !awake(*ranks_[lead])) {
+            if (ranks_[lead]->rank != 0 || !isRunning(*ranks_[lead])) {
                 continue;
             }
             std::vector<std::size_t> group;
@@ -258,7 +258,7 @@
                 const Rank &each = *ranks_[index];
                 const Generation &generation = ranks_[lead]->participant.generation();
                 const bool member = each.rank < generation.size()
-                                    && generation[each.rank] == each.incarnation && awake(each)
+                                    && generation[each.rank] == each.incarnation && isRunning(each)
                                     && each.participant.generation() == generation && maySteps(each)
                                     && each.participant.step() == ranks_[lead]->participant.step();
                 if (member) {
