--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -144,7 +144,7 @@
         }
         // A message reaches every life of the rank that still runs.
         for (std::size_t index = 0; index < ranks_.size(); ++index) {
-            if (ranks_[index]->rank != to.value() || chance(0.05) || cut(from, index)) {
+            if (ranks_[index]->rank != to.value() || chance(0.05) || isPartitioned(from, index)) {
                 continue;
             }
             const int copies = chance(0.05) ? 2 : 1;
@@ -156,7 +156,7 @@
         }
     }
 
-    bool cut(std::size_t left, std::size_t right) const
+    bool isPartitioned(std::size_t left, std::size_t right) const
     {
         return now_ < cutUntil_ && (ranks_[left]->rank < cutAt_) != (ranks_[right]->rank < cutAt_);
     }
