--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -158,7 +158,8 @@
 
     bool isPartitioned(std::size_t left, std::size_t right) const
     {
-        return now_ < cutUntil_ && (ranks_[left]->rank < cutAt_) != (ranks_[right]->rank < cutAt_);
+        return now_ < partitionedUntil_
+               && (ranks_[left]->rank < cutAt_) != (ranks_[right]->rank < cutAt_);
     }
 
     void receive(std::size_t index, GroupMessage message)
@@ -224,7 +225,7 @@
             start(rank);
         }
         if (chance(0.003)) {
-            cutUntil_ = now_ + delay(100, 4000);
+            partitionedUntil_ = now_ + delay(100, 4000);
             cutAt_ = 1 + static_cast<std::uint32_t>(pick(kRanks - 1));
         }
     }
@@ -290,7 +291,7 @@
     std::mt19937_64 random_;
     InjectedFault fault_;
     TimePoint now_{};
-    TimePoint cutUntil_{};
+    TimePoint partitionedUntil_{};
     std::uint32_t cutAt_ = 0;
     RankIncarnation nextIncarnation_ = 0;
     std::vector<std::unique_ptr<Rank>> ranks_;
