--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -159,7 +159,7 @@
     bool isPartitioned(std::size_t left, std::size_t right) const
     {
         return now_ < partitionedUntil_
-               && (ranks_[left]->rank < cutAt_) != (ranks_[right]->rank < cutAt_);
+               && (ranks_[left]->rank < partitionRank_) != (ranks_[right]->rank < partitionRank_);
     }
 
     void receive(std::size_t index, GroupMessage message)
@@ -226,7 +226,7 @@
         }
         if (chance(0.003)) {
             partitionedUntil_ = now_ + delay(100, 4000);
-            cutAt_ = 1 + static_cast<std::uint32_t>(pick(kRanks - 1));
+            partitionRank_ = 1 + static_cast<std::uint32_t>(pick(kRanks - 1));
         }
     }
 
@@ -292,7 +292,7 @@
     InjectedFault fault_;
     TimePoint now_{};
     TimePoint partitionedUntil_{};
-    std::uint32_t cutAt_ = 0;
+    std::uint32_t partitionRank_ = 0;
     RankIncarnation nextIncarnation_ = 0;
     std::vector<std::unique_ptr<Rank>> ranks_;
     std::vector<Event> events_;
