--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -40,7 +40,7 @@
         for (now_ = {}; now_ < end; now_ += std::chrono::milliseconds(10)) {
             deliver();
             if (now_ < quiet) {
-                disturb();
+                injectFaults();
             }
             tick();
             stepAll();
@@ -208,7 +208,7 @@
         }
     }
 
-    void disturb()
+    void injectFaults()
     {
         if (chance(0.005)) {
             const std::size_t index = pick(ranks_.size());
