--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -55,7 +55,7 @@
     int switches() const { return switches_; }
     // Tells whether the group went on once nothing failed any more.
     bool recovered() const { return steps_ - stepsAtQuiet_ > 200; }
-    bool quiet() const
+    bool noChangePending() const
     {
         for (const auto &rank : ranks_) {
             if (!rank->participant.retired() && rank->participant.change()) {
