--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -36,15 +36,15 @@
             start(rank);
         }
         const TimePoint end{std::chrono::seconds(60)};
-        const TimePoint quiet{std::chrono::seconds(40)};
+        const TimePoint faultsEnd{std::chrono::seconds(40)};
         for (now_ = {}; now_ < end; now_ += std::chrono::milliseconds(10)) {
             deliver();
-            if (now_ < quiet) {
+            if (now_ < faultsEnd) {
                 injectFaults();
             }
             tick();
             stepAll();
-            if (now_ == quiet) {
+            if (now_ == faultsEnd) {
                 stepsAtQuiet_ = steps_;
             }
         }
