--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -45,7 +45,7 @@
             tick();
             stepAll();
             if (now_ == faultsEnd) {
-                stepsAtQuiet_ = steps_;
+                stepsAtFaultsEnd_ = steps_;
             }
         }
         return mixed_;
@@ -54,7 +54,7 @@
     int steps() const { return steps_; }
     int switches() const { return switches_; }
     // Tells whether the group went on once nothing failed any more.
-    bool recovered() const { return steps_ - stepsAtQuiet_ > 200; }
+    bool recovered() const { return steps_ - stepsAtFaultsEnd_ > 200; }
     bool noChangePending() const
     {
         for (const auto &rank : ranks_) {
@@ -297,7 +297,7 @@
     std::vector<std::unique_ptr<Rank>> ranks_;
     std::vector<Event> events_;
     int steps_ = 0;
-    int stepsAtQuiet_ = 0;
+    int stepsAtFaultsEnd_ = 0;
     int mixed_ = 0;
     int switches_ = 0;
 };
