--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -230,7 +230,7 @@
         }
     }
 
-    bool maySteps(const Rank &rank) const
+    bool canStep(const Rank &rank) const
     {
         const bool passes =
             fault_ == InjectedFault::PassBoundary && rank.participant.change() && chanceOf(rank);
@@ -260,7 +260,7 @@
                 const Generation &generation = ranks_[lead]->participant.generation();
                 const bool member = each.rank < generation.size()
                                     && generation[each.rank] == each.incarnation && isRunning(each)
-                                    && each.participant.generation() == generation && maySteps(each)
+                                    && each.participant.generation() == generation && canStep(each)
                                     && each.participant.step() == ranks_[lead]->participant.step();
                 if (member) {
                     group.push_back(index);
