--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -48,7 +48,7 @@
                 stepsAtFaultsEnd_ = steps_;
             }
         }
-        return mixed_;
+        return mixedSteps_;
     }
 
     int steps() const { return steps_; }
@@ -277,7 +277,7 @@
         ++steps_;
         for (const std::size_t index : group) {
             if (usedMap(*ranks_[index]) != usedMap(*ranks_[group.front()])) {
-                ++mixed_;
+                ++mixedSteps_;
                 break;
             }
         }
@@ -298,7 +298,7 @@
     std::vector<Event> events_;
     int steps_ = 0;
     int stepsAtFaultsEnd_ = 0;
-    int mixed_ = 0;
+    int mixedSteps_ = 0;
     int switches_ = 0;
 };
 
