--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -308,7 +308,7 @@
     return text == nullptr ? 1000 : std::strtoull(text, nullptr, 10);
 }
 
-bool caught(InjectedFault fault)
+bool detectsFault(InjectedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         if (GroupSimulation(seed, fault).run() > 0) {
@@ -351,20 +351,20 @@
 
 TEST(MapSwitchParticipantTest, CheckerCatchesALieAboutArming)
 {
-    CHECK(caught(InjectedFault::FalseArmedAnswer));
+    CHECK(detectsFault(InjectedFault::FalseArmedAnswer));
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesAForgottenGeneration)
 {
-    CHECK(caught(InjectedFault::IgnoreGeneration));
+    CHECK(detectsFault(InjectedFault::IgnoreGeneration));
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesAStepPastTheBoundary)
 {
-    CHECK(caught(InjectedFault::PassBoundary));
+    CHECK(detectsFault(InjectedFault::PassBoundary));
 }
 
 TEST(MapSwitchParticipantTest, CheckerCatchesASwitchBeforeTheBoundary)
 {
-    CHECK(caught(InjectedFault::SwitchOnArming));
+    CHECK(detectsFault(InjectedFault::SwitchOnArming));
 }
