--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -118,7 +118,7 @@
         ranks_.push_back(std::make_unique<Rank>(settings));
     }
 
-    void carryOut(std::size_t index, const GroupActions &actions)
+    void execute(std::size_t index, const GroupActions &actions)
     {
         for (const GroupAction &action : actions) {
             if (const auto *send = std::get_if<SendToRank>(&action)) {
@@ -127,7 +127,7 @@
                 events_.push_back({now_ + delay(10, 300), index, [this, index, map = load->map] {
                                        GroupActions next;
                                        ranks_[index]->participant.onLoaded(map, next);
-                                       carryOut(index, next);
+                                       execute(index, next);
                                    }});
             } else if (std::holds_alternative<ActivateMap>(action)) {
                 ++switches_;
@@ -172,7 +172,7 @@
         }
         GroupActions actions;
         participant.onMessage(message, now_, actions);
-        carryOut(index, actions);
+        execute(index, actions);
     }
 
     void deliver()
@@ -204,7 +204,7 @@
             if (decider && chance(0.01)) {
                 ranks_[index]->participant.propose(1, now_, actions);
             }
-            carryOut(index, actions);
+            execute(index, actions);
         }
     }
 
@@ -284,7 +284,7 @@
         for (const std::size_t index : group) {
             GroupActions actions;
             ranks_[index]->participant.onStepped(actions);
-            carryOut(index, actions);
+            execute(index, actions);
         }
     }
 
