--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -232,12 +232,12 @@
 
     bool canStep(const Rank &rank) const
     {
-        const bool passes =
-            fault_ == InjectedFault::PassBoundary && rank.participant.change() && chanceOf(rank);
+        const bool passes = fault_ == InjectedFault::PassBoundary && rank.participant.change()
+                            && ignoresBoundary(rank);
         return rank.participant.mayStep() || passes;
     }
 
-    static bool chanceOf(const Rank &rank) { return rank.participant.step() % 3 == 0; }
+    static bool ignoresBoundary(const Rank &rank) { return rank.participant.step() % 3 == 0; }
 
     MapFence usedMap(const Rank &rank) const
     {
