--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -322,7 +322,7 @@
 
 TEST_GROUP(MapSwitchParticipantTest){};
 
-TEST(MapSwitchParticipantTest, NeverMixesMapsOverManySchedules)
+TEST(MapSwitchParticipantTest, AllRanksUseOneMapPerStep)
 {
     int switches = 0;
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
