--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -340,7 +340,7 @@
     CHECK(switches > static_cast<int>(seedCount()) * 20);
 }
 
-TEST(MapSwitchParticipantTest, LateOrderForAnOldChangeLeavesACommittedOneAlone)
+TEST(MapSwitchParticipantTest, LateArmOfAbortedChangeKeepsCommittedChange)
 {
     // Found by this seed: the order to arm for an aborted change came late, while a newer change
     // was committed and waited for its boundary; the rank dropped the newer one.
