--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -349,7 +349,7 @@
     CHECK_EQUAL(0, GroupSimulation(kSeed, InjectedFault::None).run());
 }
 
-TEST(MapSwitchParticipantTest, CheckerCatchesALieAboutArming)
+TEST(MapSwitchParticipantTest, CheckerDetectsFalseArmedAnswer)
 {
     CHECK(detectsFault(InjectedFault::FalseArmedAnswer));
 }
