--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -354,7 +354,7 @@
     CHECK(detectsFault(InjectedFault::FalseArmedAnswer));
 }
 
-TEST(MapSwitchParticipantTest, CheckerCatchesAForgottenGeneration)
+TEST(MapSwitchParticipantTest, CheckerDetectsIgnoredGeneration)
 {
     CHECK(detectsFault(InjectedFault::IgnoreGeneration));
 }
