--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -359,7 +359,7 @@
     CHECK(detectsFault(InjectedFault::IgnoreGeneration));
 }
 
-TEST(MapSwitchParticipantTest, CheckerCatchesAStepPastTheBoundary)
+TEST(MapSwitchParticipantTest, CheckerDetectsStepPastBoundary)
 {
     CHECK(detectsFault(InjectedFault::PassBoundary));
 }
