--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -364,7 +364,7 @@
     CHECK(detectsFault(InjectedFault::PassBoundary));
 }
 
-TEST(MapSwitchParticipantTest, CheckerCatchesASwitchBeforeTheBoundary)
+TEST(MapSwitchParticipantTest, CheckerDetectsSwitchBeforeBoundary)
 {
     CHECK(detectsFault(InjectedFault::SwitchOnArming));
 }
