--- a/src/decision/expertmap/mapversion.cpp
+++ b/src/decision/expertmap/mapversion.cpp
@@ -5,20 +5,20 @@
 
 // Of the names that fit into a version's last digits. Zero names nobody; a rank beyond the others
 // is not named, and its changes wait for it as they must.
-constexpr std::uint64_t kNames = 1024;
+constexpr std::uint64_t kRankCodes = 1024;
 
 } // namespace
 
 std::uint64_t mapVersionAbove(std::uint64_t lowest, std::optional<std::uint32_t> armedLast)
 {
-    const bool named = armedLast && *armedLast + 1 < kNames;
+    const bool named = armedLast && *armedLast + 1 < kRankCodes;
     const std::uint64_t name = named ? *armedLast + 1 : 0;
-    return (lowest / kNames + 1) * kNames + name;
+    return (lowest / kRankCodes + 1) * kRankCodes + name;
 }
 
 std::optional<std::uint32_t> rankArmedLast(std::uint64_t version)
 {
-    const std::uint64_t name = version % kNames;
+    const std::uint64_t name = version % kRankCodes;
     return name == 0 ? std::nullopt : std::optional(static_cast<std::uint32_t>(name - 1));
 }
 
