--- a/src/decision/expertmap/mapversion.cpp
+++ b/src/decision/expertmap/mapversion.cpp
@@ -12,14 +12,14 @@
 std::uint64_t mapVersionAbove(std::uint64_t lowest, std::optional<std::uint32_t> armedLast)
 {
     const bool named = armedLast && *armedLast + 1 < kRankCodes;
-    const std::uint64_t name = named ? *armedLast + 1 : 0;
-    return (lowest / kRankCodes + 1) * kRankCodes + name;
+    const std::uint64_t rankCode = named ? *armedLast + 1 : 0;
+    return (lowest / kRankCodes + 1) * kRankCodes + rankCode;
 }
 
 std::optional<std::uint32_t> rankArmedLast(std::uint64_t version)
 {
-    const std::uint64_t name = version % kRankCodes;
-    return name == 0 ? std::nullopt : std::optional(static_cast<std::uint32_t>(name - 1));
+    const std::uint64_t rankCode = version % kRankCodes;
+    return rankCode == 0 ? std::nullopt : std::optional(static_cast<std::uint32_t>(rankCode - 1));
 }
 
 } // namespace seamarch
