--- a/src/decision/expertmap/mapversion.cpp
+++ b/src/decision/expertmap/mapversion.cpp
@@ -11,8 +11,8 @@
 
 std::uint64_t mapVersionAbove(std::uint64_t lowest, std::optional<std::uint32_t> armedLast)
 {
-    const bool named = armedLast && *armedLast + 1 < kRankCodes;
-    const std::uint64_t rankCode = named ? *armedLast + 1 : 0;
+    const bool encodable = armedLast && *armedLast + 1 < kRankCodes;
+    const std::uint64_t rankCode = encodable ? *armedLast + 1 : 0;
     return (lowest / kRankCodes + 1) * kRankCodes + rankCode;
 }
 
