--- a/test/decision/expertmap/mapversion_test.cpp
+++ b/test/decision/expertmap/mapversion_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(MapVersionTest){};
 
-TEST(MapVersionTest, NamesTheRankThatIsArmedLast)
+TEST(MapVersionTest, EncodesRankThatIsArmedLast)
 {
     for (const std::uint32_t rank : {0U, 1U, 23U, 128U, 319U, 1022U}) {
         const std::uint64_t version = mapVersionAbove(5000, rank);
