--- a/test/decision/expertmap/mapversion_test.cpp
+++ b/test/decision/expertmap/mapversion_test.cpp
@@ -15,7 +15,7 @@
     }
 }
 
-TEST(MapVersionTest, MayNameNobody)
+TEST(MapVersionTest, EncodesNoRank)
 {
     CHECK_FALSE(rankArmedLast(mapVersionAbove(5000, std::nullopt)).has_value());
     CHECK_FALSE(rankArmedLast(0).has_value()); // The first map of an epoch.
