--- a/test/decision/expertmap/mapversion_test.cpp
+++ b/test/decision/expertmap/mapversion_test.cpp
@@ -22,7 +22,7 @@
 }
 
 // Its changes wait for it, as those of every rank once did.
-TEST(MapVersionTest, RankBeyondTheNamesIsNotNamed)
+TEST(MapVersionTest, DoesNotEncodeRankBeyondRange)
 {
     CHECK_FALSE(rankArmedLast(mapVersionAbove(5000, 1023)).has_value());
     CHECK_FALSE(rankArmedLast(mapVersionAbove(5000, 4096)).has_value());
