--- a/test/decision/expertmap/mapversion_test.cpp
+++ b/test/decision/expertmap/mapversion_test.cpp
@@ -28,7 +28,7 @@
     CHECK_FALSE(rankArmedLast(mapVersionAbove(5000, 4096)).has_value());
 }
 
-TEST(MapVersionTest, RisesAboveAnyVersion)
+TEST(MapVersionTest, IsGreaterThanAnyGivenVersion)
 {
     for (std::uint64_t lowest = 0; lowest < 5000; ++lowest) {
         CHECK_TRUE(mapVersionAbove(lowest, 7) > lowest);
