--- a/src/decision/expertmap/relayplan.cpp
+++ b/src/decision/expertmap/relayplan.cpp
@@ -30,7 +30,7 @@
         if (members.empty()) {
             continue;
         }
-        const std::size_t first = inputs.turn % members.size();
+        const std::size_t first = inputs.rotation % members.size();
         std::rotate(members.begin(), members.begin() + static_cast<std::ptrdiff_t>(first),
                     members.end());
         plan.push_back(std::move(members));
--- a/src/decision/expertmap/relayplan.h
+++ b/src/decision/expertmap/relayplan.h
@@ -20,7 +20,7 @@
     std::vector<std::uint32_t> ranks; // To be reached, whose agents answer.
     std::uint64_t orderBytes = 0;
     double linkBytesPerSecond = 0.0; // Of the decider; the others' are taken to be alike.
-    std::uint64_t turn = 0;          // Each turn chooses other agents to pass on.
+    std::uint64_t rotation = 0;      // Each turn chooses other agents to pass on.
 };
 
 // The first rank of a block passes the order on to the others.
--- a/test/decision/expertmap/relayplan_test.cpp
+++ b/test/decision/expertmap/relayplan_test.cpp
@@ -13,14 +13,14 @@
 
 constexpr double kSixMegabits = 750'000.0; // Bytes a second.
 
-RelayInputs inputsFor(std::uint32_t count, std::uint64_t bytes, std::uint64_t turn = 0)
+RelayInputs inputsFor(std::uint32_t count, std::uint64_t bytes, std::uint64_t rotation = 0)
 {
     RelayInputs inputs;
     inputs.ranks.resize(count);
     std::iota(inputs.ranks.begin(), inputs.ranks.end(), 1U);
     inputs.orderBytes = bytes;
     inputs.linkBytesPerSecond = kSixMegabits;
-    inputs.turn = turn;
+    inputs.rotation = rotation;
     return inputs;
 }
 
