--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -285,7 +285,7 @@
     }
     inputs.orderBytes = order.experts == nullptr ? 0 : packExperts(*order.experts).size();
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
-    inputs.turn = relayTurn_++;
+    inputs.rotation = relayTurn_++;
     const std::vector<RelayBlock> blocks = planRelays(inputs);
     logLine(LogLevel::Info, "map.prepares_sent",
             {{"version", order.version},
