--- a/src/decision/expertmap/relayplan.cpp
+++ b/src/decision/expertmap/relayplan.cpp
@@ -9,7 +9,7 @@
 
 // A hop costs two agents' turns and the way, some ten milliseconds with a small share of a
 // processor. Below a few times that, sending directly is as quick and fails for one rank alone.
-constexpr double kDirectSeconds = 0.05;
+constexpr double kMaxDirectSeconds = 0.05;
 
 } // namespace
 
@@ -18,8 +18,9 @@
     const std::size_t count = inputs.ranks.size();
     const double seconds = static_cast<double>(count) * static_cast<double>(inputs.orderBytes)
                            / std::max(1.0, inputs.linkBytesPerSecond);
-    const auto blocks =
-        seconds <= kDirectSeconds ? count : static_cast<std::size_t>(std::ceil(std::sqrt(count)));
+    const auto blocks = seconds <= kMaxDirectSeconds
+                            ? count
+                            : static_cast<std::size_t>(std::ceil(std::sqrt(count)));
     std::vector<RelayBlock> plan;
     for (std::size_t block = 0; block < blocks; ++block) {
         const auto begin =
