--- a/test/decision/expertmap/relayplan_test.cpp
+++ b/test/decision/expertmap/relayplan_test.cpp
@@ -38,7 +38,7 @@
 
 TEST_GROUP(RelayPlanTest){};
 
-TEST(RelayPlanTest, SendsASmallMapStraightToEachRank)
+TEST(RelayPlanTest, SendsSmallMapDirectlyToEachRank)
 {
     const auto blocks = planRelays(inputsFor(11, 400));
     LONGS_EQUAL(11, blocks.size());
