--- a/test/decision/expertmap/relayplan_test.cpp
+++ b/test/decision/expertmap/relayplan_test.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-TEST(RelayPlanTest, ReachesEveryRankOnce)
+TEST(RelayPlanTest, IncludesEveryRankOnce)
 {
     for (const std::uint32_t count : {1U, 23U, 62U, 128U, 319U}) {
         std::vector<std::uint32_t> reached;
