--- a/test/decision/expertmap/relayplan_test.cpp
+++ b/test/decision/expertmap/relayplan_test.cpp
@@ -60,7 +60,7 @@
 }
 
 // Sent straight, 7 KB to 128 ranks take 1.2 s of a link of 6 Mbit/s.
-TEST(RelayPlanTest, GetsTheMapOfALargeGroupToAllWithinAQuarterOfASecond)
+TEST(RelayPlanTest, ReachesLargeGroupWithinQuarterSecond)
 {
     CHECK_TRUE(secondsFor(planRelays(inputsFor(128, 7000)), 7000) < 0.25);
 }
