--- a/test/decision/expertmap/relayplan_test.cpp
+++ b/test/decision/expertmap/relayplan_test.cpp
@@ -65,7 +65,7 @@
     CHECK_TRUE(secondsFor(planRelays(inputsFor(128, 7000)), 7000) < 0.25);
 }
 
-TEST(RelayPlanTest, ATurnLaterOthersPassTheOrderOn)
+TEST(RelayPlanTest, NextRotationChoosesOtherRelays)
 {
     const auto first = planRelays(inputsFor(128, 7000, 0));
     const auto second = planRelays(inputsFor(128, 7000, 1));
