--- a/test/decision/expertmap/relayplan_test.cpp
+++ b/test/decision/expertmap/relayplan_test.cpp
@@ -75,7 +75,7 @@
     }
 }
 
-TEST(RelayPlanTest, NobodyToReachNeedsNoBlock)
+TEST(RelayPlanTest, ReturnsNoBlockWithoutRanks)
 {
     CHECK_TRUE(planRelays(inputsFor(0, 7000)).empty());
 }
