--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -44,10 +44,10 @@
     std::uint64_t fence = 0;
 };
 
-class World
+class GroupSimulation
 {
 public:
-    World(std::uint64_t seed, Planted planted)
+    GroupSimulation(std::uint64_t seed, Planted planted)
         : random_(seed)
         , planted_(planted)
         , engines_(kRanks)
@@ -434,7 +434,7 @@
 {
     int found = 0;
     for (int seed = 1; seed <= count; ++seed) {
-        World world(static_cast<std::uint64_t>(seed), planted);
+        GroupSimulation world(static_cast<std::uint64_t>(seed), planted);
         world.run(std::chrono::seconds(60));
         found += world.twoMaps() ? 1 : 0;
     }
@@ -448,7 +448,7 @@
 TEST(GroupDeciderTest, NoPassIsMadeWithTwoMaps)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        World world(static_cast<std::uint64_t>(seed), Planted::Nothing);
+        GroupSimulation world(static_cast<std::uint64_t>(seed), Planted::Nothing);
         world.run(std::chrono::seconds(60));
         const std::string text = "two maps in one pass; keep the seed " + std::to_string(seed);
         CHECK_FALSE_TEXT(world.twoMaps(), text.c_str());
@@ -458,7 +458,7 @@
 TEST(GroupDeciderTest, NoGroupStaysHeldOnceTheFaultsEnd)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        World world(static_cast<std::uint64_t>(seed), Planted::Nothing);
+        GroupSimulation world(static_cast<std::uint64_t>(seed), Planted::Nothing);
         world.run(std::chrono::seconds(30));
         world.calm();
         world.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
@@ -485,7 +485,7 @@
 TEST(GroupDeciderTest, GroupGoesOnWhileItsDecidersMachineIsFrozen)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        World world(static_cast<std::uint64_t>(seed), Planted::Nothing);
+        GroupSimulation world(static_cast<std::uint64_t>(seed), Planted::Nothing);
         world.freezeAtNextHold(std::chrono::seconds(4));
         world.run(std::chrono::seconds(20));
         const std::string text = "held for too long; keep the seed " + std::to_string(seed);
