--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -434,9 +434,9 @@
 {
     int found = 0;
     for (int seed = 1; seed <= count; ++seed) {
-        GroupSimulation world(static_cast<std::uint64_t>(seed), planted);
-        world.run(std::chrono::seconds(60));
-        found += world.twoMaps() ? 1 : 0;
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), planted);
+        simulation.run(std::chrono::seconds(60));
+        found += simulation.twoMaps() ? 1 : 0;
     }
     return found;
 }
@@ -448,26 +448,26 @@
 TEST(GroupDeciderTest, NoPassIsMadeWithTwoMaps)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        GroupSimulation world(static_cast<std::uint64_t>(seed), Planted::Nothing);
-        world.run(std::chrono::seconds(60));
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), Planted::Nothing);
+        simulation.run(std::chrono::seconds(60));
         const std::string text = "two maps in one pass; keep the seed " + std::to_string(seed);
-        CHECK_FALSE_TEXT(world.twoMaps(), text.c_str());
+        CHECK_FALSE_TEXT(simulation.twoMaps(), text.c_str());
     }
 }
 
 TEST(GroupDeciderTest, NoGroupStaysHeldOnceTheFaultsEnd)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        GroupSimulation world(static_cast<std::uint64_t>(seed), Planted::Nothing);
-        world.run(std::chrono::seconds(30));
-        world.calm();
-        world.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
-        const std::uint64_t step = world.step();
-        const std::uint64_t taken = world.mapsTaken();
-        world.run(std::chrono::seconds(20));
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), Planted::Nothing);
+        simulation.run(std::chrono::seconds(30));
+        simulation.calm();
+        simulation.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
+        const std::uint64_t step = simulation.step();
+        const std::uint64_t taken = simulation.mapsTaken();
+        simulation.run(std::chrono::seconds(20));
         const std::string text = "held or without changes; keep the seed " + std::to_string(seed);
-        CHECK_TEXT(world.step() > step + 50, text.c_str());
-        CHECK_TEXT(world.mapsTaken() > taken, text.c_str());
+        CHECK_TEXT(simulation.step() > step + 50, text.c_str());
+        CHECK_TEXT(simulation.mapsTaken() > taken, text.c_str());
     }
 }
 
@@ -485,13 +485,13 @@
 TEST(GroupDeciderTest, GroupGoesOnWhileItsDecidersMachineIsFrozen)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        GroupSimulation world(static_cast<std::uint64_t>(seed), Planted::Nothing);
-        world.freezeAtNextHold(std::chrono::seconds(4));
-        world.run(std::chrono::seconds(20));
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), Planted::Nothing);
+        simulation.freezeAtNextHold(std::chrono::seconds(4));
+        simulation.run(std::chrono::seconds(20));
         const std::string text = "held for too long; keep the seed " + std::to_string(seed);
-        LONGS_EQUAL(1, world.freezes());
-        CHECK_FALSE_TEXT(world.twoMaps(), text.c_str());
-        CHECK_TEXT(world.longestStandstill() < std::chrono::milliseconds(1500), text.c_str());
+        LONGS_EQUAL(1, simulation.freezes());
+        CHECK_FALSE_TEXT(simulation.twoMaps(), text.c_str());
+        CHECK_TEXT(simulation.longestStandstill() < std::chrono::milliseconds(1500), text.c_str());
     }
 }
 
