--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -25,7 +25,7 @@
 constexpr std::uint32_t kRanks = 4;
 
 // What is wrong with the fake world on purpose.
-enum class Planted {
+enum class InjectedFault {
     Nothing,
     EnginesIgnoreFences,
     LostArmsCountAsDone,
@@ -47,7 +47,7 @@
 class GroupSimulation
 {
 public:
-    GroupSimulation(std::uint64_t seed, Planted planted)
+    GroupSimulation(std::uint64_t seed, InjectedFault planted)
         : random_(seed)
         , planted_(planted)
         , engines_(kRanks)
@@ -161,7 +161,7 @@
     {
         const std::uint64_t next = step_ + 1;
         const bool held =
-            planted_ != Planted::HoldsAreIgnored
+            planted_ != InjectedFault::HoldsAreIgnored
             && std::any_of(engines_.begin(), engines_.end(),
                            [next](const Engine &engine) { return engine.held == next; });
         if (held || (faults_ && chance(0.02))) {
@@ -195,7 +195,7 @@
 
     MapOrderAnswer carryOut(Engine &engine, const MapOrder &order)
     {
-        if (planted_ != Planted::EnginesIgnoreFences) {
+        if (planted_ != InjectedFault::EnginesIgnoreFences) {
             if (order.fence < engine.fence) {
                 return MapOrderAnswer::Fenced;
             }
@@ -274,14 +274,15 @@
                 MapOrderAnswer answer = carryOut(engines_[action.rank], action.order);
                 if (lostAnswer) {
                     const bool arm = action.order.kind == MapOrderKind::Arm;
-                    answer = planted_ == Planted::LostArmsCountAsDone && arm ? MapOrderAnswer::Done
-                                                                             : MapOrderAnswer::Lost;
+                    answer = planted_ == InjectedFault::LostArmsCountAsDone && arm
+                                 ? MapOrderAnswer::Done
+                                 : MapOrderAnswer::Lost;
                 }
                 answerLater(from, action, answer);
             });
         };
         after(atAgent, [this, action, handed] { onMachine(action.rank, handed); });
-        if (late && planted_ == Planted::LostArmsCountAsDone
+        if (late && planted_ == InjectedFault::LostArmsCountAsDone
             && action.order.kind == MapOrderKind::Arm) {
             deciders_[from]->onAnswer(action.rank, action.order, MapOrderAnswer::Done, now_);
         }
@@ -290,7 +291,7 @@
     // Lets the agent beside the rank see the order. Returns false when it refuses it.
     bool handOver(const SendMapOrder &action)
     {
-        if (planted_ == Planted::AgentsForgetArms && action.order.kind == MapOrderKind::Arm) {
+        if (planted_ == InjectedFault::AgentsForgetArms && action.order.kind == MapOrderKind::Arm) {
             return true;
         }
         return agents_[action.rank].admit(action.order);
@@ -402,7 +403,7 @@
     }
 
     std::mt19937_64 random_;
-    Planted planted_;
+    InjectedFault planted_;
     std::vector<Engine> engines_;
     std::vector<ForwardedOrders> agents_; // Beside the engines.
     std::map<std::uint32_t, std::unique_ptr<GroupDecider>> deciders_;
@@ -430,7 +431,7 @@
 }
 
 // Returns how many of the seeds make a pass with two maps.
-int violations(Planted planted, int count)
+int violations(InjectedFault planted, int count)
 {
     int found = 0;
     for (int seed = 1; seed <= count; ++seed) {
@@ -448,7 +449,7 @@
 TEST(GroupDeciderTest, NoPassIsMadeWithTwoMaps)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        GroupSimulation simulation(static_cast<std::uint64_t>(seed), Planted::Nothing);
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::Nothing);
         simulation.run(std::chrono::seconds(60));
         const std::string text = "two maps in one pass; keep the seed " + std::to_string(seed);
         CHECK_FALSE_TEXT(simulation.twoMaps(), text.c_str());
@@ -458,7 +459,7 @@
 TEST(GroupDeciderTest, NoGroupStaysHeldOnceTheFaultsEnd)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        GroupSimulation simulation(static_cast<std::uint64_t>(seed), Planted::Nothing);
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::Nothing);
         simulation.run(std::chrono::seconds(30));
         simulation.calm();
         simulation.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
@@ -474,10 +475,10 @@
 TEST(GroupDeciderTest, TheCheckerCatchesPlantedFaults)
 {
     constexpr int kSeeds = 40;
-    CHECK_TRUE(violations(Planted::EnginesIgnoreFences, kSeeds) > 0);
-    CHECK_TRUE(violations(Planted::LostArmsCountAsDone, kSeeds) > 0);
-    CHECK_TRUE(violations(Planted::HoldsAreIgnored, kSeeds) > 0);
-    CHECK_TRUE(violations(Planted::AgentsForgetArms, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::EnginesIgnoreFences, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::LostArmsCountAsDone, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::HoldsAreIgnored, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::AgentsForgetArms, kSeeds) > 0);
 }
 
 // The load that this answers: all streams of a group stand still while a step is held. A machine
@@ -485,7 +486,7 @@
 TEST(GroupDeciderTest, GroupGoesOnWhileItsDecidersMachineIsFrozen)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        GroupSimulation simulation(static_cast<std::uint64_t>(seed), Planted::Nothing);
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::Nothing);
         simulation.freezeAtNextHold(std::chrono::seconds(4));
         simulation.run(std::chrono::seconds(20));
         const std::string text = "held for too long; keep the seed " + std::to_string(seed);
