--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -47,9 +47,9 @@
 class GroupSimulation
 {
 public:
-    GroupSimulation(std::uint64_t seed, InjectedFault planted)
+    GroupSimulation(std::uint64_t seed, InjectedFault fault)
         : random_(seed)
-        , planted_(planted)
+        , planted_(fault)
         , engines_(kRanks)
         , agents_(kRanks)
     {
@@ -431,11 +431,11 @@
 }
 
 // Returns how many of the seeds make a pass with two maps.
-int violations(InjectedFault planted, int count)
+int violations(InjectedFault fault, int count)
 {
     int found = 0;
     for (int seed = 1; seed <= count; ++seed) {
-        GroupSimulation simulation(static_cast<std::uint64_t>(seed), planted);
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), fault);
         simulation.run(std::chrono::seconds(60));
         found += simulation.twoMaps() ? 1 : 0;
     }
