--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -49,7 +49,7 @@
 public:
     GroupSimulation(std::uint64_t seed, InjectedFault fault)
         : random_(seed)
-        , planted_(fault)
+        , fault_(fault)
         , engines_(kRanks)
         , agents_(kRanks)
     {
@@ -161,7 +161,7 @@
     {
         const std::uint64_t next = step_ + 1;
         const bool held =
-            planted_ != InjectedFault::HoldsAreIgnored
+            fault_ != InjectedFault::HoldsAreIgnored
             && std::any_of(engines_.begin(), engines_.end(),
                            [next](const Engine &engine) { return engine.held == next; });
         if (held || (faults_ && chance(0.02))) {
@@ -195,7 +195,7 @@
 
     MapOrderAnswer carryOut(Engine &engine, const MapOrder &order)
     {
-        if (planted_ != InjectedFault::EnginesIgnoreFences) {
+        if (fault_ != InjectedFault::EnginesIgnoreFences) {
             if (order.fence < engine.fence) {
                 return MapOrderAnswer::Fenced;
             }
@@ -274,7 +274,7 @@
                 MapOrderAnswer answer = carryOut(engines_[action.rank], action.order);
                 if (lostAnswer) {
                     const bool arm = action.order.kind == MapOrderKind::Arm;
-                    answer = planted_ == InjectedFault::LostArmsCountAsDone && arm
+                    answer = fault_ == InjectedFault::LostArmsCountAsDone && arm
                                  ? MapOrderAnswer::Done
                                  : MapOrderAnswer::Lost;
                 }
@@ -282,7 +282,7 @@
             });
         };
         after(atAgent, [this, action, handed] { onMachine(action.rank, handed); });
-        if (late && planted_ == InjectedFault::LostArmsCountAsDone
+        if (late && fault_ == InjectedFault::LostArmsCountAsDone
             && action.order.kind == MapOrderKind::Arm) {
             deciders_[from]->onAnswer(action.rank, action.order, MapOrderAnswer::Done, now_);
         }
@@ -291,7 +291,7 @@
     // Lets the agent beside the rank see the order. Returns false when it refuses it.
     bool handOver(const SendMapOrder &action)
     {
-        if (planted_ == InjectedFault::AgentsForgetArms && action.order.kind == MapOrderKind::Arm) {
+        if (fault_ == InjectedFault::AgentsForgetArms && action.order.kind == MapOrderKind::Arm) {
             return true;
         }
         return agents_[action.rank].admit(action.order);
@@ -403,7 +403,7 @@
     }
 
     std::mt19937_64 random_;
-    InjectedFault planted_;
+    InjectedFault fault_;
     std::vector<Engine> engines_;
     std::vector<ForwardedOrders> agents_; // Beside the engines.
     std::map<std::uint32_t, std::unique_ptr<GroupDecider>> deciders_;
