--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -449,7 +449,7 @@
 TEST(GroupDeciderTest, NoPassIsMadeWithTwoMaps)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::Nothing);
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
         simulation.run(std::chrono::seconds(60));
         const std::string text = "two maps in one pass; keep the seed " + std::to_string(seed);
         CHECK_FALSE_TEXT(simulation.twoMaps(), text.c_str());
@@ -459,7 +459,7 @@
 TEST(GroupDeciderTest, NoGroupStaysHeldOnceTheFaultsEnd)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::Nothing);
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
         simulation.run(std::chrono::seconds(30));
         simulation.calm();
         simulation.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
@@ -486,7 +486,7 @@
 TEST(GroupDeciderTest, GroupGoesOnWhileItsDecidersMachineIsFrozen)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::Nothing);
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
         simulation.freezeAtNextHold(std::chrono::seconds(4));
         simulation.run(std::chrono::seconds(20));
         const std::string text = "held for too long; keep the seed " + std::to_string(seed);
