--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -28,7 +28,7 @@
 enum class InjectedFault {
     Nothing,
     EnginesIgnoreFences,
-    LostArmsCountAsDone,
+    LostArmsReportedDone,
     HoldsAreIgnored,
     AgentsForgetArms,
 };
@@ -274,7 +274,7 @@
                 MapOrderAnswer answer = carryOut(engines_[action.rank], action.order);
                 if (lostAnswer) {
                     const bool arm = action.order.kind == MapOrderKind::Arm;
-                    answer = fault_ == InjectedFault::LostArmsCountAsDone && arm
+                    answer = fault_ == InjectedFault::LostArmsReportedDone && arm
                                  ? MapOrderAnswer::Done
                                  : MapOrderAnswer::Lost;
                 }
@@ -282,7 +282,7 @@
             });
         };
         after(atAgent, [this, action, handed] { onMachine(action.rank, handed); });
-        if (late && fault_ == InjectedFault::LostArmsCountAsDone
+        if (late && fault_ == InjectedFault::LostArmsReportedDone
             && action.order.kind == MapOrderKind::Arm) {
             deciders_[from]->onAnswer(action.rank, action.order, MapOrderAnswer::Done, now_);
         }
@@ -476,7 +476,7 @@
 {
     constexpr int kSeeds = 40;
     CHECK_TRUE(violations(InjectedFault::EnginesIgnoreFences, kSeeds) > 0);
-    CHECK_TRUE(violations(InjectedFault::LostArmsCountAsDone, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::LostArmsReportedDone, kSeeds) > 0);
     CHECK_TRUE(violations(InjectedFault::HoldsAreIgnored, kSeeds) > 0);
     CHECK_TRUE(violations(InjectedFault::AgentsForgetArms, kSeeds) > 0);
 }
