--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -29,7 +29,7 @@
     Nothing,
     EnginesIgnoreFences,
     LostArmsReportedDone,
-    HoldsAreIgnored,
+    EnginesIgnoreHolds,
     AgentsForgetArms,
 };
 
@@ -161,7 +161,7 @@
     {
         const std::uint64_t next = step_ + 1;
         const bool held =
-            fault_ != InjectedFault::HoldsAreIgnored
+            fault_ != InjectedFault::EnginesIgnoreHolds
             && std::any_of(engines_.begin(), engines_.end(),
                            [next](const Engine &engine) { return engine.held == next; });
         if (held || (faults_ && chance(0.02))) {
@@ -477,7 +477,7 @@
     constexpr int kSeeds = 40;
     CHECK_TRUE(violations(InjectedFault::EnginesIgnoreFences, kSeeds) > 0);
     CHECK_TRUE(violations(InjectedFault::LostArmsReportedDone, kSeeds) > 0);
-    CHECK_TRUE(violations(InjectedFault::HoldsAreIgnored, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::EnginesIgnoreHolds, kSeeds) > 0);
     CHECK_TRUE(violations(InjectedFault::AgentsForgetArms, kSeeds) > 0);
 }
 
