--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -74,7 +74,7 @@
 
     // Ends the faults. The agent of rank 1 sees that of rank 0 from now on, and leaves it to
     // decide.
-    void calm()
+    void stopFaults()
     {
         faults_ = false;
         deciders_[1]->resign();
@@ -461,7 +461,7 @@
     for (int seed = 1; seed <= seeds(); ++seed) {
         GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
         simulation.run(std::chrono::seconds(30));
-        simulation.calm();
+        simulation.stopFaults();
         simulation.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
         const std::uint64_t step = simulation.step();
         const std::uint64_t taken = simulation.mapsTaken();
