--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -54,7 +54,7 @@
         , agents_(kRanks)
     {
         for (std::uint32_t rank = 0; rank < 2; ++rank) {
-            replace(rank);
+            restartAgent(rank);
         }
         schedulePass();
         scheduleTicks();
@@ -117,7 +117,7 @@
         return std::chrono::milliseconds(std::uniform_int_distribution<int>(low, high)(random_));
     }
 
-    void replace(std::uint32_t rank)
+    void restartAgent(std::uint32_t rank)
     {
         GroupDecider::Settings settings;
         settings.ownRank = rank;
@@ -326,7 +326,7 @@
         after(between(40, 60) + pause,
               [this, rank] { onMachine(rank, [this, rank] { tick(rank); }); });
         if (faults_ && chance(0.005)) {
-            replace(rank);
+            restartAgent(rank);
         }
         if (faults_ && chance(0.005)) {
             agents_[kRanks - 1] = ForwardedOrders(); // That of another rank starts anew.
