--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -88,7 +88,7 @@
         succession_ = true;
         freezeAtHold_ = length;
     }
-    bool twoMaps() const { return twoMaps_; }
+    bool mixedMaps() const { return twoMaps_; }
     Duration longestStandstill() const { return longestStandstill_; }
     std::uint64_t freezes() const { return freezes_; }
     std::uint64_t step() const { return step_; }
@@ -437,7 +437,7 @@
     for (int seed = 1; seed <= count; ++seed) {
         GroupSimulation simulation(static_cast<std::uint64_t>(seed), fault);
         simulation.run(std::chrono::seconds(60));
-        found += simulation.twoMaps() ? 1 : 0;
+        found += simulation.mixedMaps() ? 1 : 0;
     }
     return found;
 }
@@ -452,7 +452,7 @@
         GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
         simulation.run(std::chrono::seconds(60));
         const std::string text = "two maps in one pass; keep the seed " + std::to_string(seed);
-        CHECK_FALSE_TEXT(simulation.twoMaps(), text.c_str());
+        CHECK_FALSE_TEXT(simulation.mixedMaps(), text.c_str());
     }
 }
 
@@ -491,7 +491,7 @@
         simulation.run(std::chrono::seconds(20));
         const std::string text = "held for too long; keep the seed " + std::to_string(seed);
         LONGS_EQUAL(1, simulation.freezes());
-        CHECK_FALSE_TEXT(simulation.twoMaps(), text.c_str());
+        CHECK_FALSE_TEXT(simulation.mixedMaps(), text.c_str());
         CHECK_TEXT(simulation.longestStandstill() < std::chrono::milliseconds(1500), text.c_str());
     }
 }
