--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -88,7 +88,7 @@
         succession_ = true;
         freezeAtHold_ = length;
     }
-    bool mixedMaps() const { return twoMaps_; }
+    bool mixedMaps() const { return mixedMaps_; }
     Duration longestStandstill() const { return longestStandstill_; }
     std::uint64_t freezes() const { return freezes_; }
     std::uint64_t step() const { return step_; }
@@ -178,7 +178,7 @@
             }
         }
         for (const Engine &engine : engines_) {
-            twoMaps_ = twoMaps_ || engine.map != engines_.front().map;
+            mixedMaps_ = mixedMaps_ || engine.map != engines_.front().map;
         }
         if (faults_ && chance(0.003)) {
             formAnew();
@@ -420,7 +420,7 @@
     std::uint64_t epoch_ = 1;
     std::uint64_t step_ = 1;
     std::uint64_t mapsTaken_ = 0;
-    bool twoMaps_ = false;
+    bool mixedMaps_ = false;
     bool faults_ = true;
 };
 
