--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -92,7 +92,7 @@
     Duration longestStandstill() const { return longestStandstill_; }
     std::uint64_t freezes() const { return freezes_; }
     std::uint64_t step() const { return step_; }
-    std::uint64_t mapsTaken() const { return mapsTaken_; }
+    std::uint64_t mapActivations() const { return mapsTaken_; }
 
 private:
     struct Event
@@ -464,11 +464,11 @@
         simulation.stopFaults();
         simulation.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
         const std::uint64_t step = simulation.step();
-        const std::uint64_t taken = simulation.mapsTaken();
+        const std::uint64_t taken = simulation.mapActivations();
         simulation.run(std::chrono::seconds(20));
         const std::string text = "held or without changes; keep the seed " + std::to_string(seed);
         CHECK_TEXT(simulation.step() > step + 50, text.c_str());
-        CHECK_TEXT(simulation.mapsTaken() > taken, text.c_str());
+        CHECK_TEXT(simulation.mapActivations() > taken, text.c_str());
     }
 }
 
