--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -92,7 +92,7 @@
     Duration longestStandstill() const { return longestStandstill_; }
     std::uint64_t freezes() const { return freezes_; }
     std::uint64_t step() const { return step_; }
-    std::uint64_t mapActivations() const { return mapsTaken_; }
+    std::uint64_t mapActivations() const { return mapActivations_; }
 
 private:
     struct Event
@@ -174,7 +174,7 @@
             if (engine.armed != 0 && engine.armedStep == step_) {
                 engine.map = engine.armed;
                 engine.armed = 0;
-                ++mapsTaken_;
+                ++mapActivations_;
             }
         }
         for (const Engine &engine : engines_) {
@@ -419,7 +419,7 @@
     TimePoint now_{std::chrono::seconds(10)};
     std::uint64_t epoch_ = 1;
     std::uint64_t step_ = 1;
-    std::uint64_t mapsTaken_ = 0;
+    std::uint64_t mapActivations_ = 0;
     bool mixedMaps_ = false;
     bool faults_ = true;
 };
