--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -168,8 +168,8 @@
             return;
         }
         step_ = next;
-        longestStandstill_ = std::max(longestStandstill_, now_ - passedAt_);
-        passedAt_ = now_;
+        longestStandstill_ = std::max(longestStandstill_, now_ - lastPassAt_);
+        lastPassAt_ = now_;
         for (Engine &engine : engines_) {
             if (engine.armed != 0 && engine.armedStep == step_) {
                 engine.map = engine.armed;
@@ -412,7 +412,7 @@
     std::uint64_t freezes_ = 0;
     bool succession_ = false;
     Duration freezeAtHold_{};
-    TimePoint passedAt_{std::chrono::seconds(10)};
+    TimePoint lastPassAt_{std::chrono::seconds(10)};
     Duration longestStandstill_{};
     std::priority_queue<Event> events_;
     std::uint64_t order_ = 0;
