--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -89,7 +89,7 @@
         freezeAtHold_ = length;
     }
     bool mixedMaps() const { return mixedMaps_; }
-    Duration longestStandstill() const { return longestStandstill_; }
+    Duration longestStall() const { return longestStandstill_; }
     std::uint64_t freezes() const { return freezes_; }
     std::uint64_t step() const { return step_; }
     std::uint64_t mapActivations() const { return mapActivations_; }
@@ -492,7 +492,7 @@
         const std::string text = "held for too long; keep the seed " + std::to_string(seed);
         LONGS_EQUAL(1, simulation.freezes());
         CHECK_FALSE_TEXT(simulation.mixedMaps(), text.c_str());
-        CHECK_TEXT(simulation.longestStandstill() < std::chrono::milliseconds(1500), text.c_str());
+        CHECK_TEXT(simulation.longestStall() < std::chrono::milliseconds(1500), text.c_str());
     }
 }
 
