--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -89,7 +89,7 @@
         freezeAtHold_ = length;
     }
     bool mixedMaps() const { return mixedMaps_; }
-    Duration longestStall() const { return longestStandstill_; }
+    Duration longestStall() const { return longestStall_; }
     std::uint64_t freezes() const { return freezes_; }
     std::uint64_t step() const { return step_; }
     std::uint64_t mapActivations() const { return mapActivations_; }
@@ -168,7 +168,7 @@
             return;
         }
         step_ = next;
-        longestStandstill_ = std::max(longestStandstill_, now_ - lastPassAt_);
+        longestStall_ = std::max(longestStall_, now_ - lastPassAt_);
         lastPassAt_ = now_;
         for (Engine &engine : engines_) {
             if (engine.armed != 0 && engine.armedStep == step_) {
@@ -413,7 +413,7 @@
     bool succession_ = false;
     Duration freezeAtHold_{};
     TimePoint lastPassAt_{std::chrono::seconds(10)};
-    Duration longestStandstill_{};
+    Duration longestStall_{};
     std::priority_queue<Event> events_;
     std::uint64_t order_ = 0;
     TimePoint now_{std::chrono::seconds(10)};
