--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -181,11 +181,11 @@
             mixedMaps_ = mixedMaps_ || engine.map != engines_.front().map;
         }
         if (faults_ && chance(0.003)) {
-            formAnew();
+            reformGroup();
         }
     }
 
-    void formAnew()
+    void reformGroup()
     {
         ++epoch_;
         for (Engine &engine : engines_) {
