--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -193,7 +193,7 @@
         }
     }
 
-    MapOrderAnswer carryOut(Engine &engine, const MapOrder &order)
+    MapOrderAnswer execute(Engine &engine, const MapOrder &order)
     {
         if (fault_ != InjectedFault::EnginesIgnoreFences) {
             if (order.fence < engine.fence) {
@@ -271,7 +271,7 @@
                 return;
             }
             after(atEngine, [this, from, action, lostAnswer] {
-                MapOrderAnswer answer = carryOut(engines_[action.rank], action.order);
+                MapOrderAnswer answer = execute(engines_[action.rank], action.order);
                 if (lostAnswer) {
                     const bool arm = action.order.kind == MapOrderKind::Arm;
                     answer = fault_ == InjectedFault::LostArmsReportedDone && arm
