--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -266,7 +266,7 @@
         const Duration atAgent = lateAtAgent ? lateness : between(1, 8);
         const Duration atEngine = late && !lateAtAgent ? lateness : between(0, 7);
         const auto handed = [this, from, action, lostAnswer, past, atEngine] {
-            if (!past && !handOver(action)) {
+            if (!past && !forwardThroughAgent(action)) {
                 answerLater(from, action, MapOrderAnswer::Fenced);
                 return;
             }
@@ -289,7 +289,7 @@
     }
 
     // Lets the agent beside the rank see the order. Returns false when it refuses it.
-    bool handOver(const SendMapOrder &action)
+    bool forwardThroughAgent(const SendMapOrder &action)
     {
         if (fault_ == InjectedFault::AgentsForgetArms && action.order.kind == MapOrderKind::Arm) {
             return true;
