--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -267,7 +267,7 @@
         const Duration atEngine = late && !lateAtAgent ? lateness : between(0, 7);
         const auto handed = [this, from, action, lostAnswer, past, atEngine] {
             if (!past && !forwardThroughAgent(action)) {
-                answerLater(from, action, MapOrderAnswer::Fenced);
+                scheduleAnswer(from, action, MapOrderAnswer::Fenced);
                 return;
             }
             after(atEngine, [this, from, action, lostAnswer] {
@@ -278,7 +278,7 @@
                                  ? MapOrderAnswer::Done
                                  : MapOrderAnswer::Lost;
                 }
-                answerLater(from, action, answer);
+                scheduleAnswer(from, action, answer);
             });
         };
         after(atAgent, [this, action, handed] { onMachine(action.rank, handed); });
@@ -298,7 +298,7 @@
     }
 
     // A prepare is answered when its experts are copied, or as begun when that takes long.
-    void answerLater(std::uint32_t from, const SendMapOrder &action, MapOrderAnswer answer)
+    void scheduleAnswer(std::uint32_t from, const SendMapOrder &action, MapOrderAnswer answer)
     {
         const bool begun =
             action.order.kind == MapOrderKind::Prepare && answer == MapOrderAnswer::Done;
