--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -336,7 +336,7 @@
                 report(rank, other);
             }
         }
-        if (!faults_ && rank != 0 && !(succession_ && succeeds())) {
+        if (!faults_ && rank != 0 && !(succession_ && isSuccessorActive())) {
             return;
         }
         MapOrders orders;
@@ -367,7 +367,7 @@
     }
 
     // Tells whether the agent of rank 1 takes that of rank 0 for dead.
-    bool succeeds() const
+    bool isSuccessorActive() const
     {
         return frozen(0) && now_ - frozenAt_ >= std::chrono::milliseconds(400);
     }
