--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -259,14 +259,14 @@
     {
         const bool late = faults_ && chance(0.15);
         const bool lateAtAgent = late && chance(0.5);
-        const bool past = action.route == OrderRoute::EngineOnly
-                          || (action.route == OrderRoute::Any && faults_ && chance(0.05));
+        const bool bypassesAgent = action.route == OrderRoute::EngineOnly
+                                   || (action.route == OrderRoute::Any && faults_ && chance(0.05));
         const bool lostAnswer = late || (faults_ && chance(0.1));
         const Duration lateness = between(2000, 6000);
         const Duration atAgent = lateAtAgent ? lateness : between(1, 8);
         const Duration atEngine = late && !lateAtAgent ? lateness : between(0, 7);
-        const auto handed = [this, from, action, lostAnswer, past, atEngine] {
-            if (!past && !forwardThroughAgent(action)) {
+        const auto handed = [this, from, action, lostAnswer, bypassesAgent, atEngine] {
+            if (!bypassesAgent && !forwardThroughAgent(action)) {
                 scheduleAnswer(from, action, MapOrderAnswer::Fenced);
                 return;
             }
