--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -305,9 +305,9 @@
         after(begun ? between(1, 400) : between(1, 15), [this, from, action, answer, begun] {
             const bool copied = begun && action.order.epoch == epoch_
                                 && engines_[action.rank].prepared == action.order.version;
-            const MapOrderAnswer said = copied ? MapOrderAnswer::Copied : answer;
-            onMachine(from, [this, from, action, said] {
-                deciders_[from]->onAnswer(action.rank, action.order, said, now_);
+            const MapOrderAnswer finalAnswer = copied ? MapOrderAnswer::Copied : answer;
+            onMachine(from, [this, from, action, finalAnswer] {
+                deciders_[from]->onAnswer(action.rank, action.order, finalAnswer, now_);
             });
         });
     }
