--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -300,16 +300,17 @@
     // A prepare is answered when its experts are copied, or as begun when that takes long.
     void scheduleAnswer(std::uint32_t from, const SendMapOrder &action, MapOrderAnswer answer)
     {
-        const bool begun =
+        const bool prepareStarted =
             action.order.kind == MapOrderKind::Prepare && answer == MapOrderAnswer::Done;
-        after(begun ? between(1, 400) : between(1, 15), [this, from, action, answer, begun] {
-            const bool copied = begun && action.order.epoch == epoch_
-                                && engines_[action.rank].prepared == action.order.version;
-            const MapOrderAnswer finalAnswer = copied ? MapOrderAnswer::Copied : answer;
-            onMachine(from, [this, from, action, finalAnswer] {
-                deciders_[from]->onAnswer(action.rank, action.order, finalAnswer, now_);
-            });
-        });
+        after(prepareStarted ? between(1, 400) : between(1, 15),
+              [this, from, action, answer, prepareStarted] {
+                  const bool copied = prepareStarted && action.order.epoch == epoch_
+                                      && engines_[action.rank].prepared == action.order.version;
+                  const MapOrderAnswer finalAnswer = copied ? MapOrderAnswer::Copied : answer;
+                  onMachine(from, [this, from, action, finalAnswer] {
+                      deciders_[from]->onAnswer(action.rank, action.order, finalAnswer, now_);
+                  });
+              });
     }
 
     void scheduleTicks()
