--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -265,7 +265,7 @@
         const Duration lateness = between(2000, 6000);
         const Duration atAgent = lateAtAgent ? lateness : between(1, 8);
         const Duration atEngine = late && !lateAtAgent ? lateness : between(0, 7);
-        const auto handed = [this, from, action, lostAnswer, bypassesAgent, atEngine] {
+        const auto handOver = [this, from, action, lostAnswer, bypassesAgent, atEngine] {
             if (!bypassesAgent && !forwardThroughAgent(action)) {
                 scheduleAnswer(from, action, MapOrderAnswer::Fenced);
                 return;
@@ -281,7 +281,7 @@
                 scheduleAnswer(from, action, answer);
             });
         };
-        after(atAgent, [this, action, handed] { onMachine(action.rank, handed); });
+        after(atAgent, [this, action, handOver] { onMachine(action.rank, handOver); });
         if (late && fault_ == InjectedFault::LostArmsReportedDone
             && action.order.kind == MapOrderKind::Arm) {
             deciders_[from]->onAnswer(action.rank, action.order, MapOrderAnswer::Done, now_);
