--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -658,10 +658,10 @@
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 
     settings.predecessorLastSeenAt.reset();
-    GroupDecider patient(settings);
-    reportPair(patient, now, 8);
-    patient.onTick(now, orders);
-    CHECK_TRUE(patient.phase() == GroupDecider::Phase::Idle);
+    GroupDecider waiting(settings);
+    reportPair(waiting, now, 8);
+    waiting.onTick(now, orders);
+    CHECK_TRUE(waiting.phase() == GroupDecider::Phase::Idle);
 }
 
 namespace {
