--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -465,11 +465,11 @@
         simulation.stopFaults();
         simulation.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
         const std::uint64_t step = simulation.step();
-        const std::uint64_t taken = simulation.mapActivations();
+        const std::uint64_t accepted = simulation.mapActivations();
         simulation.run(std::chrono::seconds(20));
         const std::string text = "held or without changes; keep the seed " + std::to_string(seed);
         CHECK_TEXT(simulation.step() > step + 50, text.c_str());
-        CHECK_TEXT(simulation.mapActivations() > taken, text.c_str());
+        CHECK_TEXT(simulation.mapActivations() > accepted, text.c_str());
     }
 }
 
@@ -615,20 +615,20 @@
     GroupDecider decider(GroupDecider::Settings{});
     TimePoint now{std::chrono::seconds(10)};
     int tries = 0;
-    bool taken = false;
-    while (!taken && tries <= kMostTries) {
+    bool accepted = false;
+    while (!accepted && tries <= kMostTries) {
         now += std::chrono::milliseconds(100);
         reportPair(decider, now, std::nullopt);
         MapOrders orders;
         decider.propose(ExpertMap(1, RankExperts(kPair, {0})), now, orders);
         ++tries;
         for (const SendMapOrder &order : orders) {
-            taken = order.order.fence > kRemembered;
+            accepted = order.order.fence > kRemembered;
             decider.onAnswer(order.rank, order.order,
-                             taken ? MapOrderAnswer::Done : MapOrderAnswer::Fenced, now);
+                             accepted ? MapOrderAnswer::Done : MapOrderAnswer::Fenced, now);
         }
     }
-    CHECK_TEXT(taken, "the decider stays behind a fence of sixty changes");
+    CHECK_TEXT(accepted, "the decider stays behind a fence of sixty changes");
 }
 
 TEST(GroupDeciderTest, StartsAboveItsFloor)
