--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -447,7 +447,7 @@
 
 TEST_GROUP(GroupDeciderTest){};
 
-TEST(GroupDeciderTest, NoPassIsMadeWithTwoMaps)
+TEST(GroupDeciderTest, AllRanksUseOneMapPerPass)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
         GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
