--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -457,7 +457,7 @@
     }
 }
 
-TEST(GroupDeciderTest, NoGroupStaysHeldOnceTheFaultsEnd)
+TEST(GroupDeciderTest, GroupRecoversOnceFaultsEnd)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
         GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
