--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -473,7 +473,7 @@
     }
 }
 
-TEST(GroupDeciderTest, TheCheckerCatchesPlantedFaults)
+TEST(GroupDeciderTest, CheckerDetectsInjectedFaults)
 {
     constexpr int kSeeds = 40;
     CHECK_TRUE(violations(InjectedFault::EnginesIgnoreFences, kSeeds) > 0);
