--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -484,7 +484,7 @@
 
 // The load that this answers: all streams of a group stand still while a step is held. A machine
 // that freezes for four seconds right after its agent's hold held them for all of that time.
-TEST(GroupDeciderTest, GroupGoesOnWhileItsDecidersMachineIsFrozen)
+TEST(GroupDeciderTest, GroupContinuesWhileDeciderMachineIsFrozen)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
         GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
