--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -498,7 +498,7 @@
 }
 
 // A service with groups of unlike sizes lists all of their engines together.
-TEST(GroupDeciderTest, ReportsOfAnotherGroupCountForNothing)
+TEST(GroupDeciderTest, IgnoresReportsOfOtherGroups)
 {
     constexpr std::uint32_t kOwnRanks = 2;
     constexpr std::uint32_t kOtherRanks = 3;
