--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -573,7 +573,7 @@
 } // namespace
 
 // At 129 ranks a round of reports takes a quarter of a second, which the group stays uneven.
-TEST(GroupDeciderTest, RanksThatAnswerThatTheyHaveCopiedNeedNotReportIt)
+TEST(GroupDeciderTest, CopiedAnswerConfirmsPrepareWithoutReport)
 {
     TimePoint now{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
