--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -587,7 +587,7 @@
     CHECK_TRUE(sooner.phase() == GroupDecider::Phase::Holding);
 }
 
-TEST(GroupDeciderTest, AReportFromBeforeTheAnswerDoesNotUndoIt)
+TEST(GroupDeciderTest, ReportOlderThanAnswerDoesNotUndoIt)
 {
     const TimePoint asked{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
