--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -608,7 +608,7 @@
 }
 
 // The engines remember the fences of a decider whose agent, and all others, have started anew.
-TEST(GroupDeciderTest, OvertakesAFenceThatNobodyRemembersWithinAFewTries)
+TEST(GroupDeciderTest, OvertakesUnknownFenceWithinFewAttempts)
 {
     constexpr std::uint64_t kRemembered = 60ULL << 20U;
     constexpr int kMostTries = 10;
