--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -631,7 +631,7 @@
     CHECK_TEXT(accepted, "the decider stays behind a fence of sixty changes");
 }
 
-TEST(GroupDeciderTest, StartsAboveItsFloor)
+TEST(GroupDeciderTest, StartsAboveFenceFloor)
 {
     GroupDecider::Settings settings;
     settings.fenceFloor = 17'000'000'000; // Tenths of a second since 1970, in the year 2023.
