--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -645,7 +645,7 @@
 }
 
 // The group makes no pass while a decider that has fallen silent holds a step.
-TEST(GroupDeciderTest, ClearsAtOnceWhatALongSilentPredecessorHolds)
+TEST(GroupDeciderTest, ClearsHoldOfLongSilentPredecessorAtOnce)
 {
     const TimePoint now{std::chrono::seconds(10)};
     GroupDecider::Settings settings;
