--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -715,7 +715,7 @@
 
 } // namespace
 
-TEST(GroupDeciderTest, ArmsItsSuccessorLastButOneAndItsOwnRankLast)
+TEST(GroupDeciderTest, ArmsSuccessorSecondToLastAndOwnRankLast)
 {
     const TimePoint now{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
