--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -732,7 +732,7 @@
 
 // Without its agent nobody could tell whether that rank was armed, so that no one could end the
 // change for its decider: no rank is named, and all are armed at once.
-TEST(GroupDeciderTest, ArmsAllAtOnceWhereAnAgentIsSilent)
+TEST(GroupDeciderTest, ArmsAllRanksAtOnceWhenAnAgentIsSilent)
 {
     const TimePoint now{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
