--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -166,19 +166,18 @@
     }
     const Duration age = now - *lastShiftAt_;
     Duration remaining{};
-    Duration whole{};
+    Duration sum{};
     std::int64_t longerCount = 0;
     for (const Duration gap : shiftIntervals_) {
-        whole += gap;
+        sum += gap;
         if (gap > age) {
             remaining += gap - age;
             ++longerCount;
         }
     }
     const auto observed = static_cast<std::int64_t>(shiftIntervals_.size());
-    const Duration mean = longerCount > 0
-                              ? remaining / longerCount
-                              : (whole + settings_.initialShiftInterval) / (observed + 1);
+    const Duration mean = longerCount > 0 ? remaining / longerCount
+                                          : (sum + settings_.initialShiftInterval) / (observed + 1);
     return std::max(settings_.minWorkloadDuration, mean);
 }
 
