--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -291,18 +291,18 @@
     double bestRate = 0.0;
     for (std::uint32_t copies = minCopiesPerRank(); copies <= rule_.newExperts * rule_.sets;
          copies *= 2) {
-        const Candidate tried = buildCandidate(current, copies);
-        const double benefit = netBenefit(tried, before, workloadDuration);
+        const Candidate candidate = buildCandidate(current, copies);
+        const double benefit = netBenefit(candidate, before, workloadDuration);
         // What is in use soon goes first: the change that wins most for the time that it takes.
-        const double gain = 1.0 - passTime(tried.skew) / passTime(before);
-        const double rate = gain / toSeconds(tried.copying + settings_.activationDelay);
+        const double gain = 1.0 - passTime(candidate.skew) / passTime(before);
+        const double rate = gain / toSeconds(candidate.copying + settings_.activationDelay);
         if (benefit > 0.0 && rate > bestRate) {
             bestRate = rate;
-            best = tried;
+            best = candidate;
         } else if (best) {
             break; // Each copy more wins less than the one before it, and the search takes time.
         }
-        if (tried.copying > workloadDuration) {
+        if (candidate.copying > workloadDuration) {
             break;
         }
     }
