--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -69,7 +69,7 @@
             resentOrders_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
             const OrderRoute route = armsOwnRankLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
-            orders.push_back({number, orderFor(MapOrderKind::Arm), way});
+            orders.push_back({number, orderFor(MapOrderKind::Arm), route});
         }
     }
 }
