--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -46,7 +46,7 @@
     for (auto &[rank, state] : ranks_) {
         state.confirmed = false;
         state.sentAt = {};
-        state.resendAfter = resendIntervalFor(phase);
+        state.resendDelay = resendIntervalFor(phase);
         state.answeredAt = {};
     }
 }
@@ -170,7 +170,7 @@
         return;
     }
     if (!rank.known) {
-        rank.resendAfter = settings_.resendInterval;
+        rank.resendDelay = settings_.resendInterval;
     }
     rank.known = true;
     rank.askedAt = askedAt;
@@ -282,7 +282,7 @@
         enterPhase(clearing_ ? Phase::Clearing : Phase::Arming, now);
         return;
     case MapOrderAnswer::Refused:
-        ranks_[holder_].resendAfter = settings_.holdRetryDelay;
+        ranks_[holder_].resendDelay = settings_.holdRetryDelay;
         if (!clearing_) {
             // The step has begun meanwhile, and the reports may be as old as that.
             step_ = std::max(step_, highestStep()) + margin();
@@ -290,7 +290,7 @@
         return;
     case MapOrderAnswer::Fenced:
         raiseFence(true);
-        ranks_[holder_].resendAfter = settings_.holdRetryDelay;
+        ranks_[holder_].resendDelay = settings_.holdRetryDelay;
         return;
     case MapOrderAnswer::Lost:
         return;
@@ -323,7 +323,7 @@
         } else if (answer == MapOrderAnswer::Done) {
             rank.answeredAt = now; // Whether it is copied, its report tells.
         } else if (answer == MapOrderAnswer::Lost) {
-            rank.resendAfter = settings_.resendInterval;
+            rank.resendDelay = settings_.resendInterval;
         } else {
             raiseFence(answer == MapOrderAnswer::Fenced);
             enterPhase(Phase::Idle,
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -228,7 +228,7 @@
         bool known = false;
         bool confirmed = false; // It has carried out the phase's order.
         TimePoint sentAt{};     // Of the phase's order; zero: not sent yet.
-        Duration resendAfter{}; // From then on.
+        Duration resendDelay{}; // From then on.
         TimePoint answeredAt{};
     };
 
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -47,7 +47,7 @@
 
 bool GroupDecider::isResendDue(const Rank &rank, TimePoint now) const
 {
-    return rank.sentAt == TimePoint{} || now - rank.sentAt >= rank.resendAfter;
+    return rank.sentAt == TimePoint{} || now - rank.sentAt >= rank.resendDelay;
 }
 
 void GroupDecider::sendPrepares(TimePoint now, MapOrders &orders)
