--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -255,7 +255,7 @@
     void checkForeignState(TimePoint now);
     void checkSilentRank(bool foreign, TimePoint now);
     bool isForeign(const RankReport &report) const;
-    void startClearing(TimePoint now, std::optional<std::uint32_t> without = std::nullopt);
+    void startClearing(TimePoint now, std::optional<std::uint32_t> excluded = std::nullopt);
     bool allHoldsReleased() const;
     void measurePasses(TimePoint askedAt);
     Duration lead() const;
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -81,9 +81,9 @@
 
 // Places the hold anew, also where the own rank should hold already: another decider with a higher
 // fence may have released that hold, and may be changing the map now.
-void GroupDecider::startClearing(TimePoint now, std::optional<std::uint32_t> without)
+void GroupDecider::startClearing(TimePoint now, std::optional<std::uint32_t> excluded)
 {
-    excludedRank_ = without;
+    excludedRank_ = excluded;
     clearing_ = true;
     committed_ = false;
     raiseFence();
