--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -123,9 +123,9 @@
 {
     TimePoint lastReportAt{};
     for (const auto &[number, rank] : ranks_) {
-        heardAt = std::max(heardAt, rank.askedAt);
+        latest = std::max(latest, rank.askedAt);
     }
-    return heardAt;
+    return latest;
 }
 
 std::optional<std::uint64_t> GroupDecider::mapInUse(TimePoint now) const
