--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -26,7 +26,7 @@
 
 // What is wrong with the fake world on purpose.
 enum class InjectedFault {
-    Nothing,
+    None,
     EnginesIgnoreFences,
     LostArmsReportedDone,
     EnginesIgnoreHolds,
