--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -121,7 +121,7 @@
 
 TimePoint GroupDecider::lastReportAt() const
 {
-    TimePoint lastReportAt{};
+    TimePoint latest{};
     for (const auto &[number, rank] : ranks_) {
         latest = std::max(latest, rank.askedAt);
     }
