--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -10,7 +10,8 @@
 
 constexpr double kMaxQuantized = std::numeric_limits<std::uint8_t>::max();
 
-// Returns what was chosen from `earlier` to `later`; nothing when the engine has started anew.
+// Returns the choices between `earlier` and `later`. Returns an empty vector if the sizes differ or
+// a count has decreased because the engine has restarted.
 std::vector<std::uint64_t> countDelta(const std::vector<std::uint64_t> &earlier,
                                       const std::vector<std::uint64_t> &later)
 {
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -1,14 +1,13 @@
-// How often a rank's experts were chosen between two moments, small enough for the link of an
-// agent.
+// Compact deltas of the per-expert choice counts of a rank.
 //
-// An engine counts since its start, in as many digits as it takes. A decider asks all ranks of its
-// group several times a second, and at a few dozen ranks with thousands of experts the whole counts
-// are more than its link carries. So the agent beside a rank keeps its counts of the last few
-// moments, and tells a decider only what was chosen since the moment that it names, in one byte an
-// expert. The error is one part in 510 of the most chosen expert of a block, far below what the
-// counts themselves vary.
+// An engine counts how often each expert was chosen since the engine started. A decider polls all
+// ranks of its group several times a second; with a few dozen ranks and thousands of experts, full
+// counts exceed the capacity of its link. The agent beside a rank therefore keeps snapshots of the
+// last few counts and sends only the delta since the snapshot that the decider names, quantized to
+// one byte per expert. The quantization error is at most 1/510 of the largest count in a block,
+// which is far below the sampling noise of the counts.
 //
-// Pure and single-threaded.
+// Performs no I/O; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -17,32 +16,35 @@
 
 namespace seamarch {
 
+// How often each expert was chosen between two snapshots, quantized by block of experts.
 struct ChoiceCounts
 {
-    std::uint64_t mark = 0;  // Names the later moment.
-    std::uint64_t since = 0; // Names the earlier one; zero: there is none, and all counts are zero.
-    // The choices that one part stands for, by block of kBlockSize experts.
+    std::uint64_t mark = 0;  // Identifies the later snapshot.
+    std::uint64_t since = 0; // Identifies the earlier snapshot; zero if there is no delta.
+    // Choices per quantization step, for each block of kBlockSize experts.
     std::vector<float> scales;
-    std::vector<std::uint8_t> quantized; // By expert.
+    std::vector<std::uint8_t> quantized; // Quantization steps, by expert.
 
     static constexpr std::size_t kBlockSize = 64;
 };
 
-// Returns the choices by expert; none, where `counts` holds no earlier moment or does not fit
-// together.
+// Returns the number of choices by expert. Returns an empty vector if `counts` has no earlier
+// snapshot or the number of scales does not match the number of experts.
 std::vector<double> decodeChoices(const ChoiceCounts &counts);
 
-// Keeps what a rank counted at the last few moments.
+// Keeps the last few snapshots of a rank's counts and computes deltas from them.
 class ChoiceCountHistory
 {
 public:
-    // `firstMark` is drawn at random, so that a mark of an earlier life of the process is unknown.
+    // `firstMark` is a random number, so that marks from an earlier run of the process do not match
+    // a snapshot of this one.
     explicit ChoiceCountHistory(std::uint64_t firstMark)
         : nextMark_(firstMark == 0 ? 1 : firstMark)
     {}
 
-    // Notes the counts since the engine's start, and returns those since the moment `since`. An
-    // engine that has started anew has counted less than before; then nothing is returned.
+    // Stores a snapshot of the counts since the engine's start and returns the delta since the
+    // snapshot `since`. The delta is empty if that snapshot is unknown or a count has decreased,
+    // which means that the engine has restarted.
     ChoiceCounts record(std::vector<std::uint64_t> counts, std::uint64_t since);
 
 private:
@@ -52,7 +54,7 @@
         std::vector<std::uint64_t> counts;
     };
 
-    // Two deciders may ask in turn for a moment; more than a few moments nobody names again.
+    // Two deciders may poll alternately for a while; older snapshots are not requested again.
     static constexpr std::size_t kMaxSnapshots = 4;
 
     std::deque<Snapshot> snapshots_;
