--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -6,22 +6,24 @@
 namespace seamarch {
 namespace {
 
-// Bytes of one report on the wire with its frame: some twenty words of a message.
+// Size of one report on the wire including its frame: a message of about twenty words.
 constexpr double kReportBytes = 400.0;
-// The shares of the link. Orders keep what is left, because they are urgent and come in bursts.
+// Shares of the link. The rest is reserved for orders, which are urgent and arrive in bursts.
 constexpr double kReportShare = 0.25;
 constexpr double kCountsShare = 0.35;
-// Asking more often than about once a pass tells nothing new.
+// Polling more often than about once per pass yields no new information.
 constexpr Duration kMinInterval = std::chrono::milliseconds(100);
-// Demand may shift every few seconds: two rounds, which confirm a shift, take half a second.
+// Demand may shift every few seconds, and a shift is confirmed by two rounds: half a second.
 constexpr Duration kMaxCountsInterval = std::chrono::milliseconds(250);
-// A round of fewer ranks says too little; on a link that does not carry these, rounds come later.
+// A sample of fewer ranks is too noisy. If the link cannot carry this many at the maximum interval,
+// the interval grows.
 constexpr std::uint32_t kMinSampledRanks = 8;
-// What a question and its answer take beside the link: two processes' turns and the way.
+// Round-trip time without the transfer: scheduling of two processes and network latency.
 constexpr Duration kRoundTripTime = std::chrono::milliseconds(40);
-// A report counts for two gaps and the time in which an agent that is late may still answer.
+// A report expires after two intervals plus this allowance for an agent that answers late.
 constexpr Duration kLateAnswerAllowance = std::chrono::milliseconds(500);
-// The answers of a round share the link with reports and orders.
+// Factor on the transfer time of a round, because its answers share the link with reports and
+// orders.
 constexpr double kRoundSlack = 1.5;
 
 Duration transferTime(double bytes, double bytesPerSecond)
