--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -10,10 +10,10 @@
 namespace seamarch {
 namespace {
 
-// Loads are compared by the sum of their powers: it follows the largest load closely, and still
-// sees a gain while several ranks share the largest.
+// The objective is the sum of the loads raised to this power. It approximates the largest load, but
+// also decreases when one of several ranks with the largest load improves.
 constexpr int kPower = 8;
-// Changes that win less than this part of the objective are not worth a copy.
+// Minimum relative improvement of the objective that justifies a copy.
 constexpr double kMinGain = 1e-3;
 
 double power(double load)
@@ -24,9 +24,9 @@
     return fourth * fourth;
 }
 
-// One change: `expert` is placed on `to`. With `dropped`, it takes that expert's place; with
-// `from`, it leaves that rank, which gets the dropped one instead. A change that `leaves` only
-// takes the expert away from `to`.
+// A change of the placement that puts `expert` on rank `to`. If `dropped` is set, it replaces that
+// expert there; if `from` is set as well, the two experts are swapped between `from` and `to`. If
+// `removesReplica` is set, the change only removes `expert` from `to`.
 struct Change
 {
     std::uint16_t expert = 0;
@@ -41,8 +41,8 @@
     return rank < paces.size() ? paces[rank] : 1.0;
 }
 
-// The loads of the ranks, with what a change would make of them. A change touches the few ranks
-// that hold its experts, so that weighing one costs no more than those.
+// The loads of the ranks, together with the deltas of a tentative change. Evaluating a change only
+// visits the few ranks that hold its experts.
 class LoadTrial
 {
 public:
@@ -69,7 +69,7 @@
         deltas_[rank] += load * paceOf(paces_, rank);
     }
 
-    // Returns by how much the objective would rise, and forgets what was added.
+    // Returns the increase of the objective under the tentative change, and discards that change.
     double evaluateAndReset()
     {
         double rise = 0.0;
@@ -81,7 +81,7 @@
         return rise;
     }
 
-    // Makes what was added the loads.
+    // Applies the tentative change to the loads.
     void commit()
     {
         for (const std::size_t rank : changedRanks_) {
@@ -97,9 +97,9 @@
 private:
     std::vector<double> loads_;
     RankPaces paces_;
-    std::vector<double> powers_; // Of the loads.
-    double objective_ = 0.0;     // Their sum.
-    std::vector<double> deltas_; // Of the change on trial.
+    std::vector<double> powers_; // The loads raised to kPower.
+    double objective_ = 0.0;     // The sum of `powers_`.
+    std::vector<double> deltas_; // Load deltas of the tentative change.
     std::vector<std::size_t> changedRanks_;
 };
 
@@ -153,7 +153,7 @@
                / total_;
     }
 
-    // Tells whether `rank` may get `expert` within the bound on new experts.
+    // Returns whether placing `expert` on `rank` respects the bounds on new experts.
     bool canReceive(std::size_t rank, std::uint16_t expert) const
     {
         const std::uint32_t bound =
@@ -162,7 +162,7 @@
                || holds(original_, rank, expert);
     }
 
-    // Puts a replica of `expert` more on `to` on trial.
+    // Adds another replica of `expert` on rank `to` to the tentative change.
     void tryReplica(std::uint16_t expert, std::size_t to)
     {
         const auto count = static_cast<double>(holders_[expert].size());
@@ -205,7 +205,7 @@
         }
     }
 
-    // Returns the least loaded ranks, as many as are to be weighed.
+    // Returns the `maxTargets` least loaded ranks, in ascending order of rank.
     const std::vector<std::size_t> &leastLoaded()
     {
         const std::vector<double> &loads = trial_.loads();
@@ -309,12 +309,12 @@
     RankExperts placement_;
     std::span<const double> shares_;
     PlacementBounds bounds_;
-    double total_; // Of the shares.
+    double total_; // Sum of the shares.
     LoadTrial trial_;
     std::vector<std::vector<std::size_t>> holders_; // The ranks that hold each expert.
     std::vector<std::uint32_t> newExperts_;
     std::uint32_t totalNew_ = 0;
-    std::vector<std::size_t> targets_; // Of the change that is looked for.
+    std::vector<std::size_t> targets_; // Result buffer of leastLoaded().
 };
 
 } // namespace
