--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint64_t kEpoch = 2;
 
-MapOrder order(MapOrderKind kind, std::uint64_t version, std::uint64_t highestFence = 1)
+MapOrder order(MapOrderKind kind, std::uint64_t version, std::uint64_t fence = 1)
 {
     MapOrder order;
     order.kind = kind;
