--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -37,7 +37,7 @@
     roundStartedAt_ = roundStartedAt_.value_or(now);
 }
 
-// Returns the part of all choices by which two counts differ; zero when one of them is empty.
+// Returns the fraction of all choices in which two counts differ, or zero if one of them is empty.
 double ExpertPlanner::distanceBetween(const std::vector<double> &counts,
                                       const std::vector<double> &others)
 {
@@ -59,7 +59,7 @@
     const auto begin = counts.begin() + static_cast<std::ptrdiff_t>(set) * experts;
     std::vector<double> shares(begin, begin + experts);
     const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
-    const double floor = sum / experts * 1e-3; // Every expert is chosen now and then.
+    const double floor = sum / experts * 1e-3; // Every expert is chosen occasionally.
     for (double &share : shares) {
         share = (share + floor) / std::max(1.0, sum + floor * experts);
     }
@@ -80,7 +80,7 @@
     return skewFor(history_, map);
 }
 
-// Tells whether the round differs from what was remembered by more than noise.
+// Returns whether the current round differs from `history` by more than noise.
 bool ExpertPlanner::indicatesShift(const std::vector<double> &history,
                                    const std::optional<ExpertMap> &current) const
 {
@@ -98,7 +98,7 @@
 void ExpertPlanner::recordShift(TimePoint now)
 {
     shiftedSincePlan_ = true;
-    // The ranks' passes end at different moments, so two blends in a row may come of one shift.
+    // The ranks' passes end at different times, so one shift may cause two blended rounds in a row.
     if (lastShiftAt_ && now - *lastShiftAt_ < settings_.minWorkloadDuration) {
         return;
     }
@@ -133,15 +133,15 @@
     roundStartedAt_.reset();
 }
 
-// Learns from the complete round.
+// Merges the complete round into the history, and confirms, refutes or records a suspected shift.
 void ExpertPlanner::evaluateRound(const std::optional<ExpertMap> &current, TimePoint now)
 {
-    constexpr double kSteadyWeight = 0.05; // Of one round among some ten a second.
+    constexpr double kSteadyWeight = 0.05; // Weight of one round, at about ten rounds a second.
     if (!suspectedHistory_.empty()) {
         if (indicatesShift(suspectedHistory_, current)) {
             recordShift(now);
         } else {
-            history_ = std::move(suspectedHistory_); // The alarm was noise.
+            history_ = std::move(suspectedHistory_); // The deviation was noise.
         }
         suspectedHistory_.clear();
     } else {
@@ -156,9 +156,10 @@
     planned_ = false;
 }
 
-// The mean of what was left of the remembered gaps at the present mixture's age; a mixture that has
-// outlived them all may last as long as any did, or as one that is not known yet: too short an
-// estimate would make no change worth its copying.
+// Returns the mean remainder, at the present workload's age, of the recorded intervals that are
+// longer than that age. If the workload has outlasted them all, returns the mean of all intervals
+// including the initial assumption, because no change would be worth its copying with too short an
+// estimate.
 Duration ExpertPlanner::expectedWorkloadDuration(TimePoint now) const
 {
     if (shiftIntervals_.empty()) {
@@ -181,13 +182,13 @@
     return std::max(settings_.minWorkloadDuration, mean);
 }
 
-// Returns how long a pass takes, in parts of one whose experts are loaded evenly.
+// Returns the pass time at `skew`, relative to a pass with perfectly even load.
 double ExpertPlanner::passTime(double skew) const
 {
     return 1.0 - rule_.expertPart + rule_.expertPart * skew;
 }
 
-// Tells whether a more even map would make no stream earlier than its caller needs it.
+// Returns whether passes are already so short that a more balanced map would not help any caller.
 bool ExpertPlanner::isWithinLatencyGoal(double skew) const
 {
     const bool known = passTime_ > Duration{} && latencyGoal_ > Duration{};
@@ -195,8 +196,8 @@
            && toSeconds(passTime_) < settings_.relaxedPassRatio * toSeconds(latencyGoal_);
 }
 
-// Returns the best map that `copies` new experts a rank reach. The sets share the copies: the least
-// even one comes first, and what it leaves goes to the next.
+// Returns the best map that is reachable with `copies` new experts per rank. The sets share the
+// copies: the most skewed set goes first, and the copies that it leaves unused go to the next.
 ExpertPlanner::Candidate ExpertPlanner::buildCandidate(const ExpertMap &current,
                                                        std::uint32_t copies) const
 {
@@ -240,8 +241,8 @@
     return result;
 }
 
-// Returns the seconds of passes that a change wins, over what it costs; zero or less when it is not
-// worth it.
+// Returns the pass time in seconds that a change saves, minus its weighted cost. The result is zero
+// or negative if the change is not worthwhile.
 double ExpertPlanner::netBenefit(const Candidate &candidate, double before,
                                  Duration workloadDuration) const
 {
@@ -260,7 +261,8 @@
         weight * toSeconds(observed) + (1.0 - weight) * toSeconds(settings_.activationDelay));
 }
 
-// Returns how many copies a rank the smallest change has: fewer would be in use hardly sooner.
+// Returns the number of copies per rank in the smallest change to consider. With fewer copies, a
+// change would be active hardly sooner.
 std::uint32_t ExpertPlanner::minCopiesPerRank() const
 {
     const Duration least =
@@ -281,7 +283,7 @@
     planned_ = true;
     const double before = skew(current);
     if (1.0 - passTime(settings_.targetSkew) / passTime(before) <= settings_.minGain) {
-        return std::nullopt; // Not even the best that the search goes for: it is spared.
+        return std::nullopt; // Even the target skew would gain too little; skip the search.
     }
     if (isWithinLatencyGoal(before)) {
         return std::nullopt;
@@ -293,14 +295,14 @@
          copies *= 2) {
         const Candidate candidate = buildCandidate(current, copies);
         const double benefit = netBenefit(candidate, before, workloadDuration);
-        // What is in use soon goes first: the change that wins most for the time that it takes.
+        // Prefers the change with the largest gain per unit of time until its activation.
         const double gain = 1.0 - passTime(candidate.skew) / passTime(before);
         const double rate = gain / toSeconds(candidate.copying + settings_.activationDelay);
         if (benefit > 0.0 && rate > bestRate) {
             bestRate = rate;
             best = candidate;
         } else if (best) {
-            break; // Each copy more wins less than the one before it, and the search takes time.
+            break; // Each further copy gains less than the one before, and the search takes time.
         }
         if (candidate.copying > workloadDuration) {
             break;
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -1,22 +1,23 @@
-// Decides when a group's expert map is worth changing, and to what.
+// Decides whether a group's expert map is worth changing, and to which map.
 //
-// It keeps how popular each expert was of late, from the counts that the ranks report, and compares
-// the map in use with those that one change can reach. Copying makes passes slower and takes time
-// in which demand may shift again, so a change is weighed by what it wins over the time that the
-// mixture of requests is still likely to last, and a small change that is in use soon goes before a
-// better one that takes long: the next change does the rest.
+// The planner maintains a decayed history of how often each expert was chosen, and compares the map
+// in use with the maps that a single change can reach. Copying experts slows passes down and takes
+// time during which demand may shift again. A change is therefore rated by its gain over the time
+// that the present workload is expected to last, and a small change that is active soon is
+// preferred to a better one that takes long: the next change completes the improvement.
 //
-// Counts come in rounds, one for each time that the ranks were asked. A round that differs from
-// what is remembered by more than rounds of a calm time do, or under which the map in use is much
-// less even, may show that demand has shifted. It is a blend of two mixtures, for which no map is
-// planned, and the next round decides: if it differs as well, what was remembered is dropped; if
-// not, the alarm was noise. The gaps between shifts are remembered too; they say how long a mixture
-// lasts, and a false one would make every change look too late to pay.
+// Counts arrive in rounds, one for each poll of the ranks. A round indicates a shift of demand if
+// it differs from the history by more than rounds usually do under steady demand, or if the map in
+// use is much more skewed under it. Such a round is a blend of two workloads, so no map is planned
+// for it, and the next round decides: if it differs as well, the history is discarded; if not, the
+// deviation was noise. The planner also records the intervals between shifts to estimate how long a
+// workload lasts; a falsely detected shift would make every change appear to take effect too late
+// to pay off.
 //
-// A more even map serves nobody while passes end long before the pauses that callers bear: copies
-// have a price, and then only a map that is very uneven is changed.
+// A more balanced map brings no benefit while passes are much shorter than the pause between events
+// that callers tolerate. Because copies are expensive, only a highly skewed map is changed then.
 //
-// Pure and single-threaded.
+// Performs no I/O; not thread-safe.
 #pragma once
 
 #include "decision/expertmap/evenplacement.h"
@@ -33,57 +34,61 @@
 
 namespace seamarch {
 
+// Detects shifts of demand in the choice counts of a group and plans changes of its expert map.
 class ExpertPlanner
 {
 public:
     struct Settings
     {
-        // Counts lose half their weight in this time while demand is calm.
+        // Half-life of the weight of counts while demand is steady.
         Duration halfLife = std::chrono::milliseconds(4000);
-        // The ranks' answers to one question come within this time, unless setRoundWindow() says
-        // otherwise.
+        // Time within which the ranks' answers to one poll arrive, unless setRoundWindow() sets
+        // another value.
         Duration roundWindow = std::chrono::milliseconds(40);
-        // The distance of a round from what is remembered, in parts of all choices that differ,
-        // from which on demand has shifted: this many times what it is while demand is calm, within
-        // bounds.
+        // Threshold of the distance between a round and the history above which demand has shifted,
+        // as a multiple of the distance under steady demand, clamped to the bounds below. A
+        // distance is the fraction of all choices that differ.
         double shiftThresholdFactor = 2.0;
         double minShiftDistance = 0.04;
         double maxShiftDistance = 0.3;
-        // The same, in parts of the skew: a shift to a few hot experts moves few choices and loads
-        // one rank.
+        // Relative increase of the skew above which demand has shifted, too: a shift to a few hot
+        // experts moves few choices but overloads one rank.
         double shiftSkewIncrease = 0.3;
-        // How long a mixture is taken to last before any shift was seen, and how many gaps between
-        // shifts are remembered.
+        // Assumed duration of a workload before the first shift is detected, and the number of
+        // intervals between shifts that are kept.
         Duration initialShiftInterval = std::chrono::seconds(10);
         std::size_t maxShiftIntervals = 16;
-        // The least time that a mixture is taken to last still.
+        // Lower bound of the expected remaining duration of a workload.
         Duration minWorkloadDuration = std::chrono::milliseconds(500);
-        // What a change must win over its cost: the gain is an estimate.
+        // Minimum ratio of a change's gain to its cost; above 1 because the gain is an estimate.
         double minBenefitRatio = 1.5;
-        // The least part of a pass that it must win: while it is under way, a new shift waits.
+        // Minimum fraction of the pass time that a change must save, because no other shift can be
+        // handled while it is in progress.
         double minGain = 0.12;
-        // Passes take this part longer while experts are copied (the engine's own figure), and the
-        // group stands still for about this long while a change comes into use.
+        // Relative increase of the pass time while experts are copied, as specified for the engine,
+        // and the approximate time for which the group is paused when a change is activated.
         double copySlowdown = 0.15;
         Duration activationPause = std::chrono::milliseconds(50);
-        // What a change takes beside its copies until it is in use, before any was seen: the
-        // orders' way, a hold some passes ahead, arms. The longer, the more copies go into one
-        // change.
+        // Initial estimate of the time, besides copying, from a plan to its activation: delivery of
+        // the orders, a hold some passes ahead, and arms. The longer it is, the more copies are
+        // combined in one change.
         Duration activationDelay = std::chrono::milliseconds(250);
-        // The least that it is taken for, and the weight of the last change in the average.
+        // Lower bound of that estimate, and the weight of the last change in its moving average.
         Duration minActivationDelay = std::chrono::milliseconds(100);
         double activationDelayWeight = 0.5;
-        // Passes that take less than this part of the longest pause that callers bear make nobody
-        // late, unless the load grows by more than half. Above the skew, a shift of demand has made
-        // the map useless, and passes may be longer than those that were measured.
+        // While passes take less than this fraction of the latency goal, no stream misses the goal
+        // unless the load grows by more than half, and the map is not changed. Maps with a skew of
+        // `forcedChangeSkew` or more are changed regardless: a shift of demand has made them
+        // useless, and passes may be longer than those that were measured.
         double relaxedPassRatio = 0.6;
         double forcedChangeSkew = 2.0;
-        // Copies that take less than this part of it are not worth a change of their own.
+        // The smallest change considered copies for up to this fraction of `activationDelay`; less
+        // copying is not worth a change of its own.
         double minCopyRatio = 0.125;
-        // A set's placement is not improved beyond this skew.
+        // The placement of a set is not improved beyond this skew.
         double targetSkew = 1.08;
         std::uint32_t maxChanges = 96;
-        // Choices of experts below which the counts are mostly noise.
+        // Minimum number of choices in a round or the history; fewer are mostly noise.
         double minChoices = 20'000.0;
     };
 
@@ -92,41 +97,46 @@
         : settings_(settings)
     {}
 
+    // Sets the dimensions and limits of the map. Discards the history if the number of experts
+    // changes.
     void setRule(const ExpertRule &rule);
-    // Takes how often each expert was chosen at a rank since that rank's last report, set by set.
+    // Adds the number of choices of each expert at one rank since that rank's previous report, set
+    // by set. Ignores counts whose size does not match the rule.
     void addChoices(std::span<const double> choices, TimePoint now);
-    // Sets within which time the answers of one round come: it depends on the link.
+    // Sets the time within which the answers of one round arrive, which depends on the link.
     void setRoundWindow(Duration span) { settings_.roundWindow = span; }
-    // Takes how many times as long as a sound rank each rank takes, by rank.
+    // Sets the pace of each rank: its time for a given load relative to a healthy rank.
     void setPaces(std::vector<double> paces) { paces_ = std::move(paces); }
 
-    // Takes how long passes take, and the longest pause between events that callers bear; zero: not
-    // known.
+    // Sets the present pass time and the latency goal, which is the longest pause between events
+    // that callers tolerate. Zero means unknown.
     void setPassTimes(Duration pass, Duration goal)
     {
         passTime_ = pass;
         latencyGoal_ = goal;
     }
 
-    // Ends the round that is complete, if there is one, and learns from it. Called at each tick,
-    // also while a change is under way. `current` is the map in use, where it is known.
+    // Ends the current round if it is complete, and evaluates it. Must be called on every tick,
+    // also while a change is in progress. `current` is the map in use, if known.
     void endRound(const std::optional<ExpertMap> &current, TimePoint now);
-    // Returns a better map than `current`, if there is one worth the change.
+    // Returns a better map than `current`, or nothing if no change is worth its cost. Plans at most
+    // once per evaluated round.
     std::optional<ExpertMap> plan(const ExpertMap &current, TimePoint now);
-    // A change has come into use, so long after the plan for it was returned.
+    // Records that the planned change was activated, `time` after plan() returned it.
     void recordActivation(Duration time);
-    // Tells whether demand has shifted since the last plan was returned.
+    // Returns whether demand has shifted since the last plan was returned.
     bool planOutdated() const { return shiftedSincePlan_; }
-    // Tells whether the last round gave an alarm, on which the next one decides.
+    // Returns whether the last round indicated a shift that the next round has yet to confirm.
     bool shiftSuspected() const { return !suspectedHistory_.empty(); }
-    // Returns the mean over the sets of the largest load over the mean load.
+    // Returns the skew of `map` under the history: the largest load of a rank divided by the mean,
+    // averaged over the sets.
     double skew(const ExpertMap &map) const;
-    // Returns the skew that the last plan expects, and how long its copying takes.
+    // Return the expected skew and copy time of the last plan.
     double expectedSkew() const { return expectedSkew_; }
     Duration expectedCopying() const { return expectedCopying_; }
-    // Returns how long the mixture of requests is likely to last still.
+    // Returns the expected remaining time until demand shifts again.
     Duration expectedWorkloadDuration(TimePoint now) const;
-    // Returns the part of all choices by which the last round differed from what was remembered.
+    // Returns the distance between the last round and the history, as a fraction of all choices.
     double roundDistance() const { return distance_; }
     std::uint64_t shifts() const { return shifts_; }
 
@@ -156,9 +166,10 @@
 
     Settings settings_;
     ExpertRule rule_;
-    std::vector<double> history_; // Counts by set and expert, with the weight of their age.
-    std::vector<double> round_;   // Of the round that is coming in.
-    // What was remembered when an alarm was given that the next round decides on; empty: none was.
+    std::vector<double> history_; // Counts by set and expert, weighted by age.
+    std::vector<double> round_;   // Counts of the current round.
+    // The history before a suspected shift that the next round confirms or refutes; empty if none
+    // is suspected.
     std::vector<double> suspectedHistory_;
     std::optional<TimePoint> roundStartedAt_;
     TimePoint mergedAt_{};
@@ -168,8 +179,8 @@
     double distance_ = 0.0;
     double steadyDistance_ = 0.1;
     std::optional<TimePoint> lastShiftAt_;
-    std::deque<Duration> shiftIntervals_; // Between shifts.
-    bool planned_ = false;                // The round last remembered has been planned for.
+    std::deque<Duration> shiftIntervals_; // Intervals between the last shifts.
+    bool planned_ = false;                // plan() has run since the last evaluated round.
     bool shiftedSincePlan_ = false;
     double expectedSkew_ = 1.0;
     Duration expectedCopying_{};
