--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -1,33 +1,34 @@
-// Changes the expert map of a group of ranks whose engines take orders, so that no pass is ever
-// made with two maps.
+// Changes the expert map of a group of ranks whose engines accept orders, such that no pass ever
+// runs with two different maps.
 //
-// The engines compare nothing: a rank takes an armed map when its step begins, whatever the others
-// do. What keeps them together is the *hold*: a rank that holds a step keeps the whole group from
-// beginning it until it is told to go on. A change goes
-//   1. prepare: every rank copies the new map's experts;
-//   2. hold: one rank, the decider's own if it can, holds a step S that has not begun;
-//   3. arm: every rank is told to take the map at S;
+// The engines do not compare maps: a rank switches to an armed map when the armed step begins,
+// regardless of the other ranks. The ranks are kept consistent by a *hold*: while any rank holds a
+// step, the whole group does not begin that step. A change proceeds in four phases:
+//   1. prepare: every rank copies the experts of the new map;
+//   2. hold: one rank, the decider's own if possible, holds a step S that has not begun;
+//   3. arm: every rank is ordered to switch to the map at S;
 //   4. go: once every rank has confirmed its arm, the hold is released.
-// If any arm stays unconfirmed, the change is cleared instead: under the hold, every rank confirms
-// a disarm that carries a higher fence, and only then the hold is released. A rank that has seen
-// the higher fence refuses older orders, also those that are carried out seconds late.
+// If an arm remains unconfirmed, the change is cleared instead: under the hold, every rank confirms
+// a disarm with a higher fence before the hold is released. A rank that has seen the higher fence
+// refuses orders with a lower one, including orders that are executed seconds late.
 //
-// Any agent of the group may take itself for the decider, because two are harmless: each arms and
-// disarms only under a hold of its own, and no order is assumed to have been carried out. A decider
-// that finds arms or holds that are not its own clears them in the same way. The group's forming
-// anew (a new epoch) voids everything, which every order names.
+// Any agent of the group may assume the role of decider, because two deciders do no harm: each arms
+// and disarms only under its own hold and does not assume that any order was executed. A decider
+// that finds arms or holds of another decider clears them in the same way. A new epoch, which
+// starts when the group re-forms, invalidates all state; every order names its epoch.
 //
-// A decider whose machine freezes under its hold would stop the group until it wakes, since nobody
-// can ask its own rank what is armed there. So a change that all agents take part in arms the
-// decider's own rank last of all, and its successor's, the lowest other rank, last but one; the
-// successor's engine holds the step, and the version names the decider's rank. The agent beside a
-// rank knows whether it has handed on an arm of the version. One that has not, and whose engine has
-// taken a higher fence since, knows that its confirmation will never come, hence that the decider's
-// rank is not armed and never will be: it clears the change without that rank. No arm passes an
-// agent by, because such a change is armed through agents alone.
+// If the machine of a decider froze under its hold, the group would be blocked until the machine
+// resumes, because nobody could query what is armed at the decider's own rank. Therefore, when all
+// agents take part in a change, the decider arms its own rank last and its successor's rank, which
+// is the lowest other rank, second to last. The successor's engine holds the step, and the map
+// version encodes the decider's rank. The agent beside a rank knows whether it has forwarded an arm
+// of that version. If it has not, and its engine has since accepted a higher fence, its own
+// confirmation can never be given; hence the decider's rank is not armed and never will be, and the
+// agent clears the change without that rank. No arm bypasses an agent, because such a change is
+// armed through agents only.
 //
-// The class is a pure state machine: reports, answers and the time come in, orders go out.
-// Single-threaded.
+// The class is a deterministic state machine without I/O: reports, answers and the time are its
+// inputs, orders are its outputs. Not thread-safe.
 #pragma once
 
 #include "decision/expertmap/evenplacement.h"
@@ -47,26 +48,27 @@
 // The experts of a map, by set of layers.
 using ExpertMap = std::vector<RankExperts>;
 
-// What a rank reports of itself.
+// The state that a rank reports.
 struct RankReport
 {
     std::uint32_t rank = 0;
     std::uint32_t ranks = 0;
     std::uint64_t epoch = 0;
     bool open = false;
-    std::uint64_t step = 0;            // The last pass that began.
-    std::uint64_t map = 0;             // Version in use; zero is the first map of an epoch.
-    std::uint64_t prepared = 0;        // Zero: none.
-    std::uint64_t armed = 0;           // Version that is to be taken at a step to come; zero: none.
-    std::optional<std::uint64_t> held; // The step that it holds.
-    std::uint64_t fence = 0;           // The highest fence that is known to have been used there.
-    double pace = 1.0;                 // Over 1: it takes so many times as long for its work.
-    // Ranks, epochs, steps and versions of two groups have nothing to do with each other.
+    std::uint64_t step = 0;            // The last step that has begun.
+    std::uint64_t map = 0;             // Version in use; zero for the first map of an epoch.
+    std::uint64_t prepared = 0;        // Last version whose experts are copied, or zero.
+    std::uint64_t armed = 0;           // Version to switch to at a future step, or zero.
+    std::optional<std::uint64_t> held; // The step that the rank holds.
+    std::uint64_t fence = 0;           // The highest fence known to have been used at the rank.
+    double pace = 1.0;                 // Time for a given load relative to a healthy rank.
+    // Ranks, epochs, steps and versions are only meaningful within one group.
     GroupId group;
-    // The version that the agent beside the rank has handed on a prepare of, and no arm. Zero:
-    // none, or the agent does not know, as after its start. Only that agent itself is told.
+    // The version for which the agent beside the rank has forwarded a prepare but no arm. Zero if
+    // there is none or the agent does not know, as after its start. Set only in the agent's report
+    // to itself.
     std::uint64_t unarmedVersion = 0;
-    bool byAgent = true; // Told by the agent beside the rank, else by the engine itself.
+    bool byAgent = true; // Sent by the agent beside the rank, otherwise by the engine itself.
 };
 
 enum class MapOrderKind : std::uint16_t { Prepare, Arm, Disarm, Hold, Go };
@@ -78,27 +80,27 @@
     std::uint64_t step = 0;
     std::uint64_t epoch = 0;
     std::uint64_t fence = 0;
-    std::shared_ptr<const ExpertMap> experts; // Of a prepare; the same for all ranks.
-    GroupId group;                            // An engine of another group must not take it.
+    std::shared_ptr<const ExpertMap> experts; // Set in a prepare only; the same for all ranks.
+    GroupId group;                            // Engines of other groups must refuse the order.
 };
 
-// What became of an order.
+// The outcome of an order.
 enum class MapOrderAnswer {
-    Done,    // Begun, or it held already.
-    Refused, // It does not fit the rank's state.
+    Done,    // Executed, started, or already in effect.
+    Refused, // Not applicable in the state of the rank.
     Fenced,  // Another decider has used a higher fence.
-    Lost,    // No answer: it may have been carried out, or may be later.
-    Copied,  // Of a prepare: done, and all experts that are new to the rank are copied.
+    Lost,    // No answer; the order may have been executed, or may be executed later.
+    Copied,  // Prepare only: done, and all experts that are new to the rank are copied.
 };
 
-// Which way an order goes to a rank.
+// The route by which an order is delivered to a rank.
 enum class OrderRoute {
-    Any,        // Through the agent beside the rank, or to the engine when the agent is silent.
-    AgentOnly,  // The agent must know of it.
-    EngineOnly, // An agent that froze with it would leave nobody who can tell what became of it.
+    Any,        // Through the agent beside the rank, or to the engine if the agent does not answer.
+    AgentOnly,  // Through the agent, which must record the order.
+    EngineOnly, // To the engine: if an agent froze with the order, its outcome would be unknown.
 };
 
-// Hand an order to a rank.
+// An action for the caller: delivers an order to a rank.
 struct SendMapOrder
 {
     std::uint32_t rank = 0;
@@ -108,65 +110,75 @@
 
 using MapOrders = std::vector<SendMapOrder>;
 
+// Coordinates changes of the expert map of one group, and clears changes that another decider has
+// left unfinished.
 class GroupDecider
 {
 public:
     struct Settings
     {
-        GroupId group; // Reports of other groups are passed over.
+        GroupId group; // Reports of other groups are ignored.
         std::uint32_t ownRank = 0;
         std::uint64_t seed = 0;
-        // Fences start above this many strides. A clock makes a good floor: engines remember the
-        // fences of deciders that are gone, and the agents that knew them may be gone too.
+        // Fences start above this number of strides. Should be derived from a clock, because
+        // engines remember the fences of earlier deciders and the agents that knew them may be gone
+        // as well.
         std::uint64_t fenceFloor = 0;
-        // When the decider before this one was last heard, if it was: its patience with what that
-        // one left armed or held runs from then.
+        // Time of the last contact with the previous decider, if any. `foreignTimeout` for arms and
+        // holds that it has left runs from then.
         std::optional<TimePoint> predecessorLastSeenAt;
-        // A hold is placed before the first pass that begins after the lead; so many passes ahead
-        // while their time is not known. The hold, the arms and their answers take some ten
-        // milliseconds and more on a large group; a lead that is too short stops the group, which
-        // every stream feels, a long one only keeps it on the old map. Before any arms were
-        // measured, the lead grows with the group; then it is a multiple of the longest of the last
-        // few, and no shorter than `lead`.
+        // A hold is placed at the first step that begins after the lead time, or
+        // `defaultMarginPasses` ahead while the pass time is unknown. The hold, the arms and their
+        // answers take some ten milliseconds, and more in a large group. A lead that is too short
+        // pauses the group and thereby every stream; a long one only keeps the old map in use. The
+        // lead grows with the group until arms have been measured. After that, it is
+        // `leadPerArmTime` times the longest of the last `maxArmTimes` measurements, but at least
+        // `lead`.
         std::uint64_t defaultMarginPasses = 2;
         Duration lead = std::chrono::milliseconds(120);
         Duration leadPerRank = std::chrono::milliseconds(3);
         double leadPerArmTime = 2.0;
         std::size_t maxArmTimes = 4;
-        // Added when orders of the change were not answered: arms then take some rounds as well.
+        // Added to the lead if orders of the change had to be sent again, because arms are then
+        // likely to need several attempts, too.
         Duration lossyLeadExtra = std::chrono::milliseconds(450);
-        // An arm that was not answered is sent again after this: the group may be waiting for it.
+        // Resend interval of arms; short, because the group may be waiting for them.
         Duration armResendInterval = std::chrono::milliseconds(100);
-        // The time of a pass is measured over this long.
+        // Period over which the pass time is measured.
         Duration passWindow = std::chrono::milliseconds(400);
-        // An order that was not answered is sent again after this.
+        // Resend interval of orders without an answer, other than arms and prepares.
         Duration resendInterval = std::chrono::milliseconds(250);
-        // A prepare is large, and is answered when its experts are copied or that takes long.
+        // Resend interval of prepares; long, because a prepare is large and is answered only once
+        // its experts are copied or the copying takes long.
         Duration prepareResendInterval = std::chrono::milliseconds(800);
-        // A hold whose step had begun already is placed anew after this.
+        // Delay before a refused hold is placed at a later step.
         Duration holdRetryDelay = std::chrono::milliseconds(50);
-        // Copying takes a second or two; a rank that has not copied by then holds the change up.
+        // Timeout of the prepare phase. Copying takes one to two seconds; a rank that is not done
+        // after this time would delay the change.
         Duration prepareTimeout = std::chrono::seconds(8);
-        // A change whose arms are not all confirmed by then is cleared, because the group waits.
+        // A change whose arms are not all confirmed after this time is cleared, because the group
+        // is waiting.
         Duration armTimeout = std::chrono::milliseconds(1500);
-        // A report counts as current for this long, unless setReportTtl() says otherwise.
+        // Time for which a report counts as current, unless setReportTtl() sets another value.
         Duration reportTtl = std::chrono::milliseconds(700);
-        // Arms and holds that nobody resolves are cleared after this; their decider may be at it.
+        // Arms and holds of other deciders are cleared after this time, because their decider may
+        // still be working on them.
         Duration foreignTimeout = std::chrono::milliseconds(1200);
-        // The same where all ranks answer but that of their decider, which was silent for longer
-        // before another took the role: a first answer takes some ten milliseconds.
+        // The same timeout if all ranks answer except that of their decider. It is short, because
+        // that rank was already silent for longer before another agent took over the role, and a
+        // first answer takes some ten milliseconds.
         Duration silentRankTimeout = std::chrono::milliseconds(150);
     };
 
-    // What keeps a change from starting.
+    // The reason why no change can start.
     enum class Obstacle {
         None,
         ChangeUnderWay,
         RanksUnknown, // Not every rank has reported in this epoch.
-        GroupBroken,  // A rank reports that the group takes no requests.
-        ReportsOld,   // A rank has not reported for the life of a report.
-        MapsDiffer,   // Ranks report different maps: a change is coming into use.
-        ArmLeft,      // A rank has not yet taken the last map.
+        GroupBroken,  // A rank reports that the group does not accept requests.
+        ReportsOld,   // The last report of a rank has expired.
+        MapsDiffer,   // Ranks report different maps; a change is being activated.
+        ArmLeft,      // A rank has not yet switched to the last map.
         Foreign,      // Another decider has armed a map or holds a step.
     };
 
@@ -174,50 +186,59 @@
 
     explicit GroupDecider(const Settings &settings);
 
+    // Handles a report of a rank that was polled at `askedAt`. Ignores reports of other groups and
+    // earlier epochs.
     void onReport(const RankReport &report, TimePoint askedAt, TimePoint now);
+    // Handles the outcome of an order. Ignores outcomes of orders with another epoch or fence.
     void onAnswer(std::uint32_t rank, const MapOrder &order, MapOrderAnswer answer, TimePoint now);
+    // Handles timeouts and appends the orders that are due to `orders`.
     void onTick(TimePoint now, MapOrders &orders);
 
-    // Tells whether a change may start: the group is whole, and the last change has come into use.
+    // Returns whether a change can start: all ranks are current, and the last change is active.
     bool canPropose(TimePoint now) const { return obstacle(now) == Obstacle::None; }
-    // Tells what keeps a change from starting.
+    // Returns the reason why no change can start, or None.
     Obstacle obstacle(TimePoint now) const;
-    // Starts a change to `experts`. Returns the new map's version, or nothing while not settled.
+    // Starts a change to `experts`. Returns the version of the new map, or nothing if no change can
+    // start.
     std::optional<std::uint64_t> propose(ExpertMap experts, TimePoint now, MapOrders &orders);
 
-    // Gives up a change whose experts are still being copied: nothing is armed, and what was copied
-    // does no harm. Returns false when there is none.
+    // Abandons a change whose experts are still being copied: nothing is armed yet, and the copies
+    // do no harm. Returns false if no change is in that phase.
     bool abandon(TimePoint now);
 
-    // Sets how long a report counts as current: it depends on how often ranks are asked.
+    // Sets the time for which a report counts as current, which depends on the poll interval.
     void setReportTtl(Duration life) { settings_.reportTtl = life; }
 
-    // This agent no longer decides. What is under way stays as it is; whoever decides clears it.
+    // Gives up the role of decider. A change in progress is left for the next decider to clear.
     void resign();
 
-    // Returns what the ranks report of their pace, by rank.
+    // Returns the reported paces, by rank.
     std::vector<double> paces() const;
-    // Returns how long passes take of late; zero while that is not known.
+    // Returns the last measured pass time, or zero if unknown.
     Duration passTime() const { return passTime_; }
     std::uint32_t ownRank() const { return settings_.ownRank; }
     const GroupId &group() const { return settings_.group; }
-    // Returns how many ranks the group has; zero while no report came.
+    // Returns the number of ranks in the group, or zero before the first report.
     std::uint32_t size() const { return size_; }
     Phase phase() const { return phase_; }
-    // Tells whether every rank has reported lately, in one epoch, and the group is open.
+    // Returns whether there is an unexpired report of every rank, all in one epoch, and all ranks
+    // accept requests.
     bool allRanksCurrent(TimePoint now) const;
-    // Tells whether the group takes requests, as the rank says that was asked last.
+    // Returns whether the group accepts requests, according to the rank that was polled last.
     bool acceptsRequests() const;
-    // Tells whether all ranks have reported lately and the group does not take requests: it forms.
+    // Returns whether the group is forming: there is an unexpired report of every rank, and the
+    // group does not accept requests.
     bool forming(TimePoint now) const;
-    // Returns when the rank was asked that was asked last and has answered.
+    // Returns the latest poll time among the received reports.
     TimePoint lastReportAt() const;
-    // Returns the version in use at every rank; nothing while they differ or are not known.
+    // Returns the version in use at every rank, or nothing if versions differ or a report is
+    // missing.
     std::optional<std::uint64_t> mapInUse(TimePoint now) const;
     std::uint64_t epoch() const { return epoch_; }
+    // Return the number of completed and of cleared changes.
     std::uint64_t changes() const { return changes_; }
     std::uint64_t cleared() const { return cleared_; }
-    // Returns the rank that the clearing under way leaves out, because its agent is silent.
+    // Returns the rank that the clearing in progress excludes because its agent does not answer.
     std::optional<std::uint32_t> excludedRank() const { return excludedRank_; }
 
 private:
@@ -226,9 +247,9 @@
         RankReport report;
         TimePoint askedAt{};
         bool known = false;
-        bool confirmed = false; // It has carried out the phase's order.
-        TimePoint sentAt{};     // Of the phase's order; zero: not sent yet.
-        Duration resendDelay{}; // From then on.
+        bool confirmed = false; // The rank has executed the order of this phase.
+        TimePoint sentAt{};     // When the order of this phase was sent; zero if not yet.
+        Duration resendDelay{}; // Measured from `sentAt`.
         TimePoint answeredAt{};
     };
 
@@ -275,25 +296,25 @@
     std::uint32_t size_ = 0;
     std::uint64_t epoch_ = 0;
     std::uint64_t fence_ = 0;
-    std::uint64_t fenceBackoffStrides_ =
-        1; // Added to a fence that was overtaken; doubles each time.
+    // Strides added to the fence when it was overtaken; doubles each time.
+    std::uint64_t fenceBackoffStrides_ = 1;
     Phase phase_ = Phase::Idle;
     TimePoint phaseSince_{};
     TimePoint releasedAt_{};    // When the last change or clearing ended.
-    bool clearing_ = false;     // The hold serves to clear, and not to change.
-    std::uint64_t version_ = 0; // Of the change under way, or of the last one.
-    std::uint64_t step_ = 0;    // That is held.
+    bool clearing_ = false;     // The hold is for a clearing, not for a change.
+    std::uint64_t version_ = 0; // Version of the current or the last change.
+    std::uint64_t step_ = 0;    // The step that is held.
     std::uint32_t holder_ = 0;  // The rank that holds it.
     bool committed_ = false;    // Every rank has armed `version_`.
     std::shared_ptr<const ExpertMap> experts_;
-    std::uint64_t resentOrders_ = 0; // Orders of the change under way that were sent again.
-    std::uint64_t measuredStep_ = 0; // Where the measurement of the passes' time began.
+    std::uint64_t resentOrders_ = 0; // Number of orders of the current change that were resent.
+    std::uint64_t measuredStep_ = 0; // Step at which the measurement of the pass time started.
     TimePoint measuredAt_{};
-    Duration passTime_{};           // Zero: not measured yet.
-    std::deque<Duration> armTimes_; // From the first arm to the last answer, of the last changes.
+    Duration passTime_{};           // Zero if not measured yet.
+    std::deque<Duration> armTimes_; // From the first arm to the last answer, for the last changes.
     std::optional<TimePoint> foreignSince_;
-    std::optional<TimePoint> silentSince_; // All ranks but one answer, and something is foreign.
-    std::optional<std::uint32_t> excludedRank_; // The rank that the clearing under way leaves out.
+    std::optional<TimePoint> silentSince_; // All ranks but one answer, and foreign state exists.
+    std::optional<std::uint32_t> excludedRank_; // The rank excluded from the clearing in progress.
     std::uint64_t changes_ = 0;
     std::uint64_t cleared_ = 0;
 };
