--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -8,12 +8,13 @@
 namespace seamarch {
 namespace {
 
-// Each decider draws the low digits of its fences, so that two never use the same fence, nor one
-// its predecessor's at the same rank. A floor of tenths of a second since 1970 keeps a fence below
-// 2^53, which every reader of JSON takes exactly.
+// Each decider draws the low digits of its fences at random, so that no two deciders use the same
+// fence, including an earlier decider at the same rank. With a floor in tenths of a second since
+// 1970, fences stay below 2^53, up to which JSON parsers represent integers exactly.
 constexpr std::uint64_t kFenceStride = 1U << 18U;
-// Versions are drawn with a gap of up to this, so that an agent that starts anew never means
-// another map by a version that it drew in its earlier life. A thousandth of them are its own.
+// Maximum random gap between versions. It keeps a restarted agent from reusing, for another map, a
+// version that it drew before the restart. About one in a thousand versions in the gap is available
+// to a given rank (see mapversion.h).
 constexpr std::uint64_t kMaxVersionGap = 1U << 30U;
 
 } // namespace
@@ -51,8 +52,8 @@
     }
 }
 
-// Takes a fence above all that are known. One that another decider has overtaken grows by twice as
-// much each time, because how far it lies behind is not known.
+// Raises the fence above all known fences. If another decider has overtaken it, the increment
+// doubles each time, because the distance to the unknown higher fence is not known.
 void GroupDecider::raiseFence(bool overtaken)
 {
     std::uint64_t highest = std::max(fence_, settings_.fenceFloor * kFenceStride);
@@ -177,11 +178,11 @@
     rank.report = report;
     measurePasses(askedAt);
     if (phase_ == Phase::Preparing) {
-        // A report that was asked for before the rank answered may know nothing of its copies yet.
+        // A report that was requested before the rank answered may not include its copies yet.
         rank.confirmed =
             report.prepared == version_ || (rank.confirmed && askedAt <= rank.answeredAt);
     } else if (phase_ == Phase::Clearing && askedAt > rank.answeredAt && report.armed != 0) {
-        rank.confirmed = false; // Another map is armed than the one that was disarmed.
+        rank.confirmed = false; // A map other than the disarmed one is armed.
     }
     advance(now);
 }
@@ -216,7 +217,7 @@
     if (foreignSince_) {
         return Obstacle::Foreign;
     }
-    // A rank that has still to take the last map refuses to prepare the next.
+    // A rank that has not yet switched to the last map refuses to prepare the next one.
     const bool armLeft = std::any_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         return entry.second.askedAt <= releasedAt_ || entry.second.report.armed != 0;
     });
@@ -255,7 +256,7 @@
     foreignSince_.reset();
 }
 
-// Measures how long a pass takes, from the highest step of the reports.
+// Measures the pass time from the progress of the highest reported step.
 void GroupDecider::measurePasses(TimePoint askedAt)
 {
     const std::uint64_t step = highestStep();
@@ -277,14 +278,14 @@
 void GroupDecider::onHoldAnswer(MapOrderAnswer answer, TimePoint now)
 {
     switch (answer) {
-    case MapOrderAnswer::Copied: // Never of a hold.
+    case MapOrderAnswer::Copied: // Not an answer to a hold.
     case MapOrderAnswer::Done:
         enterPhase(clearing_ ? Phase::Clearing : Phase::Arming, now);
         return;
     case MapOrderAnswer::Refused:
         ranks_[holder_].resendDelay = settings_.holdRetryDelay;
         if (!clearing_) {
-            // The step has begun meanwhile, and the reports may be as old as that.
+            // The step has begun in the meantime, and the reports may be older than that.
             step_ = std::max(step_, highestStep()) + margin();
         }
         return;
@@ -321,13 +322,13 @@
             rank.answeredAt = now;
             rank.confirmed = true;
         } else if (answer == MapOrderAnswer::Done) {
-            rank.answeredAt = now; // Whether it is copied, its report tells.
+            rank.answeredAt = now; // A report confirms the copies later.
         } else if (answer == MapOrderAnswer::Lost) {
             rank.resendDelay = settings_.resendInterval;
         } else {
             raiseFence(answer == MapOrderAnswer::Fenced);
-            enterPhase(Phase::Idle,
-                       now); // Nothing is armed; a new proposal takes a higher version.
+            // Nothing is armed; the next proposal uses a higher version.
+            enterPhase(Phase::Idle, now);
         }
     } else if (phase_ == Phase::Holding && kind == MapOrderKind::Hold && number == holder_
                && order.step == step_) {
@@ -344,7 +345,7 @@
         }
     } else if (phase_ == Phase::Releasing && kind == MapOrderKind::Go) {
         if (answer == MapOrderAnswer::Fenced) {
-            enterPhase(Phase::Idle, now); // Another decider is at it, and releases what it holds.
+            enterPhase(Phase::Idle, now); // Another decider is active and releases its hold.
         } else if (answer != MapOrderAnswer::Lost) {
             rank.confirmed = true;
         }
@@ -360,7 +361,7 @@
     }
 }
 
-// Takes the step that the confirmations allow.
+// Enters the next phase if the confirmations received so far allow it.
 void GroupDecider::advance(TimePoint now)
 {
     const std::size_t silent = excludedRank_ && !ranks_.contains(*excludedRank_) ? 1 : 0;
@@ -376,7 +377,8 @@
         recordArmTime(now - phaseSince_);
         enterPhase(Phase::Releasing, now);
     } else if (phase_ == Phase::Clearing && allConfirmed()) {
-        // Its own engine has taken the fence by now: what this agent has not handed on, it refuses.
+        // The own engine has accepted the fence by now, so it refuses any earlier order that this
+        // agent has not forwarded yet.
         const bool cleared = !excludedRank_ || canClearWithout(*excludedRank_);
         cleared_ += cleared ? 1 : 0;
         enterPhase(cleared ? Phase::Releasing : Phase::Idle, now);
@@ -387,7 +389,7 @@
     }
 }
 
-// Tells whether every hold that this agent releases is released.
+// Returns whether every hold that this decider has to release is released.
 bool GroupDecider::allHoldsReleased() const
 {
     return std::all_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
@@ -397,8 +399,8 @@
     });
 }
 
-// Tells whether the group has broken: it forms anew in another epoch, in which nothing of this one
-// counts.
+// Returns whether a current report says that the group does not accept requests. The group then
+// re-forms in a new epoch, which invalidates all state of this one.
 bool GroupDecider::isGroupClosed(TimePoint now) const
 {
     return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
@@ -422,11 +424,11 @@
         enterPhase(Phase::Idle, now);
     }
     if (phase_ == Phase::Preparing && now - phaseSince_ > settings_.prepareTimeout) {
-        enterPhase(Phase::Idle, now); // Nothing is armed; what was copied does no harm.
+        enterPhase(Phase::Idle, now); // Nothing is armed; the copies do no harm.
     } else if (phase_ == Phase::Arming && now - phaseSince_ > settings_.armTimeout) {
         startClearing(now);
     } else if (phase_ == Phase::Holding && !clearing_ && now - phaseSince_ > settings_.armTimeout) {
-        startClearing(now); // Whether the rank holds the step is not known.
+        startClearing(now); // It is unknown whether the rank holds the step.
     }
     switch (phase_) {
     case Phase::Idle:
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -1,4 +1,5 @@
-// How a GroupDecider finds arms and holds that another one has left, and begins to clear them.
+// The part of GroupDecider that detects arms and holds left by other deciders and starts clearing
+// them.
 #include "decision/expertmap/groupdecider.h"
 #include "decision/expertmap/mapversion.h"
 
@@ -7,7 +8,7 @@
 
 namespace seamarch {
 
-// Returns the one rank that does not answer while all others do.
+// Returns the only rank without a current report; nothing if there is none or more than one.
 std::optional<std::uint32_t> GroupDecider::soleSilentRank(TimePoint now) const
 {
     std::optional<std::uint32_t> silent;
@@ -48,8 +49,8 @@
     }
 }
 
-// Tells whether the change that is under way can be cleared without the silent rank: that rank is
-// armed last, and this agent has handed on no arm, so that its own confirmation is still missing.
+// Returns whether the change in progress can be cleared without the silent rank: that rank is armed
+// last, and this agent has forwarded no arm, so its own confirmation is still missing.
 bool GroupDecider::canClearWithout(std::uint32_t silent) const
 {
     const auto own = ranks_.find(settings_.ownRank);
@@ -79,8 +80,8 @@
     }
 }
 
-// Places the hold anew, also where the own rank should hold already: another decider with a higher
-// fence may have released that hold, and may be changing the map now.
+// Places a new hold even if the own rank should already hold a step: another decider with a higher
+// fence may have released that hold and may be changing the map now.
 void GroupDecider::startClearing(TimePoint now, std::optional<std::uint32_t> excluded)
 {
     excludedRank_ = excluded;
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -1,4 +1,4 @@
-// The orders of a GroupDecider: which, to whom, when and which way.
+// The part of GroupDecider that sends orders and chooses their recipients, times and routes.
 #include "decision/expertmap/groupdecider.h"
 #include "decision/expertmap/mapversion.h"
 
@@ -11,13 +11,13 @@
     return rankArmedLast(version_) == settings_.ownRank;
 }
 
-// Returns the rank whose agent decides after this one: the lowest other.
+// Returns the rank whose agent takes over if this one fails: the lowest other rank.
 std::uint32_t GroupDecider::successor() const
 {
     return settings_.ownRank == 0 ? 1 : 0;
 }
 
-// Tells whether it is the rank's turn to be armed.
+// Returns whether the rank can be armed now, given the order in which ranks are armed.
 bool GroupDecider::canArm(std::uint32_t number) const
 {
     const bool last = number == settings_.ownRank;
@@ -85,14 +85,14 @@
         if (rank.report.armed != 0) {
             order.version = rank.report.armed;
         } else if (order.version == rank.report.map) {
-            // The map in use cannot be disarmed; the order carries the fence alone.
+            // The map in use cannot be disarmed; the order only conveys the fence.
             ++order.version;
         }
         orders.push_back({number, order, OrderRoute::Any});
     }
 }
 
-// Releases the own hold, and after a clearing those of other deciders as well.
+// Releases the own hold and, after a clearing, the holds of other deciders.
 void GroupDecider::sendReleases(TimePoint now, MapOrders &orders)
 {
     for (auto &[number, rank] : ranks_) {
@@ -110,9 +110,10 @@
     }
 }
 
-// A change may wait for a step some passes ahead. To clear, the hold must come before any step at
-// which something may be armed, and that is known of the very next step alone: a rank that accepts
-// a hold of the step after the highest that was reported has not begun it, so nothing lies between.
+// Chooses the step to hold. For a change, it may be some passes ahead. For a clearing, the hold
+// must precede any step at which a map may be armed, which is only certain for the very next step:
+// a rank that accepts a hold of the step after the highest reported one has not begun that step, so
+// there is no step in between.
 void GroupDecider::chooseStep()
 {
     step_ = highestStep() + (clearing_ ? 1 : margin());
@@ -130,9 +131,9 @@
     return std::clamp(measured, settings_.lead, unmeasured) + lossy;
 }
 
-// Returns how many passes ahead a hold is placed. Before passes that last longer than the lead it
-// is the very next one: the arms mostly come in time, and where they do not, the group waits for
-// less than the pass on the old map that is spared.
+// Returns the number of passes by which a hold is placed ahead. If passes take longer than the
+// lead, the next step is held: the arms usually arrive in time, and otherwise the group waits for
+// less than the pass with the old map that is avoided.
 std::uint64_t GroupDecider::margin() const
 {
     if (passTime_ <= Duration{}) {
@@ -141,8 +142,8 @@
     return static_cast<std::uint64_t>(lead() / passTime_ + 1);
 }
 
-// A rank holds one step. Where the own rank holds another one, as an earlier decider left it, a
-// rank that holds nothing takes its place.
+// Chooses the rank that holds the step. A rank can hold only one step. If the own rank still holds
+// another one, left by an earlier decider, a rank without such a hold is chosen instead.
 void GroupDecider::chooseHolder()
 {
     const auto canHold = [this](const Rank &rank) {
