--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -23,7 +23,7 @@
         return;
     }
     const Position position{group, rank};
-    // A rank that was replaced stays listed for a while beside its successor.
+    // A replaced engine may stay listed for a while together with its replacement.
     for (auto &[other, otherPosition] : positions_) {
         if (other != engine && otherPosition == position) {
             otherPosition.reset();
--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -1,12 +1,12 @@
-// Which engines of a service make up the group of the agent that decides.
+// Tracks which engines of a service belong to the group of the deciding agent.
 //
-// A service may run several groups, of unlike sizes, and its list of engines does not say which
-// engine is in which. Every engine names its group and its rank itself. The roster keeps what each
-// has said last, so that facts and orders stay inside one group. An engine that has not answered
-// yet may belong to any group and is asked as often as the own ones; one of another group is asked
-// seldom, because it may come back as a rank of this one.
+// A service may run several groups of different sizes, and its list of engines does not say which
+// engine belongs to which group. Every engine names its own group and rank. The last such statement
+// of each engine is kept, so that reports and orders stay within one group. An engine that has not
+// answered yet may belong to any group and is polled as often as engines of the own group. An
+// engine of another group is polled rarely, because it may return as a rank of this group.
 //
-// Pure and single-threaded.
+// Performs no I/O; not thread-safe.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -19,13 +19,14 @@
 
 namespace seamarch {
 
+// The group and rank of each listed engine, as far as known.
 class GroupMembership
 {
 public:
     struct Settings
     {
-        // How often an engine of another group is asked. It only bounds how long a group waits for
-        // a rank that has changed groups without a new instance.
+        // Poll interval for engines of other groups. It only bounds the time until a rank is found
+        // that has changed groups without a new instance.
         Duration otherGroupInterval = std::chrono::seconds(2);
     };
 
@@ -37,18 +38,20 @@
         , settings_(settings)
     {}
 
-    // Takes the list of engines. What was said by one that is no longer listed is forgotten.
+    // Replaces the list of engines. Drops the group and rank of engines that are no longer listed.
     void setListed(const std::vector<InstanceId> &engines);
-    // An engine, or the agent beside it, has named its group and rank.
+    // Records the group and rank that an engine, or the agent beside it, has reported. Ignores
+    // engines that are not listed.
     void recordMember(const InstanceId &engine, const GroupId &group, std::uint32_t rank);
 
     // Returns the gap between two questions to `engine`; `ownInterval` is that of the own group.
     Duration pollIntervalFor(const InstanceId &engine, Duration ownInterval) const;
-    // Tells whether `engine` is known to be in another group.
+    // Returns whether `engine` is known to be in another group.
     bool isInOtherGroup(const InstanceId &engine) const;
     // Returns the engines of the own group, by rank.
     std::map<std::uint32_t, InstanceId> engines() const;
-    // Returns the engine at `rank` of the own group; nothing while none has said that it is.
+    // Returns the engine at `rank` of the own group, or nothing if no engine has reported that
+    // rank.
     std::optional<InstanceId> engineOf(std::uint32_t rank) const;
 
 private:
@@ -63,7 +66,7 @@
     GroupId group_;
     Settings settings_;
     std::map<InstanceId, std::optional<Position>>
-        positions_; // By listed engine; empty: not said yet.
+        positions_; // By listed engine; nullopt if unknown.
 };
 
 } // namespace seamarch
