--- a/src/decision/expertmap/forwardedorders.cpp
+++ b/src/decision/expertmap/forwardedorders.cpp
@@ -4,7 +4,7 @@
 
 namespace seamarch {
 
-// Forgets what an earlier epoch had: versions begin anew in each.
+// Discards the state of an earlier epoch, because versions restart in every epoch.
 void ForwardedOrders::startEpoch(std::uint64_t epoch)
 {
     if (epoch > epoch_) {
@@ -32,9 +32,9 @@
     fence_ = order.fence;
     startEpoch(order.epoch);
     if (order.epoch < epoch_) {
-        return true; // The engine refuses it, and it concerns nothing that is remembered.
+        return true; // The engine refuses it, and it does not affect the recorded state.
     }
-    // A prepare that comes twice tells nothing of the arms between.
+    // A repeated prepare is ignored, because an arm may have been forwarded in between.
     if (order.kind == MapOrderKind::Prepare && order.version > highestPrepared_) {
         highestPrepared_ = order.version;
         unarmedVersion_ = engineReported_ ? order.version : 0;
--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -1,11 +1,12 @@
-// What the agent beside a rank remembers of the orders that it has handed to its engine, so that it
-// can vouch for what the engine has not been told (see GroupDecider).
+// Records which orders the agent beside a rank has forwarded to its engine, so that the agent can
+// state which orders the engine cannot have received (see GroupDecider).
 //
-// It remembers nothing of the time before its process started. It vouches for a version only if the
-// engine has told this process, before the prepare, that it had not copied that version: no arm of
-// it can have been sent by then, and all that came later came through this process.
+// Nothing is known about orders from before the process started. The agent reports a version as
+// unarmed only if the engine has stated to this process, before the prepare, that it had not copied
+// that version: then no arm of that version can have been sent yet, and all later orders passed
+// through this process.
 //
-// Pure and single-threaded.
+// Performs no I/O; not thread-safe.
 #pragma once
 
 #include "decision/expertmap/groupdecider.h"
@@ -14,33 +15,33 @@
 
 namespace seamarch {
 
+// The record of forwarded orders of the current epoch.
 class ForwardedOrders
 {
 public:
-    // Tells whether the order may be handed to the engine, and remembers it if so. One under a
-    // lower fence than an earlier one may not: the engine would refuse it, and this agent may have
-    // vouched that it has handed on no such order.
+    // Returns whether the order may be forwarded to the engine, and records it if so. An order with
+    // a lower fence than an earlier order must not be forwarded: the engine would refuse it, and
+    // this agent may have reported that it has not forwarded such an order.
     bool admit(const MapOrder &order);
 
-    // The engine has reported that `prepared` is the last version that it has copied.
+    // Records a report of the engine that `prepared` is the last version it has copied.
     void recordReport(std::uint64_t epoch, std::uint64_t prepared);
 
-    // Returns the version of `epoch` that was prepared and of which no arm was handed over; zero
-    // when there is none.
+    // Returns the version of `epoch` for which a prepare but no arm was forwarded, or zero if there
+    // is none.
     std::uint64_t unarmedVersion(std::uint64_t epoch) const
     {
         return epoch == epoch_ ? unarmedVersion_ : 0;
     }
-    // Returns the highest fence that was handed over.
+    // Returns the highest fence among the forwarded orders.
     std::uint64_t highestFence() const { return fence_; }
 
 private:
     std::uint64_t fence_ = 0;
-    std::uint64_t epoch_ = 0; // Of what follows.
-    std::uint64_t highestPrepared_ =
-        0;                        // The highest version that was copied, or handed over for it.
-    bool engineReported_ = false; // The engine has.
-    std::uint64_t unarmedVersion_ = 0; // The version of the last prepare, until it is armed.
+    std::uint64_t epoch_ = 0;           // The epoch of the members below.
+    std::uint64_t highestPrepared_ = 0; // Highest version copied or in a prepare.
+    bool engineReported_ = false;       // The engine has reported in this epoch.
+    std::uint64_t unarmedVersion_ = 0;  // Version of the last prepare until its arm.
 
     void startEpoch(std::uint64_t epoch);
 };
