--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -44,7 +44,7 @@
     // engines that are not listed.
     void recordMember(const InstanceId &engine, const GroupId &group, std::uint32_t rank);
 
-    // Returns the gap between two questions to `engine`; `ownInterval` is that of the own group.
+    // Returns the poll interval of `engine`; `ownInterval` is the poll interval of the own group.
     Duration pollIntervalFor(const InstanceId &engine, Duration ownInterval) const;
     // Returns whether `engine` is known to be in another group.
     bool isInOtherGroup(const InstanceId &engine) const;
