--- a/src/decision/expertmap/mapswitchparticipant.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -54,7 +54,7 @@
         }
         return;
     }
-    // Words of another generation count for nothing: their sender may have lost its promises.
+    // Ignore messages of another generation, because their sender may have lost its promises.
     if (!formed_ || message.generation != generation_) {
         return;
     }
@@ -102,8 +102,8 @@
     if (!complete || incarnations_ == generation_) {
         return;
     }
-    // From here on nothing is decided in the old generation. A change that was committed there is
-    // what this rank brings along, whether or not its boundary was reached.
+    // No change is decided in the old generation any more. A change that was committed there is
+    // announced to the new one, whether or not its boundary has been reached.
     MapFence committed = activeMap_;
     if (change_ && change_->state == ChangeState::Committed) {
         committed = change_->fence;
@@ -179,8 +179,8 @@
 
 ChangeState MapSwitchParticipant::stateOf(const MapFence &fence) const
 {
-    // A rank that still waits for the outcome of the newest commit keeps all later ones from being
-    // committed, so the active map is the only commit that may be asked for; it is never forgotten.
+    // No later change can commit while a rank still waits for the outcome of the newest commit. The
+    // active map is therefore the only commit that a peer may query, and it is always known.
     if (fence == activeMap_) {
         return ChangeState::Committed;
     }
@@ -197,7 +197,7 @@
 void MapSwitchParticipant::refuse(const MapFence &fence, GroupActions &actions)
 {
     fenceFloor_ = std::max(fenceFloor_, fence);
-    // A committed change waits for its boundary and is no longer this rank's to give up.
+    // A rank cannot revoke an armed change, or a committed change that waits for its boundary.
     if (change_ && !isArmedOrCommitted() && change_->fence <= fenceFloor_) {
         actions.emplace_back(ReleaseMap{change_->fence});
         change_.reset();
@@ -235,7 +235,7 @@
 {
     highestBallot_ = std::max(highestBallot_, message.fence.ballot);
     if (change_ && change_->fence == message.fence) {
-        // The answer was lost, or the weights are still being loaded.
+        // The previous answer was lost, or the weights are still being loaded.
         if (change_->state == ChangeState::Loaded && message.from != settings_.rank) {
             GroupMessage answer = makeMessage(GroupMessage::Kind::Prepared);
             answer.fence = message.fence;
@@ -247,7 +247,7 @@
     if (isArmedOrCommitted() || message.fence <= fenceFloor_) {
         return;
     }
-    // A higher change takes the place of one that has not armed: that one can no longer commit.
+    // A change with a higher fence replaces one that has not armed; that one can no longer commit.
     if (change_) {
         if (change_->fence > message.fence) {
             return;
@@ -305,7 +305,7 @@
     const ChangeState state = stateOf(message.fence);
     if (state != ChangeState::Armed && state != ChangeState::Committed
         && state != ChangeState::Aborted) {
-        // Someone stands at the boundary and waits: this rank settles it by never arming.
+        // The sender waits at the boundary. Refusing the change aborts it and releases the sender.
         refuse(message.fence, actions);
     }
     GroupMessage answer = makeMessage(GroupMessage::Kind::QueryAnswer);
@@ -407,7 +407,7 @@
 
 void MapSwitchParticipant::abandonExpired(TimePoint now, GroupActions &actions)
 {
-    // Nothing is told: a rank that has armed asks, and one that has not is free to vow.
+    // No message is needed: armed ranks query the outcome, and other ranks are free to refuse.
     if (proposal_ && now - proposal_->startedAt > settings_.changeTimeout) {
         proposal_.reset();
     }
@@ -422,7 +422,7 @@
     hello.generation = incarnations_;
     sendAll(hello, actions);
     if (!generation_.empty()) {
-        // A peer may have missed the join of this generation, whether or not it has formed here.
+        // A peer may have missed the join even if the generation has already formed here.
         GroupMessage join = makeMessage(GroupMessage::Kind::Join);
         join.fence = joinsByRank_.at(settings_.rank).committed;
         join.step = joinsByRank_.at(settings_.rank).step;
@@ -435,7 +435,8 @@
         message.boundary = proposal_->boundary;
         sendAll(message, actions);
     }
-    // Asking earlier would make peers vow whose own order to arm is still on its way.
+    // An earlier query would make peers refuse the change while their own Arm message is in
+    // transit.
     const bool waitsAtBoundary =
         change_ && change_->state == ChangeState::Armed && step_ >= change_->boundary;
     if (waitsAtBoundary) {
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -1,23 +1,25 @@
-// The change of expert map in a group of ranks: all ranks at one step boundary, or none.
+// An atomic change of the expert map in a group of ranks: all ranks switch at the same step
+// boundary, or none does.
 //
-// A change goes through two rounds. First every rank loads the new map's weights. Then every rank
+// A change takes two rounds. First, every rank loads the weights of the new map. Then every rank
 // *arms*: it promises to stop before the step `boundary` until the outcome is known. The outcome
-// needs no decider: the change is committed exactly if all ranks have armed. A rank that has not
-// armed may vow never to arm for that change, and then it is aborted for all. An armed rank that
-// reaches the boundary undecided asks its peers: one vow means abort, one that knows the outcome
-// settles it, and all armed means commit. Armed ranks never vow and ranks that vowed never arm, so
-// no two ranks can come to different outcomes. A peer that cannot be reached holds the group up,
-// but a lock-step group without that rank could not step anyway.
+// needs no coordinator: the change is committed if and only if all ranks have armed. A rank that
+// has not armed may refuse the change, which means that it will never arm for it; the change is
+// then aborted for all ranks. An armed rank that reaches the boundary without an outcome queries
+// its peers: one refusal means abort, a peer that knows the outcome settles it, and if all ranks
+// are armed, the change is committed. Armed ranks never refuse and refusing ranks never arm, so no
+// two ranks can reach different outcomes. An unreachable peer blocks the group, but a lock-step
+// group cannot step without that rank anyway.
 //
-// A replaced rank has lost its promises. Ranks therefore work in a *generation*, named by the lives
-// (incarnations) of all ranks. A rank that learns of a new life joins the new generation: it
-// decides nothing more in the old one, and tells the last map that it saw committed. Steps are
-// taken in a generation only when all of its ranks have joined, and start with the newest map that
-// any of them had committed. A step is a collective of all ranks of one generation, so none can be
-// taken in a generation that a rank has left.
+// A replaced rank has lost its promises. Ranks therefore work in a *generation*, identified by the
+// incarnations of all ranks. A rank that learns of a new incarnation joins the new generation: it
+// decides nothing more in the old one, and announces the last map that it saw committed. Steps are
+// taken in a generation only after all of its ranks have joined, starting with the newest map that
+// any of them saw committed. A step is a collective operation of all ranks of one generation, so no
+// step can be taken in a generation that a rank has left.
 //
-// There is no quorum and no store: everything is unanimous, and the group's own state is in the
-// ranks that run it. Each rank's class is pure; time comes in as an argument. Single-threaded.
+// There is no quorum and no store: every decision is unanimous, and the state of the group resides
+// in its ranks. The class performs no I/O; the time is passed as an argument. Not thread-safe.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -34,23 +36,24 @@
 
 namespace seamarch {
 
-// Names a change and orders changes; the map that it brings has the same name.
+// Identifies a change, and the map that it introduces, and defines the order of changes.
 struct MapFence
 {
     std::uint64_t configVersion = 0;
     std::uint64_t ballot = 0;
-    std::uint32_t rank = 0; // Of the proposer; keeps the fences of two proposers apart.
+    std::uint32_t rank = 0; // Rank of the proposer; makes fences of different proposers distinct.
 
     friend auto operator<=>(const MapFence &, const MapFence &) = default;
 };
 
-// One life of a rank's agent. Later lives of one rank compare higher; only progress depends on it.
+// Identifies one run of a rank's agent. Later incarnations of a rank compare higher; only progress,
+// not consistency, depends on that.
 using RankIncarnation = std::uint64_t;
 
-// The lives of all ranks, by rank.
+// The incarnations of all ranks, by rank.
 using Generation = std::vector<RankIncarnation>;
 
-// What a rank says of a change.
+// The state of a change at one rank.
 enum class ChangeState { Refused, Loading, Loaded, Armed, Committed, Aborted };
 
 // A message between the agents of a group.
@@ -60,33 +63,33 @@
 
     Kind kind = Kind::Hello;
     RankIndex from;
-    Generation generation; // Hello: the lives that the sender knows.
+    Generation generation; // In a Hello: the incarnations known to the sender.
     MapFence fence;
     ChangeState state = ChangeState::Refused;
     std::uint64_t step = 0;
     std::uint64_t boundary = 0;
 };
 
-// Send a message to the agent of a rank.
+// An action for the caller: sends a message to the agent of a rank.
 struct SendToRank
 {
     RankIndex to;
     GroupMessage message;
 };
 
-// Have the engine load a map's weights; onLoaded() follows.
+// An action for the caller: the engine loads the weights of a map, then onLoaded() is called.
 struct LoadMap
 {
     MapFence map;
 };
 
-// Have the engine use a map from its next step on.
+// An action for the caller: the engine uses a map from its next step on.
 struct ActivateMap
 {
     MapFence map;
 };
 
-// Have the engine drop a loaded map that will not be used.
+// An action for the caller: the engine unloads a map that is not, or no longer, used.
 struct ReleaseMap
 {
     MapFence map;
@@ -95,6 +98,7 @@
 using GroupAction = std::variant<SendToRank, LoadMap, ActivateMap, ReleaseMap>;
 using GroupActions = std::vector<GroupAction>;
 
+// The protocol state of one rank.
 class MapSwitchParticipant
 {
 public:
@@ -104,34 +108,36 @@
         std::uint32_t ranks = 0;
         RankIncarnation incarnation = 0;
         Duration resendInterval = std::chrono::milliseconds(200);
-        Duration changeTimeout = std::chrono::seconds(10); // A proposal that has not finished.
-        std::uint64_t boundaryMargin = 4;                  // Steps between arming and the boundary.
+        Duration changeTimeout = std::chrono::seconds(10); // For a change that has not armed.
+        std::uint64_t boundaryMargin = 4;                  // Steps from arming to the boundary.
     };
 
-    // A fresh life: it knows no map and takes part in nothing until its group has formed.
+    // Creates a new incarnation. It knows no map and takes part in no change until the group has
+    // formed.
     explicit MapSwitchParticipant(const Settings &settings);
 
     void onMessage(const GroupMessage &message, TimePoint now, GroupActions &actions);
-    // The engine has loaded a map's weights.
+    // Handles completion of a LoadMap action.
     void onLoaded(const MapFence &map, GroupActions &actions);
+    // Abandons expired changes and resends messages that are due.
     void onTick(TimePoint now, GroupActions &actions);
 
-    // Proposes a change to a new map. Returns its fence, or nothing while another change is under
-    // way here or the group has not formed.
+    // Proposes a change to a new map. Returns its fence, or nothing if another change is in
+    // progress at this rank or the group has not formed.
     std::optional<MapFence> propose(std::uint64_t configVersion, TimePoint now,
                                     GroupActions &actions);
 
-    // Tells whether the engine may take its next step.
+    // Returns whether the engine may take its next step.
     bool mayStep() const;
-    // The engine has taken a step with all ranks of generation().
+    // Handles a step that the engine has taken with all ranks of generation().
     void onStepped(GroupActions &actions);
 
     std::uint64_t step() const { return step_; }
     const Generation &generation() const { return generation_; }
     const MapFence &activeMap() const { return activeMap_; }
-    // A newer life of this rank exists: this one must stop.
+    // Returns whether a newer incarnation of this rank exists, so that this one must stop.
     bool retired() const { return retired_; }
-    // Returns the change that is under way at this rank and how far it is.
+    // Returns the change in progress at this rank and its state, if any.
     std::optional<std::pair<MapFence, ChangeState>> change() const;
 
 private:
@@ -141,7 +147,7 @@
         MapFence fence;
         ChangeState state = ChangeState::Loading;
         std::uint64_t boundary = 0;
-        std::set<RankIndex> armed; // Peers that are known to have armed.
+        std::set<RankIndex> armed; // Peers known to have armed.
         TimePoint startedAt{};
     };
 
@@ -193,12 +199,12 @@
     bool mapLoaded_ = false;
     bool retired_ = false;
     MapFence activeMap_;
-    MapFence fenceFloor_; // No fence at or below it is armed any more.
+    MapFence fenceFloor_; // Fences at or below this are no longer armed.
     std::uint64_t highestBallot_ = 0;
     std::uint64_t step_ = 0;
     std::optional<Change> change_;
     std::optional<Proposal> proposal_;
-    std::map<MapFence, bool> outcomes_; // The last few decided changes.
+    std::map<MapFence, bool> outcomes_; // True if committed; for the last kMaxOutcomes changes.
     TimePoint lastSent_{};
 };
 
