--- a/src/decision/expertmap/mapversion.cpp
+++ b/src/decision/expertmap/mapversion.cpp
@@ -3,8 +3,9 @@
 namespace seamarch {
 namespace {
 
-// Of the names that fit into a version's last digits. Zero names nobody; a rank beyond the others
-// is not named, and its changes wait for it as they must.
+// Number of codes that the low digits of a version can hold. Code 0 stands for no rank, and code
+// `rank + 1` for a rank. Higher ranks cannot be encoded; changes that they decide on cannot be
+// cleared without them.
 constexpr std::uint64_t kRankCodes = 1024;
 
 } // namespace
--- a/src/decision/expertmap/mapversion.h
+++ b/src/decision/expertmap/mapversion.h
@@ -1,6 +1,6 @@
-// Versions of expert maps. A version rises with each change of an epoch, and its last digits name
-// the rank whose agent decided on the change, when that agent arms its own rank last of all: then
-// another agent can end the change without that rank (see GroupDecider).
+// Versions of expert maps. Versions increase with every change within an epoch. The low digits of a
+// version encode the rank whose agent decided on the change, if that agent arms its own rank last;
+// another agent can then end the change without that rank (see GroupDecider).
 //
 // Pure functions.
 #pragma once
@@ -10,10 +10,11 @@
 
 namespace seamarch {
 
-// Returns a version above `lowest` that names `armedLast`, or that names nobody.
+// Returns a version greater than `lowest` that encodes `armedLast`, or no rank if it is nullopt or
+// too large to be encoded.
 std::uint64_t mapVersionAbove(std::uint64_t lowest, std::optional<std::uint32_t> armedLast);
 
-// Returns the rank that is armed last in the change to `version`; nothing when none is.
+// Returns the rank that is armed last in the change to `version`, or nothing if none is encoded.
 std::optional<std::uint32_t> rankArmedLast(std::uint64_t version);
 
 } // namespace seamarch
