--- a/src/decision/expertmap/relayplan.cpp
+++ b/src/decision/expertmap/relayplan.cpp
@@ -7,8 +7,10 @@
 namespace seamarch {
 namespace {
 
-// A hop costs two agents' turns and the way, some ten milliseconds with a small share of a
-// processor. Below a few times that, sending directly is as quick and fails for one rank alone.
+// Maximum total transfer time for which orders are sent directly. A relay hop costs the scheduling
+// of two agents and the network latency, some ten milliseconds for processes with a small CPU
+// share. Up to a few times that, sending directly is as fast, and a failure affects a single rank
+// only.
 constexpr double kMaxDirectSeconds = 0.05;
 
 } // namespace
--- a/src/decision/expertmap/relayplan.h
+++ b/src/decision/expertmap/relayplan.h
@@ -1,11 +1,12 @@
-// Which agents pass a large order on to others, so that the decider's own link carries it only a
-// few times.
+// Chooses which agents relay a large order to other agents, so that the decider's own link carries
+// it only a few times.
 //
-// A prepare holds the whole map: at 129 ranks some 7 KB, of which a link of 6 Mbit/s carries a
-// hundred a second. Sent to each of n ranks by one link it takes n times its time. In b blocks, in
-// each of which one agent passes it on to the others over a link of its own, it takes b + n / b
-// times, least at b = sqrt(n). Only orders that copy experts are passed on: whichever of them
-// comes late, doubled or not at all, no rank takes a map by it.
+// A prepare contains the whole map: about 7 KB at 129 ranks, of which a link of 6 Mbit/s carries
+// about a hundred per second. Sending it over one link to each of n ranks takes n transfer times.
+// With b blocks, in each of which one agent relays the order to the others over its own link, it
+// takes b + n / b transfer times, which is minimal at b = sqrt(n). Only orders that copy experts
+// are relayed: no rank switches maps because of such an order, even if it arrives late, twice or
+// never.
 //
 // Pure functions.
 #pragma once
@@ -17,16 +18,16 @@
 
 struct RelayInputs
 {
-    std::vector<std::uint32_t> ranks; // To be reached, whose agents answer.
+    std::vector<std::uint32_t> ranks; // Recipients whose agents answer.
     std::uint64_t orderBytes = 0;
-    double linkBytesPerSecond = 0.0; // Of the decider; the others' are taken to be alike.
-    std::uint64_t rotation = 0;      // Each turn chooses other agents to pass on.
+    double linkBytesPerSecond = 0.0; // Link of the decider; other links are assumed equal.
+    std::uint64_t rotation = 0;      // Different values select different relays.
 };
 
-// The first rank of a block passes the order on to the others.
+// Ranks that receive the order together. The first rank relays it to the others.
 using RelayBlock = std::vector<std::uint32_t>;
 
-// Returns the blocks; each has one rank where the order reaches all of them soon enough without.
+// Returns the blocks. Each block has a single rank if sending the order directly is fast enough.
 std::vector<RelayBlock> planRelays(const RelayInputs &inputs);
 
 } // namespace seamarch
