--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -207,7 +207,7 @@
     bool abandon(TimePoint now);
 
     // Sets the time for which a report counts as current, which depends on the poll interval.
-    void setReportTtl(Duration life) { settings_.reportTtl = life; }
+    void setReportTtl(Duration ttl) { settings_.reportTtl = ttl; }
 
     // Gives up the role of decider. A change in progress is left for the next decider to clear.
     void resign();
