--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -108,8 +108,9 @@
         std::uint32_t ranks = 0;
         RankIncarnation incarnation = 0;
         Duration resendInterval = std::chrono::milliseconds(200);
-        Duration changeTimeout = std::chrono::seconds(10); // For a change that has not armed.
-        std::uint64_t boundaryMargin = 4;                  // Steps from arming to the boundary.
+        Duration changeTimeout =
+            std::chrono::seconds(10);     // Drops a proposal, or a change that has not armed.
+        std::uint64_t boundaryMargin = 4; // Steps from arming to the boundary.
     };
 
     // Creates a new incarnation. It knows no map and takes part in no change until the group has
