--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -1,7 +1,7 @@
-// Schedules of GroupDecider against a fake group of engines: orders and answers are lost, delayed,
-// doubled or carried out seconds late, several agents decide at once, are paused and replaced,
-// their machines freeze, mostly right after a hold, and the group forms anew. In no pass may two
-// ranks hold different maps, and no group may stay held.
+// Randomized schedules of GroupDecider with a simulated group of engines. Orders and answers are
+// lost, delayed, duplicated or executed seconds late; several agents decide at the same time, pause
+// and restart; machines freeze, mostly right after a hold; and the group re-forms. No pass may run
+// with two different maps, and no group may stay held.
 #include "decision/expertmap/groupdecider.h"
 
 #include "decision/expertmap/forwardedorders.h"
@@ -24,7 +24,7 @@
 
 constexpr std::uint32_t kRanks = 4;
 
-// What is wrong with the fake world on purpose.
+// A fault that is injected to verify that the checks detect it.
 enum class InjectedFault {
     None,
     EnginesIgnoreFences,
@@ -72,16 +72,16 @@
         now_ = end;
     }
 
-    // Ends the faults. The agent of rank 1 sees that of rank 0 from now on, and leaves it to
-    // decide.
+    // Ends all faults. From now on the agent of rank 1 sees the agent of rank 0 and leaves the
+    // decisions to it.
     void stopFaults()
     {
         faults_ = false;
         deciders_[1]->resign();
     }
 
-    // From now on rank 1 decides only while the machine of rank 0 is frozen, and nothing else goes
-    // wrong. That machine freezes for `length` right after its agent's next hold.
+    // From now on, the only fault is that the machine of rank 0 freezes for `length` right after
+    // the next hold of its agent. Rank 1 decides only while that machine is frozen.
     void freezeAtNextHold(Duration length)
     {
         faults_ = false;
@@ -139,7 +139,7 @@
         ++freezes_;
     }
 
-    // Does `action` on the machine of `rank`, now or when it wakes.
+    // Runs `action` on the machine of `rank`, now or when the machine resumes.
     void onMachine(std::uint32_t rank, const std::function<void()> &action)
     {
         if (!frozen(rank)) {
@@ -253,8 +253,8 @@
         });
     }
 
-    // Hands an order over, through the agent beside the rank or past it, to an engine that may
-    // carry it out seconds late; or the agent gets it seconds late.
+    // Delivers an order through the agent beside the rank, or directly to the engine. Either the
+    // agent receives it, or the engine executes it, possibly seconds late.
     void deliver(std::uint32_t from, const SendMapOrder &action)
     {
         const bool late = faults_ && chance(0.15);
@@ -288,7 +288,7 @@
         }
     }
 
-    // Lets the agent beside the rank see the order. Returns false when it refuses it.
+    // Passes the order through the agent beside the rank. Returns false if the agent refuses it.
     bool forwardThroughAgent(const SendMapOrder &action)
     {
         if (fault_ == InjectedFault::AgentsForgetArms && action.order.kind == MapOrderKind::Arm) {
@@ -297,7 +297,8 @@
         return agents_[action.rank].admit(action.order);
     }
 
-    // A prepare is answered when its experts are copied, or as begun when that takes long.
+    // Schedules the answer to an order. A prepare is answered Copied if its experts are copied by
+    // then, and Done otherwise.
     void scheduleAnswer(std::uint32_t from, const SendMapOrder &action, MapOrderAnswer answer)
     {
         const bool prepareStarted =
@@ -320,7 +321,8 @@
         }
     }
 
-    // One turn of the agent of `rank`: reports of all ranks, a tick, and now and then a proposal.
+    // One tick of the agent of `rank`: polls all ranks, calls onTick() and sometimes proposes a
+    // map.
     void tick(std::uint32_t rank)
     {
         const Duration pause = faults_ && chance(0.01) ? between(1000, 5000) : Duration{};
@@ -330,7 +332,7 @@
             restartAgent(rank);
         }
         if (faults_ && chance(0.005)) {
-            agents_[kRanks - 1] = ForwardedOrders(); // That of another rank starts anew.
+            agents_[kRanks - 1] = ForwardedOrders(); // The agent of another rank restarts.
         }
         for (std::uint32_t other = 0; other < kRanks; ++other) {
             if (!faults_ || !chance(0.1)) {
@@ -351,7 +353,7 @@
         freezeAfter(rank, orders);
     }
 
-    // Freezes the machine of a decider, mostly when it has just ordered a hold or an arm.
+    // Freezes the machine of a decider at random, mostly right after it has sent a hold or an arm.
     void freezeAfter(std::uint32_t rank, const MapOrders &orders)
     {
         const bool holds = std::any_of(orders.begin(), orders.end(), [](const auto &action) {
@@ -367,7 +369,7 @@
         }
     }
 
-    // Tells whether the agent of rank 1 takes that of rank 0 for dead.
+    // Returns whether the agent of rank 1 considers the agent of rank 0 dead.
     bool isSuccessorActive() const
     {
         return frozen(0) && now_ - frozenAt_ >= std::chrono::milliseconds(400);
@@ -406,9 +408,9 @@
     std::mt19937_64 random_;
     InjectedFault fault_;
     std::vector<Engine> engines_;
-    std::vector<ForwardedOrders> agents_; // Beside the engines.
+    std::vector<ForwardedOrders> agents_; // The agents beside the engines, by rank.
     std::map<std::uint32_t, std::unique_ptr<GroupDecider>> deciders_;
-    std::map<std::uint32_t, TimePoint> frozenUntil_; // Machines, by rank.
+    std::map<std::uint32_t, TimePoint> frozenUntil_; // When machines resume, by rank.
     TimePoint frozenAt_{};
     std::uint64_t freezes_ = 0;
     bool succession_ = false;
@@ -431,7 +433,7 @@
     return text == nullptr ? 150 : std::atoi(text);
 }
 
-// Returns how many of the seeds make a pass with two maps.
+// Returns the number of seeds for which a pass runs with two different maps.
 int violations(InjectedFault fault, int count)
 {
     int found = 0;
@@ -452,7 +454,7 @@
     for (int seed = 1; seed <= seeds(); ++seed) {
         GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
         simulation.run(std::chrono::seconds(60));
-        const std::string text = "two maps in one pass; keep the seed " + std::to_string(seed);
+        const std::string text = "one pass used two maps; seed " + std::to_string(seed);
         CHECK_FALSE_TEXT(simulation.mixedMaps(), text.c_str());
     }
 }
@@ -463,11 +465,11 @@
         GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
         simulation.run(std::chrono::seconds(30));
         simulation.stopFaults();
-        simulation.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
+        simulation.run(std::chrono::seconds(20)); // Delayed orders may still arrive.
         const std::uint64_t step = simulation.step();
         const std::uint64_t accepted = simulation.mapActivations();
         simulation.run(std::chrono::seconds(20));
-        const std::string text = "held or without changes; keep the seed " + std::to_string(seed);
+        const std::string text = "group held or map unchanged; seed " + std::to_string(seed);
         CHECK_TEXT(simulation.step() > step + 50, text.c_str());
         CHECK_TEXT(simulation.mapActivations() > accepted, text.c_str());
     }
@@ -482,22 +484,23 @@
     CHECK_TRUE(violations(InjectedFault::AgentsForgetArms, kSeeds) > 0);
 }
 
-// The load that this answers: all streams of a group stand still while a step is held. A machine
-// that freezes for four seconds right after its agent's hold held them for all of that time.
+// All streams of a group stall while a step is held. If the decider's machine froze right after its
+// hold, the group stalled until the machine resumed (four seconds here).
 TEST(GroupDeciderTest, GroupContinuesWhileDeciderMachineIsFrozen)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
         GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
         simulation.freezeAtNextHold(std::chrono::seconds(4));
         simulation.run(std::chrono::seconds(20));
-        const std::string text = "held for too long; keep the seed " + std::to_string(seed);
+        const std::string text = "group held for too long; seed " + std::to_string(seed);
         LONGS_EQUAL(1, simulation.freezes());
         CHECK_FALSE_TEXT(simulation.mixedMaps(), text.c_str());
         CHECK_TEXT(simulation.longestStall() < std::chrono::milliseconds(1500), text.c_str());
     }
 }
 
-// A service with groups of unlike sizes lists all of their engines together.
+// A service with several groups of different sizes lists all engines together, so a decider may
+// also receive reports of other groups.
 TEST(GroupDeciderTest, IgnoresReportsOfOtherGroups)
 {
     constexpr std::uint32_t kOwnRanks = 2;
@@ -516,7 +519,7 @@
         report.map = 5;
         decider.onReport(report, now, now);
         CHECK_FALSE_TEXT(decider.allRanksCurrent(now),
-                         "three ranks of the other group make no own group");
+                         "three ranks of another group must not complete the own group");
     }
     for (report.rank = 0; report.rank < kOwnRanks; ++report.rank) {
         report.group = GroupId("north");
@@ -541,7 +544,7 @@
 
 constexpr std::uint32_t kPair = 2;
 
-// Reports both ranks of a small group, at `now`.
+// Reports the state of both ranks of a group of two, at `now`.
 void reportPair(GroupDecider &decider, TimePoint now, std::optional<std::uint64_t> heldByFirst)
 {
     for (std::uint32_t rank = 0; rank < kPair; ++rank) {
@@ -560,7 +563,7 @@
 
 namespace {
 
-// Lets the decider propose a map and hands it the answers of both ranks to its prepares.
+// Lets the decider propose a map, and answers its prepares for both ranks.
 void prepareBoth(GroupDecider &decider, TimePoint now, MapOrderAnswer answer)
 {
     MapOrders orders;
@@ -572,7 +575,8 @@
 
 } // namespace
 
-// At 129 ranks a round of reports takes a quarter of a second, which the group stays uneven.
+// At 129 ranks, a round of reports takes a quarter of a second. Waiting for it would keep the
+// skewed map in use for that time.
 TEST(GroupDeciderTest, CopiedAnswerConfirmsPrepareWithoutReport)
 {
     TimePoint now{std::chrono::seconds(10)};
@@ -607,7 +611,8 @@
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 }
 
-// The engines remember the fences of a decider whose agent, and all others, have started anew.
+// Engines remember the fence of an earlier decider even if all agents have restarted and do not
+// know it.
 TEST(GroupDeciderTest, OvertakesUnknownFenceWithinFewAttempts)
 {
     constexpr std::uint64_t kRemembered = 60ULL << 20U;
@@ -628,13 +633,13 @@
                              accepted ? MapOrderAnswer::Done : MapOrderAnswer::Fenced, now);
         }
     }
-    CHECK_TEXT(accepted, "the decider stays behind a fence of sixty changes");
+    CHECK_TEXT(accepted, "the decider did not overtake a fence of sixty changes");
 }
 
 TEST(GroupDeciderTest, StartsAboveFenceFloor)
 {
     GroupDecider::Settings settings;
-    settings.fenceFloor = 17'000'000'000; // Tenths of a second since 1970, in the year 2023.
+    settings.fenceFloor = 17'000'000'000; // Tenths of a second since 1970; a date in 2023.
     GroupDecider decider(settings);
     const TimePoint now{std::chrono::seconds(10)};
     reportPair(decider, now, std::nullopt);
@@ -644,7 +649,8 @@
     CHECK_TRUE(orders.at(0).order.fence < (1ULL << 53U));
 }
 
-// The group makes no pass while a decider that has fallen silent holds a step.
+// The group runs no pass while a decider that no longer answers holds a step, so a successor must
+// not wait again for a timeout that has already passed.
 TEST(GroupDeciderTest, ClearsHoldOfLongSilentPredecessorAtOnce)
 {
     const TimePoint now{std::chrono::seconds(10)};
@@ -668,7 +674,8 @@
 
 constexpr std::uint32_t kTrio = 3;
 
-// Three ranks that report at `now`; that of `byEngine` through its engine.
+// Reports the state of three ranks at `now`. The report of rank `byEngine` comes from its engine,
+// the others from their agents.
 void reportTrio(GroupDecider &decider, TimePoint now, std::uint64_t prepared,
                 std::optional<std::uint32_t> byEngine = std::nullopt)
 {
@@ -685,7 +692,7 @@
     }
 }
 
-// Takes a change as far as its arms, and returns the first of them.
+// Runs a change up to the arming phase, and returns the first arms.
 MapOrders firstArms(GroupDecider &decider, TimePoint now, std::optional<std::uint32_t> byEngine)
 {
     reportTrio(decider, now, 0, byEngine);
@@ -702,7 +709,7 @@
     return arms;
 }
 
-// Confirms the orders, and returns what the decider sends then.
+// Answers Done to the orders, and returns the orders that the decider sends next.
 MapOrders confirm(GroupDecider &decider, const MapOrders &orders, TimePoint now)
 {
     for (const SendMapOrder &action : orders) {
@@ -730,8 +737,9 @@
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Releasing);
 }
 
-// Without its agent nobody could tell whether that rank was armed, so that no one could end the
-// change for its decider: no rank is named, and all are armed at once.
+// Without the agent of a rank, nobody can know whether that rank was armed, so no successor could
+// clear the change without the decider. The version then encodes no rank, and all ranks are armed
+// at once.
 TEST(GroupDeciderTest, ArmsAllRanksAtOnceWhenAnAgentIsSilent)
 {
     const TimePoint now{std::chrono::seconds(10)};
