--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -14,13 +14,14 @@
 
 enum class InjectedFault {
     None,
-    FalseArmedAnswer, // A peer that has not armed says that it has.
-    IgnoreGeneration, // Words of another generation are taken for this one's.
-    PassBoundary,     // An armed rank steps past the boundary undecided.
-    SwitchOnArming,   // A rank uses the new map as soon as it has armed.
+    FalseArmedAnswer, // A peer that has refused claims to be armed.
+    IgnoreGeneration, // Messages of another generation are accepted.
+    PassBoundary,     // An armed rank steps past the boundary without an outcome.
+    SwitchOnArming,   // A rank uses the new map as soon as it is armed.
 };
 
-// A lock-step group of ranks with a fake network. Old lives of replaced ranks stay and may wake.
+// A lock-step group of ranks with a simulated network. Old incarnations of replaced ranks remain
+// and may resume.
 class GroupSimulation
 {
 public:
@@ -53,7 +54,7 @@
 
     int steps() const { return steps_; }
     int switches() const { return switches_; }
-    // Tells whether the group went on once nothing failed any more.
+    // Returns whether the group continued to step after the faults ended.
     bool recovered() const { return steps_ - stepsAtFaultsEnd_ > 200; }
     bool noChangePending() const
     {
@@ -142,7 +143,7 @@
             && message.state == ChangeState::Refused && chance(0.5)) {
             message.state = ChangeState::Armed;
         }
-        // A message reaches every life of the rank that still runs.
+        // A message reaches every incarnation of the rank that is still running.
         for (std::size_t index = 0; index < ranks_.size(); ++index) {
             if (ranks_[index]->rank != to.value() || chance(0.05) || isPartitioned(from, index)) {
                 continue;
@@ -199,7 +200,7 @@
             }
             GroupActions actions;
             ranks_[index]->participant.onTick(now_, actions);
-            // Two deciders with stale views propose at the same time now and then.
+            // Sometimes two ranks with outdated state propose at the same time.
             const bool decider = ranks_[index]->rank < 2;
             if (decider && chance(0.01)) {
                 ranks_[index]->participant.propose(1, now_, actions);
@@ -215,7 +216,7 @@
             ranks_[index]->pausedUntil = now_ + delay(100, 6000);
         }
         if (chance(0.003)) {
-            // The new life starts while the old one may still run, or wake from a pause.
+            // The new incarnation starts while the old one may still run, or resume after a pause.
             const auto rank = static_cast<std::uint32_t>(pick(kRanks));
             for (const auto &each : ranks_) {
                 if (each->rank == rank && chance(0.5)) {
@@ -247,7 +248,7 @@
         return early ? change->first : rank.participant.activeMap();
     }
 
-    // Takes a step in every generation whose ranks all take part.
+    // Takes a step in every generation in which all ranks can step.
     void stepAll()
     {
         for (std::size_t lead = 0; lead < ranks_.size(); ++lead) {
@@ -336,14 +337,14 @@
         }
         switches += world.switches();
     }
-    // A group that never changes its map would pass as well.
+    // Ensures that the test is not passed by groups that never change their map.
     CHECK(switches > static_cast<int>(seedCount()) * 20);
 }
 
 TEST(MapSwitchParticipantTest, LateArmOfAbortedChangeKeepsCommittedChange)
 {
-    // Found by this seed: the order to arm for an aborted change came late, while a newer change
-    // was committed and waited for its boundary; the rank dropped the newer one.
+    // With this seed, the Arm message of an aborted change arrives while a newer change is
+    // committed and waits for its boundary. A rank must not drop the newer change then.
     constexpr std::uint64_t kSeed = 897;
 
     CHECK_EQUAL(0, GroupSimulation(kSeed, InjectedFault::None).run());
