--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -1,6 +1,6 @@
-// The pattern: one decider before a group of any size, with a link that carries its reports, counts
-// and orders. The figures of the groups are those of the users' deployments (ranks, sets and
-// experts, link) and of the size that docs/CAPACITY.md aims for.
+// Plans for groups of different sizes. Reports, counts and orders share the link of one decider.
+// The figures (ranks, sets times experts, link bandwidth) are those of production deployments and
+// of the target size in docs/CAPACITY.md.
 #include "decision/expertmap/collectionplan.h"
 
 #include <string>
@@ -75,7 +75,8 @@
     }
 }
 
-// 129 ranks with 4 KB of counts each are 0.7 s of a link of 6 Mbit/s: reports queued behind them.
+// Counts of 4 KB from each of 129 ranks occupy a link of 6 Mbit/s for 0.7 s. Without sampling,
+// reports would queue behind them.
 TEST(CollectionPlanTest, SamplesCountsOfLargeGroup)
 {
     const CollectionPlan plan = planFor({129, 16 * 258, 6});
