--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint32_t kRanks = 12;
 constexpr std::uint32_t kExperts = 72;
 
-// The first map of an epoch: experts are dealt in turn.
+// Returns the first placement of an epoch, which assigns experts to ranks in turn.
 RankExperts roundRobinPlacement()
 {
     RankExperts placement(kRanks);
@@ -26,7 +26,7 @@
     return placement;
 }
 
-// Popularity that falls off as a power of the place in a random order.
+// Returns shares that decrease as a power of the rank of an expert in a random order.
 std::vector<double> skewedShares(std::uint64_t seed)
 {
     std::vector<double> shares(kExperts);
@@ -41,7 +41,8 @@
     return shares;
 }
 
-// The experts of the first rank, as they are dealt, are chosen nearly twice as often as others.
+// Returns shares with which the experts of the first rank in roundRobinPlacement() are chosen
+// nearly twice as often as the others.
 std::vector<double> mildlySkewedShares()
 {
     std::vector<double> shares(kExperts, 1.0);
@@ -60,10 +61,10 @@
     return TimePoint(std::chrono::milliseconds(millis));
 }
 
-// Feeds choices that follow `shares`, from `from` to `to`.
+// Adds choices distributed like `shares` and ends their rounds, from `from` to `to` (milliseconds).
 void feedChoices(ExpertPlanner &planner, const std::vector<double> &shares, int from, int to)
 {
-    constexpr double kPerPeriod = 10'000.0; // Choices of a rank.
+    constexpr double kPerPeriod = 10'000.0; // Choices of one rank.
     for (int time = from; time < to; time += 200) {
         for (std::uint32_t rank = 0; rank < kRanks; ++rank) {
             std::vector<double> choices;
@@ -76,7 +77,7 @@
     }
 }
 
-// Returns the most experts that are new to one rank, over all sets.
+// Returns the maximum over the ranks of the number of new experts, summed over all sets.
 std::ptrdiff_t maxCopiesPerRank(const ExpertMap &before, const ExpertMap &after)
 {
     std::ptrdiff_t most = 0;
@@ -149,7 +150,7 @@
     CHECK_TRUE(placementSkew(even, shares) < 1.12);
 }
 
-// Weighing every rank as a target takes a time that grows with the square of the group.
+// Evaluating every rank as a target takes time quadratic in the size of the group.
 TEST(EvenPlacementTest, FewTargetsAreNearlyAsGoodAsAllInLargeGroup)
 {
     constexpr std::uint16_t kManyRanks = 129;
@@ -253,7 +254,7 @@
 {
     std::vector<double> shares = skewedShares(1);
     feedChoices(planner, shares, 0, 8000);
-    // Eight choices in a hundred move from the most liked expert to another one.
+    // 8 % of the choices move from the most popular expert to another one.
     const auto most = std::max_element(shares.begin(), shares.end());
     *most -= 0.08;
     shares[most == shares.begin() ? 1 : 0] += 0.08;
@@ -282,7 +283,8 @@
     LONGS_EQUAL(1, maxCopiesPerRank({roundRobinPlacement()}, *planned));
 }
 
-// At 129 ranks orders take half a second to reach all. Two small changes take twice that.
+// At 129 ranks, orders take half a second to reach all ranks, and two small changes take twice as
+// long as one.
 TEST(ExpertPlannerTest, CopiesMoreWhenActivationIsSlow)
 {
     const auto copies = [](Duration inUse) {
@@ -314,7 +316,7 @@
     CHECK_TRUE(planned.has_value());
     LONGS_EQUAL(1, maxCopiesPerRank(current, *planned));
     for (std::uint32_t set = 0; set < kSets; ++set) {
-        CHECK_TEXT((*planned)[set] != current[set], "each set gets a part of the copies");
+        CHECK_TEXT((*planned)[set] != current[set], "each set must get a share of the copies");
     }
 }
 
@@ -340,7 +342,7 @@
                     3000 * (shift + 1));
     }
     const Duration life =
-        planner.expectedWorkloadDuration(at(16'050)); // A second into the last mixture.
+        planner.expectedWorkloadDuration(at(16'050)); // One second into the last workload.
     CHECK_TRUE(life > std::chrono::milliseconds(1500));
     CHECK_TRUE(life < std::chrono::milliseconds(2500));
 }
@@ -354,8 +356,9 @@
     CHECK_TRUE(planner.planOutdated());
 }
 
-// Under an uneven map single rounds differ much in skew. Taken for shifts, they would make mixtures
-// look so short-lived that no change of the map paid, and the map would stay uneven.
+// Under a skewed map, the skew varies widely between rounds. If single rounds were taken for
+// shifts, workloads would appear so short that no change of the map paid off, and the map would
+// stay skewed.
 TEST(ExpertPlannerTest, TreatsSingleDeviatingRoundAsNoise)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
@@ -375,8 +378,8 @@
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(time)).has_value());
 }
 
-// The blends of one shift must not count as a mixture that lasted for a moment: with so short a
-// life expected, no change would pay, and the map would stay as uneven as the shift has left it.
+// The blended rounds of one shift must not count as a short workload of their own. With so short an
+// expected duration, no change would pay off, and the map would stay as skewed as after the shift.
 TEST(ExpertPlannerTest, CountsShiftSpanningTwoRoundsOnce)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
@@ -393,8 +396,8 @@
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(5400)).has_value());
 }
 
-// The load that this answers: a calm day, on which passes take half of the pause that callers bear
-// and every second change of a map copies 2 TB for nobody.
+// Under light load, passes take about half of the latency goal. Without this rule, every second
+// change of a map copied 2 TB without benefit to any caller.
 TEST(ExpertPlannerTest, KeepsModeratelySkewedMapWhenPassesAreWellWithinGoal)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
@@ -411,7 +414,7 @@
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-// Passes were measured before demand shifted, and streams that last longer make them longer still.
+// The pass time was measured before demand shifted, and longer streams increase it further.
 TEST(ExpertPlannerTest, ChangesHighlySkewedMapRegardlessOfPassTime)
 {
     feedChoices(planner, skewedShares(1), 0, 2000);
