--- a/test/decision/expertmap/forwardedorders_test.cpp
+++ b/test/decision/expertmap/forwardedorders_test.cpp
@@ -40,7 +40,8 @@
     LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch));
 }
 
-// Whether the engine carries an arm out at once or seconds later, nobody can tell.
+// The engine may execute a forwarded arm at any time, even seconds later, so the version must not
+// be reported as unarmed again.
 TEST(ForwardedOrdersTest, RepeatedPrepareDoesNotUndoArm)
 {
     forwarded.admit(order(MapOrderKind::Prepare, 9));
@@ -87,6 +88,6 @@
     forwarded.recordReport(kEpoch + 1, 0);
     LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch));
     LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch + 1));
-    forwarded.admit(order(MapOrderKind::Arm, 9)); // Of the epoch before, late.
+    forwarded.admit(order(MapOrderKind::Arm, 9)); // A late order of the previous epoch.
     LONGS_EQUAL(0, forwarded.unarmedVersion(kEpoch + 1));
 }
--- a/test/decision/expertmap/mapversion_test.cpp
+++ b/test/decision/expertmap/mapversion_test.cpp
@@ -21,7 +21,7 @@
     CHECK_FALSE(rankArmedLast(0).has_value()); // The first map of an epoch.
 }
 
-// Its changes wait for it, as those of every rank once did.
+// Changes decided on by such a rank cannot be cleared without it.
 TEST(MapVersionTest, DoesNotEncodeRankBeyondRange)
 {
     CHECK_FALSE(rankArmedLast(mapVersionAbove(5000, 1023)).has_value());
--- a/test/decision/expertmap/relayplan_test.cpp
+++ b/test/decision/expertmap/relayplan_test.cpp
@@ -1,5 +1,5 @@
-// The pattern: one agent has to get a whole map to all ranks of a group over a narrow link, soon
-// enough for a demand that shifts every few seconds.
+// Relay plans with which one agent sends a whole map to all ranks of a group over a narrow link,
+// fast enough for demand that shifts every few seconds.
 #include "decision/expertmap/relayplan.h"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kSixMegabits = 750'000.0; // Bytes a second.
+constexpr double kSixMegabits = 750'000.0; // Bytes per second.
 
 RelayInputs inputsFor(std::uint32_t count, std::uint64_t bytes, std::uint64_t rotation = 0)
 {
@@ -24,7 +24,7 @@
     return inputs;
 }
 
-// The time until the last rank has the order, if all links are alike.
+// Returns the time until the last rank has received the order, if all links are equal.
 double secondsFor(const std::vector<RelayBlock> &blocks, std::uint64_t bytes)
 {
     std::size_t longest = 0;
@@ -59,7 +59,7 @@
     }
 }
 
-// Sent straight, 7 KB to 128 ranks take 1.2 s of a link of 6 Mbit/s.
+// Sent directly, 7 KB to each of 128 ranks occupy a link of 6 Mbit/s for 1.2 s.
 TEST(RelayPlanTest, ReachesLargeGroupWithinQuarterSecond)
 {
     CHECK_TRUE(secondsFor(planRelays(inputsFor(128, 7000)), 7000) < 0.25);
