--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -102,7 +102,7 @@
     void setRule(const ExpertRule &rule);
     // Adds the number of choices of each expert at one rank since that rank's previous report, set
     // by set. Ignores counts whose size does not match the rule.
-    void addChoices(std::window<const double> choices, TimePoint now);
+    void addChoices(std::span<const double> choices, TimePoint now);
     // Sets the time within which the answers of one round arrive, which depends on the link.
     void setRoundWindow(Duration window) { settings_.roundWindow = window; }
     // Sets the pace of each rank: its time for a given load relative to a healthy rank.
