--- a/src/decision/expertmap/groupmembership.h
+++ b/src/decision/expertmap/groupmembership.h
@@ -65,8 +65,8 @@
 
     GroupId group_;
     Settings settings_;
-    std::map<InstanceId, std::optional<Position>>
-        positions_; // By listed engine; nullopt if unknown.
+    // By listed engine; nullopt if unknown.
+    std::map<InstanceId, std::optional<Position>> positions_;
 };
 
 } // namespace seamarch
