--- a/src/decision/expertmap/forwardedorders.cpp
+++ b/src/decision/expertmap/forwardedorders.cpp
@@ -5,7 +5,7 @@
 namespace seamarch {
 
 // Discards the state of an earlier epoch, because versions restart in every epoch.
-void ForwardedOrders::startEpoch(std::uint64_t epoch)
+void ForwardedOrders::enterEpoch(std::uint64_t epoch)
 {
     if (epoch > epoch_) {
         epoch_ = epoch;
@@ -17,7 +17,7 @@
 
 void ForwardedOrders::recordReport(std::uint64_t epoch, std::uint64_t prepared)
 {
-    startEpoch(epoch);
+    enterEpoch(epoch);
     if (epoch == epoch_) {
         engineReported_ = true;
         highestPrepared_ = std::max(highestPrepared_, prepared);
@@ -30,7 +30,7 @@
         return false;
     }
     fence_ = order.fence;
-    startEpoch(order.epoch);
+    enterEpoch(order.epoch);
     if (order.epoch < epoch_) {
         return true; // The engine refuses it, and it does not affect the recorded state.
     }
--- a/src/decision/expertmap/forwardedorders.h
+++ b/src/decision/expertmap/forwardedorders.h
@@ -43,7 +43,7 @@
     bool engineReported_ = false;       // The engine has reported in this epoch.
     std::uint64_t unarmedVersion_ = 0;  // Version of the last prepare until its arm.
 
-    void startEpoch(std::uint64_t epoch);
+    void enterEpoch(std::uint64_t epoch);
 };
 
 } // namespace seamarch
