--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -43,10 +43,10 @@
 
 // The loads of the ranks, together with the deltas of a tentative change. Evaluating a change only
 // visits the few ranks that hold its experts.
-class LoadTrial
+class TentativeLoads
 {
 public:
-    LoadTrial(std::vector<double> loads, RankPaces paces)
+    TentativeLoads(std::vector<double> loads, RankPaces paces)
         : loads_(std::move(loads))
         , paces_(paces)
         , deltas_(loads_.size(), 0.0)
@@ -310,7 +310,7 @@
     std::span<const double> shares_;
     PlacementBounds bounds_;
     double total_; // Sum of the shares.
-    LoadTrial trial_;
+    TentativeLoads trial_;
     std::vector<std::vector<std::size_t>> holders_; // The ranks that hold each expert.
     std::vector<std::uint32_t> newExperts_;
     std::uint32_t totalNew_ = 0;
