--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -113,7 +113,7 @@
         , shares_(shares)
         , bounds_(bounds)
         , total_(std::accumulate(shares.begin(), shares.end(), 0.0))
-        , trial_(rankLoads(current, shares, paces), paces)
+        , tentativeLoads_(rankLoads(current, shares, paces), paces)
         , holders_(shares.size())
         , newExperts_(current.size(), 0)
     {
@@ -148,7 +148,7 @@
 
     double skew() const
     {
-        const std::vector<double> &loads = trial_.loads();
+        const std::vector<double> &loads = tentativeLoads_.loads();
         return *std::max_element(loads.begin(), loads.end()) * static_cast<double>(loads.size())
                / total_;
     }
@@ -169,9 +169,9 @@
         const double before = shares_[expert] / count;
         const double after = shares_[expert] / (count + 1.0);
         for (const std::size_t rank : holders_[expert]) {
-            trial_.add(rank, after - before);
+            tentativeLoads_.add(rank, after - before);
         }
-        trial_.add(to, after);
+        tentativeLoads_.add(to, after);
     }
 
     void tryDrop(std::uint16_t expert, std::size_t from)
@@ -180,7 +180,7 @@
         const double before = shares_[expert] / count;
         const double after = shares_[expert] / (count - 1.0);
         for (const std::size_t rank : holders_[expert]) {
-            trial_.add(rank, rank == from ? -before : after - before);
+            tentativeLoads_.add(rank, rank == from ? -before : after - before);
         }
     }
 
@@ -195,8 +195,8 @@
                 shares_[change.expert] / static_cast<double>(holders_[change.expert].size());
             const double back =
                 shares_[*change.dropped] / static_cast<double>(holders_[*change.dropped].size());
-            trial_.add(*change.from, back - moved);
-            trial_.add(change.to, moved - back);
+            tentativeLoads_.add(*change.from, back - moved);
+            tentativeLoads_.add(change.to, moved - back);
             return;
         }
         tryReplica(change.expert, change.to);
@@ -208,7 +208,7 @@
     // Returns the `maxTargets` least loaded ranks, in ascending order of rank.
     const std::vector<std::size_t> &leastLoaded()
     {
-        const std::vector<double> &loads = trial_.loads();
+        const std::vector<double> &loads = tentativeLoads_.loads();
         const std::size_t count = std::min(bounds_.maxTargets, loads.size());
         targets_.resize(loads.size());
         std::iota(targets_.begin(), targets_.end(), std::size_t{0});
@@ -223,15 +223,15 @@
 
     std::optional<Change> findBestChange()
     {
-        const std::vector<double> &loads = trial_.loads();
+        const std::vector<double> &loads = tentativeLoads_.loads();
         const std::vector<std::size_t> &targets = leastLoaded();
         const auto mostLoaded =
             static_cast<std::size_t>(std::max_element(loads.begin(), loads.end()) - loads.begin());
         std::optional<Change> bestChange;
-        double bestRise = -trial_.objective() * kMinGain;
+        double bestRise = -tentativeLoads_.objective() * kMinGain;
         const auto consider = [&](const Change &change) {
             tryChange(change);
-            const double rise = trial_.evaluateAndReset();
+            const double rise = tentativeLoads_.evaluateAndReset();
             if (rise < bestRise) {
                 bestRise = rise;
                 bestChange = change;
@@ -290,7 +290,7 @@
     void apply(const Change &change)
     {
         tryChange(change);
-        trial_.commit();
+        tentativeLoads_.commit();
         if (change.removesReplica) {
             erase(change.to, change.expert);
             return;
@@ -310,7 +310,7 @@
     std::span<const double> shares_;
     PlacementBounds bounds_;
     double total_; // Sum of the shares.
-    TentativeLoads trial_;
+    TentativeLoads tentativeLoads_;
     std::vector<std::vector<std::size_t>> holders_; // The ranks that hold each expert.
     std::vector<std::uint32_t> newExperts_;
     std::uint32_t totalNew_ = 0;
