--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -163,7 +163,7 @@
     }
 
     // Adds another replica of `expert` on rank `to` to the tentative change.
-    void tryReplica(std::uint16_t expert, std::size_t to)
+    void stageReplica(std::uint16_t expert, std::size_t to)
     {
         const auto count = static_cast<double>(holders_[expert].size());
         const double before = shares_[expert] / count;
@@ -199,7 +199,7 @@
             tentativeLoads_.add(change.to, moved - back);
             return;
         }
-        tryReplica(change.expert, change.to);
+        stageReplica(change.expert, change.to);
         if (change.dropped) {
             tryDrop(*change.dropped, change.to);
         }
