--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -174,7 +174,7 @@
         tentativeLoads_.add(to, after);
     }
 
-    void tryDrop(std::uint16_t expert, std::size_t from)
+    void stageRemoval(std::uint16_t expert, std::size_t from)
     {
         const auto count = static_cast<double>(holders_[expert].size());
         const double before = shares_[expert] / count;
@@ -187,7 +187,7 @@
     void tryChange(const Change &change)
     {
         if (change.removesReplica) {
-            tryDrop(change.expert, change.to);
+            stageRemoval(change.expert, change.to);
             return;
         }
         if (change.from) {
@@ -201,7 +201,7 @@
         }
         stageReplica(change.expert, change.to);
         if (change.dropped) {
-            tryDrop(*change.dropped, change.to);
+            stageRemoval(*change.dropped, change.to);
         }
     }
 
