--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -184,7 +184,7 @@
         }
     }
 
-    void tryChange(const Change &change)
+    void stageChange(const Change &change)
     {
         if (change.removesReplica) {
             stageRemoval(change.expert, change.to);
@@ -230,7 +230,7 @@
         std::optional<Change> bestChange;
         double bestRise = -tentativeLoads_.objective() * kMinGain;
         const auto consider = [&](const Change &change) {
-            tryChange(change);
+            stageChange(change);
             const double rise = tentativeLoads_.evaluateAndReset();
             if (rise < bestRise) {
                 bestRise = rise;
@@ -289,7 +289,7 @@
 
     void apply(const Change &change)
     {
-        tryChange(change);
+        stageChange(change);
         tentativeLoads_.commit();
         if (change.removesReplica) {
             erase(change.to, change.expert);
