--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -103,11 +103,11 @@
     std::vector<std::size_t> changedRanks_;
 };
 
-class Search
+class PlacementSearch
 {
 public:
-    Search(const RankExperts &current, std::span<const double> shares,
-           const PlacementBounds &bounds, RankPaces paces)
+    PlacementSearch(const RankExperts &current, std::span<const double> shares,
+                    const PlacementBounds &bounds, RankPaces paces)
         : original_(current)
         , placement_(current)
         , shares_(shares)
@@ -351,7 +351,7 @@
 RankExperts improvePlacement(const RankExperts &current, std::span<const double> shares,
                              const PlacementBounds &bounds, RankPaces paces)
 {
-    RankExperts improved = Search(current, shares, bounds, paces).run();
+    RankExperts improved = PlacementSearch(current, shares, bounds, paces).run();
     return placementSkew(improved, shares, paces) < placementSkew(current, shares, paces) ? improved
                                                                                           : current;
 }
