--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -27,7 +27,7 @@
 // A change of the placement that puts `expert` on rank `to`. If `dropped` is set, it replaces that
 // expert there; if `from` is set as well, the two experts are swapped between `from` and `to`. If
 // `removesReplica` is set, the change only removes `expert` from `to`.
-struct Change
+struct PlacementChange
 {
     std::uint16_t expert = 0;
     std::size_t to = 0;
@@ -184,7 +184,7 @@
         }
     }
 
-    void stageChange(const Change &change)
+    void stageChange(const PlacementChange &change)
     {
         if (change.removesReplica) {
             stageRemoval(change.expert, change.to);
@@ -221,15 +221,15 @@
         return targets_;
     }
 
-    std::optional<Change> findBestChange()
+    std::optional<PlacementChange> findBestChange()
     {
         const std::vector<double> &loads = tentativeLoads_.loads();
         const std::vector<std::size_t> &targets = leastLoaded();
         const auto mostLoaded =
             static_cast<std::size_t>(std::max_element(loads.begin(), loads.end()) - loads.begin());
-        std::optional<Change> bestChange;
+        std::optional<PlacementChange> bestChange;
         double bestRise = -tentativeLoads_.objective() * kMinGain;
-        const auto consider = [&](const Change &change) {
+        const auto consider = [&](const PlacementChange &change) {
             stageChange(change);
             const double rise = tentativeLoads_.evaluateAndReset();
             if (rise < bestRise) {
@@ -239,7 +239,7 @@
         };
         for (const std::uint16_t expert : placement_[mostLoaded]) {
             if (holders_[expert].size() > 1) {
-                consider(Change{expert, mostLoaded, std::nullopt, std::nullopt, true});
+                consider(PlacementChange{expert, mostLoaded, std::nullopt, std::nullopt, true});
             }
             for (const std::size_t to : targets) {
                 if (to != mostLoaded && !holds(placement_, to, expert) && canReceive(to, expert)) {
@@ -254,14 +254,14 @@
     void considerMove(std::uint16_t expert, std::size_t from, std::size_t to, Consider consider)
     {
         if (placement_[to].size() < bounds_.maxExperts) {
-            consider(Change{expert, to, std::nullopt, std::nullopt, false});
+            consider(PlacementChange{expert, to, std::nullopt, std::nullopt, false});
         }
         for (const std::uint16_t other : placement_[to]) {
             if (holders_[other].size() > 1) {
-                consider(Change{expert, to, other, std::nullopt, false});
+                consider(PlacementChange{expert, to, other, std::nullopt, false});
             }
             if (!holds(placement_, from, other) && canReceive(from, other)) {
-                consider(Change{expert, to, other, from, false});
+                consider(PlacementChange{expert, to, other, from, false});
             }
         }
     }
@@ -287,7 +287,7 @@
         }
     }
 
-    void apply(const Change &change)
+    void apply(const PlacementChange &change)
     {
         stageChange(change);
         tentativeLoads_.commit();
