--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -615,7 +615,7 @@
 // know it.
 TEST(GroupDeciderTest, OvertakesUnknownFenceWithinFewAttempts)
 {
-    constexpr std::uint64_t kRemembered = 60ULL << 20U;
+    constexpr std::uint64_t kUnknownFence = 60ULL << 20U;
     constexpr int kMostTries = 10;
     GroupDecider decider(GroupDecider::Settings{});
     TimePoint now{std::chrono::seconds(10)};
@@ -628,7 +628,7 @@
         decider.propose(ExpertMap(1, RankExperts(kPair, {0})), now, orders);
         ++tries;
         for (const SendMapOrder &order : orders) {
-            accepted = order.order.fence > kRemembered;
+            accepted = order.order.fence > kUnknownFence;
             decider.onAnswer(order.rank, order.order,
                              accepted ? MapOrderAnswer::Done : MapOrderAnswer::Fenced, now);
         }
