--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -616,12 +616,12 @@
 TEST(GroupDeciderTest, OvertakesUnknownFenceWithinFewAttempts)
 {
     constexpr std::uint64_t kUnknownFence = 60ULL << 20U;
-    constexpr int kMostTries = 10;
+    constexpr int kMaxAttempts = 10;
     GroupDecider decider(GroupDecider::Settings{});
     TimePoint now{std::chrono::seconds(10)};
     int tries = 0;
     bool accepted = false;
-    while (!accepted && tries <= kMostTries) {
+    while (!accepted && tries <= kMaxAttempts) {
         now += std::chrono::milliseconds(100);
         reportPair(decider, now, std::nullopt);
         MapOrders orders;
