--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -619,14 +619,14 @@
     constexpr int kMaxAttempts = 10;
     GroupDecider decider(GroupDecider::Settings{});
     TimePoint now{std::chrono::seconds(10)};
-    int tries = 0;
+    int attempts = 0;
     bool accepted = false;
-    while (!accepted && tries <= kMaxAttempts) {
+    while (!accepted && attempts <= kMaxAttempts) {
         now += std::chrono::milliseconds(100);
         reportPair(decider, now, std::nullopt);
         MapOrders orders;
         decider.propose(ExpertMap(1, RankExperts(kPair, {0})), now, orders);
-        ++tries;
+        ++attempts;
         for (const SendMapOrder &order : orders) {
             accepted = order.order.fence > kUnknownFence;
             decider.onAnswer(order.rank, order.order,
