--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -111,7 +111,10 @@
         events_.push({now_ + delay, ++order_, std::move(action)});
     }
 
-    bool chance(double part) { return std::uniform_real_distribution<double>()(random_) < part; }
+    bool chance(double probability)
+    {
+        return std::uniform_real_distribution<double>()(random_) < probability;
+    }
     Duration between(int low, int high)
     {
         return std::chrono::milliseconds(std::uniform_int_distribution<int>(low, high)(random_));
