--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -106,7 +106,7 @@
         }
     };
 
-    void after(Duration delay, std::function<void()> action)
+    void schedule(Duration delay, std::function<void()> action)
     {
         events_.push({now_ + delay, ++order_, std::move(action)});
     }
@@ -149,12 +149,12 @@
             action();
             return;
         }
-        after(frozenUntil_[rank] - now_, [this, rank, action] { onMachine(rank, action); });
+        schedule(frozenUntil_[rank] - now_, [this, rank, action] { onMachine(rank, action); });
     }
 
     void schedulePass()
     {
-        after(between(30, 90), [this] {
+        schedule(between(30, 90), [this] {
             pass();
             schedulePass();
         });
@@ -249,7 +249,7 @@
     void copy(Engine &engine, std::uint64_t version)
     {
         const std::uint64_t epoch = epoch_;
-        after(between(100, 600), [this, &engine, version, epoch] {
+        schedule(between(100, 600), [this, &engine, version, epoch] {
             if (epoch == epoch_ && engine.highest == version) {
                 engine.prepared = version;
             }
@@ -273,7 +273,7 @@
                 scheduleAnswer(from, action, MapOrderAnswer::Fenced);
                 return;
             }
-            after(atEngine, [this, from, action, lostAnswer] {
+            schedule(atEngine, [this, from, action, lostAnswer] {
                 MapOrderAnswer answer = execute(engines_[action.rank], action.order);
                 if (lostAnswer) {
                     const bool arm = action.order.kind == MapOrderKind::Arm;
@@ -284,7 +284,7 @@
                 scheduleAnswer(from, action, answer);
             });
         };
-        after(atAgent, [this, action, handOver] { onMachine(action.rank, handOver); });
+        schedule(atAgent, [this, action, handOver] { onMachine(action.rank, handOver); });
         if (late && fault_ == InjectedFault::LostArmsReportedDone
             && action.order.kind == MapOrderKind::Arm) {
             deciders_[from]->onAnswer(action.rank, action.order, MapOrderAnswer::Done, now_);
@@ -306,21 +306,21 @@
     {
         const bool prepareStarted =
             action.order.kind == MapOrderKind::Prepare && answer == MapOrderAnswer::Done;
-        after(prepareStarted ? between(1, 400) : between(1, 15),
-              [this, from, action, answer, prepareStarted] {
-                  const bool copied = prepareStarted && action.order.epoch == epoch_
-                                      && engines_[action.rank].prepared == action.order.version;
-                  const MapOrderAnswer finalAnswer = copied ? MapOrderAnswer::Copied : answer;
-                  onMachine(from, [this, from, action, finalAnswer] {
-                      deciders_[from]->onAnswer(action.rank, action.order, finalAnswer, now_);
-                  });
-              });
+        schedule(prepareStarted ? between(1, 400) : between(1, 15),
+                 [this, from, action, answer, prepareStarted] {
+                     const bool copied = prepareStarted && action.order.epoch == epoch_
+                                         && engines_[action.rank].prepared == action.order.version;
+                     const MapOrderAnswer finalAnswer = copied ? MapOrderAnswer::Copied : answer;
+                     onMachine(from, [this, from, action, finalAnswer] {
+                         deciders_[from]->onAnswer(action.rank, action.order, finalAnswer, now_);
+                     });
+                 });
     }
 
     void scheduleTicks()
     {
         for (std::uint32_t rank = 0; rank < 2; ++rank) {
-            after(between(1, 50), [this, rank] { tick(rank); });
+            schedule(between(1, 50), [this, rank] { tick(rank); });
         }
     }
 
@@ -329,8 +329,8 @@
     void tick(std::uint32_t rank)
     {
         const Duration pause = faults_ && chance(0.01) ? between(1000, 5000) : Duration{};
-        after(between(40, 60) + pause,
-              [this, rank] { onMachine(rank, [this, rank] { tick(rank); }); });
+        schedule(between(40, 60) + pause,
+                 [this, rank] { onMachine(rank, [this, rank] { tick(rank); }); });
         if (faults_ && chance(0.005)) {
             restartAgent(rank);
         }
@@ -401,7 +401,7 @@
         }
         report.unarmedVersion = of == to ? agents_[of].unarmedVersion(epoch_) : 0;
         const TimePoint askedAt = now_;
-        after(between(1, faults_ ? 80 : 10), [this, to, report, askedAt] {
+        schedule(between(1, faults_ ? 80 : 10), [this, to, report, askedAt] {
             onMachine(to, [this, to, report, askedAt] {
                 deciders_[to]->onReport(report, askedAt, now_);
             });
