--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -115,7 +115,7 @@
     {
         return std::uniform_real_distribution<double>()(random_) < probability;
     }
-    Duration between(int low, int high)
+    Duration randomDelay(int low, int high)
     {
         return std::chrono::milliseconds(std::uniform_int_distribution<int>(low, high)(random_));
     }
@@ -154,7 +154,7 @@
 
     void schedulePass()
     {
-        schedule(between(30, 90), [this] {
+        schedule(randomDelay(30, 90), [this] {
             pass();
             schedulePass();
         });
@@ -249,7 +249,7 @@
     void copy(Engine &engine, std::uint64_t version)
     {
         const std::uint64_t epoch = epoch_;
-        schedule(between(100, 600), [this, &engine, version, epoch] {
+        schedule(randomDelay(100, 600), [this, &engine, version, epoch] {
             if (epoch == epoch_ && engine.highest == version) {
                 engine.prepared = version;
             }
@@ -265,9 +265,9 @@
         const bool bypassesAgent = action.route == OrderRoute::EngineOnly
                                    || (action.route == OrderRoute::Any && faults_ && chance(0.05));
         const bool lostAnswer = late || (faults_ && chance(0.1));
-        const Duration lateness = between(2000, 6000);
-        const Duration atAgent = lateAtAgent ? lateness : between(1, 8);
-        const Duration atEngine = late && !lateAtAgent ? lateness : between(0, 7);
+        const Duration lateness = randomDelay(2000, 6000);
+        const Duration atAgent = lateAtAgent ? lateness : randomDelay(1, 8);
+        const Duration atEngine = late && !lateAtAgent ? lateness : randomDelay(0, 7);
         const auto handOver = [this, from, action, lostAnswer, bypassesAgent, atEngine] {
             if (!bypassesAgent && !forwardThroughAgent(action)) {
                 scheduleAnswer(from, action, MapOrderAnswer::Fenced);
@@ -306,7 +306,7 @@
     {
         const bool prepareStarted =
             action.order.kind == MapOrderKind::Prepare && answer == MapOrderAnswer::Done;
-        schedule(prepareStarted ? between(1, 400) : between(1, 15),
+        schedule(prepareStarted ? randomDelay(1, 400) : randomDelay(1, 15),
                  [this, from, action, answer, prepareStarted] {
                      const bool copied = prepareStarted && action.order.epoch == epoch_
                                          && engines_[action.rank].prepared == action.order.version;
@@ -320,7 +320,7 @@
     void scheduleTicks()
     {
         for (std::uint32_t rank = 0; rank < 2; ++rank) {
-            schedule(between(1, 50), [this, rank] { tick(rank); });
+            schedule(randomDelay(1, 50), [this, rank] { tick(rank); });
         }
     }
 
@@ -328,8 +328,8 @@
     // map.
     void tick(std::uint32_t rank)
     {
-        const Duration pause = faults_ && chance(0.01) ? between(1000, 5000) : Duration{};
-        schedule(between(40, 60) + pause,
+        const Duration pause = faults_ && chance(0.01) ? randomDelay(1000, 5000) : Duration{};
+        schedule(randomDelay(40, 60) + pause,
                  [this, rank] { onMachine(rank, [this, rank] { tick(rank); }); });
         if (faults_ && chance(0.005)) {
             restartAgent(rank);
@@ -368,7 +368,7 @@
         if (succession_ && rank == 0 && holds && freezeAtHold_ > Duration{}) {
             freeze(rank, std::exchange(freezeAtHold_, Duration{}));
         } else if (faults_ && chance(holds || arms ? 0.1 : 0.002)) {
-            freeze(rank, between(500, 5000));
+            freeze(rank, randomDelay(500, 5000));
         }
     }
 
@@ -401,7 +401,7 @@
         }
         report.unarmedVersion = of == to ? agents_[of].unarmedVersion(epoch_) : 0;
         const TimePoint askedAt = now_;
-        schedule(between(1, faults_ ? 80 : 10), [this, to, report, askedAt] {
+        schedule(randomDelay(1, faults_ ? 80 : 10), [this, to, report, askedAt] {
             onMachine(to, [this, to, report, askedAt] {
                 deciders_[to]->onReport(report, askedAt, now_);
             });
