--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -545,15 +545,15 @@
 
 namespace {
 
-constexpr std::uint32_t kPair = 2;
+constexpr std::uint32_t kTwoRanks = 2;
 
 // Reports the state of both ranks of a group of two, at `now`.
 void reportPair(GroupDecider &decider, TimePoint now, std::optional<std::uint64_t> heldByFirst)
 {
-    for (std::uint32_t rank = 0; rank < kPair; ++rank) {
+    for (std::uint32_t rank = 0; rank < kTwoRanks; ++rank) {
         RankReport report;
         report.rank = rank;
-        report.ranks = kPair;
+        report.ranks = kTwoRanks;
         report.epoch = 1;
         report.open = true;
         report.step = 7;
@@ -570,7 +570,7 @@
 void prepareBoth(GroupDecider &decider, TimePoint now, MapOrderAnswer answer)
 {
     MapOrders orders;
-    CHECK_TRUE(decider.propose(ExpertMap(1, RankExperts(kPair, {0})), now, orders).has_value());
+    CHECK_TRUE(decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), now, orders).has_value());
     for (const SendMapOrder &order : orders) {
         decider.onAnswer(order.rank, order.order, answer, now);
     }
@@ -600,12 +600,12 @@
     GroupDecider decider(GroupDecider::Settings{});
     reportPair(decider, asked, std::nullopt);
     MapOrders orders;
-    decider.propose(ExpertMap(1, RankExperts(kPair, {0})), asked, orders);
+    decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), asked, orders);
     const TimePoint answered = asked + std::chrono::milliseconds(30);
     decider.onAnswer(0, orders.at(0).order, MapOrderAnswer::Copied, answered);
     RankReport early;
     early.rank = 0;
-    early.ranks = kPair;
+    early.ranks = kTwoRanks;
     early.epoch = 1;
     early.open = true;
     early.step = 7;
@@ -628,7 +628,7 @@
         now += std::chrono::milliseconds(100);
         reportPair(decider, now, std::nullopt);
         MapOrders orders;
-        decider.propose(ExpertMap(1, RankExperts(kPair, {0})), now, orders);
+        decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), now, orders);
         ++attempts;
         for (const SendMapOrder &order : orders) {
             accepted = order.order.fence > kUnknownFence;
@@ -647,7 +647,7 @@
     const TimePoint now{std::chrono::seconds(10)};
     reportPair(decider, now, std::nullopt);
     MapOrders orders;
-    decider.propose(ExpertMap(1, RankExperts(kPair, {0})), now, orders);
+    decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), now, orders);
     CHECK_TRUE(orders.at(0).order.fence > settings.fenceFloor);
     CHECK_TRUE(orders.at(0).order.fence < (1ULL << 53U));
 }
