--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -675,17 +675,17 @@
 
 namespace {
 
-constexpr std::uint32_t kTrio = 3;
+constexpr std::uint32_t kThreeRanks = 3;
 
 // Reports the state of three ranks at `now`. The report of rank `byEngine` comes from its engine,
 // the others from their agents.
 void reportTrio(GroupDecider &decider, TimePoint now, std::uint64_t prepared,
                 std::optional<std::uint32_t> byEngine = std::nullopt)
 {
-    for (std::uint32_t rank = 0; rank < kTrio; ++rank) {
+    for (std::uint32_t rank = 0; rank < kThreeRanks; ++rank) {
         RankReport report;
         report.rank = rank;
-        report.ranks = kTrio;
+        report.ranks = kThreeRanks;
         report.epoch = 1;
         report.open = true;
         report.step = 7;
@@ -700,7 +700,7 @@
 {
     reportTrio(decider, now, 0, byEngine);
     MapOrders orders;
-    const auto version = decider.propose(ExpertMap(1, RankExperts(kTrio, {0})), now, orders);
+    const auto version = decider.propose(ExpertMap(1, RankExperts(kThreeRanks, {0})), now, orders);
     CHECK_TRUE(version.has_value());
     reportTrio(decider, now + std::chrono::milliseconds(1), *version, byEngine);
     MapOrders hold;
@@ -748,7 +748,7 @@
     const TimePoint now{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
     const MapOrders arms = firstArms(decider, now, 2);
-    LONGS_EQUAL(kTrio, arms.size());
+    LONGS_EQUAL(kThreeRanks, arms.size());
     CHECK_FALSE(rankArmedLast(arms.at(0).order.version).has_value());
     CHECK_TRUE(arms.at(0).route == OrderRoute::Any);
 }
