--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -548,7 +548,7 @@
 constexpr std::uint32_t kTwoRanks = 2;
 
 // Reports the state of both ranks of a group of two, at `now`.
-void reportPair(GroupDecider &decider, TimePoint now, std::optional<std::uint64_t> heldByFirst)
+void reportTwoRanks(GroupDecider &decider, TimePoint now, std::optional<std::uint64_t> heldByFirst)
 {
     for (std::uint32_t rank = 0; rank < kTwoRanks; ++rank) {
         RankReport report;
@@ -584,12 +584,12 @@
 {
     TimePoint now{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
-    reportPair(decider, now, std::nullopt);
+    reportTwoRanks(decider, now, std::nullopt);
     prepareBoth(decider, now, MapOrderAnswer::Done);
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Preparing);
 
     GroupDecider sooner(GroupDecider::Settings{});
-    reportPair(sooner, now, std::nullopt);
+    reportTwoRanks(sooner, now, std::nullopt);
     prepareBoth(sooner, now, MapOrderAnswer::Copied);
     CHECK_TRUE(sooner.phase() == GroupDecider::Phase::Holding);
 }
@@ -598,7 +598,7 @@
 {
     const TimePoint asked{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
-    reportPair(decider, asked, std::nullopt);
+    reportTwoRanks(decider, asked, std::nullopt);
     MapOrders orders;
     decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), asked, orders);
     const TimePoint answered = asked + std::chrono::milliseconds(30);
@@ -626,7 +626,7 @@
     bool accepted = false;
     while (!accepted && attempts <= kMaxAttempts) {
         now += std::chrono::milliseconds(100);
-        reportPair(decider, now, std::nullopt);
+        reportTwoRanks(decider, now, std::nullopt);
         MapOrders orders;
         decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), now, orders);
         ++attempts;
@@ -645,7 +645,7 @@
     settings.fenceFloor = 17'000'000'000; // Tenths of a second since 1970; a date in 2023.
     GroupDecider decider(settings);
     const TimePoint now{std::chrono::seconds(10)};
-    reportPair(decider, now, std::nullopt);
+    reportTwoRanks(decider, now, std::nullopt);
     MapOrders orders;
     decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), now, orders);
     CHECK_TRUE(orders.at(0).order.fence > settings.fenceFloor);
@@ -661,14 +661,14 @@
     settings.ownRank = 1;
     settings.predecessorLastSeenAt = now - settings.foreignTimeout;
     GroupDecider decider(settings);
-    reportPair(decider, now, 8);
+    reportTwoRanks(decider, now, 8);
     MapOrders orders;
     decider.onTick(now, orders);
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 
     settings.predecessorLastSeenAt.reset();
     GroupDecider waiting(settings);
-    reportPair(waiting, now, 8);
+    reportTwoRanks(waiting, now, 8);
     waiting.onTick(now, orders);
     CHECK_TRUE(waiting.phase() == GroupDecider::Phase::Idle);
 }
