--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -679,8 +679,8 @@
 
 // Reports the state of three ranks at `now`. The report of rank `byEngine` comes from its engine,
 // the others from their agents.
-void reportTrio(GroupDecider &decider, TimePoint now, std::uint64_t prepared,
-                std::optional<std::uint32_t> byEngine = std::nullopt)
+void reportThreeRanks(GroupDecider &decider, TimePoint now, std::uint64_t prepared,
+                      std::optional<std::uint32_t> byEngine = std::nullopt)
 {
     for (std::uint32_t rank = 0; rank < kThreeRanks; ++rank) {
         RankReport report;
@@ -698,11 +698,11 @@
 // Runs a change up to the arming phase, and returns the first arms.
 MapOrders firstArms(GroupDecider &decider, TimePoint now, std::optional<std::uint32_t> byEngine)
 {
-    reportTrio(decider, now, 0, byEngine);
+    reportThreeRanks(decider, now, 0, byEngine);
     MapOrders orders;
     const auto version = decider.propose(ExpertMap(1, RankExperts(kThreeRanks, {0})), now, orders);
     CHECK_TRUE(version.has_value());
-    reportTrio(decider, now + std::chrono::milliseconds(1), *version, byEngine);
+    reportThreeRanks(decider, now + std::chrono::milliseconds(1), *version, byEngine);
     MapOrders hold;
     decider.onTick(now, hold);
     LONGS_EQUAL(1, hold.size());
