--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -251,18 +251,19 @@
     // Takes a step in every generation in which all ranks can step.
     void stepAll()
     {
-        for (std::size_t lead = 0; lead < ranks_.size(); ++lead) {
-            if (ranks_[lead]->rank != 0 || !isRunning(*ranks_[lead])) {
+        for (std::size_t leader = 0; leader < ranks_.size(); ++leader) {
+            if (ranks_[leader]->rank != 0 || !isRunning(*ranks_[leader])) {
                 continue;
             }
             std::vector<std::size_t> group;
             for (std::size_t index = 0; index < ranks_.size(); ++index) {
                 const Rank &each = *ranks_[index];
-                const Generation &generation = ranks_[lead]->participant.generation();
-                const bool member = each.rank < generation.size()
-                                    && generation[each.rank] == each.incarnation && isRunning(each)
-                                    && each.participant.generation() == generation && canStep(each)
-                                    && each.participant.step() == ranks_[lead]->participant.step();
+                const Generation &generation = ranks_[leader]->participant.generation();
+                const bool member =
+                    each.rank < generation.size() && generation[each.rank] == each.incarnation
+                    && isRunning(each) && each.participant.generation() == generation
+                    && canStep(each)
+                    && each.participant.step() == ranks_[leader]->participant.step();
                 if (member) {
                     group.push_back(index);
                 }
