--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -218,9 +218,9 @@
         if (chance(0.003)) {
             // The new incarnation starts while the old one may still run, or resume after a pause.
             const auto rank = static_cast<std::uint32_t>(pick(kRanks));
-            for (const auto &each : ranks_) {
-                if (each->rank == rank && chance(0.5)) {
-                    each->dead = true;
+            for (const auto &other : ranks_) {
+                if (other->rank == rank && chance(0.5)) {
+                    other->dead = true;
                 }
             }
             start(rank);
@@ -257,13 +257,13 @@
             }
             std::vector<std::size_t> group;
             for (std::size_t index = 0; index < ranks_.size(); ++index) {
-                const Rank &each = *ranks_[index];
+                const Rank &other = *ranks_[index];
                 const Generation &generation = ranks_[leader]->participant.generation();
                 const bool member =
-                    each.rank < generation.size() && generation[each.rank] == each.incarnation
-                    && isRunning(each) && each.participant.generation() == generation
-                    && canStep(each)
-                    && each.participant.step() == ranks_[leader]->participant.step();
+                    other.rank < generation.size() && generation[other.rank] == other.incarnation
+                    && isRunning(other) && other.participant.generation() == generation
+                    && canStep(other)
+                    && other.participant.step() == ranks_[leader]->participant.step();
                 if (member) {
                     group.push_back(index);
                 }
