--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -98,7 +98,7 @@
         return std::uniform_int_distribution<std::size_t>(0, size - 1)(random_);
     }
 
-    Duration delay(int lowMs, int highMs)
+    Duration randomDelay(int lowMs, int highMs)
     {
         return std::chrono::milliseconds(
             std::uniform_int_distribution<int>(lowMs, highMs)(random_));
@@ -125,11 +125,12 @@
             if (const auto *send = std::get_if<SendToRank>(&action)) {
                 sendTo(index, send->to, send->message);
             } else if (const auto *load = std::get_if<LoadMap>(&action)) {
-                events_.push_back({now_ + delay(10, 300), index, [this, index, map = load->map] {
-                                       GroupActions next;
-                                       ranks_[index]->participant.onLoaded(map, next);
-                                       execute(index, next);
-                                   }});
+                events_.push_back(
+                    {now_ + randomDelay(10, 300), index, [this, index, map = load->map] {
+                         GroupActions next;
+                         ranks_[index]->participant.onLoaded(map, next);
+                         execute(index, next);
+                     }});
             } else if (std::holds_alternative<ActivateMap>(action)) {
                 ++switches_;
             }
@@ -150,7 +151,7 @@
             }
             const int copies = chance(0.05) ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy) {
-                const Duration wait = chance(0.05) ? delay(50, 3000) : delay(1, 30);
+                const Duration wait = chance(0.05) ? randomDelay(50, 3000) : randomDelay(1, 30);
                 events_.push_back(
                     {now_ + wait, index, [this, index, message] { receive(index, message); }});
             }
@@ -213,7 +214,7 @@
     {
         if (chance(0.005)) {
             const std::size_t index = pick(ranks_.size());
-            ranks_[index]->pausedUntil = now_ + delay(100, 6000);
+            ranks_[index]->pausedUntil = now_ + randomDelay(100, 6000);
         }
         if (chance(0.003)) {
             // The new incarnation starts while the old one may still run, or resume after a pause.
@@ -226,7 +227,7 @@
             start(rank);
         }
         if (chance(0.003)) {
-            partitionedUntil_ = now_ + delay(100, 4000);
+            partitionedUntil_ = now_ + randomDelay(100, 4000);
             partitionRank_ = 1 + static_cast<std::uint32_t>(pick(kRanks - 1));
         }
     }
