--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -151,9 +151,9 @@
             }
             const int copies = chance(0.05) ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy) {
-                const Duration wait = chance(0.05) ? randomDelay(50, 3000) : randomDelay(1, 30);
+                const Duration delay = chance(0.05) ? randomDelay(50, 3000) : randomDelay(1, 30);
                 events_.push_back(
-                    {now_ + wait, index, [this, index, message] { receive(index, message); }});
+                    {now_ + delay, index, [this, index, message] { receive(index, message); }});
             }
         }
     }
