--- a/test/decision/expertmap/relayplan_test.cpp
+++ b/test/decision/expertmap/relayplan_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kSixMegabits = 750'000.0; // Bytes per second.
+constexpr double kLinkBytesPerSecond = 750'000.0; // Bytes per second.
 
 RelayInputs inputsFor(std::uint32_t count, std::uint64_t bytes, std::uint64_t rotation = 0)
 {
@@ -19,7 +19,7 @@
     inputs.ranks.resize(count);
     std::iota(inputs.ranks.begin(), inputs.ranks.end(), 1U);
     inputs.orderBytes = bytes;
-    inputs.linkBytesPerSecond = kSixMegabits;
+    inputs.linkBytesPerSecond = kLinkBytesPerSecond;
     inputs.rotation = rotation;
     return inputs;
 }
@@ -31,7 +31,7 @@
     for (const RelayBlock &block : blocks) {
         longest = std::max(longest, block.size() - 1);
     }
-    return static_cast<double>((blocks.size() + longest) * bytes) / kSixMegabits;
+    return static_cast<double>((blocks.size() + longest) * bytes) / kLinkBytesPerSecond;
 }
 
 } // namespace
