--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -64,12 +64,12 @@
 // Adds choices distributed like `shares` and ends their rounds, from `from` to `to` (milliseconds).
 void feedChoices(ExpertPlanner &planner, const std::vector<double> &shares, int from, int to)
 {
-    constexpr double kPerPeriod = 10'000.0; // Choices of one rank.
+    constexpr double kChoicesPerRound = 10'000.0; // Choices of one rank.
     for (int time = from; time < to; time += 200) {
         for (std::uint32_t rank = 0; rank < kRanks; ++rank) {
             std::vector<double> choices;
             for (const double share : shares) {
-                choices.push_back(std::floor(share * kPerPeriod));
+                choices.push_back(std::floor(share * kChoicesPerRound));
             }
             planner.addChoices(choices, at(time));
         }
