--- a/src/decision/expertmap/collectionplan.h
+++ b/src/decision/expertmap/collectionplan.h
@@ -22,6 +22,7 @@
 
 namespace seamarch {
 
+// The size of a group and the bandwidth of its decider's link.
 struct CollectionInputs
 {
     std::uint32_t ranks = 0;       // Number of ranks in the group.
@@ -29,6 +30,7 @@
     double linkBytesPerSecond = 0; // Bandwidth of the decider's own link.
 };
 
+// Poll intervals and sample size for the reports and counts of a group.
 struct CollectionPlan
 {
     Duration reportInterval{};      // Between two reports of one rank.
--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -103,6 +103,7 @@
     std::vector<std::size_t> changedRanks_;
 };
 
+// A greedy search for a better placement of one set.
 class PlacementSearch
 {
 public:
@@ -174,6 +175,7 @@
         tentativeLoads_.add(to, after);
     }
 
+    // Adds the removal of `expert` from rank `from` to the tentative change.
     void stageRemoval(std::uint16_t expert, std::size_t from)
     {
         const auto count = static_cast<double>(holders_[expert].size());
--- a/src/decision/expertmap/evenplacement.h
+++ b/src/decision/expertmap/evenplacement.h
@@ -23,6 +23,7 @@
 // The experts of each rank, in ascending order.
 using RankExperts = std::vector<std::vector<std::uint16_t>>;
 
+// Limits of a search for a better placement.
 struct PlacementBounds
 {
     std::uint32_t maxExperts = 0;    // Maximum number of experts on a rank.
--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -53,7 +53,7 @@
 }
 
 // Raises the fence above all known fences. If another decider has overtaken it, the increment
-// doubles each time, because the distance to the unknown higher fence is not known.
+// doubles each time, because the distance to the higher fence is unknown.
 void GroupDecider::raiseFence(bool overtaken)
 {
     std::uint64_t highest = std::max(fence_, settings_.fenceFloor * kFenceStride);
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -54,7 +54,7 @@
     std::uint32_t rank = 0;
     std::uint32_t ranks = 0;
     std::uint64_t epoch = 0;
-    bool open = false;
+    bool open = false;                 // Whether the group accepts requests.
     std::uint64_t step = 0;            // The last step that has begun.
     std::uint64_t map = 0;             // Version in use; zero for the first map of an epoch.
     std::uint64_t prepared = 0;        // Last version whose experts are copied, or zero.
@@ -71,8 +71,10 @@
     bool byAgent = true; // Sent by the agent beside the rank, otherwise by the engine itself.
 };
 
+// The kinds of orders; see the protocol above.
 enum class MapOrderKind : std::uint16_t { Prepare, Arm, Disarm, Hold, Go };
 
+// An order of a decider to the engine of one rank.
 struct MapOrder
 {
     MapOrderKind kind = MapOrderKind::Prepare;
@@ -120,9 +122,9 @@
         GroupId group; // Reports of other groups are ignored.
         std::uint32_t ownRank = 0;
         std::uint64_t seed = 0;
-        // Fences start above this number of strides. Should be derived from a clock, because
-        // engines remember the fences of earlier deciders and the agents that knew them may be gone
-        // as well.
+        // Lower bound of the fences, in units of 2^18. Should be derived from a clock, because
+        // engines remember the fences of earlier deciders, and the agents that knew them may be
+        // gone as well.
         std::uint64_t fenceFloor = 0;
         // Time of the last contact with the previous decider, if any. `foreignTimeout` for arms and
         // holds that it has left runs from then.
@@ -131,9 +133,9 @@
         // `defaultMarginPasses` ahead while the pass time is unknown. The hold, the arms and their
         // answers take some ten milliseconds, and more in a large group. A lead that is too short
         // pauses the group and thereby every stream; a long one only keeps the old map in use. The
-        // lead grows with the group until arms have been measured. After that, it is
-        // `leadPerArmTime` times the longest of the last `maxArmTimes` measurements, but at least
-        // `lead`.
+        // lead is `lead` plus `leadPerRank` for each rank until arms have been measured. After
+        // that, it is `leadPerArmTime` times the longest of the last `maxArmTimes` measurements,
+        // bounded by `lead` and the initial value.
         std::uint64_t defaultMarginPasses = 2;
         Duration lead = std::chrono::milliseconds(120);
         Duration leadPerRank = std::chrono::milliseconds(3);
@@ -151,7 +153,8 @@
         // Resend interval of prepares; long, because a prepare is large and is answered only once
         // its experts are copied or the copying takes long.
         Duration prepareResendInterval = std::chrono::milliseconds(800);
-        // Delay before a refused hold is placed at a later step.
+        // Delay before a hold is sent again whose step had already begun or whose fence was too
+        // low.
         Duration holdRetryDelay = std::chrono::milliseconds(50);
         // Timeout of the prepare phase. Copying takes one to two seconds; a rank that is not done
         // after this time would delay the change.
@@ -161,8 +164,8 @@
         Duration armTimeout = std::chrono::milliseconds(1500);
         // Time for which a report counts as current, unless setReportTtl() sets another value.
         Duration reportTtl = std::chrono::milliseconds(700);
-        // Arms and holds of other deciders are cleared after this time, because their decider may
-        // still be working on them.
+        // Time after which unresolved arms and holds of other deciders are cleared. Until then,
+        // their decider may still be working on them.
         Duration foreignTimeout = std::chrono::milliseconds(1200);
         // The same timeout if all ranks answer except that of their decider. It is short, because
         // that rank was already silent for longer before another agent took over the role, and a
@@ -182,6 +185,7 @@
         Foreign,      // Another decider has armed a map or holds a step.
     };
 
+    // The phase of the current change or clearing.
     enum class Phase { Idle, Preparing, Holding, Arming, Clearing, Releasing };
 
     explicit GroupDecider(const Settings &settings);
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -98,7 +98,7 @@
 using GroupAction = std::variant<SendToRank, LoadMap, ActivateMap, ReleaseMap>;
 using GroupActions = std::vector<GroupAction>;
 
-// The protocol state of one rank.
+// The state machine of one rank in the protocol above.
 class MapSwitchParticipant
 {
 public:
--- a/src/decision/expertmap/relayplan.h
+++ b/src/decision/expertmap/relayplan.h
@@ -16,6 +16,7 @@
 
 namespace seamarch {
 
+// The recipients and the size of an order, and the bandwidth of the links.
 struct RelayInputs
 {
     std::vector<std::uint32_t> ranks; // Recipients whose agents answer.
