--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -1,5 +1,5 @@
 // Changes the expert map of a group of ranks whose engines accept orders, such that no pass ever
-// runs with two different maps.
+// runs with two different maps. Passes are numbered; a *step* is the number of a pass.
 //
 // The engines do not compare maps: a rank switches to an armed map when the armed step begins,
 // regardless of the other ranks. The ranks are kept consistent by a *hold*: while any rank holds a
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -44,6 +44,8 @@
     std::uint64_t fence = 0;
 };
 
+// A group of engines and their agents in simulated time. The agents of ranks 0 and 1 act as
+// deciders.
 class GroupSimulation
 {
 public:
