--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -97,8 +97,8 @@
         : settings_(settings)
     {}
 
-    // Sets the dimensions and limits of the map. Discards the history if the number of experts
-    // changes.
+    // Sets the dimensions and limits of the map. Discards the history if the number of sets or
+    // experts changes.
     void setRule(const ExpertRule &rule);
     // Adds the number of choices of each expert at one rank since that rank's previous report, set
     // by set. Ignores counts whose size does not match the rule.
--- a/src/decision/expertmap/mapswitchparticipant.h
+++ b/src/decision/expertmap/mapswitchparticipant.h
@@ -117,6 +117,8 @@
     // formed.
     explicit MapSwitchParticipant(const Settings &settings);
 
+    // Handles a message of a peer and appends the resulting actions to `actions`, as all handlers
+    // do.
     void onMessage(const GroupMessage &message, TimePoint now, GroupActions &actions);
     // Handles completion of a LoadMap action.
     void onLoaded(const MapFence &map, GroupActions &actions);
