--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -8,10 +8,11 @@
 namespace seamarch {
 namespace {
 
-constexpr double kMostParts = std::numeric_limits<std::uint8_t>::max();
+constexpr double kMaxQuantized = std::numeric_limits<std::uint8_t>::max();
 
-// Returns what was chosen from `earlier` to `later`; nothing when the engine has started anew.
-std::vector<std::uint64_t> difference(const std::vector<std::uint64_t> &earlier,
+// Returns the choices between `earlier` and `later`. Returns an empty vector if the sizes differ or
+// a count has decreased because the engine has restarted.
+std::vector<std::uint64_t> countDelta(const std::vector<std::uint64_t> &earlier,
                                       const std::vector<std::uint64_t> &later)
 {
     if (earlier.size() != later.size()) {
@@ -27,60 +28,62 @@
     return chosen;
 }
 
-void pack(const std::vector<std::uint64_t> &chosen, ChoiceCounts &counts)
+void quantize(const std::vector<std::uint64_t> &chosen, ChoiceCounts &counts)
 {
-    counts.parts.reserve(chosen.size());
-    for (std::size_t begin = 0; begin < chosen.size(); begin += ChoiceCounts::kBlock) {
-        const std::size_t end = std::min(begin + ChoiceCounts::kBlock, chosen.size());
-        std::uint64_t most = 1;
+    counts.quantized.reserve(chosen.size());
+    for (std::size_t begin = 0; begin < chosen.size(); begin += ChoiceCounts::kBlockSize) {
+        const std::size_t end = std::min(begin + ChoiceCounts::kBlockSize, chosen.size());
+        std::uint64_t maxCount = 1;
         for (std::size_t index = begin; index < end; ++index) {
-            most = std::max(most, chosen[index]);
+            maxCount = std::max(maxCount, chosen[index]);
         }
-        const double unit = std::max(1.0, static_cast<double>(most) / kMostParts);
-        counts.units.push_back(static_cast<float>(unit));
+        const double scale = std::max(1.0, static_cast<double>(maxCount) / kMaxQuantized);
+        counts.scales.push_back(static_cast<float>(scale));
         for (std::size_t index = begin; index < end; ++index) {
-            const double parts = std::round(static_cast<double>(chosen[index]) / unit);
-            counts.parts.push_back(static_cast<std::uint8_t>(std::min(parts, kMostParts)));
+            const double quantized = std::round(static_cast<double>(chosen[index]) / scale);
+            counts.quantized.push_back(
+                static_cast<std::uint8_t>(std::min(quantized, kMaxQuantized)));
         }
     }
 }
 
 } // namespace
 
-std::vector<double> choicesOf(const ChoiceCounts &counts)
+std::vector<double> decodeChoices(const ChoiceCounts &counts)
 {
     const std::size_t blocks =
-        (counts.parts.size() + ChoiceCounts::kBlock - 1) / ChoiceCounts::kBlock;
-    if (counts.since == 0 || counts.units.size() != blocks) {
+        (counts.quantized.size() + ChoiceCounts::kBlockSize - 1) / ChoiceCounts::kBlockSize;
+    if (counts.since == 0 || counts.scales.size() != blocks) {
         return {};
     }
     std::vector<double> choices;
-    choices.reserve(counts.parts.size());
-    for (std::size_t index = 0; index < counts.parts.size(); ++index) {
-        choices.push_back(counts.parts[index]
-                          * static_cast<double>(counts.units[index / ChoiceCounts::kBlock]));
+    choices.reserve(counts.quantized.size());
+    for (std::size_t index = 0; index < counts.quantized.size(); ++index) {
+        choices.push_back(counts.quantized[index]
+                          * static_cast<double>(counts.scales[index / ChoiceCounts::kBlockSize]));
     }
     return choices;
 }
 
-ChoiceCounts ChoiceLedger::note(std::vector<std::uint64_t> counts, std::uint64_t since)
+ChoiceCounts ChoiceCountHistory::record(std::vector<std::uint64_t> counts, std::uint64_t since)
 {
-    ChoiceCounts noted;
-    noted.mark = nextMark_++;
-    const auto found = std::find_if(moments_.begin(), moments_.end(),
-                                    [since](const Moment &moment) { return moment.mark == since; });
-    if (since != 0 && found != moments_.end()) {
-        const std::vector<std::uint64_t> chosen = difference(found->counts, counts);
+    ChoiceCounts result;
+    result.mark = nextMark_++;
+    const auto found =
+        std::find_if(snapshots_.begin(), snapshots_.end(),
+                     [since](const Snapshot &snapshot) { return snapshot.mark == since; });
+    if (since != 0 && found != snapshots_.end()) {
+        const std::vector<std::uint64_t> chosen = countDelta(found->counts, counts);
         if (!chosen.empty()) {
-            noted.since = since;
-            pack(chosen, noted);
+            result.since = since;
+            quantize(chosen, result);
         }
     }
-    moments_.push_back({noted.mark, std::move(counts)});
-    if (moments_.size() > kKept) {
-        moments_.pop_front();
+    snapshots_.push_back({result.mark, std::move(counts)});
+    if (snapshots_.size() > kMaxSnapshots) {
+        snapshots_.pop_front();
     }
-    return noted;
+    return result;
 }
 
 } // namespace seamarch
--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -6,25 +6,27 @@
 namespace seamarch {
 namespace {
 
-// Bytes of one report on the wire with its frame: some twenty words of a message.
+// Size of one report on the wire including its frame: a message of about twenty words.
 constexpr double kReportBytes = 400.0;
-// The shares of the link. Orders keep what is left, because they are urgent and come in bursts.
+// Shares of the link. The rest is reserved for orders, which are urgent and arrive in bursts.
 constexpr double kReportShare = 0.25;
 constexpr double kCountsShare = 0.35;
-// Asking more often than about once a pass tells nothing new.
-constexpr Duration kLeastGap = std::chrono::milliseconds(100);
-// Demand may shift every few seconds: two rounds, which confirm a shift, take half a second.
-constexpr Duration kMostCountsGap = std::chrono::milliseconds(250);
-// A round of fewer ranks says too little; on a link that does not carry these, rounds come later.
-constexpr std::uint32_t kLeastCounted = 8;
-// What a question and its answer take beside the link: two processes' turns and the way.
-constexpr Duration kAnswerTime = std::chrono::milliseconds(40);
-// A report counts for two gaps and the time in which an agent that is late may still answer.
-constexpr Duration kLateAnswer = std::chrono::milliseconds(500);
-// The answers of a round share the link with reports and orders.
+// Polling more often than about once per pass yields no new information.
+constexpr Duration kMinInterval = std::chrono::milliseconds(100);
+// Demand may shift every few seconds, and a shift is confirmed by two rounds: half a second.
+constexpr Duration kMaxCountsInterval = std::chrono::milliseconds(250);
+// A sample of fewer ranks is too noisy. If the link cannot carry this many at the maximum interval,
+// the interval grows.
+constexpr std::uint32_t kMinSampledRanks = 8;
+// Round-trip time without the transfer: scheduling of two processes and network latency.
+constexpr Duration kRoundTripTime = std::chrono::milliseconds(40);
+// A report expires after two intervals plus this allowance for an agent that answers late.
+constexpr Duration kLateAnswerAllowance = std::chrono::milliseconds(500);
+// Factor on the transfer time of a round, because its answers share the link with reports and
+// orders.
 constexpr double kRoundSlack = 1.5;
 
-Duration timeFor(double bytes, double bytesPerSecond)
+Duration transferTime(double bytes, double bytesPerSecond)
 {
     return bytesPerSecond > 0.0 ? fromSeconds(bytes / bytesPerSecond) : Duration{};
 }
@@ -37,17 +39,20 @@
     const auto bytes = static_cast<double>(std::max<std::uint64_t>(1, inputs.countsBytes));
     const double countsRate = inputs.linkBytesPerSecond * kCountsShare;
     CollectionPlan plan;
-    plan.reportGap = std::max(
-        kLeastGap, timeFor(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
-    plan.reportLife = 2 * plan.reportGap + kLateAnswer;
-    const Duration all = timeFor(ranks * bytes, countsRate);
-    const Duration fewest = timeFor(std::min(ranks, double{kLeastCounted}) * bytes, countsRate);
-    plan.countsGap = std::max(std::clamp(all, kLeastGap, kMostCountsGap), fewest);
-    const double fitting = std::floor(toSeconds(plan.countsGap) * countsRate / bytes);
-    plan.countedRanks = static_cast<std::uint32_t>(
-        std::clamp(fitting, std::min(ranks, double{kLeastCounted}), ranks));
-    plan.roundSpan = std::max(
-        kAnswerTime, timeFor(plan.countedRanks * bytes * kRoundSlack, inputs.linkBytesPerSecond));
+    plan.reportInterval = std::max(
+        kMinInterval, transferTime(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
+    plan.reportTtl = 2 * plan.reportInterval + kLateAnswerAllowance;
+    const Duration allRanksTime = transferTime(ranks * bytes, countsRate);
+    const Duration minRanksTime =
+        transferTime(std::min(ranks, double{kMinSampledRanks}) * bytes, countsRate);
+    plan.countsInterval =
+        std::max(std::clamp(allRanksTime, kMinInterval, kMaxCountsInterval), minRanksTime);
+    const double fittingRanks = std::floor(toSeconds(plan.countsInterval) * countsRate / bytes);
+    plan.sampledRanks = static_cast<std::uint32_t>(
+        std::clamp(fittingRanks, std::min(ranks, double{kMinSampledRanks}), ranks));
+    plan.roundWindow =
+        std::max(kRoundTripTime,
+                 transferTime(plan.sampledRanks * bytes * kRoundSlack, inputs.linkBytesPerSecond));
     return plan;
 }
 
--- a/src/decision/expertmap/evenplacement.cpp
+++ b/src/decision/expertmap/evenplacement.cpp
@@ -10,11 +10,11 @@
 namespace seamarch {
 namespace {
 
-// Loads are compared by the sum of their powers: it follows the largest load closely, and still
-// sees a gain while several ranks share the largest.
+// The objective is the sum of the loads raised to this power. It approximates the largest load, but
+// also decreases when one of several ranks with the largest load improves.
 constexpr int kPower = 8;
-// Changes that win less than this part of the objective are not worth a copy.
-constexpr double kLeastGain = 1e-3;
+// Minimum relative improvement of the objective that justifies a copy.
+constexpr double kMinGain = 1e-3;
 
 double power(double load)
 {
@@ -24,16 +24,16 @@
     return fourth * fourth;
 }
 
-// One change: `expert` is placed on `to`. With `dropped`, it takes that expert's place; with
-// `from`, it leaves that rank, which gets the dropped one instead. A change that `leaves` only
-// takes the expert away from `to`.
-struct Change
+// A change of the placement that puts `expert` on rank `to`. If `dropped` is set, it replaces that
+// expert there; if `from` is set as well, the two experts are swapped between `from` and `to`. If
+// `removesReplica` is set, the change only removes `expert` from `to`.
+struct PlacementChange
 {
     std::uint16_t expert = 0;
     std::size_t to = 0;
     std::optional<std::uint16_t> dropped;
     std::optional<std::size_t> from;
-    bool leaves = false;
+    bool removesReplica = false;
 };
 
 double paceOf(RankPaces paces, std::size_t rank)
@@ -41,12 +41,12 @@
     return rank < paces.size() ? paces[rank] : 1.0;
 }
 
-// The loads of the ranks, with what a change would make of them. A change touches the few ranks
-// that hold its experts, so that weighing one costs no more than those.
-class LoadTrial
+// The loads of the ranks, together with the deltas of a tentative change. Evaluating a change only
+// visits the few ranks that hold its experts.
+class TentativeLoads
 {
 public:
-    LoadTrial(std::vector<double> loads, RankPaces paces)
+    TentativeLoads(std::vector<double> loads, RankPaces paces)
         : loads_(std::move(loads))
         , paces_(paces)
         , deltas_(loads_.size(), 0.0)
@@ -64,58 +64,59 @@
     void add(std::size_t rank, double load)
     {
         if (deltas_[rank] == 0.0) {
-            touched_.push_back(rank);
+            changedRanks_.push_back(rank);
         }
         deltas_[rank] += load * paceOf(paces_, rank);
     }
 
-    // Returns by how much the objective would rise, and forgets what was added.
-    double riseAndClear()
+    // Returns the increase of the objective under the tentative change, and discards that change.
+    double evaluateAndReset()
     {
         double rise = 0.0;
-        for (const std::size_t rank : touched_) {
+        for (const std::size_t rank : changedRanks_) {
             rise += power(loads_[rank] + deltas_[rank]) - powers_[rank];
             deltas_[rank] = 0.0;
         }
-        touched_.clear();
+        changedRanks_.clear();
         return rise;
     }
 
-    // Makes what was added the loads.
-    void take()
+    // Applies the tentative change to the loads.
+    void commit()
     {
-        for (const std::size_t rank : touched_) {
+        for (const std::size_t rank : changedRanks_) {
             loads_[rank] += deltas_[rank];
             objective_ -= powers_[rank];
             powers_[rank] = power(loads_[rank]);
             objective_ += powers_[rank];
             deltas_[rank] = 0.0;
         }
-        touched_.clear();
+        changedRanks_.clear();
     }
 
 private:
     std::vector<double> loads_;
     RankPaces paces_;
-    std::vector<double> powers_; // Of the loads.
-    double objective_ = 0.0;     // Their sum.
-    std::vector<double> deltas_; // Of the change on trial.
-    std::vector<std::size_t> touched_;
+    std::vector<double> powers_; // The loads raised to kPower.
+    double objective_ = 0.0;     // The sum of `powers_`.
+    std::vector<double> deltas_; // Load deltas of the tentative change.
+    std::vector<std::size_t> changedRanks_;
 };
 
-class Search
+// A greedy search for a better placement of one set.
+class PlacementSearch
 {
 public:
-    Search(const RankExperts &current, std::span<const double> shares,
-           const PlacementBounds &bounds, RankPaces paces)
+    PlacementSearch(const RankExperts &current, std::span<const double> shares,
+                    const PlacementBounds &bounds, RankPaces paces)
         : original_(current)
         , placement_(current)
         , shares_(shares)
         , bounds_(bounds)
         , total_(std::accumulate(shares.begin(), shares.end(), 0.0))
-        , trial_(rankLoads(current, shares, paces), paces)
+        , tentativeLoads_(rankLoads(current, shares, paces), paces)
         , holders_(shares.size())
-        , newOn_(current.size(), 0)
+        , newExperts_(current.size(), 0)
     {
         for (std::size_t rank = 0; rank < placement_.size(); ++rank) {
             for (const std::uint16_t expert : placement_[rank]) {
@@ -127,10 +128,10 @@
     RankExperts run()
     {
         for (std::uint32_t count = 0; count < bounds_.maxChanges; ++count) {
-            if (skew() <= bounds_.goodEnough) {
+            if (skew() <= bounds_.targetSkew) {
                 break;
             }
-            const auto change = best();
+            const auto change = findBestChange();
             if (!change) {
                 break;
             }
@@ -148,46 +149,47 @@
 
     double skew() const
     {
-        const std::vector<double> &loads = trial_.loads();
+        const std::vector<double> &loads = tentativeLoads_.loads();
         return *std::max_element(loads.begin(), loads.end()) * static_cast<double>(loads.size())
                / total_;
     }
 
-    // Tells whether `rank` may get `expert` within the bound on new experts.
-    bool mayGet(std::size_t rank, std::uint16_t expert) const
+    // Returns whether placing `expert` on `rank` respects the bounds on new experts.
+    bool canReceive(std::size_t rank, std::uint16_t expert) const
     {
         const std::uint32_t bound =
-            bounds_.newByRank.empty() ? bounds_.newExperts : bounds_.newByRank[rank];
-        return (newOn_[rank] < bound && allNew_ < bounds_.mostNew)
+            bounds_.maxNewByRank.empty() ? bounds_.maxNewExperts : bounds_.maxNewByRank[rank];
+        return (newExperts_[rank] < bound && totalNew_ < bounds_.maxNewTotal)
                || holds(original_, rank, expert);
     }
 
-    // Puts a replica of `expert` more on `to` on trial.
-    void tryReplica(std::uint16_t expert, std::size_t to)
+    // Adds another replica of `expert` on rank `to` to the tentative change.
+    void stageReplica(std::uint16_t expert, std::size_t to)
     {
         const auto count = static_cast<double>(holders_[expert].size());
         const double before = shares_[expert] / count;
         const double after = shares_[expert] / (count + 1.0);
         for (const std::size_t rank : holders_[expert]) {
-            trial_.add(rank, after - before);
+            tentativeLoads_.add(rank, after - before);
         }
-        trial_.add(to, after);
+        tentativeLoads_.add(to, after);
     }
 
-    void tryDrop(std::uint16_t expert, std::size_t from)
+    // Adds the removal of `expert` from rank `from` to the tentative change.
+    void stageRemoval(std::uint16_t expert, std::size_t from)
     {
         const auto count = static_cast<double>(holders_[expert].size());
         const double before = shares_[expert] / count;
         const double after = shares_[expert] / (count - 1.0);
         for (const std::size_t rank : holders_[expert]) {
-            trial_.add(rank, rank == from ? -before : after - before);
+            tentativeLoads_.add(rank, rank == from ? -before : after - before);
         }
     }
 
-    void tryChange(const Change &change)
+    void stageChange(const PlacementChange &change)
     {
-        if (change.leaves) {
-            tryDrop(change.expert, change.to);
+        if (change.removesReplica) {
+            stageRemoval(change.expert, change.to);
             return;
         }
         if (change.from) {
@@ -195,21 +197,21 @@
                 shares_[change.expert] / static_cast<double>(holders_[change.expert].size());
             const double back =
                 shares_[*change.dropped] / static_cast<double>(holders_[*change.dropped].size());
-            trial_.add(*change.from, back - moved);
-            trial_.add(change.to, moved - back);
+            tentativeLoads_.add(*change.from, back - moved);
+            tentativeLoads_.add(change.to, moved - back);
             return;
         }
-        tryReplica(change.expert, change.to);
+        stageReplica(change.expert, change.to);
         if (change.dropped) {
-            tryDrop(*change.dropped, change.to);
+            stageRemoval(*change.dropped, change.to);
         }
     }
 
-    // Returns the least loaded ranks, as many as are to be weighed.
+    // Returns the `maxTargets` least loaded ranks, in ascending order of rank.
     const std::vector<std::size_t> &leastLoaded()
     {
-        const std::vector<double> &loads = trial_.loads();
-        const std::size_t count = std::min(bounds_.targets, loads.size());
+        const std::vector<double> &loads = tentativeLoads_.loads();
+        const std::size_t count = std::min(bounds_.maxTargets, loads.size());
         targets_.resize(loads.size());
         std::iota(targets_.begin(), targets_.end(), std::size_t{0});
         std::partial_sort(targets_.begin(), targets_.begin() + static_cast<std::ptrdiff_t>(count),
@@ -221,47 +223,47 @@
         return targets_;
     }
 
-    std::optional<Change> best()
+    std::optional<PlacementChange> findBestChange()
     {
-        const std::vector<double> &loads = trial_.loads();
+        const std::vector<double> &loads = tentativeLoads_.loads();
         const std::vector<std::size_t> &targets = leastLoaded();
-        const auto most =
+        const auto mostLoaded =
             static_cast<std::size_t>(std::max_element(loads.begin(), loads.end()) - loads.begin());
-        std::optional<Change> found;
-        double least = -trial_.objective() * kLeastGain;
-        const auto consider = [&](const Change &change) {
-            tryChange(change);
-            const double rise = trial_.riseAndClear();
-            if (rise < least) {
-                least = rise;
-                found = change;
+        std::optional<PlacementChange> bestChange;
+        double bestRise = -tentativeLoads_.objective() * kMinGain;
+        const auto consider = [&](const PlacementChange &change) {
+            stageChange(change);
+            const double rise = tentativeLoads_.evaluateAndReset();
+            if (rise < bestRise) {
+                bestRise = rise;
+                bestChange = change;
             }
         };
-        for (const std::uint16_t expert : placement_[most]) {
+        for (const std::uint16_t expert : placement_[mostLoaded]) {
             if (holders_[expert].size() > 1) {
-                consider(Change{expert, most, std::nullopt, std::nullopt, true});
+                consider(PlacementChange{expert, mostLoaded, std::nullopt, std::nullopt, true});
             }
             for (const std::size_t to : targets) {
-                if (to != most && !holds(placement_, to, expert) && mayGet(to, expert)) {
-                    considerPlacing(expert, most, to, consider);
+                if (to != mostLoaded && !holds(placement_, to, expert) && canReceive(to, expert)) {
+                    considerMove(expert, mostLoaded, to, consider);
                 }
             }
         }
-        return found;
+        return bestChange;
     }
 
     template <typename Consider>
-    void considerPlacing(std::uint16_t expert, std::size_t from, std::size_t to, Consider consider)
+    void considerMove(std::uint16_t expert, std::size_t from, std::size_t to, Consider consider)
     {
-        if (placement_[to].size() < bounds_.places) {
-            consider(Change{expert, to, std::nullopt, std::nullopt, false});
+        if (placement_[to].size() < bounds_.maxExperts) {
+            consider(PlacementChange{expert, to, std::nullopt, std::nullopt, false});
         }
         for (const std::uint16_t other : placement_[to]) {
             if (holders_[other].size() > 1) {
-                consider(Change{expert, to, other, std::nullopt, false});
+                consider(PlacementChange{expert, to, other, std::nullopt, false});
             }
-            if (!holds(placement_, from, other) && mayGet(from, other)) {
-                consider(Change{expert, to, other, from, false});
+            if (!holds(placement_, from, other) && canReceive(from, other)) {
+                consider(PlacementChange{expert, to, other, from, false});
             }
         }
     }
@@ -272,8 +274,8 @@
         experts.insert(std::lower_bound(experts.begin(), experts.end(), expert), expert);
         holders_[expert].push_back(rank);
         if (!holds(original_, rank, expert)) {
-            ++newOn_[rank];
-            ++allNew_;
+            ++newExperts_[rank];
+            ++totalNew_;
         }
     }
 
@@ -282,16 +284,16 @@
         std::erase(placement_[rank], expert);
         std::erase(holders_[expert], rank);
         if (!holds(original_, rank, expert)) {
-            --newOn_[rank];
-            --allNew_;
+            --newExperts_[rank];
+            --totalNew_;
         }
     }
 
-    void apply(const Change &change)
+    void apply(const PlacementChange &change)
     {
-        tryChange(change);
-        trial_.take();
-        if (change.leaves) {
+        stageChange(change);
+        tentativeLoads_.commit();
+        if (change.removesReplica) {
             erase(change.to, change.expert);
             return;
         }
@@ -309,12 +311,12 @@
     RankExperts placement_;
     std::span<const double> shares_;
     PlacementBounds bounds_;
-    double total_; // Of the shares.
-    LoadTrial trial_;
+    double total_; // Sum of the shares.
+    TentativeLoads tentativeLoads_;
     std::vector<std::vector<std::size_t>> holders_; // The ranks that hold each expert.
-    std::vector<std::uint32_t> newOn_;
-    std::uint32_t allNew_ = 0;
-    std::vector<std::size_t> targets_; // Of the change that is looked for.
+    std::vector<std::uint32_t> newExperts_;
+    std::uint32_t totalNew_ = 0;
+    std::vector<std::size_t> targets_; // Result buffer of leastLoaded().
 };
 
 } // namespace
@@ -351,7 +353,7 @@
 RankExperts improvePlacement(const RankExperts &current, std::span<const double> shares,
                              const PlacementBounds &bounds, RankPaces paces)
 {
-    RankExperts improved = Search(current, shares, bounds, paces).run();
+    RankExperts improved = PlacementSearch(current, shares, bounds, paces).run();
     return placementSkew(improved, shares, paces) < placementSkew(current, shares, paces) ? improved
                                                                                           : current;
 }
--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -17,16 +17,16 @@
 void ExpertPlanner::setRule(const ExpertRule &rule)
 {
     const std::size_t size = std::size_t{rule.sets} * rule.experts;
-    if (memory_.size() != size) {
-        memory_.assign(size, 0.0);
+    if (history_.size() != size) {
+        history_.assign(size, 0.0);
         round_.assign(size, 0.0);
-        doubted_.clear();
-        roundSince_.reset();
+        suspectedHistory_.clear();
+        roundStartedAt_.reset();
     }
     rule_ = rule;
 }
 
-void ExpertPlanner::onChoices(std::span<const double> choices, TimePoint now)
+void ExpertPlanner::addChoices(std::span<const double> choices, TimePoint now)
 {
     if (choices.size() != round_.size() || round_.empty()) {
         return;
@@ -34,10 +34,10 @@
     for (std::size_t index = 0; index < choices.size(); ++index) {
         round_[index] += choices[index];
     }
-    roundSince_ = roundSince_.value_or(now);
+    roundStartedAt_ = roundStartedAt_.value_or(now);
 }
 
-// Returns the part of all choices by which two counts differ; zero when one of them is empty.
+// Returns the fraction of all choices in which two counts differ, or zero if one of them is empty.
 double ExpertPlanner::distanceBetween(const std::vector<double> &counts,
                                       const std::vector<double> &others)
 {
@@ -59,14 +59,14 @@
     const auto begin = counts.begin() + static_cast<std::ptrdiff_t>(set) * experts;
     std::vector<double> shares(begin, begin + experts);
     const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
-    const double floor = sum / experts * 1e-3; // Every expert is chosen now and then.
+    const double floor = sum / experts * 1e-3; // Every expert is chosen occasionally.
     for (double &share : shares) {
         share = (share + floor) / std::max(1.0, sum + floor * experts);
     }
     return shares;
 }
 
-double ExpertPlanner::skewBy(const std::vector<double> &counts, const ExpertMap &map) const
+double ExpertPlanner::skewFor(const std::vector<double> &counts, const ExpertMap &map) const
 {
     double sum = 0.0;
     for (std::uint32_t set = 0; set < map.size() && set < rule_.sets; ++set) {
@@ -77,151 +77,153 @@
 
 double ExpertPlanner::skew(const ExpertMap &map) const
 {
-    return skewBy(memory_, map);
+    return skewFor(history_, map);
 }
 
-// Tells whether the round differs from what was remembered by more than noise.
-bool ExpertPlanner::differs(const std::vector<double> &remembered,
-                            const std::optional<ExpertMap> &current) const
+// Returns whether the current round differs from `history` by more than noise.
+bool ExpertPlanner::indicatesShift(const std::vector<double> &history,
+                                   const std::optional<ExpertMap> &current) const
 {
-    if (sumOf(remembered) <= 0.0) {
+    if (sumOf(history) <= 0.0) {
         return false;
     }
-    const double limit = std::clamp(calmDistance_ * settings_.shiftOverCalm,
-                                    settings_.leastShiftDistance, settings_.mostShiftDistance);
-    return distanceBetween(round_, remembered) > limit
+    const double limit = std::clamp(steadyDistance_ * settings_.shiftThresholdFactor,
+                                    settings_.minShiftDistance, settings_.maxShiftDistance);
+    return distanceBetween(round_, history) > limit
            || (current
-               && skewBy(round_, *current)
-                      > skewBy(remembered, *current) * (1.0 + settings_.shiftSkew));
+               && skewFor(round_, *current)
+                      > skewFor(history, *current) * (1.0 + settings_.shiftSkewIncrease));
 }
 
-void ExpertPlanner::noteShift(TimePoint now)
+void ExpertPlanner::recordShift(TimePoint now)
 {
     shiftedSincePlan_ = true;
-    // The ranks' passes end at different moments, so two blends in a row may come of one shift.
-    if (shiftedAt_ && now - *shiftedAt_ < settings_.leastLife) {
+    // The ranks' passes end at different times, so one shift may cause two blended rounds in a row.
+    if (lastShiftAt_ && now - *lastShiftAt_ < settings_.minWorkloadDuration) {
         return;
     }
     ++shifts_;
-    if (shiftedAt_) {
-        gaps_.push_back(now - *shiftedAt_);
-        if (gaps_.size() > settings_.gapsKept) {
-            gaps_.pop_front();
+    if (lastShiftAt_) {
+        shiftIntervals_.push_back(now - *lastShiftAt_);
+        if (shiftIntervals_.size() > settings_.maxShiftIntervals) {
+            shiftIntervals_.pop_front();
         }
     }
-    shiftedAt_ = now;
+    lastShiftAt_ = now;
 }
 
-void ExpertPlanner::remember(TimePoint now)
+void ExpertPlanner::mergeRound(TimePoint now)
 {
-    const double seconds = std::max(0.0, toSeconds(now - rememberedAt_));
+    const double seconds = std::max(0.0, toSeconds(now - mergedAt_));
     const double factor = std::exp2(-seconds / toSeconds(settings_.halfLife));
-    for (std::size_t index = 0; index < memory_.size(); ++index) {
-        memory_[index] = memory_[index] * factor + round_[index];
+    for (std::size_t index = 0; index < history_.size(); ++index) {
+        history_[index] = history_[index] * factor + round_[index];
     }
-    rememberedAt_ = now;
+    mergedAt_ = now;
 }
 
-void ExpertPlanner::look(const std::optional<ExpertMap> &current, TimePoint now)
+void ExpertPlanner::endRound(const std::optional<ExpertMap> &current, TimePoint now)
 {
-    const bool complete = roundSince_ && now - *roundSince_ >= settings_.roundSpan;
-    if (!complete || sumOf(round_) < settings_.leastCounts) {
+    const bool complete = roundStartedAt_ && now - *roundStartedAt_ >= settings_.roundWindow;
+    if (!complete || sumOf(round_) < settings_.minChoices) {
         return;
     }
-    judge(current, now);
+    evaluateRound(current, now);
     std::fill(round_.begin(), round_.end(), 0.0);
-    roundSince_.reset();
+    roundStartedAt_.reset();
 }
 
-// Learns from the complete round.
-void ExpertPlanner::judge(const std::optional<ExpertMap> &current, TimePoint now)
+// Merges the complete round into the history, and confirms, refutes or records a suspected shift.
+void ExpertPlanner::evaluateRound(const std::optional<ExpertMap> &current, TimePoint now)
 {
-    constexpr double kCalmWeight = 0.05; // Of one round among some ten a second.
-    if (!doubted_.empty()) {
-        if (differs(doubted_, current)) {
-            noteShift(now);
+    constexpr double kSteadyWeight = 0.05; // Weight of one round, at about ten rounds a second.
+    if (!suspectedHistory_.empty()) {
+        if (indicatesShift(suspectedHistory_, current)) {
+            recordShift(now);
         } else {
-            memory_ = std::move(doubted_); // The alarm was noise.
+            history_ = std::move(suspectedHistory_); // The deviation was noise.
         }
-        doubted_.clear();
+        suspectedHistory_.clear();
     } else {
-        distance_ = distanceBetween(round_, memory_);
-        if (differs(memory_, current)) {
-            doubted_ = std::exchange(memory_, std::vector<double>(memory_.size(), 0.0));
+        distance_ = distanceBetween(round_, history_);
+        if (indicatesShift(history_, current)) {
+            suspectedHistory_ = std::exchange(history_, std::vector<double>(history_.size(), 0.0));
             return;
         }
-        calmDistance_ += kCalmWeight * (distance_ - calmDistance_);
+        steadyDistance_ += kSteadyWeight * (distance_ - steadyDistance_);
     }
-    remember(now);
-    weighed_ = false;
+    mergeRound(now);
+    planned_ = false;
 }
 
-// The mean of what was left of the remembered gaps at the present mixture's age; a mixture that has
-// outlived them all may last as long as any did, or as one that is not known yet: too short an
-// estimate would make no change worth its copying.
-Duration ExpertPlanner::expectedLife(TimePoint now) const
+// Returns the mean remainder, at the present workload's age, of the recorded intervals that are
+// longer than that age. If the workload has outlasted them all, returns the mean of all intervals
+// including the initial assumption, because no change would be worth its copying with too short an
+// estimate.
+Duration ExpertPlanner::expectedWorkloadDuration(TimePoint now) const
 {
-    if (gaps_.empty()) {
-        return settings_.firstGap;
+    if (shiftIntervals_.empty()) {
+        return settings_.initialShiftInterval;
     }
-    const Duration age = now - *shiftedAt_;
-    Duration left{};
-    Duration whole{};
-    std::int64_t longer = 0;
-    for (const Duration gap : gaps_) {
-        whole += gap;
+    const Duration age = now - *lastShiftAt_;
+    Duration remaining{};
+    Duration sum{};
+    std::int64_t longerCount = 0;
+    for (const Duration gap : shiftIntervals_) {
+        sum += gap;
         if (gap > age) {
-            left += gap - age;
-            ++longer;
+            remaining += gap - age;
+            ++longerCount;
         }
     }
-    const auto seen = static_cast<std::int64_t>(gaps_.size());
-    const Duration mean = longer > 0 ? left / longer : (whole + settings_.firstGap) / (seen + 1);
-    return std::max(settings_.leastLife, mean);
+    const auto observed = static_cast<std::int64_t>(shiftIntervals_.size());
+    const Duration mean = longerCount > 0 ? remaining / longerCount
+                                          : (sum + settings_.initialShiftInterval) / (observed + 1);
+    return std::max(settings_.minWorkloadDuration, mean);
 }
 
-// Returns how long a pass takes, in parts of one whose experts are loaded evenly.
+// Returns the pass time at `skew`, relative to a pass with perfectly even load.
 double ExpertPlanner::passTime(double skew) const
 {
     return 1.0 - rule_.expertShare + rule_.expertShare * skew;
 }
 
-// Tells whether a more even map would make no stream earlier than its caller needs it.
-bool ExpertPlanner::servesNobody(double skew) const
+// Returns whether passes are already so short that a more balanced map would not help any caller.
+bool ExpertPlanner::isWithinLatencyGoal(double skew) const
 {
-    const bool known = pass_ > Duration{} && pauseGoal_ > Duration{};
-    return known && skew < settings_.uselessSkew
-           && toSeconds(pass_) < settings_.comfortable * toSeconds(pauseGoal_);
+    const bool known = passTime_ > Duration{} && latencyGoal_ > Duration{};
+    return known && skew < settings_.forcedChangeSkew
+           && toSeconds(passTime_) < settings_.relaxedPassRatio * toSeconds(latencyGoal_);
 }
 
-// Returns the best map that `copies` new experts a rank reach. The sets share the copies: the least
-// even one comes first, and what it leaves goes to the next.
-ExpertPlanner::Candidate ExpertPlanner::candidate(const ExpertMap &current,
-                                                  std::uint32_t copies) const
+// Returns the best map that is reachable with `copies` new experts per rank. The sets share the
+// copies: the most skewed set goes first, and the copies that it leaves unused go to the next.
+ExpertPlanner::Candidate ExpertPlanner::buildCandidate(const ExpertMap &current,
+                                                       std::uint32_t copies) const
 {
     std::vector<std::vector<double>> shares;
     std::vector<std::pair<double, std::uint32_t>> order;
     for (std::uint32_t set = 0; set < rule_.sets; ++set) {
-        shares.push_back(sharesOf(memory_, set, rule_.experts));
+        shares.push_back(sharesOf(history_, set, rule_.experts));
         order.emplace_back(-placementSkew(current[set], shares[set], paces_), set);
     }
     std::sort(order.begin(), order.end());
     const std::size_t ranks = current.front().size();
-    std::vector<std::uint32_t> left(ranks, copies);
-    auto all = static_cast<std::uint32_t>(ranks * copies);
+    std::vector<std::uint32_t> remaining(ranks, copies);
+    auto totalCopies = static_cast<std::uint32_t>(ranks * copies);
     Candidate result{current, 1.0, {}};
     std::uint32_t setsLeft = rule_.sets;
     for (const auto &[negativeSkew, set] : order) {
-        std::vector<std::uint32_t> allowed = left;
+        std::vector<std::uint32_t> allowed = remaining;
         for (std::uint32_t &allowance : allowed) {
             allowance = std::min(allowance, rule_.maxNewPerRank);
         }
         PlacementBounds bounds{rule_.maxPerRank,
                                rule_.maxNewPerRank,
                                settings_.maxChanges,
-                               settings_.goodEnough,
+                               settings_.targetSkew,
                                allowed,
-                               (all + setsLeft - 1) / setsLeft};
+                               (totalCopies + setsLeft - 1) / setsLeft};
         result.map[set] = improvePlacement(current[set], shares[set], bounds, paces_);
         for (std::size_t rank = 0; rank < ranks; ++rank) {
             const auto &before = current[set][rank];
@@ -231,39 +233,43 @@
             const auto &after = result.map[set][rank];
             const auto added =
                 static_cast<std::uint32_t>(std::count_if(after.begin(), after.end(), isNew));
-            left[rank] -= std::min(left[rank], added);
-            all -= std::min(all, added);
+            remaining[rank] -= std::min(remaining[rank], added);
+            totalCopies -= std::min(totalCopies, added);
         }
         --setsLeft;
     }
     result.skew = skew(result.map);
-    result.copying = rule_.copyTime * (copies - *std::min_element(left.begin(), left.end()));
+    result.copying =
+        rule_.copyTime * (copies - *std::min_element(remaining.begin(), remaining.end()));
     return result;
 }
 
-// Returns the seconds of passes that a change wins, over what it costs; zero or less when it is not
-// worth it.
-double ExpertPlanner::worthOf(const Candidate &candidate, double before, Duration life) const
+// Returns the pass time in seconds that a change saves, minus its weighted cost. The result is zero
+// or negative if the change is not worthwhile.
+double ExpertPlanner::netBenefit(const Candidate &candidate, double before,
+                                 Duration workloadDuration) const
 {
     const double gain = 1.0 - passTime(candidate.skew) / passTime(before);
-    const double used = toSeconds(life - candidate.copying - settings_.takeUp);
-    const double cost =
-        settings_.copySlowdown * toSeconds(candidate.copying) + toSeconds(settings_.standstill);
-    return gain > settings_.leastGain ? gain * used - settings_.margin * cost : 0.0;
+    const double used = toSeconds(workloadDuration - candidate.copying - settings_.activationDelay);
+    const double cost = settings_.copySlowdown * toSeconds(candidate.copying)
+                        + toSeconds(settings_.activationPause);
+    return gain > settings_.minGain ? gain * used - settings_.minBenefitRatio * cost : 0.0;
 }
 
-void ExpertPlanner::noteInUse(Duration time)
+void ExpertPlanner::recordActivation(Duration time)
 {
-    const Duration seen = std::max(settings_.leastTakeUp, time - expectedCopying_);
-    const double weight = settings_.takeUpWeight;
-    settings_.takeUp =
-        fromSeconds(weight * toSeconds(seen) + (1.0 - weight) * toSeconds(settings_.takeUp));
+    const Duration observed = std::max(settings_.minActivationDelay, time - expectedCopying_);
+    const double weight = settings_.activationDelayWeight;
+    settings_.activationDelay = fromSeconds(
+        weight * toSeconds(observed) + (1.0 - weight) * toSeconds(settings_.activationDelay));
 }
 
-// Returns how many copies a rank the smallest change has: fewer would be in use hardly sooner.
-std::uint32_t ExpertPlanner::fewestCopies() const
+// Returns the number of copies per rank in the smallest change to consider. With fewer copies, a
+// change would be active hardly sooner.
+std::uint32_t ExpertPlanner::minCopiesPerRank() const
 {
-    const Duration least = fromSeconds(toSeconds(settings_.takeUp) * settings_.leastCopying);
+    const Duration least =
+        fromSeconds(toSeconds(settings_.activationDelay) * settings_.minCopyRatio);
     std::uint32_t copies = 1;
     while (copies * 2 <= rule_.maxNewPerRank * rule_.sets
            && rule_.copyTime * (copies * 2) <= least) {
@@ -274,35 +280,35 @@
 
 std::optional<ExpertMap> ExpertPlanner::plan(const ExpertMap &current, TimePoint now)
 {
-    if (current.size() != rule_.sets || current.empty() || weighed_
-        || sumOf(memory_) < settings_.leastCounts) {
+    if (current.size() != rule_.sets || current.empty() || planned_
+        || sumOf(history_) < settings_.minChoices) {
         return std::nullopt;
     }
-    weighed_ = true;
+    planned_ = true;
     const double before = skew(current);
-    if (1.0 - passTime(settings_.goodEnough) / passTime(before) <= settings_.leastGain) {
-        return std::nullopt; // Not even the best that the search goes for: it is spared.
+    if (1.0 - passTime(settings_.targetSkew) / passTime(before) <= settings_.minGain) {
+        return std::nullopt; // Even the target skew would gain too little; skip the search.
     }
-    if (servesNobody(before)) {
+    if (isWithinLatencyGoal(before)) {
         return std::nullopt;
     }
-    const Duration life = expectedLife(now);
+    const Duration workloadDuration = expectedWorkloadDuration(now);
     std::optional<Candidate> best;
     double bestRate = 0.0;
-    for (std::uint32_t copies = fewestCopies(); copies <= rule_.maxNewPerRank * rule_.sets;
+    for (std::uint32_t copies = minCopiesPerRank(); copies <= rule_.maxNewPerRank * rule_.sets;
          copies *= 2) {
-        const Candidate tried = candidate(current, copies);
-        const double worth = worthOf(tried, before, life);
-        // What is in use soon goes first: the change that wins most for the time that it takes.
-        const double gain = 1.0 - passTime(tried.skew) / passTime(before);
-        const double rate = gain / toSeconds(tried.copying + settings_.takeUp);
-        if (worth > 0.0 && rate > bestRate) {
+        const Candidate candidate = buildCandidate(current, copies);
+        const double benefit = netBenefit(candidate, before, workloadDuration);
+        // Prefers the change with the largest gain per unit of time until its activation.
+        const double gain = 1.0 - passTime(candidate.skew) / passTime(before);
+        const double rate = gain / toSeconds(candidate.copying + settings_.activationDelay);
+        if (benefit > 0.0 && rate > bestRate) {
             bestRate = rate;
-            best = tried;
+            best = candidate;
         } else if (best) {
-            break; // Each copy more wins less than the one before it, and the search takes time.
+            break; // Each further copy gains less than the one before, and the search takes time.
         }
-        if (tried.copying > life) {
+        if (candidate.copying > workloadDuration) {
             break;
         }
     }
--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -8,51 +8,52 @@
 namespace seamarch {
 namespace {
 
-// Each decider draws the low digits of its fences, so that two never use the same fence, nor one
-// its predecessor's at the same rank. A floor of tenths of a second since 1970 keeps a fence below
-// 2^53, which every reader of JSON takes exactly.
+// Each decider draws the low digits of its fences at random, so that no two deciders use the same
+// fence, including an earlier decider at the same rank. With a floor in tenths of a second since
+// 1970, fences stay below 2^53, up to which JSON parsers represent integers exactly.
 constexpr std::uint64_t kFenceStride = 1U << 18U;
-// Versions are drawn with a gap of up to this, so that an agent that starts anew never means
-// another map by a version that it drew in its earlier life. A thousandth of them are its own.
-constexpr std::uint64_t kVersionGap = 1U << 30U;
+// Maximum random gap between versions. It keeps a restarted agent from reusing, for another map, a
+// version that it drew before the restart. About one in a thousand versions in the gap is available
+// to a given rank (see mapversion.h).
+constexpr std::uint64_t kMaxVersionGap = 1U << 30U;
 
 } // namespace
 
 GroupDecider::GroupDecider(const Settings &settings)
     : settings_(settings)
     , random_(settings.seed)
-    , fenceMark_(random_() % kFenceStride)
+    , fenceSuffix_(random_() % kFenceStride)
 {}
 
-Duration GroupDecider::resendIn(Phase phase) const
+Duration GroupDecider::resendIntervalFor(Phase phase) const
 {
     switch (phase) {
     case Phase::Preparing:
-        return settings_.resendPrepare;
+        return settings_.prepareResendInterval;
     case Phase::Arming:
-        return settings_.resendArm;
+        return settings_.armResendInterval;
     default:
-        return settings_.resend;
+        return settings_.resendInterval;
     }
 }
 
-void GroupDecider::enter(Phase phase, TimePoint now)
+void GroupDecider::enterPhase(Phase phase, TimePoint now)
 {
     phase_ = phase;
     phaseSince_ = now;
     if (phase == Phase::Idle) {
-        without_.reset();
+        excludedRank_.reset();
     }
     for (auto &[rank, state] : ranks_) {
         state.confirmed = false;
         state.sentAt = {};
-        state.resendAfter = resendIn(phase);
+        state.resendDelay = resendIntervalFor(phase);
         state.answeredAt = {};
     }
 }
 
-// Takes a fence above all that are known. One that another decider has overtaken grows by twice as
-// much each time, because how far it lies behind is not known.
+// Raises the fence above all known fences. If another decider has overtaken it, the increment
+// doubles each time, because the distance to the higher fence is unknown.
 void GroupDecider::raiseFence(bool overtaken)
 {
     std::uint64_t highest = std::max(fence_, settings_.fenceFloor * kFenceStride);
@@ -60,10 +61,10 @@
         highest = std::max(highest, state.report.fence);
     }
     if (overtaken) {
-        highest += overtakenStrides_ * kFenceStride;
-        overtakenStrides_ *= 2;
+        highest += fenceBackoffStrides_ * kFenceStride;
+        fenceBackoffStrides_ *= 2;
     }
-    fence_ = (highest / kFenceStride + 1) * kFenceStride + fenceMark_;
+    fence_ = (highest / kFenceStride + 1) * kFenceStride + fenceSuffix_;
 }
 
 std::vector<double> GroupDecider::paces() const
@@ -85,22 +86,22 @@
     return highest;
 }
 
-bool GroupDecider::fresh(const Rank &rank, TimePoint now) const
+bool GroupDecider::isCurrent(const Rank &rank, TimePoint now) const
 {
     return rank.known && rank.report.epoch == epoch_ && rank.report.open
-           && now - rank.askedAt <= settings_.reportLife;
+           && now - rank.askedAt <= settings_.reportTtl;
 }
 
-bool GroupDecider::whole(TimePoint now) const
+bool GroupDecider::allRanksCurrent(TimePoint now) const
 {
     if (size_ == 0 || ranks_.size() != size_) {
         return false;
     }
     return std::all_of(ranks_.begin(), ranks_.end(),
-                       [&](const auto &entry) { return fresh(entry.second, now); });
+                       [&](const auto &entry) { return isCurrent(entry.second, now); });
 }
 
-bool GroupDecider::takesRequests() const
+bool GroupDecider::acceptsRequests() const
 {
     const auto last =
         std::max_element(ranks_.begin(), ranks_.end(), [](const auto &left, const auto &right) {
@@ -113,24 +114,24 @@
 {
     const auto reports = [&](const auto &entry) {
         const Rank &rank = entry.second;
-        return rank.known && now - rank.askedAt <= settings_.reportLife;
+        return rank.known && now - rank.askedAt <= settings_.reportTtl;
     };
-    return size_ > 0 && ranks_.size() == size_ && !takesRequests()
+    return size_ > 0 && ranks_.size() == size_ && !acceptsRequests()
            && std::all_of(ranks_.begin(), ranks_.end(), reports);
 }
 
-TimePoint GroupDecider::heardAt() const
+TimePoint GroupDecider::lastReportAt() const
 {
-    TimePoint heardAt{};
+    TimePoint latest{};
     for (const auto &[number, rank] : ranks_) {
-        heardAt = std::max(heardAt, rank.askedAt);
+        latest = std::max(latest, rank.askedAt);
     }
-    return heardAt;
+    return latest;
 }
 
 std::optional<std::uint64_t> GroupDecider::mapInUse(TimePoint now) const
 {
-    if (!whole(now)) {
+    if (!allRanksCurrent(now)) {
         return std::nullopt;
     }
     const std::uint64_t map = ranks_.begin()->second.report.map;
@@ -142,7 +143,7 @@
     return map;
 }
 
-void GroupDecider::forgetEpoch(std::uint64_t epoch, TimePoint now)
+void GroupDecider::startEpoch(std::uint64_t epoch, TimePoint now)
 {
     epoch_ = epoch;
     ranks_.clear();
@@ -153,7 +154,7 @@
     foreignSince_.reset();
     measuredAt_ = {};
     passTime_ = {};
-    enter(Phase::Idle, now);
+    enterPhase(Phase::Idle, now);
 }
 
 void GroupDecider::onReport(const RankReport &report, TimePoint askedAt, TimePoint now)
@@ -162,7 +163,7 @@
         return;
     }
     if (report.epoch > epoch_) {
-        forgetEpoch(report.epoch, now);
+        startEpoch(report.epoch, now);
     }
     size_ = report.ranks;
     Rank &rank = ranks_[report.rank];
@@ -170,18 +171,18 @@
         return;
     }
     if (!rank.known) {
-        rank.resendAfter = settings_.resend;
+        rank.resendDelay = settings_.resendInterval;
     }
     rank.known = true;
     rank.askedAt = askedAt;
     rank.report = report;
     measurePasses(askedAt);
     if (phase_ == Phase::Preparing) {
-        // A report that was asked for before the rank answered may know nothing of its copies yet.
+        // A report that was requested before the rank answered may not include its copies yet.
         rank.confirmed =
             report.prepared == version_ || (rank.confirmed && askedAt <= rank.answeredAt);
     } else if (phase_ == Phase::Clearing && askedAt > rank.answeredAt && report.armed != 0) {
-        rank.confirmed = false; // Another map is armed than the one that was disarmed.
+        rank.confirmed = false; // A map other than the disarmed one is armed.
     }
     advance(now);
 }
@@ -190,9 +191,9 @@
 {
     return std::all_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         const Rank &rank = entry.second;
-        const bool seen =
+        const bool disarmReported =
             phase_ != Phase::Clearing || (rank.askedAt > rank.answeredAt && rank.report.armed == 0);
-        return leftOut(entry.first) || (rank.confirmed && seen);
+        return isExcluded(entry.first) || (rank.confirmed && disarmReported);
     });
 }
 
@@ -204,10 +205,10 @@
     if (size_ == 0 || ranks_.size() != size_) {
         return Obstacle::RanksUnknown;
     }
-    if (broken(now)) {
+    if (isGroupClosed(now)) {
         return Obstacle::GroupBroken;
     }
-    if (!whole(now)) {
+    if (!allRanksCurrent(now)) {
         return Obstacle::ReportsOld;
     }
     if (!mapInUse(now)) {
@@ -216,7 +217,7 @@
     if (foreignSince_) {
         return Obstacle::Foreign;
     }
-    // A rank that has still to take the last map refuses to prepare the next.
+    // A rank that has not yet switched to the last map refuses to prepare the next one.
     const bool armLeft = std::any_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         return entry.second.askedAt <= releasedAt_ || entry.second.report.armed != 0;
     });
@@ -226,7 +227,7 @@
 std::optional<std::uint64_t> GroupDecider::propose(ExpertMap experts, TimePoint now,
                                                    MapOrders &orders)
 {
-    if (!settled(now)) {
+    if (!canPropose(now)) {
         return std::nullopt;
     }
     std::uint64_t highest = version_;
@@ -237,14 +238,14 @@
         size_ > 1 && std::all_of(ranks_.begin(), ranks_.end(), [](const auto &entry) {
             return entry.second.report.byAgent;
         });
-    version_ = mapVersionAbove(highest + random_() % kVersionGap,
+    version_ = mapVersionAbove(highest + random_() % kMaxVersionGap,
                                agentsOnly ? std::optional(settings_.ownRank) : std::nullopt);
     experts_ = std::make_shared<const ExpertMap>(std::move(experts));
     committed_ = false;
     clearing_ = false;
-    unanswered_ = 0;
+    resentOrders_ = 0;
     raiseFence();
-    enter(Phase::Preparing, now);
+    enterPhase(Phase::Preparing, now);
     sendPrepares(now, orders);
     return version_;
 }
@@ -255,7 +256,7 @@
     foreignSince_.reset();
 }
 
-// Measures how long a pass takes, from the highest step of the reports.
+// Measures the pass time from the progress of the highest reported step.
 void GroupDecider::measurePasses(TimePoint askedAt)
 {
     const std::uint64_t step = highestStep();
@@ -277,20 +278,20 @@
 void GroupDecider::onHoldAnswer(MapOrderAnswer answer, TimePoint now)
 {
     switch (answer) {
-    case MapOrderAnswer::Copied: // Never of a hold.
+    case MapOrderAnswer::Copied: // Not an answer to a hold.
     case MapOrderAnswer::Done:
-        enter(clearing_ ? Phase::Clearing : Phase::Arming, now);
+        enterPhase(clearing_ ? Phase::Clearing : Phase::Arming, now);
         return;
     case MapOrderAnswer::Refused:
-        ranks_[holder_].resendAfter = settings_.holdAgain;
+        ranks_[holder_].resendDelay = settings_.holdRetryDelay;
         if (!clearing_) {
-            // The step has begun meanwhile, and the reports may be as old as that.
+            // The step has begun in the meantime, and the reports may be older than that.
             step_ = std::max(step_, highestStep()) + margin();
         }
         return;
     case MapOrderAnswer::Fenced:
         raiseFence(true);
-        ranks_[holder_].resendAfter = settings_.holdAgain;
+        ranks_[holder_].resendDelay = settings_.holdRetryDelay;
         return;
     case MapOrderAnswer::Lost:
         return;
@@ -303,7 +304,7 @@
         rank.confirmed = true;
     } else if (answer != MapOrderAnswer::Lost) {
         raiseFence(answer == MapOrderAnswer::Fenced);
-        beginClearing(now);
+        startClearing(now);
     }
 }
 
@@ -321,12 +322,13 @@
             rank.answeredAt = now;
             rank.confirmed = true;
         } else if (answer == MapOrderAnswer::Done) {
-            rank.answeredAt = now; // Whether it is copied, its report tells.
+            rank.answeredAt = now; // A report confirms the copies later.
         } else if (answer == MapOrderAnswer::Lost) {
-            rank.resendAfter = settings_.resend;
+            rank.resendDelay = settings_.resendInterval;
         } else {
             raiseFence(answer == MapOrderAnswer::Fenced);
-            enter(Phase::Idle, now); // Nothing is armed; a new proposal takes a higher version.
+            // Nothing is armed; the next proposal uses a higher version.
+            enterPhase(Phase::Idle, now);
         }
     } else if (phase_ == Phase::Holding && kind == MapOrderKind::Hold && number == holder_
                && order.step == step_) {
@@ -336,14 +338,14 @@
     } else if (phase_ == Phase::Clearing && kind == MapOrderKind::Disarm) {
         if (answer == MapOrderAnswer::Fenced) {
             raiseFence(true);
-            beginClearing(now, without_);
+            startClearing(now, excludedRank_);
         } else if (answer == MapOrderAnswer::Done) {
             rank.confirmed = true;
             rank.answeredAt = now;
         }
     } else if (phase_ == Phase::Releasing && kind == MapOrderKind::Go) {
         if (answer == MapOrderAnswer::Fenced) {
-            enter(Phase::Idle, now); // Another decider is at it, and releases what it holds.
+            enterPhase(Phase::Idle, now); // Another decider is active and releases its hold.
         } else if (answer != MapOrderAnswer::Lost) {
             rank.confirmed = true;
         }
@@ -351,58 +353,59 @@
     advance(now);
 }
 
-void GroupDecider::noteArmTime(Duration time)
+void GroupDecider::recordArmTime(Duration time)
 {
     armTimes_.push_back(time);
-    if (armTimes_.size() > settings_.armTimesKept) {
+    if (armTimes_.size() > settings_.maxArmTimes) {
         armTimes_.pop_front();
     }
 }
 
-// Takes the step that the confirmations allow.
+// Enters the next phase if the confirmations received so far allow it.
 void GroupDecider::advance(TimePoint now)
 {
-    const std::size_t silent = without_ && !ranks_.contains(*without_) ? 1 : 0;
+    const std::size_t silent = excludedRank_ && !ranks_.contains(*excludedRank_) ? 1 : 0;
     if (ranks_.size() + silent != size_ || size_ == 0) {
         return;
     }
-    if (phase_ == Phase::Preparing && allConfirmed() && whole(now)) {
+    if (phase_ == Phase::Preparing && allConfirmed() && allRanksCurrent(now)) {
         chooseStep();
-        holder_ = armsOwnLast() ? successor() : settings_.ownRank;
-        enter(Phase::Holding, now);
+        holder_ = armsOwnRankLast() ? successor() : settings_.ownRank;
+        enterPhase(Phase::Holding, now);
     } else if (phase_ == Phase::Arming && allConfirmed()) {
         committed_ = true;
-        noteArmTime(now - phaseSince_);
-        enter(Phase::Releasing, now);
+        recordArmTime(now - phaseSince_);
+        enterPhase(Phase::Releasing, now);
     } else if (phase_ == Phase::Clearing && allConfirmed()) {
-        // Its own engine has taken the fence by now: what this agent has not handed on, it refuses.
-        const bool cleared = !without_ || mayClearWithout(*without_);
+        // The own engine has accepted the fence by now, so it refuses any earlier order that this
+        // agent has not forwarded yet.
+        const bool cleared = !excludedRank_ || canClearWithout(*excludedRank_);
         cleared_ += cleared ? 1 : 0;
-        enter(cleared ? Phase::Releasing : Phase::Idle, now);
-    } else if (phase_ == Phase::Releasing && released()) {
+        enterPhase(cleared ? Phase::Releasing : Phase::Idle, now);
+    } else if (phase_ == Phase::Releasing && allHoldsReleased()) {
         changes_ += committed_ ? 1 : 0;
         releasedAt_ = now;
-        enter(Phase::Idle, now);
+        enterPhase(Phase::Idle, now);
     }
 }
 
-// Tells whether every hold that this agent releases is released.
-bool GroupDecider::released() const
+// Returns whether every hold that this decider has to release is released.
+bool GroupDecider::allHoldsReleased() const
 {
     return std::all_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
-        const bool holds = entry.second.report.held.has_value() && !leftOut(entry.first);
+        const bool holds = entry.second.report.held.has_value() && !isExcluded(entry.first);
         const bool asked = entry.first == holder_ || (clearing_ && holds);
         return !asked || entry.second.confirmed;
     });
 }
 
-// Tells whether the group has broken: it forms anew in another epoch, in which nothing of this one
-// counts.
-bool GroupDecider::broken(TimePoint now) const
+// Returns whether a current report says that the group does not accept requests. The group then
+// re-forms in a new epoch, which invalidates all state of this one.
+bool GroupDecider::isGroupClosed(TimePoint now) const
 {
     return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
         const Rank &rank = entry.second;
-        return rank.known && !rank.report.open && now - rank.askedAt <= settings_.reportLife;
+        return rank.known && !rank.report.open && now - rank.askedAt <= settings_.reportTtl;
     });
 }
 
@@ -411,25 +414,25 @@
     if (phase_ != Phase::Preparing) {
         return false;
     }
-    enter(Phase::Idle, now);
+    enterPhase(Phase::Idle, now);
     return true;
 }
 
 void GroupDecider::onTick(TimePoint now, MapOrders &orders)
 {
-    if (phase_ != Phase::Idle && broken(now)) {
-        enter(Phase::Idle, now);
+    if (phase_ != Phase::Idle && isGroupClosed(now)) {
+        enterPhase(Phase::Idle, now);
     }
-    if (phase_ == Phase::Preparing && now - phaseSince_ > settings_.prepareLimit) {
-        enter(Phase::Idle, now); // Nothing is armed; what was copied does no harm.
-    } else if (phase_ == Phase::Arming && now - phaseSince_ > settings_.armLimit) {
-        beginClearing(now);
-    } else if (phase_ == Phase::Holding && !clearing_ && now - phaseSince_ > settings_.armLimit) {
-        beginClearing(now); // Whether the rank holds the step is not known.
+    if (phase_ == Phase::Preparing && now - phaseSince_ > settings_.prepareTimeout) {
+        enterPhase(Phase::Idle, now); // Nothing is armed; the copies do no harm.
+    } else if (phase_ == Phase::Arming && now - phaseSince_ > settings_.armTimeout) {
+        startClearing(now);
+    } else if (phase_ == Phase::Holding && !clearing_ && now - phaseSince_ > settings_.armTimeout) {
+        startClearing(now); // It is unknown whether the rank holds the step.
     }
     switch (phase_) {
     case Phase::Idle:
-        watchForeign(now);
+        checkForeignState(now);
         return;
     case Phase::Preparing:
         sendPrepares(now, orders);
--- a/src/decision/expertmap/groupdeciderclearing.cpp
+++ b/src/decision/expertmap/groupdeciderclearing.cpp
@@ -1,4 +1,5 @@
-// How a GroupDecider finds arms and holds that another one has left, and begins to clear them.
+// The part of GroupDecider that detects arms and holds left by other deciders and starts clearing
+// them.
 #include "decision/expertmap/groupdecider.h"
 #include "decision/expertmap/mapversion.h"
 
@@ -7,13 +8,13 @@
 
 namespace seamarch {
 
-// Returns the one rank that does not answer while all others do.
+// Returns the only rank without a current report; nothing if there is none or more than one.
 std::optional<std::uint32_t> GroupDecider::soleSilentRank(TimePoint now) const
 {
     std::optional<std::uint32_t> silent;
     for (std::uint32_t number = 0; number < size_; ++number) {
         const auto found = ranks_.find(number);
-        if (found != ranks_.end() && fresh(found->second, now)) {
+        if (found != ranks_.end() && isCurrent(found->second, now)) {
             continue;
         }
         if (silent) {
@@ -30,33 +31,33 @@
     return (report.armed != 0 && !ownArm) || report.held.has_value();
 }
 
-void GroupDecider::watchForeign(TimePoint now)
+void GroupDecider::checkForeignState(TimePoint now)
 {
     const bool foreign = std::any_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         return isForeign(entry.second.report);
     });
-    watchSilent(foreign, now);
+    checkSilentRank(foreign, now);
     if (!foreign) {
         foreignSince_.reset();
         return;
     }
     foreignSince_ = foreignSince_.value_or(
-        std::exchange(settings_.predecessorHeardAt, std::nullopt).value_or(now));
-    if (now - *foreignSince_ >= settings_.foreignPatience && whole(now)) {
+        std::exchange(settings_.predecessorLastSeenAt, std::nullopt).value_or(now));
+    if (now - *foreignSince_ >= settings_.foreignTimeout && allRanksCurrent(now)) {
         foreignSince_.reset();
-        beginClearing(now);
+        startClearing(now);
     }
 }
 
-// Tells whether the change that is under way can be cleared without the silent rank: that rank is
-// armed last, and this agent has handed on no arm, so that its own confirmation is still missing.
-bool GroupDecider::mayClearWithout(std::uint32_t silent) const
+// Returns whether the change in progress can be cleared without the silent rank: that rank is armed
+// last, and this agent has forwarded no arm, so its own confirmation is still missing.
+bool GroupDecider::canClearWithout(std::uint32_t silent) const
 {
     const auto own = ranks_.find(settings_.ownRank);
     if (own == ranks_.end()) {
         return false;
     }
-    const std::uint64_t version = own->second.report.neverArmed;
+    const std::uint64_t version = own->second.report.unarmedVersion;
     const bool named = version != 0 && rankArmedLast(version) == silent;
     return named && std::all_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
                const RankReport &report = entry.second.report;
@@ -65,31 +66,31 @@
            });
 }
 
-void GroupDecider::watchSilent(bool foreign, TimePoint now)
+void GroupDecider::checkSilentRank(bool foreign, TimePoint now)
 {
     const auto silent = foreign ? soleSilentRank(now) : std::nullopt;
-    if (!silent || *silent == settings_.ownRank || !mayClearWithout(*silent)) {
+    if (!silent || *silent == settings_.ownRank || !canClearWithout(*silent)) {
         silentSince_.reset();
         return;
     }
     silentSince_ = silentSince_.value_or(now);
-    if (now - *silentSince_ >= settings_.silentPatience) {
+    if (now - *silentSince_ >= settings_.silentRankTimeout) {
         silentSince_.reset();
-        beginClearing(now, silent);
+        startClearing(now, silent);
     }
 }
 
-// Places the hold anew, also where the own rank should hold already: another decider with a higher
-// fence may have released that hold, and may be changing the map now.
-void GroupDecider::beginClearing(TimePoint now, std::optional<std::uint32_t> without)
+// Places a new hold even if the own rank should already hold a step: another decider with a higher
+// fence may have released that hold and may be changing the map now.
+void GroupDecider::startClearing(TimePoint now, std::optional<std::uint32_t> excluded)
 {
-    without_ = without;
+    excludedRank_ = excluded;
     clearing_ = true;
     committed_ = false;
     raiseFence();
     chooseStep();
     chooseHolder();
-    enter(Phase::Holding, now);
+    enterPhase(Phase::Holding, now);
 }
 
 } // namespace seamarch
--- a/src/decision/expertmap/groupdeciderorders.cpp
+++ b/src/decision/expertmap/groupdeciderorders.cpp
@@ -1,4 +1,4 @@
-// The orders of a GroupDecider: which, to whom, when and which way.
+// The part of GroupDecider that sends orders and chooses their recipients, times and routes.
 #include "decision/expertmap/groupdecider.h"
 #include "decision/expertmap/mapversion.h"
 
@@ -6,22 +6,22 @@
 
 namespace seamarch {
 
-bool GroupDecider::armsOwnLast() const
+bool GroupDecider::armsOwnRankLast() const
 {
     return rankArmedLast(version_) == settings_.ownRank;
 }
 
-// Returns the rank whose agent decides after this one: the lowest other.
+// Returns the rank whose agent takes over if this one fails: the lowest other rank.
 std::uint32_t GroupDecider::successor() const
 {
     return settings_.ownRank == 0 ? 1 : 0;
 }
 
-// Tells whether it is the rank's turn to be armed.
-bool GroupDecider::mayArm(std::uint32_t number) const
+// Returns whether the rank can be armed now, given the order in which ranks are armed.
+bool GroupDecider::canArm(std::uint32_t number) const
 {
     const bool last = number == settings_.ownRank;
-    if (!armsOwnLast() || (!last && number != successor())) {
+    if (!armsOwnRankLast() || (!last && number != successor())) {
         return true;
     }
     return std::all_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
@@ -45,19 +45,19 @@
     return order;
 }
 
-bool GroupDecider::due(const Rank &rank, TimePoint now) const
+bool GroupDecider::isResendDue(const Rank &rank, TimePoint now) const
 {
-    return rank.sentAt == TimePoint{} || now - rank.sentAt >= rank.resendAfter;
+    return rank.sentAt == TimePoint{} || now - rank.sentAt >= rank.resendDelay;
 }
 
 void GroupDecider::sendPrepares(TimePoint now, MapOrders &orders)
 {
     for (auto &[number, rank] : ranks_) {
         const bool copying = rank.answeredAt != TimePoint{};
-        if (!rank.confirmed && !copying && due(rank, now)) {
-            unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
+        if (!rank.confirmed && !copying && isResendDue(rank, now)) {
+            resentOrders_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
-            orders.push_back({number, orderFor(MapOrderKind::Prepare), OrderWay::Any});
+            orders.push_back({number, orderFor(MapOrderKind::Prepare), OrderRoute::Any});
         }
     }
 }
@@ -65,11 +65,11 @@
 void GroupDecider::sendArms(TimePoint now, MapOrders &orders)
 {
     for (auto &[number, rank] : ranks_) {
-        if (!rank.confirmed && due(rank, now) && mayArm(number)) {
-            unanswered_ += rank.sentAt == TimePoint{} ? 0 : 1;
+        if (!rank.confirmed && isResendDue(rank, now) && canArm(number)) {
+            resentOrders_ += rank.sentAt == TimePoint{} ? 0 : 1;
             rank.sentAt = now;
-            const OrderWay way = armsOwnLast() ? OrderWay::AgentOnly : OrderWay::Any;
-            orders.push_back({number, orderFor(MapOrderKind::Arm), way});
+            const OrderRoute route = armsOwnRankLast() ? OrderRoute::AgentOnly : OrderRoute::Any;
+            orders.push_back({number, orderFor(MapOrderKind::Arm), route});
         }
     }
 }
@@ -77,7 +77,7 @@
 void GroupDecider::sendDisarms(TimePoint now, MapOrders &orders)
 {
     for (auto &[number, rank] : ranks_) {
-        if (rank.confirmed || !due(rank, now) || leftOut(number)) {
+        if (rank.confirmed || !isResendDue(rank, now) || isExcluded(number)) {
             continue;
         }
         rank.sentAt = now;
@@ -85,20 +85,20 @@
         if (rank.report.armed != 0) {
             order.version = rank.report.armed;
         } else if (order.version == rank.report.map) {
-            // The map in use cannot be disarmed; the order carries the fence alone.
+            // The map in use cannot be disarmed; the order only conveys the fence.
             ++order.version;
         }
-        orders.push_back({number, order, OrderWay::Any});
+        orders.push_back({number, order, OrderRoute::Any});
     }
 }
 
-// Releases the own hold, and after a clearing those of other deciders as well.
+// Releases the own hold and, after a clearing, the holds of other deciders.
 void GroupDecider::sendReleases(TimePoint now, MapOrders &orders)
 {
     for (auto &[number, rank] : ranks_) {
         const bool own = number == holder_;
-        const bool holds = rank.report.held.has_value() && !leftOut(number);
-        if (rank.confirmed || !due(rank, now) || !(own || (clearing_ && holds))) {
+        const bool holds = rank.report.held.has_value() && !isExcluded(number);
+        if (rank.confirmed || !isResendDue(rank, now) || !(own || (clearing_ && holds))) {
             continue;
         }
         rank.sentAt = now;
@@ -106,13 +106,14 @@
         if (!own) {
             order.step = *rank.report.held;
         }
-        orders.push_back({number, order, OrderWay::Any});
+        orders.push_back({number, order, OrderRoute::Any});
     }
 }
 
-// A change may wait for a step some passes ahead. To clear, the hold must come before any step at
-// which something may be armed, and that is known of the very next step alone: a rank that accepts
-// a hold of the step after the highest that was reported has not begun it, so nothing lies between.
+// Chooses the step to hold. For a change, it may be some passes ahead. For a clearing, the hold
+// must precede any step at which a map may be armed, which is only certain for the very next step:
+// a rank that accepts a hold of the step after the highest reported one has not begun that step, so
+// there is no step in between.
 void GroupDecider::chooseStep()
 {
     step_ = highestStep() + (clearing_ ? 1 : margin());
@@ -121,46 +122,46 @@
 Duration GroupDecider::lead() const
 {
     const Duration unmeasured = settings_.lead + settings_.leadPerRank * static_cast<int>(size_);
-    const Duration lossy = unanswered_ > 0 ? settings_.leadWhenLossy : Duration{};
+    const Duration lossy = resentOrders_ > 0 ? settings_.lossyLeadExtra : Duration{};
     if (armTimes_.empty()) {
         return unmeasured + lossy;
     }
     const Duration longest = *std::max_element(armTimes_.begin(), armTimes_.end());
-    const Duration measured = fromSeconds(toSeconds(longest) * settings_.leadOverArms);
+    const Duration measured = fromSeconds(toSeconds(longest) * settings_.leadPerArmTime);
     return std::clamp(measured, settings_.lead, unmeasured) + lossy;
 }
 
-// Returns how many passes ahead a hold is placed. Before passes that last longer than the lead it
-// is the very next one: the arms mostly come in time, and where they do not, the group waits for
-// less than the pass on the old map that is spared.
+// Returns the number of passes by which a hold is placed ahead. If passes take longer than the
+// lead, the next step is held: the arms usually arrive in time, and otherwise the group waits for
+// less than the pass with the old map that is avoided.
 std::uint64_t GroupDecider::margin() const
 {
     if (passTime_ <= Duration{}) {
-        return settings_.unmeasuredMargin;
+        return settings_.defaultMarginPasses;
     }
     return static_cast<std::uint64_t>(lead() / passTime_ + 1);
 }
 
-// A rank holds one step. Where the own rank holds another one, as an earlier decider left it, a
-// rank that holds nothing takes its place.
+// Chooses the rank that holds the step. A rank can hold only one step. If the own rank still holds
+// another one, left by an earlier decider, a rank without such a hold is chosen instead.
 void GroupDecider::chooseHolder()
 {
-    const auto mayHold = [this](const Rank &rank) {
+    const auto canHold = [this](const Rank &rank) {
         return !rank.report.held || *rank.report.held == step_;
     };
     holder_ = settings_.ownRank;
-    if (mayHold(ranks_[holder_])) {
+    if (canHold(ranks_[holder_])) {
         return;
     }
-    const auto found = std::find_if(ranks_.begin(), ranks_.end(), [&mayHold](const auto &entry) {
-        return mayHold(entry.second);
+    const auto found = std::find_if(ranks_.begin(), ranks_.end(), [&canHold](const auto &entry) {
+        return canHold(entry.second);
     });
     holder_ = found == ranks_.end() ? settings_.ownRank : found->first;
 }
 
 void GroupDecider::sendHold(TimePoint now, MapOrders &orders)
 {
-    if (!due(ranks_[holder_], now)) {
+    if (!isResendDue(ranks_[holder_], now)) {
         return;
     }
     if (clearing_) {
@@ -168,9 +169,9 @@
         chooseHolder();
     }
     ranks_[holder_].sentAt = now;
-    const bool straight = !clearing_ && armsOwnLast();
-    orders.push_back(
-        {holder_, orderFor(MapOrderKind::Hold), straight ? OrderWay::Engine : OrderWay::Any});
+    const bool engineOnly = !clearing_ && armsOwnRankLast();
+    orders.push_back({holder_, orderFor(MapOrderKind::Hold),
+                      engineOnly ? OrderRoute::EngineOnly : OrderRoute::Any});
 }
 
 } // namespace seamarch
--- a/src/decision/expertmap/mapswitch.cpp
+++ b/src/decision/expertmap/mapswitchparticipant.cpp
@@ -1,37 +1,38 @@
-#include "decision/expertmap/mapswitch.h"
+#include "decision/expertmap/mapswitchparticipant.h"
 
 #include <algorithm>
 
 namespace seamarch {
 namespace {
 
-constexpr std::size_t kRememberedOutcomes = 8;
+constexpr std::size_t kMaxOutcomes = 8;
 
 } // namespace
 
-MapSwitchRank::MapSwitchRank(const Settings &settings)
+MapSwitchParticipant::MapSwitchParticipant(const Settings &settings)
     : settings_(settings)
-    , lives_(settings.ranks, 0)
+    , incarnations_(settings.ranks, 0)
 {
-    lives_[settings_.rank.value()] = settings_.life;
+    incarnations_[settings_.rank.value()] = settings_.incarnation;
 }
 
-GroupMessage MapSwitchRank::make(GroupMessage::Kind kind) const
+GroupMessage MapSwitchParticipant::makeMessage(GroupMessage::Kind kind) const
 {
     GroupMessage message;
     message.kind = kind;
     message.from = settings_.rank;
-    message.generation = joined_;
+    message.generation = generation_;
     message.step = step_;
     return message;
 }
 
-void MapSwitchRank::send(RankIndex to, const GroupMessage &message, GroupActions &actions) const
+void MapSwitchParticipant::send(RankIndex to, const GroupMessage &message,
+                                GroupActions &actions) const
 {
     actions.emplace_back(SendToRank{to, message});
 }
 
-void MapSwitchRank::sendAll(const GroupMessage &message, GroupActions &actions) const
+void MapSwitchParticipant::sendAll(const GroupMessage &message, GroupActions &actions) const
 {
     for (std::uint32_t rank = 0; rank < settings_.ranks; ++rank) {
         if (RankIndex(rank) != settings_.rank) {
@@ -40,20 +41,21 @@
     }
 }
 
-void MapSwitchRank::onMessage(const GroupMessage &message, TimePoint now, GroupActions &actions)
+void MapSwitchParticipant::onMessage(const GroupMessage &message, TimePoint now,
+                                     GroupActions &actions)
 {
     if (retired_) {
         return;
     }
     if (message.kind == GroupMessage::Kind::Hello || message.kind == GroupMessage::Kind::Join) {
-        learnLives(message, actions);
+        mergeIncarnations(message, actions);
         if (message.kind == GroupMessage::Kind::Join) {
             onJoin(message, actions);
         }
         return;
     }
-    // Words of another generation count for nothing: their sender may have lost its promises.
-    if (!formed_ || message.generation != joined_) {
+    // Ignore messages of another generation, because their sender may have lost its promises.
+    if (!formed_ || message.generation != generation_) {
         return;
     }
     switch (message.kind) {
@@ -79,28 +81,30 @@
     }
 }
 
-void MapSwitchRank::learnLives(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::mergeIncarnations(const GroupMessage &message, GroupActions &actions)
 {
-    for (std::size_t rank = 0; rank < lives_.size() && rank < message.generation.size(); ++rank) {
-        const RankLife life = message.generation[rank];
-        if (rank == settings_.rank.value() && life > settings_.life) {
+    for (std::size_t rank = 0; rank < incarnations_.size() && rank < message.generation.size();
+         ++rank) {
+        const RankIncarnation incarnation = message.generation[rank];
+        if (rank == settings_.rank.value() && incarnation > settings_.incarnation) {
             retired_ = true;
             return;
         }
-        lives_[rank] = std::max(lives_[rank], life);
+        incarnations_[rank] = std::max(incarnations_[rank], incarnation);
     }
     joinIfComplete(actions);
 }
 
-void MapSwitchRank::joinIfComplete(GroupActions &actions)
+void MapSwitchParticipant::joinIfComplete(GroupActions &actions)
 {
-    const bool complete = std::find(lives_.begin(), lives_.end(), RankLife{0}) == lives_.end();
-    if (!complete || lives_ == joined_) {
+    const bool complete = std::find(incarnations_.begin(), incarnations_.end(), RankIncarnation{0})
+                          == incarnations_.end();
+    if (!complete || incarnations_ == generation_) {
         return;
     }
-    // From here on nothing is decided in the old generation. A change that was committed there is
-    // what this rank brings along, whether or not its boundary was reached.
-    MapFence committed = active_;
+    // No change is decided in the old generation any more. A change that was committed there is
+    // announced to the new one, whether or not its boundary has been reached.
+    MapFence committed = activeMap_;
     if (change_ && change_->state == ChangeState::Committed) {
         committed = change_->fence;
         change_.reset();
@@ -111,50 +115,50 @@
     }
     proposal_.reset();
     formed_ = false;
-    ready_ = false;
-    joined_ = lives_;
-    joins_.clear();
-    joins_[settings_.rank] = {committed, step_};
-    GroupMessage join = make(GroupMessage::Kind::Join);
+    mapLoaded_ = false;
+    generation_ = incarnations_;
+    joinsByRank_.clear();
+    joinsByRank_[settings_.rank] = {committed, step_};
+    GroupMessage join = makeMessage(GroupMessage::Kind::Join);
     join.fence = committed;
     sendAll(join, actions);
     formIfAllJoined(actions);
 }
 
-void MapSwitchRank::onJoin(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onJoin(const GroupMessage &message, GroupActions &actions)
 {
-    if (message.generation != joined_) {
+    if (message.generation != generation_) {
         return;
     }
-    joins_[message.from] = {message.fence, message.step};
+    joinsByRank_[message.from] = {message.fence, message.step};
     formIfAllJoined(actions);
 }
 
-void MapSwitchRank::formIfAllJoined(GroupActions &actions)
+void MapSwitchParticipant::formIfAllJoined(GroupActions &actions)
 {
-    if (formed_ || joins_.size() != settings_.ranks) {
+    if (formed_ || joinsByRank_.size() != settings_.ranks) {
         return;
     }
     formed_ = true;
     MapFence start;
-    for (const auto &[rank, join] : joins_) {
+    for (const auto &[rank, join] : joinsByRank_) {
         start = std::max(start, join.committed);
         step_ = std::max(step_, join.step);
     }
-    floor_ = std::max(floor_, start);
+    fenceFloor_ = std::max(fenceFloor_, start);
     highestBallot_ = std::max(highestBallot_, start.ballot);
-    if (start == active_) {
-        ready_ = true;
+    if (start == activeMap_) {
+        mapLoaded_ = true;
         return;
     }
-    active_ = start;
+    activeMap_ = start;
     actions.emplace_back(LoadMap{start});
 }
 
-void MapSwitchRank::onLoaded(const MapFence &map, GroupActions &actions)
+void MapSwitchParticipant::onLoaded(const MapFence &map, GroupActions &actions)
 {
-    if (formed_ && !ready_ && map == active_) {
-        ready_ = true;
+    if (formed_ && !mapLoaded_ && map == activeMap_) {
+        mapLoaded_ = true;
         actions.emplace_back(ActivateMap{map});
         return;
     }
@@ -162,7 +166,7 @@
         return;
     }
     change_->state = ChangeState::Loaded;
-    GroupMessage answer = make(GroupMessage::Kind::Prepared);
+    GroupMessage answer = makeMessage(GroupMessage::Kind::Prepared);
     answer.fence = map;
     answer.state = ChangeState::Loaded;
     const RankIndex proposer(map.rank);
@@ -173,11 +177,11 @@
     }
 }
 
-ChangeState MapSwitchRank::stateOf(const MapFence &fence) const
+ChangeState MapSwitchParticipant::stateOf(const MapFence &fence) const
 {
-    // A rank that still waits for the outcome of the newest commit keeps all later ones from being
-    // committed, so the active map is the only commit that may be asked for; it is never forgotten.
-    if (fence == active_) {
+    // No later change can commit while a rank still waits for the outcome of the newest commit. The
+    // active map is therefore the only commit that a peer may query, and it is always known.
+    if (fence == activeMap_) {
         return ChangeState::Committed;
     }
     const auto outcome = outcomes_.find(fence);
@@ -187,73 +191,74 @@
     if (change_ && change_->fence == fence) {
         return change_->state;
     }
-    return ChangeState::Vowed;
+    return ChangeState::Refused;
 }
 
-void MapSwitchRank::vow(const MapFence &fence, GroupActions &actions)
+void MapSwitchParticipant::refuse(const MapFence &fence, GroupActions &actions)
 {
-    floor_ = std::max(floor_, fence);
-    // A committed change waits for its boundary and is no longer this rank's to give up.
-    if (change_ && !busy() && change_->fence <= floor_) {
+    fenceFloor_ = std::max(fenceFloor_, fence);
+    // A rank cannot revoke an armed change, or a committed change that waits for its boundary.
+    if (change_ && !isArmedOrCommitted() && change_->fence <= fenceFloor_) {
         actions.emplace_back(ReleaseMap{change_->fence});
         change_.reset();
     }
 }
 
-std::optional<MapFence> MapSwitchRank::propose(std::uint64_t configVersion, TimePoint now,
-                                               GroupActions &actions)
+std::optional<MapFence> MapSwitchParticipant::propose(std::uint64_t configVersion, TimePoint now,
+                                                      GroupActions &actions)
 {
-    if (!formed_ || !ready_ || change_ || proposal_ || retired_) {
+    if (!formed_ || !mapLoaded_ || change_ || proposal_ || retired_) {
         return std::nullopt;
     }
     Proposal proposal;
     proposal.fence = {configVersion, highestBallot_ + 1, settings_.rank.value()};
-    if (proposal.fence <= floor_) {
+    if (proposal.fence <= fenceFloor_) {
         return std::nullopt;
     }
     proposal.startedAt = now;
     proposal_ = proposal;
-    GroupMessage message = make(GroupMessage::Kind::Prepare);
+    GroupMessage message = makeMessage(GroupMessage::Kind::Prepare);
     message.fence = proposal.fence;
     sendAll(message, actions);
     onPrepare(message, now, actions);
     return proposal.fence;
 }
 
-bool MapSwitchRank::busy() const
+bool MapSwitchParticipant::isArmedOrCommitted() const
 {
     return change_
            && (change_->state == ChangeState::Armed || change_->state == ChangeState::Committed);
 }
 
-void MapSwitchRank::onPrepare(const GroupMessage &message, TimePoint now, GroupActions &actions)
+void MapSwitchParticipant::onPrepare(const GroupMessage &message, TimePoint now,
+                                     GroupActions &actions)
 {
     highestBallot_ = std::max(highestBallot_, message.fence.ballot);
     if (change_ && change_->fence == message.fence) {
-        // The answer was lost, or the weights are still being loaded.
+        // The previous answer was lost, or the weights are still being loaded.
         if (change_->state == ChangeState::Loaded && message.from != settings_.rank) {
-            GroupMessage answer = make(GroupMessage::Kind::Prepared);
+            GroupMessage answer = makeMessage(GroupMessage::Kind::Prepared);
             answer.fence = message.fence;
             answer.state = ChangeState::Loaded;
             send(message.from, answer, actions);
         }
         return;
     }
-    if (busy() || message.fence <= floor_) {
+    if (isArmedOrCommitted() || message.fence <= fenceFloor_) {
         return;
     }
-    // A higher change takes the place of one that has not armed: that one can no longer commit.
+    // A change with a higher fence replaces one that has not armed; that one can no longer commit.
     if (change_) {
         if (change_->fence > message.fence) {
             return;
         }
-        vow(change_->fence, actions);
+        refuse(change_->fence, actions);
     }
     change_ = Change{message.fence, ChangeState::Loading, 0, {}, now};
     actions.emplace_back(LoadMap{message.fence});
 }
 
-void MapSwitchRank::onPrepared(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onPrepared(const GroupMessage &message, GroupActions &actions)
 {
     if (!proposal_ || proposal_->fence != message.fence || proposal_->arming) {
         return;
@@ -265,27 +270,27 @@
     }
     proposal_->arming = true;
     proposal_->boundary = std::max(proposal_->highestStep, step_) + settings_.boundaryMargin;
-    GroupMessage arm = make(GroupMessage::Kind::Arm);
+    GroupMessage arm = makeMessage(GroupMessage::Kind::Arm);
     arm.fence = proposal_->fence;
     arm.boundary = proposal_->boundary;
     sendAll(arm, actions);
     onArm(arm, actions);
 }
 
-void MapSwitchRank::onArm(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onArm(const GroupMessage &message, GroupActions &actions)
 {
-    const bool mine = change_ && change_->fence == message.fence;
-    if (mine && change_->state == ChangeState::Loaded) {
+    const bool isCurrentChange = change_ && change_->fence == message.fence;
+    if (isCurrentChange && change_->state == ChangeState::Loaded) {
         if (step_ >= message.boundary) {
-            vow(message.fence, actions);
+            refuse(message.fence, actions);
         } else {
             change_->state = ChangeState::Armed;
             change_->boundary = message.boundary;
         }
-    } else if (!mine && !outcomes_.contains(message.fence)) {
-        vow(message.fence, actions);
+    } else if (!isCurrentChange && !outcomes_.contains(message.fence)) {
+        refuse(message.fence, actions);
     }
-    GroupMessage answer = make(GroupMessage::Kind::ArmAnswer);
+    GroupMessage answer = makeMessage(GroupMessage::Kind::ArmAnswer);
     answer.fence = message.fence;
     answer.state = stateOf(message.fence);
     if (message.from != settings_.rank) {
@@ -295,21 +300,21 @@
     }
 }
 
-void MapSwitchRank::onQuery(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onQuery(const GroupMessage &message, GroupActions &actions)
 {
     const ChangeState state = stateOf(message.fence);
     if (state != ChangeState::Armed && state != ChangeState::Committed
         && state != ChangeState::Aborted) {
-        // Someone stands at the boundary and waits: this rank settles it by never arming.
-        vow(message.fence, actions);
+        // The sender waits at the boundary. Refusing the change aborts it and releases the sender.
+        refuse(message.fence, actions);
     }
-    GroupMessage answer = make(GroupMessage::Kind::QueryAnswer);
+    GroupMessage answer = makeMessage(GroupMessage::Kind::QueryAnswer);
     answer.fence = message.fence;
     answer.state = stateOf(message.fence);
     send(message.from, answer, actions);
 }
 
-void MapSwitchRank::onPeerState(const GroupMessage &message, GroupActions &actions)
+void MapSwitchParticipant::onPeerState(const GroupMessage &message, GroupActions &actions)
 {
     if (!change_ || change_->fence != message.fence || change_->state != ChangeState::Armed) {
         return;
@@ -319,11 +324,11 @@
         decide(true, actions);
         return;
     case ChangeState::Aborted:
-    case ChangeState::Vowed:
+    case ChangeState::Refused:
         decide(false, actions);
         return;
     case ChangeState::Armed:
-        noteArmed(message.from, actions);
+        recordArmed(message.from, actions);
         return;
     case ChangeState::Loading:
     case ChangeState::Loaded:
@@ -331,7 +336,7 @@
     }
 }
 
-void MapSwitchRank::noteArmed(RankIndex peer, GroupActions &actions)
+void MapSwitchParticipant::recordArmed(RankIndex peer, GroupActions &actions)
 {
     change_->armed.insert(peer);
     if (change_->armed.size() + 1 == settings_.ranks) {
@@ -339,14 +344,14 @@
     }
 }
 
-void MapSwitchRank::decide(bool commit, GroupActions &actions)
+void MapSwitchParticipant::decide(bool commit, GroupActions &actions)
 {
     const MapFence fence = change_->fence;
     outcomes_[fence] = commit;
-    if (outcomes_.size() > kRememberedOutcomes) {
+    if (outcomes_.size() > kMaxOutcomes) {
         outcomes_.erase(outcomes_.begin());
     }
-    floor_ = std::max(floor_, fence);
+    fenceFloor_ = std::max(fenceFloor_, fence);
     if (proposal_ && proposal_->fence == fence) {
         proposal_.reset();
     }
@@ -356,34 +361,34 @@
         return;
     }
     change_->state = ChangeState::Committed;
-    GroupMessage news = make(GroupMessage::Kind::QueryAnswer);
-    news.fence = fence;
-    news.state = ChangeState::Committed;
-    sendAll(news, actions);
+    GroupMessage notice = makeMessage(GroupMessage::Kind::QueryAnswer);
+    notice.fence = fence;
+    notice.state = ChangeState::Committed;
+    sendAll(notice, actions);
     activateAtBoundary(actions);
 }
 
-void MapSwitchRank::activateAtBoundary(GroupActions &actions)
+void MapSwitchParticipant::activateAtBoundary(GroupActions &actions)
 {
-    const bool due =
+    const bool boundaryReached =
         change_ && change_->state == ChangeState::Committed && step_ >= change_->boundary;
-    if (!due) {
+    if (!boundaryReached) {
         return;
     }
-    const MapFence before = active_;
-    active_ = change_->fence;
+    const MapFence before = activeMap_;
+    activeMap_ = change_->fence;
     change_.reset();
-    actions.emplace_back(ActivateMap{active_});
+    actions.emplace_back(ActivateMap{activeMap_});
     actions.emplace_back(ReleaseMap{before});
 }
 
-void MapSwitchRank::onStepped(GroupActions &actions)
+void MapSwitchParticipant::onStepped(GroupActions &actions)
 {
     ++step_;
     activateAtBoundary(actions);
 }
 
-std::optional<std::pair<MapFence, ChangeState>> MapSwitchRank::change() const
+std::optional<std::pair<MapFence, ChangeState>> MapSwitchParticipant::change() const
 {
     if (!change_) {
         return std::nullopt;
@@ -391,64 +396,65 @@
     return std::pair(change_->fence, change_->state);
 }
 
-bool MapSwitchRank::mayStep() const
+bool MapSwitchParticipant::mayStep() const
 {
-    if (retired_ || !formed_ || !ready_) {
+    if (retired_ || !formed_ || !mapLoaded_) {
         return false;
     }
     const bool undecided = change_ && change_->state == ChangeState::Armed;
     return !undecided || step_ < change_->boundary;
 }
 
-void MapSwitchRank::abandonOld(TimePoint now, GroupActions &actions)
+void MapSwitchParticipant::abandonExpired(TimePoint now, GroupActions &actions)
 {
-    // Nothing is told: a rank that has armed asks, and one that has not is free to vow.
-    if (proposal_ && now - proposal_->startedAt > settings_.abandonAfter) {
+    // No message is needed: armed ranks query the outcome, and other ranks are free to refuse.
+    if (proposal_ && now - proposal_->startedAt > settings_.changeTimeout) {
         proposal_.reset();
     }
-    if (change_ && !busy() && now - change_->startedAt > settings_.abandonAfter) {
-        vow(change_->fence, actions);
+    if (change_ && !isArmedOrCommitted() && now - change_->startedAt > settings_.changeTimeout) {
+        refuse(change_->fence, actions);
     }
 }
 
-void MapSwitchRank::sendAgain(GroupActions &actions)
+void MapSwitchParticipant::resendPending(GroupActions &actions)
 {
-    GroupMessage hello = make(GroupMessage::Kind::Hello);
-    hello.generation = lives_;
+    GroupMessage hello = makeMessage(GroupMessage::Kind::Hello);
+    hello.generation = incarnations_;
     sendAll(hello, actions);
-    if (!joined_.empty()) {
-        // A peer may have missed the join of this generation, whether or not it has formed here.
-        GroupMessage join = make(GroupMessage::Kind::Join);
-        join.fence = joins_.at(settings_.rank).committed;
-        join.step = joins_.at(settings_.rank).step;
+    if (!generation_.empty()) {
+        // A peer may have missed the join even if the generation has already formed here.
+        GroupMessage join = makeMessage(GroupMessage::Kind::Join);
+        join.fence = joinsByRank_.at(settings_.rank).committed;
+        join.step = joinsByRank_.at(settings_.rank).step;
         sendAll(join, actions);
     }
     if (proposal_) {
         const auto kind = proposal_->arming ? GroupMessage::Kind::Arm : GroupMessage::Kind::Prepare;
-        GroupMessage message = make(kind);
+        GroupMessage message = makeMessage(kind);
         message.fence = proposal_->fence;
         message.boundary = proposal_->boundary;
         sendAll(message, actions);
     }
-    // Asking earlier would make peers vow whose own order to arm is still on its way.
-    const bool waits =
+    // An earlier query would make peers refuse the change while their own Arm message is in
+    // transit.
+    const bool waitsAtBoundary =
         change_ && change_->state == ChangeState::Armed && step_ >= change_->boundary;
-    if (waits) {
-        GroupMessage query = make(GroupMessage::Kind::Query);
+    if (waitsAtBoundary) {
+        GroupMessage query = makeMessage(GroupMessage::Kind::Query);
         query.fence = change_->fence;
         sendAll(query, actions);
     }
 }
 
-void MapSwitchRank::onTick(TimePoint now, GroupActions &actions)
+void MapSwitchParticipant::onTick(TimePoint now, GroupActions &actions)
 {
     if (retired_) {
         return;
     }
-    abandonOld(now, actions);
-    if (now - lastSent_ >= settings_.resend) {
+    abandonExpired(now, actions);
+    if (now - lastSent_ >= settings_.resendInterval) {
         lastSent_ = now;
-        sendAgain(actions);
+        resendPending(actions);
     }
 }
 
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -275,7 +275,7 @@
         updatePeers();
     }
     current_ = mapInUse();
-    planner_.look(current_, loop_.now());
+    planner_.endRound(current_, loop_.now());
     askGroup();
     runDecider();
     reportGroup();
@@ -292,7 +292,7 @@
 void ExpertAgent::reportGroup()
 {
     if (deciding() && decider_->size() > 0) {
-        reporter_.set(groupFacts(), decider_->heardAt());
+        reporter_.set(groupFacts(), decider_->lastReportAt());
     } else {
         reporter_.refer(lower_ ? lower_->host : std::string());
     }
@@ -306,7 +306,7 @@
     GroupFacts facts;
     facts.group = ownGroup_;
     facts.epoch = decider_->epoch();
-    facts.open = decider_->takesRequests();
+    facts.open = decider_->acceptsRequests();
     facts.forming = decider_->forming(loop_.now());
     const std::vector<double> paces = decider_->paces();
     std::map<std::uint32_t, SocketAddress> engines = peers_->engines();
@@ -369,7 +369,7 @@
     settings.seed = randomIdentity();
     settings.fenceFloor = static_cast<std::uint64_t>(wallNow() / kFenceUnit);
     if (lower_) {
-        settings.predecessorHeardAt = lower_->askedAt;
+        settings.predecessorLastSeenAt = lower_->askedAt;
     }
     decider_ = std::make_unique<GroupDecider>(settings);
     RankPeersListener &listener = *this;
@@ -444,22 +444,23 @@
     inputs.countsBytes = rule_ ? std::uint64_t{rule_->sets} * rule_->experts : 0;
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
     const CollectionPlan plan = planCollection(inputs);
-    decider_->setReportLife(plan.reportLife);
-    planner_.setRoundSpan(plan.roundSpan);
+    decider_->setReportTtl(plan.reportTtl);
+    planner_.setRoundWindow(plan.roundWindow);
     // An alarm is confirmed or dropped as soon as a round can be.
-    const Duration countsGap =
-        planner_.doubting() ? std::max(plan.countsGap / 2, plan.roundSpan) : plan.countsGap;
+    const Duration countsGap = planner_.shiftSuspected()
+                                   ? std::max(plan.countsInterval / 2, plan.roundWindow)
+                                   : plan.countsInterval;
     const bool counts = now - countsAskedAt_ >= std::max(countsGap, kLeastCountsGap);
     const RankQuestion question{false, !known_, 0};
     if (counts) {
         countsAskedAt_ = now;
         askOwn({true, question.experts, 0});
-        peers_->askCounts(question, plan.countedRanks, decider_->size(), *ownRank_);
+        peers_->askCounts(question, plan.sampledRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
-               || now - ownAskedAt_ >= plan.reportGap) {
+               || now - ownAskedAt_ >= plan.reportInterval) {
         askOwn(question);
     }
-    peers_->askReports(question, plan.reportGap, kTick, *ownRank_);
+    peers_->askReports(question, plan.reportInterval, kTick, *ownRank_);
 }
 
 // Takes the group and rank that the own engine names. In another group, what was known of the one
@@ -512,7 +513,7 @@
         experts_[report.rank] = *facts.experts;
     }
     if (facts.choices) {
-        planner_.onChoices(choicesOf(*facts.choices), loop_.now());
+        planner_.addChoices(decodeChoices(*facts.choices), loop_.now());
     }
     decider_->onReport(report, askedAt, loop_.now());
 }
@@ -526,7 +527,7 @@
     }
     if (proposedVersion_ != 0 && *version == proposedVersion_) {
         if (!known_ || known_->version != *version) {
-            planner_.noteInUse(loop_.now() - proposedAt_);
+            planner_.recordActivation(loop_.now() - proposedAt_);
         }
         known_ = KnownMap{*version, proposed_};
     } else if (!known_ || known_->version != *version) {
@@ -563,7 +564,7 @@
     MapOrders orders;
     decider_->onTick(loop_.now(), orders);
     const bool leftBehind =
-        decider_->phase() == GroupDecider::Phase::Preparing && planner_.outdated() && current_;
+        decider_->phase() == GroupDecider::Phase::Preparing && planner_.planOutdated() && current_;
     if (leftBehind) {
         replaceChange(orders);
     } else if (decider_->phase() == GroupDecider::Phase::Idle) {
@@ -581,7 +582,7 @@
 void ExpertAgent::replaceChange(MapOrders &orders)
 {
     planner_.setPaces(decider_->paces());
-    planner_.setPasses(decider_->passTime(), pauseGoal_);
+    planner_.setPassTimes(decider_->passTime(), pauseGoal_);
     auto planned = planner_.plan(*current_, loop_.now());
     if (planned && decider_->abandon(loop_.now())) {
         logLine(LogLevel::Info, "map.abandoned",
@@ -604,9 +605,9 @@
     }
     noteObstacle(kNoObstacle);
     planner_.setPaces(decider_->paces());
-    planner_.setPasses(decider_->passTime(), pauseGoal_);
+    planner_.setPassTimes(decider_->passTime(), pauseGoal_);
     logLine(LogLevel::Debug, "map.weighed",
-            {{"distance", planner_.distance()}, {"skew", planner_.skew(*current_)}});
+            {{"distance", planner_.roundDistance()}, {"skew", planner_.skew(*current_)}});
     if (auto planned = planner_.plan(*current_, loop_.now())) {
         propose(std::move(*planned), orders);
     }
@@ -626,7 +627,7 @@
                  {"skew", planner_.skew(*current_)},
                  {"expectedSkew", planner_.expectedSkew()},
                  {"expectedCopyMs", toMillis(planner_.expectedCopying())},
-                 {"expectedLifeMs", toMillis(planner_.expectedLife(loop_.now()))},
+                 {"expectedLifeMs", toMillis(planner_.expectedWorkloadDuration(loop_.now()))},
                  {"shifts", planner_.shifts()}});
     }
 }
@@ -644,7 +645,7 @@
 {
     const GroupDecider::Phase phase = decider_->phase();
     if (phase != notedPhase_) {
-        const auto leftOut = decider_->leavesOut();
+        const auto leftOut = decider_->excludedRank();
         logLine(LogLevel::Info, "map.phase",
                 {{"phase", wordFor(phase)},
                  {"epoch", epoch_},
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -42,12 +42,12 @@
                        return;
                    }
                    RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
-                   handed_.noteReport(facts.report.epoch, facts.report.prepared);
-                   facts.report.fence = handed_.fence();
-                   facts.report.neverArmed = handed_.neverArmed(facts.report.epoch);
+                   handed_.recordReport(facts.report.epoch, facts.report.prepared);
+                   facts.report.fence = handed_.highestFence();
+                   facts.report.unarmedVersion = handed_.unarmedVersion(facts.report.epoch);
                    if (!engine->counts.empty()) {
                        facts.choices =
-                           ledger_.note(std::move(engine->counts), question.countsSince);
+                           ledger_.record(std::move(engine->counts), question.countsSince);
                    }
                    done(std::move(facts));
                });
@@ -55,12 +55,12 @@
 
 void OwnEngine::order(const MapOrder &order, OrderDone done)
 {
-    if (!handed_.add(order)) {
+    if (!handed_.admit(order)) {
         logLine(LogLevel::Info, "order.fenced",
                 {{"kind", wordFor(order.kind)},
                  {"version", order.version},
                  {"fence", order.fence},
-                 {"highest", handed_.fence()}});
+                 {"highest", handed_.highestFence()}});
         done(MapOrderAnswer::Fenced);
         return;
     }
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "decision/expertmap/choicecounts.h"
-#include "decision/expertmap/handedorders.h"
+#include "decision/expertmap/forwardedorders.h"
 #include "experts/rankclient.h"
 #include "experts/rankwire.h"
 #include "net/eventloop.h"
@@ -43,8 +43,8 @@
     EventLoop &loop_;
     RankClient &ranks_;
     SocketAddress engine_;
-    ChoiceLedger ledger_;
-    HandedOrders handed_;
+    ChoiceCountHistory ledger_;
+    ForwardedOrders handed_;
     // Timers and answers ask whether the object still exists.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -107,7 +107,7 @@
     const TimePoint now = loop_.now();
     std::vector<std::pair<TimePoint, InstanceId>> due;
     for (const auto &[id, peer] : peers_) {
-        if (!peer.asking && now - peer.askedAt >= roster_.gapFor(id, gap)) {
+        if (!peer.asking && now - peer.askedAt >= roster_.pollIntervalFor(id, gap)) {
             due.emplace_back(peer.askedAt, id);
         }
     }
@@ -164,7 +164,7 @@
         connect(peer);
     }
     askAgent(id, question, ownRank);
-    if (!agentAnswers(peer) && !roster_.isForeign(id)) {
+    if (!agentAnswers(peer) && !roster_.isInOtherGroup(id)) {
         askEngine(id, {false, question.experts, 0});
     }
 }
@@ -218,8 +218,8 @@
 // Notes where the engine belongs, and passes on what concerns the own group.
 void RankPeers::takeFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
 {
-    roster_.note(id, facts.report.group, facts.report.rank);
-    if (!roster_.isForeign(id)) {
+    roster_.recordMember(id, facts.report.group, facts.report.rank);
+    if (!roster_.isInOtherGroup(id)) {
         listener_.onPeerFacts(facts, askedAt);
     }
 }
@@ -259,10 +259,10 @@
             continue;
         }
         const bool silent = !agentAnswers(*peer);
-        if (silent && action.way == OrderWay::AgentOnly) {
+        if (silent && action.route == OrderRoute::AgentOnly) {
             continue; // The decider sends it again.
         }
-        if (silent || action.way == OrderWay::Engine) {
+        if (silent || action.route == OrderRoute::EngineOnly) {
             sendToEngine(*peer, action);
         } else if (action.order.kind == MapOrderKind::Prepare) {
             prepares.push_back(action);
@@ -285,7 +285,7 @@
     }
     inputs.orderBytes = order.experts == nullptr ? 0 : packExperts(*order.experts).size();
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
-    inputs.turn = relayTurn_++;
+    inputs.rotation = relayTurn_++;
     const std::vector<RelayBlock> blocks = planRelays(inputs);
     logLine(LogLevel::Info, "map.prepares_sent",
             {{"version", order.version},
@@ -294,7 +294,7 @@
              {"bytes", inputs.orderBytes}});
     for (const RelayBlock &block : blocks) {
         if (block.size() == 1) {
-            sendThroughAgent(*peerOfRank(block.front()), {block.front(), order, OrderWay::Any});
+            sendThroughAgent(*peerOfRank(block.front()), {block.front(), order, OrderRoute::Any});
         } else {
             sendThroughRelay(block, order);
         }
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -9,7 +9,7 @@
 // Single-threaded. What the constructor is given outlives the object.
 #pragma once
 
-#include "decision/expertmap/grouproster.h"
+#include "decision/expertmap/groupmembership.h"
 #include "experts/rankclient.h"
 #include "experts/rankwire.h"
 #include "net/eventloop.h"
@@ -104,7 +104,7 @@
     RankClient &ranks_;
     Settings settings_;
     RankPeersListener &listener_;
-    GroupRoster roster_;
+    GroupMembership roster_;
     std::uint64_t relayTurn_ = 0;
     std::map<InstanceId, Peer> peers_;
     // Timers and answers of engines ask whether the peers still exist.
--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -37,11 +37,11 @@
 {
     to.setMark(counts.mark);
     to.setSince(counts.since);
-    auto units = to.initUnits(sizeOf(counts.units));
+    auto units = to.initUnits(sizeOf(counts.scales));
     for (std::uint32_t index = 0; index < units.size(); ++index) {
-        units.set(index, counts.units[index]);
+        units.set(index, counts.scales[index]);
     }
-    to.setParts(kj::arrayPtr(counts.parts.data(), counts.parts.size()));
+    to.setParts(kj::arrayPtr(counts.quantized.data(), counts.quantized.size()));
 }
 
 ChoiceCounts readChoices(wire::ChoiceCounts::Reader from)
@@ -50,10 +50,10 @@
     counts.mark = from.getMark();
     counts.since = from.getSince();
     for (const float unit : from.getUnits()) {
-        counts.units.push_back(unit);
+        counts.scales.push_back(unit);
     }
     const auto parts = from.getParts();
-    counts.parts.assign(parts.begin(), parts.end());
+    counts.quantized.assign(parts.begin(), parts.end());
     return counts;
 }
 
--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -8,74 +8,74 @@
 
 constexpr std::uint64_t kFirstMark = 700;
 
-std::vector<std::uint64_t> counted(std::size_t experts, std::uint64_t each)
+std::vector<std::uint64_t> uniformCounts(std::size_t experts, std::uint64_t each)
 {
     return std::vector<std::uint64_t>(experts, each);
 }
 
 } // namespace
 
-TEST_GROUP(ChoiceLedgerTest)
+TEST_GROUP(ChoiceCountHistoryTest)
 {
-    ChoiceLedger ledger{kFirstMark};
+    ChoiceCountHistory history{kFirstMark};
 };
 
-TEST(ChoiceLedgerTest, TellsWhatWasChosenSinceTheMomentThatIsNamed)
+TEST(ChoiceCountHistoryTest, ReturnsDeltaSinceNamedSnapshot)
 {
-    const auto first = ledger.note({10, 20, 30}, 0);
-    ledger.note({11, 20, 30}, first.mark);
-    const auto third = ledger.note({15, 20, 37}, first.mark);
+    const auto first = history.record({10, 20, 30}, 0);
+    history.record({11, 20, 30}, first.mark);
+    const auto third = history.record({15, 20, 37}, first.mark);
     LONGS_EQUAL(first.mark, third.since);
-    CHECK_TRUE(choicesOf(third) == (std::vector<double>{5, 0, 7}));
+    CHECK_TRUE(decodeChoices(third) == (std::vector<double>{5, 0, 7}));
 }
 
-TEST(ChoiceLedgerTest, TellsNothingToAnAskerThatNamesNoMoment)
+TEST(ChoiceCountHistoryTest, ReturnsNoDeltaWithoutMark)
 {
-    const auto first = ledger.note({10, 20, 30}, 0);
+    const auto first = history.record({10, 20, 30}, 0);
     LONGS_EQUAL(0, first.since);
-    CHECK_TRUE(choicesOf(first).empty());
+    CHECK_TRUE(decodeChoices(first).empty());
 }
 
-TEST(ChoiceLedgerTest, TellsNothingSinceAMomentOfAnotherLife)
+TEST(ChoiceCountHistoryTest, ReturnsNoDeltaForMarkOfEarlierProcess)
 {
-    ledger.note({10, 20, 30}, 0);
-    LONGS_EQUAL(0, ledger.note({11, 21, 31}, kFirstMark - 1).since);
+    history.record({10, 20, 30}, 0);
+    LONGS_EQUAL(0, history.record({11, 21, 31}, kFirstMark - 1).since);
 }
 
-TEST(ChoiceLedgerTest, EngineThatStartedAnewIsNoLoad)
+TEST(ChoiceCountHistoryTest, ReturnsNoDeltaAcrossEngineRestart)
 {
-    const auto first = ledger.note({10, 20, 30}, 0);
-    const auto second = ledger.note({0, 1, 0}, first.mark);
-    CHECK_TRUE(choicesOf(second).empty());
-    const auto third = ledger.note({0, 4, 0}, second.mark);
-    CHECK_TRUE(choicesOf(third) == (std::vector<double>{0, 3, 0}));
+    const auto first = history.record({10, 20, 30}, 0);
+    const auto second = history.record({0, 1, 0}, first.mark);
+    CHECK_TRUE(decodeChoices(second).empty());
+    const auto third = history.record({0, 4, 0}, second.mark);
+    CHECK_TRUE(decodeChoices(third) == (std::vector<double>{0, 3, 0}));
 }
 
-TEST(ChoiceLedgerTest, KeepsEachExpertWithinOnePartIn500OfItsBlocksMost)
+TEST(ChoiceCountHistoryTest, QuantizationErrorIsBelowOneIn500OfBlockMaximum)
 {
     constexpr std::size_t kExperts = 2016;
-    const auto first = ledger.note(counted(kExperts, 0), 0);
+    const auto first = history.record(uniformCounts(kExperts, 0), 0);
     std::vector<std::uint64_t> later;
     for (std::size_t expert = 0; expert < kExperts; ++expert) {
         later.push_back(expert * expert % 9973);
     }
-    const std::vector<double> choices = choicesOf(ledger.note(later, first.mark));
+    const std::vector<double> choices = decodeChoices(history.record(later, first.mark));
     LONGS_EQUAL(kExperts, choices.size());
     for (std::size_t expert = 0; expert < kExperts; ++expert) {
         DOUBLES_EQUAL(static_cast<double>(later[expert]), choices[expert], 9973.0 / 500.0);
     }
 }
 
-TEST(ChoiceLedgerTest, FitsTwoThousandExpertsInLessThanThreeKilobytes)
+TEST(ChoiceCountHistoryTest, EncodesTwoThousandExpertsInLessThanThreeKilobytes)
 {
     constexpr std::size_t kExperts = 2016;
-    const auto first = ledger.note(counted(kExperts, 0), 0);
-    const auto second = ledger.note(counted(kExperts, 5000), first.mark);
-    CHECK_TRUE(second.parts.size() + second.units.size() * sizeof(float) < 3000);
+    const auto first = history.record(uniformCounts(kExperts, 0), 0);
+    const auto second = history.record(uniformCounts(kExperts, 5000), first.mark);
+    CHECK_TRUE(second.quantized.size() + second.scales.size() * sizeof(float) < 3000);
 }
 
-TEST(ChoiceLedgerTest, CountsThatDoNotFitTogetherAreLeftOut)
+TEST(ChoiceCountHistoryTest, DecodesInconsistentCountsToNothing)
 {
-    ChoiceCounts torn{2, 1, {}, {1, 2, 3}};
-    CHECK_TRUE(choicesOf(torn).empty());
+    ChoiceCounts inconsistent{2, 1, {}, {1, 2, 3}};
+    CHECK_TRUE(decodeChoices(inconsistent).empty());
 }
--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -1,6 +1,6 @@
-// The pattern: one decider before a group of any size, with a link that carries its reports, counts
-// and orders. The figures of the groups are those of the users' deployments (ranks, sets and
-// experts, link) and of the size that docs/CAPACITY.md aims for.
+// Plans for groups of different sizes. Reports, counts and orders share the link of one decider.
+// The figures (ranks, sets times experts, link bandwidth) are those of production deployments and
+// of the target size in docs/CAPACITY.md.
 #include "decision/expertmap/collectionplan.h"
 
 #include <string>
@@ -40,64 +40,65 @@
 
 TEST_GROUP(CollectionPlanTest){};
 
-TEST(CollectionPlanTest, LeavesAThirdOfTheLinkToOrdersAtAnySize)
+TEST(CollectionPlanTest, ReservesOneThirdOfLinkForOrders)
 {
     constexpr double kReportBytes = 400.0;
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
-        const double reports = group.ranks * kReportBytes / toSeconds(plan.reportGap);
-        const double counts =
-            plan.countedRanks * static_cast<double>(group.countsBytes) / toSeconds(plan.countsGap);
+        const double reports = group.ranks * kReportBytes / toSeconds(plan.reportInterval);
+        const double counts = plan.sampledRanks * static_cast<double>(group.countsBytes)
+                              / toSeconds(plan.countsInterval);
         CHECK_TEXT(reports + counts < group.megabits * kBytesPerMegabit * 2.0 / 3.0,
                    nameOf(group).c_str());
     }
 }
 
-TEST(CollectionPlanTest, AReportOutlivesTwoQuestionsAndALateAnswer)
+TEST(CollectionPlanTest, ReportTtlCoversTwoIntervalsAndOneLateAnswer)
 {
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
-        CHECK_TEXT(plan.reportLife >= 2 * plan.reportGap + std::chrono::milliseconds(500),
+        CHECK_TEXT(plan.reportTtl >= 2 * plan.reportInterval + std::chrono::milliseconds(500),
                    nameOf(group).c_str());
     }
 }
 
-TEST(CollectionPlanTest, AskEveryRankOfASmallGroupOnceAPass)
+TEST(CollectionPlanTest, PollsEveryRankOfSmallGroupOncePerPass)
 {
     for (const Group &group : kGroups) {
         if (group.ranks > 24 || group.countsBytes > 1000) {
             continue;
         }
         const CollectionPlan plan = planFor(group);
-        LONGS_EQUAL(group.ranks, plan.countedRanks);
-        CHECK_TRUE(plan.countsGap == std::chrono::milliseconds(100));
-        CHECK_TRUE(plan.reportGap == std::chrono::milliseconds(100));
+        LONGS_EQUAL(group.ranks, plan.sampledRanks);
+        CHECK_TRUE(plan.countsInterval == std::chrono::milliseconds(100));
+        CHECK_TRUE(plan.reportInterval == std::chrono::milliseconds(100));
     }
 }
 
-// 129 ranks with 4 KB of counts each are 0.7 s of a link of 6 Mbit/s: reports queued behind them.
-TEST(CollectionPlanTest, SamplesTheCountsOfALargeGroup)
+// Counts of 4 KB from each of 129 ranks occupy a link of 6 Mbit/s for 0.7 s. Without sampling,
+// reports would queue behind them.
+TEST(CollectionPlanTest, SamplesCountsOfLargeGroup)
 {
     const CollectionPlan plan = planFor({129, 16 * 258, 6});
-    CHECK_TRUE(plan.countsGap <= std::chrono::milliseconds(250));
-    CHECK_TRUE(plan.countedRanks >= 8);
-    CHECK_TRUE(plan.countedRanks <= 32);
-    CHECK_TRUE(plan.roundSpan < plan.countsGap);
+    CHECK_TRUE(plan.countsInterval <= std::chrono::milliseconds(250));
+    CHECK_TRUE(plan.sampledRanks >= 8);
+    CHECK_TRUE(plan.sampledRanks <= 32);
+    CHECK_TRUE(plan.roundWindow < plan.countsInterval);
 }
 
-TEST(CollectionPlanTest, AnswersOfARoundComeWithinItsSpan)
+TEST(CollectionPlanTest, RoundWindowCoversTransferOfAllAnswers)
 {
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
-        const double seconds = plan.countedRanks * static_cast<double>(group.countsBytes)
+        const double seconds = plan.sampledRanks * static_cast<double>(group.countsBytes)
                                / (group.megabits * kBytesPerMegabit);
-        CHECK_TEXT(toSeconds(plan.roundSpan) >= seconds, nameOf(group).c_str());
+        CHECK_TEXT(toSeconds(plan.roundWindow) >= seconds, nameOf(group).c_str());
     }
 }
 
-TEST(CollectionPlanTest, HoldsForAGroupThatIsNotKnownYet)
+TEST(CollectionPlanTest, PlansForUnknownGroupSize)
 {
     const CollectionPlan plan = planCollection({0, 0, 750'000.0});
-    CHECK_TRUE(plan.reportGap == std::chrono::milliseconds(100));
-    LONGS_EQUAL(0, plan.countedRanks);
+    CHECK_TRUE(plan.reportInterval == std::chrono::milliseconds(100));
+    LONGS_EQUAL(0, plan.sampledRanks);
 }
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -16,8 +16,8 @@
 constexpr std::uint32_t kRanks = 12;
 constexpr std::uint32_t kExperts = 72;
 
-// The first map of an epoch: experts are dealt in turn.
-RankExperts dealt()
+// Returns the first placement of an epoch, which assigns experts to ranks in turn.
+RankExperts roundRobinPlacement()
 {
     RankExperts placement(kRanks);
     for (std::uint16_t expert = 0; expert < kExperts; ++expert) {
@@ -26,12 +26,12 @@
     return placement;
 }
 
-// Popularity that falls off as a power of the place in a random order.
+// Returns shares that decrease as a power of the rank of an expert in a random order.
 std::vector<double> skewedShares(std::uint64_t seed)
 {
     std::vector<double> shares(kExperts);
-    for (std::size_t place = 0; place < shares.size(); ++place) {
-        shares[place] = 1.0 / std::pow(static_cast<double>(place + 1), 1.3);
+    for (std::size_t position = 0; position < shares.size(); ++position) {
+        shares[position] = 1.0 / std::pow(static_cast<double>(position + 1), 1.3);
     }
     std::shuffle(shares.begin(), shares.end(), std::mt19937_64(seed));
     const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
@@ -41,7 +41,8 @@
     return shares;
 }
 
-// The experts of the first rank, as they are dealt, are chosen nearly twice as often as others.
+// Returns shares with which the experts of the first rank in roundRobinPlacement() are chosen
+// nearly twice as often as the others.
 std::vector<double> mildlySkewedShares()
 {
     std::vector<double> shares(kExperts, 1.0);
@@ -60,24 +61,24 @@
     return TimePoint(std::chrono::milliseconds(millis));
 }
 
-// Feeds choices that follow `shares`, from `from` to `to`.
-void feed(ExpertPlanner &planner, const std::vector<double> &shares, int from, int to)
+// Adds choices distributed like `shares` and ends their rounds, from `from` to `to` (milliseconds).
+void feedChoices(ExpertPlanner &planner, const std::vector<double> &shares, int from, int to)
 {
-    constexpr double kPerPeriod = 10'000.0; // Choices of a rank.
+    constexpr double kChoicesPerRound = 10'000.0; // Choices of one rank.
     for (int time = from; time < to; time += 200) {
         for (std::uint32_t rank = 0; rank < kRanks; ++rank) {
             std::vector<double> choices;
             for (const double share : shares) {
-                choices.push_back(std::floor(share * kPerPeriod));
+                choices.push_back(std::floor(share * kChoicesPerRound));
             }
-            planner.onChoices(choices, at(time));
+            planner.addChoices(choices, at(time));
         }
-        planner.look(std::nullopt, at(time + 50));
+        planner.endRound(std::nullopt, at(time + 50));
     }
 }
 
-// Returns the most experts that are new to one rank, over all sets.
-std::ptrdiff_t mostCopies(const ExpertMap &before, const ExpertMap &after)
+// Returns the maximum over the ranks of the number of new experts, summed over all sets.
+std::ptrdiff_t maxCopiesPerRank(const ExpertMap &before, const ExpertMap &after)
 {
     std::ptrdiff_t most = 0;
     for (std::size_t rank = 0; rank < before.front().size(); ++rank) {
@@ -98,12 +99,13 @@
 
 TEST_GROUP(EvenPlacementTest){};
 
-TEST(EvenPlacementTest, EvensASkewedLoadWithinTheBounds)
+TEST(EvenPlacementTest, BalancesSkewedLoadWithinBounds)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         const std::vector<double> shares = skewedShares(seed);
-        const RankExperts placement = improvePlacement(dealt(), shares, {8, 3, 64, 1.08});
-        CHECK_TRUE(placementSkew(dealt(), shares) > 2.0);
+        const RankExperts placement =
+            improvePlacement(roundRobinPlacement(), shares, {8, 3, 64, 1.08});
+        CHECK_TRUE(placementSkew(roundRobinPlacement(), shares) > 2.0);
         CHECK_TRUE(placementSkew(placement, shares) < 1.3);
         std::set<std::uint16_t> placed;
         for (std::uint32_t rank = 0; rank < kRanks; ++rank) {
@@ -111,7 +113,7 @@
             std::size_t added = 0;
             for (const std::uint16_t expert : placement[rank]) {
                 placed.insert(expert);
-                const std::vector<std::uint16_t> before = dealt()[rank];
+                const std::vector<std::uint16_t> before = roundRobinPlacement()[rank];
                 added += std::find(before.begin(), before.end(), expert) == before.end() ? 1 : 0;
             }
             CHECK_TRUE(added <= 3);
@@ -120,13 +122,14 @@
     }
 }
 
-TEST(EvenPlacementTest, LeavesAnEvenLoadAlone)
+TEST(EvenPlacementTest, KeepsPlacementOfEvenLoad)
 {
     const std::vector<double> even(kExperts, 1.0 / kExperts);
-    CHECK_TRUE(improvePlacement(dealt(), even, {8, 3, 64, 1.0}) == dealt());
+    CHECK_TRUE(improvePlacement(roundRobinPlacement(), even, {8, 3, 64, 1.0})
+               == roundRobinPlacement());
 }
 
-TEST(EvenPlacementTest, EvensALargeGroupWithinFewChanges)
+TEST(EvenPlacementTest, BalancesLargeGroupWithinChangeLimit)
 {
     constexpr std::uint16_t kManyRanks = 63;
     constexpr std::uint16_t kManyExperts = 252;
@@ -147,8 +150,8 @@
     CHECK_TRUE(placementSkew(even, shares) < 1.12);
 }
 
-// Weighing every rank as a target takes a time that grows with the square of the group.
-TEST(EvenPlacementTest, TheLeastLoadedRanksWillDoAsTargetsInALargeGroup)
+// Evaluating every rank as a target takes time quadratic in the size of the group.
+TEST(EvenPlacementTest, FewTargetsAreNearlyAsGoodAsAllInLargeGroup)
 {
     constexpr std::uint16_t kManyRanks = 129;
     constexpr std::uint16_t kManyExperts = 258;
@@ -166,18 +169,18 @@
     }
     PlacementBounds bounds{3, 2, 96, 1.08};
     const double few = placementSkew(improvePlacement(placement, shares, bounds), shares);
-    bounds.targets = kManyRanks;
+    bounds.maxTargets = kManyRanks;
     const double all = placementSkew(improvePlacement(placement, shares, bounds), shares);
     CHECK_TRUE(placementSkew(placement, shares) > 2.0);
     CHECK_TRUE(few < all + 0.1);
 }
 
-TEST(EvenPlacementTest, SparesASlowRank)
+TEST(EvenPlacementTest, ReducesLoadOfSlowRank)
 {
     const std::vector<double> shares = skewedShares(3);
     std::vector<double> paces(kRanks, 1.0);
     paces[4] = 4.0;
-    RankExperts placement = dealt();
+    RankExperts placement = roundRobinPlacement();
     for (int change = 0; change < 3; ++change) {
         placement = improvePlacement(placement, shares, {8, 3, 64, 1.08}, paces);
     }
@@ -190,7 +193,7 @@
     LONGS_EQUAL(kExperts, placed.size());
 }
 
-TEST(EvenPlacementTest, SharesAnExpertEvenlyAmongItsRanks)
+TEST(EvenPlacementTest, SplitsExpertLoadEvenlyAmongHolders)
 {
     const std::vector<double> shares = {0.6, 0.4};
     const std::vector<double> loads = rankLoads({{0}, {0, 1}}, shares);
@@ -209,95 +212,96 @@
 
 TEST(ExpertPlannerTest, PlansNothingWithoutCounts)
 {
-    CHECK_FALSE(planner.plan({dealt()}, at(0)).has_value());
+    CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(0)).has_value());
 }
 
 TEST(ExpertPlannerTest, PlansABetterMapForASkewedLoad)
 {
-    feed(planner, skewedShares(1), 0, 2000);
-    const auto planned = planner.plan({dealt()}, at(2000));
+    feedChoices(planner, skewedShares(1), 0, 2000);
+    const auto planned = planner.plan({roundRobinPlacement()}, at(2000));
     CHECK_TRUE(planned.has_value());
-    CHECK_TRUE(planner.skew(*planned) < planner.skew({dealt()}) / 2.0);
+    CHECK_TRUE(planner.skew(*planned) < planner.skew({roundRobinPlacement()}) / 2.0);
 }
 
-TEST(ExpertPlannerTest, LeavesAMapThatIsGoodEnough)
+TEST(ExpertPlannerTest, KeepsMapNearTargetSkew)
 {
-    feed(planner, skewedShares(1), 0, 2000);
-    auto map = *planner.plan({dealt()}, at(2000));
+    feedChoices(planner, skewedShares(1), 0, 2000);
+    auto map = *planner.plan({roundRobinPlacement()}, at(2000));
     for (int time = 2000; time < 6000; time += 1000) {
-        feed(planner, skewedShares(1), time, time + 1000);
+        feedChoices(planner, skewedShares(1), time, time + 1000);
         map = planner.plan(map, at(time + 1000)).value_or(map);
     }
-    feed(planner, skewedShares(1), 6000, 7000);
+    feedChoices(planner, skewedShares(1), 6000, 7000);
     CHECK_FALSE(planner.plan(map, at(7000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ForgetsTheOldMixWhenDemandShifts)
+TEST(ExpertPlannerTest, DetectsShiftOfDemand)
 {
-    feed(planner, skewedShares(1), 0, 8000);
-    feed(planner, skewedShares(2), 8000, 8800);
+    feedChoices(planner, skewedShares(1), 0, 8000);
+    feedChoices(planner, skewedShares(2), 8000, 8800);
     LONGS_EQUAL(1, planner.shifts());
 }
 
-TEST(ExpertPlannerTest, LeavesOutChoicesThatDoNotFitTheRule)
+TEST(ExpertPlannerTest, IgnoresChoicesOfWrongSize)
 {
-    feed(planner, skewedShares(1), 0, 2000);
-    const double before = planner.skew({dealt()});
-    planner.onChoices(std::vector<double>(kExperts + 1, 1e6), at(2000));
-    DOUBLES_EQUAL(before, planner.skew({dealt()}), 1e-6);
+    feedChoices(planner, skewedShares(1), 0, 2000);
+    const double before = planner.skew({roundRobinPlacement()});
+    planner.addChoices(std::vector<double>(kExperts + 1, 1e6), at(2000));
+    DOUBLES_EQUAL(before, planner.skew({roundRobinPlacement()}), 1e-6);
 }
 
-TEST(ExpertPlannerTest, SeesASmallShiftWhereCountsAreCalm)
+TEST(ExpertPlannerTest, DetectsSmallShiftWhenCountsAreSteady)
 {
     std::vector<double> shares = skewedShares(1);
-    feed(planner, shares, 0, 8000);
-    // Eight choices in a hundred move from the most liked expert to another one.
+    feedChoices(planner, shares, 0, 8000);
+    // 8 % of the choices move from the most popular expert to another one.
     const auto most = std::max_element(shares.begin(), shares.end());
     *most -= 0.08;
     shares[most == shares.begin() ? 1 : 0] += 0.08;
-    feed(planner, shares, 8000, 8800);
+    feedChoices(planner, shares, 8000, 8800);
     LONGS_EQUAL(1, planner.shifts());
 }
 
-TEST(ExpertPlannerTest, PlansNothingThatCopyingWouldEatUp)
+TEST(ExpertPlannerTest, PlansNothingWhenCopyingCostsMoreThanItGains)
 {
     ExpertRule rule{1, kExperts, 8, 3, std::chrono::seconds(20), 0.85};
     planner.setRule(rule);
-    feed(planner, skewedShares(1), 0, 2000);
-    CHECK_FALSE(planner.plan({dealt()}, at(2000)).has_value());
+    feedChoices(planner, skewedShares(1), 0, 2000);
+    CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
     rule.copyTime = std::chrono::milliseconds(100);
     planner.setRule(rule);
-    feed(planner, skewedShares(1), 2000, 3000);
-    CHECK_TRUE(planner.plan({dealt()}, at(3000)).has_value());
+    feedChoices(planner, skewedShares(1), 2000, 3000);
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(3000)).has_value());
 }
 
-TEST(ExpertPlannerTest, UrgentChangeCopiesFewExpertsWhereCopyingTakesLong)
+TEST(ExpertPlannerTest, PrefersFewCopiesWhenCopyingIsSlow)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
-    feed(planner, skewedShares(1), 0, 2000);
-    const auto planned = planner.plan({dealt()}, at(2000));
+    feedChoices(planner, skewedShares(1), 0, 2000);
+    const auto planned = planner.plan({roundRobinPlacement()}, at(2000));
     CHECK_TRUE(planned.has_value());
-    LONGS_EQUAL(1, mostCopies({dealt()}, *planned));
+    LONGS_EQUAL(1, maxCopiesPerRank({roundRobinPlacement()}, *planned));
 }
 
-// At 129 ranks orders take half a second to reach all. Two small changes take twice that.
-TEST(ExpertPlannerTest, ChangesThatTakeLongToComeIntoUseCopyMore)
+// At 129 ranks, orders take half a second to reach all ranks, and two small changes take twice as
+// long as one.
+TEST(ExpertPlannerTest, CopiesMoreWhenActivationIsSlow)
 {
     const auto copies = [](Duration inUse) {
         ExpertPlanner learning;
         learning.setRule({1, kExperts, 8, 8, std::chrono::milliseconds(40), 0.85});
-        feed(learning, skewedShares(1), 0, 2000);
+        feedChoices(learning, skewedShares(1), 0, 2000);
         for (int change = 0; change < 5; ++change) {
-            learning.noteInUse(inUse);
+            learning.recordActivation(inUse);
         }
-        const auto planned = learning.plan({dealt()}, at(2000));
+        const auto planned = learning.plan({roundRobinPlacement()}, at(2000));
         CHECK_TRUE(planned.has_value());
-        return mostCopies({dealt()}, *planned);
+        return maxCopiesPerRank({roundRobinPlacement()}, *planned);
     };
     CHECK_TRUE(copies(std::chrono::milliseconds(1500)) > copies(std::chrono::milliseconds(100)));
 }
 
-TEST(ExpertPlannerTest, SetsShareWhatARankCanCopyInTime)
+TEST(ExpertPlannerTest, SetsShareCopyBudgetOfRank)
 {
     constexpr std::uint32_t kSets = 3;
     planner.setRule({kSets, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
@@ -306,120 +310,122 @@
         const std::vector<double> ofSet = skewedShares(set + 1);
         shares.insert(shares.end(), ofSet.begin(), ofSet.end());
     }
-    feed(planner, shares, 0, 2000);
-    const ExpertMap current(kSets, dealt());
+    feedChoices(planner, shares, 0, 2000);
+    const ExpertMap current(kSets, roundRobinPlacement());
     const auto planned = planner.plan(current, at(2000));
     CHECK_TRUE(planned.has_value());
-    LONGS_EQUAL(1, mostCopies(current, *planned));
+    LONGS_EQUAL(1, maxCopiesPerRank(current, *planned));
     for (std::uint32_t set = 0; set < kSets; ++set) {
-        CHECK_TEXT((*planned)[set] != current[set], "each set gets a part of the copies");
+        CHECK_TEXT((*planned)[set] != current[set], "each set must get a share of the copies");
     }
 }
 
-TEST(ExpertPlannerTest, PlansNothingForABlendOfTwoMixtures)
+TEST(ExpertPlannerTest, PlansNothingForBlendOfTwoWorkloads)
 {
-    feed(planner, skewedShares(1), 0, 8000);
+    feedChoices(planner, skewedShares(1), 0, 8000);
     std::vector<double> blend = skewedShares(1);
     const std::vector<double> later = skewedShares(2);
     for (std::size_t expert = 0; expert < blend.size(); ++expert) {
         blend[expert] = (blend[expert] + later[expert]) / 2.0;
     }
-    feed(planner, blend, 8000, 8200);
-    CHECK_FALSE(planner.plan({dealt()}, at(8200)).has_value());
-    feed(planner, later, 8200, 8400);
-    CHECK_TRUE(planner.plan({dealt()}, at(8400)).has_value());
+    feedChoices(planner, blend, 8000, 8200);
+    CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(8200)).has_value());
+    feedChoices(planner, later, 8200, 8400);
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(8400)).has_value());
     LONGS_EQUAL(1, planner.shifts());
 }
 
-TEST(ExpertPlannerTest, LearnsHowLongAMixtureLasts)
+TEST(ExpertPlannerTest, LearnsWorkloadDuration)
 {
     for (int shift = 0; shift < 6; ++shift) {
-        feed(planner, skewedShares(static_cast<std::uint64_t>(shift)), 3000 * shift,
-             3000 * (shift + 1));
+        feedChoices(planner, skewedShares(static_cast<std::uint64_t>(shift)), 3000 * shift,
+                    3000 * (shift + 1));
     }
-    const Duration life = planner.expectedLife(at(16'050)); // A second into the last mixture.
+    const Duration life =
+        planner.expectedWorkloadDuration(at(16'050)); // One second into the last workload.
     CHECK_TRUE(life > std::chrono::milliseconds(1500));
     CHECK_TRUE(life < std::chrono::milliseconds(2500));
 }
 
-TEST(ExpertPlannerTest, TellsThatAPlanIsLeftBehind)
+TEST(ExpertPlannerTest, ReportsPlanOutdatedAfterShift)
 {
-    feed(planner, skewedShares(1), 0, 2000);
-    CHECK_TRUE(planner.plan({dealt()}, at(2000)).has_value());
-    CHECK_FALSE(planner.outdated());
-    feed(planner, skewedShares(2), 2000, 2400);
-    CHECK_TRUE(planner.outdated());
+    feedChoices(planner, skewedShares(1), 0, 2000);
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
+    CHECK_FALSE(planner.planOutdated());
+    feedChoices(planner, skewedShares(2), 2000, 2400);
+    CHECK_TRUE(planner.planOutdated());
 }
 
-// Under an uneven map single rounds differ much in skew. Taken for shifts, they would make mixtures
-// look so short-lived that no change of the map paid, and the map would stay uneven.
-TEST(ExpertPlannerTest, TakesOneOddRoundForNoise)
+// Under a skewed map, the skew varies widely between rounds. If single rounds were taken for
+// shifts, workloads would appear so short that no change of the map paid off, and the map would
+// stay skewed.
+TEST(ExpertPlannerTest, TreatsSingleDeviatingRoundAsNoise)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
-    const std::vector<double> calm = skewedShares(1);
-    std::vector<double> odd = calm;
-    const auto most = std::max_element(odd.begin(), odd.end());
+    const std::vector<double> steady = skewedShares(1);
+    std::vector<double> deviating = steady;
+    const auto most = std::max_element(deviating.begin(), deviating.end());
     *most *= 1.8;
     int time = 0;
     for (int count = 0; count < 20; ++count) {
-        feed(planner, calm, time, time + 800);
-        feed(planner, odd, time + 800, time + 1000);
+        feedChoices(planner, steady, time, time + 800);
+        feedChoices(planner, deviating, time + 800, time + 1000);
         time += 1000;
     }
     LONGS_EQUAL(0, planner.shifts());
-    feed(planner, calm, time, time + 200);
-    CHECK_TRUE(planner.expectedLife(at(time)) >= std::chrono::seconds(5));
-    CHECK_TRUE(planner.plan({dealt()}, at(time)).has_value());
+    feedChoices(planner, steady, time, time + 200);
+    CHECK_TRUE(planner.expectedWorkloadDuration(at(time)) >= std::chrono::seconds(5));
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(time)).has_value());
 }
 
-// The blends of one shift must not count as a mixture that lasted for a moment: with so short a
-// life expected, no change would pay, and the map would stay as uneven as the shift has left it.
-TEST(ExpertPlannerTest, ShiftThatTakesTwoRoundsCountsOnce)
+// The blended rounds of one shift must not count as a short workload of their own. With so short an
+// expected duration, no change would pay off, and the map would stay as skewed as after the shift.
+TEST(ExpertPlannerTest, CountsShiftSpanningTwoRoundsOnce)
 {
     planner.setRule({1, kExperts, 8, 3, std::chrono::milliseconds(400), 0.85});
-    feed(planner, skewedShares(1), 0, 4000);
+    feedChoices(planner, skewedShares(1), 0, 4000);
     std::vector<double> blend = skewedShares(1);
     const std::vector<double> later = skewedShares(2);
     for (std::size_t expert = 0; expert < blend.size(); ++expert) {
         blend[expert] = (blend[expert] + later[expert]) / 2.0;
     }
-    feed(planner, blend, 4000, 4400);
-    feed(planner, later, 4400, 5400);
+    feedChoices(planner, blend, 4000, 4400);
+    feedChoices(planner, later, 4400, 5400);
     LONGS_EQUAL(1, planner.shifts());
-    CHECK_TRUE(planner.expectedLife(at(5400)) >= std::chrono::seconds(3));
-    CHECK_TRUE(planner.plan({dealt()}, at(5400)).has_value());
+    CHECK_TRUE(planner.expectedWorkloadDuration(at(5400)) >= std::chrono::seconds(3));
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(5400)).has_value());
 }
 
-// The load that this answers: a calm day, on which passes take half of the pause that callers bear
-// and every second change of a map copies 2 TB for nobody.
-TEST(ExpertPlannerTest, LeavesAModeratelyUnevenMapWhilePassesAreFarInsideTheGoal)
+// Under light load, passes take about half of the latency goal. Without this rule, every second
+// change of a map copied 2 TB without benefit to any caller.
+TEST(ExpertPlannerTest, KeepsModeratelySkewedMapWhenPassesAreWellWithinGoal)
 {
-    feed(planner, mildlySkewedShares(), 0, 2000);
-    const double skew = planner.skew({dealt()});
+    feedChoices(planner, mildlySkewedShares(), 0, 2000);
+    const double skew = planner.skew({roundRobinPlacement()});
     CHECK_TRUE(skew > 1.3 && skew < 2.0);
-    planner.setPasses(std::chrono::milliseconds(80), std::chrono::milliseconds(150));
-    CHECK_FALSE(planner.plan({dealt()}, at(2000)).has_value());
+    planner.setPassTimes(std::chrono::milliseconds(80), std::chrono::milliseconds(150));
+    CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ChangesItOncePassesComeNearTheGoal)
+TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenPassesNearGoal)
 {
-    feed(planner, mildlySkewedShares(), 0, 2000);
-    planner.setPasses(std::chrono::milliseconds(100), std::chrono::milliseconds(150));
-    CHECK_TRUE(planner.plan({dealt()}, at(2000)).has_value());
+    feedChoices(planner, mildlySkewedShares(), 0, 2000);
+    planner.setPassTimes(std::chrono::milliseconds(100), std::chrono::milliseconds(150));
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-// Passes were measured before demand shifted, and streams that last longer make them longer still.
-TEST(ExpertPlannerTest, ChangesAMapThatAShiftHasMadeUselessWhateverThePasses)
+// The pass time was measured before demand shifted, and longer streams increase it further.
+TEST(ExpertPlannerTest, ChangesHighlySkewedMapRegardlessOfPassTime)
 {
-    feed(planner, skewedShares(1), 0, 2000);
-    CHECK_TRUE(planner.skew({dealt()}) >= 2.0);
-    planner.setPasses(std::chrono::milliseconds(50), std::chrono::milliseconds(150));
-    CHECK_TRUE(planner.plan({dealt()}, at(2000)).has_value());
+    feedChoices(planner, skewedShares(1), 0, 2000);
+    CHECK_TRUE(planner.skew({roundRobinPlacement()}) >= 2.0);
+    planner.setPassTimes(std::chrono::milliseconds(50), std::chrono::milliseconds(150));
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ChangesItWhereNothingIsKnownOfPauses)
+TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenGoalIsUnknown)
 {
-    feed(planner, mildlySkewedShares(), 0, 2000);
-    planner.setPasses(std::chrono::milliseconds(50), Duration{});
-    CHECK_TRUE(planner.plan({dealt()}, at(2000)).has_value());
+    feedChoices(planner, mildlySkewedShares(), 0, 2000);
+    planner.setPassTimes(std::chrono::milliseconds(50), Duration{});
+    CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -1,10 +1,10 @@
-// Schedules of GroupDecider against a fake group of engines: orders and answers are lost, delayed,
-// doubled or carried out seconds late, several agents decide at once, are paused and replaced,
-// their machines freeze, mostly right after a hold, and the group forms anew. In no pass may two
-// ranks hold different maps, and no group may stay held.
+// Randomized schedules of GroupDecider with a simulated group of engines. Orders and answers are
+// lost, delayed, duplicated or executed seconds late; several agents decide at the same time, pause
+// and restart; machines freeze, mostly right after a hold; and the group re-forms. No pass may run
+// with two different maps, and no group may stay held.
 #include "decision/expertmap/groupdecider.h"
 
-#include "decision/expertmap/handedorders.h"
+#include "decision/expertmap/forwardedorders.h"
 #include "decision/expertmap/mapversion.h"
 
 #include <algorithm>
@@ -24,12 +24,12 @@
 
 constexpr std::uint32_t kRanks = 4;
 
-// What is wrong with the fake world on purpose.
-enum class Planted {
-    Nothing,
+// A fault that is injected to verify that the checks detect it.
+enum class InjectedFault {
+    None,
     EnginesIgnoreFences,
-    LostArmsCountAsDone,
-    HoldsAreIgnored,
+    LostArmsReportedDone,
+    EnginesIgnoreHolds,
     AgentsForgetArms,
 };
 
@@ -44,17 +44,19 @@
     std::uint64_t fence = 0;
 };
 
-class World
+// A group of engines and their agents in simulated time. The agents of ranks 0 and 1 act as
+// deciders.
+class GroupSimulation
 {
 public:
-    World(std::uint64_t seed, Planted planted)
+    GroupSimulation(std::uint64_t seed, InjectedFault fault)
         : random_(seed)
-        , planted_(planted)
+        , fault_(fault)
         , engines_(kRanks)
         , agents_(kRanks)
     {
         for (std::uint32_t rank = 0; rank < 2; ++rank) {
-            replace(rank);
+            restartAgent(rank);
         }
         schedulePass();
         scheduleTicks();
@@ -72,27 +74,27 @@
         now_ = end;
     }
 
-    // Ends the faults. The agent of rank 1 sees that of rank 0 from now on, and leaves it to
-    // decide.
-    void calm()
+    // Ends all faults. From now on the agent of rank 1 sees the agent of rank 0 and leaves the
+    // decisions to it.
+    void stopFaults()
     {
         faults_ = false;
         deciders_[1]->resign();
     }
 
-    // From now on rank 1 decides only while the machine of rank 0 is frozen, and nothing else goes
-    // wrong. That machine freezes for `length` right after its agent's next hold.
+    // From now on, the only fault is that the machine of rank 0 freezes for `length` right after
+    // the next hold of its agent. Rank 1 decides only while that machine is frozen.
     void freezeAtNextHold(Duration length)
     {
         faults_ = false;
         succession_ = true;
         freezeAtHold_ = length;
     }
-    bool twoMaps() const { return twoMaps_; }
-    Duration longestStandstill() const { return longestStandstill_; }
+    bool mixedMaps() const { return mixedMaps_; }
+    Duration longestStall() const { return longestStall_; }
     std::uint64_t freezes() const { return freezes_; }
     std::uint64_t step() const { return step_; }
-    std::uint64_t mapsTaken() const { return mapsTaken_; }
+    std::uint64_t mapActivations() const { return mapActivations_; }
 
 private:
     struct Event
@@ -106,24 +108,27 @@
         }
     };
 
-    void after(Duration delay, std::function<void()> action)
+    void schedule(Duration delay, std::function<void()> action)
     {
         events_.push({now_ + delay, ++order_, std::move(action)});
     }
 
-    bool chance(double part) { return std::uniform_real_distribution<double>()(random_) < part; }
-    Duration between(int low, int high)
+    bool chance(double probability)
+    {
+        return std::uniform_real_distribution<double>()(random_) < probability;
+    }
+    Duration randomDelay(int low, int high)
     {
         return std::chrono::milliseconds(std::uniform_int_distribution<int>(low, high)(random_));
     }
 
-    void replace(std::uint32_t rank)
+    void restartAgent(std::uint32_t rank)
     {
         GroupDecider::Settings settings;
         settings.ownRank = rank;
         settings.seed = random_();
         deciders_[rank] = std::make_unique<GroupDecider>(settings);
-        agents_[rank] = HandedOrders();
+        agents_[rank] = ForwardedOrders();
     }
 
     bool frozen(std::uint32_t rank) const
@@ -139,19 +144,19 @@
         ++freezes_;
     }
 
-    // Does `action` on the machine of `rank`, now or when it wakes.
+    // Runs `action` on the machine of `rank`, now or when the machine resumes.
     void onMachine(std::uint32_t rank, const std::function<void()> &action)
     {
         if (!frozen(rank)) {
             action();
             return;
         }
-        after(frozenUntil_[rank] - now_, [this, rank, action] { onMachine(rank, action); });
+        schedule(frozenUntil_[rank] - now_, [this, rank, action] { onMachine(rank, action); });
     }
 
     void schedulePass()
     {
-        after(between(30, 90), [this] {
+        schedule(randomDelay(30, 90), [this] {
             pass();
             schedulePass();
         });
@@ -161,31 +166,31 @@
     {
         const std::uint64_t next = step_ + 1;
         const bool held =
-            planted_ != Planted::HoldsAreIgnored
+            fault_ != InjectedFault::EnginesIgnoreHolds
             && std::any_of(engines_.begin(), engines_.end(),
                            [next](const Engine &engine) { return engine.held == next; });
         if (held || (faults_ && chance(0.02))) {
             return;
         }
         step_ = next;
-        longestStandstill_ = std::max(longestStandstill_, now_ - passedAt_);
-        passedAt_ = now_;
+        longestStall_ = std::max(longestStall_, now_ - lastPassAt_);
+        lastPassAt_ = now_;
         for (Engine &engine : engines_) {
             if (engine.armed != 0 && engine.armedStep == step_) {
                 engine.map = engine.armed;
                 engine.armed = 0;
-                ++mapsTaken_;
+                ++mapActivations_;
             }
         }
         for (const Engine &engine : engines_) {
-            twoMaps_ = twoMaps_ || engine.map != engines_.front().map;
+            mixedMaps_ = mixedMaps_ || engine.map != engines_.front().map;
         }
         if (faults_ && chance(0.003)) {
-            formAnew();
+            reformGroup();
         }
     }
 
-    void formAnew()
+    void reformGroup()
     {
         ++epoch_;
         for (Engine &engine : engines_) {
@@ -193,9 +198,9 @@
         }
     }
 
-    MapOrderAnswer carryOut(Engine &engine, const MapOrder &order)
+    MapOrderAnswer execute(Engine &engine, const MapOrder &order)
     {
-        if (planted_ != Planted::EnginesIgnoreFences) {
+        if (fault_ != InjectedFault::EnginesIgnoreFences) {
             if (order.fence < engine.fence) {
                 return MapOrderAnswer::Fenced;
             }
@@ -246,96 +251,100 @@
     void copy(Engine &engine, std::uint64_t version)
     {
         const std::uint64_t epoch = epoch_;
-        after(between(100, 600), [this, &engine, version, epoch] {
+        schedule(randomDelay(100, 600), [this, &engine, version, epoch] {
             if (epoch == epoch_ && engine.highest == version) {
                 engine.prepared = version;
             }
         });
     }
 
-    // Hands an order over, through the agent beside the rank or past it, to an engine that may
-    // carry it out seconds late; or the agent gets it seconds late.
+    // Delivers an order through the agent beside the rank, or directly to the engine. Either the
+    // agent receives it, or the engine executes it, possibly seconds late.
     void deliver(std::uint32_t from, const SendMapOrder &action)
     {
         const bool late = faults_ && chance(0.15);
         const bool lateAtAgent = late && chance(0.5);
-        const bool past = action.way == OrderWay::Engine
-                          || (action.way == OrderWay::Any && faults_ && chance(0.05));
+        const bool bypassesAgent = action.route == OrderRoute::EngineOnly
+                                   || (action.route == OrderRoute::Any && faults_ && chance(0.05));
         const bool lostAnswer = late || (faults_ && chance(0.1));
-        const Duration lateness = between(2000, 6000);
-        const Duration atAgent = lateAtAgent ? lateness : between(1, 8);
-        const Duration atEngine = late && !lateAtAgent ? lateness : between(0, 7);
-        const auto handed = [this, from, action, lostAnswer, past, atEngine] {
-            if (!past && !handOver(action)) {
-                answerLater(from, action, MapOrderAnswer::Fenced);
+        const Duration lateness = randomDelay(2000, 6000);
+        const Duration atAgent = lateAtAgent ? lateness : randomDelay(1, 8);
+        const Duration atEngine = late && !lateAtAgent ? lateness : randomDelay(0, 7);
+        const auto handOver = [this, from, action, lostAnswer, bypassesAgent, atEngine] {
+            if (!bypassesAgent && !forwardThroughAgent(action)) {
+                scheduleAnswer(from, action, MapOrderAnswer::Fenced);
                 return;
             }
-            after(atEngine, [this, from, action, lostAnswer] {
-                MapOrderAnswer answer = carryOut(engines_[action.rank], action.order);
+            schedule(atEngine, [this, from, action, lostAnswer] {
+                MapOrderAnswer answer = execute(engines_[action.rank], action.order);
                 if (lostAnswer) {
                     const bool arm = action.order.kind == MapOrderKind::Arm;
-                    answer = planted_ == Planted::LostArmsCountAsDone && arm ? MapOrderAnswer::Done
-                                                                             : MapOrderAnswer::Lost;
+                    answer = fault_ == InjectedFault::LostArmsReportedDone && arm
+                                 ? MapOrderAnswer::Done
+                                 : MapOrderAnswer::Lost;
                 }
-                answerLater(from, action, answer);
+                scheduleAnswer(from, action, answer);
             });
         };
-        after(atAgent, [this, action, handed] { onMachine(action.rank, handed); });
-        if (late && planted_ == Planted::LostArmsCountAsDone
+        schedule(atAgent, [this, action, handOver] { onMachine(action.rank, handOver); });
+        if (late && fault_ == InjectedFault::LostArmsReportedDone
             && action.order.kind == MapOrderKind::Arm) {
             deciders_[from]->onAnswer(action.rank, action.order, MapOrderAnswer::Done, now_);
         }
     }
 
-    // Lets the agent beside the rank see the order. Returns false when it refuses it.
-    bool handOver(const SendMapOrder &action)
+    // Passes the order through the agent beside the rank. Returns false if the agent refuses it.
+    bool forwardThroughAgent(const SendMapOrder &action)
     {
-        if (planted_ == Planted::AgentsForgetArms && action.order.kind == MapOrderKind::Arm) {
+        if (fault_ == InjectedFault::AgentsForgetArms && action.order.kind == MapOrderKind::Arm) {
             return true;
         }
-        return agents_[action.rank].add(action.order);
+        return agents_[action.rank].admit(action.order);
     }
 
-    // A prepare is answered when its experts are copied, or as begun when that takes long.
-    void answerLater(std::uint32_t from, const SendMapOrder &action, MapOrderAnswer answer)
+    // Schedules the answer to an order. A prepare is answered Copied if its experts are copied by
+    // then, and Done otherwise.
+    void scheduleAnswer(std::uint32_t from, const SendMapOrder &action, MapOrderAnswer answer)
     {
-        const bool begun =
+        const bool prepareStarted =
             action.order.kind == MapOrderKind::Prepare && answer == MapOrderAnswer::Done;
-        after(begun ? between(1, 400) : between(1, 15), [this, from, action, answer, begun] {
-            const bool copied = begun && action.order.epoch == epoch_
-                                && engines_[action.rank].prepared == action.order.version;
-            const MapOrderAnswer said = copied ? MapOrderAnswer::Copied : answer;
-            onMachine(from, [this, from, action, said] {
-                deciders_[from]->onAnswer(action.rank, action.order, said, now_);
-            });
-        });
+        schedule(prepareStarted ? randomDelay(1, 400) : randomDelay(1, 15),
+                 [this, from, action, answer, prepareStarted] {
+                     const bool copied = prepareStarted && action.order.epoch == epoch_
+                                         && engines_[action.rank].prepared == action.order.version;
+                     const MapOrderAnswer finalAnswer = copied ? MapOrderAnswer::Copied : answer;
+                     onMachine(from, [this, from, action, finalAnswer] {
+                         deciders_[from]->onAnswer(action.rank, action.order, finalAnswer, now_);
+                     });
+                 });
     }
 
     void scheduleTicks()
     {
         for (std::uint32_t rank = 0; rank < 2; ++rank) {
-            after(between(1, 50), [this, rank] { tick(rank); });
+            schedule(randomDelay(1, 50), [this, rank] { tick(rank); });
         }
     }
 
-    // One turn of the agent of `rank`: reports of all ranks, a tick, and now and then a proposal.
+    // One tick of the agent of `rank`: polls all ranks, calls onTick() and sometimes proposes a
+    // map.
     void tick(std::uint32_t rank)
     {
-        const Duration pause = faults_ && chance(0.01) ? between(1000, 5000) : Duration{};
-        after(between(40, 60) + pause,
-              [this, rank] { onMachine(rank, [this, rank] { tick(rank); }); });
+        const Duration pause = faults_ && chance(0.01) ? randomDelay(1000, 5000) : Duration{};
+        schedule(randomDelay(40, 60) + pause,
+                 [this, rank] { onMachine(rank, [this, rank] { tick(rank); }); });
         if (faults_ && chance(0.005)) {
-            replace(rank);
+            restartAgent(rank);
         }
         if (faults_ && chance(0.005)) {
-            agents_[kRanks - 1] = HandedOrders(); // That of another rank starts anew.
+            agents_[kRanks - 1] = ForwardedOrders(); // The agent of another rank restarts.
         }
         for (std::uint32_t other = 0; other < kRanks; ++other) {
             if (!faults_ || !chance(0.1)) {
                 report(rank, other);
             }
         }
-        if (!faults_ && rank != 0 && !(succession_ && succeeds())) {
+        if (!faults_ && rank != 0 && !(succession_ && isSuccessorActive())) {
             return;
         }
         MapOrders orders;
@@ -349,7 +358,7 @@
         freezeAfter(rank, orders);
     }
 
-    // Freezes the machine of a decider, mostly when it has just ordered a hold or an arm.
+    // Freezes the machine of a decider at random, mostly right after it has sent a hold or an arm.
     void freezeAfter(std::uint32_t rank, const MapOrders &orders)
     {
         const bool holds = std::any_of(orders.begin(), orders.end(), [](const auto &action) {
@@ -361,12 +370,12 @@
         if (succession_ && rank == 0 && holds && freezeAtHold_ > Duration{}) {
             freeze(rank, std::exchange(freezeAtHold_, Duration{}));
         } else if (faults_ && chance(holds || arms ? 0.1 : 0.002)) {
-            freeze(rank, between(500, 5000));
+            freeze(rank, randomDelay(500, 5000));
         }
     }
 
-    // Tells whether the agent of rank 1 takes that of rank 0 for dead.
-    bool succeeds() const
+    // Returns whether the agent of rank 1 considers the agent of rank 0 dead.
+    bool isSuccessorActive() const
     {
         return frozen(0) && now_ - frozenAt_ >= std::chrono::milliseconds(400);
     }
@@ -390,11 +399,11 @@
         }
         report.byAgent = !faults_ || !chance(0.05);
         if (report.byAgent) {
-            agents_[of].noteReport(epoch_, engine.prepared);
+            agents_[of].recordReport(epoch_, engine.prepared);
         }
-        report.neverArmed = of == to ? agents_[of].neverArmed(epoch_) : 0;
+        report.unarmedVersion = of == to ? agents_[of].unarmedVersion(epoch_) : 0;
         const TimePoint askedAt = now_;
-        after(between(1, faults_ ? 80 : 10), [this, to, report, askedAt] {
+        schedule(randomDelay(1, faults_ ? 80 : 10), [this, to, report, askedAt] {
             onMachine(to, [this, to, report, askedAt] {
                 deciders_[to]->onReport(report, askedAt, now_);
             });
@@ -402,24 +411,24 @@
     }
 
     std::mt19937_64 random_;
-    Planted planted_;
+    InjectedFault fault_;
     std::vector<Engine> engines_;
-    std::vector<HandedOrders> agents_; // Beside the engines.
+    std::vector<ForwardedOrders> agents_; // The agents beside the engines, by rank.
     std::map<std::uint32_t, std::unique_ptr<GroupDecider>> deciders_;
-    std::map<std::uint32_t, TimePoint> frozenUntil_; // Machines, by rank.
+    std::map<std::uint32_t, TimePoint> frozenUntil_; // When machines resume, by rank.
     TimePoint frozenAt_{};
     std::uint64_t freezes_ = 0;
     bool succession_ = false;
     Duration freezeAtHold_{};
-    TimePoint passedAt_{std::chrono::seconds(10)};
-    Duration longestStandstill_{};
+    TimePoint lastPassAt_{std::chrono::seconds(10)};
+    Duration longestStall_{};
     std::priority_queue<Event> events_;
     std::uint64_t order_ = 0;
     TimePoint now_{std::chrono::seconds(10)};
     std::uint64_t epoch_ = 1;
     std::uint64_t step_ = 1;
-    std::uint64_t mapsTaken_ = 0;
-    bool twoMaps_ = false;
+    std::uint64_t mapActivations_ = 0;
+    bool mixedMaps_ = false;
     bool faults_ = true;
 };
 
@@ -429,14 +438,14 @@
     return text == nullptr ? 150 : std::atoi(text);
 }
 
-// Returns how many of the seeds make a pass with two maps.
-int violations(Planted planted, int count)
+// Returns the number of seeds for which a pass runs with two different maps.
+int violations(InjectedFault fault, int count)
 {
     int found = 0;
     for (int seed = 1; seed <= count; ++seed) {
-        World world(static_cast<std::uint64_t>(seed), planted);
-        world.run(std::chrono::seconds(60));
-        found += world.twoMaps() ? 1 : 0;
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), fault);
+        simulation.run(std::chrono::seconds(60));
+        found += simulation.mixedMaps() ? 1 : 0;
     }
     return found;
 }
@@ -445,58 +454,59 @@
 
 TEST_GROUP(GroupDeciderTest){};
 
-TEST(GroupDeciderTest, NoPassIsMadeWithTwoMaps)
+TEST(GroupDeciderTest, AllRanksUseOneMapPerPass)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        World world(static_cast<std::uint64_t>(seed), Planted::Nothing);
-        world.run(std::chrono::seconds(60));
-        const std::string text = "two maps in one pass; keep the seed " + std::to_string(seed);
-        CHECK_FALSE_TEXT(world.twoMaps(), text.c_str());
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
+        simulation.run(std::chrono::seconds(60));
+        const std::string text = "one pass used two maps; seed " + std::to_string(seed);
+        CHECK_FALSE_TEXT(simulation.mixedMaps(), text.c_str());
     }
 }
 
-TEST(GroupDeciderTest, NoGroupStaysHeldOnceTheFaultsEnd)
+TEST(GroupDeciderTest, GroupRecoversOnceFaultsEnd)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        World world(static_cast<std::uint64_t>(seed), Planted::Nothing);
-        world.run(std::chrono::seconds(30));
-        world.calm();
-        world.run(std::chrono::seconds(20)); // Orders that are late may still arrive.
-        const std::uint64_t step = world.step();
-        const std::uint64_t taken = world.mapsTaken();
-        world.run(std::chrono::seconds(20));
-        const std::string text = "held or without changes; keep the seed " + std::to_string(seed);
-        CHECK_TEXT(world.step() > step + 50, text.c_str());
-        CHECK_TEXT(world.mapsTaken() > taken, text.c_str());
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
+        simulation.run(std::chrono::seconds(30));
+        simulation.stopFaults();
+        simulation.run(std::chrono::seconds(20)); // Delayed orders may still arrive.
+        const std::uint64_t step = simulation.step();
+        const std::uint64_t accepted = simulation.mapActivations();
+        simulation.run(std::chrono::seconds(20));
+        const std::string text = "group held or map unchanged; seed " + std::to_string(seed);
+        CHECK_TEXT(simulation.step() > step + 50, text.c_str());
+        CHECK_TEXT(simulation.mapActivations() > accepted, text.c_str());
     }
 }
 
-TEST(GroupDeciderTest, TheCheckerCatchesPlantedFaults)
+TEST(GroupDeciderTest, CheckerDetectsInjectedFaults)
 {
     constexpr int kSeeds = 40;
-    CHECK_TRUE(violations(Planted::EnginesIgnoreFences, kSeeds) > 0);
-    CHECK_TRUE(violations(Planted::LostArmsCountAsDone, kSeeds) > 0);
-    CHECK_TRUE(violations(Planted::HoldsAreIgnored, kSeeds) > 0);
-    CHECK_TRUE(violations(Planted::AgentsForgetArms, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::EnginesIgnoreFences, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::LostArmsReportedDone, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::EnginesIgnoreHolds, kSeeds) > 0);
+    CHECK_TRUE(violations(InjectedFault::AgentsForgetArms, kSeeds) > 0);
 }
 
-// The load that this answers: all streams of a group stand still while a step is held. A machine
-// that freezes for four seconds right after its agent's hold held them for all of that time.
-TEST(GroupDeciderTest, GroupGoesOnWhileItsDecidersMachineIsFrozen)
+// All streams of a group stall while a step is held. If the decider's machine froze right after its
+// hold, the group stalled until the machine resumed (four seconds here).
+TEST(GroupDeciderTest, GroupContinuesWhileDeciderMachineIsFrozen)
 {
     for (int seed = 1; seed <= seeds(); ++seed) {
-        World world(static_cast<std::uint64_t>(seed), Planted::Nothing);
-        world.freezeAtNextHold(std::chrono::seconds(4));
-        world.run(std::chrono::seconds(20));
-        const std::string text = "held for too long; keep the seed " + std::to_string(seed);
-        LONGS_EQUAL(1, world.freezes());
-        CHECK_FALSE_TEXT(world.twoMaps(), text.c_str());
-        CHECK_TEXT(world.longestStandstill() < std::chrono::milliseconds(1500), text.c_str());
+        GroupSimulation simulation(static_cast<std::uint64_t>(seed), InjectedFault::None);
+        simulation.freezeAtNextHold(std::chrono::seconds(4));
+        simulation.run(std::chrono::seconds(20));
+        const std::string text = "group held for too long; seed " + std::to_string(seed);
+        LONGS_EQUAL(1, simulation.freezes());
+        CHECK_FALSE_TEXT(simulation.mixedMaps(), text.c_str());
+        CHECK_TEXT(simulation.longestStall() < std::chrono::milliseconds(1500), text.c_str());
     }
 }
 
-// A service with groups of unlike sizes lists all of their engines together.
-TEST(GroupDeciderTest, ReportsOfAnotherGroupCountForNothing)
+// A service with several groups of different sizes lists all engines together, so a decider may
+// also receive reports of other groups.
+TEST(GroupDeciderTest, IgnoresReportsOfOtherGroups)
 {
     constexpr std::uint32_t kOwnRanks = 2;
     constexpr std::uint32_t kOtherRanks = 3;
@@ -513,7 +523,8 @@
         report.epoch = 9;
         report.map = 5;
         decider.onReport(report, now, now);
-        CHECK_FALSE_TEXT(decider.whole(now), "three ranks of the other group make no own group");
+        CHECK_FALSE_TEXT(decider.allRanksCurrent(now),
+                         "three ranks of another group must not complete the own group");
     }
     for (report.rank = 0; report.rank < kOwnRanks; ++report.rank) {
         report.group = GroupId("north");
@@ -536,15 +547,15 @@
 
 namespace {
 
-constexpr std::uint32_t kPair = 2;
+constexpr std::uint32_t kTwoRanks = 2;
 
-// Reports both ranks of a small group, at `now`.
-void reportPair(GroupDecider &decider, TimePoint now, std::optional<std::uint64_t> heldByFirst)
+// Reports the state of both ranks of a group of two, at `now`.
+void reportTwoRanks(GroupDecider &decider, TimePoint now, std::optional<std::uint64_t> heldByFirst)
 {
-    for (std::uint32_t rank = 0; rank < kPair; ++rank) {
+    for (std::uint32_t rank = 0; rank < kTwoRanks; ++rank) {
         RankReport report;
         report.rank = rank;
-        report.ranks = kPair;
+        report.ranks = kTwoRanks;
         report.epoch = 1;
         report.open = true;
         report.step = 7;
@@ -557,11 +568,11 @@
 
 namespace {
 
-// Lets the decider propose a map and hands it the answers of both ranks to its prepares.
+// Lets the decider propose a map, and answers its prepares for both ranks.
 void prepareBoth(GroupDecider &decider, TimePoint now, MapOrderAnswer answer)
 {
     MapOrders orders;
-    CHECK_TRUE(decider.propose(ExpertMap(1, RankExperts(kPair, {0})), now, orders).has_value());
+    CHECK_TRUE(decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), now, orders).has_value());
     for (const SendMapOrder &order : orders) {
         decider.onAnswer(order.rank, order.order, answer, now);
     }
@@ -569,33 +580,34 @@
 
 } // namespace
 
-// At 129 ranks a round of reports takes a quarter of a second, which the group stays uneven.
-TEST(GroupDeciderTest, RanksThatAnswerThatTheyHaveCopiedNeedNotReportIt)
+// At 129 ranks, a round of reports takes a quarter of a second. Waiting for it would keep the
+// skewed map in use for that time.
+TEST(GroupDeciderTest, CopiedAnswerConfirmsPrepareWithoutReport)
 {
     TimePoint now{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
-    reportPair(decider, now, std::nullopt);
+    reportTwoRanks(decider, now, std::nullopt);
     prepareBoth(decider, now, MapOrderAnswer::Done);
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Preparing);
 
     GroupDecider sooner(GroupDecider::Settings{});
-    reportPair(sooner, now, std::nullopt);
+    reportTwoRanks(sooner, now, std::nullopt);
     prepareBoth(sooner, now, MapOrderAnswer::Copied);
     CHECK_TRUE(sooner.phase() == GroupDecider::Phase::Holding);
 }
 
-TEST(GroupDeciderTest, AReportFromBeforeTheAnswerDoesNotUndoIt)
+TEST(GroupDeciderTest, ReportOlderThanAnswerDoesNotUndoIt)
 {
     const TimePoint asked{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
-    reportPair(decider, asked, std::nullopt);
+    reportTwoRanks(decider, asked, std::nullopt);
     MapOrders orders;
-    decider.propose(ExpertMap(1, RankExperts(kPair, {0})), asked, orders);
+    decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), asked, orders);
     const TimePoint answered = asked + std::chrono::milliseconds(30);
     decider.onAnswer(0, orders.at(0).order, MapOrderAnswer::Copied, answered);
     RankReport early;
     early.rank = 0;
-    early.ranks = kPair;
+    early.ranks = kTwoRanks;
     early.epoch = 1;
     early.open = true;
     early.step = 7;
@@ -604,75 +616,78 @@
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 }
 
-// The engines remember the fences of a decider whose agent, and all others, have started anew.
-TEST(GroupDeciderTest, OvertakesAFenceThatNobodyRemembersWithinAFewTries)
+// Engines remember the fence of an earlier decider even if all agents have restarted and do not
+// know it.
+TEST(GroupDeciderTest, OvertakesUnknownFenceWithinFewAttempts)
 {
-    constexpr std::uint64_t kRemembered = 60ULL << 20U;
-    constexpr int kMostTries = 10;
+    constexpr std::uint64_t kUnknownFence = 60ULL << 20U;
+    constexpr int kMaxAttempts = 10;
     GroupDecider decider(GroupDecider::Settings{});
     TimePoint now{std::chrono::seconds(10)};
-    int tries = 0;
-    bool taken = false;
-    while (!taken && tries <= kMostTries) {
+    int attempts = 0;
+    bool accepted = false;
+    while (!accepted && attempts <= kMaxAttempts) {
         now += std::chrono::milliseconds(100);
-        reportPair(decider, now, std::nullopt);
+        reportTwoRanks(decider, now, std::nullopt);
         MapOrders orders;
-        decider.propose(ExpertMap(1, RankExperts(kPair, {0})), now, orders);
-        ++tries;
+        decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), now, orders);
+        ++attempts;
         for (const SendMapOrder &order : orders) {
-            taken = order.order.fence > kRemembered;
+            accepted = order.order.fence > kUnknownFence;
             decider.onAnswer(order.rank, order.order,
-                             taken ? MapOrderAnswer::Done : MapOrderAnswer::Fenced, now);
+                             accepted ? MapOrderAnswer::Done : MapOrderAnswer::Fenced, now);
         }
     }
-    CHECK_TEXT(taken, "the decider stays behind a fence of sixty changes");
+    CHECK_TEXT(accepted, "the decider did not overtake a fence of sixty changes");
 }
 
-TEST(GroupDeciderTest, StartsAboveItsFloor)
+TEST(GroupDeciderTest, StartsAboveFenceFloor)
 {
     GroupDecider::Settings settings;
-    settings.fenceFloor = 17'000'000'000; // Tenths of a second since 1970, in the year 2023.
+    settings.fenceFloor = 17'000'000'000; // Tenths of a second since 1970; a date in 2023.
     GroupDecider decider(settings);
     const TimePoint now{std::chrono::seconds(10)};
-    reportPair(decider, now, std::nullopt);
+    reportTwoRanks(decider, now, std::nullopt);
     MapOrders orders;
-    decider.propose(ExpertMap(1, RankExperts(kPair, {0})), now, orders);
+    decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), now, orders);
     CHECK_TRUE(orders.at(0).order.fence > settings.fenceFloor);
     CHECK_TRUE(orders.at(0).order.fence < (1ULL << 53U));
 }
 
-// The group makes no pass while a decider that has fallen silent holds a step.
-TEST(GroupDeciderTest, ClearsAtOnceWhatALongSilentPredecessorHolds)
+// The group runs no pass while a decider that no longer answers holds a step, so a successor must
+// not wait again for a timeout that has already passed.
+TEST(GroupDeciderTest, ClearsHoldOfLongSilentPredecessorAtOnce)
 {
     const TimePoint now{std::chrono::seconds(10)};
     GroupDecider::Settings settings;
     settings.ownRank = 1;
-    settings.predecessorHeardAt = now - settings.foreignPatience;
+    settings.predecessorLastSeenAt = now - settings.foreignTimeout;
     GroupDecider decider(settings);
-    reportPair(decider, now, 8);
+    reportTwoRanks(decider, now, 8);
     MapOrders orders;
     decider.onTick(now, orders);
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 
-    settings.predecessorHeardAt.reset();
-    GroupDecider patient(settings);
-    reportPair(patient, now, 8);
-    patient.onTick(now, orders);
-    CHECK_TRUE(patient.phase() == GroupDecider::Phase::Idle);
+    settings.predecessorLastSeenAt.reset();
+    GroupDecider waiting(settings);
+    reportTwoRanks(waiting, now, 8);
+    waiting.onTick(now, orders);
+    CHECK_TRUE(waiting.phase() == GroupDecider::Phase::Idle);
 }
 
 namespace {
 
-constexpr std::uint32_t kTrio = 3;
+constexpr std::uint32_t kThreeRanks = 3;
 
-// Three ranks that report at `now`; that of `byEngine` through its engine.
-void reportTrio(GroupDecider &decider, TimePoint now, std::uint64_t prepared,
-                std::optional<std::uint32_t> byEngine = std::nullopt)
+// Reports the state of three ranks at `now`. The report of rank `byEngine` comes from its engine,
+// the others from their agents.
+void reportThreeRanks(GroupDecider &decider, TimePoint now, std::uint64_t prepared,
+                      std::optional<std::uint32_t> byEngine = std::nullopt)
 {
-    for (std::uint32_t rank = 0; rank < kTrio; ++rank) {
+    for (std::uint32_t rank = 0; rank < kThreeRanks; ++rank) {
         RankReport report;
         report.rank = rank;
-        report.ranks = kTrio;
+        report.ranks = kThreeRanks;
         report.epoch = 1;
         report.open = true;
         report.step = 7;
@@ -682,14 +697,14 @@
     }
 }
 
-// Takes a change as far as its arms, and returns the first of them.
+// Runs a change up to the arming phase, and returns the first arms.
 MapOrders firstArms(GroupDecider &decider, TimePoint now, std::optional<std::uint32_t> byEngine)
 {
-    reportTrio(decider, now, 0, byEngine);
+    reportThreeRanks(decider, now, 0, byEngine);
     MapOrders orders;
-    const auto version = decider.propose(ExpertMap(1, RankExperts(kTrio, {0})), now, orders);
+    const auto version = decider.propose(ExpertMap(1, RankExperts(kThreeRanks, {0})), now, orders);
     CHECK_TRUE(version.has_value());
-    reportTrio(decider, now + std::chrono::milliseconds(1), *version, byEngine);
+    reportThreeRanks(decider, now + std::chrono::milliseconds(1), *version, byEngine);
     MapOrders hold;
     decider.onTick(now, hold);
     LONGS_EQUAL(1, hold.size());
@@ -699,7 +714,7 @@
     return arms;
 }
 
-// Confirms the orders, and returns what the decider sends then.
+// Answers Done to the orders, and returns the orders that the decider sends next.
 MapOrders confirm(GroupDecider &decider, const MapOrders &orders, TimePoint now)
 {
     for (const SendMapOrder &action : orders) {
@@ -712,7 +727,7 @@
 
 } // namespace
 
-TEST(GroupDeciderTest, ArmsItsSuccessorLastButOneAndItsOwnRankLast)
+TEST(GroupDeciderTest, ArmsSuccessorSecondToLastAndOwnRankLast)
 {
     const TimePoint now{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
@@ -721,20 +736,21 @@
         LONGS_EQUAL(1, arms.size());
         LONGS_EQUAL(expected, arms.at(0).rank);
         CHECK_TRUE(arms.at(0).order.kind == MapOrderKind::Arm);
-        CHECK_TRUE(arms.at(0).way == OrderWay::AgentOnly);
+        CHECK_TRUE(arms.at(0).route == OrderRoute::AgentOnly);
         arms = confirm(decider, arms, now);
     }
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Releasing);
 }
 
-// Without its agent nobody could tell whether that rank was armed, so that no one could end the
-// change for its decider: no rank is named, and all are armed at once.
-TEST(GroupDeciderTest, ArmsAllAtOnceWhereAnAgentIsSilent)
+// Without the agent of a rank, nobody can know whether that rank was armed, so no successor could
+// clear the change without the decider. The version then encodes no rank, and all ranks are armed
+// at once.
+TEST(GroupDeciderTest, ArmsAllRanksAtOnceWhenAnAgentIsSilent)
 {
     const TimePoint now{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
     const MapOrders arms = firstArms(decider, now, 2);
-    LONGS_EQUAL(kTrio, arms.size());
+    LONGS_EQUAL(kThreeRanks, arms.size());
     CHECK_FALSE(rankArmedLast(arms.at(0).order.version).has_value());
-    CHECK_TRUE(arms.at(0).way == OrderWay::Any);
+    CHECK_TRUE(arms.at(0).route == OrderRoute::Any);
 }
--- a/test/decision/expertmap/relayplan_test.cpp
+++ b/test/decision/expertmap/relayplan_test.cpp
@@ -1,5 +1,5 @@
-// The pattern: one agent has to get a whole map to all ranks of a group over a narrow link, soon
-// enough for a demand that shifts every few seconds.
+// Relay plans with which one agent sends a whole map to all ranks of a group over a narrow link,
+// fast enough for demand that shifts every few seconds.
 #include "decision/expertmap/relayplan.h"
 
 #include <algorithm>
@@ -11,34 +11,34 @@
 
 namespace {
 
-constexpr double kSixMegabits = 750'000.0; // Bytes a second.
+constexpr double kLinkBytesPerSecond = 750'000.0; // Bytes per second.
 
-RelayInputs inputsFor(std::uint32_t count, std::uint64_t bytes, std::uint64_t turn = 0)
+RelayInputs inputsFor(std::uint32_t count, std::uint64_t bytes, std::uint64_t rotation = 0)
 {
     RelayInputs inputs;
     inputs.ranks.resize(count);
     std::iota(inputs.ranks.begin(), inputs.ranks.end(), 1U);
     inputs.orderBytes = bytes;
-    inputs.linkBytesPerSecond = kSixMegabits;
-    inputs.turn = turn;
+    inputs.linkBytesPerSecond = kLinkBytesPerSecond;
+    inputs.rotation = rotation;
     return inputs;
 }
 
-// The time until the last rank has the order, if all links are alike.
+// Returns the time until the last rank has received the order, if all links are equal.
 double secondsFor(const std::vector<RelayBlock> &blocks, std::uint64_t bytes)
 {
     std::size_t longest = 0;
     for (const RelayBlock &block : blocks) {
         longest = std::max(longest, block.size() - 1);
     }
-    return static_cast<double>((blocks.size() + longest) * bytes) / kSixMegabits;
+    return static_cast<double>((blocks.size() + longest) * bytes) / kLinkBytesPerSecond;
 }
 
 } // namespace
 
 TEST_GROUP(RelayPlanTest){};
 
-TEST(RelayPlanTest, SendsASmallMapStraightToEachRank)
+TEST(RelayPlanTest, SendsSmallMapDirectlyToEachRank)
 {
     const auto blocks = planRelays(inputsFor(11, 400));
     LONGS_EQUAL(11, blocks.size());
@@ -47,7 +47,7 @@
     }
 }
 
-TEST(RelayPlanTest, ReachesEveryRankOnce)
+TEST(RelayPlanTest, IncludesEveryRankOnce)
 {
     for (const std::uint32_t count : {1U, 23U, 62U, 128U, 319U}) {
         std::vector<std::uint32_t> reached;
@@ -59,13 +59,13 @@
     }
 }
 
-// Sent straight, 7 KB to 128 ranks take 1.2 s of a link of 6 Mbit/s.
-TEST(RelayPlanTest, GetsTheMapOfALargeGroupToAllWithinAQuarterOfASecond)
+// Sent directly, 7 KB to each of 128 ranks occupy a link of 6 Mbit/s for 1.2 s.
+TEST(RelayPlanTest, ReachesLargeGroupWithinQuarterSecond)
 {
     CHECK_TRUE(secondsFor(planRelays(inputsFor(128, 7000)), 7000) < 0.25);
 }
 
-TEST(RelayPlanTest, ATurnLaterOthersPassTheOrderOn)
+TEST(RelayPlanTest, NextRotationChoosesOtherRelays)
 {
     const auto first = planRelays(inputsFor(128, 7000, 0));
     const auto second = planRelays(inputsFor(128, 7000, 1));
@@ -75,7 +75,7 @@
     }
 }
 
-TEST(RelayPlanTest, NobodyToReachNeedsNoBlock)
+TEST(RelayPlanTest, ReturnsNoBlockWithoutRanks)
 {
     CHECK_TRUE(planRelays(inputsFor(0, 7000)).empty());
 }
