--- a/src/experts/enginecalls.h
+++ b/src/experts/enginecalls.h
@@ -23,10 +23,10 @@
     std::vector<std::vector<std::uint16_t>> bySet; // Of layers.
 };
 
-class EngineCalls
+class EngineProtocol
 {
 public:
-    virtual ~EngineCalls() = default;
+    virtual ~EngineProtocol() = default;
 
     virtual HttpCallRequest reportCall(const SocketAddress &engine) const = 0;
     virtual HttpCallRequest countsCall(const SocketAddress &engine) const = 0;
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -55,7 +55,7 @@
 public:
     static tl::expected<std::unique_ptr<ExpertAgent>, NetError>
     create(EventLoop &loop, const ExpertAgentSettings &settings, const MetadataStore &store,
-           const EngineCalls &engineCalls);
+           const EngineProtocol &engineCalls);
     ~ExpertAgent() noexcept override;
     ExpertAgent(const ExpertAgent &) = delete;
     ExpertAgent &operator=(const ExpertAgent &) = delete;
@@ -82,7 +82,7 @@
     };
 
     ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings, const MetadataStore &store,
-                const EngineCalls &engineCalls);
+                const EngineProtocol &engineCalls);
     tl::expected<void, NetError> open();
 
     void onStoreListed(const StoreItems &items, TimePoint askedAt) override;
@@ -126,7 +126,7 @@
     EventLoop &loop_;
     ExpertAgentSettings settings_;
     const MetadataStore &store_;
-    const EngineCalls &engineCalls_;
+    const EngineProtocol &engineCalls_;
     Metrics metrics_;
     UpstreamTable upstreams_;
     StorePlace storePlace_; // Of the last list.
--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -30,7 +30,7 @@
 {
 public:
     // The loop, the client and the calls outlive the object.
-    RankClient(EventLoop &loop, HttpClient &client, const EngineCalls &calls)
+    RankClient(EventLoop &loop, HttpClient &client, const EngineProtocol &calls)
         : loop_(loop)
         , client_(client)
         , calls_(calls)
@@ -50,7 +50,7 @@
 
     EventLoop &loop_;
     HttpClient &client_;
-    const EngineCalls &calls_;
+    const EngineProtocol &calls_;
 };
 
 } // namespace seamarch
