--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -126,7 +126,7 @@
     EventLoop &loop_;
     ExpertAgentSettings settings_;
     const MetadataStore &store_;
-    const EngineProtocol &engineCalls_;
+    const EngineProtocol &engineProtocol_;
     Metrics metrics_;
     UpstreamTable upstreams_;
     StorePlace storePlace_; // Of the last list.
