--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -135,11 +135,11 @@
 };
 
 ExpertAgent::ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings,
-                         const MetadataStore &store, const EngineProtocol &engineCalls)
+                         const MetadataStore &store, const EngineProtocol &engineProtocol)
     : loop_(loop)
     , settings_(settings)
     , store_(store)
-    , engineProtocol_(engineCalls)
+    , engineProtocol_(engineProtocol)
     , metrics_(0)
     , reporter_(loop)
     , startedAt_(loop.now())
@@ -149,9 +149,9 @@
 
 tl::expected<std::unique_ptr<ExpertAgent>, NetError>
 ExpertAgent::create(EventLoop &loop, const ExpertAgentSettings &settings,
-                    const MetadataStore &store, const EngineProtocol &engineCalls)
+                    const MetadataStore &store, const EngineProtocol &engineProtocol)
 {
-    std::unique_ptr<ExpertAgent> agent(new ExpertAgent(loop, settings, store, engineCalls));
+    std::unique_ptr<ExpertAgent> agent(new ExpertAgent(loop, settings, store, engineProtocol));
     if (auto opened = agent->open(); !opened) {
         return tl::unexpected(opened.error());
     }
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -55,7 +55,7 @@
 public:
     static tl::expected<std::unique_ptr<ExpertAgent>, NetError>
     create(EventLoop &loop, const ExpertAgentSettings &settings, const MetadataStore &store,
-           const EngineProtocol &engineCalls);
+           const EngineProtocol &engineProtocol);
     ~ExpertAgent() noexcept override;
     ExpertAgent(const ExpertAgent &) = delete;
     ExpertAgent &operator=(const ExpertAgent &) = delete;
@@ -82,7 +82,7 @@
     };
 
     ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings, const MetadataStore &store,
-                const EngineProtocol &engineCalls);
+                const EngineProtocol &engineProtocol);
     tl::expected<void, NetError> open();
 
     void onStoreListed(const StoreItems &items, TimePoint askedAt) override;
