--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -29,12 +29,13 @@
 {
     auto asking = std::make_shared<Asking>(Asking{engine, question, {}, std::move(done)});
     fetchText(
-        loop_, client_, calls_.reportCall(engine), kPatience, [this, asking](const HttpText &text) {
+        loop_, client_, protocol_.reportCall(engine), kPatience,
+        [this, asking](const HttpText &text) {
             if (!text.complete || text.status != kOk) {
                 asking->done(std::nullopt);
                 return;
             }
-            auto report = calls_.readReport(text.body);
+            auto report = protocol_.readReport(text.body);
             if (!report) {
                 logLine(LogLevel::Debug, "rank.report_unreadable", {{"fault", report.error()}});
                 asking->done(std::nullopt);
@@ -51,9 +52,9 @@
         askExperts(asking);
         return;
     }
-    fetchText(loop_, client_, calls_.countsCall(asking->engine), kPatience,
+    fetchText(loop_, client_, protocol_.countsCall(asking->engine), kPatience,
               [this, asking](const HttpText &text) {
-                  auto counts = calls_.readCounts(text.body);
+                  auto counts = protocol_.readCounts(text.body);
                   if (text.complete && text.status == kOk && counts) {
                       asking->facts.counts = std::move(*counts);
                   }
@@ -67,9 +68,9 @@
         asking->done(std::move(asking->facts));
         return;
     }
-    fetchText(loop_, client_, calls_.expertsCall(asking->engine), kPatience,
+    fetchText(loop_, client_, protocol_.expertsCall(asking->engine), kPatience,
               [this, asking](const HttpText &text) {
-                  auto experts = calls_.readExperts(text.body);
+                  auto experts = protocol_.readExperts(text.body);
                   if (text.complete && text.status == kOk && experts) {
                       asking->facts.experts = std::move(*experts);
                   }
@@ -80,9 +81,10 @@
 void RankClient::order(const SocketAddress &engine, const MapOrder &order,
                        std::function<void(MapOrderAnswer)> done)
 {
-    fetchText(loop_, client_, calls_.orderCall(engine, order), kPatience,
+    fetchText(loop_, client_, protocol_.orderCall(engine, order), kPatience,
               [this, done = std::move(done)](const HttpText &text) {
-                  done(text.complete ? calls_.readOrderAnswer(text.status) : MapOrderAnswer::Lost);
+                  done(text.complete ? protocol_.readOrderAnswer(text.status)
+                                     : MapOrderAnswer::Lost);
               });
 }
 
--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -33,7 +33,7 @@
     RankClient(EventLoop &loop, HttpClient &client, const EngineProtocol &calls)
         : loop_(loop)
         , client_(client)
-        , calls_(calls)
+        , protocol_(calls)
     {}
 
     // Hands over the facts, or nothing when the engine did not answer in time.
@@ -50,7 +50,7 @@
 
     EventLoop &loop_;
     HttpClient &client_;
-    const EngineProtocol &calls_;
+    const EngineProtocol &protocol_;
 };
 
 } // namespace seamarch
