--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -30,10 +30,10 @@
 {
 public:
     // The loop, the client and the calls outlive the object.
-    RankClient(EventLoop &loop, HttpClient &client, const EngineProtocol &calls)
+    RankClient(EventLoop &loop, HttpClient &client, const EngineProtocol &protocol)
         : loop_(loop)
         , client_(client)
-        , protocol_(calls)
+        , protocol_(protocol)
     {}
 
     // Hands over the facts, or nothing when the engine did not answer in time.
