--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -28,8 +28,8 @@
     auto loop = *EventLoop::create();
     auto transport = *RawTransport::create(*loop);
     auto client = *HttpClient::create(*loop);
-    const platform::EngineHttp calls;
-    RankClient ranks(*loop, *client, calls);
+    const platform::EngineHttp protocol;
+    RankClient ranks(*loop, *client, protocol);
     NoListener listener;
     const int agentPort = freePort();
     // Accepts, and never says a word.
