--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -543,7 +543,7 @@
 {
     ExpertMap map;
     for (const auto &[rank, experts] : experts_) {
-        if (experts.map != version || rank != (map.empty() ? 0 : map.front().size())) {
+        if (experts.mapVersion != version || rank != (map.empty() ? 0 : map.front().size())) {
             return std::nullopt;
         }
         map.resize(experts.bySet.size());
--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -184,7 +184,7 @@
         writeChoices(*facts.choices, state.initChoices());
     }
     if (facts.experts) {
-        state.setExpertsMap(facts.experts->map);
+        state.setExpertsMap(facts.experts->mapVersion);
         auto sets = state.initExperts(sizeOf(facts.experts->bySet));
         for (std::uint32_t set = 0; set < sets.size(); ++set) {
             const auto &experts = facts.experts->bySet[set];
@@ -216,7 +216,7 @@
     }
     if (state.hasExperts() && state.getExperts().size() > 0) {
         ExpertsOfRank experts;
-        experts.map = state.getExpertsMap();
+        experts.mapVersion = state.getExpertsMap();
         for (const auto &set : state.getExperts()) {
             experts.bySet.push_back(readNumbers(set));
         }
--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -35,7 +35,7 @@
     CHECK_TRUE(read.choices->units == facts.choices->units);
     CHECK_TRUE(read.choices->parts == facts.choices->parts);
     CHECK_TRUE(read.experts->bySet == facts.experts->bySet);
-    LONGS_EQUAL(5, read.experts->map);
+    LONGS_EQUAL(5, read.experts->mapVersion);
 }
 
 TEST(RankWireTest, OrdersCrossTheWireUnchanged)
