--- a/src/experts/enginecalls.h
+++ b/src/experts/enginecalls.h
@@ -19,7 +19,7 @@
 // The experts of one rank in a map.
 struct ExpertsOfRank
 {
-    std::uint64_t map = 0;
+    std::uint64_t mapVersion = 0;
     std::vector<std::vector<std::uint16_t>> bySet; // Of layers.
 };
 
