--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -187,7 +187,7 @@
         }
         metricsServer_ = std::move(*server);
     }
-    ranks_ = std::make_unique<RankClient>(loop_, *client_, engineProtocol_);
+    ranks_ = std::make_unique<EngineClient>(loop_, *client_, engineProtocol_);
     engine_ = std::make_unique<OwnEngine>(loop_, *ranks_, settings_.engine);
     relay_ = std::make_unique<OrderRelay>(loop_, *transport_, settings_.listen.port);
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-OwnEngine::OwnEngine(EventLoop &loop, RankClient &ranks, SocketAddress engine)
+OwnEngine::OwnEngine(EventLoop &loop, EngineClient &ranks, SocketAddress engine)
     : loop_(loop)
     , ranks_(ranks)
     , engine_(std::move(engine))
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -23,7 +23,7 @@
     using FactsDone = std::function<void(std::optional<RankFacts>)>;
     using OrderDone = std::function<void(MapOrderAnswer)>;
 
-    OwnEngine(EventLoop &loop, RankClient &ranks, SocketAddress engine);
+    OwnEngine(EventLoop &loop, EngineClient &ranks, SocketAddress engine);
     ~OwnEngine();
     OwnEngine(const OwnEngine &) = delete;
     OwnEngine &operator=(const OwnEngine &) = delete;
@@ -41,7 +41,7 @@
     void awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done);
 
     EventLoop &loop_;
-    RankClient &ranks_;
+    EngineClient &ranks_;
     SocketAddress engine_;
     ChoiceLedger ledger_;
     HandedOrders handed_;
--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 // One question on its way through up to three calls.
-struct RankClient::Asking
+struct EngineClient::Asking
 {
     SocketAddress engine;
     RankQuestion question;
@@ -24,8 +24,8 @@
     std::function<void(std::optional<EngineFacts>)> done;
 };
 
-void RankClient::ask(const SocketAddress &engine, RankQuestion question,
-                     std::function<void(std::optional<EngineFacts>)> done)
+void EngineClient::ask(const SocketAddress &engine, RankQuestion question,
+                       std::function<void(std::optional<EngineFacts>)> done)
 {
     auto asking = std::make_shared<Asking>(Asking{engine, question, {}, std::move(done)});
     fetchText(
@@ -46,7 +46,7 @@
         });
 }
 
-void RankClient::askCounts(const std::shared_ptr<Asking> &asking)
+void EngineClient::askCounts(const std::shared_ptr<Asking> &asking)
 {
     if (!asking->question.counts) {
         askExperts(asking);
@@ -62,7 +62,7 @@
               });
 }
 
-void RankClient::askExperts(const std::shared_ptr<Asking> &asking)
+void EngineClient::askExperts(const std::shared_ptr<Asking> &asking)
 {
     if (!asking->question.experts) {
         asking->done(std::move(asking->facts));
@@ -78,8 +78,8 @@
               });
 }
 
-void RankClient::order(const SocketAddress &engine, const MapOrder &order,
-                       std::function<void(MapOrderAnswer)> done)
+void EngineClient::order(const SocketAddress &engine, const MapOrder &order,
+                         std::function<void(MapOrderAnswer)> done)
 {
     fetchText(loop_, client_, protocol_.orderCall(engine, order), kPatience,
               [this, done = std::move(done)](const HttpText &text) {
--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -26,11 +26,11 @@
     std::optional<ExpertsOfRank> experts;
 };
 
-class RankClient
+class EngineClient
 {
 public:
     // The loop, the client and the calls outlive the object.
-    RankClient(EventLoop &loop, HttpClient &client, const EngineProtocol &protocol)
+    EngineClient(EventLoop &loop, HttpClient &client, const EngineProtocol &protocol)
         : loop_(loop)
         , client_(client)
         , protocol_(protocol)
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -47,8 +47,8 @@
         double linkBytesPerSecond = 0.0;
     };
 
-    RankPeers(EventLoop &loop, RawTransport &transport, RankClient &ranks, const Settings &settings,
-              RankPeersListener &listener);
+    RankPeers(EventLoop &loop, RawTransport &transport, EngineClient &ranks,
+              const Settings &settings, RankPeersListener &listener);
     ~RankPeers();
     RankPeers(const RankPeers &) = delete;
     RankPeers &operator=(const RankPeers &) = delete;
@@ -101,7 +101,7 @@
 
     EventLoop &loop_;
     RawTransport &transport_;
-    RankClient &ranks_;
+    EngineClient &ranks_;
     Settings settings_;
     RankPeersListener &listener_;
     GroupRoster roster_;
--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -29,7 +29,7 @@
     auto transport = *RawTransport::create(*loop);
     auto client = *HttpClient::create(*loop);
     const platform::EngineHttp protocol;
-    RankClient ranks(*loop, *client, protocol);
+    EngineClient ranks(*loop, *client, protocol);
     NoListener listener;
     const int agentPort = freePort();
     // Accepts, and never says a word.
