--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -68,8 +68,8 @@
         const GroupId askerGroup(params.getAskerGroup().cStr());
         agent_.onAsked(askerGroup, params.getAskerRank(), peerHost_);
         const bool ownGroup = askerGroup == agent_.ownGroup_;
-        const RankQuestion question{ownGroup && params.getCounts(), ownGroup && params.getExperts(),
-                                    params.getCountsSince()};
+        const RankQuery question{ownGroup && params.getCounts(), ownGroup && params.getExperts(),
+                                 params.getCountsSince()};
         agent_.answer(question, [context, fulfiller](std::optional<RankFacts> facts) mutable {
             if (facts) {
                 writeFacts(*facts, context.getResults().initState());
@@ -400,7 +400,7 @@
 }
 
 // Answers for the own rank.
-void ExpertAgent::answer(RankQuestion question, OwnEngine::FactsDone done)
+void ExpertAgent::answer(RankQuery question, OwnEngine::FactsDone done)
 {
     ownLookedAt_ = loop_.now();
     engine_->ask(question, [this, done = std::move(done)](std::optional<RankFacts> facts) {
@@ -413,7 +413,7 @@
     });
 }
 
-void ExpertAgent::askOwn(RankQuestion question)
+void ExpertAgent::askOwn(RankQuery question)
 {
     if (askingOwn_) {
         return;
@@ -450,7 +450,7 @@
     const Duration countsGap =
         planner_.doubting() ? std::max(plan.countsGap / 2, plan.roundSpan) : plan.countsGap;
     const bool counts = now - countsAskedAt_ >= std::max(countsGap, kLeastCountsGap);
-    const RankQuestion question{false, !known_, 0};
+    const RankQuery question{false, !known_, 0};
     if (counts) {
         countsAskedAt_ = now;
         askOwn({true, question.experts, 0});
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -102,8 +102,8 @@
     void onAsked(const GroupId &askerGroup, std::uint32_t askerRank, const std::string &askerHost);
     void reportGroup();
     GroupFacts groupFacts() const;
-    void answer(RankQuestion question, OwnEngine::FactsDone done);
-    void askOwn(RankQuestion question);
+    void answer(RankQuery question, OwnEngine::FactsDone done);
+    void askOwn(RankQuery question);
     void askGroup();
     void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -29,7 +29,7 @@
     *alive_ = false;
 }
 
-void OwnEngine::ask(RankQuestion question, FactsDone done)
+void OwnEngine::ask(RankQuery question, FactsDone done)
 {
     ranks_.ask(engine_, question,
                [this, question, done = std::move(done),
--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -19,12 +19,12 @@
 struct EngineClient::Asking
 {
     SocketAddress engine;
-    RankQuestion question;
+    RankQuery question;
     EngineFacts facts;
     std::function<void(std::optional<EngineFacts>)> done;
 };
 
-void EngineClient::ask(const SocketAddress &engine, RankQuestion question,
+void EngineClient::ask(const SocketAddress &engine, RankQuery question,
                        std::function<void(std::optional<EngineFacts>)> done)
 {
     auto asking = std::make_shared<Asking>(Asking{engine, question, {}, std::move(done)});
--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -11,7 +11,7 @@
 namespace seamarch {
 
 // What an engine, or the agent beside it, is asked for beside its report.
-struct RankQuestion
+struct RankQuery
 {
     bool counts = false;
     bool experts = false;
@@ -37,7 +37,7 @@
     {}
 
     // Hands over the facts, or nothing when the engine did not answer in time.
-    void ask(const SocketAddress &engine, RankQuestion question,
+    void ask(const SocketAddress &engine, RankQuery question,
              std::function<void(std::optional<EngineFacts>)> done);
     void order(const SocketAddress &engine, const MapOrder &order,
                std::function<void(MapOrderAnswer)> done);
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -101,7 +101,7 @@
     return engines;
 }
 
-void RankPeers::askReports(const RankQuestion &question, Duration gap, Duration turn,
+void RankPeers::askReports(const RankQuery &question, Duration gap, Duration turn,
                            std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
@@ -123,7 +123,7 @@
     }
 }
 
-void RankPeers::askCounts(const RankQuestion &question, std::uint32_t count, std::uint32_t ranks,
+void RankPeers::askCounts(const RankQuery &question, std::uint32_t count, std::uint32_t ranks,
                           std::uint32_t ownRank)
 {
     const std::map<std::uint32_t, InstanceId> engines = roster_.engines();
@@ -142,14 +142,14 @@
                 continue;
             }
             owed -= ranks;
-            RankQuestion asked = question;
+            RankQuery asked = question;
             asked.counts = true;
             ask(engine->second, asked, ownRank);
         }
     }
 }
 
-void RankPeers::ask(const InstanceId &id, const RankQuestion &question, std::uint32_t ownRank)
+void RankPeers::ask(const InstanceId &id, const RankQuery &question, std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
     Peer &peer = peers_.at(id);
@@ -169,7 +169,7 @@
     }
 }
 
-void RankPeers::askAgent(const InstanceId &id, const RankQuestion &question, std::uint32_t ownRank)
+void RankPeers::askAgent(const InstanceId &id, const RankQuery &question, std::uint32_t ownRank)
 {
     Peer &peer = peers_.at(id);
     peer.asking = true;
@@ -225,7 +225,7 @@
 }
 
 // Asks the engine of a rank whose agent does not answer. Its report lags, which only delays.
-void RankPeers::askEngine(const InstanceId &id, const RankQuestion &question)
+void RankPeers::askEngine(const InstanceId &id, const RankQuery &question)
 {
     Peer &peer = peers_.at(id);
     if (peer.askingEngine) {
