--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -68,9 +68,9 @@
         const GroupId askerGroup(params.getAskerGroup().cStr());
         agent_.onAsked(askerGroup, params.getAskerRank(), peerHost_);
         const bool ownGroup = askerGroup == agent_.ownGroup_;
-        const RankQuery question{ownGroup && params.getCounts(), ownGroup && params.getExperts(),
-                                 params.getCountsSince()};
-        agent_.answer(question, [context, fulfiller](std::optional<RankFacts> facts) mutable {
+        const RankQuery query{ownGroup && params.getCounts(), ownGroup && params.getExperts(),
+                              params.getCountsSince()};
+        agent_.answer(query, [context, fulfiller](std::optional<RankFacts> facts) mutable {
             if (facts) {
                 writeFacts(*facts, context.getResults().initState());
             }
@@ -400,10 +400,10 @@
 }
 
 // Answers for the own rank.
-void ExpertAgent::answer(RankQuery question, OwnEngine::FactsDone done)
+void ExpertAgent::answer(RankQuery query, OwnEngine::FactsDone done)
 {
     ownLookedAt_ = loop_.now();
-    engine_->ask(question, [this, done = std::move(done)](std::optional<RankFacts> facts) {
+    engine_->ask(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
         if (facts) {
             ownHeld_ = facts->report.held.has_value();
             noteOwnPlace(facts->report);
@@ -413,7 +413,7 @@
     });
 }
 
-void ExpertAgent::askOwn(RankQuery question)
+void ExpertAgent::askOwn(RankQuery query)
 {
     if (askingOwn_) {
         return;
@@ -421,8 +421,8 @@
     askingOwn_ = true;
     const TimePoint now = loop_.now();
     ownAskedAt_ = now;
-    question.countsSince = ownCountsMark_;
-    answer(question, [this, now](std::optional<RankFacts> facts) {
+    query.countsSince = ownCountsMark_;
+    answer(query, [this, now](std::optional<RankFacts> facts) {
         askingOwn_ = false;
         if (!facts) {
             return;
@@ -450,16 +450,16 @@
     const Duration countsGap =
         planner_.doubting() ? std::max(plan.countsGap / 2, plan.roundSpan) : plan.countsGap;
     const bool counts = now - countsAskedAt_ >= std::max(countsGap, kLeastCountsGap);
-    const RankQuery question{false, !known_, 0};
+    const RankQuery query{false, !known_, 0};
     if (counts) {
         countsAskedAt_ = now;
-        askOwn({true, question.experts, 0});
-        peers_->askCounts(question, plan.countedRanks, decider_->size(), *ownRank_);
+        askOwn({true, query.experts, 0});
+        peers_->askCounts(query, plan.countedRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
                || now - ownAskedAt_ >= plan.reportGap) {
-        askOwn(question);
+        askOwn(query);
     }
-    peers_->askReports(question, plan.reportGap, kTick, *ownRank_);
+    peers_->askReports(query, plan.reportGap, kTick, *ownRank_);
 }
 
 // Takes the group and rank that the own engine names. In another group, what was known of the one
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -102,8 +102,8 @@
     void onAsked(const GroupId &askerGroup, std::uint32_t askerRank, const std::string &askerHost);
     void reportGroup();
     GroupFacts groupFacts() const;
-    void answer(RankQuery question, OwnEngine::FactsDone done);
-    void askOwn(RankQuery question);
+    void answer(RankQuery query, OwnEngine::FactsDone done);
+    void askOwn(RankQuery query);
     void askGroup();
     void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -29,28 +29,27 @@
     *alive_ = false;
 }
 
-void OwnEngine::ask(RankQuery question, FactsDone done)
+void OwnEngine::ask(RankQuery query, FactsDone done)
 {
-    ranks_.ask(engine_, question,
-               [this, question, done = std::move(done),
-                alive = alive_](std::optional<EngineFacts> engine) {
-                   if (!*alive) {
-                       return;
-                   }
-                   if (!engine) {
-                       done(std::nullopt);
-                       return;
-                   }
-                   RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
-                   handed_.noteReport(facts.report.epoch, facts.report.prepared);
-                   facts.report.fence = handed_.fence();
-                   facts.report.neverArmed = handed_.neverArmed(facts.report.epoch);
-                   if (!engine->counts.empty()) {
-                       facts.choices =
-                           ledger_.note(std::move(engine->counts), question.countsSince);
-                   }
-                   done(std::move(facts));
-               });
+    ranks_.ask(
+        engine_, query,
+        [this, query, done = std::move(done), alive = alive_](std::optional<EngineFacts> engine) {
+            if (!*alive) {
+                return;
+            }
+            if (!engine) {
+                done(std::nullopt);
+                return;
+            }
+            RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
+            handed_.noteReport(facts.report.epoch, facts.report.prepared);
+            facts.report.fence = handed_.fence();
+            facts.report.neverArmed = handed_.neverArmed(facts.report.epoch);
+            if (!engine->counts.empty()) {
+                facts.choices = ledger_.note(std::move(engine->counts), query.countsSince);
+            }
+            done(std::move(facts));
+        });
 }
 
 void OwnEngine::order(const MapOrder &order, OrderDone done)
--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -19,15 +19,15 @@
 struct EngineClient::Asking
 {
     SocketAddress engine;
-    RankQuery question;
+    RankQuery query;
     EngineFacts facts;
     std::function<void(std::optional<EngineFacts>)> done;
 };
 
-void EngineClient::ask(const SocketAddress &engine, RankQuery question,
+void EngineClient::ask(const SocketAddress &engine, RankQuery query,
                        std::function<void(std::optional<EngineFacts>)> done)
 {
-    auto asking = std::make_shared<Asking>(Asking{engine, question, {}, std::move(done)});
+    auto asking = std::make_shared<Asking>(Asking{engine, query, {}, std::move(done)});
     fetchText(
         loop_, client_, protocol_.reportCall(engine), kPatience,
         [this, asking](const HttpText &text) {
@@ -48,7 +48,7 @@
 
 void EngineClient::askCounts(const std::shared_ptr<Asking> &asking)
 {
-    if (!asking->question.counts) {
+    if (!asking->query.counts) {
         askExperts(asking);
         return;
     }
@@ -64,7 +64,7 @@
 
 void EngineClient::askExperts(const std::shared_ptr<Asking> &asking)
 {
-    if (!asking->question.experts) {
+    if (!asking->query.experts) {
         asking->done(std::move(asking->facts));
         return;
     }
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -101,7 +101,7 @@
     return engines;
 }
 
-void RankPeers::askReports(const RankQuery &question, Duration gap, Duration turn,
+void RankPeers::askReports(const RankQuery &query, Duration gap, Duration turn,
                            std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
@@ -119,11 +119,11 @@
     std::sort(due.begin(), due.end());
     due.resize(std::min(due.size(), most));
     for (const auto &[askedAt, id] : due) {
-        ask(id, question, ownRank);
+        ask(id, query, ownRank);
     }
 }
 
-void RankPeers::askCounts(const RankQuery &question, std::uint32_t count, std::uint32_t ranks,
+void RankPeers::askCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
                           std::uint32_t ownRank)
 {
     const std::map<std::uint32_t, InstanceId> engines = roster_.engines();
@@ -142,19 +142,19 @@
                 continue;
             }
             owed -= ranks;
-            RankQuery asked = question;
+            RankQuery asked = query;
             asked.counts = true;
             ask(engine->second, asked, ownRank);
         }
     }
 }
 
-void RankPeers::ask(const InstanceId &id, const RankQuery &question, std::uint32_t ownRank)
+void RankPeers::ask(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
     Peer &peer = peers_.at(id);
     peer.askedAt = now;
-    if (question.counts) {
+    if (query.counts) {
         // Counts over a long time would mix what was asked for then with what is now.
         peer.countsMark = now - peer.countsAskedAt < kMarkLife ? peer.countsMark : 0;
         peer.countsAskedAt = now;
@@ -163,21 +163,21 @@
     if (!agentAnswers(peer) && now - peer.linkedAt >= kAgentLife) {
         connect(peer);
     }
-    askAgent(id, question, ownRank);
+    askAgent(id, query, ownRank);
     if (!agentAnswers(peer) && !roster_.isForeign(id)) {
-        askEngine(id, {false, question.experts, 0});
+        askEngine(id, {false, query.experts, 0});
     }
 }
 
-void RankPeers::askAgent(const InstanceId &id, const RankQuery &question, std::uint32_t ownRank)
+void RankPeers::askAgent(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank)
 {
     Peer &peer = peers_.at(id);
     peer.asking = true;
     const TimePoint askedAt = loop_.now();
     auto request = peer.link->capability().castAs<wire::RankAgent>().stateRequest();
-    request.setCounts(question.counts);
+    request.setCounts(query.counts);
     request.setCountsSince(peer.countsMark);
-    request.setExperts(question.experts);
+    request.setExperts(query.experts);
     request.setAskerRank(ownRank);
     request.setAskerGroup(settings_.group.value());
     const auto over = std::make_shared<bool>(false);
@@ -225,7 +225,7 @@
 }
 
 // Asks the engine of a rank whose agent does not answer. Its report lags, which only delays.
-void RankPeers::askEngine(const InstanceId &id, const RankQuery &question)
+void RankPeers::askEngine(const InstanceId &id, const RankQuery &query)
 {
     Peer &peer = peers_.at(id);
     if (peer.askingEngine) {
@@ -247,7 +247,7 @@
             takeFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
         }
     };
-    ranks_.ask(peer.engine, question, answered);
+    ranks_.ask(peer.engine, query, answered);
 }
 
 void RankPeers::send(const MapOrders &orders)
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -58,10 +58,10 @@
     // Asks peers for reports whose last question is at least `gap` ago and answered, or given up,
     // the longest unasked first. Called every `turn`, it asks no more than it must at a time, so
     // that answers do not queue before the link. `ownRank` tells them who decides.
-    void askReports(const RankQuery &question, Duration gap, Duration turn, std::uint32_t ownRank);
+    void askReports(const RankQuery &query, Duration gap, Duration turn, std::uint32_t ownRank);
     // Asks about `count` of the group's `ranks` ranks, the own one included, for counts as well.
     // They are spread evenly over the group; for one that does not answer, the next is asked.
-    void askCounts(const RankQuery &question, std::uint32_t count, std::uint32_t ranks,
+    void askCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
                    std::uint32_t ownRank);
     // Returns the engines of the group's other ranks that have said so, by rank.
     std::map<std::uint32_t, SocketAddress> engines() const;
@@ -86,9 +86,9 @@
     };
 
     void connect(Peer &peer);
-    void ask(const InstanceId &id, const RankQuery &question, std::uint32_t ownRank);
-    void askAgent(const InstanceId &id, const RankQuery &question, std::uint32_t ownRank);
-    void askEngine(const InstanceId &id, const RankQuery &question);
+    void ask(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank);
+    void askAgent(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank);
+    void askEngine(const InstanceId &id, const RankQuery &query);
     void onAgentAnswer(const InstanceId &id, TimePoint askedAt, wire::RankState::Reader state);
     void sendPrepares(const MapOrders &prepares);
     void sendThroughAgent(Peer &peer, const SendMapOrder &action);
