--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -403,7 +403,7 @@
 void ExpertAgent::answer(RankQuery query, OwnEngine::FactsDone done)
 {
     ownLookedAt_ = loop_.now();
-    engine_->ask(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
+    engine_->fetchFacts(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
         if (facts) {
             ownHeld_ = facts->report.held.has_value();
             noteOwnPlace(facts->report);
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -29,9 +29,9 @@
     *alive_ = false;
 }
 
-void OwnEngine::ask(RankQuery query, FactsDone done)
+void OwnEngine::fetchFacts(RankQuery query, FactsDone done)
 {
-    ranks_.ask(
+    ranks_.fetchFacts(
         engine_, query,
         [this, query, done = std::move(done), alive = alive_](std::optional<EngineFacts> engine) {
             if (!*alive) {
@@ -104,7 +104,7 @@
             }
         });
     };
-    ranks_.ask(engine_, {}, look);
+    ranks_.fetchFacts(engine_, {}, look);
 }
 
 } // namespace seamarch
--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -24,8 +24,8 @@
     std::function<void(std::optional<EngineFacts>)> done;
 };
 
-void EngineClient::ask(const SocketAddress &engine, RankQuery query,
-                       std::function<void(std::optional<EngineFacts>)> done)
+void EngineClient::fetchFacts(const SocketAddress &engine, RankQuery query,
+                              std::function<void(std::optional<EngineFacts>)> done)
 {
     auto asking = std::make_shared<Asking>(Asking{engine, query, {}, std::move(done)});
     fetchText(
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -247,7 +247,7 @@
             takeFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
         }
     };
-    ranks_.ask(peer.engine, query, answered);
+    ranks_.fetchFacts(peer.engine, query, answered);
 }
 
 void RankPeers::send(const MapOrders &orders)
