--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -29,7 +29,7 @@
     OwnEngine &operator=(const OwnEngine &) = delete;
 
     // Hands over the facts, or nothing when the engine did not answer in time.
-    void ask(RankQuery query, FactsDone done);
+    void fetchFacts(RankQuery query, FactsDone done);
     // Hands an order to the engine. A prepare is answered when its experts are copied, or as begun
     // when that takes long: the agent that decides then learns of it with the next reports. An
     // order under a lower fence than an earlier one is refused here.
