--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -689,7 +689,7 @@
         done(ownGroup_ == GroupId() ? MapOrderAnswer::Lost : MapOrderAnswer::Refused);
         return;
     }
-    engine_->order(order, std::move(done));
+    engine_->sendOrder(order, std::move(done));
 }
 
 // Hands an order to the own engine and to the agents of other ranks. The answer of the own engine
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -52,7 +52,7 @@
         });
 }
 
-void OwnEngine::order(const MapOrder &order, OrderDone done)
+void OwnEngine::sendOrder(const MapOrder &order, OrderDone done)
 {
     if (!handed_.add(order)) {
         logLine(LogLevel::Info, "order.fenced",
@@ -70,7 +70,7 @@
              {"epoch", order.epoch},
              {"fence", order.fence}});
     if (order.kind != MapOrderKind::Prepare) {
-        ranks_.order(engine_, order, std::move(done));
+        ranks_.sendOrder(engine_, order, std::move(done));
         return;
     }
     const auto begun = [this, order, done = std::move(done),
@@ -81,7 +81,7 @@
             done(answer);
         }
     };
-    ranks_.order(engine_, order, begun);
+    ranks_.sendOrder(engine_, order, begun);
 }
 
 void OwnEngine::awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done)
--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -78,8 +78,8 @@
               });
 }
 
-void EngineClient::order(const SocketAddress &engine, const MapOrder &order,
-                         std::function<void(MapOrderAnswer)> done)
+void EngineClient::sendOrder(const SocketAddress &engine, const MapOrder &order,
+                             std::function<void(MapOrderAnswer)> done)
 {
     fetchText(loop_, client_, protocol_.orderCall(engine, order), kPatience,
               [this, done = std::move(done)](const HttpText &text) {
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -303,11 +303,12 @@
 
 void RankPeers::sendToEngine(const Peer &peer, const SendMapOrder &action)
 {
-    ranks_.order(peer.engine, action.order, [this, action, alive = alive_](MapOrderAnswer answer) {
-        if (*alive) {
-            listener_.onPeerOrderAnswer(action.rank, action.order, answer);
-        }
-    });
+    ranks_.sendOrder(peer.engine, action.order,
+                     [this, action, alive = alive_](MapOrderAnswer answer) {
+                         if (*alive) {
+                             listener_.onPeerOrderAnswer(action.rank, action.order, answer);
+                         }
+                     });
 }
 
 // The first rank's agent hands the order to its own engine and to the agents of the others.
