--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -33,7 +33,7 @@
     // Hands an order to the engine. A prepare is answered when its experts are copied, or as begun
     // when that takes long: the agent that decides then learns of it with the next reports. An
     // order under a lower fence than an earlier one is refused here.
-    void order(const MapOrder &order, OrderDone done);
+    void sendOrder(const MapOrder &order, OrderDone done);
     // Forgets the fences and versions that were used: the engine is in another group.
     void forgetOrders() { handed_ = {}; }
 
--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -39,8 +39,8 @@
     // Hands over the facts, or nothing when the engine did not answer in time.
     void fetchFacts(const SocketAddress &engine, RankQuery query,
                     std::function<void(std::optional<EngineFacts>)> done);
-    void order(const SocketAddress &engine, const MapOrder &order,
-               std::function<void(MapOrderAnswer)> done);
+    void sendOrder(const SocketAddress &engine, const MapOrder &order,
+                   std::function<void(MapOrderAnswer)> done);
 
 private:
     struct Asking;
