--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -187,8 +187,8 @@
         }
         metricsServer_ = std::move(*server);
     }
-    ranks_ = std::make_unique<EngineClient>(loop_, *client_, engineProtocol_);
-    engine_ = std::make_unique<OwnEngine>(loop_, *ranks_, settings_.engine);
+    engineClient_ = std::make_unique<EngineClient>(loop_, *client_, engineProtocol_);
+    engine_ = std::make_unique<OwnEngine>(loop_, *engineClient_, settings_.engine);
     relay_ = std::make_unique<OrderRelay>(loop_, *transport_, settings_.listen.port);
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
     return {};
@@ -374,7 +374,7 @@
     decider_ = std::make_unique<GroupDecider>(settings);
     RankPeersListener &listener = *this;
     const RankPeers::Settings peers{settings_.listen.port, ownGroup_, settings_.linkBytesPerSecond};
-    peers_ = std::make_unique<RankPeers>(loop_, *transport_, *ranks_, peers, listener);
+    peers_ = std::make_unique<RankPeers>(loop_, *transport_, *engineClient_, peers, listener);
     notedPhase_ = GroupDecider::Phase::Idle;
     notedChanges_ = 0;
     notedCleared_ = 0;
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -133,7 +133,7 @@
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<RawTransport> transport_;
     std::unique_ptr<OperatorServer> metricsServer_;
-    std::unique_ptr<EngineClient> ranks_;
+    std::unique_ptr<EngineClient> engineClient_;
     std::unique_ptr<OwnEngine> engine_;
     std::unique_ptr<OrderRelay> relay_; // Of the orders of other agents.
     GroupReporter reporter_;
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -19,7 +19,7 @@
 
 OwnEngine::OwnEngine(EventLoop &loop, EngineClient &ranks, SocketAddress engine)
     : loop_(loop)
-    , ranks_(ranks)
+    , engineClient_(ranks)
     , engine_(std::move(engine))
     , ledger_(randomIdentity())
 {}
@@ -31,7 +31,7 @@
 
 void OwnEngine::fetchFacts(RankQuery query, FactsDone done)
 {
-    ranks_.fetchFacts(
+    engineClient_.fetchFacts(
         engine_, query,
         [this, query, done = std::move(done), alive = alive_](std::optional<EngineFacts> engine) {
             if (!*alive) {
@@ -70,7 +70,7 @@
              {"epoch", order.epoch},
              {"fence", order.fence}});
     if (order.kind != MapOrderKind::Prepare) {
-        ranks_.sendOrder(engine_, order, std::move(done));
+        engineClient_.sendOrder(engine_, order, std::move(done));
         return;
     }
     const auto begun = [this, order, done = std::move(done),
@@ -81,7 +81,7 @@
             done(answer);
         }
     };
-    ranks_.sendOrder(engine_, order, begun);
+    engineClient_.sendOrder(engine_, order, begun);
 }
 
 void OwnEngine::awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done)
@@ -104,7 +104,7 @@
             }
         });
     };
-    ranks_.fetchFacts(engine_, {}, look);
+    engineClient_.fetchFacts(engine_, {}, look);
 }
 
 } // namespace seamarch
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -41,7 +41,7 @@
     void awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done);
 
     EventLoop &loop_;
-    EngineClient &ranks_;
+    EngineClient &engineClient_;
     SocketAddress engine_;
     ChoiceLedger ledger_;
     HandedOrders handed_;
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -41,7 +41,7 @@
                      const Settings &settings, RankPeersListener &listener)
     : loop_(loop)
     , transport_(transport)
-    , ranks_(ranks)
+    , engineClient_(ranks)
     , settings_(settings)
     , listener_(listener)
     , roster_(settings.group)
@@ -247,7 +247,7 @@
             takeFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
         }
     };
-    ranks_.fetchFacts(peer.engine, query, answered);
+    engineClient_.fetchFacts(peer.engine, query, answered);
 }
 
 void RankPeers::send(const MapOrders &orders)
@@ -303,12 +303,12 @@
 
 void RankPeers::sendToEngine(const Peer &peer, const SendMapOrder &action)
 {
-    ranks_.sendOrder(peer.engine, action.order,
-                     [this, action, alive = alive_](MapOrderAnswer answer) {
-                         if (*alive) {
-                             listener_.onPeerOrderAnswer(action.rank, action.order, answer);
-                         }
-                     });
+    engineClient_.sendOrder(peer.engine, action.order,
+                            [this, action, alive = alive_](MapOrderAnswer answer) {
+                                if (*alive) {
+                                    listener_.onPeerOrderAnswer(action.rank, action.order, answer);
+                                }
+                            });
 }
 
 // The first rank's agent hands the order to its own engine and to the agents of the others.
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -100,7 +100,7 @@
 
     EventLoop &loop_;
     RawTransport &transport_;
-    EngineClient &ranks_;
+    EngineClient &engineClient_;
     Settings settings_;
     RankPeersListener &listener_;
     GroupRoster roster_;
