--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -17,9 +17,9 @@
 
 } // namespace
 
-OwnEngine::OwnEngine(EventLoop &loop, EngineClient &ranks, SocketAddress engine)
+OwnEngine::OwnEngine(EventLoop &loop, EngineClient &engineClient, SocketAddress engine)
     : loop_(loop)
-    , engineClient_(ranks)
+    , engineClient_(engineClient)
     , engine_(std::move(engine))
     , ledger_(randomIdentity())
 {}
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -23,7 +23,7 @@
     using FactsDone = std::function<void(std::optional<RankFacts>)>;
     using OrderDone = std::function<void(MapOrderAnswer)>;
 
-    OwnEngine(EventLoop &loop, EngineClient &ranks, SocketAddress engine);
+    OwnEngine(EventLoop &loop, EngineClient &engineClient, SocketAddress engine);
     ~OwnEngine();
     OwnEngine(const OwnEngine &) = delete;
     OwnEngine &operator=(const OwnEngine &) = delete;
