--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -37,7 +37,7 @@
     }
 };
 
-RankPeers::RankPeers(EventLoop &loop, RawTransport &transport, EngineClient &ranks,
+RankPeers::RankPeers(EventLoop &loop, RawTransport &transport, EngineClient &engineClient,
                      const Settings &settings, RankPeersListener &listener)
     : loop_(loop)
     , transport_(transport)
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -47,7 +47,7 @@
         double linkBytesPerSecond = 0.0;
     };
 
-    RankPeers(EventLoop &loop, RawTransport &transport, EngineClient &ranks,
+    RankPeers(EventLoop &loop, RawTransport &transport, EngineClient &engineClient,
               const Settings &settings, RankPeersListener &listener);
     ~RankPeers();
     RankPeers(const RankPeers &) = delete;
