--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -29,7 +29,7 @@
     auto transport = *RawTransport::create(*loop);
     auto client = *HttpClient::create(*loop);
     const platform::EngineHttp protocol;
-    EngineClient ranks(*loop, *client, protocol);
+    EngineClient engineClient(*loop, *client, protocol);
     NoListener listener;
     const int agentPort = freePort();
     // Accepts, and never says a word.
@@ -40,7 +40,7 @@
     CHECK_TRUE(transport->listen({"127.0.0.1", agentPort}, keep).has_value());
     {
         const RankPeers::Settings settings{agentPort, GroupId("north"), 1e6};
-        RankPeers peers(*loop, *transport, ranks, settings, listener);
+        RankPeers peers(*loop, *transport, engineClient, settings, listener);
         peers.setListed({{InstanceId("i-1"), SocketAddress{"127.0.0.1", freePort()}}});
         constexpr Duration kTurn = std::chrono::milliseconds(50);
         PeriodicTimer asking(*loop, kTurn,
