--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 // One question on its way through up to three calls.
-struct EngineClient::Asking
+struct EngineClient::PendingQuery
 {
     SocketAddress engine;
     RankQuery query;
@@ -27,7 +27,7 @@
 void EngineClient::fetchFacts(const SocketAddress &engine, RankQuery query,
                               std::function<void(std::optional<EngineFacts>)> done)
 {
-    auto asking = std::make_shared<Asking>(Asking{engine, query, {}, std::move(done)});
+    auto asking = std::make_shared<PendingQuery>(PendingQuery{engine, query, {}, std::move(done)});
     fetchText(
         loop_, client_, protocol_.reportCall(engine), kPatience,
         [this, asking](const HttpText &text) {
@@ -46,7 +46,7 @@
         });
 }
 
-void EngineClient::askCounts(const std::shared_ptr<Asking> &asking)
+void EngineClient::askCounts(const std::shared_ptr<PendingQuery> &asking)
 {
     if (!asking->query.counts) {
         askExperts(asking);
@@ -62,7 +62,7 @@
               });
 }
 
-void EngineClient::askExperts(const std::shared_ptr<Asking> &asking)
+void EngineClient::askExperts(const std::shared_ptr<PendingQuery> &asking)
 {
     if (!asking->query.experts) {
         asking->done(std::move(asking->facts));
--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -43,10 +43,10 @@
                    std::function<void(MapOrderAnswer)> done);
 
 private:
-    struct Asking;
+    struct PendingQuery;
 
-    void askCounts(const std::shared_ptr<Asking> &asking);
-    void askExperts(const std::shared_ptr<Asking> &asking);
+    void askCounts(const std::shared_ptr<PendingQuery> &asking);
+    void askExperts(const std::shared_ptr<PendingQuery> &asking);
 
     EventLoop &loop_;
     HttpClient &client_;
