--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -27,54 +27,54 @@
 void EngineClient::fetchFacts(const SocketAddress &engine, RankQuery query,
                               std::function<void(std::optional<EngineFacts>)> done)
 {
-    auto asking = std::make_shared<PendingQuery>(PendingQuery{engine, query, {}, std::move(done)});
+    auto pending = std::make_shared<PendingQuery>(PendingQuery{engine, query, {}, std::move(done)});
     fetchText(
         loop_, client_, protocol_.reportCall(engine), kPatience,
-        [this, asking](const HttpText &text) {
+        [this, pending](const HttpText &text) {
             if (!text.complete || text.status != kOk) {
-                asking->done(std::nullopt);
+                pending->done(std::nullopt);
                 return;
             }
             auto report = protocol_.readReport(text.body);
             if (!report) {
                 logLine(LogLevel::Debug, "rank.report_unreadable", {{"fault", report.error()}});
-                asking->done(std::nullopt);
+                pending->done(std::nullopt);
                 return;
             }
-            asking->facts.report = *report;
-            askCounts(asking);
+            pending->facts.report = *report;
+            askCounts(pending);
         });
 }
 
-void EngineClient::askCounts(const std::shared_ptr<PendingQuery> &asking)
+void EngineClient::askCounts(const std::shared_ptr<PendingQuery> &pending)
 {
-    if (!asking->query.counts) {
-        askExperts(asking);
+    if (!pending->query.counts) {
+        askExperts(pending);
         return;
     }
-    fetchText(loop_, client_, protocol_.countsCall(asking->engine), kPatience,
-              [this, asking](const HttpText &text) {
+    fetchText(loop_, client_, protocol_.countsCall(pending->engine), kPatience,
+              [this, pending](const HttpText &text) {
                   auto counts = protocol_.readCounts(text.body);
                   if (text.complete && text.status == kOk && counts) {
-                      asking->facts.counts = std::move(*counts);
+                      pending->facts.counts = std::move(*counts);
                   }
-                  askExperts(asking);
+                  askExperts(pending);
               });
 }
 
-void EngineClient::askExperts(const std::shared_ptr<PendingQuery> &asking)
+void EngineClient::askExperts(const std::shared_ptr<PendingQuery> &pending)
 {
-    if (!asking->query.experts) {
-        asking->done(std::move(asking->facts));
+    if (!pending->query.experts) {
+        pending->done(std::move(pending->facts));
         return;
     }
-    fetchText(loop_, client_, protocol_.expertsCall(asking->engine), kPatience,
-              [this, asking](const HttpText &text) {
+    fetchText(loop_, client_, protocol_.expertsCall(pending->engine), kPatience,
+              [this, pending](const HttpText &text) {
                   auto experts = protocol_.readExperts(text.body);
                   if (text.complete && text.status == kOk && experts) {
-                      asking->facts.experts = std::move(*experts);
+                      pending->facts.experts = std::move(*experts);
                   }
-                  asking->done(std::move(asking->facts));
+                  pending->done(std::move(pending->facts));
               });
 }
 
--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -45,8 +45,8 @@
 private:
     struct PendingQuery;
 
-    void askCounts(const std::shared_ptr<PendingQuery> &asking);
-    void askExperts(const std::shared_ptr<PendingQuery> &asking);
+    void askCounts(const std::shared_ptr<PendingQuery> &pending);
+    void askExperts(const std::shared_ptr<PendingQuery> &pending);
 
     EventLoop &loop_;
     HttpClient &client_;
