--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -42,11 +42,11 @@
                 return;
             }
             pending->facts.report = *report;
-            askCounts(pending);
+            fetchCounts(pending);
         });
 }
 
-void EngineClient::askCounts(const std::shared_ptr<PendingQuery> &pending)
+void EngineClient::fetchCounts(const std::shared_ptr<PendingQuery> &pending)
 {
     if (!pending->query.counts) {
         askExperts(pending);
--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -45,7 +45,7 @@
 private:
     struct PendingQuery;
 
-    void askCounts(const std::shared_ptr<PendingQuery> &pending);
+    void fetchCounts(const std::shared_ptr<PendingQuery> &pending);
     void askExperts(const std::shared_ptr<PendingQuery> &pending);
 
     EventLoop &loop_;
