--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -49,7 +49,7 @@
 void EngineClient::fetchCounts(const std::shared_ptr<PendingQuery> &pending)
 {
     if (!pending->query.counts) {
-        askExperts(pending);
+        fetchExperts(pending);
         return;
     }
     fetchText(loop_, client_, protocol_.countsCall(pending->engine), kPatience,
@@ -58,11 +58,11 @@
                   if (text.complete && text.status == kOk && counts) {
                       pending->facts.counts = std::move(*counts);
                   }
-                  askExperts(pending);
+                  fetchExperts(pending);
               });
 }
 
-void EngineClient::askExperts(const std::shared_ptr<PendingQuery> &pending)
+void EngineClient::fetchExperts(const std::shared_ptr<PendingQuery> &pending)
 {
     if (!pending->query.experts) {
         pending->done(std::move(pending->facts));
--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -46,7 +46,7 @@
     struct PendingQuery;
 
     void fetchCounts(const std::shared_ptr<PendingQuery> &pending);
-    void askExperts(const std::shared_ptr<PendingQuery> &pending);
+    void fetchExperts(const std::shared_ptr<PendingQuery> &pending);
 
     EventLoop &loop_;
     HttpClient &client_;
