--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // An engine answers such calls at once; one that does not is dead, cut off or losing answers.
-constexpr Duration kPatience = std::chrono::milliseconds(300);
+constexpr Duration kCallTimeout = std::chrono::milliseconds(300);
 constexpr int kOk = 200;
 
 } // namespace
@@ -29,7 +29,7 @@
 {
     auto pending = std::make_shared<PendingQuery>(PendingQuery{engine, query, {}, std::move(done)});
     fetchText(
-        loop_, client_, protocol_.reportCall(engine), kPatience,
+        loop_, client_, protocol_.reportCall(engine), kCallTimeout,
         [this, pending](const HttpText &text) {
             if (!text.complete || text.status != kOk) {
                 pending->done(std::nullopt);
@@ -52,7 +52,7 @@
         fetchExperts(pending);
         return;
     }
-    fetchText(loop_, client_, protocol_.countsCall(pending->engine), kPatience,
+    fetchText(loop_, client_, protocol_.countsCall(pending->engine), kCallTimeout,
               [this, pending](const HttpText &text) {
                   auto counts = protocol_.readCounts(text.body);
                   if (text.complete && text.status == kOk && counts) {
@@ -68,7 +68,7 @@
         pending->done(std::move(pending->facts));
         return;
     }
-    fetchText(loop_, client_, protocol_.expertsCall(pending->engine), kPatience,
+    fetchText(loop_, client_, protocol_.expertsCall(pending->engine), kCallTimeout,
               [this, pending](const HttpText &text) {
                   auto experts = protocol_.readExperts(text.body);
                   if (text.complete && text.status == kOk && experts) {
@@ -81,7 +81,7 @@
 void EngineClient::sendOrder(const SocketAddress &engine, const MapOrder &order,
                              std::function<void(MapOrderAnswer)> done)
 {
-    fetchText(loop_, client_, protocol_.orderCall(engine, order), kPatience,
+    fetchText(loop_, client_, protocol_.orderCall(engine, order), kCallTimeout,
               [this, done = std::move(done)](const HttpText &text) {
                   done(text.complete ? protocol_.readOrderAnswer(text.status)
                                      : MapOrderAnswer::Lost);
