--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -570,7 +570,7 @@
         proposeChange(orders);
     }
     if (decider_->phase() != GroupDecider::Phase::Idle) {
-        noteObstacle(wordFor(GroupDecider::Obstacle::ChangeUnderWay));
+        noteObstacle(logName(GroupDecider::Obstacle::ChangeUnderWay));
     }
     notePhase();
     send(orders);
@@ -595,7 +595,7 @@
 {
     const GroupDecider::Obstacle obstacle = decider_->obstacle(loop_.now());
     if (obstacle != GroupDecider::Obstacle::None) {
-        noteObstacle(wordFor(obstacle));
+        noteObstacle(logName(obstacle));
         return;
     }
     if (!rule_ || !current_) {
@@ -646,7 +646,7 @@
     if (phase != notedPhase_) {
         const auto leftOut = decider_->leavesOut();
         logLine(LogLevel::Info, "map.phase",
-                {{"phase", wordFor(phase)},
+                {{"phase", logName(phase)},
                  {"epoch", epoch_},
                  {"withoutRank", leftOut ? json(*leftOut) : json()}});
         notedPhase_ = phase;
@@ -682,7 +682,7 @@
 {
     if (order.group != ownGroup_) {
         logLine(LogLevel::Warning, "order.of_other_group",
-                {{"kind", wordFor(order.kind)},
+                {{"kind", logName(order.kind)},
                  {"group", order.group.value()},
                  {"ownGroup", ownGroup_.value()}});
         // Before the own engine has named its group, nothing is known of what the order fits.
@@ -719,9 +719,9 @@
 {
     if (answer != MapOrderAnswer::Done && answer != MapOrderAnswer::Copied) {
         logLine(LogLevel::Info, "order.not_done",
-                {{"kind", wordFor(order.kind)},
+                {{"kind", logName(order.kind)},
                  {"rank", rank},
-                 {"answer", wordFor(answer)},
+                 {"answer", logName(answer)},
                  {"version", order.version},
                  {"step", order.step}});
     }
--- a/src/experts/mapwords.cpp
+++ b/src/experts/mapwords.cpp
@@ -2,7 +2,7 @@
 
 namespace seamarch {
 
-std::string_view wordFor(GroupDecider::Phase phase)
+std::string_view logName(GroupDecider::Phase phase)
 {
     switch (phase) {
     case GroupDecider::Phase::Idle:
@@ -21,7 +21,7 @@
     return "unknown";
 }
 
-std::string_view wordFor(GroupDecider::Obstacle obstacle)
+std::string_view logName(GroupDecider::Obstacle obstacle)
 {
     switch (obstacle) {
     case GroupDecider::Obstacle::None:
@@ -44,7 +44,7 @@
     return "unknown";
 }
 
-std::string_view wordFor(MapOrderKind kind)
+std::string_view logName(MapOrderKind kind)
 {
     switch (kind) {
     case MapOrderKind::Prepare:
@@ -61,7 +61,7 @@
     return "unknown";
 }
 
-std::string_view wordFor(MapOrderAnswer answer)
+std::string_view logName(MapOrderAnswer answer)
 {
     switch (answer) {
     case MapOrderAnswer::Done:
--- a/src/experts/mapwords.h
+++ b/src/experts/mapwords.h
@@ -10,9 +10,9 @@
 // What an obstacle is called when there is none: a change may start.
 constexpr std::string_view kNoObstacle = "none";
 
-std::string_view wordFor(GroupDecider::Phase phase);
-std::string_view wordFor(GroupDecider::Obstacle obstacle);
-std::string_view wordFor(MapOrderKind kind);
-std::string_view wordFor(MapOrderAnswer answer);
+std::string_view logName(GroupDecider::Phase phase);
+std::string_view logName(GroupDecider::Obstacle obstacle);
+std::string_view logName(MapOrderKind kind);
+std::string_view logName(MapOrderAnswer answer);
 
 } // namespace seamarch
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -56,7 +56,7 @@
 {
     if (!handed_.add(order)) {
         logLine(LogLevel::Info, "order.fenced",
-                {{"kind", wordFor(order.kind)},
+                {{"kind", logName(order.kind)},
                  {"version", order.version},
                  {"fence", order.fence},
                  {"highest", handed_.fence()}});
@@ -64,7 +64,7 @@
         return;
     }
     logLine(LogLevel::Info, "order.handed",
-            {{"kind", wordFor(order.kind)},
+            {{"kind", logName(order.kind)},
              {"version", order.version},
              {"step", order.step},
              {"epoch", order.epoch},
