--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -602,7 +602,7 @@
         noteObstacle(rule_ ? "experts of a rank unknown" : "no configuration");
         return;
     }
-    noteObstacle(kNoObstacle);
+    noteObstacle(kNoObstacleName);
     planner_.setPaces(decider_->paces());
     planner_.setPasses(decider_->passTime(), pauseGoal_);
     logLine(LogLevel::Debug, "map.weighed",
--- a/src/experts/mapwords.cpp
+++ b/src/experts/mapwords.cpp
@@ -25,7 +25,7 @@
 {
     switch (obstacle) {
     case GroupDecider::Obstacle::None:
-        return kNoObstacle;
+        return kNoObstacleName;
     case GroupDecider::Obstacle::ChangeUnderWay:
         return "change under way";
     case GroupDecider::Obstacle::RanksUnknown:
--- a/src/experts/mapwords.h
+++ b/src/experts/mapwords.h
@@ -8,7 +8,7 @@
 namespace seamarch {
 
 // What an obstacle is called when there is none: a change may start.
-constexpr std::string_view kNoObstacle = "none";
+constexpr std::string_view kNoObstacleName = "none";
 
 std::string_view logName(GroupDecider::Phase phase);
 std::string_view logName(GroupDecider::Obstacle obstacle);
