--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -258,7 +258,7 @@
             listed.emplace(record->id, engine);
         }
     }
-    peers_->setListed(listed);
+    peers_->setEngines(listed);
 }
 
 void ExpertAgent::tick()
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -54,7 +54,7 @@
     *alive_ = false;
 }
 
-void RankPeers::setListed(const std::map<InstanceId, SocketAddress> &engines)
+void RankPeers::setEngines(const std::map<InstanceId, SocketAddress> &engines)
 {
     std::erase_if(peers_, [&engines](const auto &entry) { return !engines.contains(entry.first); });
     std::vector<InstanceId> listed;
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -54,7 +54,7 @@
     RankPeers &operator=(const RankPeers &) = delete;
 
     // Takes the engines of the service but the own one.
-    void setListed(const std::map<InstanceId, SocketAddress> &engines);
+    void setEngines(const std::map<InstanceId, SocketAddress> &engines);
     // Asks peers for reports whose last question is at least `gap` ago and answered, or given up,
     // the longest unasked first. Called every `turn`, it asks no more than it must at a time, so
     // that answers do not queue before the link. `ownRank` tells them who decides.
--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -41,7 +41,7 @@
     {
         const RankPeers::Settings settings{agentPort, GroupId("north"), 1e6};
         RankPeers peers(*loop, *transport, engineClient, settings, listener);
-        peers.setListed({{InstanceId("i-1"), SocketAddress{"127.0.0.1", freePort()}}});
+        peers.setEngines({{InstanceId("i-1"), SocketAddress{"127.0.0.1", freePort()}}});
         constexpr Duration kTurn = std::chrono::milliseconds(50);
         PeriodicTimer asking(*loop, kTurn,
                              [&peers, kTurn] { peers.askReports({}, 2 * kTurn, kTurn, 0); });
