--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -459,7 +459,7 @@
                || now - ownAskedAt_ >= plan.reportGap) {
         askOwn(query);
     }
-    peers_->askReports(query, plan.reportGap, kTick, *ownRank_);
+    peers_->requestReports(query, plan.reportGap, kTick, *ownRank_);
 }
 
 // Takes the group and rank that the own engine names. In another group, what was known of the one
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -101,8 +101,8 @@
     return engines;
 }
 
-void RankPeers::askReports(const RankQuery &query, Duration gap, Duration turn,
-                           std::uint32_t ownRank)
+void RankPeers::requestReports(const RankQuery &query, Duration gap, Duration turn,
+                               std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
     std::vector<std::pair<TimePoint, InstanceId>> due;
--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -44,7 +44,7 @@
         peers.setEngines({{InstanceId("i-1"), SocketAddress{"127.0.0.1", freePort()}}});
         constexpr Duration kTurn = std::chrono::milliseconds(50);
         PeriodicTimer asking(*loop, kTurn,
-                             [&peers, kTurn] { peers.askReports({}, 2 * kTurn, kTurn, 0); });
+                             [&peers, kTurn] { peers.requestReports({}, 2 * kTurn, kTurn, 0); });
         loop->schedule(std::chrono::milliseconds(3500), [&loop] { loop->stop(); });
         loop->run();
     }
