--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -454,7 +454,7 @@
     if (counts) {
         countsAskedAt_ = now;
         askOwn({true, query.experts, 0});
-        peers_->askCounts(query, plan.countedRanks, decider_->size(), *ownRank_);
+        peers_->requestCounts(query, plan.countedRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
                || now - ownAskedAt_ >= plan.reportGap) {
         askOwn(query);
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -123,8 +123,8 @@
     }
 }
 
-void RankPeers::askCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
-                          std::uint32_t ownRank)
+void RankPeers::requestCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
+                              std::uint32_t ownRank)
 {
     const std::map<std::uint32_t, InstanceId> engines = roster_.engines();
     std::uint64_t owed = 0; // In parts of `ranks`.
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -61,8 +61,8 @@
     void requestReports(const RankQuery &query, Duration gap, Duration turn, std::uint32_t ownRank);
     // Asks about `count` of the group's `ranks` ranks, the own one included, for counts as well.
     // They are spread evenly over the group; for one that does not answer, the next is asked.
-    void askCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
-                   std::uint32_t ownRank);
+    void requestCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
+                       std::uint32_t ownRank);
     // Returns the engines of the group's other ranks that have said so, by rank.
     std::map<std::uint32_t, SocketAddress> engines() const;
     // Hands orders to other ranks. An order to a rank that is not known yet is dropped; the decider
