--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -163,13 +163,14 @@
     if (!agentAnswers(peer) && now - peer.linkedAt >= kAgentLife) {
         connect(peer);
     }
-    askAgent(id, query, ownRank);
+    requestFromAgent(id, query, ownRank);
     if (!agentAnswers(peer) && !roster_.isForeign(id)) {
         askEngine(id, {false, query.experts, 0});
     }
 }
 
-void RankPeers::askAgent(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank)
+void RankPeers::requestFromAgent(const InstanceId &id, const RankQuery &query,
+                                 std::uint32_t ownRank)
 {
     Peer &peer = peers_.at(id);
     peer.asking = true;
