--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -165,7 +165,7 @@
     }
     requestFromAgent(id, query, ownRank);
     if (!agentAnswers(peer) && !roster_.isForeign(id)) {
-        askEngine(id, {false, query.experts, 0});
+        requestFromEngine(id, {false, query.experts, 0});
     }
 }
 
@@ -226,7 +226,7 @@
 }
 
 // Asks the engine of a rank whose agent does not answer. Its report lags, which only delays.
-void RankPeers::askEngine(const InstanceId &id, const RankQuery &query)
+void RankPeers::requestFromEngine(const InstanceId &id, const RankQuery &query)
 {
     Peer &peer = peers_.at(id);
     if (peer.askingEngine) {
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -88,7 +88,7 @@
     void connect(Peer &peer);
     void ask(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank);
     void requestFromAgent(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank);
-    void askEngine(const InstanceId &id, const RankQuery &query);
+    void requestFromEngine(const InstanceId &id, const RankQuery &query);
     void onAgentAnswer(const InstanceId &id, TimePoint askedAt, wire::RankState::Reader state);
     void sendPrepares(const MapOrders &prepares);
     void sendThroughAgent(Peer &peer, const SendMapOrder &action);
