--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -119,7 +119,7 @@
     std::sort(due.begin(), due.end());
     due.resize(std::min(due.size(), most));
     for (const auto &[askedAt, id] : due) {
-        ask(id, query, ownRank);
+        requestFacts(id, query, ownRank);
     }
 }
 
@@ -144,12 +144,12 @@
             owed -= ranks;
             RankQuery asked = query;
             asked.counts = true;
-            ask(engine->second, asked, ownRank);
+            requestFacts(engine->second, asked, ownRank);
         }
     }
 }
 
-void RankPeers::ask(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank)
+void RankPeers::requestFacts(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
     Peer &peer = peers_.at(id);
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -86,7 +86,7 @@
     };
 
     void connect(Peer &peer);
-    void ask(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank);
+    void requestFacts(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank);
     void requestFromAgent(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank);
     void requestFromEngine(const InstanceId &id, const RankQuery &query);
     void onAgentAnswer(const InstanceId &id, TimePoint askedAt, wire::RankState::Reader state);
