--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -77,7 +77,7 @@
                                           SocketAddress{peer.engine.host, settings_.agentPort});
 }
 
-bool RankPeers::agentAnswers(const Peer &peer) const
+bool RankPeers::agentResponds(const Peer &peer) const
 {
     return loop_.now() - peer.answeredAt < kAgentLife;
 }
@@ -138,7 +138,7 @@
             owed -= ranks; // The own engine is asked without the link.
         } else if (engine != engines.end()) {
             Peer &peer = peers_.at(engine->second);
-            if (peer.asking || !agentAnswers(peer)) {
+            if (peer.asking || !agentResponds(peer)) {
                 continue;
             }
             owed -= ranks;
@@ -160,11 +160,11 @@
         peer.countsAskedAt = now;
     }
     // A connection may have gone silent for good while a new one works.
-    if (!agentAnswers(peer) && now - peer.linkedAt >= kAgentLife) {
+    if (!agentResponds(peer) && now - peer.linkedAt >= kAgentLife) {
         connect(peer);
     }
     requestFromAgent(id, query, ownRank);
-    if (!agentAnswers(peer) && !roster_.isForeign(id)) {
+    if (!agentResponds(peer) && !roster_.isForeign(id)) {
         requestFromEngine(id, {false, query.experts, 0});
     }
 }
@@ -259,7 +259,7 @@
         if (peer == nullptr) {
             continue;
         }
-        const bool silent = !agentAnswers(*peer);
+        const bool silent = !agentResponds(*peer);
         if (silent && action.way == OrderWay::AgentOnly) {
             continue; // The decider sends it again.
         }
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -96,7 +96,7 @@
     void sendThroughRelay(const std::vector<std::uint32_t> &block, const MapOrder &order);
     void takeFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt);
     Peer *peerOfRank(std::uint32_t rank);
-    bool agentAnswers(const Peer &peer) const;
+    bool agentResponds(const Peer &peer) const;
 
     EventLoop &loop_;
     RawTransport &transport_;
