--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -213,11 +213,11 @@
     if (facts.choices) {
         peer.countsMark = facts.choices->mark;
     }
-    takeFacts(id, facts, askedAt);
+    deliverFacts(id, facts, askedAt);
 }
 
 // Notes where the engine belongs, and passes on what concerns the own group.
-void RankPeers::takeFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
+void RankPeers::deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
 {
     roster_.note(id, facts.report.group, facts.report.rank);
     if (!roster_.isForeign(id)) {
@@ -245,7 +245,7 @@
         found->second.askingEngine = false;
         if (facts) {
             facts->report.byAgent = false;
-            takeFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
+            deliverFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
         }
     };
     engineClient_.fetchFacts(peer.engine, query, answered);
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -94,7 +94,7 @@
     void sendThroughAgent(Peer &peer, const SendMapOrder &action);
     void sendToEngine(const Peer &peer, const SendMapOrder &action);
     void sendThroughRelay(const std::vector<std::uint32_t> &block, const MapOrder &order);
-    void takeFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt);
+    void deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt);
     Peer *peerOfRank(std::uint32_t rank);
     bool agentResponds(const Peer &peer) const;
 
