--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -268,7 +268,7 @@
         } else if (action.order.kind == MapOrderKind::Prepare) {
             prepares.push_back(action);
         } else {
-            sendThroughAgent(*peer, action);
+            sendToAgent(*peer, action);
         }
     }
     if (!prepares.empty()) {
@@ -295,7 +295,7 @@
              {"bytes", inputs.orderBytes}});
     for (const RelayBlock &block : blocks) {
         if (block.size() == 1) {
-            sendThroughAgent(*peerOfRank(block.front()), {block.front(), order, OrderWay::Any});
+            sendToAgent(*peerOfRank(block.front()), {block.front(), order, OrderWay::Any});
         } else {
             sendThroughRelay(block, order);
         }
@@ -338,7 +338,7 @@
         }));
 }
 
-void RankPeers::sendThroughAgent(Peer &peer, const SendMapOrder &action)
+void RankPeers::sendToAgent(Peer &peer, const SendMapOrder &action)
 {
     auto request = peer.link->capability().castAs<wire::RankAgent>().orderRequest();
     writeOrder(action.order, request.initOrder());
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -91,7 +91,7 @@
     void requestFromEngine(const InstanceId &id, const RankQuery &query);
     void onAgentAnswer(const InstanceId &id, TimePoint askedAt, wire::RankState::Reader state);
     void sendPrepares(const MapOrders &prepares);
-    void sendThroughAgent(Peer &peer, const SendMapOrder &action);
+    void sendToAgent(Peer &peer, const SendMapOrder &action);
     void sendToEngine(const Peer &peer, const SendMapOrder &action);
     void sendThroughRelay(const std::vector<std::uint32_t> &block, const MapOrder &order);
     void deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt);
