--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -297,7 +297,7 @@
         if (block.size() == 1) {
             sendToAgent(*peerOfRank(block.front()), {block.front(), order, OrderWay::Any});
         } else {
-            sendThroughRelay(block, order);
+            sendToRelay(block, order);
         }
     }
 }
@@ -313,7 +313,7 @@
 }
 
 // The first rank's agent hands the order to its own engine and to the agents of the others.
-void RankPeers::sendThroughRelay(const std::vector<std::uint32_t> &block, const MapOrder &order)
+void RankPeers::sendToRelay(const std::vector<std::uint32_t> &block, const MapOrder &order)
 {
     Peer &relay = *peerOfRank(block.front());
     auto request = relay.link->capability().castAs<wire::RankAgent>().relayRequest();
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -93,7 +93,7 @@
     void sendPrepares(const MapOrders &prepares);
     void sendToAgent(Peer &peer, const SendMapOrder &action);
     void sendToEngine(const Peer &peer, const SendMapOrder &action);
-    void sendThroughRelay(const std::vector<std::uint32_t> &block, const MapOrder &order);
+    void sendToRelay(const std::vector<std::uint32_t> &block, const MapOrder &order);
     void deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt);
     Peer *peerOfRank(std::uint32_t rank);
     bool agentResponds(const Peer &peer) const;
