--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -229,10 +229,10 @@
 void RankPeers::requestFromEngine(const InstanceId &id, const RankQuery &query)
 {
     Peer &peer = peers_.at(id);
-    if (peer.askingEngine) {
+    if (peer.engineQueryPending) {
         return;
     }
-    peer.askingEngine = true;
+    peer.engineQueryPending = true;
     const TimePoint askedAt = loop_.now() - kReportLag;
     const auto answered = [this, id, askedAt, alive = alive_](std::optional<EngineFacts> facts) {
         if (!*alive) {
@@ -242,7 +242,7 @@
         if (found == peers_.end()) {
             return;
         }
-        found->second.askingEngine = false;
+        found->second.engineQueryPending = false;
         if (facts) {
             facts->report.byAgent = false;
             deliverFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -82,7 +82,7 @@
         TimePoint answeredAt{}; // By the agent; when it was listed, before its first answer.
         TimePoint askedAt{};
         bool asking = false;
-        bool askingEngine = false;
+        bool engineQueryPending = false;
     };
 
     void connect(Peer &peer);
