--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -107,7 +107,7 @@
     const TimePoint now = loop_.now();
     std::vector<std::pair<TimePoint, InstanceId>> due;
     for (const auto &[id, peer] : peers_) {
-        if (!peer.asking && now - peer.askedAt >= roster_.gapFor(id, gap)) {
+        if (!peer.agentQueryPending && now - peer.askedAt >= roster_.gapFor(id, gap)) {
             due.emplace_back(peer.askedAt, id);
         }
     }
@@ -138,7 +138,7 @@
             owed -= ranks; // The own engine is asked without the link.
         } else if (engine != engines.end()) {
             Peer &peer = peers_.at(engine->second);
-            if (peer.asking || !agentResponds(peer)) {
+            if (peer.agentQueryPending || !agentResponds(peer)) {
                 continue;
             }
             owed -= ranks;
@@ -173,7 +173,7 @@
                                  std::uint32_t ownRank)
 {
     Peer &peer = peers_.at(id);
-    peer.asking = true;
+    peer.agentQueryPending = true;
     const TimePoint askedAt = loop_.now();
     auto request = peer.link->capability().castAs<wire::RankAgent>().stateRequest();
     request.setCounts(query.counts);
@@ -188,7 +188,7 @@
         }
         const auto found = peers_.find(id);
         if (found != peers_.end()) {
-            found->second.asking = false;
+            found->second.agentQueryPending = false;
         }
     };
     loop_.schedule(kPeerPatience, finish);
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -81,7 +81,7 @@
         TimePoint countsAskedAt{};
         TimePoint answeredAt{}; // By the agent; when it was listed, before its first answer.
         TimePoint askedAt{};
-        bool asking = false;
+        bool agentQueryPending = false;
         bool engineQueryPending = false;
     };
 
