--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -72,7 +72,7 @@
 
 void RankPeers::connect(Peer &peer)
 {
-    peer.linkedAt = loop_.now();
+    peer.connectedAt = loop_.now();
     peer.link = std::make_unique<RpcLink>(loop_, transport_,
                                           SocketAddress{peer.engine.host, settings_.agentPort});
 }
@@ -160,7 +160,7 @@
         peer.countsAskedAt = now;
     }
     // A connection may have gone silent for good while a new one works.
-    if (!agentResponds(peer) && now - peer.linkedAt >= kAgentLife) {
+    if (!agentResponds(peer) && now - peer.connectedAt >= kAgentLife) {
         connect(peer);
     }
     requestFromAgent(id, query, ownRank);
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -76,7 +76,7 @@
     {
         SocketAddress engine;
         std::unique_ptr<RpcLink> link;
-        TimePoint linkedAt{};
+        TimePoint connectedAt{};
         std::uint64_t countsMark = 0; // Of the last counts; zero: none.
         TimePoint countsAskedAt{};
         TimePoint answeredAt{}; // By the agent; when it was listed, before its first answer.
