--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -101,19 +101,19 @@
     return engines;
 }
 
-void RankPeers::requestReports(const RankQuery &query, Duration gap, Duration turn,
+void RankPeers::requestReports(const RankQuery &query, Duration interval, Duration turn,
                                std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
     std::vector<std::pair<TimePoint, InstanceId>> due;
     for (const auto &[id, peer] : peers_) {
-        if (!peer.agentQueryPending && now - peer.askedAt >= roster_.gapFor(id, gap)) {
+        if (!peer.agentQueryPending && now - peer.askedAt >= roster_.gapFor(id, interval)) {
             due.emplace_back(peer.askedAt, id);
         }
     }
     // A tenth more than one share of a gap, because turns come a little late.
     constexpr double kCatchUp = 1.1;
-    const double share = static_cast<double>(peers_.size()) * toSeconds(turn) / toSeconds(gap);
+    const double share = static_cast<double>(peers_.size()) * toSeconds(turn) / toSeconds(interval);
     const auto most =
         std::max(kLeastAtATime, static_cast<std::size_t>(std::ceil(share * kCatchUp)));
     std::sort(due.begin(), due.end());
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -58,7 +58,8 @@
     // Asks peers for reports whose last question is at least `gap` ago and answered, or given up,
     // the longest unasked first. Called every `turn`, it asks no more than it must at a time, so
     // that answers do not queue before the link. `ownRank` tells them who decides.
-    void requestReports(const RankQuery &query, Duration gap, Duration turn, std::uint32_t ownRank);
+    void requestReports(const RankQuery &query, Duration interval, Duration turn,
+                        std::uint32_t ownRank);
     // Asks about `count` of the group's `ranks` ranks, the own one included, for counts as well.
     // They are spread evenly over the group; for one that does not answer, the next is asked.
     void requestCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
