--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -101,7 +101,7 @@
     return engines;
 }
 
-void RankPeers::requestReports(const RankQuery &query, Duration interval, Duration turn,
+void RankPeers::requestReports(const RankQuery &query, Duration interval, Duration callInterval,
                                std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
@@ -113,7 +113,8 @@
     }
     // A tenth more than one share of a gap, because turns come a little late.
     constexpr double kCatchUp = 1.1;
-    const double share = static_cast<double>(peers_.size()) * toSeconds(turn) / toSeconds(interval);
+    const double share =
+        static_cast<double>(peers_.size()) * toSeconds(callInterval) / toSeconds(interval);
     const auto most =
         std::max(kLeastAtATime, static_cast<std::size_t>(std::ceil(share * kCatchUp)));
     std::sort(due.begin(), due.end());
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -58,7 +58,7 @@
     // Asks peers for reports whose last question is at least `gap` ago and answered, or given up,
     // the longest unasked first. Called every `turn`, it asks no more than it must at a time, so
     // that answers do not queue before the link. `ownRank` tells them who decides.
-    void requestReports(const RankQuery &query, Duration interval, Duration turn,
+    void requestReports(const RankQuery &query, Duration interval, Duration callInterval,
                         std::uint32_t ownRank);
     // Asks about `count` of the group's `ranks` ranks, the own one included, for counts as well.
     // They are spread evenly over the group; for one that does not answer, the next is asked.
