--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -115,10 +115,10 @@
     constexpr double kCatchUp = 1.1;
     const double share =
         static_cast<double>(peers_.size()) * toSeconds(callInterval) / toSeconds(interval);
-    const auto most =
+    const auto maxQueries =
         std::max(kLeastAtATime, static_cast<std::size_t>(std::ceil(share * kCatchUp)));
     std::sort(due.begin(), due.end());
-    due.resize(std::min(due.size(), most));
+    due.resize(std::min(due.size(), maxQueries));
     for (const auto &[askedAt, id] : due) {
         requestFacts(id, query, ownRank);
     }
