--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -128,21 +128,21 @@
                               std::uint32_t ownRank)
 {
     const std::map<std::uint32_t, InstanceId> engines = roster_.engines();
-    std::uint64_t owed = 0; // In parts of `ranks`.
+    std::uint64_t credit = 0; // In parts of `ranks`.
     for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-        owed += count;
-        if (owed < ranks) {
+        credit += count;
+        if (credit < ranks) {
             continue;
         }
         const auto engine = engines.find(rank);
         if (rank == ownRank) {
-            owed -= ranks; // The own engine is asked without the link.
+            credit -= ranks; // The own engine is asked without the link.
         } else if (engine != engines.end()) {
             Peer &peer = peers_.at(engine->second);
             if (peer.agentQueryPending || !agentResponds(peer)) {
                 continue;
             }
-            owed -= ranks;
+            credit -= ranks;
             RankQuery asked = query;
             asked.counts = true;
             requestFacts(engine->second, asked, ownRank);
