--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -182,9 +182,9 @@
     request.setExperts(query.experts);
     request.setAskerRank(ownRank);
     request.setAskerGroup(settings_.group.value());
-    const auto over = std::make_shared<bool>(false);
-    const auto finish = [this, id, over, alive = alive_] {
-        if (!*alive || std::exchange(*over, true)) {
+    const auto finished = std::make_shared<bool>(false);
+    const auto finish = [this, id, finished, alive = alive_] {
+        if (!*alive || std::exchange(*finished, true)) {
             return;
         }
         const auto found = peers_.find(id);
