--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -235,7 +235,7 @@
     }
     peer.engineQueryPending = true;
     const TimePoint askedAt = loop_.now() - kReportLag;
-    const auto answered = [this, id, askedAt, alive = alive_](std::optional<EngineFacts> facts) {
+    const auto onFacts = [this, id, askedAt, alive = alive_](std::optional<EngineFacts> facts) {
         if (!*alive) {
             return;
         }
@@ -249,7 +249,7 @@
             deliverFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
         }
     };
-    engineClient_.fetchFacts(peer.engine, query, answered);
+    engineClient_.fetchFacts(peer.engine, query, onFacts);
 }
 
 void RankPeers::send(const MapOrders &orders)
