--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // An agent that has not answered for this long is taken for dead or cut off.
-constexpr Duration kAgentLife = std::chrono::milliseconds(1000);
+constexpr Duration kAgentTimeout = std::chrono::milliseconds(1000);
 // How long one that has never answered counts as answering: a question and its answer take some
 // milliseconds, and a group that is held can't wait for an agent that is frozen.
 constexpr Duration kFirstAnswer = std::chrono::milliseconds(250);
@@ -63,7 +63,7 @@
         Peer &peer = peers_[id];
         if (peer.link == nullptr) {
             peer.engine = engine;
-            peer.answeredAt = loop_.now() - (kAgentLife - kFirstAnswer);
+            peer.answeredAt = loop_.now() - (kAgentTimeout - kFirstAnswer);
             connect(peer);
         }
     }
@@ -79,7 +79,7 @@
 
 bool RankPeers::agentResponds(const Peer &peer) const
 {
-    return loop_.now() - peer.answeredAt < kAgentLife;
+    return loop_.now() - peer.answeredAt < kAgentTimeout;
 }
 
 RankPeers::Peer *RankPeers::peerOfRank(std::uint32_t rank)
@@ -161,7 +161,7 @@
         peer.countsAskedAt = now;
     }
     // A connection may have gone silent for good while a new one works.
-    if (!agentResponds(peer) && now - peer.connectedAt >= kAgentLife) {
+    if (!agentResponds(peer) && now - peer.connectedAt >= kAgentTimeout) {
         connect(peer);
     }
     requestFromAgent(id, query, ownRank);
