--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -14,7 +14,7 @@
 constexpr Duration kAgentTimeout = std::chrono::milliseconds(1000);
 // How long one that has never answered counts as answering: a question and its answer take some
 // milliseconds, and a group that is held can't wait for an agent that is frozen.
-constexpr Duration kFirstAnswer = std::chrono::milliseconds(250);
+constexpr Duration kFirstAnswerTimeout = std::chrono::milliseconds(250);
 // How long an agent waits for another one's answer.
 constexpr Duration kPeerPatience = std::chrono::milliseconds(600);
 // A question for counts goes on from the one before when that is no older than this.
@@ -63,7 +63,7 @@
         Peer &peer = peers_[id];
         if (peer.link == nullptr) {
             peer.engine = engine;
-            peer.answeredAt = loop_.now() - (kAgentTimeout - kFirstAnswer);
+            peer.answeredAt = loop_.now() - (kAgentTimeout - kFirstAnswerTimeout);
             connect(peer);
         }
     }
