--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -16,7 +16,7 @@
 // milliseconds, and a group that is held can't wait for an agent that is frozen.
 constexpr Duration kFirstAnswerTimeout = std::chrono::milliseconds(250);
 // How long an agent waits for another one's answer.
-constexpr Duration kPeerPatience = std::chrono::milliseconds(600);
+constexpr Duration kAgentQueryTimeout = std::chrono::milliseconds(600);
 // A question for counts goes on from the one before when that is no older than this.
 constexpr Duration kMarkLife = std::chrono::seconds(1);
 // A few answers at a time never queue before a link: 16 reports are some 6 KB.
@@ -192,7 +192,7 @@
             found->second.agentQueryPending = false;
         }
     };
-    loop_.schedule(kPeerPatience, finish);
+    loop_.schedule(kAgentQueryTimeout, finish);
     tasks_.add(request.send().then(
         [this, id, askedAt, finish](capnp::Response<wire::RankAgent::StateResults> answer) {
             finish();
