--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -18,7 +18,7 @@
 // How long an agent waits for another one's answer.
 constexpr Duration kAgentQueryTimeout = std::chrono::milliseconds(600);
 // A question for counts goes on from the one before when that is no older than this.
-constexpr Duration kMarkLife = std::chrono::seconds(1);
+constexpr Duration kMaxMarkAge = std::chrono::seconds(1);
 // A few answers at a time never queue before a link: 16 reports are some 6 KB.
 constexpr std::size_t kLeastAtATime = 16;
 // What an engine tells to others than its own agent may be this old already.
@@ -157,7 +157,7 @@
     peer.askedAt = now;
     if (query.counts) {
         // Counts over a long time would mix what was asked for then with what is now.
-        peer.countsMark = now - peer.countsAskedAt < kMarkLife ? peer.countsMark : 0;
+        peer.countsMark = now - peer.countsAskedAt < kMaxMarkAge ? peer.countsMark : 0;
         peer.countsAskedAt = now;
     }
     // A connection may have gone silent for good while a new one works.
