--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -20,7 +20,7 @@
 // A question for counts goes on from the one before when that is no older than this.
 constexpr Duration kMaxMarkAge = std::chrono::seconds(1);
 // A few answers at a time never queue before a link: 16 reports are some 6 KB.
-constexpr std::size_t kLeastAtATime = 16;
+constexpr std::size_t kMinQueriesPerCall = 16;
 // What an engine tells to others than its own agent may be this old already.
 constexpr Duration kReportLag = std::chrono::milliseconds(300);
 
@@ -116,7 +116,7 @@
     const double share =
         static_cast<double>(peers_.size()) * toSeconds(callInterval) / toSeconds(interval);
     const auto maxQueries =
-        std::max(kLeastAtATime, static_cast<std::size_t>(std::ceil(share * kCatchUp)));
+        std::max(kMinQueriesPerCall, static_cast<std::size_t>(std::ceil(share * kCatchUp)));
     std::sort(due.begin(), due.end());
     due.resize(std::min(due.size(), maxQueries));
     for (const auto &[askedAt, id] : due) {
