--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -22,7 +22,7 @@
 // A few answers at a time never queue before a link: 16 reports are some 6 KB.
 constexpr std::size_t kMinQueriesPerCall = 16;
 // What an engine tells to others than its own agent may be this old already.
-constexpr Duration kReportLag = std::chrono::milliseconds(300);
+constexpr Duration kMaxEngineReportAge = std::chrono::milliseconds(300);
 
 } // namespace
 
@@ -234,7 +234,7 @@
         return;
     }
     peer.engineQueryPending = true;
-    const TimePoint askedAt = loop_.now() - kReportLag;
+    const TimePoint askedAt = loop_.now() - kMaxEngineReportAge;
     const auto onFacts = [this, id, askedAt, alive = alive_](std::optional<EngineFacts> facts) {
         if (!*alive) {
             return;
