--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -112,11 +112,11 @@
         }
     }
     // A tenth more than one share of a gap, because turns come a little late.
-    constexpr double kCatchUp = 1.1;
+    constexpr double kLateCallFactor = 1.1;
     const double share =
         static_cast<double>(peers_.size()) * toSeconds(callInterval) / toSeconds(interval);
     const auto maxQueries =
-        std::max(kMinQueriesPerCall, static_cast<std::size_t>(std::ceil(share * kCatchUp)));
+        std::max(kMinQueriesPerCall, static_cast<std::size_t>(std::ceil(share * kLateCallFactor)));
     std::sort(due.begin(), due.end());
     due.resize(std::min(due.size(), maxQueries));
     for (const auto &[askedAt, id] : due) {
