--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -11,7 +11,7 @@
 
 // How long the others may take: an agent answers within a quarter of a second also when its engine
 // is still copying, and the order crosses a link that is shared with the other ranks' orders.
-constexpr Duration kPatience = std::chrono::milliseconds(600);
+constexpr Duration kAnswerTimeout = std::chrono::milliseconds(600);
 // A connection that no order has used for this long is closed.
 constexpr Duration kLinkLife = std::chrono::seconds(30);
 
@@ -75,7 +75,7 @@
     for (const RelayTarget &target : targets) {
         send(order, target, batch);
     }
-    loop_.schedule(kPatience, [this, batch, alive = alive_] {
+    loop_.schedule(kAnswerTimeout, [this, batch, alive = alive_] {
         if (*alive) {
             giveUp(*batch);
         }
