--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -13,7 +13,7 @@
 // is still copying, and the order crosses a link that is shared with the other ranks' orders.
 constexpr Duration kAnswerTimeout = std::chrono::milliseconds(600);
 // A connection that no order has used for this long is closed.
-constexpr Duration kLinkLife = std::chrono::seconds(30);
+constexpr Duration kLinkIdleTimeout = std::chrono::seconds(30);
 
 } // namespace
 
@@ -62,7 +62,7 @@
 void OrderRelay::dropIdle()
 {
     std::erase_if(links_, [now = loop_.now()](const auto &entry) {
-        return now - entry.second.usedAt > kLinkLife;
+        return now - entry.second.usedAt > kLinkIdleTimeout;
     });
 }
 
