--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -59,7 +59,7 @@
     return *entry.link;
 }
 
-void OrderRelay::dropIdle()
+void OrderRelay::closeIdleLinks()
 {
     std::erase_if(links_, [now = loop_.now()](const auto &entry) {
         return now - entry.second.usedAt > kLinkIdleTimeout;
@@ -68,7 +68,7 @@
 
 void OrderRelay::relay(const MapOrder &order, const std::vector<RelayTarget> &targets, Done done)
 {
-    dropIdle();
+    closeIdleLinks();
     const auto batch = std::make_shared<Batch>();
     batch->open = targets;
     batch->done = std::move(done);
--- a/src/experts/orderrelay.h
+++ b/src/experts/orderrelay.h
@@ -61,7 +61,7 @@
     };
 
     RpcLink &linkTo(const std::string &host);
-    void dropIdle();
+    void closeIdleLinks();
     void send(const MapOrder &order, const RelayTarget &target,
               const std::shared_ptr<Batch> &batch);
     void noteAnswer(Batch &batch, std::uint32_t rank, MapOrderAnswer answer);
