--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -90,14 +90,14 @@
     const std::uint32_t rank = target.rank;
     tasks_.add(request.send().then(
         [this, batch, rank](capnp::Response<wire::RankAgent::OrderResults> answer) {
-            noteAnswer(*batch, rank, static_cast<MapOrderAnswer>(answer.getStatus()));
+            onAnswer(*batch, rank, static_cast<MapOrderAnswer>(answer.getStatus()));
         },
         [this, batch, rank](kj::Exception && /*gone*/) {
-            noteAnswer(*batch, rank, MapOrderAnswer::Lost);
+            onAnswer(*batch, rank, MapOrderAnswer::Lost);
         }));
 }
 
-void OrderRelay::noteAnswer(Batch &batch, std::uint32_t rank, MapOrderAnswer answer)
+void OrderRelay::onAnswer(Batch &batch, std::uint32_t rank, MapOrderAnswer answer)
 {
     if (!batch.done) {
         return;
--- a/src/experts/orderrelay.h
+++ b/src/experts/orderrelay.h
@@ -64,7 +64,7 @@
     void closeIdleLinks();
     void send(const MapOrder &order, const RelayTarget &target,
               const std::shared_ptr<Batch> &batch);
-    void noteAnswer(Batch &batch, std::uint32_t rank, MapOrderAnswer answer);
+    void onAnswer(Batch &batch, std::uint32_t rank, MapOrderAnswer answer);
     void giveUp(Batch &batch);
 
     EventLoop &loop_;
