--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -77,7 +77,7 @@
     }
     loop_.schedule(kAnswerTimeout, [this, batch, alive = alive_] {
         if (*alive) {
-            giveUp(*batch);
+            onTimeout(*batch);
         }
     });
 }
@@ -110,7 +110,7 @@
 }
 
 // Takes those that have not answered for lost, and their connections for silent.
-void OrderRelay::giveUp(Batch &batch)
+void OrderRelay::onTimeout(Batch &batch)
 {
     if (!batch.done) {
         return;
--- a/src/experts/orderrelay.h
+++ b/src/experts/orderrelay.h
@@ -65,7 +65,7 @@
     void send(const MapOrder &order, const RelayTarget &target,
               const std::shared_ptr<Batch> &batch);
     void onAnswer(Batch &batch, std::uint32_t rank, MapOrderAnswer answer);
-    void giveUp(Batch &batch);
+    void onTimeout(Batch &batch);
 
     EventLoop &loop_;
     RawTransport &transport_;
