--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -31,7 +31,7 @@
 // One order on its way to several agents.
 struct OrderRelay::Batch
 {
-    std::vector<RelayTarget> open; // Not answered yet.
+    std::vector<RelayTarget> pending; // Not answered yet.
     std::vector<RelayedAnswer> answers;
     Done done; // Empty once it was called.
 };
@@ -70,7 +70,7 @@
 {
     closeIdleLinks();
     const auto batch = std::make_shared<Batch>();
-    batch->open = targets;
+    batch->pending = targets;
     batch->done = std::move(done);
     for (const RelayTarget &target : targets) {
         send(order, target, batch);
@@ -102,9 +102,9 @@
     if (!batch.done) {
         return;
     }
-    std::erase_if(batch.open, [rank](const RelayTarget &target) { return target.rank == rank; });
+    std::erase_if(batch.pending, [rank](const RelayTarget &target) { return target.rank == rank; });
     batch.answers.push_back({rank, answer});
-    if (batch.open.empty()) {
+    if (batch.pending.empty()) {
         std::exchange(batch.done, nullptr)(batch.answers);
     }
 }
@@ -115,7 +115,7 @@
     if (!batch.done) {
         return;
     }
-    for (const RelayTarget &target : batch.open) {
+    for (const RelayTarget &target : batch.pending) {
         logLine(LogLevel::Info, "relay.unanswered", {{"rank", target.rank}});
         batch.answers.push_back({target.rank, MapOrderAnswer::Lost});
         links_.erase(target.host);
