--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -55,14 +55,14 @@
     if (entry.link == nullptr) {
         entry.link = std::make_unique<RpcLink>(loop_, transport_, SocketAddress{host, agentPort_});
     }
-    entry.usedAt = loop_.now();
+    entry.lastUsedAt = loop_.now();
     return *entry.link;
 }
 
 void OrderRelay::closeIdleLinks()
 {
     std::erase_if(links_, [now = loop_.now()](const auto &entry) {
-        return now - entry.second.usedAt > kLinkIdleTimeout;
+        return now - entry.second.lastUsedAt > kLinkIdleTimeout;
     });
 }
 
--- a/src/experts/orderrelay.h
+++ b/src/experts/orderrelay.h
@@ -57,7 +57,7 @@
     struct Link
     {
         std::unique_ptr<RpcLink> link;
-        TimePoint usedAt{};
+        TimePoint lastUsedAt{};
     };
 
     RpcLink &linkTo(const std::string &host);
