--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -12,7 +12,7 @@
 
 // How often the engine is asked whether it has copied, and for how long. The decider hears of
 // longer copies by reports, and must not take a silent answer for a lost one.
-constexpr Duration kCopyLook = std::chrono::milliseconds(25);
+constexpr Duration kCopyPollInterval = std::chrono::milliseconds(25);
 constexpr Duration kCopyPatience = std::chrono::milliseconds(250);
 
 } // namespace
@@ -98,7 +98,7 @@
             done(copied ? MapOrderAnswer::Copied : MapOrderAnswer::Done);
             return;
         }
-        loop_.schedule(kCopyLook, [this, order, deadline, done, alive] {
+        loop_.schedule(kCopyPollInterval, [this, order, deadline, done, alive] {
             if (*alive) {
                 awaitCopies(order, deadline, done);
             }
