--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -13,7 +13,7 @@
 // How often the engine is asked whether it has copied, and for how long. The decider hears of
 // longer copies by reports, and must not take a silent answer for a lost one.
 constexpr Duration kCopyPollInterval = std::chrono::milliseconds(25);
-constexpr Duration kCopyPatience = std::chrono::milliseconds(250);
+constexpr Duration kCopyTimeout = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -76,7 +76,7 @@
     const auto begun = [this, order, done = std::move(done),
                         alive = alive_](MapOrderAnswer answer) {
         if (*alive && answer == MapOrderAnswer::Done) {
-            awaitCopies(order, loop_.now() + kCopyPatience, done);
+            awaitCopies(order, loop_.now() + kCopyTimeout, done);
         } else {
             done(answer);
         }
