--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -479,7 +479,7 @@
     ownGroup_ = report.group;
     lower_.reset();
     epoch_ = 0;
-    engine_->forgetOrders();
+    engine_->resetOrders();
     experts_.clear();
     known_.reset();
     proposedVersion_ = 0;
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -35,7 +35,7 @@
     // order under a lower fence than an earlier one is refused here.
     void sendOrder(const MapOrder &order, OrderDone done);
     // Forgets the fences and versions that were used: the engine is in another group.
-    void forgetOrders() { handed_ = {}; }
+    void resetOrders() { handed_ = {}; }
 
 private:
     void awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done);
