--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -42,9 +42,9 @@
                 return;
             }
             RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
-            handed_.noteReport(facts.report.epoch, facts.report.prepared);
-            facts.report.fence = handed_.fence();
-            facts.report.neverArmed = handed_.neverArmed(facts.report.epoch);
+            handedOrders_.noteReport(facts.report.epoch, facts.report.prepared);
+            facts.report.fence = handedOrders_.fence();
+            facts.report.neverArmed = handedOrders_.neverArmed(facts.report.epoch);
             if (!engine->counts.empty()) {
                 facts.choices = ledger_.note(std::move(engine->counts), query.countsSince);
             }
@@ -54,12 +54,12 @@
 
 void OwnEngine::sendOrder(const MapOrder &order, OrderDone done)
 {
-    if (!handed_.add(order)) {
+    if (!handedOrders_.add(order)) {
         logLine(LogLevel::Info, "order.fenced",
                 {{"kind", logName(order.kind)},
                  {"version", order.version},
                  {"fence", order.fence},
-                 {"highest", handed_.fence()}});
+                 {"highest", handedOrders_.fence()}});
         done(MapOrderAnswer::Fenced);
         return;
     }
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -35,7 +35,7 @@
     // order under a lower fence than an earlier one is refused here.
     void sendOrder(const MapOrder &order, OrderDone done);
     // Forgets the fences and versions that were used: the engine is in another group.
-    void resetOrders() { handed_ = {}; }
+    void resetOrders() { handedOrders_ = {}; }
 
 private:
     void awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done);
@@ -44,7 +44,7 @@
     EngineClient &engineClient_;
     SocketAddress engine_;
     ChoiceLedger ledger_;
-    HandedOrders handed_;
+    HandedOrders handedOrders_;
     // Timers and answers ask whether the object still exists.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
