--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -21,7 +21,7 @@
     : loop_(loop)
     , engineClient_(engineClient)
     , engine_(std::move(engine))
-    , ledger_(randomIdentity())
+    , choiceLedger_(randomIdentity())
 {}
 
 OwnEngine::~OwnEngine()
@@ -46,7 +46,7 @@
             facts.report.fence = handedOrders_.fence();
             facts.report.neverArmed = handedOrders_.neverArmed(facts.report.epoch);
             if (!engine->counts.empty()) {
-                facts.choices = ledger_.note(std::move(engine->counts), query.countsSince);
+                facts.choices = choiceLedger_.note(std::move(engine->counts), query.countsSince);
             }
             done(std::move(facts));
         });
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -43,7 +43,7 @@
     EventLoop &loop_;
     EngineClient &engineClient_;
     SocketAddress engine_;
-    ChoiceLedger ledger_;
+    ChoiceLedger choiceLedger_;
     HandedOrders handedOrders_;
     // Timers and answers ask whether the object still exists.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
