--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -76,7 +76,7 @@
     const auto begun = [this, order, done = std::move(done),
                         alive = alive_](MapOrderAnswer answer) {
         if (*alive && answer == MapOrderAnswer::Done) {
-            awaitCopies(order, loop_.now() + kCopyTimeout, done);
+            awaitCopy(order, loop_.now() + kCopyTimeout, done);
         } else {
             done(answer);
         }
@@ -84,7 +84,7 @@
     engineClient_.sendOrder(engine_, order, begun);
 }
 
-void OwnEngine::awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done)
+void OwnEngine::awaitCopy(const MapOrder &order, TimePoint deadline, const OrderDone &done)
 {
     const auto look = [this, order, deadline, done,
                        alive = alive_](const std::optional<EngineFacts> &facts) {
@@ -100,7 +100,7 @@
         }
         loop_.schedule(kCopyPollInterval, [this, order, deadline, done, alive] {
             if (*alive) {
-                awaitCopies(order, deadline, done);
+                awaitCopy(order, deadline, done);
             }
         });
     };
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -38,7 +38,7 @@
     void resetOrders() { handedOrders_ = {}; }
 
 private:
-    void awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done);
+    void awaitCopy(const MapOrder &order, TimePoint deadline, const OrderDone &done);
 
     EventLoop &loop_;
     EngineClient &engineClient_;
