--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -86,8 +86,8 @@
 
 void OwnEngine::awaitCopy(const MapOrder &order, TimePoint deadline, const OrderDone &done)
 {
-    const auto look = [this, order, deadline, done,
-                       alive = alive_](const std::optional<EngineFacts> &facts) {
+    const auto onFacts = [this, order, deadline, done,
+                          alive = alive_](const std::optional<EngineFacts> &facts) {
         if (!*alive) {
             return;
         }
@@ -104,7 +104,7 @@
             }
         });
     };
-    engineClient_.fetchFacts(engine_, {}, look);
+    engineClient_.fetchFacts(engine_, {}, onFacts);
 }
 
 } // namespace seamarch
