--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -73,15 +73,15 @@
         engineClient_.sendOrder(engine_, order, std::move(done));
         return;
     }
-    const auto begun = [this, order, done = std::move(done),
-                        alive = alive_](MapOrderAnswer answer) {
+    const auto onAnswer = [this, order, done = std::move(done),
+                           alive = alive_](MapOrderAnswer answer) {
         if (*alive && answer == MapOrderAnswer::Done) {
             awaitCopy(order, loop_.now() + kCopyTimeout, done);
         } else {
             done(answer);
         }
     };
-    engineClient_.sendOrder(engine_, order, begun);
+    engineClient_.sendOrder(engine_, order, onAnswer);
 }
 
 void OwnEngine::awaitCopy(const MapOrder &order, TimePoint deadline, const OrderDone &done)
