--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -9,7 +9,7 @@
 using NumberList = capnp::List<std::uint16_t>;
 
 // More sets, ranks or experts of a rank than any group has: a longer number is no number of ours.
-constexpr std::uint32_t kMostOfAKind = 65'535;
+constexpr std::uint32_t kMaxNumber = 65'535;
 
 void writeNumbers(const std::vector<std::uint16_t> &numbers, NumberList::Builder list)
 {
@@ -81,12 +81,12 @@
         constexpr std::uint32_t kMore = 0x80;
         constexpr std::uint32_t kBits = 7;
         std::uint32_t number = 0;
-        for (std::uint32_t shift = 0; !bytes_.empty() && number <= kMostOfAKind; shift += kBits) {
+        for (std::uint32_t shift = 0; !bytes_.empty() && number <= kMaxNumber; shift += kBits) {
             const std::uint32_t byte = bytes_.front();
             bytes_ = bytes_.subspan(1);
             number |= (byte & (kMore - 1)) << shift;
             if (byte < kMore) {
-                return number <= kMostOfAKind ? std::optional(number) : std::nullopt;
+                return number <= kMaxNumber ? std::optional(number) : std::nullopt;
             }
         }
         return std::nullopt;
@@ -108,7 +108,7 @@
     std::uint32_t expert = 0;
     for (std::uint32_t index = 0; index < *count; ++index) {
         const auto gap = reader.next();
-        if (!gap || expert + *gap > kMostOfAKind) {
+        if (!gap || expert + *gap > kMaxNumber) {
             return std::nullopt;
         }
         expert += *gap;
