--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -59,10 +59,10 @@
 
 void writeNumber(std::uint32_t number, std::vector<std::uint8_t> &bytes)
 {
-    constexpr std::uint32_t kMore = 0x80;
+    constexpr std::uint32_t kContinuationBit = 0x80;
     constexpr int kBits = 7;
-    while (number >= kMore) {
-        bytes.push_back(static_cast<std::uint8_t>(number | kMore));
+    while (number >= kContinuationBit) {
+        bytes.push_back(static_cast<std::uint8_t>(number | kContinuationBit));
         number >>= kBits;
     }
     bytes.push_back(static_cast<std::uint8_t>(number));
@@ -78,14 +78,14 @@
 
     std::optional<std::uint32_t> next()
     {
-        constexpr std::uint32_t kMore = 0x80;
+        constexpr std::uint32_t kContinuationBit = 0x80;
         constexpr std::uint32_t kBits = 7;
         std::uint32_t number = 0;
         for (std::uint32_t shift = 0; !bytes_.empty() && number <= kMaxNumber; shift += kBits) {
             const std::uint32_t byte = bytes_.front();
             bytes_ = bytes_.subspan(1);
-            number |= (byte & (kMore - 1)) << shift;
-            if (byte < kMore) {
+            number |= (byte & (kContinuationBit - 1)) << shift;
+            if (byte < kContinuationBit) {
                 return number <= kMaxNumber ? std::optional(number) : std::nullopt;
             }
         }
