--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -60,10 +60,10 @@
 void writeNumber(std::uint32_t number, std::vector<std::uint8_t> &bytes)
 {
     constexpr std::uint32_t kContinuationBit = 0x80;
-    constexpr int kBits = 7;
+    constexpr int kPayloadBits = 7;
     while (number >= kContinuationBit) {
         bytes.push_back(static_cast<std::uint8_t>(number | kContinuationBit));
-        number >>= kBits;
+        number >>= kPayloadBits;
     }
     bytes.push_back(static_cast<std::uint8_t>(number));
 }
@@ -79,9 +79,10 @@
     std::optional<std::uint32_t> next()
     {
         constexpr std::uint32_t kContinuationBit = 0x80;
-        constexpr std::uint32_t kBits = 7;
+        constexpr std::uint32_t kPayloadBits = 7;
         std::uint32_t number = 0;
-        for (std::uint32_t shift = 0; !bytes_.empty() && number <= kMaxNumber; shift += kBits) {
+        for (std::uint32_t shift = 0; !bytes_.empty() && number <= kMaxNumber;
+             shift += kPayloadBits) {
             const std::uint32_t byte = bytes_.front();
             bytes_ = bytes_.subspan(1);
             number |= (byte & (kContinuationBit - 1)) << shift;
