--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -69,10 +69,10 @@
 }
 
 // Reads numbers from the front of some bytes.
-class NumberReader
+class VarintReader
 {
 public:
-    explicit NumberReader(std::span<const std::uint8_t> bytes)
+    explicit VarintReader(std::span<const std::uint8_t> bytes)
         : bytes_(bytes)
     {}
 
@@ -99,7 +99,7 @@
     std::span<const std::uint8_t> bytes_;
 };
 
-std::optional<std::vector<std::uint16_t>> unpackRank(NumberReader &reader)
+std::optional<std::vector<std::uint16_t>> unpackRank(VarintReader &reader)
 {
     const auto count = reader.next();
     if (!count) {
@@ -140,7 +140,7 @@
 
 std::optional<ExpertMap> unpackExperts(std::span<const std::uint8_t> bytes)
 {
-    NumberReader reader(bytes);
+    VarintReader reader(bytes);
     const auto sets = reader.next();
     if (!sets) {
         return std::nullopt;
