--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -57,7 +57,7 @@
     return counts;
 }
 
-void writeNumber(std::uint32_t number, std::vector<std::uint8_t> &bytes)
+void writeVarint(std::uint32_t number, std::vector<std::uint8_t> &bytes)
 {
     constexpr std::uint32_t kContinuationBit = 0x80;
     constexpr int kPayloadBits = 7;
@@ -123,14 +123,14 @@
 std::vector<std::uint8_t> packExperts(const ExpertMap &map)
 {
     std::vector<std::uint8_t> bytes;
-    writeNumber(sizeOf(map), bytes);
+    writeVarint(sizeOf(map), bytes);
     for (const RankExperts &ranks : map) {
-        writeNumber(sizeOf(ranks), bytes);
+        writeVarint(sizeOf(ranks), bytes);
         for (const std::vector<std::uint16_t> &experts : ranks) {
-            writeNumber(sizeOf(experts), bytes);
+            writeVarint(sizeOf(experts), bytes);
             std::uint32_t last = 0;
             for (const std::uint16_t expert : experts) {
-                writeNumber(expert - last, bytes);
+                writeVarint(expert - last, bytes);
                 last = expert;
             }
         }
