--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -292,7 +292,7 @@
 void ExpertAgent::reportGroup()
 {
     if (deciding() && decider_->size() > 0) {
-        reporter_.set(groupFacts(), decider_->heardAt());
+        reporter_.publish(groupFacts(), decider_->heardAt());
     } else {
         reporter_.refer(lower_ ? lower_->host : std::string());
     }
--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void GroupReporter::set(const GroupFacts &facts, TimePoint asOf)
+void GroupReporter::publish(const GroupFacts &facts, TimePoint asOf)
 {
     asOf_ = asOf;
     if (facts_ && *facts_ == facts) {
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -30,7 +30,7 @@
     GroupReporter &operator=(const GroupReporter &) = delete;
 
     // This agent decides, and its group was so at `asOf`.
-    void set(const GroupFacts &facts, TimePoint asOf);
+    void publish(const GroupFacts &facts, TimePoint asOf);
     // This agent does not decide; `host` is that of the one that does, empty when it is not known.
     void refer(const std::string &host);
 
