--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -294,7 +294,7 @@
     if (deciding() && decider_->size() > 0) {
         reporter_.publish(groupFacts(), decider_->heardAt());
     } else {
-        reporter_.refer(lower_ ? lower_->host : std::string());
+        reporter_.referTo(lower_ ? lower_->host : std::string());
     }
 }
 
--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -23,7 +23,7 @@
     waiting_.wakeAll();
 }
 
-void GroupReporter::refer(const std::string &host)
+void GroupReporter::referTo(const std::string &host)
 {
     deciderHost_ = host;
     if (facts_) {
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -32,7 +32,7 @@
     // This agent decides, and its group was so at `asOf`.
     void publish(const GroupFacts &facts, TimePoint asOf);
     // This agent does not decide; `host` is that of the one that does, empty when it is not known.
-    void refer(const std::string &host);
+    void referTo(const std::string &host);
 
     // Answers a gateway's question, at once or when there is news.
     using Context = capnp::CallContext<wire::RankAgent::GroupParams, wire::RankAgent::GroupResults>;
--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -155,7 +155,7 @@
 // then.
 TEST(GroupWatchTest, AsksAgainWhereNobodyDecidesYet)
 {
-    agent->reporter.refer("");
+    agent->reporter.referTo("");
     runFor(300);
     LONGS_EQUAL(0, groups.known().size());
     agent->reporter.publish(factsOf(true), loop->now());
