--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -20,7 +20,7 @@
     }
     facts_ = facts;
     mark_ = markOf(facts);
-    waiting_.wakeAll();
+    waiters_.wakeAll();
 }
 
 void GroupReporter::referTo(const std::string &host)
@@ -28,7 +28,7 @@
     deciderHost_ = host;
     if (facts_) {
         facts_.reset();
-        waiting_.wakeAll();
+        waiters_.wakeAll();
     }
 }
 
@@ -40,7 +40,7 @@
         write(context.getResults(), asked);
         return kj::READY_NOW;
     }
-    return waiting_.wait(wait).then(
+    return waiters_.wait(wait).then(
         [this, context, asked]() mutable { write(context.getResults(), asked); });
 }
 
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -24,7 +24,7 @@
 public:
     explicit GroupReporter(EventLoop &loop)
         : loop_(loop)
-        , waiting_(loop)
+        , waiters_(loop)
     {}
     GroupReporter(const GroupReporter &) = delete;
     GroupReporter &operator=(const GroupReporter &) = delete;
@@ -42,7 +42,7 @@
     void write(wire::RankAgent::GroupResults::Builder results, std::uint64_t askedMark) const;
 
     EventLoop &loop_;
-    WakeList waiting_;
+    WakeList waiters_;
     std::optional<GroupFacts> facts_; // While this agent decides.
     std::uint64_t mark_ = 0;
     TimePoint asOf_{};
