--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // The longest that a gateway may have its question wait.
-constexpr Duration kLongestWait = std::chrono::seconds(1);
+constexpr Duration kMaxWait = std::chrono::seconds(1);
 
 } // namespace
 
@@ -35,7 +35,7 @@
 kj::Promise<void> GroupReporter::answer(Context context)
 {
     const std::uint64_t asked = context.getParams().getMark();
-    const Duration wait = std::min(Duration(context.getParams().getWaitMicros()), kLongestWait);
+    const Duration wait = std::min(Duration(context.getParams().getWaitMicros()), kMaxWait);
     if (!facts_ || asked != mark_ || wait <= Duration{}) {
         write(context.getResults(), asked);
         return kj::READY_NOW;
