--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -37,15 +37,15 @@
     const std::uint64_t asked = context.getParams().getMark();
     const Duration wait = std::min(Duration(context.getParams().getWaitMicros()), kMaxWait);
     if (!facts_ || asked != mark_ || wait <= Duration{}) {
-        write(context.getResults(), asked);
+        writeResults(context.getResults(), asked);
         return kj::READY_NOW;
     }
     return waiters_.wait(wait).then(
-        [this, context, asked]() mutable { write(context.getResults(), asked); });
+        [this, context, asked]() mutable { writeResults(context.getResults(), asked); });
 }
 
-void GroupReporter::write(wire::RankAgent::GroupResults::Builder results,
-                          std::uint64_t askedMark) const
+void GroupReporter::writeResults(wire::RankAgent::GroupResults::Builder results,
+                                 std::uint64_t askedMark) const
 {
     results.setDecides(facts_.has_value());
     if (!facts_) {
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -39,7 +39,8 @@
     kj::Promise<void> answer(Context context);
 
 private:
-    void write(wire::RankAgent::GroupResults::Builder results, std::uint64_t askedMark) const;
+    void writeResults(wire::RankAgent::GroupResults::Builder results,
+                      std::uint64_t askedMark) const;
 
     EventLoop &loop_;
     WakeList waiters_;
