--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -41,7 +41,7 @@
                      const Settings &settings, RankPeersListener &listener)
     : loop_(loop)
     , transport_(transport)
-    , engineClient_(ranks)
+    , engineClient_(engineClient)
     , settings_(settings)
     , listener_(listener)
     , roster_(settings.group)
