--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -70,7 +70,7 @@
         const bool ownGroup = askerGroup == agent_.ownGroup_;
         const RankQuery query{ownGroup && params.getCounts(), ownGroup && params.getExperts(),
                               params.getCountsSince()};
-        agent_.answer(query, [context, fulfiller](std::optional<RankFacts> facts) mutable {
+        agent_.fetchOwnFacts(query, [context, fulfiller](std::optional<RankFacts> facts) mutable {
             if (facts) {
                 writeFacts(*facts, context.getResults().initState());
             }
@@ -400,7 +400,7 @@
 }
 
 // Answers for the own rank.
-void ExpertAgent::answer(RankQuery query, OwnEngine::FactsDone done)
+void ExpertAgent::fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done)
 {
     ownLookedAt_ = loop_.now();
     engine_->fetchFacts(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
@@ -422,7 +422,7 @@
     const TimePoint now = loop_.now();
     ownAskedAt_ = now;
     query.countsSince = ownCountsMark_;
-    answer(query, [this, now](std::optional<RankFacts> facts) {
+    fetchOwnFacts(query, [this, now](std::optional<RankFacts> facts) {
         askingOwn_ = false;
         if (!facts) {
             return;
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -102,7 +102,7 @@
     void onAsked(const GroupId &askerGroup, std::uint32_t askerRank, const std::string &askerHost);
     void reportGroup();
     GroupFacts groupFacts() const;
-    void answer(RankQuery query, OwnEngine::FactsDone done);
+    void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
     void askOwn(RankQuery query);
     void askGroup();
     void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
