--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -266,7 +266,7 @@
     updateRole();
     if (!deciding()) {
         if (loop_.now() - ownLookedAt_ >= kOwnGap) {
-            askOwn({});
+            pollOwnEngine({});
         }
         reportGroup();
         return;
@@ -413,7 +413,7 @@
     });
 }
 
-void ExpertAgent::askOwn(RankQuery query)
+void ExpertAgent::pollOwnEngine(RankQuery query)
 {
     if (askingOwn_) {
         return;
@@ -453,11 +453,11 @@
     const RankQuery query{false, !known_, 0};
     if (counts) {
         countsAskedAt_ = now;
-        askOwn({true, query.experts, 0});
+        pollOwnEngine({true, query.experts, 0});
         peers_->requestCounts(query, plan.countedRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
                || now - ownAskedAt_ >= plan.reportGap) {
-        askOwn(query);
+        pollOwnEngine(query);
     }
     peers_->requestReports(query, plan.reportGap, kTick, *ownRank_);
 }
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -103,7 +103,7 @@
     void reportGroup();
     GroupFacts groupFacts() const;
     void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
-    void askOwn(RankQuery query);
+    void pollOwnEngine(RankQuery query);
     void askGroup();
     void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
