--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -276,7 +276,7 @@
     }
     current_ = mapInUse();
     planner_.look(current_, loop_.now());
-    askGroup();
+    pollGroup();
     runDecider();
     reportGroup();
 }
@@ -436,7 +436,7 @@
 
 // Asks the ranks whose turn it is for reports, and some of them for counts of chosen experts. The
 // own engine is asked at every tick of a change, because a hold must name a step that is near.
-void ExpertAgent::askGroup()
+void ExpertAgent::pollGroup()
 {
     const TimePoint now = loop_.now();
     CollectionInputs inputs;
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -104,7 +104,7 @@
     GroupFacts groupFacts() const;
     void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
     void pollOwnEngine(RankQuery query);
-    void askGroup();
+    void pollGroup();
     void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
                            MapOrderAnswer answer) override;
