--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -268,7 +268,7 @@
         if (loop_.now() - ownLookedAt_ >= kOwnGap) {
             pollOwnEngine({});
         }
-        reportGroup();
+        publishGroupFacts();
         return;
     }
     if (!upstreams_.expire(loop_.now()).empty()) {
@@ -278,7 +278,7 @@
     planner_.look(current_, loop_.now());
     pollGroup();
     runDecider();
-    reportGroup();
+    publishGroupFacts();
 }
 
 void ExpertAgent::onAsked(const GroupId &askerGroup, std::uint32_t askerRank,
@@ -289,7 +289,7 @@
     }
 }
 
-void ExpertAgent::reportGroup()
+void ExpertAgent::publishGroupFacts()
 {
     if (deciding() && decider_->size() > 0) {
         reporter_.publish(groupFacts(), decider_->heardAt());
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -100,7 +100,7 @@
     void takeRole();
     void leaveRole();
     void onAsked(const GroupId &askerGroup, std::uint32_t askerRank, const std::string &askerHost);
-    void reportGroup();
+    void publishGroupFacts();
     GroupFacts groupFacts() const;
     void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
     void pollOwnEngine(RankQuery query);
