--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -66,7 +66,7 @@
             std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(waiting.fulfiller));
         const auto params = context.getParams();
         const GroupId askerGroup(params.getAskerGroup().cStr());
-        agent_.onAsked(askerGroup, params.getAskerRank(), peerHost_);
+        agent_.onDeciderQuery(askerGroup, params.getAskerRank(), peerHost_);
         const bool ownGroup = askerGroup == agent_.ownGroup_;
         const RankQuery query{ownGroup && params.getCounts(), ownGroup && params.getExperts(),
                               params.getCountsSince()};
@@ -281,8 +281,8 @@
     publishGroupFacts();
 }
 
-void ExpertAgent::onAsked(const GroupId &askerGroup, std::uint32_t askerRank,
-                          const std::string &askerHost)
+void ExpertAgent::onDeciderQuery(const GroupId &askerGroup, std::uint32_t askerRank,
+                                 const std::string &askerHost)
 {
     if (ownRank_ && askerGroup == ownGroup_ && askerRank < *ownRank_) {
         lower_ = LowerDecider{askerRank, loop_.now(), askerHost};
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -99,7 +99,8 @@
     bool shouldDecide() const;
     void takeRole();
     void leaveRole();
-    void onAsked(const GroupId &askerGroup, std::uint32_t askerRank, const std::string &askerHost);
+    void onDeciderQuery(const GroupId &askerGroup, std::uint32_t askerRank,
+                        const std::string &askerHost);
     void publishGroupFacts();
     GroupFacts groupFacts() const;
     void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
