--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -201,7 +201,7 @@
         if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
             records.push_back(*record);
         } else {
-            takeItem(item);
+            applyStoreItem(item);
         }
     }
     if (wentBack(storePlace_, items.place)) {
@@ -215,7 +215,7 @@
 void ExpertAgent::onStoreChanged(const StoreItems &items, TimePoint /*askedAt*/)
 {
     for (const StoreItem &item : items.items) {
-        takeItem(item);
+        applyStoreItem(item);
     }
     updatePeers();
 }
@@ -226,7 +226,7 @@
     metrics_.count("seamarch_store_failures_total", cause);
 }
 
-void ExpertAgent::takeItem(const StoreItem &item)
+void ExpertAgent::applyStoreItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
         pauseGoal_ = shortestPauseGoal(*document, settings_.service);
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -91,7 +91,7 @@
     bool ready(std::string &reason) const override;
     nlohmann::json status() const override;
 
-    void takeItem(const StoreItem &item);
+    void applyStoreItem(const StoreItem &item);
     void updatePeers();
     void tick();
     void updateRole();
