--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -355,13 +355,13 @@
              {"lowerRank", lower_ ? json(lower_->rank) : json()},
              {"lowerAskedMsAgo", lower_ ? json(toMillis(loop_.now() - lower_->askedAt)) : json()}});
     if (decides) {
-        takeRole();
+        becomeDecider();
     } else {
         leaveRole();
     }
 }
 
-void ExpertAgent::takeRole()
+void ExpertAgent::becomeDecider()
 {
     GroupDecider::Settings settings;
     settings.group = ownGroup_;
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -97,7 +97,7 @@
     void updateRole();
     bool deciding() const { return decider_ != nullptr; }
     bool shouldDecide() const;
-    void takeRole();
+    void becomeDecider();
     void leaveRole();
     void onDeciderQuery(const GroupId &askerGroup, std::uint32_t askerRank,
                         const std::string &askerHost);
