--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -342,7 +342,7 @@
 void ExpertAgent::updateRole()
 {
     if (deciding() && (decider_->ownRank() != *ownRank_ || decider_->group() != ownGroup_)) {
-        leaveRole(); // The group has formed with other places, or the rank is in another group.
+        stepDown(); // The group has formed with other places, or the rank is in another group.
     }
     const bool decides = shouldDecide();
     if (decides == deciding()) {
@@ -357,7 +357,7 @@
     if (decides) {
         becomeDecider();
     } else {
-        leaveRole();
+        stepDown();
     }
 }
 
@@ -388,7 +388,7 @@
 }
 
 // What is under way stays as it is; the agent that decides now clears it.
-void ExpertAgent::leaveRole()
+void ExpertAgent::stepDown()
 {
     watcher_.reset();
     peers_.reset();
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -98,7 +98,7 @@
     bool deciding() const { return decider_ != nullptr; }
     bool shouldDecide() const;
     void becomeDecider();
-    void leaveRole();
+    void stepDown();
     void onDeciderQuery(const GroupId &askerGroup, std::uint32_t askerRank,
                         const std::string &askerHost);
     void publishGroupFacts();
