--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -264,7 +264,7 @@
 void ExpertAgent::tick()
 {
     updateRole();
-    if (!deciding()) {
+    if (!isDecider()) {
         if (loop_.now() - ownLookedAt_ >= kOwnGap) {
             pollOwnEngine({});
         }
@@ -291,7 +291,7 @@
 
 void ExpertAgent::publishGroupFacts()
 {
-    if (deciding() && decider_->size() > 0) {
+    if (isDecider() && decider_->size() > 0) {
         reporter_.publish(groupFacts(), decider_->heardAt());
     } else {
         reporter_.referTo(lower_ ? lower_->host : std::string());
@@ -329,7 +329,7 @@
         kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupRanks_);
     const Duration life = ownHeld_ ? whole / kLifePartWhenHeld : whole;
     const bool lowerLives = lower_ && lower_->rank < *ownRank_ && now - lower_->askedAt < life;
-    if (deciding() || lowerLives) {
+    if (isDecider() || lowerLives) {
         return !lowerLives;
     }
     const TimePoint from =
@@ -341,11 +341,11 @@
 
 void ExpertAgent::updateRole()
 {
-    if (deciding() && (decider_->ownRank() != *ownRank_ || decider_->group() != ownGroup_)) {
+    if (isDecider() && (decider_->ownRank() != *ownRank_ || decider_->group() != ownGroup_)) {
         stepDown(); // The group has formed with other places, or the rank is in another group.
     }
     const bool decides = shouldDecide();
-    if (decides == deciding()) {
+    if (decides == isDecider()) {
         return;
     }
     logLine(LogLevel::Info, decides ? "decider.taken" : "decider.left",
@@ -504,7 +504,7 @@
 void ExpertAgent::onPeerFacts(const RankFacts &facts, TimePoint askedAt)
 {
     const RankReport &report = facts.report;
-    if (!deciding() || report.group != decider_->group()) {
+    if (!isDecider() || report.group != decider_->group()) {
         return;
     }
     noteFormed(report);
@@ -725,7 +725,7 @@
                  {"version", order.version},
                  {"step", order.step}});
     }
-    if (deciding()) {
+    if (isDecider()) {
         decider_->onAnswer(rank, order, answer, loop_.now());
         runDecider();
     }
@@ -743,7 +743,7 @@
             {"group", ownGroup_.value()},
             {"rank", ownRank_ ? json(*ownRank_) : json()},
             {"epoch", epoch_},
-            {"decides", deciding()},
+            {"decides", isDecider()},
             {"ranks", decider_ ? decider_->size() : 0},
             {"changes", notedChanges_},
             {"cleared", notedCleared_}};
@@ -751,7 +751,7 @@
 
 void ExpertAgent::stop()
 {
-    logLine(LogLevel::Info, "agent.stopping", {{"decides", deciding()}});
+    logLine(LogLevel::Info, "agent.stopping", {{"decides", isDecider()}});
     loop_.schedule(settings_.stopDelay, [this] { loop_.stop(); });
 }
 
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -95,7 +95,7 @@
     void updatePeers();
     void tick();
     void updateRole();
-    bool deciding() const { return decider_ != nullptr; }
+    bool isDecider() const { return decider_ != nullptr; }
     bool shouldDecide() const;
     void becomeDecider();
     void stepDown();
