--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -406,7 +406,7 @@
     engine_->fetchFacts(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
         if (facts) {
             ownHeld_ = facts->report.held.has_value();
-            noteOwnPlace(facts->report);
+            updateOwnRank(facts->report);
             noteFormed(facts->report);
         }
         done(std::move(facts));
@@ -464,7 +464,7 @@
 
 // Takes the group and rank that the own engine names. In another group, what was known of the one
 // before means nothing, its epochs included.
-void ExpertAgent::noteOwnPlace(const RankReport &report)
+void ExpertAgent::updateOwnRank(const RankReport &report)
 {
     ownRank_ = report.rank;
     groupRanks_ = report.ranks;
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -109,7 +109,7 @@
     void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
                            MapOrderAnswer answer) override;
-    void noteOwnPlace(const RankReport &report);
+    void updateOwnRank(const RankReport &report);
     void noteFormed(const RankReport &report);
     void runDecider();
     void replaceChange(MapOrders &orders);
