--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -407,7 +407,7 @@
         if (facts) {
             ownHeld_ = facts->report.held.has_value();
             updateOwnRank(facts->report);
-            noteFormed(facts->report);
+            updateEpoch(facts->report);
         }
         done(std::move(facts));
     });
@@ -485,7 +485,7 @@
     proposedVersion_ = 0;
 }
 
-void ExpertAgent::noteFormed(const RankReport &report)
+void ExpertAgent::updateEpoch(const RankReport &report)
 {
     if (report.epoch <= epoch_) {
         return;
@@ -507,7 +507,7 @@
     if (!isDecider() || report.group != decider_->group()) {
         return;
     }
-    noteFormed(report);
+    updateEpoch(report);
     if (facts.experts && report.epoch == epoch_) {
         experts_[report.rank] = *facts.experts;
     }
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -110,7 +110,7 @@
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
                            MapOrderAnswer answer) override;
     void updateOwnRank(const RankReport &report);
-    void noteFormed(const RankReport &report);
+    void updateEpoch(const RankReport &report);
     void runDecider();
     void replaceChange(MapOrders &orders);
     void proposeChange(MapOrders &orders);
