--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -90,7 +90,7 @@
             context.getResults().setStatus(static_cast<std::uint16_t>(MapOrderAnswer::Refused));
             return kj::READY_NOW;
         }
-        agent_.handToOwn(*order, [context, fulfiller](MapOrderAnswer answer) mutable {
+        agent_.sendToOwnEngine(*order, [context, fulfiller](MapOrderAnswer answer) mutable {
             context.getResults().setStatus(static_cast<std::uint16_t>(answer));
             (*fulfiller)->fulfill();
         });
@@ -671,14 +671,14 @@
             others.push_back(action);
             continue;
         }
-        handToOwn(action.order, [this, action](MapOrderAnswer answer) {
+        sendToOwnEngine(action.order, [this, action](MapOrderAnswer answer) {
             onPeerOrderAnswer(action.rank, action.order, answer);
         });
     }
     peers_->send(others);
 }
 
-void ExpertAgent::handToOwn(const MapOrder &order, OwnEngine::OrderDone done)
+void ExpertAgent::sendToOwnEngine(const MapOrder &order, OwnEngine::OrderDone done)
 {
     if (order.group != ownGroup_) {
         logLine(LogLevel::Warning, "order.of_other_group",
@@ -710,7 +710,9 @@
         }
     };
     const std::uint32_t rank = ownRank_.value_or(0);
-    handToOwn(order, [add, rank](MapOrderAnswer answer) { add({RelayedAnswer{rank, answer}}); });
+    sendToOwnEngine(order, [add, rank](MapOrderAnswer answer) {
+        add({RelayedAnswer{rank, answer}});
+    });
     relay_->relay(order, targets, add);
 }
 
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -116,7 +116,7 @@
     void proposeChange(MapOrders &orders);
     void propose(ExpertMap planned, MapOrders &orders);
     void send(const MapOrders &orders);
-    void handToOwn(const MapOrder &order, OwnEngine::OrderDone done);
+    void sendToOwnEngine(const MapOrder &order, OwnEngine::OrderDone done);
     void relay(const MapOrder &order, const std::vector<RelayTarget> &targets,
                const OrderRelay::Done &done);
     std::optional<ExpertMap> mapInUse();
