--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -565,7 +565,7 @@
     const bool leftBehind =
         decider_->phase() == GroupDecider::Phase::Preparing && planner_.outdated() && current_;
     if (leftBehind) {
-        replaceChange(orders);
+        replaceOutdatedChange(orders);
     } else if (decider_->phase() == GroupDecider::Phase::Idle) {
         proposeChange(orders);
     }
@@ -578,7 +578,7 @@
 
 // Demand has shifted while experts of the proposed map are still being copied. A map for what is
 // asked now takes its place, as soon as there is one worth it.
-void ExpertAgent::replaceChange(MapOrders &orders)
+void ExpertAgent::replaceOutdatedChange(MapOrders &orders)
 {
     planner_.setPaces(decider_->paces());
     planner_.setPasses(decider_->passTime(), pauseGoal_);
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -112,7 +112,7 @@
     void updateOwnRank(const RankReport &report);
     void updateEpoch(const RankReport &report);
     void runDecider();
-    void replaceChange(MapOrders &orders);
+    void replaceOutdatedChange(MapOrders &orders);
     void proposeChange(MapOrders &orders);
     void propose(ExpertMap planned, MapOrders &orders);
     void send(const MapOrders &orders);
