--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -531,7 +531,7 @@
         known_ = KnownMap{*version, proposed_};
     } else if (!known_ || known_->version != *version) {
         known_.reset();
-        if (auto told = mapFromRanks(*version)) {
+        if (auto told = assembleMap(*version)) {
             known_ = KnownMap{*version, std::move(*told)};
         }
     }
@@ -539,7 +539,7 @@
 }
 
 // Puts together what all ranks have told of the map `version`.
-std::optional<ExpertMap> ExpertAgent::mapFromRanks(std::uint64_t version) const
+std::optional<ExpertMap> ExpertAgent::assembleMap(std::uint64_t version) const
 {
     ExpertMap map;
     for (const auto &[rank, experts] : experts_) {
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -120,7 +120,7 @@
     void relay(const MapOrder &order, const std::vector<RelayTarget> &targets,
                const OrderRelay::Done &done);
     std::optional<ExpertMap> mapInUse();
-    std::optional<ExpertMap> mapFromRanks(std::uint64_t version) const;
+    std::optional<ExpertMap> assembleMap(std::uint64_t version) const;
     void notePhase();
     void noteObstacle(std::string_view obstacle);
 
