--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -572,7 +572,7 @@
     if (decider_->phase() != GroupDecider::Phase::Idle) {
         noteObstacle(logName(GroupDecider::Obstacle::ChangeUnderWay));
     }
-    notePhase();
+    logPhaseChange();
     send(orders);
 }
 
@@ -640,7 +640,7 @@
     }
 }
 
-void ExpertAgent::notePhase()
+void ExpertAgent::logPhaseChange()
 {
     const GroupDecider::Phase phase = decider_->phase();
     if (phase != notedPhase_) {
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -121,7 +121,7 @@
                const OrderRelay::Done &done);
     std::optional<ExpertMap> mapInUse();
     std::optional<ExpertMap> assembleMap(std::uint64_t version) const;
-    void notePhase();
+    void logPhaseChange();
     void noteObstacle(std::string_view obstacle);
 
     EventLoop &loop_;
