--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -570,7 +570,7 @@
         proposeChange(orders);
     }
     if (decider_->phase() != GroupDecider::Phase::Idle) {
-        noteObstacle(logName(GroupDecider::Obstacle::ChangeUnderWay));
+        logObstacleChange(logName(GroupDecider::Obstacle::ChangeUnderWay));
     }
     logPhaseChange();
     send(orders);
@@ -595,14 +595,14 @@
 {
     const GroupDecider::Obstacle obstacle = decider_->obstacle(loop_.now());
     if (obstacle != GroupDecider::Obstacle::None) {
-        noteObstacle(logName(obstacle));
+        logObstacleChange(logName(obstacle));
         return;
     }
     if (!rule_ || !current_) {
-        noteObstacle(rule_ ? "experts of a rank unknown" : "no configuration");
+        logObstacleChange(rule_ ? "experts of a rank unknown" : "no configuration");
         return;
     }
-    noteObstacle(kNoObstacleName);
+    logObstacleChange(kNoObstacleName);
     planner_.setPaces(decider_->paces());
     planner_.setPasses(decider_->passTime(), pauseGoal_);
     logLine(LogLevel::Debug, "map.weighed",
@@ -631,7 +631,7 @@
     }
 }
 
-void ExpertAgent::noteObstacle(std::string_view obstacle)
+void ExpertAgent::logObstacleChange(std::string_view obstacle)
 {
     if (obstacle != notedObstacle_) {
         logLine(LogLevel::Info, "map.obstacle",
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -122,7 +122,7 @@
     std::optional<ExpertMap> mapInUse();
     std::optional<ExpertMap> assembleMap(std::uint64_t version) const;
     void logPhaseChange();
-    void noteObstacle(std::string_view obstacle);
+    void logObstacleChange(std::string_view obstacle);
 
     EventLoop &loop_;
     ExpertAgentSettings settings_;
