--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -375,7 +375,7 @@
     RankPeersListener &listener = *this;
     const RankPeers::Settings peers{settings_.listen.port, ownGroup_, settings_.linkBytesPerSecond};
     peers_ = std::make_unique<RankPeers>(loop_, *transport_, *engineClient_, peers, listener);
-    notedPhase_ = GroupDecider::Phase::Idle;
+    loggedPhase_ = GroupDecider::Phase::Idle;
     notedChanges_ = 0;
     notedCleared_ = 0;
     StoreWatcher::Settings watch;
@@ -643,13 +643,13 @@
 void ExpertAgent::logPhaseChange()
 {
     const GroupDecider::Phase phase = decider_->phase();
-    if (phase != notedPhase_) {
+    if (phase != loggedPhase_) {
         const auto leftOut = decider_->leavesOut();
         logLine(LogLevel::Info, "map.phase",
                 {{"phase", logName(phase)},
                  {"epoch", epoch_},
                  {"withoutRank", leftOut ? json(*leftOut) : json()}});
-        notedPhase_ = phase;
+        loggedPhase_ = phase;
     }
     if (decider_->changes() != notedChanges_) {
         notedChanges_ = decider_->changes();
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -164,7 +164,7 @@
     ExpertMap proposed_;                // That was last ordered here, and its version;
     std::uint64_t proposedVersion_ = 0; // zero: none in this epoch.
     TimePoint proposedAt_{};
-    GroupDecider::Phase notedPhase_ = GroupDecider::Phase::Idle;
+    GroupDecider::Phase loggedPhase_ = GroupDecider::Phase::Idle;
     std::string_view notedObstacle_;
     std::uint64_t notedChanges_ = 0;
     std::uint64_t notedCleared_ = 0;
