--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -633,10 +633,10 @@
 
 void ExpertAgent::logObstacleChange(std::string_view obstacle)
 {
-    if (obstacle != notedObstacle_) {
+    if (obstacle != loggedObstacle_) {
         logLine(LogLevel::Info, "map.obstacle",
-                {{"obstacle", obstacle}, {"before", notedObstacle_}, {"epoch", epoch_}});
-        notedObstacle_ = obstacle;
+                {{"obstacle", obstacle}, {"before", loggedObstacle_}, {"epoch", epoch_}});
+        loggedObstacle_ = obstacle;
     }
 }
 
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -165,7 +165,7 @@
     std::uint64_t proposedVersion_ = 0; // zero: none in this epoch.
     TimePoint proposedAt_{};
     GroupDecider::Phase loggedPhase_ = GroupDecider::Phase::Idle;
-    std::string_view notedObstacle_;
+    std::string_view loggedObstacle_;
     std::uint64_t notedChanges_ = 0;
     std::uint64_t notedCleared_ = 0;
     TimePoint countsAskedAt_{};
