--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -376,7 +376,7 @@
     const RankPeers::Settings peers{settings_.listen.port, ownGroup_, settings_.linkBytesPerSecond};
     peers_ = std::make_unique<RankPeers>(loop_, *transport_, *engineClient_, peers, listener);
     loggedPhase_ = GroupDecider::Phase::Idle;
-    notedChanges_ = 0;
+    loggedChanges_ = 0;
     notedCleared_ = 0;
     StoreWatcher::Settings watch;
     watch.wait = kWatchWait;
@@ -651,10 +651,10 @@
                  {"withoutRank", leftOut ? json(*leftOut) : json()}});
         loggedPhase_ = phase;
     }
-    if (decider_->changes() != notedChanges_) {
-        notedChanges_ = decider_->changes();
+    if (decider_->changes() != loggedChanges_) {
+        loggedChanges_ = decider_->changes();
         metrics_.count("seamarch_map_changes_total", "changed");
-        logLine(LogLevel::Info, "map.changed", {{"changes", notedChanges_}});
+        logLine(LogLevel::Info, "map.changed", {{"changes", loggedChanges_}});
     }
     if (decider_->cleared() != notedCleared_) {
         notedCleared_ = decider_->cleared();
@@ -747,7 +747,7 @@
             {"epoch", epoch_},
             {"decides", isDecider()},
             {"ranks", decider_ ? decider_->size() : 0},
-            {"changes", notedChanges_},
+            {"changes", loggedChanges_},
             {"cleared", notedCleared_}};
 }
 
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -166,7 +166,7 @@
     TimePoint proposedAt_{};
     GroupDecider::Phase loggedPhase_ = GroupDecider::Phase::Idle;
     std::string_view loggedObstacle_;
-    std::uint64_t notedChanges_ = 0;
+    std::uint64_t loggedChanges_ = 0;
     std::uint64_t notedCleared_ = 0;
     TimePoint countsAskedAt_{};
     std::unique_ptr<PeriodicTimer> tickTimer_;
