--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -377,7 +377,7 @@
     peers_ = std::make_unique<RankPeers>(loop_, *transport_, *engineClient_, peers, listener);
     loggedPhase_ = GroupDecider::Phase::Idle;
     loggedChanges_ = 0;
-    notedCleared_ = 0;
+    loggedCleared_ = 0;
     StoreWatcher::Settings watch;
     watch.wait = kWatchWait;
     watch.rest = kWatchRest;
@@ -656,10 +656,10 @@
         metrics_.count("seamarch_map_changes_total", "changed");
         logLine(LogLevel::Info, "map.changed", {{"changes", loggedChanges_}});
     }
-    if (decider_->cleared() != notedCleared_) {
-        notedCleared_ = decider_->cleared();
+    if (decider_->cleared() != loggedCleared_) {
+        loggedCleared_ = decider_->cleared();
         metrics_.count("seamarch_map_changes_total", "cleared");
-        logLine(LogLevel::Warning, "map.cleared", {{"cleared", notedCleared_}});
+        logLine(LogLevel::Warning, "map.cleared", {{"cleared", loggedCleared_}});
     }
 }
 
@@ -748,7 +748,7 @@
             {"decides", isDecider()},
             {"ranks", decider_ ? decider_->size() : 0},
             {"changes", loggedChanges_},
-            {"cleared", notedCleared_}};
+            {"cleared", loggedCleared_}};
 }
 
 void ExpertAgent::stop()
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -167,7 +167,7 @@
     GroupDecider::Phase loggedPhase_ = GroupDecider::Phase::Idle;
     std::string_view loggedObstacle_;
     std::uint64_t loggedChanges_ = 0;
-    std::uint64_t notedCleared_ = 0;
+    std::uint64_t loggedCleared_ = 0;
     TimePoint countsAskedAt_{};
     std::unique_ptr<PeriodicTimer> tickTimer_;
 };
