--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -285,7 +285,7 @@
                                  const std::string &askerHost)
 {
     if (ownRank_ && askerGroup == ownGroup_ && askerRank < *ownRank_) {
-        lower_ = LowerDecider{askerRank, loop_.now(), askerHost};
+        lower_ = LowerRankDecider{askerRank, loop_.now(), askerHost};
     }
 }
 
