--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -285,7 +285,7 @@
                                  const std::string &askerHost)
 {
     if (ownRank_ && askerGroup == ownGroup_ && askerRank < *ownRank_) {
-        lower_ = LowerRankDecider{askerRank, loop_.now(), askerHost};
+        lowerRankDecider_ = LowerRankDecider{askerRank, loop_.now(), askerHost};
     }
 }
 
@@ -294,7 +294,7 @@
     if (isDecider() && decider_->size() > 0) {
         reporter_.publish(groupFacts(), decider_->heardAt());
     } else {
-        reporter_.referTo(lower_ ? lower_->host : std::string());
+        reporter_.referTo(lowerRankDecider_ ? lowerRankDecider_->host : std::string());
     }
 }
 
@@ -328,12 +328,14 @@
     const Duration whole =
         kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupRanks_);
     const Duration life = ownHeld_ ? whole / kLifePartWhenHeld : whole;
-    const bool lowerLives = lower_ && lower_->rank < *ownRank_ && now - lower_->askedAt < life;
+    const bool lowerLives = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
+                            && now - lowerRankDecider_->askedAt < life;
     if (isDecider() || lowerLives) {
         return !lowerLives;
     }
     const TimePoint from =
-        std::max(startedAt_ + kStartDelay, lower_ ? lower_->askedAt + life : TimePoint{});
+        std::max(startedAt_ + kStartDelay,
+                 lowerRankDecider_ ? lowerRankDecider_->askedAt + life : TimePoint{});
     const bool atOnce = *ownRank_ == 0 || ownHeld_;
     const Duration turn = atOnce ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
     return now - from >= turn;
@@ -348,12 +350,14 @@
     if (decides == isDecider()) {
         return;
     }
-    logLine(LogLevel::Info, decides ? "decider.taken" : "decider.left",
-            {{"group", ownGroup_.value()},
-             {"rank", ownRank_.value_or(0)},
-             {"epoch", epoch_},
-             {"lowerRank", lower_ ? json(lower_->rank) : json()},
-             {"lowerAskedMsAgo", lower_ ? json(toMillis(loop_.now() - lower_->askedAt)) : json()}});
+    logLine(
+        LogLevel::Info, decides ? "decider.taken" : "decider.left",
+        {{"group", ownGroup_.value()},
+         {"rank", ownRank_.value_or(0)},
+         {"epoch", epoch_},
+         {"lowerRank", lowerRankDecider_ ? json(lowerRankDecider_->rank) : json()},
+         {"lowerAskedMsAgo",
+          lowerRankDecider_ ? json(toMillis(loop_.now() - lowerRankDecider_->askedAt)) : json()}});
     if (decides) {
         becomeDecider();
     } else {
@@ -368,8 +372,8 @@
     settings.ownRank = *ownRank_;
     settings.seed = randomIdentity();
     settings.fenceFloor = static_cast<std::uint64_t>(wallNow() / kFenceUnit);
-    if (lower_) {
-        settings.predecessorHeardAt = lower_->askedAt;
+    if (lowerRankDecider_) {
+        settings.predecessorHeardAt = lowerRankDecider_->askedAt;
     }
     decider_ = std::make_unique<GroupDecider>(settings);
     RankPeersListener &listener = *this;
@@ -477,7 +481,7 @@
              {"rank", report.rank},
              {"ranks", report.ranks}});
     ownGroup_ = report.group;
-    lower_.reset();
+    lowerRankDecider_.reset();
     epoch_ = 0;
     engine_->resetOrders();
     experts_.clear();
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -144,7 +144,7 @@
     std::uint32_t groupRanks_ = 0; // As the own engine has told.
     Duration pauseGoal_{};         // Of the service's routes; zero: not known.
     bool ownHeld_ = false;         // The own engine holds a step, by its last report.
-    std::optional<LowerRankDecider> lower_;
+    std::optional<LowerRankDecider> lowerRankDecider_;
     std::uint64_t ownCountsMark_ = 0; // Of the own rank's last counts.
     std::uint64_t epoch_ = 0;
     TimePoint startedAt_{};
