--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -70,7 +70,7 @@
     struct LowerRankDecider
     {
         std::uint32_t rank = 0;
-        TimePoint askedAt{};
+        TimePoint lastQueryAt{};
         std::string host;
     };
 
@@ -85,8 +85,8 @@
                 const EngineProtocol &engineProtocol);
     tl::expected<void, NetError> open();
 
-    void onStoreListed(const StoreItems &items, TimePoint askedAt) override;
-    void onStoreChanged(const StoreItems &items, TimePoint askedAt) override;
+    void onStoreListed(const StoreItems &items, TimePoint lastQueryAt) override;
+    void onStoreChanged(const StoreItems &items, TimePoint lastQueryAt) override;
     void onStoreFailed(std::string_view cause) override;
     bool ready(std::string &reason) const override;
     nlohmann::json status() const override;
@@ -106,7 +106,7 @@
     void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
     void pollOwnEngine(RankQuery query);
     void pollGroup();
-    void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
+    void onPeerFacts(const RankFacts &facts, TimePoint lastQueryAt) override;
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
                            MapOrderAnswer answer) override;
     void updateOwnRank(const RankReport &report);
