--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -329,13 +329,13 @@
         kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupRanks_);
     const Duration life = ownHeld_ ? whole / kLifePartWhenHeld : whole;
     const bool lowerLives = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
-                            && now - lowerRankDecider_->askedAt < life;
+                            && now - lowerRankDecider_->lastQueryAt < life;
     if (isDecider() || lowerLives) {
         return !lowerLives;
     }
     const TimePoint from =
         std::max(startedAt_ + kStartDelay,
-                 lowerRankDecider_ ? lowerRankDecider_->askedAt + life : TimePoint{});
+                 lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + life : TimePoint{});
     const bool atOnce = *ownRank_ == 0 || ownHeld_;
     const Duration turn = atOnce ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
     return now - from >= turn;
@@ -350,14 +350,14 @@
     if (decides == isDecider()) {
         return;
     }
-    logLine(
-        LogLevel::Info, decides ? "decider.taken" : "decider.left",
-        {{"group", ownGroup_.value()},
-         {"rank", ownRank_.value_or(0)},
-         {"epoch", epoch_},
-         {"lowerRank", lowerRankDecider_ ? json(lowerRankDecider_->rank) : json()},
-         {"lowerAskedMsAgo",
-          lowerRankDecider_ ? json(toMillis(loop_.now() - lowerRankDecider_->askedAt)) : json()}});
+    logLine(LogLevel::Info, decides ? "decider.taken" : "decider.left",
+            {{"group", ownGroup_.value()},
+             {"rank", ownRank_.value_or(0)},
+             {"epoch", epoch_},
+             {"lowerRank", lowerRankDecider_ ? json(lowerRankDecider_->rank) : json()},
+             {"lowerAskedMsAgo", lowerRankDecider_
+                                     ? json(toMillis(loop_.now() - lowerRankDecider_->lastQueryAt))
+                                     : json()}});
     if (decides) {
         becomeDecider();
     } else {
@@ -373,7 +373,7 @@
     settings.seed = randomIdentity();
     settings.fenceFloor = static_cast<std::uint64_t>(wallNow() / kFenceUnit);
     if (lowerRankDecider_) {
-        settings.predecessorHeardAt = lowerRankDecider_->askedAt;
+        settings.predecessorHeardAt = lowerRankDecider_->lastQueryAt;
     }
     decider_ = std::make_unique<GroupDecider>(settings);
     RankPeersListener &listener = *this;
