--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -532,11 +532,11 @@
         if (!known_ || known_->version != *version) {
             planner_.noteInUse(loop_.now() - proposedAt_);
         }
-        known_ = KnownMap{*version, proposed_};
+        known_ = CachedMap{*version, proposed_};
     } else if (!known_ || known_->version != *version) {
         known_.reset();
         if (auto told = assembleMap(*version)) {
-            known_ = KnownMap{*version, std::move(*told)};
+            known_ = CachedMap{*version, std::move(*told)};
         }
     }
     return known_ ? std::optional(known_->map) : std::nullopt;
