--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -398,7 +398,7 @@
     peers_.reset();
     decider_.reset();
     experts_.clear();
-    known_.reset();
+    cachedMap_.reset();
     current_.reset();
     proposedVersion_ = 0;
 }
@@ -454,7 +454,7 @@
     const Duration countsGap =
         planner_.doubting() ? std::max(plan.countsGap / 2, plan.roundSpan) : plan.countsGap;
     const bool counts = now - countsAskedAt_ >= std::max(countsGap, kLeastCountsGap);
-    const RankQuery query{false, !known_, 0};
+    const RankQuery query{false, !cachedMap_, 0};
     if (counts) {
         countsAskedAt_ = now;
         pollOwnEngine({true, query.experts, 0});
@@ -485,7 +485,7 @@
     epoch_ = 0;
     engine_->resetOrders();
     experts_.clear();
-    known_.reset();
+    cachedMap_.reset();
     proposedVersion_ = 0;
 }
 
@@ -501,7 +501,7 @@
              {"ranks", report.ranks}});
     epoch_ = report.epoch;
     experts_.clear();
-    known_.reset();
+    cachedMap_.reset();
     proposedVersion_ = 0;
 }
 
@@ -529,17 +529,17 @@
         return std::nullopt;
     }
     if (proposedVersion_ != 0 && *version == proposedVersion_) {
-        if (!known_ || known_->version != *version) {
+        if (!cachedMap_ || cachedMap_->version != *version) {
             planner_.noteInUse(loop_.now() - proposedAt_);
         }
-        known_ = CachedMap{*version, proposed_};
-    } else if (!known_ || known_->version != *version) {
-        known_.reset();
+        cachedMap_ = CachedMap{*version, proposed_};
+    } else if (!cachedMap_ || cachedMap_->version != *version) {
+        cachedMap_.reset();
         if (auto told = assembleMap(*version)) {
-            known_ = CachedMap{*version, std::move(*told)};
+            cachedMap_ = CachedMap{*version, std::move(*told)};
         }
     }
-    return known_ ? std::optional(known_->map) : std::nullopt;
+    return cachedMap_ ? std::optional(cachedMap_->map) : std::nullopt;
 }
 
 // Puts together what all ranks have told of the map `version`.
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -159,7 +159,7 @@
     ExpertPlanner planner_;
     std::optional<ExpertRule> rule_;
     std::map<std::uint32_t, ExpertsOfRank> experts_; // By rank.
-    std::optional<CachedMap> known_;
+    std::optional<CachedMap> cachedMap_;
     std::optional<ExpertMap> current_;  // The map in use, once it is known whole.
     ExpertMap proposed_;                // That was last ordered here, and its version;
     std::uint64_t proposedVersion_ = 0; // zero: none in this epoch.
