--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -274,8 +274,8 @@
     if (!upstreams_.expire(loop_.now()).empty()) {
         updatePeers();
     }
-    current_ = mapInUse();
-    planner_.look(current_, loop_.now());
+    currentMap_ = mapInUse();
+    planner_.look(currentMap_, loop_.now());
     pollGroup();
     runDecider();
     publishGroupFacts();
@@ -399,7 +399,7 @@
     decider_.reset();
     experts_.clear();
     cachedMap_.reset();
-    current_.reset();
+    currentMap_.reset();
     proposedVersion_ = 0;
 }
 
@@ -567,7 +567,7 @@
     MapOrders orders;
     decider_->onTick(loop_.now(), orders);
     const bool leftBehind =
-        decider_->phase() == GroupDecider::Phase::Preparing && planner_.outdated() && current_;
+        decider_->phase() == GroupDecider::Phase::Preparing && planner_.outdated() && currentMap_;
     if (leftBehind) {
         replaceOutdatedChange(orders);
     } else if (decider_->phase() == GroupDecider::Phase::Idle) {
@@ -586,7 +586,7 @@
 {
     planner_.setPaces(decider_->paces());
     planner_.setPasses(decider_->passTime(), pauseGoal_);
-    auto planned = planner_.plan(*current_, loop_.now());
+    auto planned = planner_.plan(*currentMap_, loop_.now());
     if (planned && decider_->abandon(loop_.now())) {
         logLine(LogLevel::Info, "map.abandoned",
                 {{"version", proposedVersion_}, {"epoch", epoch_}});
@@ -602,7 +602,7 @@
         logObstacleChange(logName(obstacle));
         return;
     }
-    if (!rule_ || !current_) {
+    if (!rule_ || !currentMap_) {
         logObstacleChange(rule_ ? "experts of a rank unknown" : "no configuration");
         return;
     }
@@ -610,8 +610,8 @@
     planner_.setPaces(decider_->paces());
     planner_.setPasses(decider_->passTime(), pauseGoal_);
     logLine(LogLevel::Debug, "map.weighed",
-            {{"distance", planner_.distance()}, {"skew", planner_.skew(*current_)}});
-    if (auto planned = planner_.plan(*current_, loop_.now())) {
+            {{"distance", planner_.distance()}, {"skew", planner_.skew(*currentMap_)}});
+    if (auto planned = planner_.plan(*currentMap_, loop_.now())) {
         propose(std::move(*planned), orders);
     }
 }
@@ -627,7 +627,7 @@
                 {{"version", *version},
                  {"group", ownGroup_.value()},
                  {"epoch", epoch_},
-                 {"skew", planner_.skew(*current_)},
+                 {"skew", planner_.skew(*currentMap_)},
                  {"expectedSkew", planner_.expectedSkew()},
                  {"expectedCopyMs", toMillis(planner_.expectedCopying())},
                  {"expectedLifeMs", toMillis(planner_.expectedLife(loop_.now()))},
