--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -532,7 +532,7 @@
         if (!cachedMap_ || cachedMap_->version != *version) {
             planner_.noteInUse(loop_.now() - proposedAt_);
         }
-        cachedMap_ = CachedMap{*version, proposed_};
+        cachedMap_ = CachedMap{*version, proposedMap_};
     } else if (!cachedMap_ || cachedMap_->version != *version) {
         cachedMap_.reset();
         if (auto told = assembleMap(*version)) {
@@ -618,8 +618,8 @@
 
 void ExpertAgent::propose(ExpertMap planned, MapOrders &orders)
 {
-    proposed_ = std::move(planned);
-    const auto version = decider_->propose(proposed_, loop_.now(), orders);
+    proposedMap_ = std::move(planned);
+    const auto version = decider_->propose(proposedMap_, loop_.now(), orders);
     proposedVersion_ = version.value_or(0);
     proposedAt_ = loop_.now();
     if (version) {
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -161,7 +161,7 @@
     std::map<std::uint32_t, ExpertsOfRank> experts_; // By rank.
     std::optional<CachedMap> cachedMap_;
     std::optional<ExpertMap> currentMap_; // The map in use, once it is known whole.
-    ExpertMap proposed_;                  // That was last ordered here, and its version;
+    ExpertMap proposedMap_;               // That was last ordered here, and its version;
     std::uint64_t proposedVersion_ = 0;   // zero: none in this epoch.
     TimePoint proposedAt_{};
     GroupDecider::Phase loggedPhase_ = GroupDecider::Phase::Idle;
