--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -188,7 +188,7 @@
         metricsServer_ = std::move(*server);
     }
     engineClient_ = std::make_unique<EngineClient>(loop_, *client_, engineProtocol_);
-    engine_ = std::make_unique<OwnEngine>(loop_, *engineClient_, settings_.engine);
+    ownEngine_ = std::make_unique<OwnEngine>(loop_, *engineClient_, settings_.engine);
     relay_ = std::make_unique<OrderRelay>(loop_, *transport_, settings_.listen.port);
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
     return {};
@@ -407,7 +407,7 @@
 void ExpertAgent::fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done)
 {
     ownLookedAt_ = loop_.now();
-    engine_->fetchFacts(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
+    ownEngine_->fetchFacts(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
         if (facts) {
             ownHeld_ = facts->report.held.has_value();
             updateOwnRank(facts->report);
@@ -483,7 +483,7 @@
     ownGroup_ = report.group;
     lowerRankDecider_.reset();
     epoch_ = 0;
-    engine_->resetOrders();
+    ownEngine_->resetOrders();
     experts_.clear();
     cachedMap_.reset();
     proposedVersion_ = 0;
@@ -693,7 +693,7 @@
         done(ownGroup_ == GroupId() ? MapOrderAnswer::Lost : MapOrderAnswer::Refused);
         return;
     }
-    engine_->sendOrder(order, std::move(done));
+    ownEngine_->sendOrder(order, std::move(done));
 }
 
 // Hands an order to the own engine and to the agents of other ranks. The answer of the own engine
