--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -189,7 +189,7 @@
     }
     engineClient_ = std::make_unique<EngineClient>(loop_, *client_, engineProtocol_);
     ownEngine_ = std::make_unique<OwnEngine>(loop_, *engineClient_, settings_.engine);
-    relay_ = std::make_unique<OrderRelay>(loop_, *transport_, settings_.listen.port);
+    orderRelay_ = std::make_unique<OrderRelay>(loop_, *transport_, settings_.listen.port);
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
     return {};
 }
@@ -717,7 +717,7 @@
     sendToOwnEngine(order, [add, rank](MapOrderAnswer answer) {
         add({RelayedAnswer{rank, answer}});
     });
-    relay_->relay(order, targets, add);
+    orderRelay_->relay(order, targets, add);
 }
 
 void ExpertAgent::onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -136,7 +136,7 @@
     std::unique_ptr<OperatorServer> metricsServer_;
     std::unique_ptr<EngineClient> engineClient_;
     std::unique_ptr<OwnEngine> ownEngine_;
-    std::unique_ptr<OrderRelay> relay_; // Of the orders of other agents.
+    std::unique_ptr<OrderRelay> orderRelay_; // Of the orders of other agents.
     GroupReporter reporter_;
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
     GroupId ownGroup_; // Empty until the own engine has answered.
