--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -126,7 +126,7 @@
 
     kj::Promise<void> group(GroupContext context) override
     {
-        return agent_.reporter_.answer(context);
+        return agent_.groupReporter_.answer(context);
     }
 
 private:
@@ -141,7 +141,7 @@
     , store_(store)
     , engineProtocol_(engineProtocol)
     , metrics_(0)
-    , reporter_(loop)
+    , groupReporter_(loop)
     , startedAt_(loop.now())
 {}
 
@@ -292,9 +292,9 @@
 void ExpertAgent::publishGroupFacts()
 {
     if (isDecider() && decider_->size() > 0) {
-        reporter_.publish(groupFacts(), decider_->heardAt());
+        groupReporter_.publish(groupFacts(), decider_->heardAt());
     } else {
-        reporter_.referTo(lowerRankDecider_ ? lowerRankDecider_->host : std::string());
+        groupReporter_.referTo(lowerRankDecider_ ? lowerRankDecider_->host : std::string());
     }
 }
 
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -137,7 +137,7 @@
     std::unique_ptr<EngineClient> engineClient_;
     std::unique_ptr<OwnEngine> ownEngine_;
     std::unique_ptr<OrderRelay> orderRelay_; // Of the orders of other agents.
-    GroupReporter reporter_;
+    GroupReporter groupReporter_;
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
     GroupId ownGroup_; // Empty until the own engine has answered.
     std::optional<std::uint32_t> ownRank_;
