--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -174,8 +174,8 @@
         const std::uint64_t id = nextIncoming_++;
         auto server = kj::heap<Server>(*this, stream->peerHost());
         auto peer = RpcPeer::server(kj::mv(stream), kj::mv(server));
-        peer->onClosed([this, id] { loop_.post([this, id] { incoming_.erase(id); }); });
-        incoming_.emplace(id, std::move(peer));
+        peer->onClosed([this, id] { loop_.post([this, id] { inboundPeers_.erase(id); }); });
+        inboundPeers_.emplace(id, std::move(peer));
     });
     if (!listening) {
         return listening;
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -138,7 +138,7 @@
     std::unique_ptr<OwnEngine> ownEngine_;
     std::unique_ptr<OrderRelay> orderRelay_; // Of the orders of other agents.
     GroupReporter groupReporter_;
-    std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
+    std::map<std::uint64_t, std::unique_ptr<RpcPeer>> inboundPeers_;
     GroupId ownGroup_; // Empty until the own engine has answered.
     std::optional<std::uint32_t> ownRank_;
     std::uint32_t groupRanks_ = 0; // As the own engine has told.
