--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -171,7 +171,7 @@
     }
     transport_ = std::move(*transport);
     auto listening = transport_->listen(settings_.listen, [this](kj::Own<RawStream> stream) {
-        const std::uint64_t id = nextIncoming_++;
+        const std::uint64_t id = nextInboundId_++;
         auto server = kj::heap<Server>(*this, stream->peerHost());
         auto peer = RpcPeer::server(kj::mv(stream), kj::mv(server));
         peer->onClosed([this, id] { loop_.post([this, id] { inboundPeers_.erase(id); }); });
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -151,7 +151,7 @@
     TimePoint ownAskedAt_{};  // For this agent itself.
     TimePoint ownLookedAt_{}; // For anyone.
     bool askingOwn_ = false;
-    std::uint64_t nextIncoming_ = 1;
+    std::uint64_t nextInboundId_ = 1;
     // What the agent that decides has; the others have none of it.
     std::unique_ptr<StoreWatcher> watcher_;
     std::unique_ptr<RankPeers> peers_;
