--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -326,7 +326,7 @@
         return false;
     }
     const Duration whole =
-        kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupRanks_);
+        kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupSize_);
     const Duration life = ownHeld_ ? whole / kLifePartWhenHeld : whole;
     const bool lowerLives = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
                             && now - lowerRankDecider_->lastQueryAt < life;
@@ -471,7 +471,7 @@
 void ExpertAgent::updateOwnRank(const RankReport &report)
 {
     ownRank_ = report.rank;
-    groupRanks_ = report.ranks;
+    groupSize_ = report.ranks;
     if (report.group == ownGroup_) {
         return;
     }
