--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -327,7 +327,7 @@
     }
     const Duration whole =
         kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupSize_);
-    const Duration life = ownHeld_ ? whole / kLifePartWhenHeld : whole;
+    const Duration life = ownEngineHoldsStep_ ? whole / kLifePartWhenHeld : whole;
     const bool lowerLives = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
                             && now - lowerRankDecider_->lastQueryAt < life;
     if (isDecider() || lowerLives) {
@@ -336,7 +336,7 @@
     const TimePoint from =
         std::max(startedAt_ + kStartDelay,
                  lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + life : TimePoint{});
-    const bool atOnce = *ownRank_ == 0 || ownHeld_;
+    const bool atOnce = *ownRank_ == 0 || ownEngineHoldsStep_;
     const Duration turn = atOnce ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
     return now - from >= turn;
 }
@@ -409,7 +409,7 @@
     ownLookedAt_ = loop_.now();
     ownEngine_->fetchFacts(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
         if (facts) {
-            ownHeld_ = facts->report.held.has_value();
+            ownEngineHoldsStep_ = facts->report.held.has_value();
             updateOwnRank(facts->report);
             updateEpoch(facts->report);
         }
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -141,9 +141,9 @@
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> inboundPeers_;
     GroupId ownGroup_; // Empty until the own engine has answered.
     std::optional<std::uint32_t> ownRank_;
-    std::uint32_t groupSize_ = 0; // As the own engine has told.
-    Duration pauseGoal_{};        // Of the service's routes; zero: not known.
-    bool ownHeld_ = false;        // The own engine holds a step, by its last report.
+    std::uint32_t groupSize_ = 0;     // As the own engine has told.
+    Duration pauseGoal_{};            // Of the service's routes; zero: not known.
+    bool ownEngineHoldsStep_ = false; // The own engine holds a step, by its last report.
     std::optional<LowerRankDecider> lowerRankDecider_;
     std::uint64_t ownCountsMark_ = 0; // Of the own rank's last counts.
     std::uint64_t epoch_ = 0;
