--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -424,7 +424,7 @@
     }
     askingOwn_ = true;
     const TimePoint now = loop_.now();
-    ownAskedAt_ = now;
+    ownPolledAt_ = now;
     query.countsSince = ownCountsMark_;
     fetchOwnFacts(query, [this, now](std::optional<RankFacts> facts) {
         askingOwn_ = false;
@@ -460,7 +460,7 @@
         pollOwnEngine({true, query.experts, 0});
         peers_->requestCounts(query, plan.countedRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
-               || now - ownAskedAt_ >= plan.reportGap) {
+               || now - ownPolledAt_ >= plan.reportGap) {
         pollOwnEngine(query);
     }
     peers_->requestReports(query, plan.reportGap, kTick, *ownRank_);
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -148,7 +148,7 @@
     std::uint64_t ownCountsMark_ = 0; // Of the own rank's last counts.
     std::uint64_t epoch_ = 0;
     TimePoint startedAt_{};
-    TimePoint ownAskedAt_{};  // For this agent itself.
+    TimePoint ownPolledAt_{}; // For this agent itself.
     TimePoint ownLookedAt_{}; // For anyone.
     bool askingOwn_ = false;
     std::uint64_t nextInboundId_ = 1;
