--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -265,7 +265,7 @@
 {
     updateRole();
     if (!isDecider()) {
-        if (loop_.now() - ownLookedAt_ >= kOwnGap) {
+        if (loop_.now() - ownFetchedAt_ >= kOwnGap) {
             pollOwnEngine({});
         }
         publishGroupFacts();
@@ -406,7 +406,7 @@
 // Answers for the own rank.
 void ExpertAgent::fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done)
 {
-    ownLookedAt_ = loop_.now();
+    ownFetchedAt_ = loop_.now();
     ownEngine_->fetchFacts(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
         if (facts) {
             ownEngineHoldsStep_ = facts->report.held.has_value();
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -148,8 +148,8 @@
     std::uint64_t ownCountsMark_ = 0; // Of the own rank's last counts.
     std::uint64_t epoch_ = 0;
     TimePoint startedAt_{};
-    TimePoint ownPolledAt_{}; // For this agent itself.
-    TimePoint ownLookedAt_{}; // For anyone.
+    TimePoint ownPolledAt_{};  // For this agent itself.
+    TimePoint ownFetchedAt_{}; // For anyone.
     bool askingOwn_ = false;
     std::uint64_t nextInboundId_ = 1;
     // What the agent that decides has; the others have none of it.
