--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -419,15 +419,15 @@
 
 void ExpertAgent::pollOwnEngine(RankQuery query)
 {
-    if (askingOwn_) {
+    if (ownPollPending_) {
         return;
     }
-    askingOwn_ = true;
+    ownPollPending_ = true;
     const TimePoint now = loop_.now();
     ownPolledAt_ = now;
     query.countsSince = ownCountsMark_;
     fetchOwnFacts(query, [this, now](std::optional<RankFacts> facts) {
-        askingOwn_ = false;
+        ownPollPending_ = false;
         if (!facts) {
             return;
         }
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -150,7 +150,7 @@
     TimePoint startedAt_{};
     TimePoint ownPolledAt_{};  // For this agent itself.
     TimePoint ownFetchedAt_{}; // For anyone.
-    bool askingOwn_ = false;
+    bool ownPollPending_ = false;
     std::uint64_t nextInboundId_ = 1;
     // What the agent that decides has; the others have none of it.
     std::unique_ptr<StoreWatcher> watcher_;
