--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -453,10 +453,10 @@
     // An alarm is confirmed or dropped as soon as a round can be.
     const Duration countsGap =
         planner_.doubting() ? std::max(plan.countsGap / 2, plan.roundSpan) : plan.countsGap;
-    const bool counts = now - countsAskedAt_ >= std::max(countsGap, kLeastCountsGap);
+    const bool counts = now - countsRequestedAt_ >= std::max(countsGap, kLeastCountsGap);
     const RankQuery query{false, !cachedMap_, 0};
     if (counts) {
-        countsAskedAt_ = now;
+        countsRequestedAt_ = now;
         pollOwnEngine({true, query.experts, 0});
         peers_->requestCounts(query, plan.countedRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -168,7 +168,7 @@
     std::string_view loggedObstacle_;
     std::uint64_t loggedChanges_ = 0;
     std::uint64_t loggedCleared_ = 0;
-    TimePoint countsAskedAt_{};
+    TimePoint countsRequestedAt_{};
     std::unique_ptr<PeriodicTimer> tickTimer_;
 };
 
