--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -397,7 +397,7 @@
     watcher_.reset();
     peers_.reset();
     decider_.reset();
-    experts_.clear();
+    rankExperts_.clear();
     cachedMap_.reset();
     currentMap_.reset();
     proposedVersion_ = 0;
@@ -484,7 +484,7 @@
     lowerRankDecider_.reset();
     epoch_ = 0;
     ownEngine_->resetOrders();
-    experts_.clear();
+    rankExperts_.clear();
     cachedMap_.reset();
     proposedVersion_ = 0;
 }
@@ -500,7 +500,7 @@
              {"before", epoch_},
              {"ranks", report.ranks}});
     epoch_ = report.epoch;
-    experts_.clear();
+    rankExperts_.clear();
     cachedMap_.reset();
     proposedVersion_ = 0;
 }
@@ -513,7 +513,7 @@
     }
     updateEpoch(report);
     if (facts.experts && report.epoch == epoch_) {
-        experts_[report.rank] = *facts.experts;
+        rankExperts_[report.rank] = *facts.experts;
     }
     if (facts.choices) {
         planner_.onChoices(choicesOf(*facts.choices), loop_.now());
@@ -546,7 +546,7 @@
 std::optional<ExpertMap> ExpertAgent::assembleMap(std::uint64_t version) const
 {
     ExpertMap map;
-    for (const auto &[rank, experts] : experts_) {
+    for (const auto &[rank, experts] : rankExperts_) {
         if (experts.mapVersion != version || rank != (map.empty() ? 0 : map.front().size())) {
             return std::nullopt;
         }
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -158,7 +158,7 @@
     std::unique_ptr<GroupDecider> decider_;
     ExpertPlanner planner_;
     std::optional<ExpertRule> rule_;
-    std::map<std::uint32_t, ExpertsOfRank> experts_; // By rank.
+    std::map<std::uint32_t, ExpertsOfRank> rankExperts_; // By rank.
     std::optional<CachedMap> cachedMap_;
     std::optional<ExpertMap> currentMap_; // The map in use, once it is known whole.
     ExpertMap proposedMap_;               // That was last ordered here, and its version;
