--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -387,14 +387,14 @@
     watch.rest = kWatchRest;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
-    watcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
-    watcher_->start();
+    storeWatcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
+    storeWatcher_->start();
 }
 
 // What is under way stays as it is; the agent that decides now clears it.
 void ExpertAgent::stepDown()
 {
-    watcher_.reset();
+    storeWatcher_.reset();
     peers_.reset();
     decider_.reset();
     rankExperts_.clear();
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -153,7 +153,7 @@
     bool ownPollPending_ = false;
     std::uint64_t nextInboundId_ = 1;
     // What the agent that decides has; the others have none of it.
-    std::unique_ptr<StoreWatcher> watcher_;
+    std::unique_ptr<StoreWatcher> storeWatcher_;
     std::unique_ptr<RankPeers> peers_;
     std::unique_ptr<GroupDecider> decider_;
     ExpertPlanner planner_;
