--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -258,7 +258,7 @@
             listed.emplace(record->id, engine);
         }
     }
-    peers_->setEngines(listed);
+    rankPeers_->setEngines(listed);
 }
 
 void ExpertAgent::tick()
@@ -309,7 +309,7 @@
     facts.open = decider_->takesRequests();
     facts.forming = decider_->forming(loop_.now());
     const std::vector<double> paces = decider_->paces();
-    std::map<std::uint32_t, SocketAddress> engines = peers_->engines();
+    std::map<std::uint32_t, SocketAddress> engines = rankPeers_->engines();
     engines[*ownRank_] = settings_.engine;
     for (const auto &[rank, engine] : engines) {
         const double pace = rank < paces.size() ? paces[rank] : 1.0;
@@ -378,7 +378,7 @@
     decider_ = std::make_unique<GroupDecider>(settings);
     RankPeersListener &listener = *this;
     const RankPeers::Settings peers{settings_.listen.port, ownGroup_, settings_.linkBytesPerSecond};
-    peers_ = std::make_unique<RankPeers>(loop_, *transport_, *engineClient_, peers, listener);
+    rankPeers_ = std::make_unique<RankPeers>(loop_, *transport_, *engineClient_, peers, listener);
     loggedPhase_ = GroupDecider::Phase::Idle;
     loggedChanges_ = 0;
     loggedCleared_ = 0;
@@ -395,7 +395,7 @@
 void ExpertAgent::stepDown()
 {
     storeWatcher_.reset();
-    peers_.reset();
+    rankPeers_.reset();
     decider_.reset();
     rankExperts_.clear();
     cachedMap_.reset();
@@ -458,12 +458,12 @@
     if (counts) {
         countsRequestedAt_ = now;
         pollOwnEngine({true, query.experts, 0});
-        peers_->requestCounts(query, plan.countedRanks, decider_->size(), *ownRank_);
+        rankPeers_->requestCounts(query, plan.countedRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
                || now - ownPolledAt_ >= plan.reportGap) {
         pollOwnEngine(query);
     }
-    peers_->requestReports(query, plan.reportGap, kTick, *ownRank_);
+    rankPeers_->requestReports(query, plan.reportGap, kTick, *ownRank_);
 }
 
 // Takes the group and rank that the own engine names. In another group, what was known of the one
@@ -679,7 +679,7 @@
             onPeerOrderAnswer(action.rank, action.order, answer);
         });
     }
-    peers_->send(others);
+    rankPeers_->send(others);
 }
 
 void ExpertAgent::sendToOwnEngine(const MapOrder &order, OwnEngine::OrderDone done)
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -154,7 +154,7 @@
     std::uint64_t nextInboundId_ = 1;
     // What the agent that decides has; the others have none of it.
     std::unique_ptr<StoreWatcher> storeWatcher_;
-    std::unique_ptr<RankPeers> peers_;
+    std::unique_ptr<RankPeers> rankPeers_;
     std::unique_ptr<GroupDecider> decider_;
     ExpertPlanner planner_;
     std::optional<ExpertRule> rule_;
