--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -566,9 +566,9 @@
 {
     MapOrders orders;
     decider_->onTick(loop_.now(), orders);
-    const bool leftBehind =
+    const bool proposalOutdated =
         decider_->phase() == GroupDecider::Phase::Preparing && planner_.outdated() && currentMap_;
-    if (leftBehind) {
+    if (proposalOutdated) {
         replaceOutdatedChange(orders);
     } else if (decider_->phase() == GroupDecider::Phase::Idle) {
         proposeChange(orders);
