--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -325,9 +325,9 @@
     if (!ownRank_ || now - startedAt_ < kStartDelay) {
         return false;
     }
-    const Duration whole =
+    const Duration fullTimeout =
         kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupSize_);
-    const Duration life = ownEngineHoldsStep_ ? whole / kLifePartWhenHeld : whole;
+    const Duration life = ownEngineHoldsStep_ ? fullTimeout / kLifePartWhenHeld : fullTimeout;
     const bool lowerLives = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
                             && now - lowerRankDecider_->lastQueryAt < life;
     if (isDecider() || lowerLives) {
