--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -327,15 +327,15 @@
     }
     const Duration fullTimeout =
         kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupSize_);
-    const Duration life = ownEngineHoldsStep_ ? fullTimeout / kLifePartWhenHeld : fullTimeout;
+    const Duration timeout = ownEngineHoldsStep_ ? fullTimeout / kLifePartWhenHeld : fullTimeout;
     const bool lowerLives = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
-                            && now - lowerRankDecider_->lastQueryAt < life;
+                            && now - lowerRankDecider_->lastQueryAt < timeout;
     if (isDecider() || lowerLives) {
         return !lowerLives;
     }
     const TimePoint from =
         std::max(startedAt_ + kStartDelay,
-                 lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + life : TimePoint{});
+                 lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + timeout : TimePoint{});
     const bool atOnce = *ownRank_ == 0 || ownEngineHoldsStep_;
     const Duration turn = atOnce ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
     return now - from >= turn;
