--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -328,10 +328,10 @@
     const Duration fullTimeout =
         kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupSize_);
     const Duration timeout = ownEngineHoldsStep_ ? fullTimeout / kLifePartWhenHeld : fullTimeout;
-    const bool lowerLives = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
-                            && now - lowerRankDecider_->lastQueryAt < timeout;
-    if (isDecider() || lowerLives) {
-        return !lowerLives;
+    const bool lowerRankDecides = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
+                                  && now - lowerRankDecider_->lastQueryAt < timeout;
+    if (isDecider() || lowerRankDecides) {
+        return !lowerRankDecides;
     }
     const TimePoint from =
         std::max(startedAt_ + kStartDelay,
