--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -337,8 +337,8 @@
         std::max(startedAt_ + kStartDelay,
                  lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + timeout : TimePoint{});
     const bool atOnce = *ownRank_ == 0 || ownEngineHoldsStep_;
-    const Duration turn = atOnce ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
-    return now - from >= turn;
+    const Duration takeoverDelay = atOnce ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
+    return now - from >= takeoverDelay;
 }
 
 void ExpertAgent::updateRole()
