--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -336,8 +336,9 @@
     const TimePoint from =
         std::max(startedAt_ + kStartDelay,
                  lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + timeout : TimePoint{});
-    const bool atOnce = *ownRank_ == 0 || ownEngineHoldsStep_;
-    const Duration takeoverDelay = atOnce ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
+    const bool immediately = *ownRank_ == 0 || ownEngineHoldsStep_;
+    const Duration takeoverDelay =
+        immediately ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
     return now - from >= takeoverDelay;
 }
 
