--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -333,13 +333,13 @@
     if (isDecider() || lowerRankDecides) {
         return !lowerRankDecides;
     }
-    const TimePoint from =
+    const TimePoint vacantSince =
         std::max(startedAt_ + kStartDelay,
                  lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + timeout : TimePoint{});
     const bool immediately = *ownRank_ == 0 || ownEngineHoldsStep_;
     const Duration takeoverDelay =
         immediately ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
-    return now - from >= takeoverDelay;
+    return now - vacantSince >= takeoverDelay;
 }
 
 void ExpertAgent::updateRole()
