--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -536,8 +536,8 @@
         cachedMap_ = CachedMap{*version, proposedMap_};
     } else if (!cachedMap_ || cachedMap_->version != *version) {
         cachedMap_.reset();
-        if (auto told = assembleMap(*version)) {
-            cachedMap_ = CachedMap{*version, std::move(*told)};
+        if (auto assembled = assembleMap(*version)) {
+            cachedMap_ = CachedMap{*version, std::move(*assembled)};
         }
     }
     return cachedMap_ ? std::optional(cachedMap_->map) : std::nullopt;
