--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -702,12 +702,12 @@
 void ExpertAgent::relay(const MapOrder &order, const std::vector<RelayTarget> &targets,
                         const OrderRelay::Done &done)
 {
-    struct Waiting
+    struct PendingRelay
     {
         std::vector<RelayedAnswer> answers;
         int left = 2; // The own engine's answer, and the others'.
     };
-    const auto waiting = std::make_shared<Waiting>();
+    const auto waiting = std::make_shared<PendingRelay>();
     const auto add = [waiting, done](const std::vector<RelayedAnswer> &answers) {
         waiting->answers.insert(waiting->answers.end(), answers.begin(), answers.end());
         if (--waiting->left == 0) {
