--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -705,12 +705,12 @@
     struct PendingRelay
     {
         std::vector<RelayedAnswer> answers;
-        int left = 2; // The own engine's answer, and the others'.
+        int missing = 2; // The own engine's answer, and the others'.
     };
     const auto waiting = std::make_shared<PendingRelay>();
     const auto add = [waiting, done](const std::vector<RelayedAnswer> &answers) {
         waiting->answers.insert(waiting->answers.end(), answers.begin(), answers.end());
-        if (--waiting->left == 0) {
+        if (--waiting->missing == 0) {
             done(waiting->answers);
         }
     };
