--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -708,17 +708,17 @@
         int missing = 2; // The own engine's answer, and the others'.
     };
     const auto waiting = std::make_shared<PendingRelay>();
-    const auto add = [waiting, done](const std::vector<RelayedAnswer> &answers) {
+    const auto addAnswers = [waiting, done](const std::vector<RelayedAnswer> &answers) {
         waiting->answers.insert(waiting->answers.end(), answers.begin(), answers.end());
         if (--waiting->missing == 0) {
             done(waiting->answers);
         }
     };
     const std::uint32_t rank = ownRank_.value_or(0);
-    sendToOwnEngine(order, [add, rank](MapOrderAnswer answer) {
-        add({RelayedAnswer{rank, answer}});
+    sendToOwnEngine(order, [addAnswers, rank](MapOrderAnswer answer) {
+        addAnswers({RelayedAnswer{rank, answer}});
     });
-    orderRelay_->relay(order, targets, add);
+    orderRelay_->relay(order, targets, addAnswers);
 }
 
 void ExpertAgent::onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
