--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -61,9 +61,9 @@
 
     kj::Promise<void> state(StateContext context) override
     {
-        auto waiting = kj::newPromiseAndFulfiller<void>();
+        auto pending = kj::newPromiseAndFulfiller<void>();
         auto fulfiller =
-            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(waiting.fulfiller));
+            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(pending.fulfiller));
         const auto params = context.getParams();
         const GroupId askerGroup(params.getAskerGroup().cStr());
         agent_.onDeciderQuery(askerGroup, params.getAskerRank(), peerHost_);
@@ -76,14 +76,14 @@
             }
             (*fulfiller)->fulfill();
         });
-        return kj::mv(waiting.promise);
+        return kj::mv(pending.promise);
     }
 
     kj::Promise<void> order(OrderContext context) override
     {
-        auto waiting = kj::newPromiseAndFulfiller<void>();
+        auto pending = kj::newPromiseAndFulfiller<void>();
         auto fulfiller =
-            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(waiting.fulfiller));
+            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(pending.fulfiller));
         const auto order = readOrder(context.getParams().getOrder());
         if (!order) {
             logLine(LogLevel::Warning, "order.unreadable", {});
@@ -94,14 +94,14 @@
             context.getResults().setStatus(static_cast<std::uint16_t>(answer));
             (*fulfiller)->fulfill();
         });
-        return kj::mv(waiting.promise);
+        return kj::mv(pending.promise);
     }
 
     kj::Promise<void> relay(RelayContext context) override
     {
-        auto waiting = kj::newPromiseAndFulfiller<void>();
+        auto pending = kj::newPromiseAndFulfiller<void>();
         auto fulfiller =
-            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(waiting.fulfiller));
+            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(pending.fulfiller));
         const auto order = readOrder(context.getParams().getOrder());
         if (!order || order->kind != MapOrderKind::Prepare) {
             logLine(LogLevel::Warning, "order.unreadable", {{"relayed", true}});
@@ -121,7 +121,7 @@
             (*fulfiller)->fulfill();
         };
         agent_.relay(*order, targets, done);
-        return kj::mv(waiting.promise);
+        return kj::mv(pending.promise);
     }
 
     kj::Promise<void> group(GroupContext context) override
@@ -707,11 +707,11 @@
         std::vector<RelayedAnswer> answers;
         int missing = 2; // The own engine's answer, and the others'.
     };
-    const auto waiting = std::make_shared<PendingRelay>();
-    const auto addAnswers = [waiting, done](const std::vector<RelayedAnswer> &answers) {
-        waiting->answers.insert(waiting->answers.end(), answers.begin(), answers.end());
-        if (--waiting->missing == 0) {
-            done(waiting->answers);
+    const auto pending = std::make_shared<PendingRelay>();
+    const auto addAnswers = [pending, done](const std::vector<RelayedAnswer> &answers) {
+        pending->answers.insert(pending->answers.end(), answers.begin(), answers.end());
+        if (--pending->missing == 0) {
+            done(pending->answers);
         }
     };
     const std::uint32_t rank = ownRank_.value_or(0);
