--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -452,9 +452,9 @@
     decider_->setReportLife(plan.reportLife);
     planner_.setRoundSpan(plan.roundSpan);
     // An alarm is confirmed or dropped as soon as a round can be.
-    const Duration countsGap =
+    const Duration countsInterval =
         planner_.doubting() ? std::max(plan.countsGap / 2, plan.roundSpan) : plan.countsGap;
-    const bool counts = now - countsRequestedAt_ >= std::max(countsGap, kLeastCountsGap);
+    const bool counts = now - countsRequestedAt_ >= std::max(countsInterval, kLeastCountsGap);
     const RankQuery query{false, !cachedMap_, 0};
     if (counts) {
         countsRequestedAt_ = now;
