--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -19,7 +19,7 @@
 
 using nlohmann::json;
 
-constexpr Duration kTick = std::chrono::milliseconds(50);
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 // Counts of less than about a pass tell nothing new.
 constexpr Duration kLeastCountsGap = std::chrono::milliseconds(100);
 // How often an agent that does not decide asks its own engine for its rank, unless the agent that
@@ -190,7 +190,7 @@
     engineClient_ = std::make_unique<EngineClient>(loop_, *client_, engineProtocol_);
     ownEngine_ = std::make_unique<OwnEngine>(loop_, *engineClient_, settings_.engine);
     orderRelay_ = std::make_unique<OrderRelay>(loop_, *transport_, settings_.listen.port);
-    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
+    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickInterval, [this] { tick(); });
     return {};
 }
 
@@ -464,7 +464,7 @@
                || now - ownPolledAt_ >= plan.reportGap) {
         pollOwnEngine(query);
     }
-    rankPeers_->requestReports(query, plan.reportGap, kTick, *ownRank_);
+    rankPeers_->requestReports(query, plan.reportGap, kTickInterval, *ownRank_);
 }
 
 // Takes the group and rank that the own engine names. In another group, what was known of the one
