--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -21,7 +21,7 @@
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(50);
 // Counts of less than about a pass tell nothing new.
-constexpr Duration kLeastCountsGap = std::chrono::milliseconds(100);
+constexpr Duration kMinCountsInterval = std::chrono::milliseconds(100);
 // How often an agent that does not decide asks its own engine for its rank, unless the agent that
 // decides has asked it meanwhile. Such calls are free.
 constexpr Duration kOwnGap = std::chrono::milliseconds(200);
@@ -454,7 +454,7 @@
     // An alarm is confirmed or dropped as soon as a round can be.
     const Duration countsInterval =
         planner_.doubting() ? std::max(plan.countsGap / 2, plan.roundSpan) : plan.countsGap;
-    const bool counts = now - countsRequestedAt_ >= std::max(countsInterval, kLeastCountsGap);
+    const bool counts = now - countsRequestedAt_ >= std::max(countsInterval, kMinCountsInterval);
     const RankQuery query{false, !cachedMap_, 0};
     if (counts) {
         countsRequestedAt_ = now;
