--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -24,7 +24,7 @@
 constexpr Duration kMinCountsInterval = std::chrono::milliseconds(100);
 // How often an agent that does not decide asks its own engine for its rank, unless the agent that
 // decides has asked it meanwhile. Such calls are free.
-constexpr Duration kOwnGap = std::chrono::milliseconds(200);
+constexpr Duration kOwnPollInterval = std::chrono::milliseconds(200);
 // A decider that has not asked for this long is taken for dead or cut off. It asks some five times
 // in it, whatever the size of the group. Two that both decide are harmless, and a group that one
 // has left held makes no pass.
@@ -265,7 +265,7 @@
 {
     updateRole();
     if (!isDecider()) {
-        if (loop_.now() - ownFetchedAt_ >= kOwnGap) {
+        if (loop_.now() - ownFetchedAt_ >= kOwnPollInterval) {
             pollOwnEngine({});
         }
         publishGroupFacts();
