--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -29,7 +29,7 @@
 // in it, whatever the size of the group. Two that both decide are harmless, and a group that one
 // has left held makes no pass.
 constexpr Duration kDeciderTimeout = std::chrono::milliseconds(500);
-constexpr Duration kDeciderLifePerRank = std::chrono::milliseconds(10);
+constexpr Duration kDeciderTimeoutPerRank = std::chrono::milliseconds(10);
 // While its own engine holds a step, the successor of a decider waits for this part of that life
 // alone, and for no turn: the whole group stands still for a decider that is dead, and one that
 // lives asks several times in it, most often during a change.
@@ -326,7 +326,7 @@
         return false;
     }
     const Duration fullTimeout =
-        kDeciderTimeout + kDeciderLifePerRank * static_cast<Duration::rep>(groupSize_);
+        kDeciderTimeout + kDeciderTimeoutPerRank * static_cast<Duration::rep>(groupSize_);
     const Duration timeout = ownEngineHoldsStep_ ? fullTimeout / kLifePartWhenHeld : fullTimeout;
     const bool lowerRankDecides = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
                                   && now - lowerRankDecider_->lastQueryAt < timeout;
