--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -33,7 +33,7 @@
 // While its own engine holds a step, the successor of a decider waits for this part of that life
 // alone, and for no turn: the whole group stands still for a decider that is dead, and one that
 // lives asks several times in it, most often during a change.
-constexpr int kLifePartWhenHeld = 2;
+constexpr int kHeldTimeoutDivisor = 2;
 // Each rank waits this much longer than the one before it, so that one takes the role and is heard
 // before the next would take it: a question and a tick later.
 constexpr Duration kTurnPerRank = std::chrono::milliseconds(100);
@@ -327,7 +327,7 @@
     }
     const Duration fullTimeout =
         kDeciderTimeout + kDeciderTimeoutPerRank * static_cast<Duration::rep>(groupSize_);
-    const Duration timeout = ownEngineHoldsStep_ ? fullTimeout / kLifePartWhenHeld : fullTimeout;
+    const Duration timeout = ownEngineHoldsStep_ ? fullTimeout / kHeldTimeoutDivisor : fullTimeout;
     const bool lowerRankDecides = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
                                   && now - lowerRankDecider_->lastQueryAt < timeout;
     if (isDecider() || lowerRankDecides) {
