--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -36,7 +36,7 @@
 constexpr int kHeldTimeoutDivisor = 2;
 // Each rank waits this much longer than the one before it, so that one takes the role and is heard
 // before the next would take it: a question and a tick later.
-constexpr Duration kTurnPerRank = std::chrono::milliseconds(100);
+constexpr Duration kTakeoverDelayPerRank = std::chrono::milliseconds(100);
 // What every rank but the first waits besides: connections to all ranks take some time to make.
 constexpr Duration kTurnOfOthers = std::chrono::milliseconds(200);
 // How long a new agent listens before it may decide: a decider that lives has asked by then.
@@ -338,7 +338,7 @@
                  lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + timeout : TimePoint{});
     const bool immediately = *ownRank_ == 0 || ownEngineHoldsStep_;
     const Duration takeoverDelay =
-        immediately ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
+        immediately ? Duration{} : kTurnOfOthers + kTakeoverDelayPerRank * *ownRank_;
     return now - vacantSince >= takeoverDelay;
 }
 
