--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -38,7 +38,7 @@
 // before the next would take it: a question and a tick later.
 constexpr Duration kTakeoverDelayPerRank = std::chrono::milliseconds(100);
 // What every rank but the first waits besides: connections to all ranks take some time to make.
-constexpr Duration kTurnOfOthers = std::chrono::milliseconds(200);
+constexpr Duration kTakeoverBaseDelay = std::chrono::milliseconds(200);
 // How long a new agent listens before it may decide: a decider that lives has asked by then.
 constexpr Duration kStartDelay = std::chrono::milliseconds(600);
 // Fences start at the time of day, in units of this; a decider raises its fence less often.
@@ -338,7 +338,7 @@
                  lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + timeout : TimePoint{});
     const bool immediately = *ownRank_ == 0 || ownEngineHoldsStep_;
     const Duration takeoverDelay =
-        immediately ? Duration{} : kTurnOfOthers + kTakeoverDelayPerRank * *ownRank_;
+        immediately ? Duration{} : kTakeoverBaseDelay + kTakeoverDelayPerRank * *ownRank_;
     return now - vacantSince >= takeoverDelay;
 }
 
