--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -40,7 +40,7 @@
 // What every rank but the first waits besides: connections to all ranks take some time to make.
 constexpr Duration kTakeoverBaseDelay = std::chrono::milliseconds(200);
 // How long a new agent listens before it may decide: a decider that lives has asked by then.
-constexpr Duration kStartDelay = std::chrono::milliseconds(600);
+constexpr Duration kStartupDelay = std::chrono::milliseconds(600);
 // Fences start at the time of day, in units of this; a decider raises its fence less often.
 constexpr std::chrono::milliseconds kFenceUnit{100};
 // A store's watch waits this long here: only the list of engines is wanted, and calls have a price.
@@ -322,7 +322,7 @@
 bool ExpertAgent::shouldDecide() const
 {
     const TimePoint now = loop_.now();
-    if (!ownRank_ || now - startedAt_ < kStartDelay) {
+    if (!ownRank_ || now - startedAt_ < kStartupDelay) {
         return false;
     }
     const Duration fullTimeout =
@@ -334,7 +334,7 @@
         return !lowerRankDecides;
     }
     const TimePoint vacantSince =
-        std::max(startedAt_ + kStartDelay,
+        std::max(startedAt_ + kStartupDelay,
                  lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + timeout : TimePoint{});
     const bool immediately = *ownRank_ == 0 || ownEngineHoldsStep_;
     const Duration takeoverDelay =
