--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -44,7 +44,7 @@
 // Fences start at the time of day, in units of this; a decider raises its fence less often.
 constexpr std::chrono::milliseconds kFenceUnit{100};
 // A store's watch waits this long here: only the list of engines is wanted, and calls have a price.
-constexpr Duration kWatchWait = std::chrono::seconds(10);
+constexpr Duration kStoreWatchTimeout = std::chrono::seconds(10);
 // Changes of the list are gathered for this long: an engine that is new forms its group later.
 constexpr Duration kWatchRest = std::chrono::milliseconds(200);
 
@@ -384,7 +384,7 @@
     loggedChanges_ = 0;
     loggedCleared_ = 0;
     StoreWatcher::Settings watch;
-    watch.wait = kWatchWait;
+    watch.wait = kStoreWatchTimeout;
     watch.rest = kWatchRest;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
