--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -46,7 +46,7 @@
 // A store's watch waits this long here: only the list of engines is wanted, and calls have a price.
 constexpr Duration kStoreWatchTimeout = std::chrono::seconds(10);
 // Changes of the list are gathered for this long: an engine that is new forms its group later.
-constexpr Duration kWatchRest = std::chrono::milliseconds(200);
+constexpr Duration kStoreWatchBatchDelay = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -385,7 +385,7 @@
     loggedCleared_ = 0;
     StoreWatcher::Settings watch;
     watch.wait = kStoreWatchTimeout;
-    watch.rest = kWatchRest;
+    watch.rest = kStoreWatchBatchDelay;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
     storeWatcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
