--- a/test/experts/orderrelay_test.cpp
+++ b/test/experts/orderrelay_test.cpp
@@ -89,7 +89,7 @@
     loop->shutDown();
 }
 
-TEST(OrderRelayTest, ReachesASilentAgentByANewConnectionNextTime)
+TEST(OrderRelayTest, ReconnectsToASilentAgentForTheNextOrder)
 {
     auto loop = *EventLoop::create();
     auto transport = *RawTransport::create(*loop);
