--- a/test/experts/orderrelay_test.cpp
+++ b/test/experts/orderrelay_test.cpp
@@ -99,12 +99,12 @@
     CHECK_TRUE(transport->listen({"127.0.0.1", port}, keep).has_value());
     {
         OrderRelay relay(*loop, *transport, port);
-        const auto again = [&](const std::vector<RelayedAnswer> & /*lost*/) {
+        const auto sendAgain = [&](const std::vector<RelayedAnswer> & /*lost*/) {
             loop->schedule(std::chrono::milliseconds(10), [&relay] {
                 relay.relay(prepareOf(10), {{1, "127.0.0.1"}}, [](const auto & /*answers*/) {});
             });
         };
-        relay.relay(prepareOf(9), {{1, "127.0.0.1"}}, again);
+        relay.relay(prepareOf(9), {{1, "127.0.0.1"}}, sendAgain);
         loop->schedule(std::chrono::milliseconds(1500), [&loop] { loop->stop(); });
         loop->run();
     }
