--- a/test/experts/orderrelay_test.cpp
+++ b/test/experts/orderrelay_test.cpp
@@ -63,8 +63,10 @@
         serving.push_back(RpcPeer::server(kj::mv(stream), kj::heap<CopyingAgent>(versions)));
     };
     CHECK_TRUE(transport->listen({"127.0.0.1", port}, serve).has_value());
-    std::vector<kj::Own<RawStream>> silent;
-    const auto keep = [&silent](kj::Own<RawStream> stream) { silent.push_back(kj::mv(stream)); };
+    std::vector<kj::Own<RawStream>> silentStreams;
+    const auto keep = [&silentStreams](kj::Own<RawStream> stream) {
+        silentStreams.push_back(kj::mv(stream));
+    };
     CHECK_TRUE(transport->listen({"127.0.0.2", port}, keep).has_value());
     std::vector<RelayedAnswer> answers;
     int calls = 0;
@@ -85,7 +87,7 @@
     CHECK_TRUE(answerOf(answers, 3) == MapOrderAnswer::Lost);
     CHECK_TRUE(versions == std::vector<std::uint64_t>{9});
     serving.clear();
-    silent.clear();
+    silentStreams.clear();
     loop->shutDown();
 }
 
@@ -94,8 +96,10 @@
     auto loop = *EventLoop::create();
     auto transport = *RawTransport::create(*loop);
     const int port = freePort();
-    std::vector<kj::Own<RawStream>> silent;
-    const auto keep = [&silent](kj::Own<RawStream> stream) { silent.push_back(kj::mv(stream)); };
+    std::vector<kj::Own<RawStream>> silentStreams;
+    const auto keep = [&silentStreams](kj::Own<RawStream> stream) {
+        silentStreams.push_back(kj::mv(stream));
+    };
     CHECK_TRUE(transport->listen({"127.0.0.1", port}, keep).has_value());
     {
         OrderRelay relay(*loop, *transport, port);
@@ -108,7 +112,7 @@
         loop->schedule(std::chrono::milliseconds(1500), [&loop] { loop->stop(); });
         loop->run();
     }
-    CHECK_TEXT(silent.size() >= 2, "the second order went through the silent connection");
-    silent.clear();
+    CHECK_TEXT(silentStreams.size() >= 2, "the second order went through the silent connection");
+    silentStreams.clear();
     loop->shutDown();
 }
