--- a/test/experts/orderrelay_test.cpp
+++ b/test/experts/orderrelay_test.cpp
@@ -69,18 +69,18 @@
     };
     CHECK_TRUE(transport->listen({"127.0.0.2", port}, keep).has_value());
     std::vector<RelayedAnswer> answers;
-    int calls = 0;
+    int doneCalls = 0;
     {
         OrderRelay relay(*loop, *transport, port);
         relay.relay(prepareOf(9), {{1, "127.0.0.1"}, {2, "127.0.0.2"}, {3, "127.0.0.3"}},
                     [&](const std::vector<RelayedAnswer> &collected) {
                         answers = collected;
-                        ++calls;
+                        ++doneCalls;
                     });
         loop->schedule(std::chrono::milliseconds(1500), [&loop] { loop->stop(); });
         loop->run();
     }
-    LONGS_EQUAL(1, calls);
+    LONGS_EQUAL(1, doneCalls);
     LONGS_EQUAL(3, answers.size());
     CHECK_TRUE(answerOf(answers, 1) == MapOrderAnswer::Copied);
     CHECK_TRUE(answerOf(answers, 2) == MapOrderAnswer::Lost);
