--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -23,7 +23,7 @@
 TEST_GROUP(RankPeersTest){};
 
 // An open connection may go silent for good, without a reset, while new ones work.
-TEST(RankPeersTest, ConnectsAnewToAnAgentWhoseConnectionHasGoneSilent)
+TEST(RankPeersTest, ReconnectsToAnAgentWhoseConnectionHasGoneSilent)
 {
     auto loop = *EventLoop::create();
     auto transport = *RawTransport::create(*loop);
