--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-class NoListener final : public RankPeersListener
+class NullListener final : public RankPeersListener
 {
 public:
     void onPeerFacts(const RankFacts & /*facts*/, TimePoint /*askedAt*/) override {}
@@ -30,7 +30,7 @@
     auto client = *HttpClient::create(*loop);
     const platform::EngineHttp protocol;
     EngineClient engineClient(*loop, *client, protocol);
-    NoListener listener;
+    NullListener listener;
     const int agentPort = freePort();
     // Accepts, and never says a word.
     std::vector<kj::Own<RawStream>> accepted;
