--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -42,9 +42,10 @@
         const RankPeers::Settings settings{agentPort, GroupId("north"), 1e6};
         RankPeers peers(*loop, *transport, engineClient, settings, listener);
         peers.setEngines({{InstanceId("i-1"), SocketAddress{"127.0.0.1", freePort()}}});
-        constexpr Duration kTurn = std::chrono::milliseconds(50);
-        PeriodicTimer asking(*loop, kTurn,
-                             [&peers, kTurn] { peers.requestReports({}, 2 * kTurn, kTurn, 0); });
+        constexpr Duration kCallInterval = std::chrono::milliseconds(50);
+        PeriodicTimer asking(*loop, kCallInterval, [&peers, kCallInterval] {
+            peers.requestReports({}, 2 * kCallInterval, kCallInterval, 0);
+        });
         loop->schedule(std::chrono::milliseconds(3500), [&loop] { loop->stop(); });
         loop->run();
     }
