--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -43,7 +43,7 @@
         RankPeers peers(*loop, *transport, engineClient, settings, listener);
         peers.setEngines({{InstanceId("i-1"), SocketAddress{"127.0.0.1", freePort()}}});
         constexpr Duration kCallInterval = std::chrono::milliseconds(50);
-        PeriodicTimer asking(*loop, kCallInterval, [&peers, kCallInterval] {
+        PeriodicTimer requestTimer(*loop, kCallInterval, [&peers, kCallInterval] {
             peers.requestReports({}, 2 * kCallInterval, kCallInterval, 0);
         });
         loop->schedule(std::chrono::milliseconds(3500), [&loop] { loop->stop(); });
