--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_GROUP(RankWireTest){};
 
-TEST(RankWireTest, FactsCrossTheWireUnchanged)
+TEST(RankWireTest, FactsSurviveARoundTrip)
 {
     RankFacts facts;
     facts.report = {3, 12, 2, true, 77, 5, 9, 9, 80, 4096, 2.5, GroupId("north")};
