--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -38,7 +38,7 @@
     LONGS_EQUAL(5, read.experts->mapVersion);
 }
 
-TEST(RankWireTest, OrdersCrossTheWireUnchanged)
+TEST(RankWireTest, OrdersSurviveARoundTrip)
 {
     const ExpertMap map = {{{0, 1}, {2}}, {{3}, {4, 5}}};
     const MapOrder order{
