--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -57,7 +57,7 @@
     STRCMP_EQUAL("north", read.group.value().c_str());
 }
 
-TEST(RankWireTest, OrderWithoutExpertsCrossesTheWire)
+TEST(RankWireTest, OrderWithoutExpertsSurvivesARoundTrip)
 {
     const MapOrder order{MapOrderKind::Hold, 9, 80, 2, 4096, {}, {}};
     capnp::MallocMessageBuilder message;
