--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -68,7 +68,7 @@
     CHECK_TRUE(read->experts == nullptr);
 }
 
-TEST(RankWireTest, PacksTheMapOfALargeGroupIntoFewBytes)
+TEST(RankWireTest, PacksTheMapOfALargeGroupCompactly)
 {
     constexpr std::uint16_t kSets = 8;
     constexpr std::uint16_t kRanks = 63;
