--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -84,7 +84,7 @@
     CHECK_TRUE(*unpackExperts(bytes) == map);
 }
 
-TEST(RankWireTest, RefusesATornMap)
+TEST(RankWireTest, RejectsATruncatedOrExtendedMap)
 {
     const auto bytes = packExperts({{{0, 200}, {300}}, {{1}, {2}}});
     for (std::size_t size = 0; size < bytes.size(); ++size) {
