--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -95,7 +95,7 @@
     CHECK_FALSE(unpackExperts(longer).has_value());
 }
 
-TEST(RankWireTest, RefusesNumbersThatNoGroupHas)
+TEST(RankWireTest, RejectsNumbersAboveTheLimit)
 {
     const std::vector<std::uint8_t> huge = {0xFF, 0xFF, 0xFF, 0xFF, 0x0F};
     CHECK_FALSE(unpackExperts(huge).has_value());
