--- a/src/experts/rankclient.h
+++ b/src/experts/rankclient.h
@@ -1,7 +1,7 @@
 // Asks one engine for what its agent and its group's decider need, and hands it orders.
 #pragma once
 
-#include "experts/enginecalls.h"
+#include "experts/engineprotocol.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
 
