--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -17,7 +17,7 @@
 #include "experts/groupreporter.h"
 #include "experts/orderrelay.h"
 #include "experts/ownengine.h"
-#include "experts/rankclient.h"
+#include "experts/engineclient.h"
 #include "experts/rankpeers.h"
 #include "gateway/storewatcher.h"
 #include "net/eventloop.h"
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -6,7 +6,7 @@
 
 #include "decision/expertmap/choicecounts.h"
 #include "decision/expertmap/handedorders.h"
-#include "experts/rankclient.h"
+#include "experts/engineclient.h"
 #include "experts/rankwire.h"
 #include "net/eventloop.h"
 
--- a/src/experts/rankclient.cpp
+++ b/src/experts/rankclient.cpp
@@ -1,4 +1,4 @@
-#include "experts/rankclient.h"
+#include "experts/engineclient.h"
 
 #include "base/log.h"
 #include "net/httpfetch.h"
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -10,7 +10,7 @@
 #pragma once
 
 #include "decision/expertmap/grouproster.h"
-#include "experts/rankclient.h"
+#include "experts/engineclient.h"
 #include "experts/rankwire.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
--- a/src/experts/rankwire.h
+++ b/src/experts/rankwire.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "decision/expertmap/choicecounts.h"
-#include "experts/rankclient.h"
+#include "experts/engineclient.h"
 #include "wire/seamarch.capnp.h"
 
 #include <cstdint>
