--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -4,7 +4,7 @@
 #include "base/log.h"
 #include "base/wallclock.h"
 #include "decision/expertmap/collectionplan.h"
-#include "experts/mapwords.h"
+#include "experts/maplognames.h"
 #include "experts/rankwire.h"
 #include "net/rpcpeer.h"
 
--- a/src/experts/mapwords.cpp
+++ b/src/experts/mapwords.cpp
@@ -1,4 +1,4 @@
-#include "experts/mapwords.h"
+#include "experts/maplognames.h"
 
 namespace seamarch {
 
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -2,7 +2,7 @@
 
 #include "base/digest.h"
 #include "base/log.h"
-#include "experts/mapwords.h"
+#include "experts/maplognames.h"
 
 #include <algorithm>
 #include <utility>
