--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -14,10 +14,10 @@
 #include "decision/expertmap/expertplanner.h"
 #include "decision/expertmap/groupdecider.h"
 #include "decision/gateway/upstreamtable.h"
+#include "experts/engineclient.h"
 #include "experts/groupreporter.h"
 #include "experts/orderrelay.h"
 #include "experts/ownengine.h"
-#include "experts/engineclient.h"
 #include "experts/rankpeers.h"
 #include "gateway/storewatcher.h"
 #include "net/eventloop.h"
@@ -85,8 +85,8 @@
                 const EngineProtocol &engineProtocol);
     tl::expected<void, NetError> open();
 
-    void onStoreListed(const StoreItems &items, TimePoint lastQueryAt) override;
-    void onStoreChanged(const StoreItems &items, TimePoint lastQueryAt) override;
+    void onStoreListed(const StoreItems &items, TimePoint askedAt) override;
+    void onStoreChanged(const StoreItems &items, TimePoint askedAt) override;
     void onStoreFailed(std::string_view cause) override;
     bool ready(std::string &reason) const override;
     nlohmann::json status() const override;
@@ -106,7 +106,7 @@
     void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
     void pollOwnEngine(RankQuery query);
     void pollGroup();
-    void onPeerFacts(const RankFacts &facts, TimePoint lastQueryAt) override;
+    void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
                            MapOrderAnswer answer) override;
     void updateOwnRank(const RankReport &report);
