--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -20,37 +20,42 @@
 using nlohmann::json;
 
 constexpr Duration kTickInterval = std::chrono::milliseconds(50);
-// Counts of less than about a pass tell nothing new.
+// Counts over less than about one pass carry no new information.
 constexpr Duration kMinCountsInterval = std::chrono::milliseconds(100);
-// How often an agent that does not decide asks its own engine for its rank, unless the agent that
-// decides has asked it meanwhile. Such calls are free.
+// How often an agent that is not the decider polls its own engine for its rank, unless a query from
+// the decider has fetched the report in the meantime. Calls to the own engine have no cost.
 constexpr Duration kOwnPollInterval = std::chrono::milliseconds(200);
-// A decider that has not asked for this long is taken for dead or cut off. It asks some five times
-// in it, whatever the size of the group. Two that both decide are harmless, and a group that one
-// has left held makes no pass.
+// A decider that has sent no query within this time, plus a time per rank, is considered dead or
+// partitioned. Whatever the size of the group, a live decider sends about five queries in it. The
+// timeout is short because two concurrent deciders are harmless, whereas a group that a dead
+// decider has left held makes no passes.
 constexpr Duration kDeciderTimeout = std::chrono::milliseconds(500);
 constexpr Duration kDeciderTimeoutPerRank = std::chrono::milliseconds(10);
-// While its own engine holds a step, the successor of a decider waits for this part of that life
-// alone, and for no turn: the whole group stands still for a decider that is dead, and one that
-// lives asks several times in it, most often during a change.
+// While its own engine holds a step, an agent divides the decider timeout by this and takes over
+// without a further delay: the whole group stalls until a dead decider is replaced. A live decider
+// still sends several queries in the shorter time, most of all during a change.
 constexpr int kHeldTimeoutDivisor = 2;
-// Each rank waits this much longer than the one before it, so that one takes the role and is heard
-// before the next would take it: a question and a tick later.
+// Takeover delay added per rank, so that one agent takes over and its first query arrives before
+// the next rank would take over. It covers a query and a tick.
 constexpr Duration kTakeoverDelayPerRank = std::chrono::milliseconds(100);
-// What every rank but the first waits besides: connections to all ranks take some time to make.
+// Takeover delay added for every rank but 0, because a new decider needs time to connect to all
+// ranks.
 constexpr Duration kTakeoverBaseDelay = std::chrono::milliseconds(200);
-// How long a new agent listens before it may decide: a decider that lives has asked by then.
+// How long a new agent waits before it may become the decider; a live decider has sent a query by
+// then.
 constexpr Duration kStartupDelay = std::chrono::milliseconds(600);
-// Fences start at the time of day, in units of this; a decider raises its fence less often.
+// Fences start at the wall-clock time in these units. A decider raises its fence less often than
+// once per unit, so a later decider normally starts above it.
 constexpr std::chrono::milliseconds kFenceUnit{100};
-// A store's watch waits this long here: only the list of engines is wanted, and calls have a price.
+// How long a store watch waits for changes. Long, because only the list of engines is needed and
+// store calls are expensive.
 constexpr Duration kStoreWatchTimeout = std::chrono::seconds(10);
-// Changes of the list are gathered for this long: an engine that is new forms its group later.
+// How long store changes are batched. A new engine takes longer than this to form its group.
 constexpr Duration kStoreWatchBatchDelay = std::chrono::milliseconds(200);
 
 } // namespace
 
-// The serving end for the agents of the other ranks.
+// Serves RPCs from the agents of other ranks and from gateways, one object per connection.
 class ExpertAgent::Server final : public wire::RankAgent::Server
 {
 public:
@@ -131,7 +136,7 @@
 
 private:
     ExpertAgent &agent_;
-    std::string peerHost_; // Of the agent or gateway that asks.
+    std::string peerHost_; // Host of the calling agent or gateway.
 };
 
 ExpertAgent::ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings,
@@ -247,8 +252,8 @@
     }
 }
 
-// Keeps one peer for each listed engine of the service but the own one. An engine that is leaving
-// still takes part in its group's passes.
+// Sets one peer for each listed engine of the service except the own one. Engines that are leaving
+// are included, because they still take part in their group's passes.
 void ExpertAgent::updatePeers()
 {
     std::map<InstanceId, SocketAddress> listed;
@@ -298,8 +303,8 @@
     }
 }
 
-// Puts together what gateways are told of the group. Paces are rounded, so that small changes wake
-// nobody.
+// Builds the group's state for gateways. Paces are rounded so that small changes do not wake
+// waiting calls.
 GroupFacts ExpertAgent::groupFacts() const
 {
     constexpr double kPaceStep = 0.25;
@@ -345,7 +350,7 @@
 void ExpertAgent::updateRole()
 {
     if (isDecider() && (decider_->ownRank() != *ownRank_ || decider_->group() != ownGroup_)) {
-        stepDown(); // The group has formed with other places, or the rank is in another group.
+        stepDown(); // The group has formed anew with other ranks, or this rank has changed groups.
     }
     const bool decides = shouldDecide();
     if (decides == isDecider()) {
@@ -392,7 +397,7 @@
     storeWatcher_->start();
 }
 
-// What is under way stays as it is; the agent that decides now clears it.
+// Leaves a change in progress as it is; the new decider clears it.
 void ExpertAgent::stepDown()
 {
     storeWatcher_.reset();
@@ -404,7 +409,7 @@
     proposedVersion_ = 0;
 }
 
-// Answers for the own rank.
+// Fetches the own rank's facts and updates the own rank and epoch from its report.
 void ExpertAgent::fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done)
 {
     ownFetchedAt_ = loop_.now();
@@ -439,8 +444,8 @@
     });
 }
 
-// Asks the ranks whose turn it is for reports, and some of them for counts of chosen experts. The
-// own engine is asked at every tick of a change, because a hold must name a step that is near.
+// Requests reports from the ranks that are due, and counts of chosen experts from some of them. The
+// own engine is polled at every tick of a change, because a hold must name a step that begins soon.
 void ExpertAgent::pollGroup()
 {
     const TimePoint now = loop_.now();
@@ -451,7 +456,7 @@
     const CollectionPlan plan = planCollection(inputs);
     decider_->setReportLife(plan.reportLife);
     planner_.setRoundSpan(plan.roundSpan);
-    // An alarm is confirmed or dropped as soon as a round can be.
+    // After an alarm, polls as often as rounds allow, so that it is soon confirmed or dismissed.
     const Duration countsInterval =
         planner_.doubting() ? std::max(plan.countsGap / 2, plan.roundSpan) : plan.countsGap;
     const bool counts = now - countsRequestedAt_ >= std::max(countsInterval, kMinCountsInterval);
@@ -467,8 +472,8 @@
     rankPeers_->requestReports(query, plan.reportGap, kTickInterval, *ownRank_);
 }
 
-// Takes the group and rank that the own engine names. In another group, what was known of the one
-// before means nothing, its epochs included.
+// Sets the group and rank that the own engine reports. If the group has changed, discards all state
+// of the previous group, including the epoch, which is meaningless in the new one.
 void ExpertAgent::updateOwnRank(const RankReport &report)
 {
     ownRank_ = report.rank;
@@ -490,6 +495,7 @@
     proposedVersion_ = 0;
 }
 
+// Discards the known maps if `report` names a later epoch, because versions restart with an epoch.
 void ExpertAgent::updateEpoch(const RankReport &report)
 {
     if (report.epoch <= epoch_) {
@@ -522,7 +528,8 @@
     decider_->onReport(report, askedAt, loop_.now());
 }
 
-// Returns the map in use. No rank need be asked for one that was ordered here or is known already.
+// Returns the map in use, or nothing if it is not known for all ranks. A map that this agent
+// proposed or has cached needs no query to the ranks.
 std::optional<ExpertMap> ExpertAgent::mapInUse()
 {
     const auto version = decider_->mapInUse(loop_.now());
@@ -543,7 +550,8 @@
     return cachedMap_ ? std::optional(cachedMap_->map) : std::nullopt;
 }
 
-// Puts together what all ranks have told of the map `version`.
+// Assembles map `version` from the experts that each rank has reported. Returns nothing if a rank
+// is missing or has reported another version.
 std::optional<ExpertMap> ExpertAgent::assembleMap(std::uint64_t version) const
 {
     ExpertMap map;
@@ -581,8 +589,8 @@
     send(orders);
 }
 
-// Demand has shifted while experts of the proposed map are still being copied. A map for what is
-// asked now takes its place, as soon as there is one worth it.
+// Replaces a proposed map whose experts are still being copied after demand has shifted, provided
+// that a map for the new demand is worth its cost.
 void ExpertAgent::replaceOutdatedChange(MapOrders &orders)
 {
     planner_.setPaces(decider_->paces());
@@ -690,22 +698,22 @@
                 {{"kind", logName(order.kind)},
                  {"group", order.group.value()},
                  {"ownGroup", ownGroup_.value()}});
-        // Before the own engine has named its group, nothing is known of what the order fits.
+        // Until the own engine has reported its group, the order may or may not apply to it.
         done(ownGroup_ == GroupId() ? MapOrderAnswer::Lost : MapOrderAnswer::Refused);
         return;
     }
     ownEngine_->sendOrder(order, std::move(done));
 }
 
-// Hands an order to the own engine and to the agents of other ranks. The answer of the own engine
-// comes with theirs, or earlier.
+// Sends an order to the own engine and to the agents of other ranks. Calls `done` once, with all
+// answers.
 void ExpertAgent::relay(const MapOrder &order, const std::vector<RelayTarget> &targets,
                         const OrderRelay::Done &done)
 {
     struct PendingRelay
     {
         std::vector<RelayedAnswer> answers;
-        int missing = 2; // The own engine's answer, and the others'.
+        int missing = 2; // One for the own engine's answer and one for those of all other agents.
     };
     const auto pending = std::make_shared<PendingRelay>();
     const auto addAnswers = [pending, done](const std::vector<RelayedAnswer> &answers) {
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -1,14 +1,14 @@
-// The agent beside one rank of a group of engines: it hands orders about expert maps to its rank,
-// tells the other agents of the group what its rank reports, and, when it is the one that decides,
-// keeps the group's map fit for what is asked of it. A service may have several groups; each has
-// its own decider, and nothing of one group counts in another.
+// The agent that runs beside one rank of a group of engines. It forwards expert map orders to its
+// own engine, serves that engine's reports to the other agents of the group, and, while it is the
+// group's decider, adapts the expert map to current demand. A service may have several groups; each
+// has its own decider, and the groups share no state.
 //
-// The agent that decides asks all others several times a second, and names its rank. An agent that
-// has not been asked by one of a lower rank for a while takes the role; those of higher ranks wait
-// longer, so that one comes first. Only the agent that decides speaks to the store or to other
-// ranks, so the traffic grows with the ranks and not with their square. Two that both decide are
-// harmless: see GroupDecider. Requests never pass through an agent; one that is dead or cut off
-// costs nothing but map changes.
+// The decider polls all other agents several times a second and includes its rank in each query. An
+// agent that has received no query from a lower rank within a timeout becomes the decider, after a
+// delay that grows with its rank, so that one agent takes over before the next one tries. Only the
+// decider connects to the store and to other ranks, so traffic grows linearly with the number of
+// ranks, not quadratically. Two concurrent deciders are harmless; see GroupDecider. Inference
+// requests never pass through an agent: if one crashes or is partitioned, only map changes stop.
 #pragma once
 
 #include "decision/expertmap/expertplanner.h"
@@ -40,19 +40,23 @@
 {
     InstanceId instance;
     HallId hall;
-    TargetName service;   // Whose replicas form the group.
-    SocketAddress engine; // The rank beside this agent.
-    SocketAddress listen; // For the other agents; they listen at the same port.
+    TargetName service;   // The service whose replicas form the group.
+    SocketAddress engine; // The engine of this agent's rank.
+    SocketAddress listen; // For RPCs from other agents and gateways; all agents use one port.
     std::optional<SocketAddress> metricsListen;
     SocketAddress store;
-    // What the machine's link carries: questions, counts and orders are fitted to it.
+    // Bandwidth of the machine's link; the rate of queries, counts and orders is limited to fit it.
     double linkBytesPerSecond = 2'500'000.0; // 20 Mbit/s.
+    // Time between stop() and the end of the event loop.
     Duration stopDelay = std::chrono::milliseconds(100);
 };
 
+// Runs the agent of one rank on an event loop. Single-threaded; the constructor's references
+// outlive the object.
 class ExpertAgent final : private StoreListener, private StatusSource, private RankPeersListener
 {
 public:
+    // Opens the listening sockets and starts the agent.
     static tl::expected<std::unique_ptr<ExpertAgent>, NetError>
     create(EventLoop &loop, const ExpertAgentSettings &settings, const MetadataStore &store,
            const EngineProtocol &engineProtocol);
@@ -60,13 +64,13 @@
     ExpertAgent(const ExpertAgent &) = delete;
     ExpertAgent &operator=(const ExpertAgent &) = delete;
 
-    // Ends the agent. A change that is under way is cleared by the next decider.
+    // Stops the event loop after `stopDelay`. The next decider clears a change in progress.
     void stop();
 
 private:
     class Server;
 
-    // The agent of a lower rank that asked last.
+    // The lower-ranked decider that most recently queried this agent.
     struct LowerRankDecider
     {
         std::uint32_t rank = 0;
@@ -74,7 +78,7 @@
         std::string host;
     };
 
-    // A map that was in use when it was last asked for, in this epoch.
+    // The most recent map of this epoch that was known to be in use.
     struct CachedMap
     {
         std::uint64_t version = 0;
@@ -130,29 +134,29 @@
     const EngineProtocol &engineProtocol_;
     Metrics metrics_;
     UpstreamTable upstreams_;
-    StorePlace storePlace_; // Of the last list.
+    StorePlace storePlace_; // Position of the last full listing.
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<RawTransport> transport_;
     std::unique_ptr<OperatorServer> metricsServer_;
     std::unique_ptr<EngineClient> engineClient_;
     std::unique_ptr<OwnEngine> ownEngine_;
-    std::unique_ptr<OrderRelay> orderRelay_; // Of the orders of other agents.
+    std::unique_ptr<OrderRelay> orderRelay_; // Forwards orders from the decider to other agents.
     GroupReporter groupReporter_;
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> inboundPeers_;
-    GroupId ownGroup_; // Empty until the own engine has answered.
+    GroupId ownGroup_; // Empty until the own engine has first reported.
     std::optional<std::uint32_t> ownRank_;
-    std::uint32_t groupSize_ = 0;     // As the own engine has told.
-    Duration pauseGoal_{};            // Of the service's routes; zero: not known.
-    bool ownEngineHoldsStep_ = false; // The own engine holds a step, by its last report.
+    std::uint32_t groupSize_ = 0;     // Number of ranks, from the own engine's last report.
+    Duration pauseGoal_{};            // Shortest pause goal of the service's routes; zero: unknown.
+    bool ownEngineHoldsStep_ = false; // From the own engine's last report.
     std::optional<LowerRankDecider> lowerRankDecider_;
-    std::uint64_t ownCountsMark_ = 0; // Of the own rank's last counts.
+    std::uint64_t ownCountsMark_ = 0; // Mark of the own rank's last counts.
     std::uint64_t epoch_ = 0;
     TimePoint startedAt_{};
-    TimePoint ownPolledAt_{};  // For this agent itself.
-    TimePoint ownFetchedAt_{}; // For anyone.
+    TimePoint ownPolledAt_{};  // Last poll of the own engine by this agent.
+    TimePoint ownFetchedAt_{}; // Last query of the own engine, by this agent or for a decider.
     bool ownPollPending_ = false;
     std::uint64_t nextInboundId_ = 1;
-    // What the agent that decides has; the others have none of it.
+    // Decider state; null or unused while another agent decides.
     std::unique_ptr<StoreWatcher> storeWatcher_;
     std::unique_ptr<RankPeers> rankPeers_;
     std::unique_ptr<GroupDecider> decider_;
@@ -160,9 +164,9 @@
     std::optional<ExpertRule> rule_;
     std::map<std::uint32_t, ExpertsOfRank> rankExperts_; // By rank.
     std::optional<CachedMap> cachedMap_;
-    std::optional<ExpertMap> currentMap_; // The map in use, once it is known whole.
-    ExpertMap proposedMap_;               // That was last ordered here, and its version;
-    std::uint64_t proposedVersion_ = 0;   // zero: none in this epoch.
+    std::optional<ExpertMap> currentMap_; // The map in use, once known for all ranks.
+    ExpertMap proposedMap_;               // The last map that this agent proposed.
+    std::uint64_t proposedVersion_ = 0;   // Version of `proposedMap_`; zero: none in this epoch.
     TimePoint proposedAt_{};
     GroupDecider::Phase loggedPhase_ = GroupDecider::Phase::Idle;
     std::string_view loggedObstacle_;
