--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -7,7 +7,7 @@
 namespace seamarch {
 namespace {
 
-// The longest that a gateway may have its question wait.
+// Upper limit of the wait time that a caller may request.
 constexpr Duration kMaxWait = std::chrono::seconds(1);
 
 } // namespace
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -1,10 +1,8 @@
-// What an agent tells gateways of its group.
+// Serves the state of an expert agent's group to gateways.
 //
-// The agent that decides knows all ranks and how they fare, from their reports; it hands the facts
-// over at each tick, and questions that wait are answered as soon as they change. Any other agent
-// names the one that decides.
-//
-// Single-threaded. The loop outlives the object, and the object the serving ends.
+// The decider, which knows all ranks from their reports, publishes the group's facts at each tick;
+// waiting calls are answered as soon as the facts change. Any other agent refers callers to the
+// decider.
 #pragma once
 
 #include "decision/gateway/grouptable.h"
@@ -19,6 +17,8 @@
 
 namespace seamarch {
 
+// Answers the `group` calls of gateways by long polling. Single-threaded. The loop outlives the
+// object, and the object outlives the RPC servers that call it.
 class GroupReporter
 {
 public:
@@ -29,12 +29,14 @@
     GroupReporter(const GroupReporter &) = delete;
     GroupReporter &operator=(const GroupReporter &) = delete;
 
-    // This agent decides, and its group was so at `asOf`.
+    // Sets the facts of the group as of `asOf`; this agent is the decider.
     void publish(const GroupFacts &facts, TimePoint asOf);
-    // This agent does not decide; `host` is that of the one that does, empty when it is not known.
+    // Refers callers to the decider at `host`, which is empty if unknown; this agent is not the
+    // decider.
     void referTo(const std::string &host);
 
-    // Answers a gateway's question, at once or when there is news.
+    // Answers a `group` call: at once if the caller's mark is outdated or this agent is not the
+    // decider, otherwise when that becomes so or the caller's wait time is over.
     using Context = capnp::CallContext<wire::RankAgent::GroupParams, wire::RankAgent::GroupResults>;
     kj::Promise<void> answer(Context context);
 
@@ -44,10 +46,10 @@
 
     EventLoop &loop_;
     WakeList waiters_;
-    std::optional<GroupFacts> facts_; // While this agent decides.
-    std::uint64_t mark_ = 0;
-    TimePoint asOf_{};
-    std::string deciderHost_;
+    std::optional<GroupFacts> facts_; // Empty while this agent is not the decider.
+    std::uint64_t mark_ = 0;          // Digest of `facts_`.
+    TimePoint asOf_{};                // When `facts_` were last confirmed.
+    std::string deciderHost_;         // Empty if unknown.
 };
 
 } // namespace seamarch
