--- a/src/experts/maplognames.h
+++ b/src/experts/maplognames.h
@@ -1,4 +1,4 @@
-// How logs name the states, orders and answers of a change of map.
+// Names that log lines use for the phases, obstacles, orders and answers of expert map changes.
 #pragma once
 
 #include "decision/expertmap/groupdecider.h"
@@ -7,7 +7,7 @@
 
 namespace seamarch {
 
-// What an obstacle is called when there is none: a change may start.
+// Logged in place of an obstacle when a change may start.
 constexpr std::string_view kNoObstacleName = "none";
 
 std::string_view logName(GroupDecider::Phase phase);
