--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -9,15 +9,15 @@
 namespace seamarch {
 namespace {
 
-// How long the others may take: an agent answers within a quarter of a second also when its engine
-// is still copying, and the order crosses a link that is shared with the other ranks' orders.
+// How long agents may take to answer. An agent answers within 250 ms even if its engine is still
+// copying, and the order shares the link with the orders to other ranks.
 constexpr Duration kAnswerTimeout = std::chrono::milliseconds(600);
-// A connection that no order has used for this long is closed.
+// Links that have carried no order for this long are closed.
 constexpr Duration kLinkIdleTimeout = std::chrono::seconds(30);
 
 } // namespace
 
-// Hears of calls that failed in a way that nobody handled.
+// Logs failures of RPC calls that no handler caught.
 class OrderRelay::CallErrors final : public kj::TaskSet::ErrorHandler
 {
 public:
@@ -28,12 +28,12 @@
     }
 };
 
-// One order on its way to several agents.
+// One order in flight to several agents.
 struct OrderRelay::Batch
 {
-    std::vector<RelayTarget> pending; // Not answered yet.
+    std::vector<RelayTarget> pending; // Targets that have not answered.
     std::vector<RelayedAnswer> answers;
-    Done done; // Empty once it was called.
+    Done done; // Empty after it has been called.
 };
 
 OrderRelay::OrderRelay(EventLoop &loop, RawTransport &transport, int agentPort)
@@ -109,7 +109,7 @@
     }
 }
 
-// Takes those that have not answered for lost, and their connections for silent.
+// Reports the targets that have not answered as lost and closes their links, which may be dead.
 void OrderRelay::onTimeout(Batch &batch)
 {
     if (!batch.done) {
--- a/src/experts/orderrelay.h
+++ b/src/experts/orderrelay.h
@@ -1,11 +1,9 @@
-// Passes an order of the agent that decides on to the agents of other ranks, and collects what
-// became of it there.
+// Forwards an order from the group's decider to the agents of other ranks and collects their
+// answers.
 //
-// The relay assumes nothing of the order but that it does no harm when it comes late, twice or not
-// at all; see relayplan.h. An agent that does not answer in time counts as lost, and is reached by
-// a new connection next time.
-//
-// Single-threaded. What the constructor is given outlives the object.
+// Only orders that are harmless when they arrive late, twice or not at all may be relayed; see
+// relayplan.h. If an agent does not answer in time, its answer is reported as lost, and the next
+// order to it uses a new connection.
 #pragma once
 
 #include "decision/expertmap/groupdecider.h"
@@ -22,32 +20,35 @@
 
 namespace seamarch {
 
-// A rank, and where its agent listens.
+// A rank and the host of its agent.
 struct RelayTarget
 {
     std::uint32_t rank = 0;
     std::string host;
 };
 
-// What became of an order at a rank.
+// The outcome of a relayed order at one rank.
 struct RelayedAnswer
 {
     std::uint32_t rank = 0;
     MapOrderAnswer answer = MapOrderAnswer::Lost;
 };
 
+// Keeps one RPC link per agent and closes links that are idle. Single-threaded. The constructor's
+// references outlive the object.
 class OrderRelay
 {
 public:
     using Done = std::function<void(const std::vector<RelayedAnswer> &)>;
 
-    // Agents listen at `agentPort`.
+    // All agents listen on `agentPort`.
     OrderRelay(EventLoop &loop, RawTransport &transport, int agentPort);
     ~OrderRelay();
     OrderRelay(const OrderRelay &) = delete;
     OrderRelay &operator=(const OrderRelay &) = delete;
 
-    // Calls `done` once, when all have answered or the time for it is over.
+    // Sends `order` to all targets. Calls `done` once, when all have answered or the timeout has
+    // elapsed; a target without an answer is reported as MapOrderAnswer::Lost.
     void relay(const MapOrder &order, const std::vector<RelayTarget> &targets, Done done);
 
 private:
@@ -71,7 +72,7 @@
     RawTransport &transport_;
     int agentPort_;
     std::map<std::string, Link> links_; // By host.
-    // Timers ask whether the object still exists.
+    // False once the object is destroyed; checked by timers.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::unique_ptr<CallErrors> callErrors_;
     kj::TaskSet tasks_;
