--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -10,8 +10,8 @@
 namespace seamarch {
 namespace {
 
-// How often the engine is asked whether it has copied, and for how long. The decider hears of
-// longer copies by reports, and must not take a silent answer for a lost one.
+// How often and for how long the engine is polled for the end of a copy. The decider learns of
+// longer copies from reports; an answer that waited for them would count as lost.
 constexpr Duration kCopyPollInterval = std::chrono::milliseconds(25);
 constexpr Duration kCopyTimeout = std::chrono::milliseconds(250);
 
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -1,7 +1,6 @@
-// The engine beside an agent, as the agent sees it: it asks the engine on behalf of the agent that
-// decides, and hands it that agent's orders. Calls to it are free and its reports are fresh.
-//
-// Single-threaded. What the constructor is given outlives the object.
+// The engine that runs beside an expert agent. Its agent queries it and sends it orders on behalf
+// of the group's decider. Unlike calls to remote engines, calls to it have no cost and its reports
+// are current.
 #pragma once
 
 #include "decision/expertmap/choicecounts.h"
@@ -17,6 +16,9 @@
 
 namespace seamarch {
 
+// Combines an engine's reports with what only its agent knows: the orders sent through this process
+// and the counts since an earlier query. Single-threaded. The constructor's references outlive the
+// object.
 class OwnEngine
 {
 public:
@@ -28,13 +30,13 @@
     OwnEngine(const OwnEngine &) = delete;
     OwnEngine &operator=(const OwnEngine &) = delete;
 
-    // Hands over the facts, or nothing when the engine did not answer in time.
+    // Passes the engine's facts to `done`, or nothing if the engine did not report in time.
     void fetchFacts(RankQuery query, FactsDone done);
-    // Hands an order to the engine. A prepare is answered when its experts are copied, or as begun
-    // when that takes long: the agent that decides then learns of it with the next reports. An
-    // order under a lower fence than an earlier one is refused here.
+    // Sends an order to the engine. A prepare is answered with Copied when its experts are copied,
+    // or with Done if that takes long; the decider then learns of the copy from later reports. An
+    // order with a lower fence than an earlier one is answered with Fenced and not sent.
     void sendOrder(const MapOrder &order, OrderDone done);
-    // Forgets the fences and versions that were used: the engine is in another group.
+    // Discards the fences and versions of earlier orders, because the engine has changed groups.
     void resetOrders() { handedOrders_ = {}; }
 
 private:
@@ -45,7 +47,7 @@
     SocketAddress engine_;
     ChoiceLedger choiceLedger_;
     HandedOrders handedOrders_;
-    // Timers and answers ask whether the object still exists.
+    // False once the object is destroyed; checked by timers and HTTP callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
