--- a/src/experts/engineclient.cpp
+++ b/src/experts/engineclient.cpp
@@ -9,13 +9,14 @@
 namespace seamarch {
 namespace {
 
-// An engine answers such calls at once; one that does not is dead, cut off or losing answers.
+// A healthy engine answers these calls immediately; one that does not is dead, partitioned or
+// losing responses.
 constexpr Duration kCallTimeout = std::chrono::milliseconds(300);
 constexpr int kOk = 200;
 
 } // namespace
 
-// One question on its way through up to three calls.
+// A query in progress, which makes up to three calls in turn: report, counts, experts.
 struct EngineClient::PendingQuery
 {
     SocketAddress engine;
--- a/src/experts/engineclient.h
+++ b/src/experts/engineclient.h
@@ -1,4 +1,4 @@
-// Asks one engine for what its agent and its group's decider need, and hands it orders.
+// Queries engines over HTTP and sends them expert map orders.
 #pragma once
 
 #include "experts/engineprotocol.h"
@@ -10,35 +10,38 @@
 
 namespace seamarch {
 
-// What an engine, or the agent beside it, is asked for beside its report.
+// Selects what an engine, or the agent beside it, is to return in addition to its report.
 struct RankQuery
 {
     bool counts = false;
     bool experts = false;
-    std::uint64_t countsSince = 0; // Agents count from the moment that this mark names.
+    std::uint64_t countsSince = 0; // Mark from which an agent's counts start; engines ignore it.
 };
 
-// What it answered.
+// An engine's answer to a query.
 struct EngineFacts
 {
     RankReport report;
-    std::vector<std::uint64_t> counts; // Since its start. Empty: not asked for, or not answered.
-    std::optional<ExpertsOfRank> experts;
+    std::vector<std::uint64_t> counts; // Since the engine started. Empty: not queried or no answer.
+    std::optional<ExpertsOfRank> experts; // Empty: not queried or no answer.
 };
 
+// A stateless client for any number of engines. Single-threaded.
 class EngineClient
 {
 public:
-    // The loop, the client and the calls outlive the object.
+    // The loop, the client and the protocol outlive the object and its calls.
     EngineClient(EventLoop &loop, HttpClient &client, const EngineProtocol &protocol)
         : loop_(loop)
         , client_(client)
         , protocol_(protocol)
     {}
 
-    // Hands over the facts, or nothing when the engine did not answer in time.
+    // Passes the engine's facts to `done`, or nothing if no valid report arrived in time. Counts
+    // and experts that the engine fails to return are left empty.
     void fetchFacts(const SocketAddress &engine, RankQuery query,
                     std::function<void(std::optional<EngineFacts>)> done);
+    // Sends `order` and passes the outcome to `done`; Lost if no answer arrived in time.
     void sendOrder(const SocketAddress &engine, const MapOrder &order,
                    std::function<void(MapOrderAnswer)> done);
 
