--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -10,23 +10,24 @@
 namespace seamarch {
 namespace {
 
-// An agent that has not answered for this long is taken for dead or cut off.
+// An agent that has not answered for this long is considered dead or partitioned.
 constexpr Duration kAgentTimeout = std::chrono::milliseconds(1000);
-// How long one that has never answered counts as answering: a question and its answer take some
-// milliseconds, and a group that is held can't wait for an agent that is frozen.
+// How long a new agent counts as responding before its first answer. A round trip takes a few
+// milliseconds, and a group that is held must not wait for a frozen agent.
 constexpr Duration kFirstAnswerTimeout = std::chrono::milliseconds(250);
-// How long an agent waits for another one's answer.
+// How long an answer to a query is awaited before the peer may be queried again.
 constexpr Duration kAgentQueryTimeout = std::chrono::milliseconds(600);
-// A question for counts goes on from the one before when that is no older than this.
+// A counts query starts at the previous one's mark if that query is younger than this.
 constexpr Duration kMaxMarkAge = std::chrono::seconds(1);
-// A few answers at a time never queue before a link: 16 reports are some 6 KB.
+// Small batches need no limit because their answers do not queue at the link: 16 reports take about
+// 6 KB.
 constexpr std::size_t kMinQueriesPerCall = 16;
-// What an engine tells to others than its own agent may be this old already.
+// Reports that an engine returns to remote callers may be up to this old.
 constexpr Duration kMaxEngineReportAge = std::chrono::milliseconds(300);
 
 } // namespace
 
-// Hears of calls to other agents that failed in a way that nobody handled.
+// Logs failures of RPC calls that no handler caught.
 class RankPeers::CallErrors final : public kj::TaskSet::ErrorHandler
 {
 public:
@@ -111,7 +112,7 @@
             due.emplace_back(peer.askedAt, id);
         }
     }
-    // A tenth more than one share of a gap, because turns come a little late.
+    // 10% more than the even share per call, because calls come slightly late.
     constexpr double kLateCallFactor = 1.1;
     const double share =
         static_cast<double>(peers_.size()) * toSeconds(callInterval) / toSeconds(interval);
@@ -128,7 +129,7 @@
                               std::uint32_t ownRank)
 {
     const std::map<std::uint32_t, InstanceId> engines = roster_.engines();
-    std::uint64_t credit = 0; // In parts of `ranks`.
+    std::uint64_t credit = 0; // Queries due, in units of 1 / `ranks`.
     for (std::uint32_t rank = 0; rank < ranks; ++rank) {
         credit += count;
         if (credit < ranks) {
@@ -136,7 +137,7 @@
         }
         const auto engine = engines.find(rank);
         if (rank == ownRank) {
-            credit -= ranks; // The own engine is asked without the link.
+            credit -= ranks; // The caller polls the own engine, which does not use the link.
         } else if (engine != engines.end()) {
             Peer &peer = peers_.at(engine->second);
             if (peer.agentQueryPending || !agentResponds(peer)) {
@@ -156,11 +157,11 @@
     Peer &peer = peers_.at(id);
     peer.askedAt = now;
     if (query.counts) {
-        // Counts over a long time would mix what was asked for then with what is now.
+        // Counts over a long period would mix past demand with current demand.
         peer.countsMark = now - peer.countsAskedAt < kMaxMarkAge ? peer.countsMark : 0;
         peer.countsAskedAt = now;
     }
-    // A connection may have gone silent for good while a new one works.
+    // A connection may be silent for good while a new one would work.
     if (!agentResponds(peer) && now - peer.connectedAt >= kAgentTimeout) {
         connect(peer);
     }
@@ -217,7 +218,8 @@
     deliverFacts(id, facts, askedAt);
 }
 
-// Notes where the engine belongs, and passes on what concerns the own group.
+// Records the engine's group and rank, and passes its facts to the listener unless it belongs to
+// another group.
 void RankPeers::deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
 {
     roster_.note(id, facts.report.group, facts.report.rank);
@@ -226,7 +228,8 @@
     }
 }
 
-// Asks the engine of a rank whose agent does not answer. Its report lags, which only delays.
+// Queries the engine of a rank whose agent does not respond. Its report lags, which only delays
+// decisions.
 void RankPeers::requestFromEngine(const InstanceId &id, const RankQuery &query)
 {
     Peer &peer = peers_.at(id);
@@ -262,7 +265,7 @@
         }
         const bool silent = !agentResponds(*peer);
         if (silent && action.way == OrderWay::AgentOnly) {
-            continue; // The decider sends it again.
+            continue; // The decider retransmits it.
         }
         if (silent || action.way == OrderWay::Engine) {
             sendToEngine(*peer, action);
@@ -277,7 +280,8 @@
     }
 }
 
-// Sends prepares of one map, which all agents take alike.
+// Sends the prepares of one map, which are identical for all ranks, through relays if that is
+// faster.
 void RankPeers::sendPrepares(const MapOrders &prepares)
 {
     const MapOrder &order = prepares.front().order;
@@ -313,7 +317,8 @@
                             });
 }
 
-// The first rank's agent hands the order to its own engine and to the agents of the others.
+// Sends an order to the agent of the block's first rank, which forwards it to its own engine and to
+// the agents of the other ranks.
 void RankPeers::sendToRelay(const std::vector<std::uint32_t> &block, const MapOrder &order)
 {
     Peer &relay = *peerOfRank(block.front());
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -1,12 +1,12 @@
-// The agents beside the other ranks of a group, as the agent that decides sees them: it asks them
-// what their ranks report and hands them orders. All engines of the service are peers, because only
-// they know which group they are in; those of other groups are asked seldom and get no orders.
-// Where an agent does not answer, its engine is
-// asked and ordered directly, which has a price and lags, but keeps the group's map changeable.
+// The decider's connections to the agents of the other ranks: it polls them for their ranks'
+// reports and sends them orders.
 //
-// Only the agent that decides has peers; the others hear its questions, and ask nothing.
+// All engines of the service are peers, because only an engine itself knows its group. Engines of
+// other groups are polled seldom and receive no orders. If an agent does not respond, its engine is
+// queried and sent orders directly. Such calls are expensive and their reports lag, but the group's
+// map can still be changed.
 //
-// Single-threaded. What the constructor is given outlives the object.
+// Only the decider has peers; all other agents just answer its queries.
 #pragma once
 
 #include "decision/expertmap/grouproster.h"
@@ -25,25 +25,28 @@
 
 namespace seamarch {
 
-// Hears what peers answer. Outlives the peers.
+// Receives the answers of peers. Outlives the RankPeers object.
 class RankPeersListener
 {
 public:
     virtual ~RankPeersListener() = default;
 
-    // The facts of a rank of the own group, as of `askedAt` or later.
+    // Called with the facts of a rank of the own group, which held at `askedAt` or later.
     virtual void onPeerFacts(const RankFacts &facts, TimePoint askedAt) = 0;
+    // Called with the outcome of an order; Lost if no answer arrived.
     virtual void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
                                    MapOrderAnswer answer) = 0;
 };
 
+// Polls and orders the peers of one decider. Single-threaded. The constructor's references outlive
+// the object.
 class RankPeers
 {
 public:
     struct Settings
     {
-        int agentPort = 0; // Agents listen at it, each at the address of its engine.
-        GroupId group;     // The own one.
+        int agentPort = 0; // Port of all agents; each listens on the host of its engine.
+        GroupId group;     // The decider's group.
         double linkBytesPerSecond = 0.0;
     };
 
@@ -53,21 +56,23 @@
     RankPeers(const RankPeers &) = delete;
     RankPeers &operator=(const RankPeers &) = delete;
 
-    // Takes the engines of the service but the own one.
+    // Replaces the list of engines: all of the service except the own one.
     void setEngines(const std::map<InstanceId, SocketAddress> &engines);
-    // Asks peers for reports whose last question is at least `gap` ago and answered, or given up,
-    // the longest unasked first. Called every `turn`, it asks no more than it must at a time, so
-    // that answers do not queue before the link. `ownRank` tells them who decides.
+    // Requests reports from peers whose last query is at least `interval` old and has been answered
+    // or has timed out, those with the oldest query first. Must be called every `callInterval`;
+    // limits the queries per call so that the answers do not queue at the link. `ownRank` tells the
+    // peers which rank is the decider.
     void requestReports(const RankQuery &query, Duration interval, Duration callInterval,
                         std::uint32_t ownRank);
-    // Asks about `count` of the group's `ranks` ranks, the own one included, for counts as well.
-    // They are spread evenly over the group; for one that does not answer, the next is asked.
+    // Requests reports with counts from about `count` of the group's `ranks` ranks, including the
+    // own rank, which the caller polls itself. The ranks are spread evenly over the group; one that
+    // does not respond is replaced by the next.
     void requestCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
                        std::uint32_t ownRank);
-    // Returns the engines of the group's other ranks that have said so, by rank.
+    // Returns the engines of the group's other ranks, by rank, as far as they have reported it.
     std::map<std::uint32_t, SocketAddress> engines() const;
-    // Hands orders to other ranks. An order to a rank that is not known yet is dropped; the decider
-    // sends it again.
+    // Sends orders to other ranks. An order to a rank that is not known yet is dropped; the decider
+    // retransmits it.
     void send(const MapOrders &orders);
 
 private:
@@ -78,9 +83,9 @@
         SocketAddress engine;
         std::unique_ptr<RpcLink> link;
         TimePoint connectedAt{};
-        std::uint64_t countsMark = 0; // Of the last counts; zero: none.
+        std::uint64_t countsMark = 0; // Mark of the last counts; zero: none.
         TimePoint countsAskedAt{};
-        TimePoint answeredAt{}; // By the agent; when it was listed, before its first answer.
+        TimePoint answeredAt{}; // Last answer of the agent; set from the listing time at first.
         TimePoint askedAt{};
         bool agentQueryPending = false;
         bool engineQueryPending = false;
@@ -107,7 +112,7 @@
     GroupRoster roster_;
     std::uint64_t relayTurn_ = 0;
     std::map<InstanceId, Peer> peers_;
-    // Timers and answers of engines ask whether the peers still exist.
+    // False once the object is destroyed; checked by timers and HTTP callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::unique_ptr<CallErrors> callErrors_;
     kj::TaskSet tasks_;
