--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -8,7 +8,8 @@
 
 using NumberList = capnp::List<std::uint16_t>;
 
-// More sets, ranks or experts of a rank than any group has: a longer number is no number of ours.
+// Exceeds the number of sets, ranks and experts per rank of any group; a larger number is
+// malformed.
 constexpr std::uint32_t kMaxNumber = 65'535;
 
 void writeNumbers(const std::vector<std::uint16_t> &numbers, NumberList::Builder list)
@@ -68,7 +69,7 @@
     bytes.push_back(static_cast<std::uint8_t>(number));
 }
 
-// Reads numbers from the front of some bytes.
+// Reads consecutive varints from a byte sequence.
 class VarintReader
 {
 public:
@@ -76,6 +77,7 @@
         : bytes_(bytes)
     {}
 
+    // Returns the next number, or nothing if it is truncated or above kMaxNumber.
     std::optional<std::uint32_t> next()
     {
         constexpr std::uint32_t kContinuationBit = 0x80;
--- a/src/experts/rankwire.h
+++ b/src/experts/rankwire.h
@@ -1,4 +1,4 @@
-// Converts what the agents of a group tell each other from and to its form on the wire.
+// Converts the messages between the agents of a group to and from their Cap'n Proto encoding.
 #pragma once
 
 #include "decision/expertmap/choicecounts.h"
@@ -12,25 +12,28 @@
 
 namespace seamarch {
 
-// What the agent beside a rank tells the one that decides.
+// The answer of a rank's agent to a query of the group's decider.
 struct RankFacts
 {
     RankReport report;
-    std::optional<ChoiceCounts> choices;  // When asked for, and the engine answered.
-    std::optional<ExpertsOfRank> experts; // The same.
+    std::optional<ChoiceCounts> choices;  // Empty: not queried or no answer from the engine.
+    std::optional<ExpertsOfRank> experts; // Empty: not queried or no answer from the engine.
 };
 
 void writeFacts(const RankFacts &facts, wire::RankState::Builder state);
 RankFacts readFacts(wire::RankState::Reader state);
 
 void writeOrder(const MapOrder &order, wire::RankOrder::Builder to);
-// Returns nothing when the order's experts make no sense.
+// Returns nothing if the order's expert map is malformed.
 std::optional<MapOrder> readOrder(wire::RankOrder::Reader from);
 
-// Writes a map in about a byte an expert, because a prepare carries the whole map to every rank:
-// numbers in groups of seven bits, lowest first; for each set its ranks, for each rank its experts,
-// as the gaps between them in rising order.
+// Encodes a map in about one byte per expert, because a prepare carries the whole map to every
+// rank. All numbers are LEB128 varints (seven bits per byte, lowest bits first): the number of
+// sets, for each set the number of ranks, and for each rank the number of experts followed by the
+// differences between successive experts, which must be in ascending order.
 std::vector<std::uint8_t> packExperts(const ExpertMap &map);
+// Decodes a map. Returns nothing if `bytes` is truncated, has trailing bytes or holds a number
+// above 65535.
 std::optional<ExpertMap> unpackExperts(std::span<const std::uint8_t> bytes);
 
 } // namespace seamarch
