--- a/test/experts/orderrelay_test.cpp
+++ b/test/experts/orderrelay_test.cpp
@@ -1,5 +1,5 @@
-// What becomes of an order that an agent passes on to the agents of other ranks, when some of them
-// answer, are gone or say nothing. Real sockets on loopback; each agent has an address of its own.
+// Tests of OrderRelay with agents that answer, are unreachable, or accept connections but never
+// answer. Uses real sockets on loopback; each agent has its own address.
 #include "experts/orderrelay.h"
 #include "experts/rankwire.h"
 #include "freeport.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-// An agent that takes each order for copied and notes its version.
+// Answers each order with Copied and records its version.
 class CopyingAgent final : public wire::RankAgent::Server
 {
 public:
@@ -44,7 +44,7 @@
             return answer.answer;
         }
     }
-    FAIL("no answer of a rank that the order was passed on to");
+    FAIL("no answer reported for a target of the order");
     return MapOrderAnswer::Lost;
 }
 
@@ -112,7 +112,7 @@
         loop->schedule(std::chrono::milliseconds(1500), [&loop] { loop->stop(); });
         loop->run();
     }
-    CHECK_TEXT(silentStreams.size() >= 2, "the second order went through the silent connection");
+    CHECK_TEXT(silentStreams.size() >= 2, "the second order reused the silent connection");
     silentStreams.clear();
     loop->shutDown();
 }
--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -1,4 +1,4 @@
-// What a decider does when the agent beside a rank goes silent. Real sockets on loopback.
+// Tests of RankPeers with an agent that stops answering. Uses real sockets on loopback.
 #include "enginecalls.h"
 #include "experts/rankpeers.h"
 #include "freeport.h"
@@ -22,7 +22,8 @@
 
 TEST_GROUP(RankPeersTest){};
 
-// An open connection may go silent for good, without a reset, while new ones work.
+// Guards against a peer that stays on one connection for good: an open connection may stop carrying
+// data without a reset while new connections work.
 TEST(RankPeersTest, ReconnectsToAnAgentWhoseConnectionHasGoneSilent)
 {
     auto loop = *EventLoop::create();
@@ -32,7 +33,7 @@
     EngineClient engineClient(*loop, *client, protocol);
     NullListener listener;
     const int agentPort = freePort();
-    // Accepts, and never says a word.
+    // Accepts connections and never answers.
     std::vector<kj::Own<RawStream>> accepted;
     const auto keep = [&accepted](kj::Own<RawStream> stream) {
         accepted.push_back(kj::mv(stream));
@@ -50,7 +51,7 @@
         loop->run();
     }
     CHECK_TEXT(accepted.size() >= 2,
-               "expected a second connection within 3.5 s, found the silent one still in use");
+               "no second connection within 3.5 s; the silent one is still in use");
     accepted.clear();
     loop->shutDown();
 }
