--- a/test/experts/orderrelay_test.cpp
+++ b/test/experts/orderrelay_test.cpp
@@ -52,7 +52,7 @@
 
 TEST_GROUP(OrderRelayTest){};
 
-TEST(OrderRelayTest, ReportsSilentAndUnreachableAgentsAsLost)
+TEST(OrderRelayTest, CollectsAnswersAndReportsSilentAndUnreachableAgentsAsLost)
 {
     auto loop = *EventLoop::create();
     auto transport = *RawTransport::create(*loop);
