--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -158,8 +158,8 @@
     peer.askedAt = now;
     if (query.counts) {
         // Counts over a long period would mix past demand with current demand.
-        peer.countsMark = now - peer.countsAskedAt < kMaxMarkAge ? peer.countsMark : 0;
-        peer.countsAskedAt = now;
+        peer.countsMark = now - peer.countsRequestedAt < kMaxMarkAge ? peer.countsMark : 0;
+        peer.countsRequestedAt = now;
     }
     // A connection may be silent for good while a new one would work.
     if (!agentResponds(peer) && now - peer.connectedAt >= kAgentTimeout) {
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -84,7 +84,7 @@
         std::unique_ptr<RpcLink> link;
         TimePoint connectedAt{};
         std::uint64_t countsMark = 0; // Mark of the last counts; zero: none.
-        TimePoint countsAskedAt{};
+        TimePoint countsRequestedAt{};
         TimePoint answeredAt{}; // Last answer of the agent; set from the listing time at first.
         TimePoint askedAt{};
         bool agentQueryPending = false;
