--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -130,10 +130,10 @@
         writeVarint(sizeOf(ranks), bytes);
         for (const std::vector<std::uint16_t> &experts : ranks) {
             writeVarint(sizeOf(experts), bytes);
-            std::uint32_t last = 0;
+            std::uint32_t previous = 0;
             for (const std::uint16_t expert : experts) {
-                writeVarint(expert - last, bytes);
-                last = expert;
+                writeVarint(expert - previous, bytes);
+                previous = expert;
             }
         }
     }
