--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 // Logs failures of RPC calls that no handler caught.
-class OrderRelay::CallErrors final : public kj::TaskSet::ErrorHandler
+class OrderRelay::CallErrorLogger final : public kj::TaskSet::ErrorHandler
 {
 public:
     void taskFailed(kj::Exception &&exception) override
@@ -40,7 +40,7 @@
     : loop_(loop)
     , transport_(transport)
     , agentPort_(agentPort)
-    , callErrors_(std::make_unique<CallErrors>())
+    , callErrors_(std::make_unique<CallErrorLogger>())
     , tasks_(*callErrors_)
 {}
 
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 // Logs failures of RPC calls that no handler caught.
-class RankPeers::CallErrors final : public kj::TaskSet::ErrorHandler
+class RankPeers::CallErrorLogger final : public kj::TaskSet::ErrorHandler
 {
 public:
     void taskFailed(kj::Exception &&exception) override
@@ -46,7 +46,7 @@
     , settings_(settings)
     , listener_(listener)
     , roster_(settings.group)
-    , callErrors_(std::make_unique<CallErrors>())
+    , callErrors_(std::make_unique<CallErrorLogger>())
     , tasks_(*callErrors_)
 {}
 
