--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -40,8 +40,8 @@
     : loop_(loop)
     , transport_(transport)
     , agentPort_(agentPort)
-    , callErrors_(std::make_unique<CallErrorLogger>())
-    , tasks_(*callErrors_)
+    , callErrorLogger_(std::make_unique<CallErrorLogger>())
+    , tasks_(*callErrorLogger_)
 {}
 
 OrderRelay::~OrderRelay()
--- a/src/experts/orderrelay.h
+++ b/src/experts/orderrelay.h
@@ -74,7 +74,7 @@
     std::map<std::string, Link> links_; // By host.
     // False once the object is destroyed; checked by timers.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    std::unique_ptr<CallErrorLogger> callErrors_;
+    std::unique_ptr<CallErrorLogger> callErrorLogger_;
     kj::TaskSet tasks_;
 };
 
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -46,8 +46,8 @@
     , settings_(settings)
     , listener_(listener)
     , roster_(settings.group)
-    , callErrors_(std::make_unique<CallErrorLogger>())
-    , tasks_(*callErrors_)
+    , callErrorLogger_(std::make_unique<CallErrorLogger>())
+    , tasks_(*callErrorLogger_)
 {}
 
 RankPeers::~RankPeers()
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -114,7 +114,7 @@
     std::map<InstanceId, Peer> peers_;
     // False once the object is destroyed; checked by timers and HTTP callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    std::unique_ptr<CallErrorLogger> callErrors_;
+    std::unique_ptr<CallErrorLogger> callErrorLogger_;
     kj::TaskSet tasks_;
 };
 
