--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -341,9 +341,9 @@
     const TimePoint vacantSince =
         std::max(startedAt_ + kStartupDelay,
                  lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + timeout : TimePoint{});
-    const bool immediately = *ownRank_ == 0 || ownEngineHoldsStep_;
+    const bool skipDelay = *ownRank_ == 0 || ownEngineHoldsStep_;
     const Duration takeoverDelay =
-        immediately ? Duration{} : kTakeoverBaseDelay + kTakeoverDelayPerRank * *ownRank_;
+        skipDelay ? Duration{} : kTakeoverBaseDelay + kTakeoverDelayPerRank * *ownRank_;
     return now - vacantSince >= takeoverDelay;
 }
 
