--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -70,9 +70,9 @@
         auto fulfiller =
             std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(pending.fulfiller));
         const auto params = context.getParams();
-        const GroupId askerGroup(params.getAskerGroup().cStr());
-        agent_.onDeciderQuery(askerGroup, params.getAskerRank(), peerHost_);
-        const bool ownGroup = askerGroup == agent_.ownGroup_;
+        const GroupId deciderGroup(params.getAskerGroup().cStr());
+        agent_.onDeciderQuery(deciderGroup, params.getAskerRank(), peerHost_);
+        const bool ownGroup = deciderGroup == agent_.ownGroup_;
         const RankQuery query{ownGroup && params.getCounts(), ownGroup && params.getExperts(),
                               params.getCountsSince()};
         agent_.fetchOwnFacts(query, [context, fulfiller](std::optional<RankFacts> facts) mutable {
@@ -286,10 +286,10 @@
     publishGroupFacts();
 }
 
-void ExpertAgent::onDeciderQuery(const GroupId &askerGroup, std::uint32_t askerRank,
+void ExpertAgent::onDeciderQuery(const GroupId &deciderGroup, std::uint32_t askerRank,
                                  const std::string &askerHost)
 {
-    if (ownRank_ && askerGroup == ownGroup_ && askerRank < *ownRank_) {
+    if (ownRank_ && deciderGroup == ownGroup_ && askerRank < *ownRank_) {
         lowerRankDecider_ = LowerRankDecider{askerRank, loop_.now(), askerHost};
     }
 }
