--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -286,11 +286,11 @@
     publishGroupFacts();
 }
 
-void ExpertAgent::onDeciderQuery(const GroupId &deciderGroup, std::uint32_t askerRank,
+void ExpertAgent::onDeciderQuery(const GroupId &deciderGroup, std::uint32_t deciderRank,
                                  const std::string &askerHost)
 {
-    if (ownRank_ && deciderGroup == ownGroup_ && askerRank < *ownRank_) {
-        lowerRankDecider_ = LowerRankDecider{askerRank, loop_.now(), askerHost};
+    if (ownRank_ && deciderGroup == ownGroup_ && deciderRank < *ownRank_) {
+        lowerRankDecider_ = LowerRankDecider{deciderRank, loop_.now(), askerHost};
     }
 }
 
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -103,7 +103,7 @@
     bool shouldDecide() const;
     void becomeDecider();
     void stepDown();
-    void onDeciderQuery(const GroupId &deciderGroup, std::uint32_t askerRank,
+    void onDeciderQuery(const GroupId &deciderGroup, std::uint32_t deciderRank,
                         const std::string &askerHost);
     void publishGroupFacts();
     GroupFacts groupFacts() const;
