--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -287,10 +287,10 @@
 }
 
 void ExpertAgent::onDeciderQuery(const GroupId &deciderGroup, std::uint32_t deciderRank,
-                                 const std::string &askerHost)
+                                 const std::string &deciderHost)
 {
     if (ownRank_ && deciderGroup == ownGroup_ && deciderRank < *ownRank_) {
-        lowerRankDecider_ = LowerRankDecider{deciderRank, loop_.now(), askerHost};
+        lowerRankDecider_ = LowerRankDecider{deciderRank, loop_.now(), deciderHost};
     }
 }
 
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -104,7 +104,7 @@
     void becomeDecider();
     void stepDown();
     void onDeciderQuery(const GroupId &deciderGroup, std::uint32_t deciderRank,
-                        const std::string &askerHost);
+                        const std::string &deciderHost);
     void publishGroupFacts();
     GroupFacts groupFacts() const;
     void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
