--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -144,9 +144,9 @@
                 continue;
             }
             credit -= ranks;
-            RankQuery asked = query;
-            asked.counts = true;
-            requestFacts(engine->second, asked, ownRank);
+            RankQuery countsQuery = query;
+            countsQuery.counts = true;
+            requestFacts(engine->second, countsQuery, ownRank);
         }
     }
 }
