--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -45,7 +45,7 @@
 }
 
 void GroupReporter::writeResults(wire::RankAgent::GroupResults::Builder results,
-                                 std::uint64_t askedMark) const
+                                 std::uint64_t callerMark) const
 {
     results.setDecides(facts_.has_value());
     if (!facts_) {
@@ -54,7 +54,7 @@
     }
     results.setGroup(facts_->group.value());
     results.setMark(mark_);
-    writeGroup(*facts_, loop_.now() - asOf_, askedMark != mark_, results.initNews());
+    writeGroup(*facts_, loop_.now() - asOf_, callerMark != mark_, results.initNews());
 }
 
 } // namespace seamarch
