--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -34,14 +34,14 @@
 
 kj::Promise<void> GroupReporter::answer(Context context)
 {
-    const std::uint64_t asked = context.getParams().getMark();
+    const std::uint64_t callerMark = context.getParams().getMark();
     const Duration wait = std::min(Duration(context.getParams().getWaitMicros()), kMaxWait);
-    if (!facts_ || asked != mark_ || wait <= Duration{}) {
-        writeResults(context.getResults(), asked);
+    if (!facts_ || callerMark != mark_ || wait <= Duration{}) {
+        writeResults(context.getResults(), callerMark);
         return kj::READY_NOW;
     }
     return waiters_.wait(wait).then(
-        [this, context, asked]() mutable { writeResults(context.getResults(), asked); });
+        [this, context, callerMark]() mutable { writeResults(context.getResults(), callerMark); });
 }
 
 void GroupReporter::writeResults(wire::RankAgent::GroupResults::Builder results,
