--- a/src/experts/engineprotocol.h
+++ b/src/experts/engineprotocol.h
@@ -37,10 +37,11 @@
     // The readers parse a response body and return a description of the fault if it is malformed.
     // readReport() also fails if the engine belongs to no group.
     virtual tl::expected<RankReport, std::string> readReport(std::string_view body) const = 0;
-    // Returns how often each expert was chosen since the engine started; the counts of one set of
-    // layers follow those of the other.
+    // Returns how often each expert was chosen since the engine started, concatenated by set of
+    // layers.
     virtual tl::expected<std::vector<std::uint64_t>, std::string>
     readCounts(std::string_view body) const = 0;
+    // Returns the experts that the rank holds in the map in use.
     virtual tl::expected<ExpertsOfRank, std::string> readExperts(std::string_view body) const = 0;
     // Maps the HTTP status of the response to an order.
     virtual MapOrderAnswer readOrderAnswer(int status) const = 0;
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -48,9 +48,10 @@
 // once per unit, so a later decider normally starts above it.
 constexpr std::chrono::milliseconds kFenceUnit{100};
 // How long a store watch waits for changes. Long, because only the list of engines is needed and
-// store calls are expensive.
+// every store call has a cost.
 constexpr Duration kStoreWatchTimeout = std::chrono::seconds(10);
-// How long store changes are batched. A new engine takes longer than this to form its group.
+// How long the store watch pauses after changes, so that they are read in batches. A new engine
+// takes longer than this to form its group.
 constexpr Duration kStoreWatchBatchDelay = std::chrono::milliseconds(200);
 
 } // namespace
@@ -350,7 +351,7 @@
 void ExpertAgent::updateRole()
 {
     if (isDecider() && (decider_->ownRank() != *ownRank_ || decider_->group() != ownGroup_)) {
-        stepDown(); // The group has formed anew with other ranks, or this rank has changed groups.
+        stepDown(); // The group has re-formed with a new own rank, or the engine changed groups.
     }
     const bool decides = shouldDecide();
     if (decides == isDecider()) {
@@ -495,7 +496,7 @@
     proposedVersion_ = 0;
 }
 
-// Discards the known maps if `report` names a later epoch, because versions restart with an epoch.
+// Discards all known maps if `report` names a later epoch, which voids the maps of earlier ones.
 void ExpertAgent::updateEpoch(const RankReport &report)
 {
     if (report.epoch <= epoch_) {
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -19,8 +19,8 @@
 constexpr Duration kAgentQueryTimeout = std::chrono::milliseconds(600);
 // A counts query starts at the previous one's mark if that query is younger than this.
 constexpr Duration kMaxMarkAge = std::chrono::seconds(1);
-// Small batches need no limit because their answers do not queue at the link: 16 reports take about
-// 6 KB.
+// Up to this many queries are always allowed per call, because so few answers never queue at the
+// link: 16 reports take about 6 KB.
 constexpr std::size_t kMinQueriesPerCall = 16;
 // Reports that an engine returns to remote callers may be up to this old.
 constexpr Duration kMaxEngineReportAge = std::chrono::milliseconds(300);
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -3,8 +3,8 @@
 //
 // All engines of the service are peers, because only an engine itself knows its group. Engines of
 // other groups are polled seldom and receive no orders. If an agent does not respond, its engine is
-// queried and sent orders directly. Such calls are expensive and their reports lag, but the group's
-// map can still be changed.
+// queried and sent orders directly. Such calls have a cost and the engine's reports lag, but the
+// group's map can still be changed.
 //
 // Only the decider has peers; all other agents just answer its queries.
 #pragma once
@@ -31,7 +31,7 @@
 public:
     virtual ~RankPeersListener() = default;
 
-    // Called with the facts of a rank of the own group, which held at `askedAt` or later.
+    // Called with the facts of a rank of the own group, as of `askedAt` or later.
     virtual void onPeerFacts(const RankFacts &facts, TimePoint askedAt) = 0;
     // Called with the outcome of an order; Lost if no answer arrived.
     virtual void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
@@ -47,7 +47,7 @@
     {
         int agentPort = 0; // Port of all agents; each listens on the host of its engine.
         GroupId group;     // The decider's group.
-        double linkBytesPerSecond = 0.0;
+        double linkBytesPerSecond = 0.0; // Bandwidth of the decider's link.
     };
 
     RankPeers(EventLoop &loop, RawTransport &transport, EngineClient &engineClient,
--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -8,8 +8,7 @@
 
 using NumberList = capnp::List<std::uint16_t>;
 
-// Exceeds the number of sets, ranks and experts per rank of any group; a larger number is
-// malformed.
+// No group has more sets, ranks or experts per rank than this; a larger number is malformed.
 constexpr std::uint32_t kMaxNumber = 65'535;
 
 void writeNumbers(const std::vector<std::uint16_t> &numbers, NumberList::Builder list)
