--- a/src/experts/maplognames.cpp
+++ b/src/experts/maplognames.cpp
@@ -27,19 +27,19 @@
     case GroupDecider::Obstacle::None:
         return kNoObstacleName;
     case GroupDecider::Obstacle::ChangeUnderWay:
-        return "change under way";
+        return "change in progress";
     case GroupDecider::Obstacle::RanksUnknown:
         return "ranks unknown";
     case GroupDecider::Obstacle::GroupBroken:
-        return "group broken";
+        return "group accepts no requests";
     case GroupDecider::Obstacle::ReportsOld:
-        return "reports old";
+        return "reports outdated";
     case GroupDecider::Obstacle::MapsDiffer:
         return "maps differ";
     case GroupDecider::Obstacle::ArmLeft:
-        return "arm left";
+        return "armed map not in use yet";
     case GroupDecider::Obstacle::Foreign:
-        return "foreign arm or hold";
+        return "arm or hold of another decider";
     }
     return "unknown";
 }
