--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -613,7 +613,7 @@
         return;
     }
     if (!rule_ || !currentMap_) {
-        logObstacleChange(rule_ ? "map in use unknown" : "no configuration");
+        logObstacleChange(rule_ ? "experts of a rank unknown" : "no configuration");
         return;
     }
     logObstacleChange(kNoObstacleName);
