--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -1,4 +1,4 @@
-// Tests of RankPeers with an agent that stops answering. Uses real sockets on loopback.
+// Tests of RankPeers with an agent that does not answer. Uses real sockets on loopback.
 #include "enginecalls.h"
 #include "experts/rankpeers.h"
 #include "freeport.h"
