--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -4,7 +4,7 @@
 #include "base/log.h"
 #include "base/wallclock.h"
 #include "decision/expertmap/collectionplan.h"
-#include "experts/mapwords.h"
+#include "experts/maplognames.h"
 #include "experts/rankwire.h"
 #include "net/rpcpeer.h"
 
@@ -19,38 +19,44 @@
 
 using nlohmann::json;
 
-constexpr Duration kTick = std::chrono::milliseconds(50);
-// Counts of less than about a pass tell nothing new.
-constexpr Duration kLeastCountsGap = std::chrono::milliseconds(100);
-// How often an agent that does not decide asks its own engine for its rank, unless the agent that
-// decides has asked it meanwhile. Such calls are free.
-constexpr Duration kOwnGap = std::chrono::milliseconds(200);
-// A decider that has not asked for this long is taken for dead or cut off. It asks some five times
-// in it, whatever the size of the group. Two that both decide are harmless, and a group that one
-// has left held makes no pass.
-constexpr Duration kDeciderLife = std::chrono::milliseconds(500);
-constexpr Duration kDeciderLifePerRank = std::chrono::milliseconds(10);
-// While its own engine holds a step, the successor of a decider waits for this part of that life
-// alone, and for no turn: the whole group stands still for a decider that is dead, and one that
-// lives asks several times in it, most often during a change.
-constexpr int kLifePartWhenHeld = 2;
-// Each rank waits this much longer than the one before it, so that one takes the role and is heard
-// before the next would take it: a question and a tick later.
-constexpr Duration kTurnPerRank = std::chrono::milliseconds(100);
-// What every rank but the first waits besides: connections to all ranks take some time to make.
-constexpr Duration kTurnOfOthers = std::chrono::milliseconds(200);
-// How long a new agent listens before it may decide: a decider that lives has asked by then.
-constexpr Duration kStartDelay = std::chrono::milliseconds(600);
-// Fences start at the time of day, in units of this; a decider raises its fence less often.
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
+// Counts over less than about one pass carry no new information.
+constexpr Duration kMinCountsInterval = std::chrono::milliseconds(100);
+// How often an agent that is not the decider polls its own engine for its rank, unless a query from
+// the decider has fetched the report in the meantime. Calls to the own engine have no cost.
+constexpr Duration kOwnPollInterval = std::chrono::milliseconds(200);
+// A decider that has sent no query within this time, plus a time per rank, is considered dead or
+// partitioned. Whatever the size of the group, a live decider sends about five queries in it. The
+// timeout is short because two concurrent deciders are harmless, whereas a group that a dead
+// decider has left held makes no passes.
+constexpr Duration kDeciderTimeout = std::chrono::milliseconds(500);
+constexpr Duration kDeciderTimeoutPerRank = std::chrono::milliseconds(10);
+// While its own engine holds a step, an agent divides the decider timeout by this and takes over
+// without a further delay: the whole group stalls until a dead decider is replaced. A live decider
+// still sends several queries in the shorter time, most of all during a change.
+constexpr int kHeldTimeoutDivisor = 2;
+// Takeover delay added per rank, so that one agent takes over and its first query arrives before
+// the next rank would take over. It covers a query and a tick.
+constexpr Duration kTakeoverDelayPerRank = std::chrono::milliseconds(100);
+// Takeover delay added for every rank but 0, because a new decider needs time to connect to all
+// ranks.
+constexpr Duration kTakeoverBaseDelay = std::chrono::milliseconds(200);
+// How long a new agent waits before it may become the decider; a live decider has sent a query by
+// then.
+constexpr Duration kStartupDelay = std::chrono::milliseconds(600);
+// Fences start at the wall-clock time in these units. A decider raises its fence less often than
+// once per unit, so a later decider normally starts above it.
 constexpr std::chrono::milliseconds kFenceUnit{100};
-// A store's watch waits this long here: only the list of engines is wanted, and calls have a price.
-constexpr Duration kWatchWait = std::chrono::seconds(10);
-// Changes of the list are gathered for this long: an engine that is new forms its group later.
-constexpr Duration kWatchRest = std::chrono::milliseconds(200);
+// How long a store watch waits for changes. Long, because only the list of engines is needed and
+// every store call has a cost.
+constexpr Duration kStoreWatchTimeout = std::chrono::seconds(10);
+// How long the store watch pauses after changes, so that they are read in batches. A new engine
+// takes longer than this to form its group.
+constexpr Duration kStoreWatchBatchDelay = std::chrono::milliseconds(200);
 
 } // namespace
 
-// The serving end for the agents of the other ranks.
+// Serves RPCs from the agents of other ranks and from gateways, one object per connection.
 class ExpertAgent::Server final : public wire::RankAgent::Server
 {
 public:
@@ -61,47 +67,47 @@
 
     kj::Promise<void> state(StateContext context) override
     {
-        auto waiting = kj::newPromiseAndFulfiller<void>();
+        auto pending = kj::newPromiseAndFulfiller<void>();
         auto fulfiller =
-            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(waiting.fulfiller));
+            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(pending.fulfiller));
         const auto params = context.getParams();
-        const GroupId askerGroup(params.getAskerGroup().cStr());
-        agent_.onAsked(askerGroup, params.getAskerRank(), peerHost_);
-        const bool ownGroup = askerGroup == agent_.ownGroup_;
-        const RankQuestion question{ownGroup && params.getCounts(), ownGroup && params.getExperts(),
-                                    params.getCountsSince()};
-        agent_.answer(question, [context, fulfiller](std::optional<RankFacts> facts) mutable {
+        const GroupId deciderGroup(params.getAskerGroup().cStr());
+        agent_.onDeciderQuery(deciderGroup, params.getAskerRank(), peerHost_);
+        const bool ownGroup = deciderGroup == agent_.ownGroup_;
+        const RankQuery query{ownGroup && params.getCounts(), ownGroup && params.getExperts(),
+                              params.getCountsSince()};
+        agent_.fetchOwnFacts(query, [context, fulfiller](std::optional<RankFacts> facts) mutable {
             if (facts) {
                 writeFacts(*facts, context.getResults().initState());
             }
             (*fulfiller)->fulfill();
         });
-        return kj::mv(waiting.promise);
+        return kj::mv(pending.promise);
     }
 
     kj::Promise<void> order(OrderContext context) override
     {
-        auto waiting = kj::newPromiseAndFulfiller<void>();
+        auto pending = kj::newPromiseAndFulfiller<void>();
         auto fulfiller =
-            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(waiting.fulfiller));
+            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(pending.fulfiller));
         const auto order = readOrder(context.getParams().getOrder());
         if (!order) {
             logLine(LogLevel::Warning, "order.unreadable", {});
             context.getResults().setStatus(static_cast<std::uint16_t>(MapOrderAnswer::Refused));
             return kj::READY_NOW;
         }
-        agent_.handToOwn(*order, [context, fulfiller](MapOrderAnswer answer) mutable {
+        agent_.sendToOwnEngine(*order, [context, fulfiller](MapOrderAnswer answer) mutable {
             context.getResults().setStatus(static_cast<std::uint16_t>(answer));
             (*fulfiller)->fulfill();
         });
-        return kj::mv(waiting.promise);
+        return kj::mv(pending.promise);
     }
 
     kj::Promise<void> relay(RelayContext context) override
     {
-        auto waiting = kj::newPromiseAndFulfiller<void>();
+        auto pending = kj::newPromiseAndFulfiller<void>();
         auto fulfiller =
-            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(waiting.fulfiller));
+            std::make_shared<kj::Own<kj::PromiseFulfiller<void>>>(kj::mv(pending.fulfiller));
         const auto order = readOrder(context.getParams().getOrder());
         if (!order || order->kind != MapOrderKind::Prepare) {
             logLine(LogLevel::Warning, "order.unreadable", {{"relayed", true}});
@@ -121,27 +127,27 @@
             (*fulfiller)->fulfill();
         };
         agent_.relay(*order, targets, done);
-        return kj::mv(waiting.promise);
+        return kj::mv(pending.promise);
     }
 
     kj::Promise<void> group(GroupContext context) override
     {
-        return agent_.reporter_.answer(context);
+        return agent_.groupReporter_.answer(context);
     }
 
 private:
     ExpertAgent &agent_;
-    std::string peerHost_; // Of the agent or gateway that asks.
+    std::string peerHost_; // Host of the calling agent or gateway.
 };
 
 ExpertAgent::ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings,
-                         const MetadataStore &store, const EngineCalls &engineCalls)
+                         const MetadataStore &store, const EngineProtocol &engineProtocol)
     : loop_(loop)
     , settings_(settings)
     , store_(store)
-    , engineCalls_(engineCalls)
+    , engineProtocol_(engineProtocol)
     , metrics_(0)
-    , reporter_(loop)
+    , groupReporter_(loop)
     , startedAt_(loop.now())
 {}
 
@@ -149,9 +155,9 @@
 
 tl::expected<std::unique_ptr<ExpertAgent>, NetError>
 ExpertAgent::create(EventLoop &loop, const ExpertAgentSettings &settings,
-                    const MetadataStore &store, const EngineCalls &engineCalls)
+                    const MetadataStore &store, const EngineProtocol &engineProtocol)
 {
-    std::unique_ptr<ExpertAgent> agent(new ExpertAgent(loop, settings, store, engineCalls));
+    std::unique_ptr<ExpertAgent> agent(new ExpertAgent(loop, settings, store, engineProtocol));
     if (auto opened = agent->open(); !opened) {
         return tl::unexpected(opened.error());
     }
@@ -171,11 +177,11 @@
     }
     transport_ = std::move(*transport);
     auto listening = transport_->listen(settings_.listen, [this](kj::Own<RawStream> stream) {
-        const std::uint64_t id = nextIncoming_++;
+        const std::uint64_t id = nextInboundId_++;
         auto server = kj::heap<Server>(*this, stream->peerHost());
         auto peer = RpcPeer::server(kj::mv(stream), kj::mv(server));
-        peer->onClosed([this, id] { loop_.post([this, id] { incoming_.erase(id); }); });
-        incoming_.emplace(id, std::move(peer));
+        peer->onClosed([this, id] { loop_.post([this, id] { inboundPeers_.erase(id); }); });
+        inboundPeers_.emplace(id, std::move(peer));
     });
     if (!listening) {
         return listening;
@@ -187,10 +193,10 @@
         }
         metricsServer_ = std::move(*server);
     }
-    ranks_ = std::make_unique<RankClient>(loop_, *client_, engineCalls_);
-    engine_ = std::make_unique<OwnEngine>(loop_, *ranks_, settings_.engine);
-    relay_ = std::make_unique<OrderRelay>(loop_, *transport_, settings_.listen.port);
-    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
+    engineClient_ = std::make_unique<EngineClient>(loop_, *client_, engineProtocol_);
+    ownEngine_ = std::make_unique<OwnEngine>(loop_, *engineClient_, settings_.engine);
+    orderRelay_ = std::make_unique<OrderRelay>(loop_, *transport_, settings_.listen.port);
+    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickInterval, [this] { tick(); });
     return {};
 }
 
@@ -201,7 +207,7 @@
         if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
             records.push_back(*record);
         } else {
-            takeItem(item);
+            applyStoreItem(item);
         }
     }
     if (wentBack(storePlace_, items.place)) {
@@ -215,7 +221,7 @@
 void ExpertAgent::onStoreChanged(const StoreItems &items, TimePoint /*askedAt*/)
 {
     for (const StoreItem &item : items.items) {
-        takeItem(item);
+        applyStoreItem(item);
     }
     updatePeers();
 }
@@ -226,7 +232,7 @@
     metrics_.count("seamarch_store_failures_total", cause);
 }
 
-void ExpertAgent::takeItem(const StoreItem &item)
+void ExpertAgent::applyStoreItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
         pauseGoal_ = shortestGapTarget(*document, settings_.service);
@@ -247,8 +253,8 @@
     }
 }
 
-// Keeps one peer for each listed engine of the service but the own one. An engine that is leaving
-// still takes part in its group's passes.
+// Sets one peer for each listed engine of the service except the own one. Engines that are leaving
+// are included, because they still take part in their group's passes.
 void ExpertAgent::updatePeers()
 {
     std::map<InstanceId, SocketAddress> listed;
@@ -258,48 +264,48 @@
             listed.emplace(record->id, engine);
         }
     }
-    peers_->setListed(listed);
+    rankPeers_->setEngines(listed);
 }
 
 void ExpertAgent::tick()
 {
     updateRole();
-    if (!deciding()) {
-        if (loop_.now() - ownLookedAt_ >= kOwnGap) {
-            askOwn({});
+    if (!isDecider()) {
+        if (loop_.now() - ownFetchedAt_ >= kOwnPollInterval) {
+            pollOwnEngine({});
         }
-        reportGroup();
+        publishGroupFacts();
         return;
     }
     if (!upstreams_.expire(loop_.now()).empty()) {
         updatePeers();
     }
-    current_ = mapInUse();
-    planner_.endRound(current_, loop_.now());
-    askGroup();
+    currentMap_ = mapInUse();
+    planner_.endRound(currentMap_, loop_.now());
+    pollGroup();
     runDecider();
-    reportGroup();
+    publishGroupFacts();
 }
 
-void ExpertAgent::onAsked(const GroupId &askerGroup, std::uint32_t askerRank,
-                          const std::string &askerHost)
+void ExpertAgent::onDeciderQuery(const GroupId &deciderGroup, std::uint32_t deciderRank,
+                                 const std::string &deciderHost)
 {
-    if (ownRank_ && askerGroup == ownGroup_ && askerRank < *ownRank_) {
-        lower_ = LowerDecider{askerRank, loop_.now(), askerHost};
+    if (ownRank_ && deciderGroup == ownGroup_ && deciderRank < *ownRank_) {
+        lowerRankDecider_ = LowerRankDecider{deciderRank, loop_.now(), deciderHost};
     }
 }
 
-void ExpertAgent::reportGroup()
+void ExpertAgent::publishGroupFacts()
 {
-    if (deciding() && decider_->size() > 0) {
-        reporter_.set(groupFacts(), decider_->lastReportAt());
+    if (isDecider() && decider_->size() > 0) {
+        groupReporter_.publish(groupFacts(), decider_->lastReportAt());
     } else {
-        reporter_.refer(lower_ ? lower_->host : std::string());
+        groupReporter_.referTo(lowerRankDecider_ ? lowerRankDecider_->host : std::string());
     }
 }
 
-// Puts together what gateways are told of the group. Paces are rounded, so that small changes wake
-// nobody.
+// Builds the group's state for gateways. Paces are rounded so that small changes do not wake
+// waiting calls.
 GroupFacts ExpertAgent::groupFacts() const
 {
     constexpr double kPaceStep = 0.25;
@@ -309,7 +315,7 @@
     facts.open = decider_->acceptsRequests();
     facts.forming = decider_->forming(loop_.now());
     const std::vector<double> paces = decider_->paces();
-    std::map<std::uint32_t, SocketAddress> engines = peers_->engines();
+    std::map<std::uint32_t, SocketAddress> engines = rankPeers_->engines();
     engines[*ownRank_] = settings_.engine;
     for (const auto &[rank, engine] : engines) {
         const double pace = rank < paces.size() ? paces[rank] : 1.0;
@@ -322,108 +328,113 @@
 bool ExpertAgent::shouldDecide() const
 {
     const TimePoint now = loop_.now();
-    if (!ownRank_ || now - startedAt_ < kStartDelay) {
+    if (!ownRank_ || now - startedAt_ < kStartupDelay) {
         return false;
     }
-    const Duration whole =
-        kDeciderLife + kDeciderLifePerRank * static_cast<Duration::rep>(groupRanks_);
-    const Duration life = ownHeld_ ? whole / kLifePartWhenHeld : whole;
-    const bool lowerLives = lower_ && lower_->rank < *ownRank_ && now - lower_->askedAt < life;
-    if (deciding() || lowerLives) {
-        return !lowerLives;
+    const Duration fullTimeout =
+        kDeciderTimeout + kDeciderTimeoutPerRank * static_cast<Duration::rep>(groupSize_);
+    const Duration timeout = ownEngineHoldsStep_ ? fullTimeout / kHeldTimeoutDivisor : fullTimeout;
+    const bool lowerRankDecides = lowerRankDecider_ && lowerRankDecider_->rank < *ownRank_
+                                  && now - lowerRankDecider_->lastQueryAt < timeout;
+    if (isDecider() || lowerRankDecides) {
+        return !lowerRankDecides;
     }
-    const TimePoint from =
-        std::max(startedAt_ + kStartDelay, lower_ ? lower_->askedAt + life : TimePoint{});
-    const bool atOnce = *ownRank_ == 0 || ownHeld_;
-    const Duration turn = atOnce ? Duration{} : kTurnOfOthers + kTurnPerRank * *ownRank_;
-    return now - from >= turn;
+    const TimePoint vacantSince =
+        std::max(startedAt_ + kStartupDelay,
+                 lowerRankDecider_ ? lowerRankDecider_->lastQueryAt + timeout : TimePoint{});
+    const bool skipDelay = *ownRank_ == 0 || ownEngineHoldsStep_;
+    const Duration takeoverDelay =
+        skipDelay ? Duration{} : kTakeoverBaseDelay + kTakeoverDelayPerRank * *ownRank_;
+    return now - vacantSince >= takeoverDelay;
 }
 
 void ExpertAgent::updateRole()
 {
-    if (deciding() && (decider_->ownRank() != *ownRank_ || decider_->group() != ownGroup_)) {
-        leaveRole(); // The group has formed with other places, or the rank is in another group.
+    if (isDecider() && (decider_->ownRank() != *ownRank_ || decider_->group() != ownGroup_)) {
+        stepDown(); // The group has re-formed with a new own rank, or the engine changed groups.
     }
     const bool decides = shouldDecide();
-    if (decides == deciding()) {
+    if (decides == isDecider()) {
         return;
     }
     logLine(LogLevel::Info, decides ? "decider.taken" : "decider.left",
             {{"group", ownGroup_.value()},
              {"rank", ownRank_.value_or(0)},
              {"epoch", epoch_},
-             {"lowerRank", lower_ ? json(lower_->rank) : json()},
-             {"lowerAskedMsAgo", lower_ ? json(toMillis(loop_.now() - lower_->askedAt)) : json()}});
+             {"lowerRank", lowerRankDecider_ ? json(lowerRankDecider_->rank) : json()},
+             {"lowerAskedMsAgo", lowerRankDecider_
+                                     ? json(toMillis(loop_.now() - lowerRankDecider_->lastQueryAt))
+                                     : json()}});
     if (decides) {
-        takeRole();
+        becomeDecider();
     } else {
-        leaveRole();
+        stepDown();
     }
 }
 
-void ExpertAgent::takeRole()
+void ExpertAgent::becomeDecider()
 {
     GroupDecider::Settings settings;
     settings.group = ownGroup_;
     settings.ownRank = *ownRank_;
     settings.seed = randomIdentity();
     settings.fenceFloor = static_cast<std::uint64_t>(wallNow() / kFenceUnit);
-    if (lower_) {
-        settings.predecessorLastSeenAt = lower_->askedAt;
+    if (lowerRankDecider_) {
+        settings.predecessorLastSeenAt = lowerRankDecider_->lastQueryAt;
     }
     decider_ = std::make_unique<GroupDecider>(settings);
     RankPeersListener &listener = *this;
     const RankPeers::Settings peers{settings_.listen.port, ownGroup_, settings_.linkBytesPerSecond};
-    peers_ = std::make_unique<RankPeers>(loop_, *transport_, *ranks_, peers, listener);
-    notedPhase_ = GroupDecider::Phase::Idle;
-    notedChanges_ = 0;
-    notedCleared_ = 0;
+    rankPeers_ = std::make_unique<RankPeers>(loop_, *transport_, *engineClient_, peers, listener);
+    loggedPhase_ = GroupDecider::Phase::Idle;
+    loggedChanges_ = 0;
+    loggedCleared_ = 0;
     StoreWatcher::Settings watch;
-    watch.wait = kWatchWait;
-    watch.rest = kWatchRest;
+    watch.wait = kStoreWatchTimeout;
+    watch.rest = kStoreWatchBatchDelay;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
-    watcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
-    watcher_->start();
+    storeWatcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
+    storeWatcher_->start();
 }
 
-// What is under way stays as it is; the agent that decides now clears it.
-void ExpertAgent::leaveRole()
+// Leaves a change in progress as it is; the new decider clears it.
+void ExpertAgent::stepDown()
 {
-    watcher_.reset();
-    peers_.reset();
+    storeWatcher_.reset();
+    rankPeers_.reset();
     decider_.reset();
-    experts_.clear();
-    known_.reset();
-    current_.reset();
+    rankExperts_.clear();
+    cachedMap_.reset();
+    currentMap_.reset();
     proposedVersion_ = 0;
 }
 
-// Answers for the own rank.
-void ExpertAgent::answer(RankQuestion question, OwnEngine::FactsDone done)
+// Fetches the own rank's facts and updates the own rank and epoch from its report.
+void ExpertAgent::fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done)
 {
-    ownLookedAt_ = loop_.now();
-    engine_->ask(question, [this, done = std::move(done)](std::optional<RankFacts> facts) {
+    ownFetchedAt_ = loop_.now();
+    ownEngine_->fetchFacts(query, [this, done = std::move(done)](std::optional<RankFacts> facts) {
         if (facts) {
-            ownHeld_ = facts->report.held.has_value();
-            noteOwnPlace(facts->report);
-            noteFormed(facts->report);
+            ownEngineHoldsStep_ = facts->report.held.has_value();
+            updateOwnRank(facts->report);
+            updateEpoch(facts->report);
         }
         done(std::move(facts));
     });
 }
 
-void ExpertAgent::askOwn(RankQuestion question)
+void ExpertAgent::pollOwnEngine(RankQuery query)
 {
-    if (askingOwn_) {
+    if (ownPollPending_) {
         return;
     }
-    askingOwn_ = true;
+    ownPollPending_ = true;
     const TimePoint now = loop_.now();
-    ownAskedAt_ = now;
-    question.countsSince = ownCountsMark_;
-    answer(question, [this, now](std::optional<RankFacts> facts) {
-        askingOwn_ = false;
+    ownPolledAt_ = now;
+    query.countsSince = ownCountsMark_;
+    fetchOwnFacts(query, [this, now](std::optional<RankFacts> facts) {
+        ownPollPending_ = false;
         if (!facts) {
             return;
         }
@@ -434,9 +445,9 @@
     });
 }
 
-// Asks the ranks whose turn it is for reports, and some of them for counts of chosen experts. The
-// own engine is asked at every tick of a change, because a hold must name a step that is near.
-void ExpertAgent::askGroup()
+// Requests reports from the ranks that are due, and counts of chosen experts from some of them. The
+// own engine is polled at every tick of a change, because a hold must name a step that begins soon.
+void ExpertAgent::pollGroup()
 {
     const TimePoint now = loop_.now();
     CollectionInputs inputs;
@@ -446,29 +457,29 @@
     const CollectionPlan plan = planCollection(inputs);
     decider_->setReportTtl(plan.reportTtl);
     planner_.setRoundWindow(plan.roundWindow);
-    // An alarm is confirmed or dropped as soon as a round can be.
-    const Duration countsGap = planner_.shiftSuspected()
-                                   ? std::max(plan.countsInterval / 2, plan.roundWindow)
-                                   : plan.countsInterval;
-    const bool counts = now - countsAskedAt_ >= std::max(countsGap, kLeastCountsGap);
-    const RankQuestion question{false, !known_, 0};
+    // After an alarm, polls as often as rounds allow, so that it is soon confirmed or dismissed.
+    const Duration countsInterval = planner_.shiftSuspected()
+                                        ? std::max(plan.countsInterval / 2, plan.roundWindow)
+                                        : plan.countsInterval;
+    const bool counts = now - countsRequestedAt_ >= std::max(countsInterval, kMinCountsInterval);
+    const RankQuery query{false, !cachedMap_, 0};
     if (counts) {
-        countsAskedAt_ = now;
-        askOwn({true, question.experts, 0});
-        peers_->askCounts(question, plan.sampledRanks, decider_->size(), *ownRank_);
+        countsRequestedAt_ = now;
+        pollOwnEngine({true, query.experts, 0});
+        rankPeers_->requestCounts(query, plan.sampledRanks, decider_->size(), *ownRank_);
     } else if (decider_->phase() != GroupDecider::Phase::Idle
-               || now - ownAskedAt_ >= plan.reportInterval) {
-        askOwn(question);
+               || now - ownPolledAt_ >= plan.reportInterval) {
+        pollOwnEngine(query);
     }
-    peers_->askReports(question, plan.reportInterval, kTick, *ownRank_);
+    rankPeers_->requestReports(query, plan.reportInterval, kTickInterval, *ownRank_);
 }
 
-// Takes the group and rank that the own engine names. In another group, what was known of the one
-// before means nothing, its epochs included.
-void ExpertAgent::noteOwnPlace(const RankReport &report)
+// Sets the group and rank that the own engine reports. If the group has changed, discards all state
+// of the previous group, including the epoch, which is meaningless in the new one.
+void ExpertAgent::updateOwnRank(const RankReport &report)
 {
     ownRank_ = report.rank;
-    groupRanks_ = report.ranks;
+    groupSize_ = report.ranks;
     if (report.group == ownGroup_) {
         return;
     }
@@ -478,15 +489,16 @@
              {"rank", report.rank},
              {"ranks", report.ranks}});
     ownGroup_ = report.group;
-    lower_.reset();
+    lowerRankDecider_.reset();
     epoch_ = 0;
-    engine_->forgetOrders();
-    experts_.clear();
-    known_.reset();
+    ownEngine_->resetOrders();
+    rankExperts_.clear();
+    cachedMap_.reset();
     proposedVersion_ = 0;
 }
 
-void ExpertAgent::noteFormed(const RankReport &report)
+// Discards all known maps if `report` names a later epoch, which voids the maps of earlier ones.
+void ExpertAgent::updateEpoch(const RankReport &report)
 {
     if (report.epoch <= epoch_) {
         return;
@@ -497,20 +509,20 @@
              {"before", epoch_},
              {"ranks", report.ranks}});
     epoch_ = report.epoch;
-    experts_.clear();
-    known_.reset();
+    rankExperts_.clear();
+    cachedMap_.reset();
     proposedVersion_ = 0;
 }
 
 void ExpertAgent::onPeerFacts(const RankFacts &facts, TimePoint askedAt)
 {
     const RankReport &report = facts.report;
-    if (!deciding() || report.group != decider_->group()) {
+    if (!isDecider() || report.group != decider_->group()) {
         return;
     }
-    noteFormed(report);
+    updateEpoch(report);
     if (facts.experts && report.epoch == epoch_) {
-        experts_[report.rank] = *facts.experts;
+        rankExperts_[report.rank] = *facts.experts;
     }
     if (facts.choices) {
         planner_.addChoices(decodeChoices(*facts.choices), loop_.now());
@@ -518,7 +530,8 @@
     decider_->onReport(report, askedAt, loop_.now());
 }
 
-// Returns the map in use. No rank need be asked for one that was ordered here or is known already.
+// Returns the map in use, or nothing if it is not known for all ranks. A map that this agent
+// proposed or has cached needs no query to the ranks.
 std::optional<ExpertMap> ExpertAgent::mapInUse()
 {
     const auto version = decider_->mapInUse(loop_.now());
@@ -526,25 +539,26 @@
         return std::nullopt;
     }
     if (proposedVersion_ != 0 && *version == proposedVersion_) {
-        if (!known_ || known_->version != *version) {
+        if (!cachedMap_ || cachedMap_->version != *version) {
             planner_.recordActivation(loop_.now() - proposedAt_);
         }
-        known_ = KnownMap{*version, proposed_};
-    } else if (!known_ || known_->version != *version) {
-        known_.reset();
-        if (auto told = mapFromRanks(*version)) {
-            known_ = KnownMap{*version, std::move(*told)};
+        cachedMap_ = CachedMap{*version, proposedMap_};
+    } else if (!cachedMap_ || cachedMap_->version != *version) {
+        cachedMap_.reset();
+        if (auto assembled = assembleMap(*version)) {
+            cachedMap_ = CachedMap{*version, std::move(*assembled)};
         }
     }
-    return known_ ? std::optional(known_->map) : std::nullopt;
+    return cachedMap_ ? std::optional(cachedMap_->map) : std::nullopt;
 }
 
-// Puts together what all ranks have told of the map `version`.
-std::optional<ExpertMap> ExpertAgent::mapFromRanks(std::uint64_t version) const
+// Assembles map `version` from the experts that each rank has reported. Returns nothing if a rank
+// is missing or has reported another version.
+std::optional<ExpertMap> ExpertAgent::assembleMap(std::uint64_t version) const
 {
     ExpertMap map;
-    for (const auto &[rank, experts] : experts_) {
-        if (experts.map != version || rank != (map.empty() ? 0 : map.front().size())) {
+    for (const auto &[rank, experts] : rankExperts_) {
+        if (experts.mapVersion != version || rank != (map.empty() ? 0 : map.front().size())) {
             return std::nullopt;
         }
         map.resize(experts.bySet.size());
@@ -563,27 +577,27 @@
 {
     MapOrders orders;
     decider_->onTick(loop_.now(), orders);
-    const bool leftBehind =
-        decider_->phase() == GroupDecider::Phase::Preparing && planner_.planOutdated() && current_;
-    if (leftBehind) {
-        replaceChange(orders);
+    const bool proposalOutdated = decider_->phase() == GroupDecider::Phase::Preparing
+                                  && planner_.planOutdated() && currentMap_;
+    if (proposalOutdated) {
+        replaceOutdatedChange(orders);
     } else if (decider_->phase() == GroupDecider::Phase::Idle) {
         proposeChange(orders);
     }
     if (decider_->phase() != GroupDecider::Phase::Idle) {
-        noteObstacle(wordFor(GroupDecider::Obstacle::ChangeUnderWay));
+        logObstacleChange(logName(GroupDecider::Obstacle::ChangeUnderWay));
     }
-    notePhase();
+    logPhaseChange();
     send(orders);
 }
 
-// Demand has shifted while experts of the proposed map are still being copied. A map for what is
-// asked now takes its place, as soon as there is one worth it.
-void ExpertAgent::replaceChange(MapOrders &orders)
+// Replaces a proposed map whose experts are still being copied after demand has shifted, provided
+// that a map for the new demand is worth its cost.
+void ExpertAgent::replaceOutdatedChange(MapOrders &orders)
 {
     planner_.setPaces(decider_->paces());
     planner_.setPassTimes(decider_->passTime(), pauseGoal_);
-    auto planned = planner_.plan(*current_, loop_.now());
+    auto planned = planner_.plan(*currentMap_, loop_.now());
     if (planned && decider_->abandon(loop_.now())) {
         logLine(LogLevel::Info, "map.abandoned",
                 {{"version", proposedVersion_}, {"epoch", epoch_}});
@@ -596,27 +610,27 @@
 {
     const GroupDecider::Obstacle obstacle = decider_->obstacle(loop_.now());
     if (obstacle != GroupDecider::Obstacle::None) {
-        noteObstacle(wordFor(obstacle));
+        logObstacleChange(logName(obstacle));
         return;
     }
-    if (!rule_ || !current_) {
-        noteObstacle(rule_ ? "experts of a rank unknown" : "no configuration");
+    if (!rule_ || !currentMap_) {
+        logObstacleChange(rule_ ? "experts of a rank unknown" : "no configuration");
         return;
     }
-    noteObstacle(kNoObstacle);
+    logObstacleChange(kNoObstacleName);
     planner_.setPaces(decider_->paces());
     planner_.setPassTimes(decider_->passTime(), pauseGoal_);
     logLine(LogLevel::Debug, "map.weighed",
-            {{"distance", planner_.roundDistance()}, {"skew", planner_.skew(*current_)}});
-    if (auto planned = planner_.plan(*current_, loop_.now())) {
+            {{"distance", planner_.roundDistance()}, {"skew", planner_.skew(*currentMap_)}});
+    if (auto planned = planner_.plan(*currentMap_, loop_.now())) {
         propose(std::move(*planned), orders);
     }
 }
 
 void ExpertAgent::propose(ExpertMap planned, MapOrders &orders)
 {
-    proposed_ = std::move(planned);
-    const auto version = decider_->propose(proposed_, loop_.now(), orders);
+    proposedMap_ = std::move(planned);
+    const auto version = decider_->propose(proposedMap_, loop_.now(), orders);
     proposedVersion_ = version.value_or(0);
     proposedAt_ = loop_.now();
     if (version) {
@@ -624,7 +638,7 @@
                 {{"version", *version},
                  {"group", ownGroup_.value()},
                  {"epoch", epoch_},
-                 {"skew", planner_.skew(*current_)},
+                 {"skew", planner_.skew(*currentMap_)},
                  {"expectedSkew", planner_.expectedSkew()},
                  {"expectedCopyMs", toMillis(planner_.expectedCopying())},
                  {"expectedLifeMs", toMillis(planner_.expectedWorkloadDuration(loop_.now()))},
@@ -632,35 +646,35 @@
     }
 }
 
-void ExpertAgent::noteObstacle(std::string_view obstacle)
+void ExpertAgent::logObstacleChange(std::string_view obstacle)
 {
-    if (obstacle != notedObstacle_) {
+    if (obstacle != loggedObstacle_) {
         logLine(LogLevel::Info, "map.obstacle",
-                {{"obstacle", obstacle}, {"before", notedObstacle_}, {"epoch", epoch_}});
-        notedObstacle_ = obstacle;
+                {{"obstacle", obstacle}, {"before", loggedObstacle_}, {"epoch", epoch_}});
+        loggedObstacle_ = obstacle;
     }
 }
 
-void ExpertAgent::notePhase()
+void ExpertAgent::logPhaseChange()
 {
     const GroupDecider::Phase phase = decider_->phase();
-    if (phase != notedPhase_) {
+    if (phase != loggedPhase_) {
         const auto leftOut = decider_->excludedRank();
         logLine(LogLevel::Info, "map.phase",
-                {{"phase", wordFor(phase)},
+                {{"phase", logName(phase)},
                  {"epoch", epoch_},
                  {"withoutRank", leftOut ? json(*leftOut) : json()}});
-        notedPhase_ = phase;
+        loggedPhase_ = phase;
     }
-    if (decider_->changes() != notedChanges_) {
-        notedChanges_ = decider_->changes();
+    if (decider_->changes() != loggedChanges_) {
+        loggedChanges_ = decider_->changes();
         metrics_.count("seamarch_map_changes_total", "changed");
-        logLine(LogLevel::Info, "map.changed", {{"changes", notedChanges_}});
+        logLine(LogLevel::Info, "map.changed", {{"changes", loggedChanges_}});
     }
-    if (decider_->cleared() != notedCleared_) {
-        notedCleared_ = decider_->cleared();
+    if (decider_->cleared() != loggedCleared_) {
+        loggedCleared_ = decider_->cleared();
         metrics_.count("seamarch_map_changes_total", "cleared");
-        logLine(LogLevel::Warning, "map.cleared", {{"cleared", notedCleared_}});
+        logLine(LogLevel::Warning, "map.cleared", {{"cleared", loggedCleared_}});
     }
 }
 
@@ -672,47 +686,49 @@
             others.push_back(action);
             continue;
         }
-        handToOwn(action.order, [this, action](MapOrderAnswer answer) {
+        sendToOwnEngine(action.order, [this, action](MapOrderAnswer answer) {
             onPeerOrderAnswer(action.rank, action.order, answer);
         });
     }
-    peers_->send(others);
+    rankPeers_->send(others);
 }
 
-void ExpertAgent::handToOwn(const MapOrder &order, OwnEngine::OrderDone done)
+void ExpertAgent::sendToOwnEngine(const MapOrder &order, OwnEngine::OrderDone done)
 {
     if (order.group != ownGroup_) {
         logLine(LogLevel::Warning, "order.of_other_group",
-                {{"kind", wordFor(order.kind)},
+                {{"kind", logName(order.kind)},
                  {"group", order.group.value()},
                  {"ownGroup", ownGroup_.value()}});
-        // Before the own engine has named its group, nothing is known of what the order fits.
+        // Until the own engine has reported its group, the order may or may not apply to it.
         done(ownGroup_ == GroupId() ? MapOrderAnswer::Lost : MapOrderAnswer::Refused);
         return;
     }
-    engine_->order(order, std::move(done));
+    ownEngine_->sendOrder(order, std::move(done));
 }
 
-// Hands an order to the own engine and to the agents of other ranks. The answer of the own engine
-// comes with theirs, or earlier.
+// Sends an order to the own engine and to the agents of other ranks. Calls `done` once, with all
+// answers.
 void ExpertAgent::relay(const MapOrder &order, const std::vector<RelayTarget> &targets,
                         const OrderRelay::Done &done)
 {
-    struct Waiting
+    struct PendingRelay
     {
         std::vector<RelayedAnswer> answers;
-        int left = 2; // The own engine's answer, and the others'.
+        int missing = 2; // One for the own engine's answer and one for those of all other agents.
     };
-    const auto waiting = std::make_shared<Waiting>();
-    const auto add = [waiting, done](const std::vector<RelayedAnswer> &answers) {
-        waiting->answers.insert(waiting->answers.end(), answers.begin(), answers.end());
-        if (--waiting->left == 0) {
-            done(waiting->answers);
+    const auto pending = std::make_shared<PendingRelay>();
+    const auto addAnswers = [pending, done](const std::vector<RelayedAnswer> &answers) {
+        pending->answers.insert(pending->answers.end(), answers.begin(), answers.end());
+        if (--pending->missing == 0) {
+            done(pending->answers);
         }
     };
     const std::uint32_t rank = ownRank_.value_or(0);
-    handToOwn(order, [add, rank](MapOrderAnswer answer) { add({RelayedAnswer{rank, answer}}); });
-    relay_->relay(order, targets, add);
+    sendToOwnEngine(order, [addAnswers, rank](MapOrderAnswer answer) {
+        addAnswers({RelayedAnswer{rank, answer}});
+    });
+    orderRelay_->relay(order, targets, addAnswers);
 }
 
 void ExpertAgent::onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
@@ -720,13 +736,13 @@
 {
     if (answer != MapOrderAnswer::Done && answer != MapOrderAnswer::Copied) {
         logLine(LogLevel::Info, "order.not_done",
-                {{"kind", wordFor(order.kind)},
+                {{"kind", logName(order.kind)},
                  {"rank", rank},
-                 {"answer", wordFor(answer)},
+                 {"answer", logName(answer)},
                  {"version", order.version},
                  {"step", order.step}});
     }
-    if (deciding()) {
+    if (isDecider()) {
         decider_->onAnswer(rank, order, answer, loop_.now());
         runDecider();
     }
@@ -744,15 +760,15 @@
             {"group", ownGroup_.value()},
             {"rank", ownRank_ ? json(*ownRank_) : json()},
             {"epoch", epoch_},
-            {"decides", deciding()},
+            {"decides", isDecider()},
             {"ranks", decider_ ? decider_->size() : 0},
-            {"changes", notedChanges_},
-            {"cleared", notedCleared_}};
+            {"changes", loggedChanges_},
+            {"cleared", loggedCleared_}};
 }
 
 void ExpertAgent::stop()
 {
-    logLine(LogLevel::Info, "agent.stopping", {{"decides", deciding()}});
+    logLine(LogLevel::Info, "agent.stopping", {{"decides", isDecider()}});
     loop_.schedule(settings_.stopDelay, [this] { loop_.stop(); });
 }
 
--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -7,12 +7,12 @@
 namespace seamarch {
 namespace {
 
-// The longest that a gateway may have its question wait.
-constexpr Duration kLongestWait = std::chrono::seconds(1);
+// Upper limit of the wait time that a caller may request.
+constexpr Duration kMaxWait = std::chrono::seconds(1);
 
 } // namespace
 
-void GroupReporter::set(const GroupFacts &facts, TimePoint asOf)
+void GroupReporter::publish(const GroupFacts &facts, TimePoint asOf)
 {
     asOf_ = asOf;
     if (facts_ && *facts_ == facts) {
@@ -20,32 +20,32 @@
     }
     facts_ = facts;
     mark_ = digestOf(facts);
-    waiting_.wakeAll();
+    waiters_.wakeAll();
 }
 
-void GroupReporter::refer(const std::string &host)
+void GroupReporter::referTo(const std::string &host)
 {
     deciderHost_ = host;
     if (facts_) {
         facts_.reset();
-        waiting_.wakeAll();
+        waiters_.wakeAll();
     }
 }
 
 kj::Promise<void> GroupReporter::answer(Context context)
 {
-    const std::uint64_t asked = context.getParams().getMark();
-    const Duration wait = std::min(Duration(context.getParams().getWaitMicros()), kLongestWait);
-    if (!facts_ || asked != mark_ || wait <= Duration{}) {
-        write(context.getResults(), asked);
+    const std::uint64_t callerMark = context.getParams().getMark();
+    const Duration wait = std::min(Duration(context.getParams().getWaitMicros()), kMaxWait);
+    if (!facts_ || callerMark != mark_ || wait <= Duration{}) {
+        writeResults(context.getResults(), callerMark);
         return kj::READY_NOW;
     }
-    return waiting_.wait(wait).then(
-        [this, context, asked]() mutable { write(context.getResults(), asked); });
+    return waiters_.wait(wait).then(
+        [this, context, callerMark]() mutable { writeResults(context.getResults(), callerMark); });
 }
 
-void GroupReporter::write(wire::RankAgent::GroupResults::Builder results,
-                          std::uint64_t askedMark) const
+void GroupReporter::writeResults(wire::RankAgent::GroupResults::Builder results,
+                                 std::uint64_t callerMark) const
 {
     results.setDecides(facts_.has_value());
     if (!facts_) {
@@ -54,7 +54,7 @@
     }
     results.setGroup(facts_->group.value());
     results.setMark(mark_);
-    writeGroup(*facts_, loop_.now() - asOf_, askedMark != mark_, results.initNews());
+    writeGroup(*facts_, loop_.now() - asOf_, callerMark != mark_, results.initNews());
 }
 
 } // namespace seamarch
--- a/src/experts/mapwords.cpp
+++ b/src/experts/maplognames.cpp
@@ -1,8 +1,8 @@
-#include "experts/mapwords.h"
+#include "experts/maplognames.h"
 
 namespace seamarch {
 
-std::string_view wordFor(GroupDecider::Phase phase)
+std::string_view logName(GroupDecider::Phase phase)
 {
     switch (phase) {
     case GroupDecider::Phase::Idle:
@@ -21,30 +21,30 @@
     return "unknown";
 }
 
-std::string_view wordFor(GroupDecider::Obstacle obstacle)
+std::string_view logName(GroupDecider::Obstacle obstacle)
 {
     switch (obstacle) {
     case GroupDecider::Obstacle::None:
-        return kNoObstacle;
+        return kNoObstacleName;
     case GroupDecider::Obstacle::ChangeUnderWay:
-        return "change under way";
+        return "change in progress";
     case GroupDecider::Obstacle::RanksUnknown:
         return "ranks unknown";
     case GroupDecider::Obstacle::GroupBroken:
-        return "group broken";
+        return "group accepts no requests";
     case GroupDecider::Obstacle::ReportsOld:
-        return "reports old";
+        return "reports outdated";
     case GroupDecider::Obstacle::MapsDiffer:
         return "maps differ";
     case GroupDecider::Obstacle::ArmLeft:
-        return "arm left";
+        return "armed map not in use yet";
     case GroupDecider::Obstacle::Foreign:
-        return "foreign arm or hold";
+        return "arm or hold of another decider";
     }
     return "unknown";
 }
 
-std::string_view wordFor(MapOrderKind kind)
+std::string_view logName(MapOrderKind kind)
 {
     switch (kind) {
     case MapOrderKind::Prepare:
@@ -61,7 +61,7 @@
     return "unknown";
 }
 
-std::string_view wordFor(MapOrderAnswer answer)
+std::string_view logName(MapOrderAnswer answer)
 {
     switch (answer) {
     case MapOrderAnswer::Done:
--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -9,16 +9,16 @@
 namespace seamarch {
 namespace {
 
-// How long the others may take: an agent answers within a quarter of a second also when its engine
-// is still copying, and the order crosses a link that is shared with the other ranks' orders.
-constexpr Duration kPatience = std::chrono::milliseconds(600);
-// A connection that no order has used for this long is closed.
-constexpr Duration kLinkLife = std::chrono::seconds(30);
+// How long agents may take to answer. An agent answers within 250 ms even if its engine is still
+// copying, and the order shares the link with the orders to other ranks.
+constexpr Duration kAnswerTimeout = std::chrono::milliseconds(600);
+// Links that have carried no order for this long are closed.
+constexpr Duration kLinkIdleTimeout = std::chrono::seconds(30);
 
 } // namespace
 
-// Hears of calls that failed in a way that nobody handled.
-class OrderRelay::CallErrors final : public kj::TaskSet::ErrorHandler
+// Logs failures of RPC calls that no handler caught.
+class OrderRelay::CallErrorLogger final : public kj::TaskSet::ErrorHandler
 {
 public:
     void taskFailed(kj::Exception &&exception) override
@@ -28,20 +28,20 @@
     }
 };
 
-// One order on its way to several agents.
+// One order in flight to several agents.
 struct OrderRelay::Batch
 {
-    std::vector<RelayTarget> open; // Not answered yet.
+    std::vector<RelayTarget> pending; // Targets that have not answered.
     std::vector<RelayedAnswer> answers;
-    Done done; // Empty once it was called.
+    Done done; // Empty after it has been called.
 };
 
 OrderRelay::OrderRelay(EventLoop &loop, RawTransport &transport, int agentPort)
     : loop_(loop)
     , transport_(transport)
     , agentPort_(agentPort)
-    , callErrors_(std::make_unique<CallErrors>())
-    , tasks_(*callErrors_)
+    , callErrorLogger_(std::make_unique<CallErrorLogger>())
+    , tasks_(*callErrorLogger_)
 {}
 
 OrderRelay::~OrderRelay()
@@ -55,29 +55,29 @@
     if (entry.link == nullptr) {
         entry.link = std::make_unique<RpcLink>(loop_, transport_, SocketAddress{host, agentPort_});
     }
-    entry.usedAt = loop_.now();
+    entry.lastUsedAt = loop_.now();
     return *entry.link;
 }
 
-void OrderRelay::dropIdle()
+void OrderRelay::closeIdleLinks()
 {
     std::erase_if(links_, [now = loop_.now()](const auto &entry) {
-        return now - entry.second.usedAt > kLinkLife;
+        return now - entry.second.lastUsedAt > kLinkIdleTimeout;
     });
 }
 
 void OrderRelay::relay(const MapOrder &order, const std::vector<RelayTarget> &targets, Done done)
 {
-    dropIdle();
+    closeIdleLinks();
     const auto batch = std::make_shared<Batch>();
-    batch->open = targets;
+    batch->pending = targets;
     batch->done = std::move(done);
     for (const RelayTarget &target : targets) {
         send(order, target, batch);
     }
-    loop_.schedule(kPatience, [this, batch, alive = alive_] {
+    loop_.schedule(kAnswerTimeout, [this, batch, alive = alive_] {
         if (*alive) {
-            giveUp(*batch);
+            onTimeout(*batch);
         }
     });
 }
@@ -90,32 +90,32 @@
     const std::uint32_t rank = target.rank;
     tasks_.add(request.send().then(
         [this, batch, rank](capnp::Response<wire::RankAgent::OrderResults> answer) {
-            noteAnswer(*batch, rank, static_cast<MapOrderAnswer>(answer.getStatus()));
+            onAnswer(*batch, rank, static_cast<MapOrderAnswer>(answer.getStatus()));
         },
         [this, batch, rank](kj::Exception && /*gone*/) {
-            noteAnswer(*batch, rank, MapOrderAnswer::Lost);
+            onAnswer(*batch, rank, MapOrderAnswer::Lost);
         }));
 }
 
-void OrderRelay::noteAnswer(Batch &batch, std::uint32_t rank, MapOrderAnswer answer)
+void OrderRelay::onAnswer(Batch &batch, std::uint32_t rank, MapOrderAnswer answer)
 {
     if (!batch.done) {
         return;
     }
-    std::erase_if(batch.open, [rank](const RelayTarget &target) { return target.rank == rank; });
+    std::erase_if(batch.pending, [rank](const RelayTarget &target) { return target.rank == rank; });
     batch.answers.push_back({rank, answer});
-    if (batch.open.empty()) {
+    if (batch.pending.empty()) {
         std::exchange(batch.done, nullptr)(batch.answers);
     }
 }
 
-// Takes those that have not answered for lost, and their connections for silent.
-void OrderRelay::giveUp(Batch &batch)
+// Reports the targets that have not answered as lost and closes their links, which may be dead.
+void OrderRelay::onTimeout(Batch &batch)
 {
     if (!batch.done) {
         return;
     }
-    for (const RelayTarget &target : batch.open) {
+    for (const RelayTarget &target : batch.pending) {
         logLine(LogLevel::Info, "relay.unanswered", {{"rank", target.rank}});
         batch.answers.push_back({target.rank, MapOrderAnswer::Lost});
         links_.erase(target.host);
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -2,7 +2,7 @@
 
 #include "base/digest.h"
 #include "base/log.h"
-#include "experts/mapwords.h"
+#include "experts/maplognames.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,18 +10,18 @@
 namespace seamarch {
 namespace {
 
-// How often the engine is asked whether it has copied, and for how long. The decider hears of
-// longer copies by reports, and must not take a silent answer for a lost one.
-constexpr Duration kCopyLook = std::chrono::milliseconds(25);
-constexpr Duration kCopyPatience = std::chrono::milliseconds(250);
+// How often and for how long the engine is polled for the end of a copy. The decider learns of
+// longer copies from reports; an answer that waited for them would count as lost.
+constexpr Duration kCopyPollInterval = std::chrono::milliseconds(25);
+constexpr Duration kCopyTimeout = std::chrono::milliseconds(250);
 
 } // namespace
 
-OwnEngine::OwnEngine(EventLoop &loop, RankClient &ranks, SocketAddress engine)
+OwnEngine::OwnEngine(EventLoop &loop, EngineClient &engineClient, SocketAddress engine)
     : loop_(loop)
-    , ranks_(ranks)
+    , engineClient_(engineClient)
     , engine_(std::move(engine))
-    , ledger_(randomIdentity())
+    , choiceLedger_(randomIdentity())
 {}
 
 OwnEngine::~OwnEngine()
@@ -29,66 +29,65 @@
     *alive_ = false;
 }
 
-void OwnEngine::ask(RankQuestion question, FactsDone done)
+void OwnEngine::fetchFacts(RankQuery query, FactsDone done)
 {
-    ranks_.ask(engine_, question,
-               [this, question, done = std::move(done),
-                alive = alive_](std::optional<EngineFacts> engine) {
-                   if (!*alive) {
-                       return;
-                   }
-                   if (!engine) {
-                       done(std::nullopt);
-                       return;
-                   }
-                   RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
-                   handed_.recordReport(facts.report.epoch, facts.report.prepared);
-                   facts.report.fence = handed_.highestFence();
-                   facts.report.unarmedVersion = handed_.unarmedVersion(facts.report.epoch);
-                   if (!engine->counts.empty()) {
-                       facts.choices =
-                           ledger_.record(std::move(engine->counts), question.countsSince);
-                   }
-                   done(std::move(facts));
-               });
+    engineClient_.fetchFacts(
+        engine_, query,
+        [this, query, done = std::move(done), alive = alive_](std::optional<EngineFacts> engine) {
+            if (!*alive) {
+                return;
+            }
+            if (!engine) {
+                done(std::nullopt);
+                return;
+            }
+            RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
+            handedOrders_.recordReport(facts.report.epoch, facts.report.prepared);
+            facts.report.fence = handedOrders_.highestFence();
+            facts.report.unarmedVersion = handedOrders_.unarmedVersion(facts.report.epoch);
+            if (!engine->counts.empty()) {
+                facts.choices = choiceLedger_.record(std::move(engine->counts), query.countsSince);
+            }
+            done(std::move(facts));
+        });
 }
 
-void OwnEngine::order(const MapOrder &order, OrderDone done)
+void OwnEngine::sendOrder(const MapOrder &order, OrderDone done)
 {
-    if (!handed_.admit(order)) {
+    if (!handedOrders_.admit(order)) {
         logLine(LogLevel::Info, "order.fenced",
-                {{"kind", wordFor(order.kind)},
+                {{"kind", logName(order.kind)},
                  {"version", order.version},
                  {"fence", order.fence},
-                 {"highest", handed_.highestFence()}});
+                 {"highest", handedOrders_.highestFence()}});
         done(MapOrderAnswer::Fenced);
         return;
     }
     logLine(LogLevel::Info, "order.handed",
-            {{"kind", wordFor(order.kind)},
+            {{"kind", logName(order.kind)},
              {"version", order.version},
              {"step", order.step},
              {"epoch", order.epoch},
              {"fence", order.fence}});
     if (order.kind != MapOrderKind::Prepare) {
-        ranks_.order(engine_, order, std::move(done));
+        engineClient_.sendOrder(engine_, order, std::move(done));
         return;
     }
-    const auto begun = [this, order, done = std::move(done),
-                        alive = alive_](MapOrderAnswer answer) {
+    const auto onAnswer = [this, order, done = std::move(done),
+                           alive = alive_](MapOrderAnswer answer) {
         if (*alive && answer == MapOrderAnswer::Done) {
-            awaitCopies(order, loop_.now() + kCopyPatience, done);
+            awaitCopy(order, loop_.now() + kCopyTimeout, done);
         } else {
             done(answer);
         }
     };
-    ranks_.order(engine_, order, begun);
+    engineClient_.sendOrder(engine_, order, onAnswer);
 }
 
-void OwnEngine::awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done)
+void OwnEngine::awaitCopy(const MapOrder &order, TimePoint deadline, const OrderDone &done)
 {
-    const auto look = [this, order, deadline, done,
-                       alive = alive_](const std::optional<EngineFacts> &facts) {
+    const auto onFacts = [this, order, deadline, done,
+                          alive = alive_](const std::optional<EngineFacts> &facts) {
         if (!*alive) {
             return;
         }
@@ -99,13 +98,13 @@
             done(copied ? MapOrderAnswer::Copied : MapOrderAnswer::Done);
             return;
         }
-        loop_.schedule(kCopyLook, [this, order, deadline, done, alive] {
+        loop_.schedule(kCopyPollInterval, [this, order, deadline, done, alive] {
             if (*alive) {
-                awaitCopies(order, deadline, done);
+                awaitCopy(order, deadline, done);
             }
         });
     };
-    ranks_.ask(engine_, {}, look);
+    engineClient_.fetchFacts(engine_, {}, onFacts);
 }
 
 } // namespace seamarch
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -1,12 +1,11 @@
-// The engine beside an agent, as the agent sees it: it asks the engine on behalf of the agent that
-// decides, and hands it that agent's orders. Calls to it are free and its reports are fresh.
-//
-// Single-threaded. What the constructor is given outlives the object.
+// The engine that runs beside an expert agent. Its agent queries it and sends it orders on behalf
+// of the group's decider. Unlike calls to remote engines, calls to it have no cost and its reports
+// are current.
 #pragma once
 
 #include "decision/expertmap/choicecounts.h"
 #include "decision/expertmap/forwardedorders.h"
-#include "experts/rankclient.h"
+#include "experts/engineclient.h"
 #include "experts/rankwire.h"
 #include "net/eventloop.h"
 
@@ -17,35 +16,38 @@
 
 namespace seamarch {
 
+// Combines an engine's reports with what only its agent knows: the orders sent through this process
+// and the counts since an earlier query. Single-threaded. The constructor's references outlive the
+// object.
 class OwnEngine
 {
 public:
     using FactsDone = std::function<void(std::optional<RankFacts>)>;
     using OrderDone = std::function<void(MapOrderAnswer)>;
 
-    OwnEngine(EventLoop &loop, RankClient &ranks, SocketAddress engine);
+    OwnEngine(EventLoop &loop, EngineClient &engineClient, SocketAddress engine);
     ~OwnEngine();
     OwnEngine(const OwnEngine &) = delete;
     OwnEngine &operator=(const OwnEngine &) = delete;
 
-    // Hands over the facts, or nothing when the engine did not answer in time.
-    void ask(RankQuestion question, FactsDone done);
-    // Hands an order to the engine. A prepare is answered when its experts are copied, or as begun
-    // when that takes long: the agent that decides then learns of it with the next reports. An
-    // order under a lower fence than an earlier one is refused here.
-    void order(const MapOrder &order, OrderDone done);
-    // Forgets the fences and versions that were used: the engine is in another group.
-    void forgetOrders() { handed_ = {}; }
+    // Passes the engine's facts to `done`, or nothing if the engine did not report in time.
+    void fetchFacts(RankQuery query, FactsDone done);
+    // Sends an order to the engine. A prepare is answered with Copied when its experts are copied,
+    // or with Done if that takes long; the decider then learns of the copy from later reports. An
+    // order with a lower fence than an earlier one is answered with Fenced and not sent.
+    void sendOrder(const MapOrder &order, OrderDone done);
+    // Discards the fences and versions of earlier orders, because the engine has changed groups.
+    void resetOrders() { handedOrders_ = {}; }
 
 private:
-    void awaitCopies(const MapOrder &order, TimePoint deadline, const OrderDone &done);
+    void awaitCopy(const MapOrder &order, TimePoint deadline, const OrderDone &done);
 
     EventLoop &loop_;
-    RankClient &ranks_;
+    EngineClient &engineClient_;
     SocketAddress engine_;
-    ChoiceCountHistory ledger_;
-    ForwardedOrders handed_;
-    // Timers and answers ask whether the object still exists.
+    ChoiceCountHistory choiceLedger_;
+    ForwardedOrders handedOrders_;
+    // False once the object is destroyed; checked by timers and HTTP callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -10,24 +10,25 @@
 namespace seamarch {
 namespace {
 
-// An agent that has not answered for this long is taken for dead or cut off.
-constexpr Duration kAgentLife = std::chrono::milliseconds(1000);
-// How long one that has never answered counts as answering: a question and its answer take some
-// milliseconds, and a group that is held can't wait for an agent that is frozen.
-constexpr Duration kFirstAnswer = std::chrono::milliseconds(250);
-// How long an agent waits for another one's answer.
-constexpr Duration kPeerPatience = std::chrono::milliseconds(600);
-// A question for counts goes on from the one before when that is no older than this.
-constexpr Duration kMarkLife = std::chrono::seconds(1);
-// A few answers at a time never queue before a link: 16 reports are some 6 KB.
-constexpr std::size_t kLeastAtATime = 16;
-// What an engine tells to others than its own agent may be this old already.
-constexpr Duration kReportLag = std::chrono::milliseconds(300);
+// An agent that has not answered for this long is considered dead or partitioned.
+constexpr Duration kAgentTimeout = std::chrono::milliseconds(1000);
+// How long a new agent counts as responding before its first answer. A round trip takes a few
+// milliseconds, and a group that is held must not wait for a frozen agent.
+constexpr Duration kFirstAnswerTimeout = std::chrono::milliseconds(250);
+// How long an answer to a query is awaited before the peer may be queried again.
+constexpr Duration kAgentQueryTimeout = std::chrono::milliseconds(600);
+// A counts query starts at the previous one's mark if that query is younger than this.
+constexpr Duration kMaxMarkAge = std::chrono::seconds(1);
+// Up to this many queries are always allowed per call, because so few answers never queue at the
+// link: 16 reports take about 6 KB.
+constexpr std::size_t kMinQueriesPerCall = 16;
+// Reports that an engine returns to remote callers may be up to this old.
+constexpr Duration kMaxEngineReportAge = std::chrono::milliseconds(300);
 
 } // namespace
 
-// Hears of calls to other agents that failed in a way that nobody handled.
-class RankPeers::CallErrors final : public kj::TaskSet::ErrorHandler
+// Logs failures of RPC calls that no handler caught.
+class RankPeers::CallErrorLogger final : public kj::TaskSet::ErrorHandler
 {
 public:
     void taskFailed(kj::Exception &&exception) override
@@ -37,16 +38,16 @@
     }
 };
 
-RankPeers::RankPeers(EventLoop &loop, RawTransport &transport, RankClient &ranks,
+RankPeers::RankPeers(EventLoop &loop, RawTransport &transport, EngineClient &engineClient,
                      const Settings &settings, RankPeersListener &listener)
     : loop_(loop)
     , transport_(transport)
-    , ranks_(ranks)
+    , engineClient_(engineClient)
     , settings_(settings)
     , listener_(listener)
     , roster_(settings.group)
-    , callErrors_(std::make_unique<CallErrors>())
-    , tasks_(*callErrors_)
+    , callErrorLogger_(std::make_unique<CallErrorLogger>())
+    , tasks_(*callErrorLogger_)
 {}
 
 RankPeers::~RankPeers()
@@ -54,7 +55,7 @@
     *alive_ = false;
 }
 
-void RankPeers::setListed(const std::map<InstanceId, SocketAddress> &engines)
+void RankPeers::setEngines(const std::map<InstanceId, SocketAddress> &engines)
 {
     std::erase_if(peers_, [&engines](const auto &entry) { return !engines.contains(entry.first); });
     std::vector<InstanceId> listed;
@@ -63,7 +64,7 @@
         Peer &peer = peers_[id];
         if (peer.link == nullptr) {
             peer.engine = engine;
-            peer.answeredAt = loop_.now() - (kAgentLife - kFirstAnswer);
+            peer.answeredAt = loop_.now() - (kAgentTimeout - kFirstAnswerTimeout);
             connect(peer);
         }
     }
@@ -72,14 +73,14 @@
 
 void RankPeers::connect(Peer &peer)
 {
-    peer.linkedAt = loop_.now();
+    peer.connectedAt = loop_.now();
     peer.link = std::make_unique<RpcLink>(loop_, transport_,
                                           SocketAddress{peer.engine.host, settings_.agentPort});
 }
 
-bool RankPeers::agentAnswers(const Peer &peer) const
+bool RankPeers::agentResponds(const Peer &peer) const
 {
-    return loop_.now() - peer.answeredAt < kAgentLife;
+    return loop_.now() - peer.answeredAt < kAgentTimeout;
 }
 
 RankPeers::Peer *RankPeers::peerOfRank(std::uint32_t rank)
@@ -101,96 +102,99 @@
     return engines;
 }
 
-void RankPeers::askReports(const RankQuestion &question, Duration gap, Duration turn,
-                           std::uint32_t ownRank)
+void RankPeers::requestReports(const RankQuery &query, Duration interval, Duration callInterval,
+                               std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
     std::vector<std::pair<TimePoint, InstanceId>> due;
     for (const auto &[id, peer] : peers_) {
-        if (!peer.asking && now - peer.askedAt >= roster_.pollIntervalFor(id, gap)) {
+        if (!peer.agentQueryPending
+            && now - peer.askedAt >= roster_.pollIntervalFor(id, interval)) {
             due.emplace_back(peer.askedAt, id);
         }
     }
-    // A tenth more than one share of a gap, because turns come a little late.
-    constexpr double kCatchUp = 1.1;
-    const double share = static_cast<double>(peers_.size()) * toSeconds(turn) / toSeconds(gap);
-    const auto most =
-        std::max(kLeastAtATime, static_cast<std::size_t>(std::ceil(share * kCatchUp)));
+    // 10% more than the even share per call, because calls come slightly late.
+    constexpr double kLateCallFactor = 1.1;
+    const double share =
+        static_cast<double>(peers_.size()) * toSeconds(callInterval) / toSeconds(interval);
+    const auto maxQueries =
+        std::max(kMinQueriesPerCall, static_cast<std::size_t>(std::ceil(share * kLateCallFactor)));
     std::sort(due.begin(), due.end());
-    due.resize(std::min(due.size(), most));
+    due.resize(std::min(due.size(), maxQueries));
     for (const auto &[askedAt, id] : due) {
-        ask(id, question, ownRank);
+        requestFacts(id, query, ownRank);
     }
 }
 
-void RankPeers::askCounts(const RankQuestion &question, std::uint32_t count, std::uint32_t ranks,
-                          std::uint32_t ownRank)
+void RankPeers::requestCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
+                              std::uint32_t ownRank)
 {
     const std::map<std::uint32_t, InstanceId> engines = roster_.engines();
-    std::uint64_t owed = 0; // In parts of `ranks`.
+    std::uint64_t credit = 0; // Queries due, in units of 1 / `ranks`.
     for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-        owed += count;
-        if (owed < ranks) {
+        credit += count;
+        if (credit < ranks) {
             continue;
         }
         const auto engine = engines.find(rank);
         if (rank == ownRank) {
-            owed -= ranks; // The own engine is asked without the link.
+            credit -= ranks; // The caller polls the own engine, which does not use the link.
         } else if (engine != engines.end()) {
             Peer &peer = peers_.at(engine->second);
-            if (peer.asking || !agentAnswers(peer)) {
+            if (peer.agentQueryPending || !agentResponds(peer)) {
                 continue;
             }
-            owed -= ranks;
-            RankQuestion asked = question;
-            asked.counts = true;
-            ask(engine->second, asked, ownRank);
+            credit -= ranks;
+            RankQuery countsQuery = query;
+            countsQuery.counts = true;
+            requestFacts(engine->second, countsQuery, ownRank);
         }
     }
 }
 
-void RankPeers::ask(const InstanceId &id, const RankQuestion &question, std::uint32_t ownRank)
+void RankPeers::requestFacts(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank)
 {
     const TimePoint now = loop_.now();
     Peer &peer = peers_.at(id);
     peer.askedAt = now;
-    if (question.counts) {
-        // Counts over a long time would mix what was asked for then with what is now.
-        peer.countsMark = now - peer.countsAskedAt < kMarkLife ? peer.countsMark : 0;
-        peer.countsAskedAt = now;
+    if (query.counts) {
+        // Counts over a long period would mix past demand with current demand.
+        peer.countsMark = now - peer.countsRequestedAt < kMaxMarkAge ? peer.countsMark : 0;
+        peer.countsRequestedAt = now;
     }
-    // A connection may have gone silent for good while a new one works.
-    if (!agentAnswers(peer) && now - peer.linkedAt >= kAgentLife) {
+    // A connection may be silent for good while a new one would work.
+    if (!agentResponds(peer) && now - peer.connectedAt >= kAgentTimeout) {
         connect(peer);
     }
-    askAgent(id, question, ownRank);
-    if (!agentAnswers(peer) && !roster_.isInOtherGroup(id)) {
-        askEngine(id, {false, question.experts, 0});
+    requestFromAgent(id, query, ownRank);
+    if (!agentResponds(peer) && !roster_.isInOtherGroup(id)) {
+        requestFromEngine(id, {false, query.experts, 0});
     }
 }
 
-void RankPeers::askAgent(const InstanceId &id, const RankQuestion &question, std::uint32_t ownRank)
+void RankPeers::requestFromAgent(const InstanceId &id, const RankQuery &query,
+                                 std::uint32_t ownRank)
 {
     Peer &peer = peers_.at(id);
-    peer.asking = true;
+    peer.agentQueryPending = true;
     const TimePoint askedAt = loop_.now();
     auto request = peer.link->capability().castAs<wire::RankAgent>().stateRequest();
-    request.setCounts(question.counts);
+    request.setCounts(query.counts);
     request.setCountsSince(peer.countsMark);
-    request.setExperts(question.experts);
+    request.setExperts(query.experts);
     request.setAskerRank(ownRank);
     request.setAskerGroup(settings_.group.value());
-    const auto over = std::make_shared<bool>(false);
-    const auto finish = [this, id, over, alive = alive_] {
-        if (!*alive || std::exchange(*over, true)) {
+    const auto finished = std::make_shared<bool>(false);
+    const auto finish = [this, id, finished, alive = alive_] {
+        if (!*alive || std::exchange(*finished, true)) {
             return;
         }
         const auto found = peers_.find(id);
         if (found != peers_.end()) {
-            found->second.asking = false;
+            found->second.agentQueryPending = false;
         }
     };
-    loop_.schedule(kPeerPatience, finish);
+    loop_.schedule(kAgentQueryTimeout, finish);
     tasks_.add(request.send().then(
         [this, id, askedAt, finish](capnp::Response<wire::RankAgent::StateResults> answer) {
             finish();
@@ -212,11 +216,12 @@
     if (facts.choices) {
         peer.countsMark = facts.choices->mark;
     }
-    takeFacts(id, facts, askedAt);
+    deliverFacts(id, facts, askedAt);
 }
 
-// Notes where the engine belongs, and passes on what concerns the own group.
-void RankPeers::takeFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
+// Records the engine's group and rank, and passes its facts to the listener unless it belongs to
+// another group.
+void RankPeers::deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
 {
     roster_.recordMember(id, facts.report.group, facts.report.rank);
     if (!roster_.isInOtherGroup(id)) {
@@ -224,16 +229,17 @@
     }
 }
 
-// Asks the engine of a rank whose agent does not answer. Its report lags, which only delays.
-void RankPeers::askEngine(const InstanceId &id, const RankQuestion &question)
+// Queries the engine of a rank whose agent does not respond. Its report lags, which only delays
+// decisions.
+void RankPeers::requestFromEngine(const InstanceId &id, const RankQuery &query)
 {
     Peer &peer = peers_.at(id);
-    if (peer.askingEngine) {
+    if (peer.engineQueryPending) {
         return;
     }
-    peer.askingEngine = true;
-    const TimePoint askedAt = loop_.now() - kReportLag;
-    const auto answered = [this, id, askedAt, alive = alive_](std::optional<EngineFacts> facts) {
+    peer.engineQueryPending = true;
+    const TimePoint askedAt = loop_.now() - kMaxEngineReportAge;
+    const auto onFacts = [this, id, askedAt, alive = alive_](std::optional<EngineFacts> facts) {
         if (!*alive) {
             return;
         }
@@ -241,13 +247,13 @@
         if (found == peers_.end()) {
             return;
         }
-        found->second.askingEngine = false;
+        found->second.engineQueryPending = false;
         if (facts) {
             facts->report.byAgent = false;
-            takeFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
+            deliverFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
         }
     };
-    ranks_.ask(peer.engine, question, answered);
+    engineClient_.fetchFacts(peer.engine, query, onFacts);
 }
 
 void RankPeers::send(const MapOrders &orders)
@@ -258,16 +264,16 @@
         if (peer == nullptr) {
             continue;
         }
-        const bool silent = !agentAnswers(*peer);
+        const bool silent = !agentResponds(*peer);
         if (silent && action.route == OrderRoute::AgentOnly) {
-            continue; // The decider sends it again.
+            continue; // The decider retransmits it.
         }
         if (silent || action.route == OrderRoute::EngineOnly) {
             sendToEngine(*peer, action);
         } else if (action.order.kind == MapOrderKind::Prepare) {
             prepares.push_back(action);
         } else {
-            sendThroughAgent(*peer, action);
+            sendToAgent(*peer, action);
         }
     }
     if (!prepares.empty()) {
@@ -275,7 +281,8 @@
     }
 }
 
-// Sends prepares of one map, which all agents take alike.
+// Sends the prepares of one map, which are identical for all ranks, through relays if that is
+// faster.
 void RankPeers::sendPrepares(const MapOrders &prepares)
 {
     const MapOrder &order = prepares.front().order;
@@ -294,24 +301,26 @@
              {"bytes", inputs.orderBytes}});
     for (const RelayBlock &block : blocks) {
         if (block.size() == 1) {
-            sendThroughAgent(*peerOfRank(block.front()), {block.front(), order, OrderRoute::Any});
+            sendToAgent(*peerOfRank(block.front()), {block.front(), order, OrderRoute::Any});
         } else {
-            sendThroughRelay(block, order);
+            sendToRelay(block, order);
         }
     }
 }
 
 void RankPeers::sendToEngine(const Peer &peer, const SendMapOrder &action)
 {
-    ranks_.order(peer.engine, action.order, [this, action, alive = alive_](MapOrderAnswer answer) {
-        if (*alive) {
-            listener_.onPeerOrderAnswer(action.rank, action.order, answer);
-        }
-    });
+    engineClient_.sendOrder(peer.engine, action.order,
+                            [this, action, alive = alive_](MapOrderAnswer answer) {
+                                if (*alive) {
+                                    listener_.onPeerOrderAnswer(action.rank, action.order, answer);
+                                }
+                            });
 }
 
-// The first rank's agent hands the order to its own engine and to the agents of the others.
-void RankPeers::sendThroughRelay(const std::vector<std::uint32_t> &block, const MapOrder &order)
+// Sends an order to the agent of the block's first rank, which forwards it to its own engine and to
+// the agents of the other ranks.
+void RankPeers::sendToRelay(const std::vector<std::uint32_t> &block, const MapOrder &order)
 {
     Peer &relay = *peerOfRank(block.front());
     auto request = relay.link->capability().castAs<wire::RankAgent>().relayRequest();
@@ -336,7 +345,7 @@
         }));
 }
 
-void RankPeers::sendThroughAgent(Peer &peer, const SendMapOrder &action)
+void RankPeers::sendToAgent(Peer &peer, const SendMapOrder &action)
 {
     auto request = peer.link->capability().castAs<wire::RankAgent>().orderRequest();
     writeOrder(action.order, request.initOrder());
--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -8,8 +8,8 @@
 
 using NumberList = capnp::List<std::uint16_t>;
 
-// More sets, ranks or experts of a rank than any group has: a longer number is no number of ours.
-constexpr std::uint32_t kMostOfAKind = 65'535;
+// No group has more sets, ranks or experts per rank than this; a larger number is malformed.
+constexpr std::uint32_t kMaxNumber = 65'535;
 
 void writeNumbers(const std::vector<std::uint16_t> &numbers, NumberList::Builder list)
 {
@@ -57,36 +57,38 @@
     return counts;
 }
 
-void writeNumber(std::uint32_t number, std::vector<std::uint8_t> &bytes)
+void writeVarint(std::uint32_t number, std::vector<std::uint8_t> &bytes)
 {
-    constexpr std::uint32_t kMore = 0x80;
-    constexpr int kBits = 7;
-    while (number >= kMore) {
-        bytes.push_back(static_cast<std::uint8_t>(number | kMore));
-        number >>= kBits;
+    constexpr std::uint32_t kContinuationBit = 0x80;
+    constexpr int kPayloadBits = 7;
+    while (number >= kContinuationBit) {
+        bytes.push_back(static_cast<std::uint8_t>(number | kContinuationBit));
+        number >>= kPayloadBits;
     }
     bytes.push_back(static_cast<std::uint8_t>(number));
 }
 
-// Reads numbers from the front of some bytes.
-class NumberReader
+// Reads consecutive varints from a byte sequence.
+class VarintReader
 {
 public:
-    explicit NumberReader(std::span<const std::uint8_t> bytes)
+    explicit VarintReader(std::span<const std::uint8_t> bytes)
         : bytes_(bytes)
     {}
 
+    // Returns the next number, or nothing if it is truncated or above kMaxNumber.
     std::optional<std::uint32_t> next()
     {
-        constexpr std::uint32_t kMore = 0x80;
-        constexpr std::uint32_t kBits = 7;
+        constexpr std::uint32_t kContinuationBit = 0x80;
+        constexpr std::uint32_t kPayloadBits = 7;
         std::uint32_t number = 0;
-        for (std::uint32_t shift = 0; !bytes_.empty() && number <= kMostOfAKind; shift += kBits) {
+        for (std::uint32_t shift = 0; !bytes_.empty() && number <= kMaxNumber;
+             shift += kPayloadBits) {
             const std::uint32_t byte = bytes_.front();
             bytes_ = bytes_.subspan(1);
-            number |= (byte & (kMore - 1)) << shift;
-            if (byte < kMore) {
-                return number <= kMostOfAKind ? std::optional(number) : std::nullopt;
+            number |= (byte & (kContinuationBit - 1)) << shift;
+            if (byte < kContinuationBit) {
+                return number <= kMaxNumber ? std::optional(number) : std::nullopt;
             }
         }
         return std::nullopt;
@@ -98,7 +100,7 @@
     std::span<const std::uint8_t> bytes_;
 };
 
-std::optional<std::vector<std::uint16_t>> unpackRank(NumberReader &reader)
+std::optional<std::vector<std::uint16_t>> unpackRank(VarintReader &reader)
 {
     const auto count = reader.next();
     if (!count) {
@@ -108,7 +110,7 @@
     std::uint32_t expert = 0;
     for (std::uint32_t index = 0; index < *count; ++index) {
         const auto gap = reader.next();
-        if (!gap || expert + *gap > kMostOfAKind) {
+        if (!gap || expert + *gap > kMaxNumber) {
             return std::nullopt;
         }
         expert += *gap;
@@ -122,15 +124,15 @@
 std::vector<std::uint8_t> packExperts(const ExpertMap &map)
 {
     std::vector<std::uint8_t> bytes;
-    writeNumber(sizeOf(map), bytes);
+    writeVarint(sizeOf(map), bytes);
     for (const RankExperts &ranks : map) {
-        writeNumber(sizeOf(ranks), bytes);
+        writeVarint(sizeOf(ranks), bytes);
         for (const std::vector<std::uint16_t> &experts : ranks) {
-            writeNumber(sizeOf(experts), bytes);
-            std::uint32_t last = 0;
+            writeVarint(sizeOf(experts), bytes);
+            std::uint32_t previous = 0;
             for (const std::uint16_t expert : experts) {
-                writeNumber(expert - last, bytes);
-                last = expert;
+                writeVarint(expert - previous, bytes);
+                previous = expert;
             }
         }
     }
@@ -139,7 +141,7 @@
 
 std::optional<ExpertMap> unpackExperts(std::span<const std::uint8_t> bytes)
 {
-    NumberReader reader(bytes);
+    VarintReader reader(bytes);
     const auto sets = reader.next();
     if (!sets) {
         return std::nullopt;
@@ -184,7 +186,7 @@
         writeChoices(*facts.choices, state.initChoices());
     }
     if (facts.experts) {
-        state.setExpertsMap(facts.experts->map);
+        state.setExpertsMap(facts.experts->mapVersion);
         auto sets = state.initExperts(sizeOf(facts.experts->bySet));
         for (std::uint32_t set = 0; set < sets.size(); ++set) {
             const auto &experts = facts.experts->bySet[set];
@@ -216,7 +218,7 @@
     }
     if (state.hasExperts() && state.getExperts().size() > 0) {
         ExpertsOfRank experts;
-        experts.map = state.getExpertsMap();
+        experts.mapVersion = state.getExpertsMap();
         for (const auto &set : state.getExperts()) {
             experts.bySet.push_back(readNumbers(set));
         }
--- a/test/experts/orderrelay_test.cpp
+++ b/test/experts/orderrelay_test.cpp
@@ -1,5 +1,5 @@
-// What becomes of an order that an agent passes on to the agents of other ranks, when some of them
-// answer, are gone or say nothing. Real sockets on loopback; each agent has an address of its own.
+// Tests of OrderRelay with agents that answer, are unreachable, or accept connections but never
+// answer. Uses real sockets on loopback; each agent has its own address.
 #include "experts/orderrelay.h"
 #include "experts/rankwire.h"
 #include "freeport.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-// An agent that takes each order for copied and notes its version.
+// Answers each order with Copied and records its version.
 class CopyingAgent final : public wire::RankAgent::Server
 {
 public:
@@ -44,7 +44,7 @@
             return answer.answer;
         }
     }
-    FAIL("no answer of a rank that the order was passed on to");
+    FAIL("no answer reported for a target of the order");
     return MapOrderAnswer::Lost;
 }
 
@@ -52,7 +52,7 @@
 
 TEST_GROUP(OrderRelayTest){};
 
-TEST(OrderRelayTest, CollectsAnswersAndTakesTheSilentAndTheGoneForLost)
+TEST(OrderRelayTest, CollectsAnswersAndReportsSilentAndUnreachableAgentsAsLost)
 {
     auto loop = *EventLoop::create();
     auto transport = *RawTransport::create(*loop);
@@ -63,52 +63,56 @@
         serving.push_back(RpcPeer::server(kj::mv(stream), kj::heap<CopyingAgent>(versions)));
     };
     CHECK_TRUE(transport->listen({"127.0.0.1", port}, serve).has_value());
-    std::vector<kj::Own<RawStream>> silent;
-    const auto keep = [&silent](kj::Own<RawStream> stream) { silent.push_back(kj::mv(stream)); };
+    std::vector<kj::Own<RawStream>> silentStreams;
+    const auto keep = [&silentStreams](kj::Own<RawStream> stream) {
+        silentStreams.push_back(kj::mv(stream));
+    };
     CHECK_TRUE(transport->listen({"127.0.0.2", port}, keep).has_value());
     std::vector<RelayedAnswer> answers;
-    int calls = 0;
+    int doneCalls = 0;
     {
         OrderRelay relay(*loop, *transport, port);
         relay.relay(prepareOf(9), {{1, "127.0.0.1"}, {2, "127.0.0.2"}, {3, "127.0.0.3"}},
                     [&](const std::vector<RelayedAnswer> &collected) {
                         answers = collected;
-                        ++calls;
+                        ++doneCalls;
                     });
         loop->schedule(std::chrono::milliseconds(1500), [&loop] { loop->stop(); });
         loop->run();
     }
-    LONGS_EQUAL(1, calls);
+    LONGS_EQUAL(1, doneCalls);
     LONGS_EQUAL(3, answers.size());
     CHECK_TRUE(answerOf(answers, 1) == MapOrderAnswer::Copied);
     CHECK_TRUE(answerOf(answers, 2) == MapOrderAnswer::Lost);
     CHECK_TRUE(answerOf(answers, 3) == MapOrderAnswer::Lost);
     CHECK_TRUE(versions == std::vector<std::uint64_t>{9});
     serving.clear();
-    silent.clear();
+    silentStreams.clear();
     loop->shutDown();
 }
 
-TEST(OrderRelayTest, ReachesASilentAgentByANewConnectionNextTime)
+TEST(OrderRelayTest, ReconnectsToASilentAgentForTheNextOrder)
 {
     auto loop = *EventLoop::create();
     auto transport = *RawTransport::create(*loop);
     const int port = freePort();
-    std::vector<kj::Own<RawStream>> silent;
-    const auto keep = [&silent](kj::Own<RawStream> stream) { silent.push_back(kj::mv(stream)); };
+    std::vector<kj::Own<RawStream>> silentStreams;
+    const auto keep = [&silentStreams](kj::Own<RawStream> stream) {
+        silentStreams.push_back(kj::mv(stream));
+    };
     CHECK_TRUE(transport->listen({"127.0.0.1", port}, keep).has_value());
     {
         OrderRelay relay(*loop, *transport, port);
-        const auto again = [&](const std::vector<RelayedAnswer> & /*lost*/) {
+        const auto sendAgain = [&](const std::vector<RelayedAnswer> & /*lost*/) {
             loop->schedule(std::chrono::milliseconds(10), [&relay] {
                 relay.relay(prepareOf(10), {{1, "127.0.0.1"}}, [](const auto & /*answers*/) {});
             });
         };
-        relay.relay(prepareOf(9), {{1, "127.0.0.1"}}, again);
+        relay.relay(prepareOf(9), {{1, "127.0.0.1"}}, sendAgain);
         loop->schedule(std::chrono::milliseconds(1500), [&loop] { loop->stop(); });
         loop->run();
     }
-    CHECK_TEXT(silent.size() >= 2, "the second order went through the silent connection");
-    silent.clear();
+    CHECK_TEXT(silentStreams.size() >= 2, "the second order reused the silent connection");
+    silentStreams.clear();
     loop->shutDown();
 }
--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -1,4 +1,4 @@
-// What a decider does when the agent beside a rank goes silent. Real sockets on loopback.
+// Tests of RankPeers with an agent that does not answer. Uses real sockets on loopback.
 #include "enginecalls.h"
 #include "experts/rankpeers.h"
 #include "freeport.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-class NoListener final : public RankPeersListener
+class NullListener final : public RankPeersListener
 {
 public:
     void onPeerFacts(const RankFacts & /*facts*/, TimePoint /*askedAt*/) override {}
@@ -22,17 +22,18 @@
 
 TEST_GROUP(RankPeersTest){};
 
-// An open connection may go silent for good, without a reset, while new ones work.
-TEST(RankPeersTest, ConnectsAnewToAnAgentWhoseConnectionHasGoneSilent)
+// Guards against a peer that stays on one connection for good: an open connection may stop carrying
+// data without a reset while new connections work.
+TEST(RankPeersTest, ReconnectsToAnAgentWhoseConnectionHasGoneSilent)
 {
     auto loop = *EventLoop::create();
     auto transport = *RawTransport::create(*loop);
     auto client = *HttpClient::create(*loop);
-    const platform::EngineHttp calls;
-    RankClient ranks(*loop, *client, calls);
-    NoListener listener;
+    const platform::EngineHttp protocol;
+    EngineClient engineClient(*loop, *client, protocol);
+    NullListener listener;
     const int agentPort = freePort();
-    // Accepts, and never says a word.
+    // Accepts connections and never answers.
     std::vector<kj::Own<RawStream>> accepted;
     const auto keep = [&accepted](kj::Own<RawStream> stream) {
         accepted.push_back(kj::mv(stream));
@@ -40,16 +41,17 @@
     CHECK_TRUE(transport->listen({"127.0.0.1", agentPort}, keep).has_value());
     {
         const RankPeers::Settings settings{agentPort, GroupId("north"), 1e6};
-        RankPeers peers(*loop, *transport, ranks, settings, listener);
-        peers.setListed({{InstanceId("i-1"), SocketAddress{"127.0.0.1", freePort()}}});
-        constexpr Duration kTurn = std::chrono::milliseconds(50);
-        PeriodicTimer asking(*loop, kTurn,
-                             [&peers, kTurn] { peers.askReports({}, 2 * kTurn, kTurn, 0); });
+        RankPeers peers(*loop, *transport, engineClient, settings, listener);
+        peers.setEngines({{InstanceId("i-1"), SocketAddress{"127.0.0.1", freePort()}}});
+        constexpr Duration kCallInterval = std::chrono::milliseconds(50);
+        PeriodicTimer requestTimer(*loop, kCallInterval, [&peers, kCallInterval] {
+            peers.requestReports({}, 2 * kCallInterval, kCallInterval, 0);
+        });
         loop->schedule(std::chrono::milliseconds(3500), [&loop] { loop->stop(); });
         loop->run();
     }
     CHECK_TEXT(accepted.size() >= 2,
-               "expected a second connection within 3.5 s, found the silent one still in use");
+               "no second connection within 3.5 s; the silent one is still in use");
     accepted.clear();
     loop->shutDown();
 }
--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_GROUP(RankWireTest){};
 
-TEST(RankWireTest, FactsCrossTheWireUnchanged)
+TEST(RankWireTest, FactsSurviveARoundTrip)
 {
     RankFacts facts;
     facts.report = {3, 12, 2, true, 77, 5, 9, 9, 80, 4096, 2.5, GroupId("north")};
@@ -35,10 +35,10 @@
     CHECK_TRUE(read.choices->scales == facts.choices->scales);
     CHECK_TRUE(read.choices->quantized == facts.choices->quantized);
     CHECK_TRUE(read.experts->bySet == facts.experts->bySet);
-    LONGS_EQUAL(5, read.experts->map);
+    LONGS_EQUAL(5, read.experts->mapVersion);
 }
 
-TEST(RankWireTest, OrdersCrossTheWireUnchanged)
+TEST(RankWireTest, OrdersSurviveARoundTrip)
 {
     const ExpertMap map = {{{0, 1}, {2}}, {{3}, {4, 5}}};
     const MapOrder order{
@@ -57,7 +57,7 @@
     STRCMP_EQUAL("north", read.group.value().c_str());
 }
 
-TEST(RankWireTest, OrderWithoutExpertsCrossesTheWire)
+TEST(RankWireTest, OrderWithoutExpertsSurvivesARoundTrip)
 {
     const MapOrder order{MapOrderKind::Hold, 9, 80, 2, 4096, {}, {}};
     capnp::MallocMessageBuilder message;
@@ -68,7 +68,7 @@
     CHECK_TRUE(read->experts == nullptr);
 }
 
-TEST(RankWireTest, PacksTheMapOfALargeGroupIntoFewBytes)
+TEST(RankWireTest, PacksTheMapOfALargeGroupCompactly)
 {
     constexpr std::uint16_t kSets = 8;
     constexpr std::uint16_t kRanks = 63;
@@ -84,7 +84,7 @@
     CHECK_TRUE(*unpackExperts(bytes) == map);
 }
 
-TEST(RankWireTest, RefusesATornMap)
+TEST(RankWireTest, RejectsATruncatedOrExtendedMap)
 {
     const auto bytes = packExperts({{{0, 200}, {300}}, {{1}, {2}}});
     for (std::size_t size = 0; size < bytes.size(); ++size) {
@@ -95,7 +95,7 @@
     CHECK_FALSE(unpackExperts(longer).has_value());
 }
 
-TEST(RankWireTest, RefusesNumbersThatNoGroupHas)
+TEST(RankWireTest, RejectsNumbersAboveTheLimit)
 {
     const std::vector<std::uint8_t> huge = {0xFF, 0xFF, 0xFF, 0xFF, 0x0F};
     CHECK_FALSE(unpackExperts(huge).has_value());
