--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-GatewayKnowledge::GatewayKnowledge(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
+GatewayStoreView::GatewayStoreView(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
                                    const FreshnessBounds &freshness, Applied applied)
     : loop_(loop)
     , upstreams_(upstreams)
@@ -29,7 +29,7 @@
 
 // A document that could not be read may have taken a key away: until the next one, what is held is
 // not confirmed by anything.
-void GatewayKnowledge::confirm(TimePoint askedAt, const StorePlace &place)
+void GatewayStoreView::confirm(TimePoint askedAt, const StorePlace &place)
 {
     takePlace(std::max(place_, place));
     noteReachable();
@@ -38,7 +38,7 @@
     }
 }
 
-void GatewayKnowledge::noteReachable()
+void GatewayStoreView::noteReachable()
 {
     if (!storeReachable_) {
         storeReachable_ = true;
@@ -48,7 +48,7 @@
 }
 
 // Living upstreams that an older copy lacks are listed again soon, as after an outage.
-void GatewayKnowledge::notePlace(const StorePlace &place)
+void GatewayStoreView::notePlace(const StorePlace &place)
 {
     if (!wentBack(place_, place)) {
         return;
@@ -61,7 +61,7 @@
     upstreams_.onStoreWentBack(loop_.now());
 }
 
-void GatewayKnowledge::takePlace(const StorePlace &place)
+void GatewayStoreView::takePlace(const StorePlace &place)
 {
     if (place.era != place_.era) {
         metrics_.set("seamarch_store_era", static_cast<double>(place.era));
@@ -69,14 +69,14 @@
     place_ = place;
 }
 
-void GatewayKnowledge::adoptVersion(const SharedKnowledge &shared)
+void GatewayStoreView::adoptVersion(const SharedKnowledge &shared)
 {
     if (shared.document) {
         takeRouting(*shared.document);
     }
 }
 
-bool GatewayKnowledge::adopt(const SharedKnowledge &shared, TimePoint confirmedAt)
+bool GatewayStoreView::adopt(const SharedKnowledge &shared, TimePoint confirmedAt)
 {
     adoptVersion(shared);
     // A gateway of an earlier version does not tell the era.
@@ -104,7 +104,7 @@
     return true;
 }
 
-std::uint64_t GatewayKnowledge::namedMark() const
+std::uint64_t GatewayStoreView::namedMark() const
 {
     if (!confirmed()) {
         return 0;
@@ -113,7 +113,7 @@
     return adopted ? adoptedMark_ : upstreamsMark();
 }
 
-std::uint64_t GatewayKnowledge::upstreamsMark() const
+std::uint64_t GatewayStoreView::upstreamsMark() const
 {
     if (mark_ != 0 && markedChanges_ == upstreams_.changes()) {
         return mark_;
@@ -133,24 +133,24 @@
     return mark_;
 }
 
-const std::string &GatewayKnowledge::documentText() const
+const std::string &GatewayStoreView::documentText() const
 {
     static const std::string kNone;
     return table_ ? table_->source() : kNone;
 }
 
-bool GatewayKnowledge::formsGroups(const TargetName &service) const
+bool GatewayStoreView::formsGroups(const TargetName &service) const
 {
     const ServiceRule *rule = table_ ? table_->service(service) : nullptr;
     return rule != nullptr && rule->experts.has_value();
 }
 
-Duration GatewayKnowledge::age() const
+Duration GatewayStoreView::age() const
 {
     return confirmedAt_ ? loop_.now() - *confirmedAt_ : Duration::max();
 }
 
-void GatewayKnowledge::onStoreListed(const StoreItems &items, TimePoint askedAt)
+void GatewayStoreView::onStoreListed(const StoreItems &items, TimePoint askedAt)
 {
     std::vector<UpstreamRecord> records;
     std::set<HallId> drained;
@@ -173,7 +173,7 @@
     confirm(askedAt, items.place);
 }
 
-void GatewayKnowledge::onStoreChanged(const StoreItems &items, TimePoint askedAt)
+void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint askedAt)
 {
     for (const StoreItem &item : items.items) {
         takeItem(item);
@@ -183,7 +183,7 @@
     confirm(askedAt, items.place);
 }
 
-void GatewayKnowledge::noteFaults(const std::vector<std::string> &faults)
+void GatewayStoreView::noteFaults(const std::vector<std::string> &faults)
 {
     constexpr std::size_t kMostText = 200; // A fault may quote what it stumbled over.
     for (const std::string &fault : faults) {
@@ -196,7 +196,7 @@
 // Returns the record with the time from which on its upstream is warm. What the entry tells was
 // true when it was written, so counted from now it is never too short. An entry of older software
 // does not tell: its upstream has then just started, if the start is a new one.
-UpstreamRecord GatewayKnowledge::dated(UpstreamRecord record) const
+UpstreamRecord GatewayStoreView::dated(UpstreamRecord record) const
 {
     if (record.warmUpLeft) {
         const bool warm = *record.warmUpLeft <= Duration{};
@@ -213,7 +213,7 @@
     return record;
 }
 
-void GatewayKnowledge::takeItem(const StoreItem &item)
+void GatewayStoreView::takeItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
         takeRouting(*document);
@@ -243,7 +243,7 @@
     }
 }
 
-void GatewayKnowledge::takeDrainedHalls(std::set<HallId> halls)
+void GatewayStoreView::takeDrainedHalls(std::set<HallId> halls)
 {
     if (!upstreams_.setDrainedHalls(std::move(halls))) {
         return;
@@ -259,7 +259,7 @@
     metrics_.set("seamarch_drained_halls", static_cast<double>(names.size()));
 }
 
-void GatewayKnowledge::takeRouting(const RoutingDocument &document)
+void GatewayStoreView::takeRouting(const RoutingDocument &document)
 {
     const ConfigVersion held = table_ ? table_->version() : ConfigVersion();
     if (document.version <= held) {
@@ -275,7 +275,7 @@
              {"accounts", document.accounts.size()}});
 }
 
-void GatewayKnowledge::onStoreFailed(std::string_view cause)
+void GatewayStoreView::onStoreFailed(std::string_view cause)
 {
     upstreams_.onOutage(loop_.now());
     metrics_.count("seamarch_store_failures_total", cause);
@@ -286,7 +286,7 @@
     }
 }
 
-tl::expected<GatewayRequest, FailureCode> GatewayKnowledge::admit(const HttpRequest &request,
+tl::expected<GatewayRequest, FailureCode> GatewayStoreView::admit(const HttpRequest &request,
                                                                   const CallerFacts &facts) const
 {
     if (!table_) {
--- a/src/gateway/gatewayknowledge.h
+++ b/src/gateway/gatewayknowledge.h
@@ -43,13 +43,13 @@
     std::set<HallId> drainedHalls;                        // Told with the list.
 };
 
-class GatewayKnowledge final : public StoreListener
+class GatewayStoreView final : public StoreListener
 {
 public:
     // Hears of each configuration that comes into force.
     using Applied = std::function<void(const RouteTable &)>;
 
-    GatewayKnowledge(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
+    GatewayStoreView(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
                      const FreshnessBounds &freshness, Applied applied);
 
     void setFreshness(const FreshnessBounds &freshness) { freshness_ = freshness; }
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -81,7 +81,7 @@
     GatewayPeers &peers_;
 };
 
-GatewayPeers::GatewayPeers(EventLoop &loop, GatewayKnowledge &knowledge,
+GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &knowledge,
                            const SharedBeliefs &beliefs, const MetadataStore &store,
                            GatewayDirectory &directory, Heard heard)
     : loop_(loop)
@@ -108,7 +108,7 @@
 }
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-GatewayPeers::create(EventLoop &loop, GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+GatewayPeers::create(EventLoop &loop, GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
                      const MetadataStore &store, GatewayDirectory &directory, Heard heard)
 {
     std::unique_ptr<GatewayPeers> peers(
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -52,7 +52,7 @@
 
     // Listens at the address of the directory's own record.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-    create(EventLoop &loop, GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+    create(EventLoop &loop, GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
            const MetadataStore &store, GatewayDirectory &directory, Heard heard);
     ~GatewayPeers();
     GatewayPeers(const GatewayPeers &) = delete;
@@ -103,7 +103,7 @@
         TimePoint usedAt{};
     };
 
-    GatewayPeers(EventLoop &loop, GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+    GatewayPeers(EventLoop &loop, GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
                  const MetadataStore &store, GatewayDirectory &directory, Heard heard);
     tl::expected<void, NetError> open();
 
@@ -150,7 +150,7 @@
     void taskFailed(kj::Exception &&exception) override;
 
     EventLoop &loop_;
-    GatewayKnowledge &knowledge_;
+    GatewayStoreView &knowledge_;
     GroupTable &groups_;
     CrashRecord &crashes_;
     UpstreamLimits &limits_;
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -2,7 +2,7 @@
 // lists them.
 //
 // The service is the shell around GatewayCore. It owns the callers' exchanges, the calls to
-// upstreams and the watch on the store, and decides nothing about requests itself: GatewayKnowledge
+// upstreams and the watch on the store, and decides nothing about requests itself: GatewayStoreView
 // says whether a request is admitted, GatewayCore what becomes of it.
 #pragma once
 
@@ -156,7 +156,7 @@
     const MetadataStore &store_;
     Metrics metrics_;
     GatewayCore core_;
-    GatewayKnowledge knowledge_;
+    GatewayStoreView knowledge_;
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<UpstreamProbe> probe_;
     std::unique_ptr<HttpServer> server_;
--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-GroupWatch::GroupWatch(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
+GroupWatch::GroupWatch(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
                        int agentPort)
     : loop_(loop)
     , knowledge_(knowledge)
@@ -32,7 +32,7 @@
 }
 
 tl::expected<std::unique_ptr<GroupWatch>, NetError>
-GroupWatch::create(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
+GroupWatch::create(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
                    int agentPort)
 {
     auto transport = RawTransport::create(loop);
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -32,7 +32,7 @@
 public:
     // Agents listen at `agentPort`, each at the address of its engine.
     static tl::expected<std::unique_ptr<GroupWatch>, NetError>
-    create(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups, int agentPort);
+    create(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups, int agentPort);
     ~GroupWatch();
     GroupWatch(const GroupWatch &) = delete;
     GroupWatch &operator=(const GroupWatch &) = delete;
@@ -48,7 +48,7 @@
         TimePoint usedAt{};
     };
 
-    GroupWatch(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
+    GroupWatch(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
                int agentPort);
     void listEngines();
     void ask(const std::string &host);
@@ -58,7 +58,7 @@
     void taskFailed(kj::Exception &&exception) override;
 
     EventLoop &loop_;
-    const GatewayKnowledge &knowledge_;
+    const GatewayStoreView &knowledge_;
     GroupTable &groups_;
     int agentPort_;
     std::unique_ptr<RawTransport> transport_;
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -46,7 +46,7 @@
 } // namespace
 
 KnowledgeSources::KnowledgeSources(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                                   GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                                   GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
                                    const Settings &settings)
     : loop_(loop)
     , client_(client)
@@ -61,7 +61,7 @@
 
 tl::expected<std::unique_ptr<KnowledgeSources>, NetError>
 KnowledgeSources::create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                         GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                         GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
                          const Settings &settings)
 {
     std::unique_ptr<KnowledgeSources> sources(
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -42,7 +42,7 @@
 
     static tl::expected<std::unique_ptr<KnowledgeSources>, NetError>
     create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-           GatewayKnowledge &knowledge, const SharedBeliefs &beliefs, const Settings &settings);
+           GatewayStoreView &knowledge, const SharedBeliefs &beliefs, const Settings &settings);
 
     // Asks for permits to send to an upstream that names a limit, the gateway whose turn that is or
     // this one itself. `answered` is called once, maybe before this returns.
@@ -62,7 +62,7 @@
 
 private:
     KnowledgeSources(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                     GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                     GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
                      const Settings &settings);
     tl::expected<void, NetError> open();
 
@@ -86,7 +86,7 @@
     EventLoop &loop_;
     HttpClient &client_;
     const MetadataStore &store_;
-    GatewayKnowledge &knowledge_;
+    GatewayStoreView &knowledge_;
     SharedBeliefs beliefs_;
     Settings settings_;
     GatewayDirectory directory_;
--- a/test/gateway/gatewayknowledge_test.cpp
+++ b/test/gateway/gatewayknowledge_test.cpp
@@ -29,7 +29,7 @@
     std::unique_ptr<EventLoop> loop = std::move(*EventLoop::create());
     UpstreamTable upstreams;
     Metrics metrics{0};
-    GatewayKnowledge knowledge{*loop,
+    GatewayStoreView knowledge{*loop,
                                upstreams,
                                metrics,
                                {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
@@ -213,7 +213,7 @@
 TEST(GatewayKnowledgeTest, GatewaysThatHoldTheSameListNameItAlike)
 {
     UpstreamTable otherUpstreams;
-    GatewayKnowledge other{*loop, otherUpstreams, metrics, knowledge.freshness(),
+    GatewayStoreView other{*loop, otherUpstreams, metrics, knowledge.freshness(),
                            [](const RouteTable &) {}};
     CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
     StoreItems listed;
--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -89,7 +89,7 @@
     std::unique_ptr<EventLoop> loop = *EventLoop::create();
     Metrics metrics{0};
     UpstreamTable upstreams;
-    GatewayKnowledge knowledge{*loop, upstreams, metrics, FreshnessBounds(),
+    GatewayStoreView knowledge{*loop, upstreams, metrics, FreshnessBounds(),
                                [](const RouteTable &) {}};
     GroupTable groups;
     int port = freePort();
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -49,7 +49,7 @@
     {}
 
     UpstreamTable upstreams;
-    GatewayKnowledge knowledge;
+    GatewayStoreView knowledge;
     TimePoint confirmedAt{};
 };
 
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -65,7 +65,7 @@
     {}
 
     UpstreamTable upstreams;
-    GatewayKnowledge knowledge;
+    GatewayStoreView knowledge;
     StorePlace watched; // What its watch of the store goes on from.
     TimePoint confirmedAt{};
     std::uint64_t highest = 0;                           // Version that it has had in force.
