--- a/test/gateway/gatewayknowledge_test.cpp
+++ b/test/gateway/gatewayknowledge_test.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_GROUP(GatewayKnowledgeTest)
+TEST_GROUP(GatewayStoreViewTest)
 {
     std::unique_ptr<EventLoop> loop = std::move(*EventLoop::create());
     UpstreamTable upstreams;
@@ -42,7 +42,7 @@
     }
 };
 
-TEST(GatewayKnowledgeTest, TakesWhatAnotherGatewayKnows)
+TEST(GatewayStoreViewTest, TakesWhatAnotherGatewayKnows)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
     LONGS_EQUAL(3, knowledge.version().value());
@@ -51,19 +51,19 @@
     CHECK_TRUE(knowledge.fresh());
 }
 
-TEST(GatewayKnowledgeTest, KnowledgeIsAsOldAsItsConfirmation)
+TEST(GatewayStoreViewTest, KnowledgeIsAsOldAsItsConfirmation)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(5)));
     CHECK_FALSE(knowledge.fresh());
 }
 
-TEST(GatewayKnowledgeTest, TakesNothingThatWasConfirmedEarlier)
+TEST(GatewayStoreViewTest, TakesNothingThatWasConfirmedEarlier)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
     CHECK_FALSE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
 }
 
-TEST(GatewayKnowledgeTest, TakesNothingOfAnEarlierRevision)
+TEST(GatewayStoreViewTest, TakesNothingOfAnEarlierRevision)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     SharedKnowledge earlier = shared();
@@ -72,7 +72,7 @@
 }
 
 // The store came back from an older copy: a revision means nothing without its era.
-TEST(GatewayKnowledgeTest, TakesALowerRevisionOfALaterEra)
+TEST(GatewayStoreViewTest, TakesALowerRevisionOfALaterEra)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     SharedKnowledge later = shared();
@@ -83,7 +83,7 @@
     CHECK_FALSE(knowledge.adopt(earlier, loop->now()));
 }
 
-TEST(GatewayKnowledgeTest, GatewayOfAnEarlierVersionIsHeardByItsRevisions)
+TEST(GatewayStoreViewTest, GatewayOfAnEarlierVersionIsHeardByItsRevisions)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     SharedKnowledge without = shared();
@@ -93,7 +93,7 @@
     CHECK_FALSE(knowledge.adopt(without, loop->now()));
 }
 
-TEST(GatewayKnowledgeTest, HigherVersionIsTakenWhateverElseItsGatewayKnows)
+TEST(GatewayStoreViewTest, HigherVersionIsTakenWhateverElseItsGatewayKnows)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
     SharedKnowledge behind = shared();
@@ -105,7 +105,7 @@
     LONGS_EQUAL(10, knowledge.place().revision);
 }
 
-TEST(GatewayKnowledgeTest, OlderCopyOfTheStoreTakesNothingBack)
+TEST(GatewayStoreViewTest, OlderCopyOfTheStoreTakesNothingBack)
 {
     StoreItems listed;
     listed.place = {1, 20};
@@ -124,7 +124,7 @@
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-2"))); // It may live, and lists itself again.
 }
 
-TEST(GatewayKnowledgeTest, WarmUpIsCountedFromWhenTheEntryIsRead)
+TEST(GatewayStoreViewTest, WarmUpIsCountedFromWhenTheEntryIsRead)
 {
     StoreItems listed;
     listed.place = {1, 20};
@@ -141,7 +141,7 @@
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt <= loop->now());
 }
 
-TEST(GatewayKnowledgeTest, EntryThatDoesNotTellItsWarmUpIsOfANewStart)
+TEST(GatewayStoreViewTest, EntryThatDoesNotTellItsWarmUpIsOfANewStart)
 {
     StoreItems listed;
     listed.place = {1, 20};
@@ -164,7 +164,7 @@
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt == warmAt);
 }
 
-TEST(GatewayKnowledgeTest, DrainedHallsComeFromListsChangesAndOtherGateways)
+TEST(GatewayStoreViewTest, DrainedHallsComeFromListsChangesAndOtherGateways)
 {
     const auto drained = [this](const char *hall) {
         return upstreams.drainedHalls().contains(HallId(hall));
@@ -188,7 +188,7 @@
     CHECK_TRUE(!drained("south") && drained("west"));
 }
 
-TEST(GatewayKnowledgeTest, VersionNeverGoesBack)
+TEST(GatewayStoreViewTest, VersionNeverGoesBack)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     SharedKnowledge later = shared();
@@ -199,7 +199,7 @@
     LONGS_EQUAL(3, knowledge.version().value());
 }
 
-TEST(GatewayKnowledgeTest, ListThatIsLeftOutHoldsOnlyUnderItsMark)
+TEST(GatewayStoreViewTest, ListThatIsLeftOutHoldsOnlyUnderItsMark)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     SharedKnowledge same{{1, 11}, ConfigVersion(3), std::nullopt, 77, std::nullopt, {}};
@@ -210,7 +210,7 @@
 
 // The pattern: the gateway that a hall follows is turned away, and each of the others asks one
 // gateway after the other. Handing the list over each time took more bytes than all else.
-TEST(GatewayKnowledgeTest, GatewaysThatHoldTheSameListNameItAlike)
+TEST(GatewayStoreViewTest, GatewaysThatHoldTheSameListNameItAlike)
 {
     UpstreamTable otherUpstreams;
     GatewayStoreView other{*loop, otherUpstreams, metrics, knowledge.freshness(),
@@ -226,7 +226,7 @@
     CHECK_FALSE(knowledge.upstreamsMark() == other.upstreamsMark());
 }
 
-TEST(GatewayKnowledgeTest, OwnChangeOfTheListEndsItsMark)
+TEST(GatewayStoreViewTest, OwnChangeOfTheListEndsItsMark)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     StoreItems items;
@@ -239,7 +239,7 @@
 
 // The pattern: a gateway that follows the store asks others, and was handed the whole list each
 // time because it named none.
-TEST(GatewayKnowledgeTest, ListOfTheStoreIsNamedAndNotHandedOverAgain)
+TEST(GatewayStoreViewTest, ListOfTheStoreIsNamedAndNotHandedOverAgain)
 {
     LONGS_EQUAL(0, knowledge.namedMark());
     StoreItems listed;
@@ -255,7 +255,7 @@
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
 }
 
-TEST(GatewayKnowledgeTest, NewVersionWithoutItsDocumentIsNotTaken)
+TEST(GatewayStoreViewTest, NewVersionWithoutItsDocumentIsNotTaken)
 {
     const SharedKnowledge bare{
         {1, 10}, ConfigVersion(3), std::nullopt, 77, std::vector{upstream("i-1")}, {}};
