--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -15,7 +15,7 @@
 
 #include "decision/gateway/upstreamhistory.h"
 #include "decision/membership/gatewaydirectory.h"
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 #include "gateway/metadatastore.h"
 #include "gateway/sharedbeliefs.h"
 #include "net/eventloop.h"
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -11,7 +11,7 @@
 #include "gateway/callerprotocol.h"
 #include "gateway/earlyrequests.h"
 #include "gateway/gatewaybounds.h"
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 #include "gateway/knowledgesources.h"
 #include "gateway/metadatastore.h"
 #include "net/eventloop.h"
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -4,7 +4,7 @@
 #include "decision/gateway/grouptable.h"
 #include "decision/gateway/upstreamlimits.h"
 #include "decision/membership/gatewaydirectory.h"
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 #include "wire/seamarch.capnp.h"
 
 #include <cstdint>
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -12,7 +12,7 @@
 
 #include "decision/gateway/grouptable.h"
 #include "decision/membership/groupsurvey.h"
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -11,7 +11,7 @@
 #include "decision/gateway/sendpermits.h"
 #include "decision/membership/gatewaydirectory.h"
 #include "decision/membership/storeturn.h"
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 #include "gateway/gatewaypeers.h"
 #include "gateway/groupwatch.h"
 #include "gateway/metadatastore.h"
--- a/test/gateway/gatewayknowledge_test.cpp
+++ b/test/gateway/gatewayknowledge_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -4,7 +4,7 @@
 //
 // The model keeps which halls the store held as drained at each of its revisions. Whatever a
 // gateway has heard, and from whom, its halls are those of the revision that it stands at.
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 
 #include "base/log.h"
 
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -3,7 +3,7 @@
 // and five gateways hear of it from the store and from each other, late and out of order.
 //
 // The model of the store keeps what it would answer to each call; the world keeps what is true.
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 
 #include "base/log.h"
 
