--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -280,7 +280,7 @@
 
 bool GatewayPeers::takeNews(TimePoint askedAt, wire::GatewayNews::Reader news)
 {
-    SharedKnowledge shared;
+    PeerStoreState shared;
     shared.place = {news.getEra(), news.getRevision()};
     shared.version = ConfigVersion(news.getConfigVersion());
     shared.upstreamsMark = news.getUpstreamsMark();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -48,7 +48,7 @@
 public:
     // Another gateway's knowledge, which the store confirmed at the time. Returns whether it was
     // taken; one that was not is not asked again for a moment.
-    using Heard = std::function<bool(const SharedKnowledge &, TimePoint confirmedAt)>;
+    using Heard = std::function<bool(const PeerStoreState &, TimePoint confirmedAt)>;
 
     // Listens at the address of the directory's own record.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -69,14 +69,14 @@
     place_ = place;
 }
 
-void GatewayStoreView::adoptVersion(const SharedKnowledge &shared)
+void GatewayStoreView::adoptVersion(const PeerStoreState &shared)
 {
     if (shared.document) {
         takeRouting(*shared.document);
     }
 }
 
-bool GatewayStoreView::adopt(const SharedKnowledge &shared, TimePoint confirmedAt)
+bool GatewayStoreView::adopt(const PeerStoreState &shared, TimePoint confirmedAt)
 {
     adoptVersion(shared);
     // A gateway of an earlier version does not tell the era.
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -33,7 +33,7 @@
 namespace seamarch {
 
 // What one gateway tells another of the store.
-struct SharedKnowledge
+struct PeerStoreState
 {
     StorePlace place; // Of the store.
     ConfigVersion version;
@@ -60,9 +60,9 @@
 
     // Takes what another gateway knows, which the store confirmed at `confirmedAt`. Returns false,
     // and takes nothing, when that is no news or leaves out what is not known here.
-    bool adopt(const SharedKnowledge &shared, TimePoint confirmedAt);
+    bool adopt(const PeerStoreState &shared, TimePoint confirmedAt);
     // Takes no more than the configuration of another gateway, if its version is higher.
-    void adoptVersion(const SharedKnowledge &shared);
+    void adoptVersion(const PeerStoreState &shared);
     // Returns by which mark the own list is named to other gateways: the one under which it was
     // adopted, while it holds still, else its own; zero: there is none. The two may differ, because
     // this gateway may know of an upstream that leaves and the teller did not.
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -85,7 +85,7 @@
         return {};
     }
     auto peers = GatewayPeers::create(loop_, knowledge_, beliefs_, store_, directory_,
-                                      [this](const SharedKnowledge &shared, TimePoint confirmedAt) {
+                                      [this](const PeerStoreState &shared, TimePoint confirmedAt) {
                                           return takeShared(shared, confirmedAt);
                                       });
     if (!peers) {
@@ -132,7 +132,7 @@
 
 // Takes another gateway's knowledge while the own is not fresh from the store. A watch that is
 // under way would go on from an older list; it is begun anew later, if it is still wanted.
-bool KnowledgeSources::takeShared(const SharedKnowledge &shared, TimePoint confirmedAt)
+bool KnowledgeSources::takeShared(const PeerStoreState &shared, TimePoint confirmedAt)
 {
     if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kOwnOld) {
         knowledge_.adoptVersion(shared);
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -11,8 +11,8 @@
 #include "decision/gateway/sendpermits.h"
 #include "decision/membership/gatewaydirectory.h"
 #include "decision/membership/storeturn.h"
-#include "gateway/gatewaystoreview.h"
 #include "gateway/gatewaypeers.h"
+#include "gateway/gatewaystoreview.h"
 #include "gateway/groupwatch.h"
 #include "gateway/metadatastore.h"
 #include "gateway/sharedbeliefs.h"
@@ -66,7 +66,7 @@
                      const Settings &settings);
     tl::expected<void, NetError> open();
 
-    bool takeShared(const SharedKnowledge &shared, TimePoint confirmedAt);
+    bool takeShared(const PeerStoreState &shared, TimePoint confirmedAt);
     bool isSeed() const;
     bool isYoung(TimePoint now) const;
     bool hearsFirst(TimePoint now) const;
--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -36,7 +36,7 @@
                                [](const RouteTable &) {}};
 
     // What another gateway tells of version 3 with one upstream, at revision 10.
-    SharedKnowledge shared() const
+    PeerStoreState shared() const
     {
         return {{1, 10}, ConfigVersion(3), document(3), 77, std::vector{upstream("i-1")}, {}};
     }
@@ -66,7 +66,7 @@
 TEST(GatewayStoreViewTest, TakesNothingOfAnEarlierRevision)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
-    SharedKnowledge earlier = shared();
+    PeerStoreState earlier = shared();
     earlier.place.revision = 9;
     CHECK_FALSE(knowledge.adopt(earlier, loop->now()));
 }
@@ -75,10 +75,10 @@
 TEST(GatewayStoreViewTest, TakesALowerRevisionOfALaterEra)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
-    SharedKnowledge later = shared();
+    PeerStoreState later = shared();
     later.place = {2, 4};
     CHECK_TRUE(knowledge.adopt(later, loop->now() - std::chrono::seconds(1)));
-    SharedKnowledge earlier = shared();
+    PeerStoreState earlier = shared();
     earlier.place = {1, 99};
     CHECK_FALSE(knowledge.adopt(earlier, loop->now()));
 }
@@ -86,7 +86,7 @@
 TEST(GatewayStoreViewTest, GatewayOfAnEarlierVersionIsHeardByItsRevisions)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
-    SharedKnowledge without = shared();
+    PeerStoreState without = shared();
     without.place = {0, 11};
     CHECK_TRUE(knowledge.adopt(without, loop->now() - std::chrono::seconds(1)));
     without.place = {0, 9};
@@ -96,7 +96,7 @@
 TEST(GatewayStoreViewTest, HigherVersionIsTakenWhateverElseItsGatewayKnows)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
-    SharedKnowledge behind = shared();
+    PeerStoreState behind = shared();
     behind.place = {1, 2};
     behind.version = ConfigVersion(4);
     behind.document = document(4);
@@ -181,7 +181,7 @@
     changed.items.emplace_back(HallDrain{HallId("south"), false});
     knowledge.onStoreChanged(changed, loop->now() - std::chrono::seconds(1));
     CHECK_TRUE(!drained("north") && drained("south"));
-    SharedKnowledge told = shared();
+    PeerStoreState told = shared();
     told.place = {1, 22};
     told.drainedHalls = {HallId("west")};
     CHECK_TRUE(knowledge.adopt(told, loop->now()));
@@ -191,7 +191,7 @@
 TEST(GatewayStoreViewTest, VersionNeverGoesBack)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
-    SharedKnowledge later = shared();
+    PeerStoreState later = shared();
     later.place.revision = 11;
     later.version = ConfigVersion(2);
     later.document = document(2);
@@ -202,7 +202,7 @@
 TEST(GatewayStoreViewTest, ListThatIsLeftOutHoldsOnlyUnderItsMark)
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
-    SharedKnowledge same{{1, 11}, ConfigVersion(3), std::nullopt, 77, std::nullopt, {}};
+    PeerStoreState same{{1, 11}, ConfigVersion(3), std::nullopt, 77, std::nullopt, {}};
     CHECK_TRUE(knowledge.adopt(same, loop->now() - std::chrono::seconds(1)));
     same.upstreamsMark = 78;
     CHECK_FALSE(knowledge.adopt(same, loop->now()));
@@ -249,7 +249,7 @@
     knowledge.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
     const std::uint64_t mark = knowledge.namedMark();
     CHECK_TRUE(mark != 0);
-    const SharedKnowledge same{{1, 10}, ConfigVersion(3), std::nullopt, mark, std::nullopt, {}};
+    const PeerStoreState same{{1, 10}, ConfigVersion(3), std::nullopt, mark, std::nullopt, {}};
     CHECK_TRUE(knowledge.adopt(same, loop->now()));
     LONGS_EQUAL(10, knowledge.place().revision);
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
@@ -257,7 +257,7 @@
 
 TEST(GatewayStoreViewTest, NewVersionWithoutItsDocumentIsNotTaken)
 {
-    const SharedKnowledge bare{
+    const PeerStoreState bare{
         {1, 10}, ConfigVersion(3), std::nullopt, 77, std::vector{upstream("i-1")}, {}};
     CHECK_FALSE(knowledge.adopt(bare, loop->now()));
     CHECK_FALSE(knowledge.hasConfiguration());
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -60,7 +60,7 @@
     TimePoint askedAt{};
     bool wholeList = false;
     std::optional<StoreItems> items; // Of the store; else of another gateway.
-    SharedKnowledge shared;
+    PeerStoreState shared;
 };
 
 enum class Fault { None, DrainsAreNotHandedOn, EndsAreNotTaken };
@@ -171,7 +171,7 @@
         }
         Message message{
             static_cast<std::size_t>(to), lives_[to], teller.confirmedAt, false, std::nullopt, {}};
-        SharedKnowledge &shared = message.shared;
+        PeerStoreState &shared = message.shared;
         shared.place = teller.knowledge.place();
         shared.version = teller.knowledge.version();
         shared.document.emplace();
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -82,7 +82,7 @@
     bool ofStore = false;
     bool wholeList = false;
     StoreItems items;
-    SharedKnowledge shared;
+    PeerStoreState shared;
 };
 
 class World
