--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -149,7 +149,7 @@
 }
 
 // A time that is given goes before the one that follows from the bounds.
-GatewayTimes readTimes(SettingsReader &reader, GatewayTimes times)
+GatewayTimings readTimes(SettingsReader &reader, GatewayTimings times)
 {
     const auto read = [&reader](std::string_view name, std::uint64_t least, Duration &time) {
         time = reader.milliseconds(name, least, kMaxMillis, millisOf(time));
--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -25,9 +25,9 @@
 
 } // namespace
 
-GatewayTimes timesWithin(const GatewayBounds &bounds)
+GatewayTimings timesWithin(const GatewayBounds &bounds)
 {
-    GatewayTimes times;
+    GatewayTimings times;
     times.freshness.keys = std::max(kLeast, bounds.keyLife - kKeyMargin);
     times.freshness.deny = std::max(kLeast, bounds.configSpread - kDenyMargin);
     times.stopDeadline = std::max(kLeast, bounds.stopLimit - kStopMargin);
--- a/src/gateway/gatewaybounds.h
+++ b/src/gateway/gatewaybounds.h
@@ -38,7 +38,7 @@
 };
 
 // The times that one gateway keeps.
-struct GatewayTimes
+struct GatewayTimings
 {
     FreshnessBounds freshness;
     // How long a planned stop goes on taking requests.
@@ -51,7 +51,7 @@
     Duration storeRest{};
 };
 
-GatewayTimes timesWithin(const GatewayBounds &bounds);
+GatewayTimings timesWithin(const GatewayBounds &bounds);
 RetryLimits retryLimits(const GatewayBounds &bounds);
 
 } // namespace seamarch
