--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -194,7 +194,7 @@
     settings.crashMemory = fromSeconds(
         reader.number("crash-memory-s", 0.0, kMostSeconds, toSeconds(settings.crashMemory)));
     settings.bounds = readBounds(reader);
-    settings.times = readTimes(reader, timesWithin(settings.bounds));
+    settings.times = readTimes(reader, deriveTimings(settings.bounds));
     return settings;
 }
 
--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-GatewayTimings timesWithin(const GatewayBounds &bounds)
+GatewayTimings deriveTimings(const GatewayBounds &bounds)
 {
     GatewayTimings times;
     times.freshness.keys = std::max(kLeast, bounds.keyLife - kKeyMargin);
--- a/src/gateway/gatewaybounds.h
+++ b/src/gateway/gatewaybounds.h
@@ -51,7 +51,7 @@
     Duration storeRest{};
 };
 
-GatewayTimings timesWithin(const GatewayBounds &bounds);
+GatewayTimings deriveTimings(const GatewayBounds &bounds);
 RetryLimits retryLimits(const GatewayBounds &bounds);
 
 } // namespace seamarch
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -46,7 +46,7 @@
     Duration crashMemory = CrashRecord::Settings().life;
     // What the platform asks of every gateway, as its settings tell.
     GatewayBounds bounds;
-    GatewayTimings times = timesWithin(GatewayBounds());
+    GatewayTimings times = deriveTimings(GatewayBounds());
 };
 
 class GatewayService final : private HttpHandler, private StatusSource
--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -28,7 +28,7 @@
 
 TEST(GatewayBoundsTest, KnowledgeIsYoungerThanWhatItIsBoundBy)
 {
-    const GatewayTimings times = timesWithin(tight());
+    const GatewayTimings times = deriveTimings(tight());
     CHECK_TRUE(times.freshness.keys < millis(2500));
     CHECK_TRUE(times.freshness.deny < millis(1000));
     CHECK_TRUE(times.lapseGrace < millis(1200));
@@ -36,7 +36,7 @@
 
 TEST(GatewayBoundsTest, StopEndsBeforeTheProcessIsKilled)
 {
-    const GatewayTimings times = timesWithin(tight());
+    const GatewayTimings times = deriveTimings(tight());
     CHECK_TRUE(times.stopDeadline < millis(4000));
     CHECK_TRUE(times.stopDelay * 2 <= times.stopDeadline);
 }
@@ -45,14 +45,14 @@
 {
     GatewayBounds bounds;
     bounds.stopLimit = std::chrono::seconds(60);
-    CHECK_TRUE(timesWithin(bounds).stopDelay < millis(4000));
+    CHECK_TRUE(deriveTimings(bounds).stopDelay < millis(4000));
 }
 
 TEST(GatewayBoundsTest, BoundsBelowTheMarginsLeaveNoNegativeTimes)
 {
     GatewayBounds bounds;
     bounds.keyLife = bounds.configSpread = bounds.leavingLimit = bounds.stopLimit = millis(50);
-    const GatewayTimings times = timesWithin(bounds);
+    const GatewayTimings times = deriveTimings(bounds);
     CHECK_TRUE(times.freshness.keys > Duration{});
     CHECK_TRUE(times.freshness.deny > Duration{});
     CHECK_TRUE(times.lapseGrace > Duration{});
