--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -136,7 +136,7 @@
         return reader.milliseconds(name, 1, kMaxMillis, millisOf(fallback));
     };
     GatewayBounds bounds;
-    bounds.keyLife = millis("key-life-ms", usual.keyLife);
+    bounds.keyRevocationLimit = millis("key-life-ms", usual.keyRevocationLimit);
     bounds.configSpread = millis("config-spread-ms", usual.configSpread);
     bounds.leavingLimit = millis("leaving-limit-ms", usual.leavingLimit);
     bounds.stopLimit = fromSeconds(
--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -28,7 +28,7 @@
 GatewayTimings deriveTimings(const GatewayBounds &bounds)
 {
     GatewayTimings times;
-    times.freshness.keys = std::max(kLeast, bounds.keyLife - kKeyMargin);
+    times.freshness.keys = std::max(kLeast, bounds.keyRevocationLimit - kKeyMargin);
     times.freshness.deny = std::max(kLeast, bounds.configSpread - kDenyMargin);
     times.stopDeadline = std::max(kLeast, bounds.stopLimit - kStopMargin);
     // Requests that came just before need time to end.
--- a/src/gateway/gatewaybounds.h
+++ b/src/gateway/gatewaybounds.h
@@ -16,7 +16,7 @@
 struct GatewayBounds
 {
     // A key that was taken away is not used later than this after the store took the change.
-    Duration keyLife = std::chrono::milliseconds(5000);
+    Duration keyRevocationLimit = std::chrono::milliseconds(5000);
     // A change of routes is in force everywhere within this.
     Duration configSpread = std::chrono::milliseconds(2000);
     // An upstream that is leaving or gone gets nothing later than this after the store knew.
--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -15,7 +15,7 @@
 GatewayBounds tight()
 {
     GatewayBounds bounds;
-    bounds.keyLife = millis(2500);
+    bounds.keyRevocationLimit = millis(2500);
     bounds.configSpread = millis(1000);
     bounds.leavingLimit = millis(1200);
     bounds.stopLimit = millis(4000);
@@ -51,7 +51,8 @@
 TEST(GatewayBoundsTest, BoundsBelowTheMarginsLeaveNoNegativeTimes)
 {
     GatewayBounds bounds;
-    bounds.keyLife = bounds.configSpread = bounds.leavingLimit = bounds.stopLimit = millis(50);
+    bounds.keyRevocationLimit = bounds.configSpread = bounds.leavingLimit = bounds.stopLimit =
+        millis(50);
     const GatewayTimings times = deriveTimings(bounds);
     CHECK_TRUE(times.freshness.keys > Duration{});
     CHECK_TRUE(times.freshness.deny > Duration{});
