--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -137,7 +137,7 @@
     };
     GatewayBounds bounds;
     bounds.keyRevocationLimit = millis("key-life-ms", usual.keyRevocationLimit);
-    bounds.configSpread = millis("config-spread-ms", usual.configSpread);
+    bounds.configPropagationLimit = millis("config-spread-ms", usual.configPropagationLimit);
     bounds.leavingLimit = millis("leaving-limit-ms", usual.leavingLimit);
     bounds.stopLimit = fromSeconds(
         reader.number("stop-limit-s", 0.1, kMaxMillis / 1e3, toSeconds(usual.stopLimit)));
--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -29,13 +29,13 @@
 {
     GatewayTimings times;
     times.freshness.keys = std::max(kLeast, bounds.keyRevocationLimit - kKeyMargin);
-    times.freshness.deny = std::max(kLeast, bounds.configSpread - kDenyMargin);
+    times.freshness.deny = std::max(kLeast, bounds.configPropagationLimit - kDenyMargin);
     times.stopDeadline = std::max(kLeast, bounds.stopLimit - kStopMargin);
     // Requests that came just before need time to end.
     times.stopDelay = std::min(kBalancerNotices, times.stopDeadline / 2);
     times.lapseGrace =
         std::clamp(bounds.leavingLimit - kNewsTravel, Duration(kLeast), Duration(kListedAgain));
-    times.storeRest = std::min(bounds.leavingLimit, bounds.configSpread) / kStoreRestPart;
+    times.storeRest = std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kStoreRestPart;
     return times;
 }
 
--- a/src/gateway/gatewaybounds.h
+++ b/src/gateway/gatewaybounds.h
@@ -18,7 +18,7 @@
     // A key that was taken away is not used later than this after the store took the change.
     Duration keyRevocationLimit = std::chrono::milliseconds(5000);
     // A change of routes is in force everywhere within this.
-    Duration configSpread = std::chrono::milliseconds(2000);
+    Duration configPropagationLimit = std::chrono::milliseconds(2000);
     // An upstream that is leaving or gone gets nothing later than this after the store knew.
     Duration leavingLimit = std::chrono::milliseconds(2000);
     // A process is killed this long after it was told to stop.
--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -16,7 +16,7 @@
 {
     GatewayBounds bounds;
     bounds.keyRevocationLimit = millis(2500);
-    bounds.configSpread = millis(1000);
+    bounds.configPropagationLimit = millis(1000);
     bounds.leavingLimit = millis(1200);
     bounds.stopLimit = millis(4000);
     return bounds;
@@ -51,8 +51,8 @@
 TEST(GatewayBoundsTest, BoundsBelowTheMarginsLeaveNoNegativeTimes)
 {
     GatewayBounds bounds;
-    bounds.keyRevocationLimit = bounds.configSpread = bounds.leavingLimit = bounds.stopLimit =
-        millis(50);
+    bounds.keyRevocationLimit = bounds.configPropagationLimit = bounds.leavingLimit =
+        bounds.stopLimit = millis(50);
     const GatewayTimings times = deriveTimings(bounds);
     CHECK_TRUE(times.freshness.keys > Duration{});
     CHECK_TRUE(times.freshness.deny > Duration{});
