--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -35,7 +35,8 @@
     times.stopDelay = std::min(kBalancerNotices, times.stopDeadline / 2);
     times.lapseGrace =
         std::clamp(bounds.leavingLimit - kNewsTravel, Duration(kLeast), Duration(kListedAgain));
-    times.storeRest = std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kStoreRestPart;
+    times.storeBatchWindow =
+        std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kStoreRestPart;
     return times;
 }
 
--- a/src/gateway/gatewaybounds.h
+++ b/src/gateway/gatewaybounds.h
@@ -48,7 +48,7 @@
     // How long an upstream that vanished around an outage of the store stays in use.
     Duration lapseGrace{};
     // How long the store's changes are gathered after one of them was heard.
-    Duration storeRest{};
+    Duration storeBatchWindow{};
 };
 
 GatewayTimings deriveTimings(const GatewayBounds &bounds);
