--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -96,7 +96,7 @@
         loop_, *client_, store_, knowledge_,
         {core_.groups(), core_.crashes(), core_.limits(), core_.permitIssuer(), core_.warmUps()},
         {settings_.instance, settings_.hall, settings_.peerListen, settings_.seeds,
-         settings_.agentPort, settings_.times.storeRest});
+         settings_.agentPort, settings_.times.storeBatchWindow});
     if (!sources) {
         return tl::unexpected(sources.error());
     }
