--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -13,7 +13,7 @@
 // What is left to send the last bytes and end the process.
 constexpr Duration kStopMargin = std::chrono::milliseconds(500);
 // The balancer asks every second and takes an instance out after two misses.
-constexpr Duration kBalancerNotices = std::chrono::milliseconds(3200);
+constexpr Duration kBalancerDetectionDelay = std::chrono::milliseconds(3200);
 // News of an upstream that is gone for good takes this long from the store through the gateways.
 constexpr Duration kNewsTravel = std::chrono::milliseconds(500);
 // Engines list themselves again about this long after the store is back: the protocol's figure,
@@ -32,7 +32,7 @@
     times.freshness.deny = std::max(kLeast, bounds.configPropagationLimit - kDenyMargin);
     times.stopDeadline = std::max(kLeast, bounds.stopLimit - kStopMargin);
     // Requests that came just before need time to end.
-    times.stopDelay = std::min(kBalancerNotices, times.stopDeadline / 2);
+    times.stopDelay = std::min(kBalancerDetectionDelay, times.stopDeadline / 2);
     times.lapseGrace =
         std::clamp(bounds.leavingLimit - kNewsTravel, Duration(kLeast), Duration(kListedAgain));
     times.storeBatchWindow =
