--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -15,7 +15,7 @@
 // The balancer asks every second and takes an instance out after two misses.
 constexpr Duration kBalancerDetectionDelay = std::chrono::milliseconds(3200);
 // News of an upstream that is gone for good takes this long from the store through the gateways.
-constexpr Duration kNewsTravel = std::chrono::milliseconds(500);
+constexpr Duration kPropagationDelay = std::chrono::milliseconds(500);
 // Engines list themselves again about this long after the store is back: the protocol's figure,
 // counted from when a gateway first hears the store again.
 constexpr Duration kListedAgain = std::chrono::milliseconds(1500);
@@ -33,8 +33,8 @@
     times.stopDeadline = std::max(kLeast, bounds.stopLimit - kStopMargin);
     // Requests that came just before need time to end.
     times.stopDelay = std::min(kBalancerDetectionDelay, times.stopDeadline / 2);
-    times.lapseGrace =
-        std::clamp(bounds.leavingLimit - kNewsTravel, Duration(kLeast), Duration(kListedAgain));
+    times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kLeast),
+                                  Duration(kListedAgain));
     times.storeBatchWindow =
         std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kStoreRestPart;
     return times;
