--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kPropagationDelay = std::chrono::milliseconds(500);
 // Engines list themselves again about this long after the store is back: the protocol's figure,
 // counted from when a gateway first hears the store again.
-constexpr Duration kListedAgain = std::chrono::milliseconds(1500);
+constexpr Duration kReregistrationDelay = std::chrono::milliseconds(1500);
 constexpr Duration kLeast = std::chrono::milliseconds(1);
 // A change may come this part of the shortest bound on it later for being gathered with others.
 constexpr int kStoreRestPart = 20;
@@ -34,7 +34,7 @@
     // Requests that came just before need time to end.
     times.stopDelay = std::min(kBalancerDetectionDelay, times.stopDeadline / 2);
     times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kLeast),
-                                  Duration(kListedAgain));
+                                  Duration(kReregistrationDelay));
     times.storeBatchWindow =
         std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kStoreRestPart;
     return times;
