--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -19,7 +19,7 @@
 // Engines list themselves again about this long after the store is back: the protocol's figure,
 // counted from when a gateway first hears the store again.
 constexpr Duration kReregistrationDelay = std::chrono::milliseconds(1500);
-constexpr Duration kLeast = std::chrono::milliseconds(1);
+constexpr Duration kMinTiming = std::chrono::milliseconds(1);
 // A change may come this part of the shortest bound on it later for being gathered with others.
 constexpr int kStoreRestPart = 20;
 
@@ -28,12 +28,12 @@
 GatewayTimings deriveTimings(const GatewayBounds &bounds)
 {
     GatewayTimings times;
-    times.freshness.keys = std::max(kLeast, bounds.keyRevocationLimit - kKeyMargin);
-    times.freshness.deny = std::max(kLeast, bounds.configPropagationLimit - kDenyMargin);
-    times.stopDeadline = std::max(kLeast, bounds.stopLimit - kStopMargin);
+    times.freshness.keys = std::max(kMinTiming, bounds.keyRevocationLimit - kKeyMargin);
+    times.freshness.deny = std::max(kMinTiming, bounds.configPropagationLimit - kDenyMargin);
+    times.stopDeadline = std::max(kMinTiming, bounds.stopLimit - kStopMargin);
     // Requests that came just before need time to end.
     times.stopDelay = std::min(kBalancerDetectionDelay, times.stopDeadline / 2);
-    times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kLeast),
+    times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
                                   Duration(kReregistrationDelay));
     times.storeBatchWindow =
         std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kStoreRestPart;
