--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -21,7 +21,7 @@
 constexpr Duration kReregistrationDelay = std::chrono::milliseconds(1500);
 constexpr Duration kMinTiming = std::chrono::milliseconds(1);
 // A change may come this part of the shortest bound on it later for being gathered with others.
-constexpr int kStoreRestPart = 20;
+constexpr int kBatchWindowDivisor = 20;
 
 } // namespace
 
@@ -36,7 +36,7 @@
     times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
                                   Duration(kReregistrationDelay));
     times.storeBatchWindow =
-        std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kStoreRestPart;
+        std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kBatchWindowDivisor;
     return times;
 }
 
