--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -19,7 +19,7 @@
 } // namespace
 
 GatewayStoreView::GatewayStoreView(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
-                                   const FreshnessBounds &freshness, Applied applied)
+                                   const FreshnessBounds &freshness, ConfigApplied applied)
     : loop_(loop)
     , upstreams_(upstreams)
     , metrics_(metrics)
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -47,10 +47,10 @@
 {
 public:
     // Hears of each configuration that comes into force.
-    using Applied = std::function<void(const RouteTable &)>;
+    using ConfigApplied = std::function<void(const RouteTable &)>;
 
     GatewayStoreView(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
-                     const FreshnessBounds &freshness, Applied applied);
+                     const FreshnessBounds &freshness, ConfigApplied applied);
 
     void setFreshness(const FreshnessBounds &freshness) { freshness_ = freshness; }
 
@@ -108,7 +108,7 @@
     UpstreamTable &upstreams_;
     Metrics &metrics_;
     FreshnessBounds freshness_;
-    Applied applied_;
+    ConfigApplied applied_;
     std::shared_ptr<const RouteTable> table_;
     std::optional<TimePoint> confirmedAt_;
     StorePlace place_;               // Of the store, that the list of upstreams stands at.
