--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -24,7 +24,7 @@
     , upstreams_(upstreams)
     , metrics_(metrics)
     , freshness_(freshness)
-    , applied_(std::move(applyRouteTable))
+    , onConfigApplied_(std::move(applyRouteTable))
 {}
 
 // A document that could not be read may have taken a key away: until the next one, what is held is
@@ -267,7 +267,7 @@
     }
     table_ = std::make_shared<const RouteTable>(document);
     routingUnreadable_ = false;
-    applied_(*table_);
+    onConfigApplied_(*table_);
     logLine(LogLevel::Info, "config.applied",
             {{"version", document.version.value()},
              {"before", held.value()},
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -108,7 +108,7 @@
     UpstreamTable &upstreams_;
     Metrics &metrics_;
     FreshnessBounds freshness_;
-    ConfigApplied applied_;
+    ConfigApplied onConfigApplied_;
     std::shared_ptr<const RouteTable> table_;
     std::optional<TimePoint> confirmedAt_;
     StorePlace place_;               // Of the store, that the list of upstreams stands at.
