--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -69,7 +69,7 @@
     place_ = place;
 }
 
-void GatewayStoreView::adoptVersion(const PeerStoreState &shared)
+void GatewayStoreView::adoptConfiguration(const PeerStoreState &shared)
 {
     if (shared.document) {
         takeRouting(*shared.document);
@@ -78,7 +78,7 @@
 
 bool GatewayStoreView::adopt(const PeerStoreState &shared, TimePoint confirmedAt)
 {
-    adoptVersion(shared);
+    adoptConfiguration(shared);
     // A gateway of an earlier version does not tell the era.
     const StorePlace place{shared.place.era == 0 ? place_.era : shared.place.era,
                            shared.place.revision};
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -135,7 +135,7 @@
 bool KnowledgeSources::takeShared(const PeerStoreState &shared, TimePoint confirmedAt)
 {
     if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kOwnOld) {
-        knowledge_.adoptVersion(shared);
+        knowledge_.adoptConfiguration(shared);
         return false;
     }
     if (!knowledge_.adopt(shared, confirmedAt)) {
