--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -179,7 +179,7 @@
         longest = std::min(longest, configNotBefore_ - now);
     }
     request.setConfigVersion(rests ? kNoConfigWanted : knowledge_.version().value());
-    request.setUpstreamsMark(knowledge_.namedMark());
+    request.setUpstreamsMark(knowledge_.advertisedMark());
     request.setTakesChanges(true);
     request.setWantsGateways(gateways);
     request.setGatewaysMark(directory_.mark());
@@ -422,7 +422,7 @@
     if (news.getUpstreamsSince() == 0) {
         return records;
     }
-    if (news.getUpstreamsSince() != knowledge_.namedMark()) {
+    if (news.getUpstreamsSince() != knowledge_.advertisedMark()) {
         return std::nullopt;
     }
     std::set<InstanceId> removed;
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -84,7 +84,7 @@
                            shared.place.revision};
     const bool news = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
     const bool whole = (shared.document || shared.version <= version())
-                       && (shared.upstreams || shared.upstreamsMark == namedMark());
+                       && (shared.upstreams || shared.upstreamsMark == advertisedMark());
     if (!news || !whole) {
         return false;
     }
@@ -104,7 +104,7 @@
     return true;
 }
 
-std::uint64_t GatewayStoreView::namedMark() const
+std::uint64_t GatewayStoreView::advertisedMark() const
 {
     if (!confirmed()) {
         return 0;
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -66,7 +66,7 @@
     // Returns by which mark the own list is named to other gateways: the one under which it was
     // adopted, while it holds still, else its own; zero: there is none. The two may differ, because
     // this gateway may know of an upstream that leaves and the teller did not.
-    std::uint64_t namedMark() const;
+    std::uint64_t advertisedMark() const;
     // Returns the mark of the own list, a digest: gateways that hold the same list name it alike,
     // so one that asks another than before is not handed it again.
     std::uint64_t upstreamsMark() const;
--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -46,7 +46,7 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
     LONGS_EQUAL(3, knowledge.version().value());
-    LONGS_EQUAL(77, knowledge.namedMark());
+    LONGS_EQUAL(77, knowledge.advertisedMark());
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
     CHECK_TRUE(knowledge.fresh());
 }
@@ -233,21 +233,21 @@
     items.place.revision = 11;
     items.items.emplace_back(upstream("i-1", true));
     knowledge.onStoreChanged(items, loop->now());
-    CHECK_TRUE(knowledge.namedMark() == knowledge.upstreamsMark());
-    CHECK_FALSE(knowledge.namedMark() == 77);
+    CHECK_TRUE(knowledge.advertisedMark() == knowledge.upstreamsMark());
+    CHECK_FALSE(knowledge.advertisedMark() == 77);
 }
 
 // The pattern: a gateway that follows the store asks others, and was handed the whole list each
 // time because it named none.
 TEST(GatewayStoreViewTest, ListOfTheStoreIsNamedAndNotHandedOverAgain)
 {
-    LONGS_EQUAL(0, knowledge.namedMark());
+    LONGS_EQUAL(0, knowledge.advertisedMark());
     StoreItems listed;
     listed.place = {1, 9};
     listed.items.emplace_back(document(3));
     listed.items.emplace_back(upstream("i-1"));
     knowledge.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
-    const std::uint64_t mark = knowledge.namedMark();
+    const std::uint64_t mark = knowledge.advertisedMark();
     CHECK_TRUE(mark != 0);
     const PeerStoreState same{{1, 10}, ConfigVersion(3), std::nullopt, mark, std::nullopt, {}};
     CHECK_TRUE(knowledge.adopt(same, loop->now()));
