--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -169,7 +169,7 @@
     logLine(LogLevel::Info, "store.listed",
             {{"revision", items.place.revision}, {"upstreams", records.size()}});
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
-    noteFaults(items.faults);
+    reportFaults(items.faults);
     confirm(askedAt, items.place);
 }
 
@@ -179,11 +179,11 @@
         takeItem(item);
     }
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
-    noteFaults(items.faults);
+    reportFaults(items.faults);
     confirm(askedAt, items.place);
 }
 
-void GatewayStoreView::noteFaults(const std::vector<std::string> &faults)
+void GatewayStoreView::reportFaults(const std::vector<std::string> &faults)
 {
     constexpr std::size_t kMostText = 200; // A fault may quote what it stumbled over.
     for (const std::string &fault : faults) {
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -94,7 +94,7 @@
     bool storeReachable() const { return storeReachable_; }
 
 private:
-    void noteFaults(const std::vector<std::string> &faults);
+    void reportFaults(const std::vector<std::string> &faults);
     void takeItem(const StoreItem &item);
     UpstreamRecord dated(UpstreamRecord record) const;
     void takeDrainedHalls(std::set<HallId> halls);
