--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -160,7 +160,7 @@
         } else if (const auto *drain = std::get_if<HallDrain>(&item)) {
             drained.insert(drain->hall);
         } else {
-            takeItem(item);
+            applyItem(item);
         }
     }
     notePlace(items.place);
@@ -176,7 +176,7 @@
 void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint askedAt)
 {
     for (const StoreItem &item : items.items) {
-        takeItem(item);
+        applyItem(item);
     }
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     reportFaults(items.faults);
@@ -213,7 +213,7 @@
     return record;
 }
 
-void GatewayStoreView::takeItem(const StoreItem &item)
+void GatewayStoreView::applyItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
         takeRouting(*document);
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -95,7 +95,7 @@
 
 private:
     void reportFaults(const std::vector<std::string> &faults);
-    void takeItem(const StoreItem &item);
+    void applyItem(const StoreItem &item);
     UpstreamRecord dated(UpstreamRecord record) const;
     void takeDrainedHalls(std::set<HallId> halls);
     void takeRouting(const RoutingDocument &document);
