--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -156,7 +156,7 @@
     std::set<HallId> drained;
     for (const StoreItem &item : items.items) {
         if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
-            records.push_back(dated(*record));
+            records.push_back(withWarmUpEnd(*record));
         } else if (const auto *drain = std::get_if<HallDrain>(&item)) {
             drained.insert(drain->hall);
         } else {
@@ -196,7 +196,7 @@
 // Returns the record with the time from which on its upstream is warm. What the entry tells was
 // true when it was written, so counted from now it is never too short. An entry of older software
 // does not tell: its upstream has then just started, if the start is a new one.
-UpstreamRecord GatewayStoreView::dated(UpstreamRecord record) const
+UpstreamRecord GatewayStoreView::withWarmUpEnd(UpstreamRecord record) const
 {
     if (record.warmUpLeft) {
         const bool warm = *record.warmUpLeft <= Duration{};
@@ -218,7 +218,7 @@
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
         takeRouting(*document);
     } else if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
-        upstreams_.put(dated(*record));
+        upstreams_.put(withWarmUpEnd(*record));
         logLine(
             LogLevel::Info, "upstream.listed",
             {{"upstream", record->id.value()},
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -96,7 +96,7 @@
 private:
     void reportFaults(const std::vector<std::string> &faults);
     void applyItem(const StoreItem &item);
-    UpstreamRecord dated(UpstreamRecord record) const;
+    UpstreamRecord withWarmUpEnd(UpstreamRecord record) const;
     void takeDrainedHalls(std::set<HallId> halls);
     void takeRouting(const RoutingDocument &document);
     void confirm(TimePoint askedAt, const StorePlace &place);
