--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -91,7 +91,7 @@
     notePlace(place);
     if (shared.upstreams) {
         upstreams_.mirror(*shared.upstreams);
-        takeDrainedHalls(shared.drainedHalls);
+        applyDrainedHalls(shared.drainedHalls);
         adoptedMark_ = shared.upstreamsMark;
         changesAtAdoption_ = upstreams_.changes();
         logLine(LogLevel::Info, "upstreams.adopted",
@@ -165,7 +165,7 @@
     }
     notePlace(items.place);
     upstreams_.replaceAll(records, loop_.now());
-    takeDrainedHalls(std::move(drained));
+    applyDrainedHalls(std::move(drained));
     logLine(LogLevel::Info, "store.listed",
             {{"revision", items.place.revision}, {"upstreams", records.size()}});
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
@@ -239,11 +239,11 @@
         } else {
             halls.insert(drain->hall);
         }
-        takeDrainedHalls(std::move(halls));
+        applyDrainedHalls(std::move(halls));
     }
 }
 
-void GatewayStoreView::takeDrainedHalls(std::set<HallId> halls)
+void GatewayStoreView::applyDrainedHalls(std::set<HallId> halls)
 {
     if (!upstreams_.setDrainedHalls(std::move(halls))) {
         return;
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -97,7 +97,7 @@
     void reportFaults(const std::vector<std::string> &faults);
     void applyItem(const StoreItem &item);
     UpstreamRecord withWarmUpEnd(UpstreamRecord record) const;
-    void takeDrainedHalls(std::set<HallId> halls);
+    void applyDrainedHalls(std::set<HallId> halls);
     void takeRouting(const RoutingDocument &document);
     void confirm(TimePoint askedAt, const StorePlace &place);
     void takePlace(const StorePlace &place);
