--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -72,7 +72,7 @@
 void GatewayStoreView::adoptConfiguration(const PeerStoreState &shared)
 {
     if (shared.document) {
-        takeRouting(*shared.document);
+        applyRouting(*shared.document);
     }
 }
 
@@ -216,7 +216,7 @@
 void GatewayStoreView::applyItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
-        takeRouting(*document);
+        applyRouting(*document);
     } else if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
         upstreams_.put(withWarmUpEnd(*record));
         logLine(
@@ -259,7 +259,7 @@
     metrics_.set("seamarch_drained_halls", static_cast<double>(names.size()));
 }
 
-void GatewayStoreView::takeRouting(const RoutingDocument &document)
+void GatewayStoreView::applyRouting(const RoutingDocument &document)
 {
     const ConfigVersion held = table_ ? table_->version() : ConfigVersion();
     if (document.version <= held) {
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -98,7 +98,7 @@
     void applyItem(const StoreItem &item);
     UpstreamRecord withWarmUpEnd(UpstreamRecord record) const;
     void applyDrainedHalls(std::set<HallId> halls);
-    void takeRouting(const RoutingDocument &document);
+    void applyRouting(const RoutingDocument &document);
     void confirm(TimePoint askedAt, const StorePlace &place);
     void takePlace(const StorePlace &place);
     void notePlace(const StorePlace &place);
