--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -29,7 +29,7 @@
 
 // A document that could not be read may have taken a key away: until the next one, what is held is
 // not confirmed by anything.
-void GatewayStoreView::confirm(TimePoint askedAt, const StorePlace &place)
+void GatewayStoreView::recordConfirmation(TimePoint askedAt, const StorePlace &place)
 {
     takePlace(std::max(place_, place));
     noteReachable();
@@ -170,7 +170,7 @@
             {{"revision", items.place.revision}, {"upstreams", records.size()}});
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     reportFaults(items.faults);
-    confirm(askedAt, items.place);
+    recordConfirmation(askedAt, items.place);
 }
 
 void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint askedAt)
@@ -180,7 +180,7 @@
     }
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     reportFaults(items.faults);
-    confirm(askedAt, items.place);
+    recordConfirmation(askedAt, items.place);
 }
 
 void GatewayStoreView::reportFaults(const std::vector<std::string> &faults)
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -99,7 +99,7 @@
     UpstreamRecord withWarmUpEnd(UpstreamRecord record) const;
     void applyDrainedHalls(std::set<HallId> halls);
     void applyRouting(const RoutingDocument &document);
-    void confirm(TimePoint askedAt, const StorePlace &place);
+    void recordConfirmation(TimePoint askedAt, const StorePlace &place);
     void takePlace(const StorePlace &place);
     void notePlace(const StorePlace &place);
     void noteReachable();
