--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -31,7 +31,7 @@
 // not confirmed by anything.
 void GatewayStoreView::recordConfirmation(TimePoint askedAt, const StorePlace &place)
 {
-    takePlace(std::max(place_, place));
+    setPlace(std::max(place_, place));
     noteReachable();
     if (!routingUnreadable_) {
         confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, askedAt) : askedAt;
@@ -61,7 +61,7 @@
     upstreams_.onStoreWentBack(loop_.now());
 }
 
-void GatewayStoreView::takePlace(const StorePlace &place)
+void GatewayStoreView::setPlace(const StorePlace &place)
 {
     if (place.era != place_.era) {
         metrics_.set("seamarch_store_era", static_cast<double>(place.era));
@@ -99,7 +99,7 @@
                  {"upstreams", shared.upstreams->size()},
                  {"confirmedMsAgo", toMillis(loop_.now() - confirmedAt)}});
     }
-    takePlace(place);
+    setPlace(place);
     confirmedAt_ = confirmedAt;
     return true;
 }
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -100,7 +100,7 @@
     void applyDrainedHalls(std::set<HallId> halls);
     void applyRouting(const RoutingDocument &document);
     void recordConfirmation(TimePoint askedAt, const StorePlace &place);
-    void takePlace(const StorePlace &place);
+    void setPlace(const StorePlace &place);
     void notePlace(const StorePlace &place);
     void noteReachable();
 
