--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -48,7 +48,7 @@
 }
 
 // Living upstreams that an older copy lacks are listed again soon, as after an outage.
-void GatewayStoreView::notePlace(const StorePlace &place)
+void GatewayStoreView::handleRollback(const StorePlace &place)
 {
     if (!wentBack(place_, place)) {
         return;
@@ -88,7 +88,7 @@
     if (!news || !whole) {
         return false;
     }
-    notePlace(place);
+    handleRollback(place);
     if (shared.upstreams) {
         upstreams_.mirror(*shared.upstreams);
         applyDrainedHalls(shared.drainedHalls);
@@ -163,7 +163,7 @@
             applyItem(item);
         }
     }
-    notePlace(items.place);
+    handleRollback(items.place);
     upstreams_.replaceAll(records, loop_.now());
     applyDrainedHalls(std::move(drained));
     logLine(LogLevel::Info, "store.listed",
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -101,7 +101,7 @@
     void applyRouting(const RoutingDocument &document);
     void recordConfirmation(TimePoint askedAt, const StorePlace &place);
     void setPlace(const StorePlace &place);
-    void notePlace(const StorePlace &place);
+    void handleRollback(const StorePlace &place);
     void noteReachable();
 
     EventLoop &loop_;
