--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -32,13 +32,13 @@
 void GatewayStoreView::recordConfirmation(TimePoint askedAt, const StorePlace &place)
 {
     setPlace(std::max(place_, place));
-    noteReachable();
+    markStoreReachable();
     if (!routingUnreadable_) {
         confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, askedAt) : askedAt;
     }
 }
 
-void GatewayStoreView::noteReachable()
+void GatewayStoreView::markStoreReachable()
 {
     if (!storeReachable_) {
         storeReachable_ = true;
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -102,7 +102,7 @@
     void recordConfirmation(TimePoint askedAt, const StorePlace &place);
     void setPlace(const StorePlace &place);
     void handleRollback(const StorePlace &place);
-    void noteReachable();
+    void markStoreReachable();
 
     EventLoop &loop_;
     UpstreamTable &upstreams_;
