--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -185,11 +185,11 @@
 
 void GatewayStoreView::reportFaults(const std::vector<std::string> &faults)
 {
-    constexpr std::size_t kMostText = 200; // A fault may quote what it stumbled over.
+    constexpr std::size_t kMaxFaultText = 200; // A fault may quote what it stumbled over.
     for (const std::string &fault : faults) {
         metrics_.count("seamarch_store_failures_total", "item unreadable");
         logLine(LogLevel::Warning, "store.item_unreadable",
-                {{"fault", fault.substr(0, kMostText)}});
+                {{"fault", fault.substr(0, kMaxFaultText)}});
     }
 }
 
