--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -261,8 +261,8 @@
 
 void GatewayStoreView::applyRouting(const RoutingDocument &document)
 {
-    const ConfigVersion held = table_ ? table_->version() : ConfigVersion();
-    if (document.version <= held) {
+    const ConfigVersion currentVersion = table_ ? table_->version() : ConfigVersion();
+    if (document.version <= currentVersion) {
         return;
     }
     table_ = std::make_shared<const RouteTable>(document);
@@ -270,7 +270,7 @@
     onConfigApplied_(*table_);
     logLine(LogLevel::Info, "config.applied",
             {{"version", document.version.value()},
-             {"before", held.value()},
+             {"before", currentVersion.value()},
              {"routes", document.routes.size()},
              {"accounts", document.accounts.size()}});
 }
