--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -82,10 +82,10 @@
     // A gateway of an earlier version does not tell the era.
     const StorePlace place{shared.place.era == 0 ? place_.era : shared.place.era,
                            shared.place.revision};
-    const bool news = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
+    const bool isNewer = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
     const bool whole = (shared.document || shared.version <= version())
                        && (shared.upstreams || shared.upstreamsMark == advertisedMark());
-    if (!news || !whole) {
+    if (!isNewer || !whole) {
         return false;
     }
     handleRollback(place);
