--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -83,9 +83,9 @@
     const StorePlace place{shared.place.era == 0 ? place_.era : shared.place.era,
                            shared.place.revision};
     const bool isNewer = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
-    const bool whole = (shared.document || shared.version <= version())
-                       && (shared.upstreams || shared.upstreamsMark == advertisedMark());
-    if (!isNewer || !whole) {
+    const bool isComplete = (shared.document || shared.version <= version())
+                            && (shared.upstreams || shared.upstreamsMark == advertisedMark());
+    if (!isNewer || !isComplete) {
         return false;
     }
     handleRollback(place);
