--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -204,7 +204,7 @@
         return record;
     }
     const UpstreamRecord *known = upstreams_.find(record.id);
-    if (known != nullptr && known->start == record.start) {
+    if (knowledgeAge != nullptr && known->start == record.start) {
         record.warmAt = known->warmAt;
         return record;
     }
@@ -292,8 +292,8 @@
     if (!table_) {
         return tl::unexpected(FailureCode::EntryNotReady);
     }
-    const Duration known = age();
-    const bool mayDeny = known <= freshness_.deny;
+    const Duration knowledgeAge = age();
+    const bool mayDeny = knowledgeAge <= freshness_.deny;
     GatewayRequest admitted;
     admitted.table = table_;
     admitted.route = table_->match(facts.host, request.path);
@@ -312,7 +312,7 @@
     if (account == nullptr) {
         return tl::unexpected(mayDeny ? FailureCode::Unauthorized : FailureCode::KnowledgeStale);
     }
-    if (known > freshness_.keys) {
+    if (knowledgeAge > freshness_.keys) {
         return tl::unexpected(FailureCode::KnowledgeStale);
     }
     admitted.account = account->id;
