--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -302,9 +302,9 @@
     }
     admitted.priority = admitted.route->priority;
     admitted.residency.restrictTo(admitted.route->regions);
-    const Duration longest =
+    const Duration defaultDeadline =
         admitted.route->timeout > Duration{} ? admitted.route->timeout : kDefaultDeadline;
-    admitted.deadline = facts.deadline.value_or(longest);
+    admitted.deadline = facts.deadline.value_or(defaultDeadline);
     if (admitted.route->openToAll || !table_->hasAccounts()) {
         return admitted;
     }
