--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -149,7 +149,7 @@
              {"inFlightThere", core_.inFlightAt(action.upstream.id)},
              {"timeLeftMs", toMillis(action.timeLeft)},
              {"configVersion", flight.admitted.table->version().value()},
-             {"knowledgeAgeMs", toMillis(knowledge_.age())}});
+             {"knowledgeAgeMs", toMillis(storeView_.age())}});
     flight.call = client_->call(std::move(call),
                                 std::make_unique<Receiver>(*this, action.request, action.attempt));
 }
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -85,7 +85,7 @@
                            const SharedBeliefs &beliefs, const MetadataStore &store,
                            GatewayDirectory &directory, Heard heard)
     : loop_(loop)
-    , knowledge_(knowledge)
+    , storeView_(knowledge)
     , groups_(beliefs.groups)
     , crashes_(beliefs.crashes)
     , limits_(beliefs.limits)
@@ -178,8 +178,8 @@
     if (rests) {
         longest = std::min(longest, configNotBefore_ - now);
     }
-    request.setConfigVersion(rests ? kNoConfigWanted : knowledge_.version().value());
-    request.setUpstreamsMark(knowledge_.advertisedMark());
+    request.setConfigVersion(rests ? kNoConfigWanted : storeView_.version().value());
+    request.setUpstreamsMark(storeView_.advertisedMark());
     request.setTakesChanges(true);
     request.setWantsGateways(gateways);
     request.setGatewaysMark(directory_.mark());
@@ -284,7 +284,7 @@
     shared.place = {news.getEra(), news.getRevision()};
     shared.version = ConfigVersion(news.getConfigVersion());
     shared.upstreamsMark = news.getUpstreamsMark();
-    if (news.hasConfig() && shared.version > knowledge_.version()) {
+    if (news.hasConfig() && shared.version > storeView_.version()) {
         const auto bytes = news.getConfig();
         const auto text = inflated(bytes.begin(), bytes.size(), news.getConfigBytes());
         auto document =
@@ -327,7 +327,7 @@
 bool GatewayPeers::hasNewsFor(const Asker &asker) const
 {
     const bool groups = toldGroupsMark_ != 0 && toldGroupsMark_ != asker.groupsMark;
-    return knowledge_.version() > asker.version || knowledge_.upstreamsMark() != asker.upstreamsMark
+    return storeView_.version() > asker.version || storeView_.upstreamsMark() != asker.upstreamsMark
            || groups || crashes_.hasChangedSince(asker.crashCursor)
            || (asker.wantsLimits && limits_.mark() != asker.limitsMark);
 }
@@ -354,33 +354,33 @@
     writeGroups(news, asker.groupsMark);
     writeCrashes(news, asker.crashCursor);
     writeLimits(news, asker);
-    if (!knowledge_.hasConfiguration() || !knowledge_.confirmed()) {
+    if (!storeView_.hasConfiguration() || !storeView_.confirmed()) {
         return;
     }
     news.setKnown(true);
-    news.setAgeMicros(knowledge_.age().count());
-    news.setRevision(knowledge_.place().revision);
-    news.setEra(knowledge_.place().era);
-    news.setConfigVersion(knowledge_.version().value());
-    if (knowledge_.version() > asker.version) {
-        if (packedVersion_ != knowledge_.version()) {
-            packedVersion_ = knowledge_.version();
-            packed_ = deflated(knowledge_.documentText());
+    news.setAgeMicros(storeView_.age().count());
+    news.setRevision(storeView_.place().revision);
+    news.setEra(storeView_.place().era);
+    news.setConfigVersion(storeView_.version().value());
+    if (storeView_.version() > asker.version) {
+        if (packedVersion_ != storeView_.version()) {
+            packedVersion_ = storeView_.version();
+            packed_ = deflated(storeView_.documentText());
         }
         news.setConfig(kj::arrayPtr(packed_.data(), packed_.size()));
-        news.setConfigBytes(static_cast<std::uint32_t>(knowledge_.documentText().size()));
+        news.setConfigBytes(static_cast<std::uint32_t>(storeView_.documentText().size()));
     }
-    news.setUpstreamsMark(knowledge_.upstreamsMark());
-    if (knowledge_.upstreamsMark() != asker.upstreamsMark) {
+    news.setUpstreamsMark(storeView_.upstreamsMark());
+    if (storeView_.upstreamsMark() != asker.upstreamsMark) {
         writeUpstreams(news, asker);
-        writeDrainedHalls(knowledge_.upstreams().drainedHalls(), news);
+        writeDrainedHalls(storeView_.upstreams().drainedHalls(), news);
     }
 }
 
 void GatewayPeers::noteList()
 {
-    if (knowledge_.confirmed()) {
-        history_.note(knowledge_.upstreamsMark(), knowledge_.upstreams().all());
+    if (storeView_.confirmed()) {
+        history_.note(storeView_.upstreamsMark(), storeView_.upstreams().all());
     }
 }
 
@@ -388,7 +388,7 @@
 void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const Asker &asker)
 {
     noteList();
-    std::vector<const UpstreamRecord *> records = knowledge_.upstreams().all();
+    std::vector<const UpstreamRecord *> records = storeView_.upstreams().all();
     const auto changed = asker.takesChanges && asker.upstreamsMark != 0
                              ? history_.changedSince(asker.upstreamsMark)
                              : std::nullopt;
@@ -422,26 +422,26 @@
     if (news.getUpstreamsSince() == 0) {
         return records;
     }
-    if (news.getUpstreamsSince() != knowledge_.advertisedMark()) {
+    if (news.getUpstreamsSince() != storeView_.advertisedMark()) {
         return std::nullopt;
     }
     std::set<InstanceId> removed;
     for (const auto &id : news.getRemovedUpstreams()) {
         removed.insert(InstanceId(id.cStr()));
     }
-    return withChanges(knowledge_.upstreams().all(), records, removed);
+    return withChanges(storeView_.upstreams().all(), records, removed);
 }
 
 void GatewayPeers::tick()
 {
     const TimePoint now = loop_.now();
     const std::uint64_t groupsMark = groups_.mark();
-    if (knowledge_.upstreamsMark() != toldMark_ || knowledge_.version() != toldVersion_
+    if (storeView_.upstreamsMark() != toldMark_ || storeView_.version() != toldVersion_
         || groupsMark != toldGroupsMark_ || crashes_.cursor() != toldCrashes_
         || limits_.mark() != toldLimits_) {
         noteList();
-        toldMark_ = knowledge_.upstreamsMark();
-        toldVersion_ = knowledge_.version();
+        toldMark_ = storeView_.upstreamsMark();
+        toldVersion_ = storeView_.version();
         toldGroupsMark_ = groupsMark;
         toldCrashes_ = crashes_.cursor();
         toldLimits_ = limits_.mark();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -150,7 +150,7 @@
     void taskFailed(kj::Exception &&exception) override;
 
     EventLoop &loop_;
-    GatewayStoreView &knowledge_;
+    GatewayStoreView &storeView_;
     GroupTable &groups_;
     CrashRecord &crashes_;
     UpstreamLimits &limits_;
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -41,7 +41,7 @@
     , store_(store)
     , metrics_(settings.maxAccountSeries)
     , core_(coreSettings(settings))
-    , knowledge_(loop, core_.upstreams(), metrics_, settings.times.freshness,
+    , storeView_(loop, core_.upstreams(), metrics_, settings.times.freshness,
                  [this](const RouteTable &table) { applyConfiguration(table); })
 {
     core_.warmUps().setBounds(settings.bounds.warmUp);
@@ -93,7 +93,7 @@
         metricsServer_ = std::move(*metrics);
     }
     auto sources = KnowledgeSources::create(
-        loop_, *client_, store_, knowledge_,
+        loop_, *client_, store_, storeView_,
         {core_.groups(), core_.crashes(), core_.limits(), core_.permitIssuer(), core_.warmUps()},
         {settings_.instance, settings_.hall, settings_.peerListen, settings_.seeds,
          settings_.agentPort, settings_.times.storeBatchWindow});
@@ -126,7 +126,7 @@
         refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyPause);
         return;
     }
-    const bool early = (!knowledge_.hasConfiguration() || early_.size() > 0) && !stopping_;
+    const bool early = (!storeView_.hasConfiguration() || early_.size() > 0) && !stopping_;
     if (early && early_.hold(exchange, request, facts.deadline.value_or(Duration{}), loop_.now())) {
         logLine(LogLevel::Info, "request.held",
                 {{"id", facts.requestId}, {"reason", "no configuration"}, {"held", early_.size()}});
@@ -140,7 +140,7 @@
 void GatewayService::takeEarly()
 {
     constexpr std::size_t kAtATime = 1;
-    if (knowledge_.hasConfiguration()) {
+    if (storeView_.hasConfiguration()) {
         for (EarlyRequests::Held &held : early_.takeFirst(kAtATime)) {
             take(held.exchange, std::move(held.request), held.arrivedAt);
         }
@@ -155,7 +155,7 @@
 void GatewayService::take(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
 {
     CallerFacts facts = protocol_.readRequest(request);
-    auto admitted = knowledge_.admit(request, facts);
+    auto admitted = storeView_.admit(request, facts);
     if (!admitted) {
         const FailureCode code = admitted.error();
         const bool temporary =
@@ -194,8 +194,8 @@
              {"code", toString(code)},
              {"outcome", toString(outcome)},
              {"retryAfterMs", toMillis(retryAfter)},
-             {"configVersion", knowledge_.version().value()},
-             {"knowledgeAgeMs", knowledge_.confirmed() ? toMillis(knowledge_.age()) : -1}});
+             {"configVersion", storeView_.version().value()},
+             {"knowledgeAgeMs", storeView_.confirmed() ? toMillis(storeView_.age()) : -1}});
     server_->respond(exchange, head, body.dump());
 }
 
@@ -313,11 +313,11 @@
         reason = "stopping";
         return false;
     }
-    if (!knowledge_.hasConfiguration()) {
+    if (!storeView_.hasConfiguration()) {
         reason = "no configuration";
         return false;
     }
-    if (!knowledge_.fresh()) {
+    if (!storeView_.fresh()) {
         reason = "the store has not confirmed the configuration for too long";
         return false;
     }
@@ -379,9 +379,9 @@
             {"hall", settings_.hall.value()},
             {"ready", isReady},
             {"reason", reason},
-            {"configVersion", knowledge_.version().value()},
-            {"knowledgeAgeMs", knowledge_.confirmed() ? toMillis(knowledge_.age()) : -1},
-            {"storeReachable", knowledge_.storeReachable()},
+            {"configVersion", storeView_.version().value()},
+            {"knowledgeAgeMs", storeView_.confirmed() ? toMillis(storeView_.age()) : -1},
+            {"storeReachable", storeView_.storeReachable()},
             {"storeCalls", sources_->storeCalls()},
             {"followsStore", sources_->followsStore()},
             {"gateways", sources_->gateways()},
@@ -407,7 +407,7 @@
         logLine(LogLevel::Warning, "settings.need_restart",
                 {{"message", "names and addresses change at the next start"}});
     }
-    knowledge_.setFreshness(settings.times.freshness);
+    storeView_.setFreshness(settings.times.freshness);
     settings_.times = settings.times;
     settings_.bounds = settings.bounds;
     core_.setRetryLimits(retryLimits(settings_.bounds));
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -156,7 +156,7 @@
     const MetadataStore &store_;
     Metrics metrics_;
     GatewayCore core_;
-    GatewayStoreView knowledge_;
+    GatewayStoreView storeView_;
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<UpstreamProbe> probe_;
     std::unique_ptr<HttpServer> server_;
