--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -81,11 +81,11 @@
     GatewayPeers &peers_;
 };
 
-GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &knowledge,
+GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView,
                            const SharedBeliefs &beliefs, const MetadataStore &store,
                            GatewayDirectory &directory, Heard heard)
     : loop_(loop)
-    , storeView_(knowledge)
+    , storeView_(storeView)
     , groups_(beliefs.groups)
     , crashes_(beliefs.crashes)
     , limits_(beliefs.limits)
@@ -108,11 +108,11 @@
 }
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-GatewayPeers::create(EventLoop &loop, GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
+GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &beliefs,
                      const MetadataStore &store, GatewayDirectory &directory, Heard heard)
 {
     std::unique_ptr<GatewayPeers> peers(
-        new GatewayPeers(loop, knowledge, beliefs, store, directory, std::move(heard)));
+        new GatewayPeers(loop, storeView, beliefs, store, directory, std::move(heard)));
     if (auto opened = peers->open(); !opened) {
         return tl::unexpected(opened.error());
     }
