--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -116,7 +116,7 @@
         directory_.onFailed(id, loop_.now());
         logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", id.value()}});
     };
-    loop_.schedule(detail::kPeerPatience, [this, address, over, conclude, alive = alive_] {
+    loop_.schedule(detail::kPeerTimeout, [this, address, over, conclude, alive = alive_] {
         if (*alive && !*over) {
             linkTo(address).rpc.reset();
             conclude(false);
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -191,7 +191,7 @@
     request.setLimitsMark(link.limitsMark);
     // Whichever comes first, the answer or the end of patience, ends the question.
     const auto over = std::make_shared<bool>(false);
-    loop_.schedule(longest + detail::kPeerPatience, [this, address, over, alive = alive_] {
+    loop_.schedule(longest + detail::kPeerTimeout, [this, address, over, alive = alive_] {
         if (*alive && !std::exchange(*over, true)) {
             // The connection may have gone silent for good while a new one works.
             linkTo(address).rpc.reset();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -37,7 +37,7 @@
 namespace detail {
 
 // How long an answer may take beyond its wait: some round trips between halls.
-inline constexpr Duration kPeerPatience = std::chrono::milliseconds(350);
+inline constexpr Duration kPeerTimeout = std::chrono::milliseconds(350);
 // A gateway that failed, or whose news was not taken, is not asked again for this long.
 inline constexpr Duration kPeerPause = std::chrono::milliseconds(150);
 
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -62,7 +62,7 @@
             answered(answer);
         }
     };
-    loop_.schedule(detail::kPeerPatience,
+    loop_.schedule(detail::kPeerTimeout,
                    [this, address, id = issuer.id, over, conclude, alive = alive_] {
                        if (!*alive || *over) {
                            return;
