--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -112,7 +112,7 @@
             announcement.told = told;
             return;
         }
-        announcement.notBefore = loop_.now() + detail::kPeerPause;
+        announcement.notBefore = loop_.now() + detail::kPeerRetryDelay;
         directory_.onFailed(id, loop_.now());
         logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", id.value()}});
     };
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -215,7 +215,7 @@
 {
     Link &link = linkTo(address);
     link.asking = false;
-    link.notBefore = loop_.now() + detail::kPeerPause;
+    link.notBefore = loop_.now() + detail::kPeerRetryDelay;
     listAskedAt_ = {};
     if (link.id != InstanceId()) {
         directory_.onFailed(link.id, loop_.now());
@@ -242,7 +242,7 @@
         unknownAt_ = now;
     }
     if (!news.getKnown() || !takeNews(askedAt, news)) {
-        link.notBefore = now + detail::kPeerPause;
+        link.notBefore = now + detail::kPeerRetryDelay;
     }
     if (std::exchange(link.askAgain, false)) {
         link.notBefore = {};
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -39,7 +39,7 @@
 // How long an answer may take beyond its wait: some round trips between halls.
 inline constexpr Duration kPeerTimeout = std::chrono::milliseconds(350);
 // A gateway that failed, or whose news was not taken, is not asked again for this long.
-inline constexpr Duration kPeerPause = std::chrono::milliseconds(150);
+inline constexpr Duration kPeerRetryDelay = std::chrono::milliseconds(150);
 
 } // namespace detail
 
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -83,7 +83,7 @@
                 directory_.onFailed(id, loop_.now());
                 logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", id.value()}});
             }
-            conclude({0, unknown ? kUnknownPause : detail::kPeerPause});
+            conclude({0, unknown ? kUnknownPause : detail::kPeerRetryDelay});
         }));
 }
 
