--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // The longest that an asker may have its question wait.
-constexpr Duration kLongestWait = std::chrono::seconds(1);
+constexpr Duration kMaxPollWait = std::chrono::seconds(1);
 // How often any gateway is asked for those it knows: several times in the life of what is told.
 constexpr Duration kGatewaysGap = std::chrono::seconds(2);
 // A new gateway asks more often: when a site starts, all of its gateways come within a second.
@@ -52,7 +52,7 @@
                           params.getGatewaysMark(),
                           params.getWantsLimits(),
                           params.getLimitsMark()};
-        const Duration wait = std::min(Duration(params.getWaitMicros()), kLongestWait);
+        const Duration wait = std::min(Duration(params.getWaitMicros()), kMaxPollWait);
         auto answer = [this, context, asker, askedAt]() mutable {
             peers_.writeNews(context.getResults().initNews(), asker, peers_.loop_.now() - askedAt);
         };
