--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -14,7 +14,7 @@
 // The longest that an asker may have its question wait.
 constexpr Duration kMaxPollWait = std::chrono::seconds(1);
 // How often any gateway is asked for those it knows: several times in the life of what is told.
-constexpr Duration kGatewaysGap = std::chrono::seconds(2);
+constexpr Duration kGatewayListInterval = std::chrono::seconds(2);
 // A new gateway asks more often: when a site starts, all of its gateways come within a second.
 constexpr Duration kYoung = std::chrono::seconds(3);
 constexpr Duration kGatewaysGapOfYoung = std::chrono::milliseconds(800);
@@ -156,7 +156,7 @@
 bool GatewayPeers::isListDue(const Link &link, TimePoint now) const
 {
     const bool young = now - startedAt_ < kYoung;
-    const Duration gap = young ? kGatewaysGapOfYoung : kGatewaysGap;
+    const Duration gap = young ? kGatewaysGapOfYoung : kGatewayListInterval;
     return link.id == InstanceId() || now - listAskedAt_ >= gap;
 }
 
