--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kGatewayListInterval = std::chrono::seconds(2);
 // A new gateway asks more often: when a site starts, all of its gateways come within a second.
 constexpr Duration kYoung = std::chrono::seconds(3);
-constexpr Duration kGatewaysGapOfYoung = std::chrono::milliseconds(800);
+constexpr Duration kStartupGatewayListInterval = std::chrono::milliseconds(800);
 // No configuration is newer than this one.
 constexpr std::uint64_t kNoConfigWanted = std::numeric_limits<std::uint64_t>::max();
 // A connection that was not used for this long is closed.
@@ -156,7 +156,7 @@
 bool GatewayPeers::isListDue(const Link &link, TimePoint now) const
 {
     const bool young = now - startedAt_ < kYoung;
-    const Duration gap = young ? kGatewaysGapOfYoung : kGatewayListInterval;
+    const Duration gap = young ? kStartupGatewayListInterval : kGatewayListInterval;
     return link.id == InstanceId() || now - listAskedAt_ >= gap;
 }
 
