--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -16,7 +16,7 @@
 // How often any gateway is asked for those it knows: several times in the life of what is told.
 constexpr Duration kGatewayListInterval = std::chrono::seconds(2);
 // A new gateway asks more often: when a site starts, all of its gateways come within a second.
-constexpr Duration kYoung = std::chrono::seconds(3);
+constexpr Duration kStartupPeriod = std::chrono::seconds(3);
 constexpr Duration kStartupGatewayListInterval = std::chrono::milliseconds(800);
 // No configuration is newer than this one.
 constexpr std::uint64_t kNoConfigWanted = std::numeric_limits<std::uint64_t>::max();
@@ -155,7 +155,7 @@
 // with its list.
 bool GatewayPeers::isListDue(const Link &link, TimePoint now) const
 {
-    const bool young = now - startedAt_ < kYoung;
+    const bool young = now - startedAt_ < kStartupPeriod;
     const Duration gap = young ? kStartupGatewayListInterval : kGatewayListInterval;
     return link.id == InstanceId() || now - listAskedAt_ >= gap;
 }
