--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -155,8 +155,8 @@
 // with its list.
 bool GatewayPeers::isListDue(const Link &link, TimePoint now) const
 {
-    const bool young = now - startedAt_ < kStartupPeriod;
-    const Duration gap = young ? kStartupGatewayListInterval : kGatewayListInterval;
+    const bool startingUp = now - startedAt_ < kStartupPeriod;
+    const Duration gap = startingUp ? kStartupGatewayListInterval : kGatewayListInterval;
     return link.id == InstanceId() || now - listAskedAt_ >= gap;
 }
 
