--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -156,8 +156,8 @@
 bool GatewayPeers::isListDue(const Link &link, TimePoint now) const
 {
     const bool startingUp = now - startedAt_ < kStartupPeriod;
-    const Duration gap = startingUp ? kStartupGatewayListInterval : kGatewayListInterval;
-    return link.id == InstanceId() || now - listAskedAt_ >= gap;
+    const Duration interval = startingUp ? kStartupGatewayListInterval : kGatewayListInterval;
+    return link.id == InstanceId() || now - listAskedAt_ >= interval;
 }
 
 void GatewayPeers::ask(const SocketAddress &address, const InstanceId &id, Duration longest,
