--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -19,7 +19,7 @@
 constexpr Duration kStartupPeriod = std::chrono::seconds(3);
 constexpr Duration kStartupGatewayListInterval = std::chrono::milliseconds(800);
 // No configuration is newer than this one.
-constexpr std::uint64_t kNoConfigWanted = std::numeric_limits<std::uint64_t>::max();
+constexpr std::uint64_t kNewerThanAnyConfig = std::numeric_limits<std::uint64_t>::max();
 // A connection that was not used for this long is closed.
 constexpr Duration kLinkLife = std::chrono::seconds(15);
 
@@ -178,7 +178,7 @@
     if (rests) {
         longest = std::min(longest, configNotBefore_ - now);
     }
-    request.setConfigVersion(rests ? kNoConfigWanted : storeView_.version().value());
+    request.setConfigVersion(rests ? kNewerThanAnyConfig : storeView_.version().value());
     request.setUpstreamsMark(storeView_.advertisedMark());
     request.setTakesChanges(true);
     request.setWantsGateways(gateways);
