--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -21,7 +21,7 @@
 // No configuration is newer than this one.
 constexpr std::uint64_t kNewerThanAnyConfig = std::numeric_limits<std::uint64_t>::max();
 // A connection that was not used for this long is closed.
-constexpr Duration kLinkLife = std::chrono::seconds(15);
+constexpr Duration kLinkIdleTimeout = std::chrono::seconds(15);
 
 std::pair<std::string, int> keyOf(const SocketAddress &address)
 {
@@ -449,7 +449,7 @@
     }
     announce(now);
     std::erase_if(links_, [now](const auto &entry) {
-        return !entry.second.asking && now - entry.second.usedAt > kLinkLife;
+        return !entry.second.asking && now - entry.second.usedAt > kLinkIdleTimeout;
     });
 }
 
