--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // One that answers that it does not know the question is of an earlier version and hands out none.
-constexpr Duration kUnknownPause = std::chrono::seconds(1);
+constexpr Duration kUnsupportedRetryDelay = std::chrono::seconds(1);
 
 // A rate that makes no sense lets an upstream be asked now and then.
 RequestRate readRate(double perSecond)
@@ -83,7 +83,7 @@
                 directory_.onFailed(id, loop_.now());
                 logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", id.value()}});
             }
-            conclude({0, unknown ? kUnknownPause : detail::kPeerRetryDelay});
+            conclude({0, unknown ? kUnsupportedRetryDelay : detail::kPeerRetryDelay});
         }));
 }
 
