--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -83,7 +83,7 @@
 
 GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView,
                            const SharedBeliefs &beliefs, const MetadataStore &store,
-                           GatewayDirectory &directory, Heard heard)
+                           GatewayDirectory &directory, StateReceived heard)
     : loop_(loop)
     , storeView_(storeView)
     , groups_(beliefs.groups)
@@ -109,7 +109,7 @@
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
 GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &beliefs,
-                     const MetadataStore &store, GatewayDirectory &directory, Heard heard)
+                     const MetadataStore &store, GatewayDirectory &directory, StateReceived heard)
 {
     std::unique_ptr<GatewayPeers> peers(
         new GatewayPeers(loop, storeView, beliefs, store, directory, std::move(heard)));
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -48,12 +48,12 @@
 public:
     // Another gateway's knowledge, which the store confirmed at the time. Returns whether it was
     // taken; one that was not is not asked again for a moment.
-    using Heard = std::function<bool(const PeerStoreState &, TimePoint confirmedAt)>;
+    using StateReceived = std::function<bool(const PeerStoreState &, TimePoint confirmedAt)>;
 
     // Listens at the address of the directory's own record.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
     create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &beliefs,
-           const MetadataStore &store, GatewayDirectory &directory, Heard heard);
+           const MetadataStore &store, GatewayDirectory &directory, StateReceived heard);
     ~GatewayPeers();
     GatewayPeers(const GatewayPeers &) = delete;
     GatewayPeers &operator=(const GatewayPeers &) = delete;
@@ -104,7 +104,7 @@
     };
 
     GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &beliefs,
-                 const MetadataStore &store, GatewayDirectory &directory, Heard heard);
+                 const MetadataStore &store, GatewayDirectory &directory, StateReceived heard);
     tl::expected<void, NetError> open();
 
     Link &linkTo(const SocketAddress &address);
@@ -157,7 +157,7 @@
     PermitIssuer &permitIssuer_;
     const MetadataStore &store_;
     GatewayDirectory &directory_;
-    Heard heard_;
+    StateReceived heard_;
     std::unique_ptr<RawTransport> transport_;
     WakeList waiting_;
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
