--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -83,7 +83,7 @@
 
 GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView,
                            const SharedBeliefs &beliefs, const MetadataStore &store,
-                           GatewayDirectory &directory, StateReceived heard)
+                           GatewayDirectory &directory, StateReceived onStateReceived)
     : loop_(loop)
     , storeView_(storeView)
     , groups_(beliefs.groups)
@@ -92,7 +92,7 @@
     , permitIssuer_(beliefs.permitIssuer)
     , store_(store)
     , directory_(directory)
-    , heard_(std::move(heard))
+    , heard_(std::move(onStateReceived))
     , waiting_(loop)
     , toldCrashes_(crashes_.cursor())
     , toldLimits_(limits_.mark())
@@ -109,10 +109,11 @@
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
 GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &beliefs,
-                     const MetadataStore &store, GatewayDirectory &directory, StateReceived heard)
+                     const MetadataStore &store, GatewayDirectory &directory,
+                     StateReceived onStateReceived)
 {
     std::unique_ptr<GatewayPeers> peers(
-        new GatewayPeers(loop, storeView, beliefs, store, directory, std::move(heard)));
+        new GatewayPeers(loop, storeView, beliefs, store, directory, std::move(onStateReceived)));
     if (auto opened = peers->open(); !opened) {
         return tl::unexpected(opened.error());
     }
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -53,7 +53,7 @@
     // Listens at the address of the directory's own record.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
     create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &beliefs,
-           const MetadataStore &store, GatewayDirectory &directory, StateReceived heard);
+           const MetadataStore &store, GatewayDirectory &directory, StateReceived onStateReceived);
     ~GatewayPeers();
     GatewayPeers(const GatewayPeers &) = delete;
     GatewayPeers &operator=(const GatewayPeers &) = delete;
@@ -104,7 +104,8 @@
     };
 
     GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &beliefs,
-                 const MetadataStore &store, GatewayDirectory &directory, StateReceived heard);
+                 const MetadataStore &store, GatewayDirectory &directory,
+                 StateReceived onStateReceived);
     tl::expected<void, NetError> open();
 
     Link &linkTo(const SocketAddress &address);
