--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -92,7 +92,7 @@
     , permitIssuer_(beliefs.permitIssuer)
     , store_(store)
     , directory_(directory)
-    , heard_(std::move(onStateReceived))
+    , onStateReceived_(std::move(onStateReceived))
     , waiting_(loop)
     , toldCrashes_(crashes_.cursor())
     , toldLimits_(limits_.mark())
@@ -303,7 +303,7 @@
     }
     const Duration held(news.getHeldMicros());
     const Duration age(news.getAgeMicros());
-    return heard_(shared, askedAt + held - age);
+    return onStateReceived_(shared, askedAt + held - age);
 }
 
 // Takes what the other gateway has heard of groups, each as of its own moment. Facts that it told
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -158,7 +158,7 @@
     PermitIssuer &permitIssuer_;
     const MetadataStore &store_;
     GatewayDirectory &directory_;
-    StateReceived heard_;
+    StateReceived onStateReceived_;
     std::unique_ptr<RawTransport> transport_;
     WakeList waiting_;
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
