--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -162,7 +162,7 @@
 }
 
 void GatewayPeers::ask(const SocketAddress &address, const InstanceId &id, Duration longest,
-                       AskList list)
+                       ListRequest list)
 {
     const TimePoint now = loop_.now();
     Link &link = linkTo(address);
@@ -170,7 +170,7 @@
         return;
     }
     link.id = id == InstanceId() ? link.id : id;
-    const bool gateways = list == AskList::Always || isListDue(link, now);
+    const bool gateways = list == ListRequest::Always || isListDue(link, now);
     listAskedAt_ = gateways ? now : listAskedAt_;
     link.asking = true;
     auto request = link.rpc->capability().castAs<wire::GatewayPeer>().exchangeRequest();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -59,12 +59,12 @@
     GatewayPeers &operator=(const GatewayPeers &) = delete;
 
     // Whether a question also asks whom the other gateway has heard of.
-    enum class AskList { IfDue, Always };
+    enum class ListRequest { IfDue, Always };
 
     // Asks a gateway, unless a question to it is under way; the answer may wait for `longest`. The
     // id of one that was never heard of is empty.
     void ask(const SocketAddress &address, const InstanceId &id, Duration longest,
-             AskList list = AskList::IfDue);
+             ListRequest list = ListRequest::IfDue);
     using PermitsAnswered = std::function<void(const PermitAnswer &)>;
     // What permits are asked for.
     struct PermitQuestion
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -255,7 +255,7 @@
         listsAskedAt_ = now;
         askOtherHalls(now);
         askGateway(directory_.another(settings_.instance, now), Duration{},
-                   GatewayPeers::AskList::Always);
+                   GatewayPeers::ListRequest::Always);
         askSeedInTurn();
     }
     if (old && now - anyAskedAt_ >= kAnyGap) {
@@ -307,7 +307,8 @@
 {
     for (const HallId &hall : directory_.halls()) {
         if (hall != settings_.hall) {
-            askGateway(directory_.firstOf(hall, now), Duration{}, GatewayPeers::AskList::Always);
+            askGateway(directory_.firstOf(hall, now), Duration{},
+                       GatewayPeers::ListRequest::Always);
         }
     }
 }
@@ -321,12 +322,12 @@
     }
     const SocketAddress &seed = settings_.seeds[seedTurn_++ % settings_.seeds.size()];
     if (seed != settings_.peerListen) {
-        peers_->ask(seed, InstanceId(), Duration{}, GatewayPeers::AskList::Always);
+        peers_->ask(seed, InstanceId(), Duration{}, GatewayPeers::ListRequest::Always);
     }
 }
 
 void KnowledgeSources::askGateway(const std::optional<InstanceId> &id, Duration longest,
-                                  GatewayPeers::AskList list)
+                                  GatewayPeers::ListRequest list)
 {
     const GatewayRecord *record = id ? directory_.find(*id) : nullptr;
     if (record != nullptr) {
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -80,7 +80,7 @@
     void askOtherHalls(TimePoint now);
     void askSeedInTurn();
     void askGateway(const std::optional<InstanceId> &id, Duration longest,
-                    GatewayPeers::AskList list = GatewayPeers::AskList::IfDue);
+                    GatewayPeers::ListRequest list = GatewayPeers::ListRequest::IfDue);
     void followStore(bool wanted, std::string_view reason);
 
     EventLoop &loop_;
