--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -66,7 +66,7 @@
     Link &link = linkTo(address);
     link.askAgain = link.asking;
     link.notBefore = {};
-    ask(address, from.id, Duration{});
+    poll(address, from.id, Duration{});
 }
 
 // Tells the first gateway of each hall, until it has heard it, that there is news here: upstreams
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -161,8 +161,8 @@
     return link.id == InstanceId() || now - listAskedAt_ >= interval;
 }
 
-void GatewayPeers::ask(const SocketAddress &address, const InstanceId &id, Duration longest,
-                       ListRequest list)
+void GatewayPeers::poll(const SocketAddress &address, const InstanceId &id, Duration longest,
+                        ListRequest list)
 {
     const TimePoint now = loop_.now();
     Link &link = linkTo(address);
@@ -247,7 +247,7 @@
     }
     if (std::exchange(link.askAgain, false)) {
         link.notBefore = {};
-        ask(address, link.id, Duration{});
+        poll(address, link.id, Duration{});
     }
 }
 
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -63,8 +63,8 @@
 
     // Asks a gateway, unless a question to it is under way; the answer may wait for `longest`. The
     // id of one that was never heard of is empty.
-    void ask(const SocketAddress &address, const InstanceId &id, Duration longest,
-             ListRequest list = ListRequest::IfDue);
+    void poll(const SocketAddress &address, const InstanceId &id, Duration longest,
+              ListRequest list = ListRequest::IfDue);
     using PermitsAnswered = std::function<void(const PermitAnswer &)>;
     // What permits are asked for.
     struct PermitQuestion
