--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -281,7 +281,7 @@
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
         const bool turn = few || index == seedTurn_ % settings_.seeds.size();
         if (turn && settings_.peerListen != settings_.seeds[index]) {
-            peers_->ask(settings_.seeds[index], InstanceId(), Duration{});
+            peers_->poll(settings_.seeds[index], InstanceId(), Duration{});
         }
     }
 }
@@ -322,7 +322,7 @@
     }
     const SocketAddress &seed = settings_.seeds[seedTurn_++ % settings_.seeds.size()];
     if (seed != settings_.peerListen) {
-        peers_->ask(seed, InstanceId(), Duration{}, GatewayPeers::ListRequest::Always);
+        peers_->poll(seed, InstanceId(), Duration{}, GatewayPeers::ListRequest::Always);
     }
 }
 
@@ -331,7 +331,7 @@
 {
     const GatewayRecord *record = id ? directory_.find(*id) : nullptr;
     if (record != nullptr) {
-        peers_->ask({record->host, record->port}, record->id, longest, list);
+        peers_->poll({record->host, record->port}, record->id, longest, list);
     }
 }
 
