--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -76,8 +76,8 @@
         std::optional<RequestRate> warmUp; // What it takes while it warms up; nothing: it is warm.
     };
     // Asks the gateway `issuer` for permits. `answered` is called once, also when no answer comes.
-    void askForPermits(const GatewayRecord &issuer, const PermitQuestion &question,
-                       PermitsAnswered answered);
+    void requestPermits(const GatewayRecord &issuer, const PermitQuestion &question,
+                        PermitsAnswered answered);
     // Wakes the questions that wait here, if there is news for them. Call it often.
     void tick();
     // Returns when another gateway last answered that it has no configuration; the distant past
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -45,8 +45,8 @@
                               question.getWanted(), now);
 }
 
-void GatewayPeers::askForPermits(const GatewayRecord &issuer, const PermitQuestion &question,
-                                 PermitsAnswered answered)
+void GatewayPeers::requestPermits(const GatewayRecord &issuer, const PermitQuestion &question,
+                                  PermitsAnswered answered)
 {
     const SocketAddress address{issuer.host, issuer.port};
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().permitsRequest();
