--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -122,7 +122,7 @@
             ask.upstream, std::min(rate, question.warmUp.value_or(rate)), self, ask.wanted, now));
         return;
     }
-    peers_->askForPermits(*record, question, std::move(answered));
+    peers_->requestPermits(*record, question, std::move(answered));
 }
 
 std::uint64_t KnowledgeSources::storeCalls() const
