--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -67,7 +67,7 @@
               ListRequest list = ListRequest::IfDue);
     using PermitsAnswered = std::function<void(const PermitAnswer &)>;
     // What permits are asked for.
-    struct PermitQuestion
+    struct PermitRequest
     {
         InstanceId upstream;
         UpstreamStart start;
@@ -76,7 +76,7 @@
         std::optional<RequestRate> warmUp; // What it takes while it warms up; nothing: it is warm.
     };
     // Asks the gateway `issuer` for permits. `answered` is called once, also when no answer comes.
-    void requestPermits(const GatewayRecord &issuer, const PermitQuestion &question,
+    void requestPermits(const GatewayRecord &issuer, const PermitRequest &question,
                         PermitsAnswered answered);
     // Wakes the questions that wait here, if there is news for them. Call it often.
     void tick();
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -45,7 +45,7 @@
                               question.getWanted(), now);
 }
 
-void GatewayPeers::requestPermits(const GatewayRecord &issuer, const PermitQuestion &question,
+void GatewayPeers::requestPermits(const GatewayRecord &issuer, const PermitRequest &question,
                                   PermitsAnswered answered)
 {
     const SocketAddress address{issuer.host, issuer.port};
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -104,7 +104,7 @@
         answered({}); // It is gone.
         return;
     }
-    GatewayPeers::PermitQuestion question{upstream->id, upstream->start, ask.wanted, {}, {}};
+    GatewayPeers::PermitRequest question{upstream->id, upstream->start, ask.wanted, {}, {}};
     if (const LimitWord *word = beliefs_.limits.find(*upstream); word != nullptr && word->rate) {
         question.limit = *word;
     }
