--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -65,7 +65,7 @@
     // id of one that was never heard of is empty.
     void poll(const SocketAddress &address, const InstanceId &id, Duration longest,
               ListRequest list = ListRequest::IfDue);
-    using PermitsAnswered = std::function<void(const PermitAnswer &)>;
+    using PermitsCallback = std::function<void(const PermitAnswer &)>;
     // What permits are asked for.
     struct PermitRequest
     {
@@ -77,7 +77,7 @@
     };
     // Asks the gateway `issuer` for permits. `answered` is called once, also when no answer comes.
     void requestPermits(const GatewayRecord &issuer, const PermitRequest &question,
-                        PermitsAnswered answered);
+                        PermitsCallback answered);
     // Wakes the questions that wait here, if there is news for them. Call it often.
     void tick();
     // Returns when another gateway last answered that it has no configuration; the distant past
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -46,7 +46,7 @@
 }
 
 void GatewayPeers::requestPermits(const GatewayRecord &issuer, const PermitRequest &question,
-                                  PermitsAnswered answered)
+                                  PermitsCallback answered)
 {
     const SocketAddress address{issuer.host, issuer.port};
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().permitsRequest();
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -96,7 +96,7 @@
 }
 
 void KnowledgeSources::askForPermits(const SendPermits::Ask &ask,
-                                     GatewayPeers::PermitsAnswered answered)
+                                     GatewayPeers::PermitsCallback answered)
 {
     const TimePoint now = loop_.now();
     const UpstreamRecord *upstream = knowledge_.upstreams().find(ask.upstream);
