--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -77,7 +77,7 @@
     };
     // Asks the gateway `issuer` for permits. `answered` is called once, also when no answer comes.
     void requestPermits(const GatewayRecord &issuer, const PermitRequest &question,
-                        PermitsCallback answered);
+                        PermitsCallback onAnswer);
     // Wakes the questions that wait here, if there is news for them. Call it often.
     void tick();
     // Returns when another gateway last answered that it has no configuration; the distant past
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -46,7 +46,7 @@
 }
 
 void GatewayPeers::requestPermits(const GatewayRecord &issuer, const PermitRequest &question,
-                                  PermitsCallback answered)
+                                  PermitsCallback onAnswer)
 {
     const SocketAddress address{issuer.host, issuer.port};
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().permitsRequest();
@@ -57,9 +57,9 @@
     request.setWarmUpPerSecond(question.warmUp.value_or(RequestRate()).perSecond());
     // Whichever comes first, the answer or the end of patience, ends the question.
     const auto over = std::make_shared<bool>(false);
-    const auto conclude = [over, answered = std::move(answered)](const PermitAnswer &answer) {
+    const auto conclude = [over, onAnswer = std::move(onAnswer)](const PermitAnswer &answer) {
         if (!std::exchange(*over, true)) {
-            answered(answer);
+            onAnswer(answer);
         }
     };
     loop_.schedule(detail::kPeerTimeout,
