--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -71,7 +71,7 @@
 
     kj::Promise<void> permits(PermitsContext context) override
     {
-        const PermitAnswer answer = peers_.handPermits(context.getParams());
+        const PermitAnswer answer = peers_.grantPermits(context.getParams());
         context.getResults().setGranted(answer.granted);
         context.getResults().setAskAgainMicros(answer.askAgain.count());
         return kj::READY_NOW;
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -118,7 +118,7 @@
     void takeGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    PermitAnswer handPermits(wire::GatewayPeer::PermitsParams::Reader question);
+    PermitAnswer grantPermits(wire::GatewayPeer::PermitsParams::Reader question);
     void onHasNews(const GatewayRecord &from);
     // Counts the crashes and the changes of limits that this gateway saw itself.
     std::uint64_t ownNews() const
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 // Hands out by the lowest of what the asker and this gateway know.
-PermitAnswer GatewayPeers::handPermits(wire::GatewayPeer::PermitsParams::Reader question)
+PermitAnswer GatewayPeers::grantPermits(wire::GatewayPeer::PermitsParams::Reader question)
 {
     const TimePoint now = loop_.now();
     const GatewayRecord from = readGateway(question.getSelf());
