--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -82,7 +82,7 @@
     void tick();
     // Returns when another gateway last answered that it has no configuration; the distant past
     // when none did.
-    TimePoint unknownAt() const { return unknownAt_; }
+    TimePoint lastUnconfiguredAnswerAt() const { return unknownAt_; }
     // Returns when any gateway last answered; the distant past when none did.
     TimePoint answeredAt() const { return answeredAt_; }
 
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -167,7 +167,7 @@
     if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || knowledge_.hasConfiguration()) {
         return false;
     }
-    const bool othersWait = now - peers_->unknownAt() < kHearFirst;
+    const bool othersWait = now - peers_->lastUnconfiguredAnswerAt() < kHearFirst;
     return now - startedAt_ < (othersWait ? kHearFirstAtMost : kHearFirst);
 }
 
