--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -240,7 +240,7 @@
     takeCrashes(link, askedAt, news);
     takeLimits(link, askedAt, news);
     if (!news.getKnown()) {
-        unknownAt_ = now;
+        lastUnconfiguredAnswerAt_ = now;
     }
     if (!news.getKnown() || !takeNews(askedAt, news)) {
         link.notBefore = now + detail::kPeerRetryDelay;
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -82,7 +82,7 @@
     void tick();
     // Returns when another gateway last answered that it has no configuration; the distant past
     // when none did.
-    TimePoint lastUnconfiguredAnswerAt() const { return unknownAt_; }
+    TimePoint lastUnconfiguredAnswerAt() const { return lastUnconfiguredAnswerAt_; }
     // Returns when any gateway last answered; the distant past when none did.
     TimePoint answeredAt() const { return answeredAt_; }
 
@@ -183,7 +183,7 @@
         TimePoint notBefore{};
     };
     std::map<HallId, Announcement> announcements_;
-    TimePoint unknownAt_{};
+    TimePoint lastUnconfiguredAnswerAt_{};
     TimePoint answeredAt_{};
     TimePoint startedAt_{};
     TimePoint listAskedAt_{};     // Last, from any gateway.
