--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -84,7 +84,7 @@
     // when none did.
     TimePoint lastUnconfiguredAnswerAt() const { return lastUnconfiguredAnswerAt_; }
     // Returns when any gateway last answered; the distant past when none did.
-    TimePoint answeredAt() const { return answeredAt_; }
+    TimePoint lastAnswerAt() const { return answeredAt_; }
 
 private:
     class Server;
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -180,7 +180,7 @@
 // Tells whether others of the hall ask the store in place of this gateway, and it hears them.
 bool KnowledgeSources::leavesStoreToOthers(TimePoint now) const
 {
-    const bool hearsOthers = peers_ != nullptr && now - peers_->answeredAt() < kHeard;
+    const bool hearsOthers = peers_ != nullptr && now - peers_->lastAnswerAt() < kHeard;
     return hearsOthers && !hasStoreTurn(directory_.place().index);
 }
 
