--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -230,7 +230,7 @@
     const TimePoint now = loop_.now();
     Link &link = linkTo(address);
     link.asking = false;
-    answeredAt_ = now;
+    lastAnswerAt_ = now;
     if (news.getGateways().size() > 0) {
         link.id = readGateway(news.getGateways()[0]).id;
         takeGateways(news, now);
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -84,7 +84,7 @@
     // when none did.
     TimePoint lastUnconfiguredAnswerAt() const { return lastUnconfiguredAnswerAt_; }
     // Returns when any gateway last answered; the distant past when none did.
-    TimePoint lastAnswerAt() const { return answeredAt_; }
+    TimePoint lastAnswerAt() const { return lastAnswerAt_; }
 
 private:
     class Server;
@@ -184,7 +184,7 @@
     };
     std::map<HallId, Announcement> announcements_;
     TimePoint lastUnconfiguredAnswerAt_{};
-    TimePoint answeredAt_{};
+    TimePoint lastAnswerAt_{};
     TimePoint startedAt_{};
     TimePoint listAskedAt_{};     // Last, from any gateway.
     TimePoint configNotBefore_{}; // It rests from reading the last configuration until then.
