--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -166,13 +166,13 @@
 {
     const TimePoint now = loop_.now();
     Link &link = linkTo(address);
-    if (link.asking || now < link.notBefore) {
+    if (link.polling || now < link.notBefore) {
         return;
     }
     link.id = id == InstanceId() ? link.id : id;
     const bool gateways = list == ListRequest::Always || isListDue(link, now);
     listAskedAt_ = gateways ? now : listAskedAt_;
-    link.asking = true;
+    link.polling = true;
     auto request = link.rpc->capability().castAs<wire::GatewayPeer>().exchangeRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
     const bool rests = now < configNotBefore_;
@@ -215,7 +215,7 @@
 void GatewayPeers::onFailed(const SocketAddress &address)
 {
     Link &link = linkTo(address);
-    link.asking = false;
+    link.polling = false;
     link.notBefore = loop_.now() + detail::kPeerRetryDelay;
     listAskedAt_ = {};
     if (link.id != InstanceId()) {
@@ -229,7 +229,7 @@
 {
     const TimePoint now = loop_.now();
     Link &link = linkTo(address);
-    link.asking = false;
+    link.polling = false;
     lastAnswerAt_ = now;
     if (news.getGateways().size() > 0) {
         link.id = readGateway(news.getGateways()[0]).id;
@@ -450,7 +450,7 @@
     }
     announce(now);
     std::erase_if(links_, [now](const auto &entry) {
-        return !entry.second.asking && now - entry.second.usedAt > kLinkIdleTimeout;
+        return !entry.second.polling && now - entry.second.usedAt > kLinkIdleTimeout;
     });
 }
 
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -93,7 +93,7 @@
     {
         std::unique_ptr<RpcLink> rpc;
         InstanceId id; // Empty until it has answered.
-        bool asking = false;
+        bool polling = false;
         bool askAgain = false;        // It has news; ask once more when the question is answered.
         std::uint64_t groupsMark = 0; // Of the groups that it has told last, or of those known here
                                       // when it was first asked.
