--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -64,7 +64,7 @@
     directory_.hear(from, loop_.now());
     const SocketAddress address{from.host, from.port};
     Link &link = linkTo(address);
-    link.askAgain = link.polling;
+    link.pollAgain = link.polling;
     link.notBefore = {};
     poll(address, from.id, Duration{});
 }
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -245,7 +245,7 @@
     if (!news.getKnown() || !takeNews(askedAt, news)) {
         link.notBefore = now + detail::kPeerRetryDelay;
     }
-    if (std::exchange(link.askAgain, false)) {
+    if (std::exchange(link.pollAgain, false)) {
         link.notBefore = {};
         poll(address, link.id, Duration{});
     }
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -94,7 +94,7 @@
         std::unique_ptr<RpcLink> rpc;
         InstanceId id; // Empty until it has answered.
         bool polling = false;
-        bool askAgain = false;        // It has news; ask once more when the question is answered.
+        bool pollAgain = false;       // It has news; ask once more when the question is answered.
         std::uint64_t groupsMark = 0; // Of the groups that it has told last, or of those known here
                                       // when it was first asked.
         std::uint64_t crashCursor = 0; // Of what it has told of requests that end upstreams.
