--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -161,7 +161,7 @@
     return link.id == InstanceId() || now - listAskedAt_ >= interval;
 }
 
-void GatewayPeers::poll(const SocketAddress &address, const InstanceId &id, Duration longest,
+void GatewayPeers::poll(const SocketAddress &address, const InstanceId &id, Duration maxWait,
                         ListRequest list)
 {
     const TimePoint now = loop_.now();
@@ -177,14 +177,14 @@
     writeGateway(directory_.self(), Duration{}, request.initSelf());
     const bool rests = now < configNotBefore_;
     if (rests) {
-        longest = std::min(longest, configNotBefore_ - now);
+        maxWait = std::min(maxWait, configNotBefore_ - now);
     }
     request.setConfigVersion(rests ? kNewerThanAnyConfig : storeView_.version().value());
     request.setUpstreamsMark(storeView_.advertisedMark());
     request.setTakesChanges(true);
     request.setWantsGateways(gateways);
     request.setGatewaysMark(directory_.mark());
-    request.setWaitMicros(longest.count());
+    request.setWaitMicros(maxWait.count());
     link.groupsMark = link.groupsMark == 0 ? groups_.mark() : link.groupsMark;
     request.setGroupsMark(link.groupsMark);
     request.setCrashCursor(link.crashCursor);
@@ -192,7 +192,7 @@
     request.setLimitsMark(link.limitsMark);
     // Whichever comes first, the answer or the end of patience, ends the question.
     const auto over = std::make_shared<bool>(false);
-    loop_.schedule(longest + detail::kPeerTimeout, [this, address, over, alive = alive_] {
+    loop_.schedule(maxWait + detail::kPeerTimeout, [this, address, over, alive = alive_] {
         if (*alive && !std::exchange(*over, true)) {
             // The connection may have gone silent for good while a new one works.
             linkTo(address).rpc.reset();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -63,7 +63,7 @@
 
     // Asks a gateway, unless a question to it is under way; the answer may wait for `longest`. The
     // id of one that was never heard of is empty.
-    void poll(const SocketAddress &address, const InstanceId &id, Duration longest,
+    void poll(const SocketAddress &address, const InstanceId &id, Duration maxWait,
               ListRequest list = ListRequest::IfDue);
     using PermitsCallback = std::function<void(const PermitAnswer &)>;
     // What permits are asked for.
