--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -154,7 +154,7 @@
 
 // Tells whether it is time to hear whom the other gateway knows; one whose id is not known says it
 // with its list.
-bool GatewayPeers::isListDue(const Link &link, TimePoint now) const
+bool GatewayPeers::isGatewayListDue(const Link &link, TimePoint now) const
 {
     const bool startingUp = now - startedAt_ < kStartupPeriod;
     const Duration interval = startingUp ? kStartupGatewayListInterval : kGatewayListInterval;
@@ -170,7 +170,7 @@
         return;
     }
     link.id = id == InstanceId() ? link.id : id;
-    const bool gateways = list == ListRequest::Always || isListDue(link, now);
+    const bool gateways = list == ListRequest::Always || isGatewayListDue(link, now);
     listAskedAt_ = gateways ? now : listAskedAt_;
     link.polling = true;
     auto request = link.rpc->capability().castAs<wire::GatewayPeer>().exchangeRequest();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -112,7 +112,7 @@
     void onNews(const SocketAddress &address, TimePoint askedAt, wire::GatewayNews::Reader news);
     void onFailed(const SocketAddress &address);
     bool takeNews(TimePoint askedAt, wire::GatewayNews::Reader news);
-    bool isListDue(const Link &link, TimePoint now) const;
+    bool isGatewayListDue(const Link &link, TimePoint now) const;
     void takeGateways(wire::GatewayNews::Reader news, TimePoint now);
     void writeGateways(wire::GatewayNews::Builder news, std::uint64_t askerMark) const;
     void takeGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
