--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -158,7 +158,7 @@
 {
     const bool startingUp = now - startedAt_ < kStartupPeriod;
     const Duration interval = startingUp ? kStartupGatewayListInterval : kGatewayListInterval;
-    return link.id == InstanceId() || now - listAskedAt_ >= interval;
+    return link.id == InstanceId() || now - gatewayListRequestedAt_ >= interval;
 }
 
 void GatewayPeers::poll(const SocketAddress &address, const InstanceId &id, Duration maxWait,
@@ -171,7 +171,7 @@
     }
     link.id = id == InstanceId() ? link.id : id;
     const bool gateways = list == ListRequest::Always || isGatewayListDue(link, now);
-    listAskedAt_ = gateways ? now : listAskedAt_;
+    gatewayListRequestedAt_ = gateways ? now : gatewayListRequestedAt_;
     link.polling = true;
     auto request = link.rpc->capability().castAs<wire::GatewayPeer>().exchangeRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
@@ -217,7 +217,7 @@
     Link &link = linkTo(address);
     link.polling = false;
     link.notBefore = loop_.now() + detail::kPeerRetryDelay;
-    listAskedAt_ = {};
+    gatewayListRequestedAt_ = {};
     if (link.id != InstanceId()) {
         directory_.onFailed(link.id, loop_.now());
         logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", link.id.value()}});
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -186,8 +186,8 @@
     TimePoint lastUnconfiguredAnswerAt_{};
     TimePoint lastAnswerAt_{};
     TimePoint startedAt_{};
-    TimePoint listAskedAt_{};     // Last, from any gateway.
-    TimePoint configNotBefore_{}; // It rests from reading the last configuration until then.
+    TimePoint gatewayListRequestedAt_{}; // Last, from any gateway.
+    TimePoint configNotBefore_{};        // It rests from reading the last configuration until then.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     kj::TaskSet tasks_;
 };
