--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -242,7 +242,7 @@
     if (!news.getKnown()) {
         lastUnconfiguredAnswerAt_ = now;
     }
-    if (!news.getKnown() || !takeNews(askedAt, news)) {
+    if (!news.getKnown() || !applyNews(askedAt, news)) {
         link.notBefore = now + detail::kPeerRetryDelay;
     }
     if (std::exchange(link.pollAgain, false)) {
@@ -279,7 +279,7 @@
     to.setGatewayAges(kj::arrayPtr(news.ages.data(), news.ages.size()));
 }
 
-bool GatewayPeers::takeNews(TimePoint askedAt, wire::GatewayNews::Reader news)
+bool GatewayPeers::applyNews(TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     PeerStoreState shared;
     shared.place = {news.getEra(), news.getRevision()};
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -111,7 +111,7 @@
     Link &linkTo(const SocketAddress &address);
     void onNews(const SocketAddress &address, TimePoint askedAt, wire::GatewayNews::Reader news);
     void onFailed(const SocketAddress &address);
-    bool takeNews(TimePoint askedAt, wire::GatewayNews::Reader news);
+    bool applyNews(TimePoint askedAt, wire::GatewayNews::Reader news);
     bool isGatewayListDue(const Link &link, TimePoint now) const;
     void takeGateways(wire::GatewayNews::Reader news, TimePoint now);
     void writeGateways(wire::GatewayNews::Builder news, std::uint64_t askerMark) const;
