--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -233,7 +233,7 @@
     lastAnswerAt_ = now;
     if (news.getGateways().size() > 0) {
         link.id = readGateway(news.getGateways()[0]).id;
-        takeGateways(news, now);
+        applyGateways(news, now);
     }
     directory_.onAnswered(link.id, now);
     takeGroups(link, askedAt, news);
@@ -251,7 +251,7 @@
     }
 }
 
-void GatewayPeers::takeGateways(wire::GatewayNews::Reader reader, TimePoint now)
+void GatewayPeers::applyGateways(wire::GatewayNews::Reader reader, TimePoint now)
 {
     GatewayDirectory::News news;
     news.mark = reader.getGatewaysMark();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -113,7 +113,7 @@
     void onFailed(const SocketAddress &address);
     bool applyNews(TimePoint askedAt, wire::GatewayNews::Reader news);
     bool isGatewayListDue(const Link &link, TimePoint now) const;
-    void takeGateways(wire::GatewayNews::Reader news, TimePoint now);
+    void applyGateways(wire::GatewayNews::Reader news, TimePoint now);
     void writeGateways(wire::GatewayNews::Builder news, std::uint64_t askerMark) const;
     void takeGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
