--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -236,7 +236,7 @@
         applyGateways(news, now);
     }
     directory_.onAnswered(link.id, now);
-    takeGroups(link, askedAt, news);
+    applyGroups(link, askedAt, news);
     takeCrashes(link, askedAt, news);
     takeLimits(link, askedAt, news);
     if (!news.getKnown()) {
@@ -309,7 +309,7 @@
 // Takes what the other gateway has heard of groups, each as of its own moment. Facts that it told
 // before, or that were known here as well, are only renewed, if they are still those that are
 // known.
-void GatewayPeers::takeGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+void GatewayPeers::applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     const Duration held(news.getHeldMicros());
     const bool told = link.groupsMark == news.getGroupsMark();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -115,7 +115,7 @@
     bool isGatewayListDue(const Link &link, TimePoint now) const;
     void applyGateways(wire::GatewayNews::Reader news, TimePoint now);
     void writeGateways(wire::GatewayNews::Builder news, std::uint64_t askerMark) const;
-    void takeGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
+    void applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     PermitAnswer grantPermits(wire::GatewayPeer::PermitsParams::Reader question);
