--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -13,7 +13,7 @@
 
 // Takes what the other gateway has heard of requests that end upstreams, counted back from when it
 // answered: `held` after the question came.
-void GatewayPeers::takeCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+void GatewayPeers::applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     const TimePoint toldAt = askedAt + Duration(news.getHeldMicros());
     const std::uint64_t learned = learnSuspects(news.getCrashes(), toldAt, crashes_);
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -237,7 +237,7 @@
     }
     directory_.onAnswered(link.id, now);
     applyGroups(link, askedAt, news);
-    takeCrashes(link, askedAt, news);
+    applyCrashes(link, askedAt, news);
     takeLimits(link, askedAt, news);
     if (!news.getKnown()) {
         lastUnconfiguredAnswerAt_ = now;
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -116,7 +116,7 @@
     void applyGateways(wire::GatewayNews::Reader news, TimePoint now);
     void writeGateways(wire::GatewayNews::Builder news, std::uint64_t askerMark) const;
     void applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    void takeCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
+    void applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void takeLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     PermitAnswer grantPermits(wire::GatewayPeer::PermitsParams::Reader question);
     void onHasNews(const GatewayRecord &from);
