--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -26,7 +26,7 @@
 }
 
 // Takes what the other gateway has heard of limits, counted back from when it answered.
-void GatewayPeers::takeLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+void GatewayPeers::applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     const TimePoint toldAt = askedAt + Duration(news.getHeldMicros());
     for (const auto &limit : news.getLimits()) {
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -238,7 +238,7 @@
     directory_.onAnswered(link.id, now);
     applyGroups(link, askedAt, news);
     applyCrashes(link, askedAt, news);
-    takeLimits(link, askedAt, news);
+    applyLimits(link, askedAt, news);
     if (!news.getKnown()) {
         lastUnconfiguredAnswerAt_ = now;
     }
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -117,7 +117,7 @@
     void writeGateways(wire::GatewayNews::Builder news, std::uint64_t askerMark) const;
     void applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    void takeLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
+    void applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     PermitAnswer grantPermits(wire::GatewayPeer::PermitsParams::Reader question);
     void onHasNews(const GatewayRecord &from);
     // Counts the crashes and the changes of limits that this gateway saw itself.
