--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -80,7 +80,7 @@
     bool allTold = true;
     for (const HallId &hall : directory_.halls()) {
         Announcement &announcement =
-            announcements_.try_emplace(hall, Announcement{firstOwnNews_}).first->second;
+            announcements_.try_emplace(hall, Announcement{initialOwnChanges_}).first->second;
         allTold = allTold && announcement.told == ownNews();
         if (announcement.told != ownNews() && !announcement.underWay
             && now >= announcement.notBefore) {
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -96,7 +96,7 @@
     , waiting_(loop)
     , toldCrashes_(crashes_.cursor())
     , toldLimits_(limits_.mark())
-    , firstOwnNews_(ownNews())
+    , initialOwnChanges_(ownNews())
     , announcedNews_(ownNews())
     , startedAt_(loop.now())
     , tasks_(*this)
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -170,11 +170,11 @@
     std::uint64_t toldMark_ = 0; // The state at the last tick.
     ConfigVersion toldVersion_;
     std::uint64_t toldGroupsMark_ = 0;
-    std::uint64_t toldCrashes_ = 0;    // A cursor of the record, as those below.
-    std::uint64_t toldLimits_ = 0;     // A mark of the limits.
-    std::uint64_t learnedCrashes_ = 0; // Changes of the record that other gateways brought.
-    std::uint64_t firstOwnNews_ = 0;   // What `ownNews` was at the start.
-    std::uint64_t announcedNews_ = 0;  // What it was when all halls had been told.
+    std::uint64_t toldCrashes_ = 0;       // A cursor of the record, as those below.
+    std::uint64_t toldLimits_ = 0;        // A mark of the limits.
+    std::uint64_t learnedCrashes_ = 0;    // Changes of the record that other gateways brought.
+    std::uint64_t initialOwnChanges_ = 0; // What `ownNews` was at the start.
+    std::uint64_t announcedNews_ = 0;     // What it was when all halls had been told.
     // To the first gateway of a hall, that there is news here.
     struct Announcement
     {
