--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -74,7 +74,7 @@
 // for news.
 void GatewayPeers::announce(TimePoint now)
 {
-    if (announcedNews_ == ownNews()) {
+    if (announcedChanges_ == ownNews()) {
         return;
     }
     bool allTold = true;
@@ -87,7 +87,7 @@
             announceTo(hall, now);
         }
     }
-    announcedNews_ = allTold ? ownNews() : announcedNews_;
+    announcedChanges_ = allTold ? ownNews() : announcedChanges_;
 }
 
 void GatewayPeers::announceTo(const HallId &hall, TimePoint now)
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -97,7 +97,7 @@
     , toldCrashes_(crashes_.cursor())
     , toldLimits_(limits_.mark())
     , initialOwnChanges_(ownNews())
-    , announcedNews_(ownNews())
+    , announcedChanges_(ownNews())
     , startedAt_(loop.now())
     , tasks_(*this)
 {}
