--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -18,7 +18,7 @@
     const TimePoint toldAt = askedAt + Duration(news.getHeldMicros());
     const std::uint64_t learned = learnSuspects(news.getCrashes(), toldAt, crashes_);
     link.crashCursor = news.getCrashCursor();
-    learnedCrashes_ += learned;
+    peerCrashChanges_ += learned;
     if (learned > 0) {
         logLine(LogLevel::Info, "crashes.heard",
                 {{"from", link.id.value()}, {"changes", learned}, {"known", crashes_.size()}});
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -123,7 +123,7 @@
     // Counts the crashes and the changes of limits that this gateway saw itself.
     std::uint64_t ownNews() const
     {
-        return crashes_.cursor() - learnedCrashes_ + limits_.ownChanges();
+        return crashes_.cursor() - peerCrashChanges_ + limits_.ownChanges();
     }
     void announce(TimePoint now);
     void announceTo(const HallId &hall, TimePoint now);
@@ -172,7 +172,7 @@
     std::uint64_t toldGroupsMark_ = 0;
     std::uint64_t toldCrashes_ = 0;       // A cursor of the record, as those below.
     std::uint64_t toldLimits_ = 0;        // A mark of the limits.
-    std::uint64_t learnedCrashes_ = 0;    // Changes of the record that other gateways brought.
+    std::uint64_t peerCrashChanges_ = 0;  // Changes of the record that other gateways brought.
     std::uint64_t initialOwnChanges_ = 0; // What `ownNews` was at the start.
     std::uint64_t announcedChanges_ = 0;  // What it was when all halls had been told.
     // To the first gateway of a hall, that there is news here.
