--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -437,11 +437,11 @@
 {
     const TimePoint now = loop_.now();
     const std::uint64_t groupsMark = groups_.mark();
-    if (storeView_.upstreamsMark() != toldMark_ || storeView_.version() != toldVersion_
+    if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != toldVersion_
         || groupsMark != toldGroupsMark_ || crashes_.cursor() != toldCrashes_
         || limits_.mark() != toldLimits_) {
         noteList();
-        toldMark_ = storeView_.upstreamsMark();
+        lastUpstreamsMark_ = storeView_.upstreamsMark();
         toldVersion_ = storeView_.version();
         toldGroupsMark_ = groupsMark;
         toldCrashes_ = crashes_.cursor();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -167,7 +167,7 @@
     std::vector<std::uint8_t> packed_;                  // The document of `packedVersion_`.
     ConfigVersion packedVersion_;
     UpstreamHistory history_;
-    std::uint64_t toldMark_ = 0; // The state at the last tick.
+    std::uint64_t lastUpstreamsMark_ = 0; // The state at the last tick.
     ConfigVersion toldVersion_;
     std::uint64_t toldGroupsMark_ = 0;
     std::uint64_t toldCrashes_ = 0;       // A cursor of the record, as those below.
