--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -437,12 +437,12 @@
 {
     const TimePoint now = loop_.now();
     const std::uint64_t groupsMark = groups_.mark();
-    if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != toldVersion_
+    if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
         || groupsMark != toldGroupsMark_ || crashes_.cursor() != toldCrashes_
         || limits_.mark() != toldLimits_) {
         noteList();
         lastUpstreamsMark_ = storeView_.upstreamsMark();
-        toldVersion_ = storeView_.version();
+        lastVersion_ = storeView_.version();
         toldGroupsMark_ = groupsMark;
         toldCrashes_ = crashes_.cursor();
         toldLimits_ = limits_.mark();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -168,7 +168,7 @@
     ConfigVersion packedVersion_;
     UpstreamHistory history_;
     std::uint64_t lastUpstreamsMark_ = 0; // The state at the last tick.
-    ConfigVersion toldVersion_;
+    ConfigVersion lastVersion_;
     std::uint64_t toldGroupsMark_ = 0;
     std::uint64_t toldCrashes_ = 0;       // A cursor of the record, as those below.
     std::uint64_t toldLimits_ = 0;        // A mark of the limits.
