--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -327,7 +327,7 @@
 
 bool GatewayPeers::hasNewsFor(const Asker &asker) const
 {
-    const bool groups = toldGroupsMark_ != 0 && toldGroupsMark_ != asker.groupsMark;
+    const bool groups = lastGroupsMark_ != 0 && lastGroupsMark_ != asker.groupsMark;
     return storeView_.version() > asker.version || storeView_.upstreamsMark() != asker.upstreamsMark
            || groups || crashes_.hasChangedSince(asker.crashCursor)
            || (asker.wantsLimits && limits_.mark() != asker.limitsMark);
@@ -438,12 +438,12 @@
     const TimePoint now = loop_.now();
     const std::uint64_t groupsMark = groups_.mark();
     if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
-        || groupsMark != toldGroupsMark_ || crashes_.cursor() != toldCrashes_
+        || groupsMark != lastGroupsMark_ || crashes_.cursor() != toldCrashes_
         || limits_.mark() != toldLimits_) {
         noteList();
         lastUpstreamsMark_ = storeView_.upstreamsMark();
         lastVersion_ = storeView_.version();
-        toldGroupsMark_ = groupsMark;
+        lastGroupsMark_ = groupsMark;
         toldCrashes_ = crashes_.cursor();
         toldLimits_ = limits_.mark();
         waiting_.wakeAll();
