--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -94,7 +94,7 @@
     , directory_(directory)
     , onStateReceived_(std::move(onStateReceived))
     , waiting_(loop)
-    , toldCrashes_(crashes_.cursor())
+    , lastCrashCursor_(crashes_.cursor())
     , toldLimits_(limits_.mark())
     , initialOwnChanges_(ownNews())
     , announcedChanges_(ownNews())
@@ -438,13 +438,13 @@
     const TimePoint now = loop_.now();
     const std::uint64_t groupsMark = groups_.mark();
     if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
-        || groupsMark != lastGroupsMark_ || crashes_.cursor() != toldCrashes_
+        || groupsMark != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
         || limits_.mark() != toldLimits_) {
         noteList();
         lastUpstreamsMark_ = storeView_.upstreamsMark();
         lastVersion_ = storeView_.version();
         lastGroupsMark_ = groupsMark;
-        toldCrashes_ = crashes_.cursor();
+        lastCrashCursor_ = crashes_.cursor();
         toldLimits_ = limits_.mark();
         waiting_.wakeAll();
     }
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -170,7 +170,7 @@
     std::uint64_t lastUpstreamsMark_ = 0; // The state at the last tick.
     ConfigVersion lastVersion_;
     std::uint64_t lastGroupsMark_ = 0;
-    std::uint64_t toldCrashes_ = 0;       // A cursor of the record, as those below.
+    std::uint64_t lastCrashCursor_ = 0;   // A cursor of the record, as those below.
     std::uint64_t toldLimits_ = 0;        // A mark of the limits.
     std::uint64_t peerCrashChanges_ = 0;  // Changes of the record that other gateways brought.
     std::uint64_t initialOwnChanges_ = 0; // What `ownNews` was at the start.
