--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -95,7 +95,7 @@
     , onStateReceived_(std::move(onStateReceived))
     , waiting_(loop)
     , lastCrashCursor_(crashes_.cursor())
-    , toldLimits_(limits_.mark())
+    , lastLimitsMark_(limits_.mark())
     , initialOwnChanges_(ownNews())
     , announcedChanges_(ownNews())
     , startedAt_(loop.now())
@@ -439,13 +439,13 @@
     const std::uint64_t groupsMark = groups_.mark();
     if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
         || groupsMark != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
-        || limits_.mark() != toldLimits_) {
+        || limits_.mark() != lastLimitsMark_) {
         noteList();
         lastUpstreamsMark_ = storeView_.upstreamsMark();
         lastVersion_ = storeView_.version();
         lastGroupsMark_ = groupsMark;
         lastCrashCursor_ = crashes_.cursor();
-        toldLimits_ = limits_.mark();
+        lastLimitsMark_ = limits_.mark();
         waiting_.wakeAll();
     }
     announce(now);
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -171,7 +171,7 @@
     ConfigVersion lastVersion_;
     std::uint64_t lastGroupsMark_ = 0;
     std::uint64_t lastCrashCursor_ = 0;   // A cursor of the record, as those below.
-    std::uint64_t toldLimits_ = 0;        // A mark of the limits.
+    std::uint64_t lastLimitsMark_ = 0;    // A mark of the limits.
     std::uint64_t peerCrashChanges_ = 0;  // Changes of the record that other gateways brought.
     std::uint64_t initialOwnChanges_ = 0; // What `ownNews` was at the start.
     std::uint64_t announcedChanges_ = 0;  // What it was when all halls had been told.
