--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -366,9 +366,9 @@
     if (storeView_.version() > asker.version) {
         if (packedVersion_ != storeView_.version()) {
             packedVersion_ = storeView_.version();
-            packed_ = deflated(storeView_.documentText());
+            compressedDocument_ = deflated(storeView_.documentText());
         }
-        news.setConfig(kj::arrayPtr(packed_.data(), packed_.size()));
+        news.setConfig(kj::arrayPtr(compressedDocument_.data(), compressedDocument_.size()));
         news.setConfigBytes(static_cast<std::uint32_t>(storeView_.documentText().size()));
     }
     news.setUpstreamsMark(storeView_.upstreamsMark());
