--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -364,8 +364,8 @@
     news.setEra(storeView_.place().era);
     news.setConfigVersion(storeView_.version().value());
     if (storeView_.version() > asker.version) {
-        if (packedVersion_ != storeView_.version()) {
-            packedVersion_ = storeView_.version();
+        if (compressedVersion_ != storeView_.version()) {
+            compressedVersion_ = storeView_.version();
             compressedDocument_ = deflated(storeView_.documentText());
         }
         news.setConfig(kj::arrayPtr(compressedDocument_.data(), compressedDocument_.size()));
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -164,8 +164,8 @@
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
     std::uint64_t nextIncoming_ = 1;
     std::map<std::pair<std::string, int>, Link> links_; // By address.
-    std::vector<std::uint8_t> compressedDocument_;      // The document of `packedVersion_`.
-    ConfigVersion packedVersion_;
+    std::vector<std::uint8_t> compressedDocument_;      // The document of `compressedVersion_`.
+    ConfigVersion compressedVersion_;
     UpstreamHistory history_;
     std::uint64_t lastUpstreamsMark_ = 0; // The state at the last tick.
     ConfigVersion lastVersion_;
