--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -43,7 +43,7 @@
     link.limitsMark = news.getLimitsMark();
 }
 
-void GatewayPeers::writeLimits(wire::GatewayNews::Builder news, const Asker &asker) const
+void GatewayPeers::writeLimits(wire::GatewayNews::Builder news, const PollRequest &asker) const
 {
     if (!asker.wantsLimits) {
         return;
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -43,15 +43,15 @@
         const auto params = context.getParams();
         const TimePoint askedAt = peers_.loop_.now();
         peers_.directory_.hear(readGateway(params.getSelf()), askedAt);
-        const Asker asker{ConfigVersion(params.getConfigVersion()),
-                          params.getUpstreamsMark(),
-                          params.getTakesChanges(),
-                          params.getGroupsMark(),
-                          params.getCrashCursor(),
-                          params.getWantsGateways(),
-                          params.getGatewaysMark(),
-                          params.getWantsLimits(),
-                          params.getLimitsMark()};
+        const PollRequest asker{ConfigVersion(params.getConfigVersion()),
+                                params.getUpstreamsMark(),
+                                params.getTakesChanges(),
+                                params.getGroupsMark(),
+                                params.getCrashCursor(),
+                                params.getWantsGateways(),
+                                params.getGatewaysMark(),
+                                params.getWantsLimits(),
+                                params.getLimitsMark()};
         const Duration wait = std::min(Duration(params.getWaitMicros()), kMaxPollWait);
         auto answer = [this, context, asker, askedAt]() mutable {
             peers_.writeNews(context.getResults().initNews(), asker, peers_.loop_.now() - askedAt);
@@ -325,7 +325,7 @@
     link.groupsMark = news.getGroupsMark();
 }
 
-bool GatewayPeers::hasNewsFor(const Asker &asker) const
+bool GatewayPeers::hasNewsFor(const PollRequest &asker) const
 {
     const bool groups = lastGroupsMark_ != 0 && lastGroupsMark_ != asker.groupsMark;
     return storeView_.version() > asker.version || storeView_.upstreamsMark() != asker.upstreamsMark
@@ -346,7 +346,8 @@
     }
 }
 
-void GatewayPeers::writeNews(wire::GatewayNews::Builder news, const Asker &asker, Duration held)
+void GatewayPeers::writeNews(wire::GatewayNews::Builder news, const PollRequest &asker,
+                             Duration held)
 {
     if (asker.wantsGateways) {
         writeGateways(news, asker.gatewaysMark);
@@ -386,7 +387,7 @@
 }
 
 // Writes what has changed since the list that the asker names, where that is known, else all.
-void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const Asker &asker)
+void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &asker)
 {
     noteList();
     std::vector<const UpstreamRecord *> records = storeView_.upstreams().all();
