--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -74,20 +74,20 @@
 // for news.
 void GatewayPeers::announce(TimePoint now)
 {
-    if (announcedChanges_ == ownNews()) {
+    if (announcedChanges_ == ownEventCount()) {
         return;
     }
     bool allTold = true;
     for (const HallId &hall : directory_.halls()) {
         Announcement &announcement =
             announcements_.try_emplace(hall, Announcement{initialOwnChanges_}).first->second;
-        allTold = allTold && announcement.told == ownNews();
-        if (announcement.told != ownNews() && !announcement.underWay
+        allTold = allTold && announcement.told == ownEventCount();
+        if (announcement.told != ownEventCount() && !announcement.underWay
             && now >= announcement.notBefore) {
             announceTo(hall, now);
         }
     }
-    announcedChanges_ = allTold ? ownNews() : announcedChanges_;
+    announcedChanges_ = allTold ? ownEventCount() : announcedChanges_;
 }
 
 void GatewayPeers::announceTo(const HallId &hall, TimePoint now)
@@ -102,7 +102,7 @@
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().hasNewsRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
     const auto over = std::make_shared<bool>(false);
-    const auto conclude = [this, hall, id = *first, told = ownNews(), over](bool heard) {
+    const auto conclude = [this, hall, id = *first, told = ownEventCount(), over](bool heard) {
         if (std::exchange(*over, true)) {
             return;
         }
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -96,8 +96,8 @@
     , waiting_(loop)
     , lastCrashCursor_(crashes_.cursor())
     , lastLimitsMark_(limits_.mark())
-    , initialOwnChanges_(ownNews())
-    , announcedChanges_(ownNews())
+    , initialOwnChanges_(ownEventCount())
+    , announcedChanges_(ownEventCount())
     , startedAt_(loop.now())
     , tasks_(*this)
 {}
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -121,7 +121,7 @@
     PermitAnswer grantPermits(wire::GatewayPeer::PermitsParams::Reader question);
     void onHasNews(const GatewayRecord &from);
     // Counts the crashes and the changes of limits that this gateway saw itself.
-    std::uint64_t ownNews() const
+    std::uint64_t ownEventCount() const
     {
         return crashes_.cursor() - peerCrashChanges_ + limits_.ownChanges();
     }
@@ -173,12 +173,12 @@
     std::uint64_t lastCrashCursor_ = 0;   // A cursor of the record, as those below.
     std::uint64_t lastLimitsMark_ = 0;    // A mark of the limits.
     std::uint64_t peerCrashChanges_ = 0;  // Changes of the record that other gateways brought.
-    std::uint64_t initialOwnChanges_ = 0; // What `ownNews` was at the start.
+    std::uint64_t initialOwnChanges_ = 0; // What `ownEventCount` was at the start.
     std::uint64_t announcedChanges_ = 0;  // What it was when all halls had been told.
     // To the first gateway of a hall, that there is news here.
     struct Announcement
     {
-        std::uint64_t told = 0; // Of `ownNews`.
+        std::uint64_t told = 0; // Of `ownEventCount`.
         bool underWay = false;
         TimePoint notBefore{};
     };
