--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -80,7 +80,7 @@
     bool allTold = true;
     for (const HallId &hall : directory_.halls()) {
         Announcement &announcement =
-            announcements_.try_emplace(hall, Announcement{initialOwnChanges_}).first->second;
+            announcements_.try_emplace(hall, Announcement{initialOwnEventCount_}).first->second;
         allTold = allTold && announcement.told == ownEventCount();
         if (announcement.told != ownEventCount() && !announcement.underWay
             && now >= announcement.notBefore) {
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -96,7 +96,7 @@
     , waiting_(loop)
     , lastCrashCursor_(crashes_.cursor())
     , lastLimitsMark_(limits_.mark())
-    , initialOwnChanges_(ownEventCount())
+    , initialOwnEventCount_(ownEventCount())
     , announcedChanges_(ownEventCount())
     , startedAt_(loop.now())
     , tasks_(*this)
