--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -74,7 +74,7 @@
 // for news.
 void GatewayPeers::announce(TimePoint now)
 {
-    if (announcedChanges_ == ownEventCount()) {
+    if (announcedEventCount_ == ownEventCount()) {
         return;
     }
     bool allTold = true;
@@ -87,7 +87,7 @@
             announceTo(hall, now);
         }
     }
-    announcedChanges_ = allTold ? ownEventCount() : announcedChanges_;
+    announcedEventCount_ = allTold ? ownEventCount() : announcedEventCount_;
 }
 
 void GatewayPeers::announceTo(const HallId &hall, TimePoint now)
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -97,7 +97,7 @@
     , lastCrashCursor_(crashes_.cursor())
     , lastLimitsMark_(limits_.mark())
     , initialOwnEventCount_(ownEventCount())
-    , announcedChanges_(ownEventCount())
+    , announcedEventCount_(ownEventCount())
     , startedAt_(loop.now())
     , tasks_(*this)
 {}
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -174,7 +174,7 @@
     std::uint64_t lastLimitsMark_ = 0;       // A mark of the limits.
     std::uint64_t peerCrashChanges_ = 0;     // Changes of the record that other gateways brought.
     std::uint64_t initialOwnEventCount_ = 0; // What `ownEventCount` was at the start.
-    std::uint64_t announcedChanges_ = 0;     // What it was when all halls had been told.
+    std::uint64_t announcedEventCount_ = 0;  // What it was when all halls had been told.
     // To the first gateway of a hall, that there is news here.
     struct Announcement
     {
