--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -43,13 +43,14 @@
     link.limitsMark = news.getLimitsMark();
 }
 
-void GatewayPeers::writeLimits(wire::GatewayNews::Builder news, const PollRequest &asker) const
+void GatewayPeers::writeLimits(wire::GatewayNews::Builder news,
+                               const PollRequest &pollRequest) const
 {
-    if (!asker.wantsLimits) {
+    if (!pollRequest.wantsLimits) {
         return;
     }
     news.setLimitsMark(limits_.mark());
-    if (limits_.mark() == asker.limitsMark) {
+    if (limits_.mark() == pollRequest.limitsMark) {
         return;
     }
     const std::vector<LimitWord> words = limits_.all();
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -43,20 +43,21 @@
         const auto params = context.getParams();
         const TimePoint askedAt = peers_.loop_.now();
         peers_.directory_.hear(readGateway(params.getSelf()), askedAt);
-        const PollRequest asker{ConfigVersion(params.getConfigVersion()),
-                                params.getUpstreamsMark(),
-                                params.getTakesChanges(),
-                                params.getGroupsMark(),
-                                params.getCrashCursor(),
-                                params.getWantsGateways(),
-                                params.getGatewaysMark(),
-                                params.getWantsLimits(),
-                                params.getLimitsMark()};
+        const PollRequest pollRequest{ConfigVersion(params.getConfigVersion()),
+                                      params.getUpstreamsMark(),
+                                      params.getTakesChanges(),
+                                      params.getGroupsMark(),
+                                      params.getCrashCursor(),
+                                      params.getWantsGateways(),
+                                      params.getGatewaysMark(),
+                                      params.getWantsLimits(),
+                                      params.getLimitsMark()};
         const Duration wait = std::min(Duration(params.getWaitMicros()), kMaxPollWait);
-        auto answer = [this, context, asker, askedAt]() mutable {
-            peers_.writeNews(context.getResults().initNews(), asker, peers_.loop_.now() - askedAt);
+        auto answer = [this, context, pollRequest, askedAt]() mutable {
+            peers_.writeNews(context.getResults().initNews(), pollRequest,
+                             peers_.loop_.now() - askedAt);
         };
-        if (wait <= Duration{} || peers_.hasNewsFor(asker)) {
+        if (wait <= Duration{} || peers_.hasNewsFor(pollRequest)) {
             answer();
             return kj::READY_NOW;
         }
@@ -325,12 +326,13 @@
     link.groupsMark = news.getGroupsMark();
 }
 
-bool GatewayPeers::hasNewsFor(const PollRequest &asker) const
+bool GatewayPeers::hasNewsFor(const PollRequest &pollRequest) const
 {
-    const bool groups = lastGroupsMark_ != 0 && lastGroupsMark_ != asker.groupsMark;
-    return storeView_.version() > asker.version || storeView_.upstreamsMark() != asker.upstreamsMark
-           || groups || crashes_.hasChangedSince(asker.crashCursor)
-           || (asker.wantsLimits && limits_.mark() != asker.limitsMark);
+    const bool groups = lastGroupsMark_ != 0 && lastGroupsMark_ != pollRequest.groupsMark;
+    return storeView_.version() > pollRequest.version
+           || storeView_.upstreamsMark() != pollRequest.upstreamsMark || groups
+           || crashes_.hasChangedSince(pollRequest.crashCursor)
+           || (pollRequest.wantsLimits && limits_.mark() != pollRequest.limitsMark);
 }
 
 void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const
@@ -346,16 +348,16 @@
     }
 }
 
-void GatewayPeers::writeNews(wire::GatewayNews::Builder news, const PollRequest &asker,
+void GatewayPeers::writeNews(wire::GatewayNews::Builder news, const PollRequest &pollRequest,
                              Duration held)
 {
-    if (asker.wantsGateways) {
-        writeGateways(news, asker.gatewaysMark);
+    if (pollRequest.wantsGateways) {
+        writeGateways(news, pollRequest.gatewaysMark);
     }
     news.setHeldMicros(held.count());
-    writeGroups(news, asker.groupsMark);
-    writeCrashes(news, asker.crashCursor);
-    writeLimits(news, asker);
+    writeGroups(news, pollRequest.groupsMark);
+    writeCrashes(news, pollRequest.crashCursor);
+    writeLimits(news, pollRequest);
     if (!storeView_.hasConfiguration() || !storeView_.confirmed()) {
         return;
     }
@@ -364,7 +366,7 @@
     news.setRevision(storeView_.place().revision);
     news.setEra(storeView_.place().era);
     news.setConfigVersion(storeView_.version().value());
-    if (storeView_.version() > asker.version) {
+    if (storeView_.version() > pollRequest.version) {
         if (compressedVersion_ != storeView_.version()) {
             compressedVersion_ = storeView_.version();
             compressedDocument_ = deflated(storeView_.documentText());
@@ -373,8 +375,8 @@
         news.setConfigBytes(static_cast<std::uint32_t>(storeView_.documentText().size()));
     }
     news.setUpstreamsMark(storeView_.upstreamsMark());
-    if (storeView_.upstreamsMark() != asker.upstreamsMark) {
-        writeUpstreams(news, asker);
+    if (storeView_.upstreamsMark() != pollRequest.upstreamsMark) {
+        writeUpstreams(news, pollRequest);
         writeDrainedHalls(storeView_.upstreams().drainedHalls(), news);
     }
 }
@@ -387,12 +389,12 @@
 }
 
 // Writes what has changed since the list that the asker names, where that is known, else all.
-void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &asker)
+void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest)
 {
     noteList();
     std::vector<const UpstreamRecord *> records = storeView_.upstreams().all();
-    const auto changed = asker.takesChanges && asker.upstreamsMark != 0
-                             ? history_.changedSince(asker.upstreamsMark)
+    const auto changed = pollRequest.takesChanges && pollRequest.upstreamsMark != 0
+                             ? history_.changedSince(pollRequest.upstreamsMark)
                              : std::nullopt;
     if (changed) {
         std::set<InstanceId> removed = *changed;
@@ -400,7 +402,7 @@
             removed.erase(record->id);
             return !changed->contains(record->id);
         });
-        news.setUpstreamsSince(asker.upstreamsMark);
+        news.setUpstreamsSince(pollRequest.upstreamsMark);
         auto ids = news.initRemovedUpstreams(static_cast<std::uint32_t>(removed.size()));
         std::uint32_t index = 0;
         for (const InstanceId &id : removed) {
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -140,14 +140,14 @@
         bool wantsLimits = false; // One of an earlier version does not know them.
         std::uint64_t limitsMark = 0;
     };
-    bool hasNewsFor(const PollRequest &asker) const;
-    void writeNews(wire::GatewayNews::Builder news, const PollRequest &asker, Duration held);
+    bool hasNewsFor(const PollRequest &pollRequest) const;
+    void writeNews(wire::GatewayNews::Builder news, const PollRequest &pollRequest, Duration held);
     void noteList();
-    void writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &asker);
+    void writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest);
     std::optional<std::vector<UpstreamRecord>> readUpstreams(wire::GatewayNews::Reader news) const;
     void writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const;
     void writeCrashes(wire::GatewayNews::Builder news, std::uint64_t cursor) const;
-    void writeLimits(wire::GatewayNews::Builder news, const PollRequest &asker) const;
+    void writeLimits(wire::GatewayNews::Builder news, const PollRequest &pollRequest) const;
     void taskFailed(kj::Exception &&exception) override;
 
     EventLoop &loop_;
