--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -267,10 +267,10 @@
     directory_.take(news, now);
 }
 
-void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t askerMark) const
+void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t knownMark) const
 {
     const TimePoint now = loop_.now();
-    const GatewayDirectory::News news = directory_.newsFor(askerMark, now);
+    const GatewayDirectory::News news = directory_.newsFor(knownMark, now);
     to.setGatewaysMark(news.mark);
     auto list = to.initGateways(static_cast<std::uint32_t>(news.all.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
