--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -313,11 +313,11 @@
 void GatewayPeers::applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     const Duration held(news.getHeldMicros());
-    const bool told = link.groupsMark == news.getGroupsMark();
+    const bool repeated = link.groupsMark == news.getGroupsMark();
     const bool same = groups_.mark() == news.getGroupsMark();
     for (const auto &group : news.getGroups()) {
         const TimePoint asOf = askedAt + held - Duration(group.getAgeMicros());
-        if (!told) {
+        if (!repeated) {
             groups_.learn(readGroup(group), asOf);
         } else if (same) {
             groups_.renew(GroupId(group.getGroup().cStr()), asOf);
