--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -314,12 +314,12 @@
 {
     const Duration held(news.getHeldMicros());
     const bool repeated = link.groupsMark == news.getGroupsMark();
-    const bool same = groups_.mark() == news.getGroupsMark();
+    const bool matchesOwn = groups_.mark() == news.getGroupsMark();
     for (const auto &group : news.getGroups()) {
         const TimePoint asOf = askedAt + held - Duration(group.getAgeMicros());
         if (!repeated) {
             groups_.learn(readGroup(group), asOf);
-        } else if (same) {
+        } else if (matchesOwn) {
             groups_.renew(GroupId(group.getGroup().cStr()), asOf);
         }
     }
