--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -82,8 +82,8 @@
     for (const HallId &hall : directory_.halls()) {
         Announcement &announcement =
             announcements_.try_emplace(hall, Announcement{initialOwnEventCount_}).first->second;
-        allTold = allTold && announcement.told == ownEventCount();
-        if (announcement.told != ownEventCount() && !announcement.underWay
+        allTold = allTold && announcement.acknowledged == ownEventCount();
+        if (announcement.acknowledged != ownEventCount() && !announcement.underWay
             && now >= announcement.notBefore) {
             announceTo(hall, now);
         }
@@ -110,7 +110,7 @@
         Announcement &announcement = announcements_.at(hall);
         announcement.underWay = false;
         if (heard) {
-            announcement.told = told;
+            announcement.acknowledged = told;
             return;
         }
         announcement.notBefore = loop_.now() + detail::kPeerRetryDelay;
