--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -178,7 +178,7 @@
     // To the first gateway of a hall, that there is news here.
     struct Announcement
     {
-        std::uint64_t told = 0; // Of `ownEventCount`.
+        std::uint64_t acknowledged = 0; // Of `ownEventCount`.
         bool underWay = false;
         TimePoint notBefore{};
     };
