--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -103,14 +103,14 @@
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().hasNewsRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
     const auto over = std::make_shared<bool>(false);
-    const auto conclude = [this, hall, id = *first, told = ownEventCount(), over](bool heard) {
+    const auto conclude = [this, hall, id = *first, announced = ownEventCount(), over](bool heard) {
         if (std::exchange(*over, true)) {
             return;
         }
         Announcement &announcement = announcements_.at(hall);
         announcement.underWay = false;
         if (heard) {
-            announcement.acknowledged = told;
+            announcement.acknowledged = announced;
             return;
         }
         announcement.notBefore = loop_.now() + detail::kPeerRetryDelay;
