--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -78,17 +78,17 @@
     if (announcedEventCount_ == ownEventCount()) {
         return;
     }
-    bool allTold = true;
+    bool allAcknowledged = true;
     for (const HallId &hall : directory_.halls()) {
         Announcement &announcement =
             announcements_.try_emplace(hall, Announcement{initialOwnEventCount_}).first->second;
-        allTold = allTold && announcement.acknowledged == ownEventCount();
+        allAcknowledged = allAcknowledged && announcement.acknowledged == ownEventCount();
         if (announcement.acknowledged != ownEventCount() && !announcement.underWay
             && now >= announcement.notBefore) {
             announceTo(hall, now);
         }
     }
-    announcedEventCount_ = allTold ? ownEventCount() : announcedEventCount_;
+    announcedEventCount_ = allAcknowledged ? ownEventCount() : announcedEventCount_;
 }
 
 void GatewayPeers::announceTo(const HallId &hall, TimePoint now)
