--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -15,8 +15,8 @@
 // answered: `held` after the question came.
 void GatewayPeers::applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
-    const TimePoint toldAt = askedAt + Duration(news.getHeldMicros());
-    const std::uint64_t learned = learnSuspects(news.getCrashes(), toldAt, crashes_);
+    const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
+    const std::uint64_t learned = learnSuspects(news.getCrashes(), answeredAt, crashes_);
     link.crashCursor = news.getCrashCursor();
     peerCrashChanges_ += learned;
     if (learned > 0) {
@@ -28,9 +28,9 @@
 // Takes what the other gateway has heard of limits, counted back from when it answered.
 void GatewayPeers::applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
-    const TimePoint toldAt = askedAt + Duration(news.getHeldMicros());
+    const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
     for (const auto &limit : news.getLimits()) {
-        const LimitWord word = readLimit(limit, toldAt);
+        const LimitWord word = readLimit(limit, answeredAt);
         if (limits_.learn(word, loop_.now())) {
             logLine(LogLevel::Info, "limit.heard",
                     {{"from", link.id.value()},
