--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -83,7 +83,7 @@
         Announcement &announcement =
             announcements_.try_emplace(hall, Announcement{initialOwnEventCount_}).first->second;
         allAcknowledged = allAcknowledged && announcement.acknowledged == ownEventCount();
-        if (announcement.acknowledged != ownEventCount() && !announcement.underWay
+        if (announcement.acknowledged != ownEventCount() && !announcement.requestInFlight
             && now >= announcement.notBefore) {
             announceTo(hall, now);
         }
@@ -99,7 +99,7 @@
         return;
     }
     const SocketAddress address{record->host, record->port};
-    announcements_.at(hall).underWay = true;
+    announcements_.at(hall).requestInFlight = true;
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().hasNewsRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
     const auto over = std::make_shared<bool>(false);
@@ -108,7 +108,7 @@
             return;
         }
         Announcement &announcement = announcements_.at(hall);
-        announcement.underWay = false;
+        announcement.requestInFlight = false;
         if (heard) {
             announcement.acknowledged = announced;
             return;
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -179,7 +179,7 @@
     struct Announcement
     {
         std::uint64_t acknowledged = 0; // Of `ownEventCount`.
-        bool underWay = false;
+        bool requestInFlight = false;
         TimePoint notBefore{};
     };
     std::map<HallId, Announcement> announcements_;
