--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -102,9 +102,10 @@
     announcements_.at(hall).requestInFlight = true;
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().hasNewsRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
-    const auto over = std::make_shared<bool>(false);
-    const auto conclude = [this, hall, id = *first, announced = ownEventCount(), over](bool heard) {
-        if (std::exchange(*over, true)) {
+    const auto finished = std::make_shared<bool>(false);
+    const auto conclude = [this, hall, id = *first, announced = ownEventCount(),
+                           finished](bool heard) {
+        if (std::exchange(*finished, true)) {
             return;
         }
         Announcement &announcement = announcements_.at(hall);
@@ -117,8 +118,8 @@
         directory_.onFailed(id, loop_.now());
         logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", id.value()}});
     };
-    loop_.schedule(detail::kPeerTimeout, [this, address, over, conclude, alive = alive_] {
-        if (*alive && !*over) {
+    loop_.schedule(detail::kPeerTimeout, [this, address, finished, conclude, alive = alive_] {
+        if (*alive && !*finished) {
             linkTo(address).rpc.reset();
             conclude(false);
         }
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -192,22 +192,23 @@
     request.setWantsLimits(true);
     request.setLimitsMark(link.limitsMark);
     // Whichever comes first, the answer or the end of patience, ends the question.
-    const auto over = std::make_shared<bool>(false);
-    loop_.schedule(maxWait + detail::kPeerTimeout, [this, address, over, alive = alive_] {
-        if (*alive && !std::exchange(*over, true)) {
+    const auto finished = std::make_shared<bool>(false);
+    loop_.schedule(maxWait + detail::kPeerTimeout, [this, address, finished, alive = alive_] {
+        if (*alive && !std::exchange(*finished, true)) {
             // The connection may have gone silent for good while a new one works.
             linkTo(address).rpc.reset();
             onFailed(address);
         }
     });
     tasks_.add(request.send().then(
-        [this, address, now, over](capnp::Response<wire::GatewayPeer::ExchangeResults> &&answer) {
-            if (!std::exchange(*over, true)) {
+        [this, address, now,
+         finished](capnp::Response<wire::GatewayPeer::ExchangeResults> &&answer) {
+            if (!std::exchange(*finished, true)) {
                 onNews(address, now, answer.getNews());
             }
         },
-        [this, address, over](kj::Exception && /*gone*/) {
-            if (!std::exchange(*over, true)) {
+        [this, address, finished](kj::Exception && /*gone*/) {
+            if (!std::exchange(*finished, true)) {
                 onFailed(address);
             }
         }));
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -56,15 +56,15 @@
     request.setWanted(question.wanted);
     request.setWarmUpPerSecond(question.warmUp.value_or(RequestRate()).perSecond());
     // Whichever comes first, the answer or the end of patience, ends the question.
-    const auto over = std::make_shared<bool>(false);
-    const auto conclude = [over, onAnswer = std::move(onAnswer)](const PermitAnswer &answer) {
-        if (!std::exchange(*over, true)) {
+    const auto finished = std::make_shared<bool>(false);
+    const auto conclude = [finished, onAnswer = std::move(onAnswer)](const PermitAnswer &answer) {
+        if (!std::exchange(*finished, true)) {
             onAnswer(answer);
         }
     };
     loop_.schedule(detail::kPeerTimeout,
-                   [this, address, id = issuer.id, over, conclude, alive = alive_] {
-                       if (!*alive || *over) {
+                   [this, address, id = issuer.id, finished, conclude, alive = alive_] {
+                       if (!*alive || *finished) {
                            return;
                        }
                        // The connection may have gone silent for good while a new one works.
