--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -103,8 +103,8 @@
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().hasNewsRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
     const auto finished = std::make_shared<bool>(false);
-    const auto conclude = [this, hall, id = *first, announced = ownEventCount(),
-                           finished](bool heard) {
+    const auto finish = [this, hall, id = *first, announced = ownEventCount(),
+                         finished](bool heard) {
         if (std::exchange(*finished, true)) {
             return;
         }
@@ -118,19 +118,17 @@
         directory_.onFailed(id, loop_.now());
         logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", id.value()}});
     };
-    loop_.schedule(detail::kPeerTimeout, [this, address, finished, conclude, alive = alive_] {
+    loop_.schedule(detail::kPeerTimeout, [this, address, finished, finish, alive = alive_] {
         if (*alive && !*finished) {
             linkTo(address).rpc.reset();
-            conclude(false);
+            finish(false);
         }
     });
     tasks_.add(request.send().then(
-        [conclude](capnp::Response<wire::GatewayPeer::HasNewsResults> && /*empty*/) {
-            conclude(true);
-        },
-        [conclude](kj::Exception &&exception) {
+        [finish](capnp::Response<wire::GatewayPeer::HasNewsResults> && /*empty*/) { finish(true); },
+        [finish](kj::Exception &&exception) {
             // A gateway of an earlier version does not know the call; it is asked, and asks, later.
-            conclude(exception.getType() == kj::Exception::Type::UNIMPLEMENTED);
+            finish(exception.getType() == kj::Exception::Type::UNIMPLEMENTED);
         }));
 }
 
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -57,13 +57,13 @@
     request.setWarmUpPerSecond(question.warmUp.value_or(RequestRate()).perSecond());
     // Whichever comes first, the answer or the end of patience, ends the question.
     const auto finished = std::make_shared<bool>(false);
-    const auto conclude = [finished, onAnswer = std::move(onAnswer)](const PermitAnswer &answer) {
+    const auto finish = [finished, onAnswer = std::move(onAnswer)](const PermitAnswer &answer) {
         if (!std::exchange(*finished, true)) {
             onAnswer(answer);
         }
     };
     loop_.schedule(detail::kPeerTimeout,
-                   [this, address, id = issuer.id, finished, conclude, alive = alive_] {
+                   [this, address, id = issuer.id, finished, finish, alive = alive_] {
                        if (!*alive || *finished) {
                            return;
                        }
@@ -71,19 +71,19 @@
                        linkTo(address).rpc.reset();
                        directory_.onFailed(id, loop_.now());
                        logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", id.value()}});
-                       conclude({0, Duration{}});
+                       finish({0, Duration{}});
                    });
     tasks_.add(request.send().then(
-        [conclude](capnp::Response<wire::GatewayPeer::PermitsResults> &&answer) {
-            conclude({answer.getGranted(), Duration(answer.getAskAgainMicros())});
+        [finish](capnp::Response<wire::GatewayPeer::PermitsResults> &&answer) {
+            finish({answer.getGranted(), Duration(answer.getAskAgainMicros())});
         },
-        [this, conclude, id = issuer.id](kj::Exception &&exception) {
+        [this, finish, id = issuer.id](kj::Exception &&exception) {
             const bool unknown = exception.getType() == kj::Exception::Type::UNIMPLEMENTED;
             if (!unknown) {
                 directory_.onFailed(id, loop_.now());
                 logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", id.value()}});
             }
-            conclude({0, unknown ? kUnsupportedRetryDelay : detail::kPeerRetryDelay});
+            finish({0, unknown ? kUnsupportedRetryDelay : detail::kPeerRetryDelay});
         }));
 }
 
