--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -382,7 +382,7 @@
     }
 }
 
-void GatewayPeers::noteList()
+void GatewayPeers::recordUpstreamList()
 {
     if (storeView_.confirmed()) {
         history_.note(storeView_.upstreamsMark(), storeView_.upstreams().all());
@@ -392,7 +392,7 @@
 // Writes what has changed since the list that the asker names, where that is known, else all.
 void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest)
 {
-    noteList();
+    recordUpstreamList();
     std::vector<const UpstreamRecord *> records = storeView_.upstreams().all();
     const auto changed = pollRequest.takesChanges && pollRequest.upstreamsMark != 0
                              ? history_.changedSince(pollRequest.upstreamsMark)
@@ -444,7 +444,7 @@
     if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
         || groupsMark != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
         || limits_.mark() != lastLimitsMark_) {
-        noteList();
+        recordUpstreamList();
         lastUpstreamsMark_ = storeView_.upstreamsMark();
         lastVersion_ = storeView_.version();
         lastGroupsMark_ = groupsMark;
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -142,7 +142,7 @@
     };
     bool hasNewsFor(const PollRequest &pollRequest) const;
     void writeNews(wire::GatewayNews::Builder news, const PollRequest &pollRequest, Duration held);
-    void noteList();
+    void recordUpstreamList();
     void writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest);
     std::optional<std::vector<UpstreamRecord>> readUpstreams(wire::GatewayNews::Reader news) const;
     void writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const;
