--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -370,7 +370,7 @@
     if (storeView_.version() > pollRequest.version) {
         if (compressedVersion_ != storeView_.version()) {
             compressedVersion_ = storeView_.version();
-            compressedDocument_ = deflated(storeView_.documentText());
+            compressedDocument_ = compressText(storeView_.documentText());
         }
         news.setConfig(kj::arrayPtr(compressedDocument_.data(), compressedDocument_.size()));
         news.setConfigBytes(static_cast<std::uint32_t>(storeView_.documentText().size()));
--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -140,7 +140,7 @@
     return facts;
 }
 
-std::vector<std::uint8_t> deflated(std::string_view text)
+std::vector<std::uint8_t> compressText(std::string_view text)
 {
     uLongf size = compressBound(text.size());
     std::vector<std::uint8_t> bytes(size);
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -36,7 +36,7 @@
 
 // A configuration of many routes is a large text that repeats itself, and goes to every gateway of
 // a hall over the link of one.
-std::vector<std::uint8_t> deflated(std::string_view text);
+std::vector<std::uint8_t> compressText(std::string_view text);
 // Returns nothing when `bytes` are no deflated text of `size` bytes.
 std::optional<std::string> inflated(const std::uint8_t *bytes, std::size_t count, std::size_t size);
 
--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -70,14 +70,14 @@
     for (int route = 0; route < 2000; ++route) {
         text += R"({"name":"route-)" + std::to_string(route) + R"(","type":"streaming"},)";
     }
-    const auto bytes = deflated(text);
+    const auto bytes = compressText(text);
     CHECK_TRUE(bytes.size() < text.size() / 5);
     STRCMP_EQUAL(text.c_str(), inflated(bytes.data(), bytes.size(), text.size())->c_str());
 }
 
 TEST(GatewayWireTest, TornDocumentIsRefused)
 {
-    const auto bytes = deflated("a document of some length, a document of some length");
+    const auto bytes = compressText("a document of some length, a document of some length");
     CHECK_FALSE(inflated(bytes.data(), bytes.size() / 2, 52).has_value());
     CHECK_FALSE(inflated(bytes.data(), bytes.size(), 51).has_value());
     CHECK_FALSE(inflated(bytes.data(), bytes.size(), 53).has_value());
@@ -85,7 +85,7 @@
 
 TEST(GatewayWireTest, DocumentThatClaimsToBeHugeIsRefused)
 {
-    const auto bytes = deflated("short");
+    const auto bytes = compressText("short");
     CHECK_FALSE(inflated(bytes.data(), bytes.size(), std::size_t{1} << 40U).has_value());
 }
 
