--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -289,7 +289,7 @@
     shared.upstreamsMark = news.getUpstreamsMark();
     if (news.hasConfig() && shared.version > storeView_.version()) {
         const auto bytes = news.getConfig();
-        const auto text = inflated(bytes.begin(), bytes.size(), news.getConfigBytes());
+        const auto text = decompressText(bytes.begin(), bytes.size(), news.getConfigBytes());
         auto document =
             text ? store_.readDocument(*text) : tl::unexpected(std::string("it does not inflate"));
         if (!document) {
--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -151,7 +151,8 @@
     return bytes;
 }
 
-std::optional<std::string> inflated(const std::uint8_t *bytes, std::size_t count, std::size_t size)
+std::optional<std::string> decompressText(const std::uint8_t *bytes, std::size_t count,
+                                          std::size_t size)
 {
     if (size > kMostTextBytes) {
         return std::nullopt;
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -38,6 +38,7 @@
 // a hall over the link of one.
 std::vector<std::uint8_t> compressText(std::string_view text);
 // Returns nothing when `bytes` are no deflated text of `size` bytes.
-std::optional<std::string> inflated(const std::uint8_t *bytes, std::size_t count, std::size_t size);
+std::optional<std::string> decompressText(const std::uint8_t *bytes, std::size_t count,
+                                          std::size_t size);
 
 } // namespace seamarch
--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -72,21 +72,21 @@
     }
     const auto bytes = compressText(text);
     CHECK_TRUE(bytes.size() < text.size() / 5);
-    STRCMP_EQUAL(text.c_str(), inflated(bytes.data(), bytes.size(), text.size())->c_str());
+    STRCMP_EQUAL(text.c_str(), decompressText(bytes.data(), bytes.size(), text.size())->c_str());
 }
 
 TEST(GatewayWireTest, TornDocumentIsRefused)
 {
     const auto bytes = compressText("a document of some length, a document of some length");
-    CHECK_FALSE(inflated(bytes.data(), bytes.size() / 2, 52).has_value());
-    CHECK_FALSE(inflated(bytes.data(), bytes.size(), 51).has_value());
-    CHECK_FALSE(inflated(bytes.data(), bytes.size(), 53).has_value());
+    CHECK_FALSE(decompressText(bytes.data(), bytes.size() / 2, 52).has_value());
+    CHECK_FALSE(decompressText(bytes.data(), bytes.size(), 51).has_value());
+    CHECK_FALSE(decompressText(bytes.data(), bytes.size(), 53).has_value());
 }
 
 TEST(GatewayWireTest, DocumentThatClaimsToBeHugeIsRefused)
 {
     const auto bytes = compressText("short");
-    CHECK_FALSE(inflated(bytes.data(), bytes.size(), std::size_t{1} << 40U).has_value());
+    CHECK_FALSE(decompressText(bytes.data(), bytes.size(), std::size_t{1} << 40U).has_value());
 }
 
 // What happened is told by how long ago it was, so that no two clocks are compared.
