--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Larger than any configuration that the store takes.
-constexpr std::size_t kMostTextBytes = std::size_t{64} * 1024 * 1024;
+constexpr std::size_t kMaxTextBytes = std::size_t{64} * 1024 * 1024;
 
 } // namespace
 
@@ -154,7 +154,7 @@
 std::optional<std::string> decompressText(const std::uint8_t *bytes, std::size_t count,
                                           std::size_t size)
 {
-    if (size > kMostTextBytes) {
+    if (size > kMaxTextBytes) {
         return std::nullopt;
     }
     std::string text(size, '\0');
