--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -191,8 +191,8 @@
         settings.agentPort = static_cast<int>(reader.integer("agent-port", 1, kLastPort, 1));
     }
     settings.maxAccountSeries = reader.integer("max-account-series", 0, 100'000, 300);
-    settings.crashMemory = fromSeconds(
-        reader.number("crash-memory-s", 0.0, kMostSeconds, toSeconds(settings.crashMemory)));
+    settings.crashRetention = fromSeconds(
+        reader.number("crash-memory-s", 0.0, kMostSeconds, toSeconds(settings.crashRetention)));
     settings.bounds = readBounds(reader);
     settings.times = readTimes(reader, deriveTimings(settings.bounds));
     return settings;
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -25,7 +25,7 @@
     core.regions = settings.regions;
     core.seed = randomIdentity();
     core.retries = retryLimits(settings.bounds);
-    core.crashes.life = settings.crashMemory;
+    core.crashes.life = settings.crashRetention;
     core.crashes.seed = randomIdentity();
     core.limits.firstMark = randomIdentity() | 1U;
     return core;
@@ -412,8 +412,8 @@
     settings_.bounds = settings.bounds;
     core_.setRetryLimits(retryLimits(settings_.bounds));
     core_.warmUps().setBounds(settings_.bounds.warmUp);
-    settings_.crashMemory = settings.crashMemory;
-    core_.crashes().setLife(settings_.crashMemory);
+    settings_.crashRetention = settings.crashRetention;
+    core_.crashes().setLife(settings_.crashRetention);
     core_.upstreams().setLapseGrace(settings_.times.lapseGrace);
 }
 
