--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -14,7 +14,7 @@
 using nlohmann::json;
 
 // How often requests are checked for the end of their time.
-constexpr Duration kTick = std::chrono::milliseconds(25);
+constexpr Duration kTickInterval = std::chrono::milliseconds(25);
 // When a caller may come back to a gateway that does not know enough.
 constexpr Duration kNotReadyPause = std::chrono::milliseconds(500);
 
@@ -102,7 +102,7 @@
     }
     sources_ = std::move(*sources);
     sources_->tick();
-    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
+    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickInterval, [this] { tick(); });
     return {};
 }
 
