--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -16,7 +16,7 @@
 // How often requests are checked for the end of their time.
 constexpr Duration kTickInterval = std::chrono::milliseconds(25);
 // When a caller may come back to a gateway that does not know enough.
-constexpr Duration kNotReadyPause = std::chrono::milliseconds(500);
+constexpr Duration kNotReadyRetryAfter = std::chrono::milliseconds(500);
 
 GatewayCore::Settings coreSettings(const GatewaySettings &settings)
 {
@@ -123,7 +123,7 @@
     CallerFacts facts = protocol_.readRequest(request);
     if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.times.stopDelay) {
         // By now the balancer knows; what still comes would not be finished in time.
-        refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyPause);
+        refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyRetryAfter);
         return;
     }
     const bool early = (!storeView_.hasConfiguration() || early_.size() > 0) && !stopping_;
@@ -160,7 +160,8 @@
         const FailureCode code = admitted.error();
         const bool temporary =
             code == FailureCode::EntryNotReady || code == FailureCode::KnowledgeStale;
-        refuse(exchange, facts, code, Outcome::NotRun, temporary ? kNotReadyPause : Duration{});
+        refuse(exchange, facts, code, Outcome::NotRun,
+               temporary ? kNotReadyRetryAfter : Duration{});
         return;
     }
     Flight flight;
