--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -139,9 +139,9 @@
 // that have waited long enough.
 void GatewayService::takeEarly()
 {
-    constexpr std::size_t kAtATime = 1;
+    constexpr std::size_t kMaxPerTick = 1;
     if (storeView_.hasConfiguration()) {
-        for (EarlyRequests::Held &held : early_.takeFirst(kAtATime)) {
+        for (EarlyRequests::Held &held : early_.takeFirst(kMaxPerTick)) {
             take(held.exchange, std::move(held.request), held.arrivedAt);
         }
         return;
