--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -328,13 +328,13 @@
 // The requests that upstreams have ended under, those with the most ends first.
 json GatewayService::suspects() const
 {
-    constexpr std::size_t kMostShown = 20;
+    constexpr std::size_t kMaxSuspectsShown = 20;
     std::vector<CrashSuspect> all = core_.crashes().all();
     std::erase_if(all, [](const CrashSuspect &suspect) { return suspect.ends.empty(); });
     std::stable_sort(all.begin(), all.end(), [](const auto &left, const auto &right) {
         return left.ends.size() > right.ends.size();
     });
-    all.resize(std::min(all.size(), kMostShown));
+    all.resize(std::min(all.size(), kMaxSuspectsShown));
     const TimePoint now = loop_.now();
     json shown = json::array();
     for (const CrashSuspect &suspect : all) {
