--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -13,7 +13,7 @@
 
 // Answers up to this size are read whole before their head goes out, so that one that breaks off
 // is never half delivered; longer ones would hold too much memory.
-constexpr std::size_t kMaxWholeBytes = std::size_t{1024} * 1024;
+constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{1024} * 1024;
 // How long a connection to an upstream may take to be made.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
 
@@ -240,7 +240,7 @@
         return;
     }
     flight->body.append(piece);
-    if (flight->body.size() > kMaxWholeBytes) {
+    if (flight->body.size() > kMaxBufferedAnswerBytes) {
         GatewayActions actions;
         core_.onHead(number, AnswerKind::Invalid, loop_.now(), actions);
         carryOut(actions);
