--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -17,7 +17,7 @@
 // How long a connection to an upstream may take to be made.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
 
-std::string_view wordFor(HttpCallEnd end)
+std::string_view nameOf(HttpCallEnd end)
 {
     switch (end) {
     case HttpCallEnd::Complete:
@@ -34,7 +34,7 @@
     return "unknown";
 }
 
-std::string_view wordFor(AnswerKind kind)
+std::string_view nameOf(AnswerKind kind)
 {
     switch (kind) {
     case AnswerKind::Success:
@@ -203,7 +203,7 @@
              {"attempt", attempt},
              {"upstream", flight->upstream.value()},
              {"status", flight->head.status},
-             {"kind", wordFor(kind)},
+             {"kind", nameOf(kind)},
              {"ms", toMillis(loop_.now() - flight->startedAt)}});
     GatewayActions actions;
     core_.onHead(number, kind, loop_.now(), actions);
@@ -288,7 +288,7 @@
             {{"id", flight->facts.requestId},
              {"attempt", attempt},
              {"upstream", flight->upstream.value()},
-             {"end", wordFor(end)},
+             {"end", nameOf(end)},
              {"headSent", flight->headSent},
              {"events", flight->events.events()},
              {"ms", toMillis(loop_.now() - flight->startedAt)}});
--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -8,7 +8,7 @@
 namespace seamarch {
 namespace {
 
-std::string_view wordFor(UpstreamLimits::Change change)
+std::string_view nameOf(UpstreamLimits::Change change)
 {
     switch (change) {
     case UpstreamLimits::Change::None:
@@ -76,10 +76,10 @@
         {{"id", flight.facts.requestId},
          {"attempt", flight.attempt},
          {"upstream", flight.upstream.value()},
-         {"change", wordFor(change)},
+         {"change", nameOf(change)},
          {"perSecond", notice.limit ? nlohmann::json(notice.limit->perSecond()) : nlohmann::json()},
          {"gateways", sources_->gateways()}});
-    metrics_.count("seamarch_limit_changes_total", wordFor(change));
+    metrics_.count("seamarch_limit_changes_total", nameOf(change));
 }
 
 // Asks for the permits that requests have wanted.
