--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -95,7 +95,7 @@
     std::uint32_t attempt_;
 };
 
-GatewayService::Flight *GatewayService::find(RequestNumber number, std::uint32_t attempt)
+GatewayService::ActiveRequest *GatewayService::find(RequestNumber number, std::uint32_t attempt)
 {
     const auto found = flights_.find(number);
     if (found == flights_.end() || found->second.attempt != attempt || found->second.call == 0) {
@@ -110,7 +110,7 @@
     if (found == flights_.end()) {
         return;
     }
-    Flight &flight = found->second;
+    ActiveRequest &flight = found->second;
     AttemptFacts facts;
     facts.instance = action.upstream.id;
     facts.account = flight.admitted.account;
@@ -160,7 +160,7 @@
     if (found == flights_.end() || found->second.call == 0) {
         return;
     }
-    Flight &flight = found->second;
+    ActiveRequest &flight = found->second;
     client_->cancel(std::exchange(flight.call, 0));
     if (action.silent) {
         flight.events.dropPartial();
@@ -176,7 +176,7 @@
 
 void GatewayService::onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head)
 {
-    Flight *flight = find(number, attempt);
+    ActiveRequest *flight = find(number, attempt);
     if (flight == nullptr) {
         return;
     }
@@ -210,7 +210,7 @@
     carryOut(actions);
 }
 
-void GatewayService::startStream(RequestNumber number, Flight &flight)
+void GatewayService::startStream(RequestNumber number, ActiveRequest &flight)
 {
     GatewayActions actions;
     if (!core_.onHead(number, AnswerKind::Success, loop_.now(), actions)) {
@@ -228,7 +228,7 @@
                                    std::string_view piece)
 {
     constexpr std::size_t kBufferedHighWater = std::size_t{256} * 1024;
-    Flight *flight = find(number, attempt);
+    ActiveRequest *flight = find(number, attempt);
     if (flight == nullptr) {
         return;
     }
@@ -247,7 +247,8 @@
     }
 }
 
-void GatewayService::relayEvents(RequestNumber number, Flight &flight, std::string_view piece)
+void GatewayService::relayEvents(RequestNumber number, ActiveRequest &flight,
+                                 std::string_view piece)
 {
     const std::string whole = flight.events.feed(piece);
     if (whole.empty()) {
@@ -275,7 +276,7 @@
 
 void GatewayService::onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end)
 {
-    Flight *flight = find(number, attempt);
+    ActiveRequest *flight = find(number, attempt);
     if (flight == nullptr) {
         return;
     }
@@ -314,7 +315,7 @@
 
 // Finds out whether the upstream has ended that lost the request. What becomes of the request waits
 // for that, some round trips at most: sent on at once, it might take another upstream down.
-void GatewayService::askAfterUpstream(RequestNumber number, const Flight &flight)
+void GatewayService::askAfterUpstream(RequestNumber number, const ActiveRequest &flight)
 {
     Lost lost{flight.facts.requestId, flight.admitted.digest, flight.admitted.account,
               flight.upstream, loop_.now()};
@@ -337,7 +338,7 @@
     });
 }
 
-void GatewayService::finishWhole(RequestNumber number, Flight &flight)
+void GatewayService::finishWhole(RequestNumber number, ActiveRequest &flight)
 {
     GatewayActions actions;
     if (flight.streams) {
--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 // Takes what the head of an answer says about the upstream that gave it.
-void GatewayService::noteNotice(RequestNumber number, const Flight &flight, AnswerKind kind)
+void GatewayService::noteNotice(RequestNumber number, const ActiveRequest &flight, AnswerKind kind)
 {
     const UpstreamNotice notice = protocol_.readNotice(flight.head);
     noteLimit(number, flight, notice, kind);
@@ -59,7 +59,7 @@
 
 // Takes the limit that an answer names, or that it names none. An answer that cannot be trusted, or
 // that another instance may have given, ends no limit.
-void GatewayService::noteLimit(RequestNumber number, const Flight &flight,
+void GatewayService::noteLimit(RequestNumber number, const ActiveRequest &flight,
                                const UpstreamNotice &notice, AnswerKind kind)
 {
     const bool trusted =
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -164,7 +164,7 @@
                temporary ? kNotReadyRetryAfter : Duration{});
         return;
     }
-    Flight flight;
+    ActiveRequest flight;
     flight.exchange = exchange;
     flight.request = std::move(request);
     flight.facts = std::move(facts);
@@ -241,7 +241,7 @@
     if (found == flights_.end()) {
         return;
     }
-    const Flight &flight = found->second;
+    const ActiveRequest &flight = found->second;
     if (action.failure == FailureCode::RequestEndsUpstreams) {
         const RequestDigest &digest = flight.admitted.digest;
         logLine(LogLevel::Warning, "request.stopped",
@@ -271,7 +271,7 @@
     if (found == flights_.end()) {
         return;
     }
-    const Flight &flight = found->second;
+    const ActiveRequest &flight = found->second;
     const TimePoint now = loop_.now();
     metrics_.count("seamarch_requests_total", result);
     metrics_.observe(Stage::Total, flight.admitted.account, flight.admitted.route->name,
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -73,7 +73,7 @@
     class Receiver;
 
     // A caller's request on its way.
-    struct Flight
+    struct ActiveRequest
     {
         ExchangeId exchange = 0;
         HttpRequest request;
@@ -134,19 +134,19 @@
     void carryOut(const BreakAnswer &action);
 
     void onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head);
-    void noteNotice(RequestNumber number, const Flight &flight, AnswerKind kind);
-    void noteLimit(RequestNumber number, const Flight &flight, const UpstreamNotice &notice,
+    void noteNotice(RequestNumber number, const ActiveRequest &flight, AnswerKind kind);
+    void noteLimit(RequestNumber number, const ActiveRequest &flight, const UpstreamNotice &notice,
                    AnswerKind kind);
     void askForPermits();
     void onAnswerPiece(RequestNumber number, std::uint32_t attempt, std::string_view piece);
     void onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end);
     void onAttemptLost(RequestNumber number, std::uint32_t attempt, AttemptEnd end);
-    void askAfterUpstream(RequestNumber number, const Flight &flight);
-    void startStream(RequestNumber number, Flight &flight);
-    void finishWhole(RequestNumber number, Flight &flight);
-    void relayEvents(RequestNumber number, Flight &flight, std::string_view piece);
+    void askAfterUpstream(RequestNumber number, const ActiveRequest &flight);
+    void startStream(RequestNumber number, ActiveRequest &flight);
+    void finishWhole(RequestNumber number, ActiveRequest &flight);
+    void relayEvents(RequestNumber number, ActiveRequest &flight, std::string_view piece);
     void endFlight(RequestNumber number, std::string_view result);
-    Flight *find(RequestNumber number, std::uint32_t attempt);
+    ActiveRequest *find(RequestNumber number, std::uint32_t attempt);
     void tick();
     void stopIfDrained();
 
@@ -164,7 +164,7 @@
     std::unique_ptr<OperatorServer> metricsServer_;
     std::unique_ptr<KnowledgeSources> sources_;
     EarlyRequests early_;
-    std::unordered_map<RequestNumber, Flight> flights_;
+    std::unordered_map<RequestNumber, ActiveRequest> flights_;
     std::unordered_map<ExchangeId, RequestNumber> byExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
     bool stopping_ = false;
