--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -110,36 +110,36 @@
     if (found == flights_.end()) {
         return;
     }
-    ActiveRequest &flight = found->second;
+    ActiveRequest &active = found->second;
     AttemptFacts facts;
     facts.instance = action.upstream.id;
-    facts.account = flight.admitted.account;
-    facts.priority = flight.admitted.priority;
+    facts.account = active.admitted.account;
+    facts.priority = active.admitted.priority;
     facts.timeLeft = action.timeLeft;
     facts.resumeAfter =
-        flight.events.lastId().empty() ? flight.facts.resumeAfter : flight.events.lastId();
+        active.events.lastId().empty() ? active.facts.resumeAfter : active.events.lastId();
     HttpCallRequest call;
     call.address = {action.upstream.host, action.upstream.port};
-    call.method = flight.request.method;
-    call.path = flight.request.target;
-    call.headers = protocol_.upstreamHeaders(flight.request, facts);
-    call.body = flight.request.body;
+    call.method = active.request.method;
+    call.path = active.request.target;
+    call.headers = protocol_.upstreamHeaders(active.request, facts);
+    call.body = active.request.body;
     call.reuse = action.mayUseOldConnection ? HttpReuse::Any : HttpReuse::Young;
     call.connectTimeout = kConnectTimeout;
-    flight.attempt = action.attempt;
-    flight.upstream = action.upstream.id;
-    flight.address = call.address;
-    flight.group = action.group;
-    flight.body.clear();
-    flight.streams = false;
-    flight.attemptSpeaks = false;
-    flight.resuming = flight.headSent;
+    active.attempt = action.attempt;
+    active.upstream = action.upstream.id;
+    active.address = call.address;
+    active.group = action.group;
+    active.body.clear();
+    active.streams = false;
+    active.attemptSpeaks = false;
+    active.resuming = active.headSent;
     const TargetName &service = action.upstream.service;
     const StreamLane *lane = core_.lane(service, action.group);
     logLine(LogLevel::Info, "attempt.started",
-            {{"id", flight.facts.requestId},
+            {{"id", active.facts.requestId},
              {"attempt", action.attempt},
-             {"waitedMs", toMillis(loop_.now() - flight.startedAt)},
+             {"waitedMs", toMillis(loop_.now() - active.startedAt)},
              {"group", action.group.value()},
              {"streams", lane == nullptr ? 0 : lane->inFlight()},
              {"streamLimit", lane == nullptr ? 0.0 : lane->limiter().limit()},
@@ -148,9 +148,9 @@
              {"hall", action.upstream.hall.value()},
              {"inFlightThere", core_.inFlightAt(action.upstream.id)},
              {"timeLeftMs", toMillis(action.timeLeft)},
-             {"configVersion", flight.admitted.table->version().value()},
+             {"configVersion", active.admitted.table->version().value()},
              {"knowledgeAgeMs", toMillis(storeView_.age())}});
-    flight.call = client_->call(std::move(call),
+    active.call = client_->call(std::move(call),
                                 std::make_unique<Receiver>(*this, action.request, action.attempt));
 }
 
@@ -160,67 +160,67 @@
     if (found == flights_.end() || found->second.call == 0) {
         return;
     }
-    ActiveRequest &flight = found->second;
-    client_->cancel(std::exchange(flight.call, 0));
+    ActiveRequest &active = found->second;
+    client_->cancel(std::exchange(active.call, 0));
     if (action.silent) {
-        flight.events.dropPartial();
+        active.events.dropPartial();
         logLine(LogLevel::Info, "attempt.silent",
-                {{"id", flight.facts.requestId},
-                 {"attempt", flight.attempt},
-                 {"upstream", flight.upstream.value()},
-                 {"group", flight.group.value()},
-                 {"events", flight.events.events()},
-                 {"ms", toMillis(loop_.now() - flight.startedAt)}});
+                {{"id", active.facts.requestId},
+                 {"attempt", active.attempt},
+                 {"upstream", active.upstream.value()},
+                 {"group", active.group.value()},
+                 {"events", active.events.events()},
+                 {"ms", toMillis(loop_.now() - active.startedAt)}});
     }
 }
 
 void GatewayService::onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head)
 {
-    ActiveRequest *flight = find(number, attempt);
-    if (flight == nullptr) {
+    ActiveRequest *active = find(number, attempt);
+    if (active == nullptr) {
         return;
     }
-    const AnswerKind kind = protocol_.judge(head, flight->facts);
-    flight->head = std::move(head);
-    noteNotice(number, *flight, kind);
-    const bool events = kind == AnswerKind::Success && flight->admitted.route->streamed
-                        && isEventStream(flight->head);
-    if (flight->resuming && kind == AnswerKind::Success && !events) {
+    const AnswerKind kind = protocol_.judge(head, active->facts);
+    active->head = std::move(head);
+    noteNotice(number, *active, kind);
+    const bool events = kind == AnswerKind::Success && active->admitted.route->streamed
+                        && isEventStream(active->head);
+    if (active->resuming && kind == AnswerKind::Success && !events) {
         GatewayActions actions;
         core_.onHead(number, AnswerKind::Invalid, loop_.now(), actions);
         carryOut(actions);
         return;
     }
     if (events) {
-        startStream(number, *flight);
+        startStream(number, *active);
         return;
     }
     if (kind == AnswerKind::Success || kind == AnswerKind::Failure) {
         return; // Decided once the body is whole.
     }
     logLine(LogLevel::Info, "attempt.refused",
-            {{"id", flight->facts.requestId},
+            {{"id", active->facts.requestId},
              {"attempt", attempt},
-             {"upstream", flight->upstream.value()},
-             {"status", flight->head.status},
+             {"upstream", active->upstream.value()},
+             {"status", active->head.status},
              {"kind", nameOf(kind)},
-             {"ms", toMillis(loop_.now() - flight->startedAt)}});
+             {"ms", toMillis(loop_.now() - active->startedAt)}});
     GatewayActions actions;
     core_.onHead(number, kind, loop_.now(), actions);
     carryOut(actions);
 }
 
-void GatewayService::startStream(RequestNumber number, ActiveRequest &flight)
+void GatewayService::startStream(RequestNumber number, ActiveRequest &active)
 {
     GatewayActions actions;
     if (!core_.onHead(number, AnswerKind::Success, loop_.now(), actions)) {
         carryOut(actions);
         return;
     }
-    flight.streams = true;
-    if (!flight.headSent) {
-        flight.headSent = true;
-        server_->begin(flight.exchange, toResponse(flight.head));
+    active.streams = true;
+    if (!active.headSent) {
+        active.headSent = true;
+        server_->begin(active.exchange, toResponse(active.head));
     }
 }
 
@@ -228,74 +228,74 @@
                                    std::string_view piece)
 {
     constexpr std::size_t kBufferedHighWater = std::size_t{256} * 1024;
-    ActiveRequest *flight = find(number, attempt);
-    if (flight == nullptr) {
+    ActiveRequest *active = find(number, attempt);
+    if (active == nullptr) {
         return;
     }
-    if (flight->streams) {
-        relayEvents(number, *flight, piece);
-        if (server_->buffered(flight->exchange) > kBufferedHighWater) {
-            client_->pause(flight->call, true);
+    if (active->streams) {
+        relayEvents(number, *active, piece);
+        if (server_->buffered(active->exchange) > kBufferedHighWater) {
+            client_->pause(active->call, true);
         }
         return;
     }
-    flight->body.append(piece);
-    if (flight->body.size() > kMaxBufferedAnswerBytes) {
+    active->body.append(piece);
+    if (active->body.size() > kMaxBufferedAnswerBytes) {
         GatewayActions actions;
         core_.onHead(number, AnswerKind::Invalid, loop_.now(), actions);
         carryOut(actions);
     }
 }
 
-void GatewayService::relayEvents(RequestNumber number, ActiveRequest &flight,
+void GatewayService::relayEvents(RequestNumber number, ActiveRequest &active,
                                  std::string_view piece)
 {
-    const std::string whole = flight.events.feed(piece);
+    const std::string whole = active.events.feed(piece);
     if (whole.empty()) {
         return;
     }
     const TimePoint now = loop_.now();
-    const bool first = flight.lastEventAt == TimePoint{};
-    metrics_.observe(first ? Stage::FirstToken : Stage::BetweenTokens, flight.admitted.account,
-                     flight.admitted.route->name,
-                     now - (first ? flight.startedAt : flight.lastEventAt));
+    const bool first = active.lastEventAt == TimePoint{};
+    metrics_.observe(first ? Stage::FirstToken : Stage::BetweenTokens, active.admitted.account,
+                     active.admitted.route->name,
+                     now - (first ? active.startedAt : active.lastEventAt));
     if (first) {
-        flight.firstEventAt = now;
+        active.firstEventAt = now;
     } else {
-        flight.longestPause = std::max(flight.longestPause, now - flight.lastEventAt);
+        active.longestPause = std::max(active.longestPause, now - active.lastEventAt);
     }
     // The caller's pause over a change of upstreams says nothing of either.
-    if (!std::exchange(flight.attemptSpeaks, true)) {
+    if (!std::exchange(active.attemptSpeaks, true)) {
         core_.onFirstEvent(number, now);
     } else {
-        core_.onPause(number, now - flight.lastEventAt, now);
+        core_.onPause(number, now - active.lastEventAt, now);
     }
-    flight.lastEventAt = now;
-    server_->write(flight.exchange, whole);
+    active.lastEventAt = now;
+    server_->write(active.exchange, whole);
 }
 
 void GatewayService::onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end)
 {
-    ActiveRequest *flight = find(number, attempt);
-    if (flight == nullptr) {
+    ActiveRequest *active = find(number, attempt);
+    if (active == nullptr) {
         return;
     }
-    flight->call = 0;
-    if (end == HttpCallEnd::Complete && !(flight->streams && flight->events.hasPartial())) {
-        finishWhole(number, *flight);
+    active->call = 0;
+    if (end == HttpCallEnd::Complete && !(active->streams && active->events.hasPartial())) {
+        finishWhole(number, *active);
         return;
     }
     logLine(LogLevel::Info, "attempt.lost",
-            {{"id", flight->facts.requestId},
+            {{"id", active->facts.requestId},
              {"attempt", attempt},
-             {"upstream", flight->upstream.value()},
+             {"upstream", active->upstream.value()},
              {"end", nameOf(end)},
-             {"headSent", flight->headSent},
-             {"events", flight->events.events()},
-             {"ms", toMillis(loop_.now() - flight->startedAt)}});
-    flight->events.dropPartial();
+             {"headSent", active->headSent},
+             {"events", active->events.events()},
+             {"ms", toMillis(loop_.now() - active->startedAt)}});
+    active->events.dropPartial();
     if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
-        askAfterUpstream(number, *flight);
+        askAfterUpstream(number, *active);
         return;
     }
     onAttemptLost(number, attempt,
@@ -315,12 +315,12 @@
 
 // Finds out whether the upstream has ended that lost the request. What becomes of the request waits
 // for that, some round trips at most: sent on at once, it might take another upstream down.
-void GatewayService::askAfterUpstream(RequestNumber number, const ActiveRequest &flight)
+void GatewayService::askAfterUpstream(RequestNumber number, const ActiveRequest &active)
 {
-    Lost lost{flight.facts.requestId, flight.admitted.digest, flight.admitted.account,
-              flight.upstream, loop_.now()};
-    const std::uint32_t attempt = flight.attempt;
-    probe_->ask(flight.address, [this, number, attempt, lost](UpstreamState state) {
+    Lost lost{active.facts.requestId, active.admitted.digest, active.admitted.account,
+              active.upstream, loop_.now()};
+    const std::uint32_t attempt = active.attempt;
+    probe_->ask(active.address, [this, number, attempt, lost](UpstreamState state) {
         metrics_.count("seamarch_upstreams_that_lost_requests_total", toString(state));
         logLine(LogLevel::Info, "upstream.probed",
                 {{"id", lost.requestId},
@@ -338,29 +338,29 @@
     });
 }
 
-void GatewayService::finishWhole(RequestNumber number, ActiveRequest &flight)
+void GatewayService::finishWhole(RequestNumber number, ActiveRequest &active)
 {
     GatewayActions actions;
-    if (flight.streams) {
+    if (active.streams) {
         core_.onEnd(number, AttemptEnd::Complete, loop_.now(), actions);
         carryOut(actions);
-        server_->finish(flight.exchange);
+        server_->finish(active.exchange);
         endFlight(number, "served");
         return;
     }
-    const AnswerKind kind = protocol_.judge(flight.head, flight.facts);
+    const AnswerKind kind = protocol_.judge(active.head, active.facts);
     if (!core_.onHead(number, kind, loop_.now(), actions)) {
         logLine(LogLevel::Info, "attempt.failed",
-                {{"id", flight.facts.requestId},
-                 {"attempt", flight.attempt},
-                 {"upstream", flight.upstream.value()},
-                 {"status", flight.head.status}});
+                {{"id", active.facts.requestId},
+                 {"attempt", active.attempt},
+                 {"upstream", active.upstream.value()},
+                 {"status", active.head.status}});
         carryOut(actions);
         return;
     }
     core_.onEnd(number, AttemptEnd::Complete, loop_.now(), actions);
     carryOut(actions);
-    server_->respond(flight.exchange, toResponse(flight.head), flight.body);
+    server_->respond(active.exchange, toResponse(active.head), active.body);
     endFlight(number, kind == AnswerKind::Success ? "served" : "upstream failure");
 }
 
--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -26,18 +26,18 @@
 } // namespace
 
 // Takes what the head of an answer says about the upstream that gave it.
-void GatewayService::noteNotice(RequestNumber number, const ActiveRequest &flight, AnswerKind kind)
+void GatewayService::noteNotice(RequestNumber number, const ActiveRequest &active, AnswerKind kind)
 {
-    const UpstreamNotice notice = protocol_.readNotice(flight.head);
-    noteLimit(number, flight, notice, kind);
+    const UpstreamNotice notice = protocol_.readNotice(active.head);
+    noteLimit(number, active, notice, kind);
     if (notice.empty()) {
         return;
     }
     logLine(LogLevel::Info, "upstream.notice",
-            {{"id", flight.facts.requestId},
-             {"attempt", flight.attempt},
-             {"upstream", flight.upstream.value()},
-             {"status", flight.head.status},
+            {{"id", active.facts.requestId},
+             {"attempt", active.attempt},
+             {"upstream", active.upstream.value()},
+             {"status", active.head.status},
              {"restMs", notice.rest ? nlohmann::json(toMillis(*notice.rest)) : nlohmann::json()},
              {"restUnreadable", notice.restUnreadable},
              {"leaving", notice.leaving},
@@ -59,7 +59,7 @@
 
 // Takes the limit that an answer names, or that it names none. An answer that cannot be trusted, or
 // that another instance may have given, ends no limit.
-void GatewayService::noteLimit(RequestNumber number, const ActiveRequest &flight,
+void GatewayService::noteLimit(RequestNumber number, const ActiveRequest &active,
                                const UpstreamNotice &notice, AnswerKind kind)
 {
     const bool trusted =
@@ -73,9 +73,9 @@
     }
     logLine(
         LogLevel::Info, "limit.changed",
-        {{"id", flight.facts.requestId},
-         {"attempt", flight.attempt},
-         {"upstream", flight.upstream.value()},
+        {{"id", active.facts.requestId},
+         {"attempt", active.attempt},
+         {"upstream", active.upstream.value()},
          {"change", nameOf(change)},
          {"perSecond", notice.limit ? nlohmann::json(notice.limit->perSecond()) : nlohmann::json()},
          {"gateways", sources_->gateways()}});
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -164,18 +164,18 @@
                temporary ? kNotReadyRetryAfter : Duration{});
         return;
     }
-    ActiveRequest flight;
-    flight.exchange = exchange;
-    flight.request = std::move(request);
-    flight.facts = std::move(facts);
+    ActiveRequest active;
+    active.exchange = exchange;
+    active.request = std::move(request);
+    active.facts = std::move(facts);
     admitted->held = loop_.now() - arrivedAt;
-    admitted->digest = digestOf(flight.request, admitted->account);
-    flight.admitted = *admitted;
-    flight.startedAt = arrivedAt;
+    admitted->digest = digestOf(active.request, admitted->account);
+    active.admitted = *admitted;
+    active.startedAt = arrivedAt;
     GatewayActions actions;
     const RequestNumber number = core_.begin(std::move(*admitted), loop_.now(), actions);
     byExchange_[exchange] = number;
-    flights_.emplace(number, std::move(flight));
+    flights_.emplace(number, std::move(active));
     metrics_.count("seamarch_requests_total", "received");
     carryOut(actions);
 }
@@ -220,9 +220,9 @@
 {
     const auto found = byExchange_.find(exchange);
     if (found != byExchange_.end()) {
-        const auto flight = flights_.find(found->second);
-        if (flight != flights_.end()) {
-            client_->pause(flight->second.call, false);
+        const auto active = flights_.find(found->second);
+        if (active != flights_.end()) {
+            client_->pause(active->second.call, false);
         }
     }
 }
@@ -241,16 +241,16 @@
     if (found == flights_.end()) {
         return;
     }
-    const ActiveRequest &flight = found->second;
+    const ActiveRequest &active = found->second;
     if (action.failure == FailureCode::RequestEndsUpstreams) {
-        const RequestDigest &digest = flight.admitted.digest;
+        const RequestDigest &digest = active.admitted.digest;
         logLine(LogLevel::Warning, "request.stopped",
-                {{"id", flight.facts.requestId},
+                {{"id", active.facts.requestId},
                  {"digest", toText(digest)},
-                 {"account", flight.admitted.account.value()},
+                 {"account", active.admitted.account.value()},
                  {"ends", core_.crashes().ends(digest)}});
     }
-    refuse(flight.exchange, flight.facts, action.failure, action.outcome, action.retryAfter);
+    refuse(active.exchange, active.facts, action.failure, action.outcome, action.retryAfter);
     endFlight(action.request, toString(action.failure));
 }
 
@@ -271,26 +271,26 @@
     if (found == flights_.end()) {
         return;
     }
-    const ActiveRequest &flight = found->second;
+    const ActiveRequest &active = found->second;
     const TimePoint now = loop_.now();
     metrics_.count("seamarch_requests_total", result);
-    metrics_.observe(Stage::Total, flight.admitted.account, flight.admitted.route->name,
-                     now - flight.startedAt);
+    metrics_.observe(Stage::Total, active.admitted.account, active.admitted.route->name,
+                     now - active.startedAt);
     logLine(LogLevel::Info, "request.ended",
-            {{"id", flight.facts.requestId},
+            {{"id", active.facts.requestId},
              {"result", result},
-             {"route", flight.admitted.route->name},
-             {"account", flight.admitted.account.value()},
-             {"upstream", flight.upstream.value()},
-             {"group", flight.group.value()},
-             {"attempts", flight.attempt},
-             {"events", flight.events.events()},
-             {"firstEventMs", flight.firstEventAt == TimePoint{}
+             {"route", active.admitted.route->name},
+             {"account", active.admitted.account.value()},
+             {"upstream", active.upstream.value()},
+             {"group", active.group.value()},
+             {"attempts", active.attempt},
+             {"events", active.events.events()},
+             {"firstEventMs", active.firstEventAt == TimePoint{}
                                   ? json()
-                                  : json(toMillis(flight.firstEventAt - flight.startedAt))},
-             {"longestPauseMs", toMillis(flight.longestPause)},
-             {"ms", toMillis(now - flight.startedAt)}});
-    byExchange_.erase(flight.exchange);
+                                  : json(toMillis(active.firstEventAt - active.startedAt))},
+             {"longestPauseMs", toMillis(active.longestPause)},
+             {"ms", toMillis(now - active.startedAt)}});
+    byExchange_.erase(active.exchange);
     flights_.erase(found);
 }
 
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -134,17 +134,17 @@
     void carryOut(const BreakAnswer &action);
 
     void onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head);
-    void noteNotice(RequestNumber number, const ActiveRequest &flight, AnswerKind kind);
-    void noteLimit(RequestNumber number, const ActiveRequest &flight, const UpstreamNotice &notice,
+    void noteNotice(RequestNumber number, const ActiveRequest &active, AnswerKind kind);
+    void noteLimit(RequestNumber number, const ActiveRequest &active, const UpstreamNotice &notice,
                    AnswerKind kind);
     void askForPermits();
     void onAnswerPiece(RequestNumber number, std::uint32_t attempt, std::string_view piece);
     void onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end);
     void onAttemptLost(RequestNumber number, std::uint32_t attempt, AttemptEnd end);
-    void askAfterUpstream(RequestNumber number, const ActiveRequest &flight);
-    void startStream(RequestNumber number, ActiveRequest &flight);
-    void finishWhole(RequestNumber number, ActiveRequest &flight);
-    void relayEvents(RequestNumber number, ActiveRequest &flight, std::string_view piece);
+    void askAfterUpstream(RequestNumber number, const ActiveRequest &active);
+    void startStream(RequestNumber number, ActiveRequest &active);
+    void finishWhole(RequestNumber number, ActiveRequest &active);
+    void relayEvents(RequestNumber number, ActiveRequest &active, std::string_view piece);
     void endFlight(RequestNumber number, std::string_view result);
     ActiveRequest *find(RequestNumber number, std::uint32_t attempt);
     void tick();
