--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -97,8 +97,9 @@
 
 GatewayService::ActiveRequest *GatewayService::find(RequestNumber number, std::uint32_t attempt)
 {
-    const auto found = flights_.find(number);
-    if (found == flights_.end() || found->second.attempt != attempt || found->second.call == 0) {
+    const auto found = activeRequests_.find(number);
+    if (found == activeRequests_.end() || found->second.attempt != attempt
+        || found->second.call == 0) {
         return nullptr;
     }
     return &found->second;
@@ -106,8 +107,8 @@
 
 void GatewayService::carryOut(const StartAttempt &action)
 {
-    const auto found = flights_.find(action.request);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(action.request);
+    if (found == activeRequests_.end()) {
         return;
     }
     ActiveRequest &active = found->second;
@@ -156,8 +157,8 @@
 
 void GatewayService::carryOut(const CancelAttempt &action)
 {
-    const auto found = flights_.find(action.request);
-    if (found == flights_.end() || found->second.call == 0) {
+    const auto found = activeRequests_.find(action.request);
+    if (found == activeRequests_.end() || found->second.call == 0) {
         return;
     }
     ActiveRequest &active = found->second;
@@ -304,8 +305,9 @@
 
 void GatewayService::onAttemptLost(RequestNumber number, std::uint32_t attempt, AttemptEnd end)
 {
-    const auto found = flights_.find(number);
-    if (found == flights_.end() || found->second.attempt != attempt || found->second.call != 0) {
+    const auto found = activeRequests_.find(number);
+    if (found == activeRequests_.end() || found->second.attempt != attempt
+        || found->second.call != 0) {
         return; // Over, or at another upstream meanwhile.
     }
     GatewayActions actions;
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -175,7 +175,7 @@
     GatewayActions actions;
     const RequestNumber number = core_.begin(std::move(*admitted), loop_.now(), actions);
     byExchange_[exchange] = number;
-    flights_.emplace(number, std::move(active));
+    activeRequests_.emplace(number, std::move(active));
     metrics_.count("seamarch_requests_total", "received");
     carryOut(actions);
 }
@@ -220,8 +220,8 @@
 {
     const auto found = byExchange_.find(exchange);
     if (found != byExchange_.end()) {
-        const auto active = flights_.find(found->second);
-        if (active != flights_.end()) {
+        const auto active = activeRequests_.find(found->second);
+        if (active != activeRequests_.end()) {
             client_->pause(active->second.call, false);
         }
     }
@@ -237,8 +237,8 @@
 
 void GatewayService::carryOut(const RejectRequest &action)
 {
-    const auto found = flights_.find(action.request);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(action.request);
+    if (found == activeRequests_.end()) {
         return;
     }
     const ActiveRequest &active = found->second;
@@ -256,8 +256,8 @@
 
 void GatewayService::carryOut(const BreakAnswer &action)
 {
-    const auto found = flights_.find(action.request);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(action.request);
+    if (found == activeRequests_.end()) {
         return;
     }
     metrics_.count("seamarch_broken_answers_total", toString(action.failure));
@@ -267,8 +267,8 @@
 
 void GatewayService::endFlight(RequestNumber number, std::string_view result)
 {
-    const auto found = flights_.find(number);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(number);
+    if (found == activeRequests_.end()) {
         return;
     }
     const ActiveRequest &active = found->second;
@@ -291,7 +291,7 @@
              {"longestPauseMs", toMillis(active.longestPause)},
              {"ms", toMillis(now - active.startedAt)}});
     byExchange_.erase(active.exchange);
-    flights_.erase(found);
+    activeRequests_.erase(found);
 }
 
 void GatewayService::tick()
@@ -386,7 +386,7 @@
             {"storeCalls", sources_->storeCalls()},
             {"followsStore", sources_->followsStore()},
             {"gateways", sources_->gateways()},
-            {"inFlight", flights_.size()},
+            {"inFlight", activeRequests_.size()},
             {"secondAttempts", core_.secondAttempts()},
             {"connectionsMade", client_->connectionsMade()},
             {"upstreams", core_.upstreams().all().size()},
@@ -426,7 +426,7 @@
     stopping_ = true;
     stopStartedAt_ = loop_.now();
     server_->announceClose();
-    logLine(LogLevel::Info, "gateway.stopping", {{"inFlight", flights_.size()}});
+    logLine(LogLevel::Info, "gateway.stopping", {{"inFlight", activeRequests_.size()}});
 }
 
 void GatewayService::stopIfDrained()
@@ -437,11 +437,11 @@
         return;
     }
     server_->closeIdle();
-    const bool drained = flights_.empty() && server_->open() == 0;
+    const bool drained = activeRequests_.empty() && server_->open() == 0;
     if (!drained && since < settings_.times.stopDeadline) {
         return;
     }
-    logLine(LogLevel::Info, "gateway.stopped", {{"cutOff", flights_.size()}});
+    logLine(LogLevel::Info, "gateway.stopped", {{"cutOff", activeRequests_.size()}});
     sources_->stop();
     loop_.stop();
 }
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -164,7 +164,7 @@
     std::unique_ptr<OperatorServer> metricsServer_;
     std::unique_ptr<KnowledgeSources> sources_;
     EarlyRequests early_;
-    std::unordered_map<RequestNumber, ActiveRequest> flights_;
+    std::unordered_map<RequestNumber, ActiveRequest> activeRequests_;
     std::unordered_map<ExchangeId, RequestNumber> byExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
     bool stopping_ = false;
