--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -347,7 +347,7 @@
         core_.onEnd(number, AttemptEnd::Complete, loop_.now(), actions);
         carryOut(actions);
         server_->finish(active.exchange);
-        endFlight(number, "served");
+        endRequest(number, "served");
         return;
     }
     const AnswerKind kind = protocol_.judge(active.head, active.facts);
@@ -363,7 +363,7 @@
     core_.onEnd(number, AttemptEnd::Complete, loop_.now(), actions);
     carryOut(actions);
     server_->respond(active.exchange, toResponse(active.head), active.body);
-    endFlight(number, kind == AnswerKind::Success ? "served" : "upstream failure");
+    endRequest(number, kind == AnswerKind::Success ? "served" : "upstream failure");
 }
 
 } // namespace seamarch
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -213,7 +213,7 @@
     GatewayActions actions;
     core_.onCallerGone(number, actions);
     carryOut(actions);
-    endFlight(number, "caller gone");
+    endRequest(number, "caller gone");
 }
 
 void GatewayService::onDrained(ExchangeId exchange)
@@ -251,7 +251,7 @@
                  {"ends", core_.crashes().ends(digest)}});
     }
     refuse(active.exchange, active.facts, action.failure, action.outcome, action.retryAfter);
-    endFlight(action.request, toString(action.failure));
+    endRequest(action.request, toString(action.failure));
 }
 
 void GatewayService::carryOut(const BreakAnswer &action)
@@ -262,10 +262,10 @@
     }
     metrics_.count("seamarch_broken_answers_total", toString(action.failure));
     server_->abort(found->second.exchange);
-    endFlight(action.request, "broken off");
+    endRequest(action.request, "broken off");
 }
 
-void GatewayService::endFlight(RequestNumber number, std::string_view result)
+void GatewayService::endRequest(RequestNumber number, std::string_view result)
 {
     const auto found = activeRequests_.find(number);
     if (found == activeRequests_.end()) {
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -145,7 +145,7 @@
     void startStream(RequestNumber number, ActiveRequest &active);
     void finishWhole(RequestNumber number, ActiveRequest &active);
     void relayEvents(RequestNumber number, ActiveRequest &active, std::string_view piece);
-    void endFlight(RequestNumber number, std::string_view result);
+    void endRequest(RequestNumber number, std::string_view result);
     ActiveRequest *find(RequestNumber number, std::uint32_t attempt);
     void tick();
     void stopIfDrained();
