--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -319,8 +319,8 @@
 // for that, some round trips at most: sent on at once, it might take another upstream down.
 void GatewayService::askAfterUpstream(RequestNumber number, const ActiveRequest &active)
 {
-    Lost lost{active.facts.requestId, active.admitted.digest, active.admitted.account,
-              active.upstream, loop_.now()};
+    LostAttempt lost{active.facts.requestId, active.admitted.digest, active.admitted.account,
+                     active.upstream, loop_.now()};
     const std::uint32_t attempt = active.attempt;
     probe_->ask(active.address, [this, number, attempt, lost](UpstreamState state) {
         metrics_.count("seamarch_upstreams_that_lost_requests_total", toString(state));
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -98,7 +98,7 @@
     };
 
     // A request whose connection to its upstream broke.
-    struct Lost
+    struct LostAttempt
     {
         std::string requestId;
         RequestDigest digest;
