--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -133,7 +133,7 @@
     active.group = action.group;
     active.body.clear();
     active.streams = false;
-    active.attemptSpeaks = false;
+    active.attemptHasEvents = false;
     active.resuming = active.headSent;
     const TargetName &service = action.upstream.service;
     const StreamLane *lane = core_.lane(service, action.group);
@@ -266,7 +266,7 @@
         active.longestPause = std::max(active.longestPause, now - active.lastEventAt);
     }
     // The caller's pause over a change of upstreams says nothing of either.
-    if (!std::exchange(active.attemptSpeaks, true)) {
+    if (!std::exchange(active.attemptHasEvents, true)) {
         core_.onFirstEvent(number, now);
     } else {
         core_.onPause(number, now - active.lastEventAt, now);
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -88,8 +88,8 @@
         std::string body;     // Of an answer that goes out whole.
         bool streams = false; // The answer under way is a stream of events.
         bool headSent = false;
-        bool attemptSpeaks = false; // The attempt under way has sent an event.
-        bool resuming = false;      // Events follow those of an earlier attempt.
+        bool attemptHasEvents = false; // The attempt under way has sent an event.
+        bool resuming = false;         // Events follow those of an earlier attempt.
         EventStream events;
         TimePoint startedAt{};
         TimePoint firstEventAt{};
