--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -132,7 +132,7 @@
                 {{"id", facts.requestId}, {"reason", "no configuration"}, {"held", early_.size()}});
         return;
     }
-    take(exchange, std::move(request), loop_.now());
+    admitRequest(exchange, std::move(request), loop_.now());
 }
 
 // Hands over requests that came before there was a configuration, once there is one; refuses those
@@ -142,17 +142,17 @@
     constexpr std::size_t kMaxPerTick = 1;
     if (storeView_.hasConfiguration()) {
         for (EarlyRequests::Held &held : early_.takeFirst(kMaxPerTick)) {
-            take(held.exchange, std::move(held.request), held.arrivedAt);
+            admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
         }
         return;
     }
     for (EarlyRequests::Held &held : early_.takeOverdue(loop_.now())) {
-        take(held.exchange, std::move(held.request), held.arrivedAt);
+        admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
     }
 }
 
 // Admits a request, or refuses it.
-void GatewayService::take(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
+void GatewayService::admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
 {
     CallerFacts facts = protocol_.readRequest(request);
     auto admitted = storeView_.admit(request, facts);
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -122,7 +122,7 @@
     nlohmann::json limited() const;
 
     void applyConfiguration(const RouteTable &table);
-    void take(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
+    void admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
     void takeEarly();
     void refuse(ExchangeId exchange, const CallerFacts &facts, FailureCode code, Outcome outcome,
                 Duration retryAfter);
