--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -137,7 +137,7 @@
 
 // Hands over requests that came before there was a configuration, once there is one; refuses those
 // that have waited long enough.
-void GatewayService::takeEarly()
+void GatewayService::processEarlyRequests()
 {
     constexpr std::size_t kMaxPerTick = 1;
     if (storeView_.hasConfiguration()) {
@@ -296,7 +296,7 @@
 
 void GatewayService::tick()
 {
-    takeEarly();
+    processEarlyRequests();
     GatewayActions actions;
     core_.setGateways(sources_->gateways() + 1);
     core_.setPlace(sources_->place());
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -123,7 +123,7 @@
 
     void applyConfiguration(const RouteTable &table);
     void admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
-    void takeEarly();
+    void processEarlyRequests();
     void refuse(ExchangeId exchange, const CallerFacts &facts, FailureCode code, Outcome outcome,
                 Duration retryAfter);
 
