--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -183,7 +183,7 @@
     }
     const AnswerKind kind = protocol_.judge(head, active->facts);
     active->head = std::move(head);
-    noteNotice(number, *active, kind);
+    handleNotice(number, *active, kind);
     const bool events = kind == AnswerKind::Success && active->admitted.route->streamed
                         && isEventStream(active->head);
     if (active->resuming && kind == AnswerKind::Success && !events) {
--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -26,7 +26,8 @@
 } // namespace
 
 // Takes what the head of an answer says about the upstream that gave it.
-void GatewayService::noteNotice(RequestNumber number, const ActiveRequest &active, AnswerKind kind)
+void GatewayService::handleNotice(RequestNumber number, const ActiveRequest &active,
+                                  AnswerKind kind)
 {
     const UpstreamNotice notice = protocol_.readNotice(active.head);
     noteLimit(number, active, notice, kind);
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -134,7 +134,7 @@
     void carryOut(const BreakAnswer &action);
 
     void onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head);
-    void noteNotice(RequestNumber number, const ActiveRequest &active, AnswerKind kind);
+    void handleNotice(RequestNumber number, const ActiveRequest &active, AnswerKind kind);
     void noteLimit(RequestNumber number, const ActiveRequest &active, const UpstreamNotice &notice,
                    AnswerKind kind);
     void askForPermits();
