--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -30,7 +30,7 @@
                                   AnswerKind kind)
 {
     const UpstreamNotice notice = protocol_.readNotice(active.head);
-    noteLimit(number, active, notice, kind);
+    handleLimit(number, active, notice, kind);
     if (notice.empty()) {
         return;
     }
@@ -60,8 +60,8 @@
 
 // Takes the limit that an answer names, or that it names none. An answer that cannot be trusted, or
 // that another instance may have given, ends no limit.
-void GatewayService::noteLimit(RequestNumber number, const ActiveRequest &active,
-                               const UpstreamNotice &notice, AnswerKind kind)
+void GatewayService::handleLimit(RequestNumber number, const ActiveRequest &active,
+                                 const UpstreamNotice &notice, AnswerKind kind)
 {
     const bool trusted =
         kind == AnswerKind::Success || kind == AnswerKind::Failure || kind == AnswerKind::Full;
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -135,8 +135,8 @@
 
     void onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head);
     void handleNotice(RequestNumber number, const ActiveRequest &active, AnswerKind kind);
-    void noteLimit(RequestNumber number, const ActiveRequest &active, const UpstreamNotice &notice,
-                   AnswerKind kind);
+    void handleLimit(RequestNumber number, const ActiveRequest &active,
+                     const UpstreamNotice &notice, AnswerKind kind);
     void askForPermits();
     void onAnswerPiece(RequestNumber number, std::uint32_t attempt, std::string_view piece);
     void onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end);
