--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -63,9 +63,9 @@
 void GatewayService::handleLimit(RequestNumber number, const ActiveRequest &active,
                                  const UpstreamNotice &notice, AnswerKind kind)
 {
-    const bool trusted =
+    const bool isConclusive =
         kind == AnswerKind::Success || kind == AnswerKind::Failure || kind == AnswerKind::Full;
-    if (!notice.limit && (notice.limitUnreadable || !trusted)) {
+    if (!notice.limit && (notice.limitUnreadable || !isConclusive)) {
         return;
     }
     const auto change = core_.onLimit(number, notice.limit, loop_.now());
