--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -296,7 +296,7 @@
              {"ms", toMillis(loop_.now() - active->startedAt)}});
     active->events.dropPartial();
     if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
-        askAfterUpstream(number, *active);
+        probeUpstream(number, *active);
         return;
     }
     onAttemptLost(number, attempt,
@@ -317,7 +317,7 @@
 
 // Finds out whether the upstream has ended that lost the request. What becomes of the request waits
 // for that, some round trips at most: sent on at once, it might take another upstream down.
-void GatewayService::askAfterUpstream(RequestNumber number, const ActiveRequest &active)
+void GatewayService::probeUpstream(RequestNumber number, const ActiveRequest &active)
 {
     LostAttempt lost{active.facts.requestId, active.admitted.digest, active.admitted.account,
                      active.upstream, loop_.now()};
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -141,7 +141,7 @@
     void onAnswerPiece(RequestNumber number, std::uint32_t attempt, std::string_view piece);
     void onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end);
     void onAttemptLost(RequestNumber number, std::uint32_t attempt, AttemptEnd end);
-    void askAfterUpstream(RequestNumber number, const ActiveRequest &active);
+    void probeUpstream(RequestNumber number, const ActiveRequest &active);
     void startStream(RequestNumber number, ActiveRequest &active);
     void finishWhole(RequestNumber number, ActiveRequest &active);
     void relayEvents(RequestNumber number, ActiveRequest &active, std::string_view piece);
