--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -283,7 +283,7 @@
     }
     active->call = 0;
     if (end == HttpCallEnd::Complete && !(active->streams && active->events.hasPartial())) {
-        finishWhole(number, *active);
+        finishAnswer(number, *active);
         return;
     }
     logLine(LogLevel::Info, "attempt.lost",
@@ -340,7 +340,7 @@
     });
 }
 
-void GatewayService::finishWhole(RequestNumber number, ActiveRequest &active)
+void GatewayService::finishAnswer(RequestNumber number, ActiveRequest &active)
 {
     GatewayActions actions;
     if (active.streams) {
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -143,7 +143,7 @@
     void onAttemptLost(RequestNumber number, std::uint32_t attempt, AttemptEnd end);
     void probeUpstream(RequestNumber number, const ActiveRequest &active);
     void startStream(RequestNumber number, ActiveRequest &active);
-    void finishWhole(RequestNumber number, ActiveRequest &active);
+    void finishAnswer(RequestNumber number, ActiveRequest &active);
     void relayEvents(RequestNumber number, ActiveRequest &active, std::string_view piece);
     void endRequest(RequestNumber number, std::string_view result);
     ActiveRequest *find(RequestNumber number, std::uint32_t attempt);
