--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -326,7 +326,7 @@
 }
 
 // The requests that upstreams have ended under, those with the most ends first.
-json GatewayService::suspects() const
+json GatewayService::suspectsStatus() const
 {
     constexpr std::size_t kMaxSuspectsShown = 20;
     std::vector<CrashSuspect> all = core_.crashes().all();
@@ -393,7 +393,7 @@
             {"groups", core_.groups().known().size()},
             {"restingUpstreams", resting()},
             {"limitedUpstreams", limited()},
-            {"requestsThatEndUpstreams", suspects()}};
+            {"requestsThatEndUpstreams", suspectsStatus()}};
 }
 
 void GatewayService::applySettings(const GatewaySettings &settings)
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -117,7 +117,7 @@
 
     bool ready(std::string &reason) const override;
     nlohmann::json status() const override;
-    nlohmann::json suspects() const;
+    nlohmann::json suspectsStatus() const;
     nlohmann::json resting() const;
     nlohmann::json limited() const;
 
