--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -347,7 +347,7 @@
 }
 
 // The upstreams that want nothing from this gateway now, and for how long still.
-json GatewayService::resting() const
+json GatewayService::restingStatus() const
 {
     const TimePoint now = loop_.now();
     json shown = json::object();
@@ -391,7 +391,7 @@
             {"connectionsMade", client_->connectionsMade()},
             {"upstreams", core_.upstreams().all().size()},
             {"groups", core_.groups().known().size()},
-            {"restingUpstreams", resting()},
+            {"restingUpstreams", restingStatus()},
             {"limitedUpstreams", limited()},
             {"requestsThatEndUpstreams", suspectsStatus()}};
 }
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -118,7 +118,7 @@
     bool ready(std::string &reason) const override;
     nlohmann::json status() const override;
     nlohmann::json suspectsStatus() const;
-    nlohmann::json resting() const;
+    nlohmann::json restingStatus() const;
     nlohmann::json limited() const;
 
     void applyConfiguration(const RouteTable &table);
