--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -358,7 +358,7 @@
 }
 
 // The upstreams that name a limit for all gateways together, and how long ago they last did.
-json GatewayService::limited() const
+json GatewayService::limitedStatus() const
 {
     const TimePoint now = loop_.now();
     json shown = json::object();
@@ -392,7 +392,7 @@
             {"upstreams", core_.upstreams().all().size()},
             {"groups", core_.groups().known().size()},
             {"restingUpstreams", restingStatus()},
-            {"limitedUpstreams", limited()},
+            {"limitedUpstreams", limitedStatus()},
             {"requestsThatEndUpstreams", suspectsStatus()}};
 }
 
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -119,7 +119,7 @@
     nlohmann::json status() const override;
     nlohmann::json suspectsStatus() const;
     nlohmann::json restingStatus() const;
-    nlohmann::json limited() const;
+    nlohmann::json limitedStatus() const;
 
     void applyConfiguration(const RouteTable &table);
     void admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
