--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -232,7 +232,7 @@
     for (const GatewayAction &action : actions) {
         std::visit([this](const auto &each) { carryOut(each); }, action);
     }
-    askForPermits();
+    requestPermits();
 }
 
 void GatewayService::carryOut(const RejectRequest &action)
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -137,7 +137,7 @@
     void handleNotice(RequestNumber number, const ActiveRequest &active, AnswerKind kind);
     void handleLimit(RequestNumber number, const ActiveRequest &active,
                      const UpstreamNotice &notice, AnswerKind kind);
-    void askForPermits();
+    void requestPermits();
     void onAnswerPiece(RequestNumber number, std::uint32_t attempt, std::string_view piece);
     void onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end);
     void onAttemptLost(RequestNumber number, std::uint32_t attempt, AttemptEnd end);
