--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -84,7 +84,7 @@
 }
 
 // Asks for the permits that requests have wanted.
-void GatewayService::askForPermits()
+void GatewayService::requestPermits()
 {
     const TimePoint now = loop_.now();
     for (const SendPermits::Ask &ask : core_.takePermitAsks(now)) {
