--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -251,8 +251,8 @@
 void GatewayService::relayEvents(RequestNumber number, ActiveRequest &active,
                                  std::string_view piece)
 {
-    const std::string whole = active.events.feed(piece);
-    if (whole.empty()) {
+    const std::string completeEvents = active.events.feed(piece);
+    if (completeEvents.empty()) {
         return;
     }
     const TimePoint now = loop_.now();
@@ -272,7 +272,7 @@
         core_.onPause(number, now - active.lastEventAt, now);
     }
     active.lastEventAt = now;
-    server_->write(active.exchange, whole);
+    server_->write(active.exchange, completeEvents);
 }
 
 void GatewayService::onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end)
