--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -29,11 +29,11 @@
     std::unique_ptr<EventLoop> loop = std::move(*EventLoop::create());
     UpstreamTable upstreams;
     Metrics metrics{0};
-    GatewayStoreView knowledge{*loop,
-                               upstreams,
-                               metrics,
-                               {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
-                               [](const RouteTable &) {}};
+    GatewayStoreView view{*loop,
+                          upstreams,
+                          metrics,
+                          {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
+                          [](const RouteTable &) {}};
 
     // What another gateway tells of version 3 with one upstream, at revision 10.
     PeerStoreState shared() const
@@ -44,65 +44,65 @@
 
 TEST(GatewayStoreViewTest, TakesWhatAnotherGatewayKnows)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
-    LONGS_EQUAL(3, knowledge.version().value());
-    LONGS_EQUAL(77, knowledge.advertisedMark());
+    CHECK_TRUE(view.adopt(shared(), loop->now()));
+    LONGS_EQUAL(3, view.version().value());
+    LONGS_EQUAL(77, view.advertisedMark());
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
-    CHECK_TRUE(knowledge.fresh());
+    CHECK_TRUE(view.fresh());
 }
 
 TEST(GatewayStoreViewTest, KnowledgeIsAsOldAsItsConfirmation)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(5)));
-    CHECK_FALSE(knowledge.fresh());
+    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(5)));
+    CHECK_FALSE(view.fresh());
 }
 
 TEST(GatewayStoreViewTest, TakesNothingThatWasConfirmedEarlier)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
-    CHECK_FALSE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
+    CHECK_TRUE(view.adopt(shared(), loop->now()));
+    CHECK_FALSE(view.adopt(shared(), loop->now() - std::chrono::seconds(1)));
 }
 
 TEST(GatewayStoreViewTest, TakesNothingOfAnEarlierRevision)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
+    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     PeerStoreState earlier = shared();
     earlier.place.revision = 9;
-    CHECK_FALSE(knowledge.adopt(earlier, loop->now()));
+    CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
 
 // The store came back from an older copy: a revision means nothing without its era.
 TEST(GatewayStoreViewTest, TakesALowerRevisionOfALaterEra)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
+    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState later = shared();
     later.place = {2, 4};
-    CHECK_TRUE(knowledge.adopt(later, loop->now() - std::chrono::seconds(1)));
+    CHECK_TRUE(view.adopt(later, loop->now() - std::chrono::seconds(1)));
     PeerStoreState earlier = shared();
     earlier.place = {1, 99};
-    CHECK_FALSE(knowledge.adopt(earlier, loop->now()));
+    CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
 
 TEST(GatewayStoreViewTest, GatewayOfAnEarlierVersionIsHeardByItsRevisions)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
+    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState without = shared();
     without.place = {0, 11};
-    CHECK_TRUE(knowledge.adopt(without, loop->now() - std::chrono::seconds(1)));
+    CHECK_TRUE(view.adopt(without, loop->now() - std::chrono::seconds(1)));
     without.place = {0, 9};
-    CHECK_FALSE(knowledge.adopt(without, loop->now()));
+    CHECK_FALSE(view.adopt(without, loop->now()));
 }
 
 TEST(GatewayStoreViewTest, HigherVersionIsTakenWhateverElseItsGatewayKnows)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
+    CHECK_TRUE(view.adopt(shared(), loop->now()));
     PeerStoreState behind = shared();
     behind.place = {1, 2};
     behind.version = ConfigVersion(4);
     behind.document = document(4);
-    CHECK_FALSE(knowledge.adopt(behind, loop->now() - std::chrono::seconds(1)));
-    LONGS_EQUAL(4, knowledge.version().value());
-    LONGS_EQUAL(10, knowledge.place().revision);
+    CHECK_FALSE(view.adopt(behind, loop->now() - std::chrono::seconds(1)));
+    LONGS_EQUAL(4, view.version().value());
+    LONGS_EQUAL(10, view.place().revision);
 }
 
 TEST(GatewayStoreViewTest, OlderCopyOfTheStoreTakesNothingBack)
@@ -112,14 +112,14 @@
     listed.items.emplace_back(document(4));
     listed.items.emplace_back(upstream("i-1", true));
     listed.items.emplace_back(upstream("i-2"));
-    knowledge.onStoreListed(listed, loop->now());
+    view.onStoreListed(listed, loop->now());
     StoreItems copy;
     copy.place = {2, 9};
     copy.items.emplace_back(document(3));
     copy.items.emplace_back(upstream("i-1"));
-    knowledge.onStoreListed(copy, loop->now());
-    LONGS_EQUAL(4, knowledge.version().value());
-    LONGS_EQUAL(9, knowledge.place().revision);
+    view.onStoreListed(copy, loop->now());
+    LONGS_EQUAL(4, view.version().value());
+    LONGS_EQUAL(9, view.place().revision);
     CHECK_FALSE(upstreams.mayReceive(InstanceId("i-1")));
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-2"))); // It may live, and lists itself again.
 }
@@ -131,13 +131,13 @@
     UpstreamRecord record = upstream("i-1");
     record.warmUpLeft = std::chrono::seconds(3);
     listed.items.emplace_back(record);
-    knowledge.onStoreListed(listed, loop->now());
+    view.onStoreListed(listed, loop->now());
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt > loop->now() + std::chrono::seconds(2));
     record.warmUpLeft = Duration{};
     StoreItems changed;
     changed.place = {1, 21};
     changed.items.emplace_back(record);
-    knowledge.onStoreChanged(changed, loop->now());
+    view.onStoreChanged(changed, loop->now());
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt <= loop->now());
 }
 
@@ -150,17 +150,17 @@
     made.services.back().name = TargetName("portal");
     made.services.back().warmUp = std::chrono::seconds(3);
     listed.items.emplace_back(made);
-    knowledge.onStoreListed(listed, loop->now());
+    view.onStoreListed(listed, loop->now());
     StoreItems changed;
     changed.place = {1, 21};
     UpstreamRecord record = upstream("i-1");
     record.start = UpstreamStart(1);
     changed.items.emplace_back(record);
-    knowledge.onStoreChanged(changed, loop->now());
+    view.onStoreChanged(changed, loop->now());
     const TimePoint warmAt = upstreams.find(InstanceId("i-1"))->warmAt;
     CHECK_TRUE(warmAt > loop->now() + std::chrono::seconds(2));
     changed.place = {1, 22};
-    knowledge.onStoreChanged(changed, loop->now());
+    view.onStoreChanged(changed, loop->now());
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt == warmAt);
 }
 
@@ -173,39 +173,39 @@
     listed.place = {1, 20};
     listed.items.emplace_back(document(1));
     listed.items.emplace_back(HallDrain{HallId("north"), false});
-    knowledge.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
+    view.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
     CHECK_TRUE(drained("north"));
     StoreItems changed;
     changed.place = {1, 21};
     changed.items.emplace_back(HallDrain{HallId("north"), true});
     changed.items.emplace_back(HallDrain{HallId("south"), false});
-    knowledge.onStoreChanged(changed, loop->now() - std::chrono::seconds(1));
+    view.onStoreChanged(changed, loop->now() - std::chrono::seconds(1));
     CHECK_TRUE(!drained("north") && drained("south"));
     PeerStoreState told = shared();
     told.place = {1, 22};
     told.drainedHalls = {HallId("west")};
-    CHECK_TRUE(knowledge.adopt(told, loop->now()));
+    CHECK_TRUE(view.adopt(told, loop->now()));
     CHECK_TRUE(!drained("south") && drained("west"));
 }
 
 TEST(GatewayStoreViewTest, VersionNeverGoesBack)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
+    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     PeerStoreState later = shared();
     later.place.revision = 11;
     later.version = ConfigVersion(2);
     later.document = document(2);
-    CHECK_TRUE(knowledge.adopt(later, loop->now()));
-    LONGS_EQUAL(3, knowledge.version().value());
+    CHECK_TRUE(view.adopt(later, loop->now()));
+    LONGS_EQUAL(3, view.version().value());
 }
 
 TEST(GatewayStoreViewTest, ListThatIsLeftOutHoldsOnlyUnderItsMark)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
+    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState same{{1, 11}, ConfigVersion(3), std::nullopt, 77, std::nullopt, {}};
-    CHECK_TRUE(knowledge.adopt(same, loop->now() - std::chrono::seconds(1)));
+    CHECK_TRUE(view.adopt(same, loop->now() - std::chrono::seconds(1)));
     same.upstreamsMark = 78;
-    CHECK_FALSE(knowledge.adopt(same, loop->now()));
+    CHECK_FALSE(view.adopt(same, loop->now()));
 }
 
 // The pattern: the gateway that a hall follows is turned away, and each of the others asks one
@@ -213,45 +213,45 @@
 TEST(GatewayStoreViewTest, GatewaysThatHoldTheSameListNameItAlike)
 {
     UpstreamTable otherUpstreams;
-    GatewayStoreView other{*loop, otherUpstreams, metrics, knowledge.freshness(),
+    GatewayStoreView other{*loop, otherUpstreams, metrics, view.freshness(),
                            [](const RouteTable &) {}};
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
+    CHECK_TRUE(view.adopt(shared(), loop->now()));
     StoreItems listed;
     listed.place.revision = 12;
     listed.items.emplace_back(upstream("i-1"));
     other.onStoreListed(listed, loop->now());
-    CHECK_TRUE(knowledge.upstreamsMark() == other.upstreamsMark());
+    CHECK_TRUE(view.upstreamsMark() == other.upstreamsMark());
     listed.items.emplace_back(upstream("i-2"));
     other.onStoreListed(listed, loop->now());
-    CHECK_FALSE(knowledge.upstreamsMark() == other.upstreamsMark());
+    CHECK_FALSE(view.upstreamsMark() == other.upstreamsMark());
 }
 
 TEST(GatewayStoreViewTest, OwnChangeOfTheListEndsItsMark)
 {
-    CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
+    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     StoreItems items;
     items.place.revision = 11;
     items.items.emplace_back(upstream("i-1", true));
-    knowledge.onStoreChanged(items, loop->now());
-    CHECK_TRUE(knowledge.advertisedMark() == knowledge.upstreamsMark());
-    CHECK_FALSE(knowledge.advertisedMark() == 77);
+    view.onStoreChanged(items, loop->now());
+    CHECK_TRUE(view.advertisedMark() == view.upstreamsMark());
+    CHECK_FALSE(view.advertisedMark() == 77);
 }
 
 // The pattern: a gateway that follows the store asks others, and was handed the whole list each
 // time because it named none.
 TEST(GatewayStoreViewTest, ListOfTheStoreIsNamedAndNotHandedOverAgain)
 {
-    LONGS_EQUAL(0, knowledge.advertisedMark());
+    LONGS_EQUAL(0, view.advertisedMark());
     StoreItems listed;
     listed.place = {1, 9};
     listed.items.emplace_back(document(3));
     listed.items.emplace_back(upstream("i-1"));
-    knowledge.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
-    const std::uint64_t mark = knowledge.advertisedMark();
+    view.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
+    const std::uint64_t mark = view.advertisedMark();
     CHECK_TRUE(mark != 0);
     const PeerStoreState same{{1, 10}, ConfigVersion(3), std::nullopt, mark, std::nullopt, {}};
-    CHECK_TRUE(knowledge.adopt(same, loop->now()));
-    LONGS_EQUAL(10, knowledge.place().revision);
+    CHECK_TRUE(view.adopt(same, loop->now()));
+    LONGS_EQUAL(10, view.place().revision);
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
 }
 
@@ -259,6 +259,6 @@
 {
     const PeerStoreState bare{
         {1, 10}, ConfigVersion(3), std::nullopt, 77, std::vector{upstream("i-1")}, {}};
-    CHECK_FALSE(knowledge.adopt(bare, loop->now()));
-    CHECK_FALSE(knowledge.hasConfiguration());
+    CHECK_FALSE(view.adopt(bare, loop->now()));
+    CHECK_FALSE(view.hasConfiguration());
 }
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -43,13 +43,13 @@
 struct Gateway
 {
     explicit Gateway(EventLoop &loop, Metrics &metrics)
-        : knowledge(loop, upstreams, metrics,
-                    {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
-                    [](const RouteTable &) {})
+        : view(loop, upstreams, metrics,
+               {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
+               [](const RouteTable &) {})
     {}
 
     UpstreamTable upstreams;
-    GatewayStoreView knowledge;
+    GatewayStoreView view;
     TimePoint confirmedAt{};
 };
 
@@ -139,7 +139,7 @@
     void askStore(int index, bool wholeList)
     {
         const Gateway &gateway = *gateways_[index];
-        const std::uint64_t since = gateway.knowledge.place().revision;
+        const std::uint64_t since = gateway.view.place().revision;
         Message message{static_cast<std::size_t>(index), lives_[index], now_,
                         wholeList || since == 0,         StoreItems(),  {}};
         message.items->place = {1, revision_};
@@ -166,18 +166,18 @@
     void tell(int from, int to)
     {
         const Gateway &teller = *gateways_[from];
-        if (from == to || !teller.knowledge.confirmed()) {
+        if (from == to || !teller.view.confirmed()) {
             return;
         }
         Message message{
             static_cast<std::size_t>(to), lives_[to], teller.confirmedAt, false, std::nullopt, {}};
         PeerStoreState &shared = message.shared;
-        shared.place = teller.knowledge.place();
-        shared.version = teller.knowledge.version();
+        shared.place = teller.view.place();
+        shared.version = teller.view.version();
         shared.document.emplace();
         shared.document->version = shared.version;
-        shared.upstreamsMark = teller.knowledge.upstreamsMark();
-        if (shared.upstreamsMark != gateways_[to]->knowledge.upstreamsMark()) {
+        shared.upstreamsMark = teller.view.upstreamsMark();
+        if (shared.upstreamsMark != gateways_[to]->view.upstreamsMark()) {
             shared.upstreams.emplace();
             for (const UpstreamRecord *record : teller.upstreams.all()) {
                 shared.upstreams->push_back(*record);
@@ -205,19 +205,19 @@
     static void take(Gateway &gateway, const Message &message)
     {
         if (!message.items) {
-            if (gateway.knowledge.adopt(message.shared, message.askedAt)) {
+            if (gateway.view.adopt(message.shared, message.askedAt)) {
                 gateway.confirmedAt = message.askedAt;
             }
             return;
         }
-        if (message.items->place < gateway.knowledge.place()) {
+        if (message.items->place < gateway.view.place()) {
             return; // A watcher makes one call at a time.
         }
         gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
         if (message.wholeList) {
-            gateway.knowledge.onStoreListed(*message.items, message.askedAt);
+            gateway.view.onStoreListed(*message.items, message.askedAt);
         } else {
-            gateway.knowledge.onStoreChanged(*message.items, message.askedAt);
+            gateway.view.onStoreChanged(*message.items, message.askedAt);
         }
     }
 
@@ -225,10 +225,10 @@
     {
         for (std::size_t index = 0; index < kGateways; ++index) {
             const Gateway &gateway = *gateways_[index];
-            if (!gateway.knowledge.confirmed()) {
+            if (!gateway.view.confirmed()) {
                 continue;
             }
-            const std::uint64_t revision = gateway.knowledge.place().revision;
+            const std::uint64_t revision = gateway.view.place().revision;
             const std::set<HallId> &drained = drainedAt_.at(revision);
             for (int hall = 0; hall < kHalls; ++hall) {
                 const bool sends =
