--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -36,7 +36,7 @@
                           [](const RouteTable &) {}};
 
     // What another gateway tells of version 3 with one upstream, at revision 10.
-    PeerStoreState shared() const
+    PeerStoreState peerState() const
     {
         return {{1, 10}, ConfigVersion(3), document(3), 77, std::vector{upstream("i-1")}, {}};
     }
@@ -44,7 +44,7 @@
 
 TEST(GatewayStoreViewTest, TakesWhatAnotherGatewayKnows)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now()));
+    CHECK_TRUE(view.adopt(peerState(), loop->now()));
     LONGS_EQUAL(3, view.version().value());
     LONGS_EQUAL(77, view.advertisedMark());
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
@@ -53,20 +53,20 @@
 
 TEST(GatewayStoreViewTest, KnowledgeIsAsOldAsItsConfirmation)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(5)));
+    CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(5)));
     CHECK_FALSE(view.fresh());
 }
 
 TEST(GatewayStoreViewTest, TakesNothingThatWasConfirmedEarlier)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now()));
-    CHECK_FALSE(view.adopt(shared(), loop->now() - std::chrono::seconds(1)));
+    CHECK_TRUE(view.adopt(peerState(), loop->now()));
+    CHECK_FALSE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
 }
 
 TEST(GatewayStoreViewTest, TakesNothingOfAnEarlierRevision)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(1)));
-    PeerStoreState earlier = shared();
+    CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
+    PeerStoreState earlier = peerState();
     earlier.place.revision = 9;
     CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
@@ -74,19 +74,19 @@
 // The store came back from an older copy: a revision means nothing without its era.
 TEST(GatewayStoreViewTest, TakesALowerRevisionOfALaterEra)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(2)));
-    PeerStoreState later = shared();
+    CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
+    PeerStoreState later = peerState();
     later.place = {2, 4};
     CHECK_TRUE(view.adopt(later, loop->now() - std::chrono::seconds(1)));
-    PeerStoreState earlier = shared();
+    PeerStoreState earlier = peerState();
     earlier.place = {1, 99};
     CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
 
 TEST(GatewayStoreViewTest, GatewayOfAnEarlierVersionIsHeardByItsRevisions)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(2)));
-    PeerStoreState without = shared();
+    CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
+    PeerStoreState without = peerState();
     without.place = {0, 11};
     CHECK_TRUE(view.adopt(without, loop->now() - std::chrono::seconds(1)));
     without.place = {0, 9};
@@ -95,8 +95,8 @@
 
 TEST(GatewayStoreViewTest, HigherVersionIsTakenWhateverElseItsGatewayKnows)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now()));
-    PeerStoreState behind = shared();
+    CHECK_TRUE(view.adopt(peerState(), loop->now()));
+    PeerStoreState behind = peerState();
     behind.place = {1, 2};
     behind.version = ConfigVersion(4);
     behind.document = document(4);
@@ -181,7 +181,7 @@
     changed.items.emplace_back(HallDrain{HallId("south"), false});
     view.onStoreChanged(changed, loop->now() - std::chrono::seconds(1));
     CHECK_TRUE(!drained("north") && drained("south"));
-    PeerStoreState told = shared();
+    PeerStoreState told = peerState();
     told.place = {1, 22};
     told.drainedHalls = {HallId("west")};
     CHECK_TRUE(view.adopt(told, loop->now()));
@@ -190,8 +190,8 @@
 
 TEST(GatewayStoreViewTest, VersionNeverGoesBack)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(1)));
-    PeerStoreState later = shared();
+    CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
+    PeerStoreState later = peerState();
     later.place.revision = 11;
     later.version = ConfigVersion(2);
     later.document = document(2);
@@ -201,7 +201,7 @@
 
 TEST(GatewayStoreViewTest, ListThatIsLeftOutHoldsOnlyUnderItsMark)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(2)));
+    CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState same{{1, 11}, ConfigVersion(3), std::nullopt, 77, std::nullopt, {}};
     CHECK_TRUE(view.adopt(same, loop->now() - std::chrono::seconds(1)));
     same.upstreamsMark = 78;
@@ -215,7 +215,7 @@
     UpstreamTable otherUpstreams;
     GatewayStoreView other{*loop, otherUpstreams, metrics, view.freshness(),
                            [](const RouteTable &) {}};
-    CHECK_TRUE(view.adopt(shared(), loop->now()));
+    CHECK_TRUE(view.adopt(peerState(), loop->now()));
     StoreItems listed;
     listed.place.revision = 12;
     listed.items.emplace_back(upstream("i-1"));
@@ -228,7 +228,7 @@
 
 TEST(GatewayStoreViewTest, OwnChangeOfTheListEndsItsMark)
 {
-    CHECK_TRUE(view.adopt(shared(), loop->now() - std::chrono::seconds(1)));
+    CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     StoreItems items;
     items.place.revision = 11;
     items.items.emplace_back(upstream("i-1", true));
