--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -17,9 +17,9 @@
 
 RoutingDocument document(std::uint64_t version)
 {
-    RoutingDocument made;
-    made.version = ConfigVersion(version);
-    return made;
+    RoutingDocument routing;
+    routing.version = ConfigVersion(version);
+    return routing;
 }
 
 } // namespace
@@ -145,11 +145,11 @@
 {
     StoreItems listed;
     listed.place = {1, 20};
-    RoutingDocument made = document(1);
-    made.services.emplace_back();
-    made.services.back().name = TargetName("portal");
-    made.services.back().warmUp = std::chrono::seconds(3);
-    listed.items.emplace_back(made);
+    RoutingDocument routing = document(1);
+    routing.services.emplace_back();
+    routing.services.back().name = TargetName("portal");
+    routing.services.back().warmUp = std::chrono::seconds(3);
+    listed.items.emplace_back(routing);
     view.onStoreListed(listed, loop->now());
     StoreItems changed;
     changed.place = {1, 21};
