--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -12,7 +12,7 @@
 }
 
 // Bounds unlike those of any example.
-GatewayBounds tight()
+GatewayBounds tightBounds()
 {
     GatewayBounds bounds;
     bounds.keyRevocationLimit = millis(2500);
@@ -28,7 +28,7 @@
 
 TEST(GatewayBoundsTest, KnowledgeIsYoungerThanWhatItIsBoundBy)
 {
-    const GatewayTimings times = deriveTimings(tight());
+    const GatewayTimings times = deriveTimings(tightBounds());
     CHECK_TRUE(times.freshness.keys < millis(2500));
     CHECK_TRUE(times.freshness.deny < millis(1000));
     CHECK_TRUE(times.lapseGrace < millis(1200));
@@ -36,7 +36,7 @@
 
 TEST(GatewayBoundsTest, StopEndsBeforeTheProcessIsKilled)
 {
-    const GatewayTimings times = deriveTimings(tight());
+    const GatewayTimings times = deriveTimings(tightBounds());
     CHECK_TRUE(times.stopDeadline < millis(4000));
     CHECK_TRUE(times.stopDelay * 2 <= times.stopDeadline);
 }
