--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -26,7 +26,7 @@
 
 TEST_GROUP(GatewayBoundsTest){};
 
-TEST(GatewayBoundsTest, KnowledgeIsYoungerThanWhatItIsBoundBy)
+TEST(GatewayBoundsTest, FreshnessIsTighterThanThePlatformBounds)
 {
     const GatewayTimings times = deriveTimings(tightBounds());
     CHECK_TRUE(times.freshness.keys < millis(2500));
