--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -41,7 +41,7 @@
     CHECK_TRUE(times.stopDelay * 2 <= times.stopDeadline);
 }
 
-TEST(GatewayBoundsTest, LongBoundsDoNotHoldAStopUp)
+TEST(GatewayBoundsTest, LongStopLimitDoesNotExtendTheStopDelay)
 {
     GatewayBounds bounds;
     bounds.stopLimit = std::chrono::seconds(60);
