--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -48,7 +48,7 @@
     CHECK_TRUE(deriveTimings(bounds).stopDelay < millis(4000));
 }
 
-TEST(GatewayBoundsTest, BoundsBelowTheMarginsLeaveNoNegativeTimes)
+TEST(GatewayBoundsTest, BoundsBelowTheMarginsGivePositiveTimings)
 {
     GatewayBounds bounds;
     bounds.keyRevocationLimit = bounds.configPropagationLimit = bounds.leavingLimit =
