--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -42,7 +42,7 @@
     }
 };
 
-TEST(GatewayStoreViewTest, TakesWhatAnotherGatewayKnows)
+TEST(GatewayStoreViewTest, AdoptsTheStateOfAPeer)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now()));
     LONGS_EQUAL(3, view.version().value());
