--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -51,7 +51,7 @@
     CHECK_TRUE(view.fresh());
 }
 
-TEST(GatewayStoreViewTest, KnowledgeIsAsOldAsItsConfirmation)
+TEST(GatewayStoreViewTest, AgeIsCountedFromTheConfirmation)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(5)));
     CHECK_FALSE(view.fresh());
