--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -57,7 +57,7 @@
     CHECK_FALSE(view.fresh());
 }
 
-TEST(GatewayStoreViewTest, TakesNothingThatWasConfirmedEarlier)
+TEST(GatewayStoreViewTest, RejectsAnEarlierConfirmation)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now()));
     CHECK_FALSE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
