--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -63,7 +63,7 @@
     CHECK_FALSE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
 }
 
-TEST(GatewayStoreViewTest, TakesNothingOfAnEarlierRevision)
+TEST(GatewayStoreViewTest, RejectsAnEarlierRevision)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     PeerStoreState earlier = peerState();
