--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -72,7 +72,7 @@
 }
 
 // The store came back from an older copy: a revision means nothing without its era.
-TEST(GatewayStoreViewTest, TakesALowerRevisionOfALaterEra)
+TEST(GatewayStoreViewTest, AdoptsALowerRevisionOfALaterEra)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState later = peerState();
