--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -83,7 +83,7 @@
     CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
 
-TEST(GatewayStoreViewTest, GatewayOfAnEarlierVersionIsHeardByItsRevisions)
+TEST(GatewayStoreViewTest, StateWithoutEraIsOrderedByRevision)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState without = peerState();
