--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -93,7 +93,7 @@
     CHECK_FALSE(view.adopt(without, loop->now()));
 }
 
-TEST(GatewayStoreViewTest, HigherVersionIsTakenWhateverElseItsGatewayKnows)
+TEST(GatewayStoreViewTest, HigherVersionIsAdoptedFromAnOutdatedPeer)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now()));
     PeerStoreState behind = peerState();
