--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -105,7 +105,7 @@
     LONGS_EQUAL(10, view.place().revision);
 }
 
-TEST(GatewayStoreViewTest, OlderCopyOfTheStoreTakesNothingBack)
+TEST(GatewayStoreViewTest, StoreRollbackKeepsVersionAndLeavingUpstreams)
 {
     StoreItems listed;
     listed.place = {1, 20};
