--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -124,7 +124,7 @@
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-2"))); // It may live, and lists itself again.
 }
 
-TEST(GatewayStoreViewTest, WarmUpIsCountedFromWhenTheEntryIsRead)
+TEST(GatewayStoreViewTest, WarmUpIsCountedFromReadingTheEntry)
 {
     StoreItems listed;
     listed.place = {1, 20};
