--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -141,7 +141,7 @@
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt <= loop->now());
 }
 
-TEST(GatewayStoreViewTest, EntryThatDoesNotTellItsWarmUpIsOfANewStart)
+TEST(GatewayStoreViewTest, EntryWithoutWarmUpStartsItOncePerUpstreamStart)
 {
     StoreItems listed;
     listed.place = {1, 20};
