--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -164,7 +164,7 @@
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt == warmAt);
 }
 
-TEST(GatewayStoreViewTest, DrainedHallsComeFromListsChangesAndOtherGateways)
+TEST(GatewayStoreViewTest, DrainedHallsComeFromListsChangesAndPeers)
 {
     const auto drained = [this](const char *hall) {
         return upstreams.drainedHalls().contains(HallId(hall));
