--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -199,7 +199,7 @@
     LONGS_EQUAL(3, view.version().value());
 }
 
-TEST(GatewayStoreViewTest, ListThatIsLeftOutHoldsOnlyUnderItsMark)
+TEST(GatewayStoreViewTest, OmittedListIsAdoptedOnlyUnderItsMark)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState same{{1, 11}, ConfigVersion(3), std::nullopt, 77, std::nullopt, {}};
