--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -210,7 +210,7 @@
 
 // The pattern: the gateway that a hall follows is turned away, and each of the others asks one
 // gateway after the other. Handing the list over each time took more bytes than all else.
-TEST(GatewayStoreViewTest, GatewaysThatHoldTheSameListNameItAlike)
+TEST(GatewayStoreViewTest, EqualListsHaveEqualMarks)
 {
     UpstreamTable otherUpstreams;
     GatewayStoreView other{*loop, otherUpstreams, metrics, view.freshness(),
