--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -226,7 +226,7 @@
     CHECK_FALSE(view.upstreamsMark() == other.upstreamsMark());
 }
 
-TEST(GatewayStoreViewTest, OwnChangeOfTheListEndsItsMark)
+TEST(GatewayStoreViewTest, OwnListChangeReplacesTheAdoptedMark)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     StoreItems items;
