--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -239,7 +239,7 @@
 
 // The pattern: a gateway that follows the store asks others, and was handed the whole list each
 // time because it named none.
-TEST(GatewayStoreViewTest, ListOfTheStoreIsNamedAndNotHandedOverAgain)
+TEST(GatewayStoreViewTest, StoreListIsAdvertisedByItsMark)
 {
     LONGS_EQUAL(0, view.advertisedMark());
     StoreItems listed;
