--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -255,7 +255,7 @@
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
 }
 
-TEST(GatewayStoreViewTest, NewVersionWithoutItsDocumentIsNotTaken)
+TEST(GatewayStoreViewTest, NewVersionWithoutDocumentIsRejected)
 {
     const PeerStoreState bare{
         {1, 10}, ConfigVersion(3), std::nullopt, 77, std::vector{upstream("i-1")}, {}};
