--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(GatewayWireTest){};
 
-TEST(GatewayWireTest, GatewaysCrossTheWireUnchanged)
+TEST(GatewayWireTest, GatewayRecordRoundTrips)
 {
     const GatewayRecord record{InstanceId("gateway-1"), HallId("north"), "10.0.0.7", 7001};
     capnp::MallocMessageBuilder message;
