--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -20,7 +20,7 @@
     LONGS_EQUAL(40'000, to.asReader().getHeardMicrosAgo());
 }
 
-TEST(GatewayWireTest, UpstreamsCrossTheWireUnchanged)
+TEST(GatewayWireTest, UpstreamRecordRoundTrips)
 {
     const UpstreamRecord record{InstanceId("i-1"),
                                 TargetName("portal"),
