--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -42,7 +42,7 @@
 }
 
 // The clocks of two gateways have nothing to do with each other.
-TEST(GatewayWireTest, WarmUpEndsAsLongAfterItIsReadAsItWasLeftWhenItWasWritten)
+TEST(GatewayWireTest, WarmUpIsSentAsRemainingTime)
 {
     UpstreamRecord record;
     record.warmAt = TimePoint(std::chrono::seconds(9));
