--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -55,7 +55,7 @@
     CHECK_TRUE(readUpstream(to.asReader(), readAt).warmAt <= readAt);
 }
 
-TEST(GatewayWireTest, DrainedHallsCrossTheWireUnchanged)
+TEST(GatewayWireTest, DrainedHallsRoundTrip)
 {
     const std::set<HallId> halls{HallId("north"), HallId("south")};
     capnp::MallocMessageBuilder message;
