--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -64,7 +64,7 @@
     CHECK_TRUE(readDrainedHalls(to.asReader()) == halls);
 }
 
-TEST(GatewayWireTest, DocumentsInflateToWhatTheyWere)
+TEST(GatewayWireTest, CompressedDocumentRoundTrips)
 {
     std::string text;
     for (int route = 0; route < 2000; ++route) {
