--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -75,7 +75,7 @@
     STRCMP_EQUAL(text.c_str(), decompressText(bytes.data(), bytes.size(), text.size())->c_str());
 }
 
-TEST(GatewayWireTest, TornDocumentIsRefused)
+TEST(GatewayWireTest, TruncatedOrMissizedDocumentIsRejected)
 {
     const auto bytes = compressText("a document of some length, a document of some length");
     CHECK_FALSE(decompressText(bytes.data(), bytes.size() / 2, 52).has_value());
