--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -83,7 +83,7 @@
     CHECK_FALSE(decompressText(bytes.data(), bytes.size(), 53).has_value());
 }
 
-TEST(GatewayWireTest, DocumentThatClaimsToBeHugeIsRefused)
+TEST(GatewayWireTest, OversizedDocumentIsRejected)
 {
     const auto bytes = compressText("short");
     CHECK_FALSE(decompressText(bytes.data(), bytes.size(), std::size_t{1} << 40U).has_value());
