--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -90,7 +90,7 @@
 }
 
 // What happened is told by how long ago it was, so that no two clocks are compared.
-TEST(GatewayWireTest, SuspectsCrossTheWireByTheirAges)
+TEST(GatewayWireTest, SuspectsAreSentWithRelativeTimes)
 {
     CrashSuspect suspect;
     suspect.digest = RequestDigest(0xfeed);
