--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -65,10 +65,10 @@
 
 enum class Fault { None, DrainsAreNotHandedOn, EndsAreNotTaken };
 
-class World
+class HallDrainSimulation
 {
 public:
-    World(EventLoop &loop, Metrics &metrics, std::uint64_t seed, Fault fault)
+    HallDrainSimulation(EventLoop &loop, Metrics &metrics, std::uint64_t seed, Fault fault)
         : loop_(loop)
         , metrics_(metrics)
         , seed_(seed)
@@ -274,7 +274,7 @@
 
     std::string found(std::uint64_t seed, Fault fault = Fault::None)
     {
-        return World(*loop, metrics, seed, fault).play();
+        return HallDrainSimulation(*loop, metrics, seed, fault).play();
     }
 
     bool isCaught(Fault fault)
