--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -40,9 +40,9 @@
     return record;
 }
 
-struct Gateway
+struct SimulatedGateway
 {
-    explicit Gateway(EventLoop &loop, Metrics &metrics)
+    explicit SimulatedGateway(EventLoop &loop, Metrics &metrics)
         : view(loop, upstreams, metrics,
                {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
                [](const RouteTable &) {})
@@ -78,7 +78,7 @@
     {
         drainedAt_[revision_] = {};
         for (std::size_t index = 0; index < kGateways; ++index) {
-            gateways_.push_back(std::make_unique<Gateway>(loop, metrics));
+            gateways_.push_back(std::make_unique<SimulatedGateway>(loop, metrics));
         }
     }
 
@@ -132,13 +132,13 @@
 
     void startAnew(int index)
     {
-        gateways_[index] = std::make_unique<Gateway>(loop_, metrics_);
+        gateways_[index] = std::make_unique<SimulatedGateway>(loop_, metrics_);
         ++lives_[index];
     }
 
     void askStore(int index, bool wholeList)
     {
-        const Gateway &gateway = *gateways_[index];
+        const SimulatedGateway &gateway = *gateways_[index];
         const std::uint64_t since = gateway.view.place().revision;
         Message message{static_cast<std::size_t>(index), lives_[index], now_,
                         wholeList || since == 0,         StoreItems(),  {}};
@@ -165,7 +165,7 @@
 
     void tell(int from, int to)
     {
-        const Gateway &teller = *gateways_[from];
+        const SimulatedGateway &teller = *gateways_[from];
         if (from == to || !teller.view.confirmed()) {
             return;
         }
@@ -202,7 +202,7 @@
         }
     }
 
-    static void take(Gateway &gateway, const Message &message)
+    static void take(SimulatedGateway &gateway, const Message &message)
     {
         if (!message.items) {
             if (gateway.view.adopt(message.shared, message.askedAt)) {
@@ -224,7 +224,7 @@
     void check()
     {
         for (std::size_t index = 0; index < kGateways; ++index) {
-            const Gateway &gateway = *gateways_[index];
+            const SimulatedGateway &gateway = *gateways_[index];
             if (!gateway.view.confirmed()) {
                 continue;
             }
@@ -250,7 +250,7 @@
     std::uint64_t revision_ = 1;
     std::map<std::uint64_t, std::set<HallId>> drainedAt_; // By revision.
     std::map<std::uint64_t, HallDrain> events_;           // By revision.
-    std::vector<std::unique_ptr<Gateway>> gateways_;
+    std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
     std::vector<int> lives_;
     std::vector<Message> late_;
     std::string found_;
