--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -31,7 +31,7 @@
     return HallId(fmt::format("hall-{}", index));
 }
 
-UpstreamRecord upstreamIn(int hall)
+UpstreamRecord makeUpstream(int hall)
 {
     UpstreamRecord record;
     record.id = InstanceId(fmt::format("i-{}", hall));
@@ -148,7 +148,7 @@
             document.version = ConfigVersion(1);
             message.items->items.emplace_back(document);
             for (int hall = 0; hall < kHalls; ++hall) {
-                message.items->items.emplace_back(upstreamIn(hall));
+                message.items->items.emplace_back(makeUpstream(hall));
             }
             for (const HallId &hall : drainedAt_.rbegin()->second) {
                 message.items->items.emplace_back(HallDrain{hall, false});
