--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -56,7 +56,7 @@
 struct Message
 {
     std::size_t to = 0;
-    int life = 0;
+    int incarnation = 0;
     TimePoint askedAt{};
     bool wholeList = false;
     std::optional<StoreItems> items; // Of the store; else of another gateway.
@@ -196,7 +196,7 @@
             const Message message = std::move(*chosen);
             late_.erase(chosen);
             const bool lost = draw(5) == 0;
-            if (!lost && message.life == lives_[message.to]) {
+            if (!lost && message.incarnation == lives_[message.to]) {
                 take(*gateways_[message.to], message);
             }
         }
