--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -74,7 +74,7 @@
         , seed_(seed)
         , fault_(fault)
         , random_(seed)
-        , lives_(kGateways, 0)
+        , incarnations_(kGateways, 0)
     {
         drainedAt_[revision_] = {};
         for (std::size_t index = 0; index < kGateways; ++index) {
@@ -133,15 +133,15 @@
     void startAnew(int index)
     {
         gateways_[index] = std::make_unique<SimulatedGateway>(loop_, metrics_);
-        ++lives_[index];
+        ++incarnations_[index];
     }
 
     void askStore(int index, bool wholeList)
     {
         const SimulatedGateway &gateway = *gateways_[index];
         const std::uint64_t since = gateway.view.place().revision;
-        Message message{static_cast<std::size_t>(index), lives_[index], now_,
-                        wholeList || since == 0,         StoreItems(),  {}};
+        Message message{static_cast<std::size_t>(index), incarnations_[index], now_,
+                        wholeList || since == 0,         StoreItems(),         {}};
         message.items->place = {1, revision_};
         if (message.wholeList) {
             RoutingDocument document;
@@ -169,8 +169,12 @@
         if (from == to || !teller.view.confirmed()) {
             return;
         }
-        Message message{
-            static_cast<std::size_t>(to), lives_[to], teller.confirmedAt, false, std::nullopt, {}};
+        Message message{static_cast<std::size_t>(to),
+                        incarnations_[to],
+                        teller.confirmedAt,
+                        false,
+                        std::nullopt,
+                        {}};
         PeerStoreState &shared = message.shared;
         shared.place = teller.view.place();
         shared.version = teller.view.version();
@@ -196,7 +200,7 @@
             const Message message = std::move(*chosen);
             late_.erase(chosen);
             const bool lost = draw(5) == 0;
-            if (!lost && message.incarnation == lives_[message.to]) {
+            if (!lost && message.incarnation == incarnations_[message.to]) {
                 take(*gateways_[message.to], message);
             }
         }
@@ -251,7 +255,7 @@
     std::map<std::uint64_t, std::set<HallId>> drainedAt_; // By revision.
     std::map<std::uint64_t, HallDrain> events_;           // By revision.
     std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
-    std::vector<int> lives_;
+    std::vector<int> incarnations_;
     std::vector<Message> late_;
     std::string found_;
 };
