--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -160,7 +160,7 @@
                 }
             }
         }
-        late_.push_back(std::move(message));
+        pendingMessages_.push_back(std::move(message));
     }
 
     void tell(int from, int to)
@@ -190,15 +190,16 @@
                 shared.drainedHalls = teller.upstreams.drainedHalls();
             }
         }
-        late_.push_back(std::move(message));
+        pendingMessages_.push_back(std::move(message));
     }
 
     void deliver()
     {
-        while (!late_.empty() && draw(3) != 0) {
-            const auto chosen = late_.begin() + draw(static_cast<int>(late_.size()));
+        while (!pendingMessages_.empty() && draw(3) != 0) {
+            const auto chosen =
+                pendingMessages_.begin() + draw(static_cast<int>(pendingMessages_.size()));
             const Message message = std::move(*chosen);
-            late_.erase(chosen);
+            pendingMessages_.erase(chosen);
             const bool lost = draw(5) == 0;
             if (!lost && message.incarnation == incarnations_[message.to]) {
                 take(*gateways_[message.to], message);
@@ -256,7 +257,7 @@
     std::map<std::uint64_t, HallDrain> events_;           // By revision.
     std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
     std::vector<int> incarnations_;
-    std::vector<Message> late_;
+    std::vector<Message> pendingMessages_;
     std::string found_;
 };
 
