--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -86,7 +86,7 @@
     std::string play()
     {
         constexpr int kSteps = 150;
-        for (int step = 0; step < kSteps && found_.empty(); ++step) {
+        for (int step = 0; step < kSteps && failure_.empty(); ++step) {
             now_ += Duration(1);
             switch (draw(8)) {
             case 0:
@@ -112,7 +112,7 @@
             deliver();
             check();
         }
-        return found_;
+        return failure_;
     }
 
 private:
@@ -239,8 +239,9 @@
                 const bool sends =
                     gateway.upstreams.mayReceive(InstanceId(fmt::format("i-{}", hall)));
                 if (sends == drained.contains(hallOf(hall))) {
-                    found_ = fmt::format("seed {}: gateway {} at revision {} {} hall {}", seed_,
-                                         index, revision, sends ? "sends to" : "leaves out", hall);
+                    failure_ =
+                        fmt::format("seed {}: gateway {} at revision {} {} hall {}", seed_, index,
+                                    revision, sends ? "sends to" : "leaves out", hall);
                 }
             }
         }
@@ -258,7 +259,7 @@
     std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
     std::vector<int> incarnations_;
     std::vector<Message> pendingMessages_;
-    std::string found_;
+    std::string failure_;
 };
 
 } // namespace
