--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -278,7 +278,7 @@
         setLogLevel(LogLevel::Info);
     }
 
-    std::string found(std::uint64_t seed, Fault fault = Fault::None)
+    std::string runSeed(std::uint64_t seed, Fault fault = Fault::None)
     {
         return HallDrainSimulation(*loop, metrics, seed, fault).play();
     }
@@ -286,7 +286,7 @@
     bool isCaught(Fault fault)
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-            if (!found(seed, fault).empty()) {
+            if (!runSeed(seed, fault).empty()) {
                 return true;
             }
         }
@@ -306,6 +306,6 @@
     const char *wanted = std::getenv("SEAMARCH_DRAIN_SEEDS");
     const std::uint64_t seeds = wanted == nullptr ? 500 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        STRCMP_EQUAL("", found(seed).c_str());
+        STRCMP_EQUAL("", runSeed(seed).c_str());
     }
 }
