--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -83,7 +83,7 @@
     }
 
     // Returns what was found; empty: nothing.
-    std::string play()
+    std::string run()
     {
         constexpr int kSteps = 150;
         for (int step = 0; step < kSteps && failure_.empty(); ++step) {
@@ -280,7 +280,7 @@
 
     std::string runSeed(std::uint64_t seed, Fault fault = Fault::None)
     {
-        return HallDrainSimulation(*loop, metrics, seed, fault).play();
+        return HallDrainSimulation(*loop, metrics, seed, fault).run();
     }
 
     bool isCaught(Fault fault)
