--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -99,7 +99,7 @@
                 break;
             case 4:
             case 5:
-                tell(draw(kGateways), draw(kGateways));
+                sendState(draw(kGateways), draw(kGateways));
                 break;
             case 6:
                 if (draw(10) == 0) {
@@ -163,7 +163,7 @@
         pendingMessages_.push_back(std::move(message));
     }
 
-    void tell(int from, int to)
+    void sendState(int from, int to)
     {
         const SimulatedGateway &teller = *gateways_[from];
         if (from == to || !teller.view.confirmed()) {
