--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -165,29 +165,29 @@
 
     void sendState(int from, int to)
     {
-        const SimulatedGateway &teller = *gateways_[from];
-        if (from == to || !teller.view.confirmed()) {
+        const SimulatedGateway &sender = *gateways_[from];
+        if (from == to || !sender.view.confirmed()) {
             return;
         }
         Message message{static_cast<std::size_t>(to),
                         incarnations_[to],
-                        teller.confirmedAt,
+                        sender.confirmedAt,
                         false,
                         std::nullopt,
                         {}};
         PeerStoreState &shared = message.shared;
-        shared.place = teller.view.place();
-        shared.version = teller.view.version();
+        shared.place = sender.view.place();
+        shared.version = sender.view.version();
         shared.document.emplace();
         shared.document->version = shared.version;
-        shared.upstreamsMark = teller.view.upstreamsMark();
+        shared.upstreamsMark = sender.view.upstreamsMark();
         if (shared.upstreamsMark != gateways_[to]->view.upstreamsMark()) {
             shared.upstreams.emplace();
-            for (const UpstreamRecord *record : teller.upstreams.all()) {
+            for (const UpstreamRecord *record : sender.upstreams.all()) {
                 shared.upstreams->push_back(*record);
             }
             if (fault_ != Fault::DrainsAreNotHandedOn) {
-                shared.drainedHalls = teller.upstreams.drainedHalls();
+                shared.drainedHalls = sender.upstreams.drainedHalls();
             }
         }
         pendingMessages_.push_back(std::move(message));
