--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -103,7 +103,7 @@
                 break;
             case 6:
                 if (draw(10) == 0) {
-                    startAnew(draw(kGateways));
+                    restart(draw(kGateways));
                 }
                 break;
             default:
@@ -130,7 +130,7 @@
         events_[revision_] = {hall, over};
     }
 
-    void startAnew(int index)
+    void restart(int index)
     {
         gateways_[index] = std::make_unique<SimulatedGateway>(loop_, metrics_);
         ++incarnations_[index];
