--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -95,7 +95,7 @@
             case 1:
             case 2:
             case 3:
-                askStore(draw(kGateways), draw(4) == 0);
+                queryStore(draw(kGateways), draw(4) == 0);
                 break;
             case 4:
             case 5:
@@ -136,7 +136,7 @@
         ++incarnations_[index];
     }
 
-    void askStore(int index, bool wholeList)
+    void queryStore(int index, bool wholeList)
     {
         const SimulatedGateway &gateway = *gateways_[index];
         const std::uint64_t since = gateway.view.place().revision;
