--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -202,12 +202,12 @@
             pendingMessages_.erase(chosen);
             const bool lost = draw(5) == 0;
             if (!lost && message.incarnation == incarnations_[message.to]) {
-                take(*gateways_[message.to], message);
+                applyMessage(*gateways_[message.to], message);
             }
         }
     }
 
-    static void take(SimulatedGateway &gateway, const Message &message)
+    static void applyMessage(SimulatedGateway &gateway, const Message &message)
     {
         if (!message.items) {
             if (gateway.view.adopt(message.shared, message.askedAt)) {
