--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -116,7 +116,7 @@
     }
 
 private:
-    int draw(int most) { return static_cast<int>(random_() % static_cast<std::uint64_t>(most)); }
+    int draw(int limit) { return static_cast<int>(random_() % static_cast<std::uint64_t>(limit)); }
 
     void changeDrain()
     {
