--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -63,7 +63,7 @@
     PeerStoreState shared;
 };
 
-enum class Fault { None, DrainsAreNotHandedOn, EndsAreNotTaken };
+enum class Fault { None, DrainsNotForwarded, EndsAreNotTaken };
 
 class HallDrainSimulation
 {
@@ -186,7 +186,7 @@
             for (const UpstreamRecord *record : sender.upstreams.all()) {
                 shared.upstreams->push_back(*record);
             }
-            if (fault_ != Fault::DrainsAreNotHandedOn) {
+            if (fault_ != Fault::DrainsNotForwarded) {
                 shared.drainedHalls = sender.upstreams.drainedHalls();
             }
         }
@@ -296,7 +296,7 @@
 
 TEST(HallDrainTest, PlantedFaultsAreCaught)
 {
-    CHECK_TRUE(isCaught(Fault::DrainsAreNotHandedOn));
+    CHECK_TRUE(isCaught(Fault::DrainsNotForwarded));
     CHECK_TRUE(isCaught(Fault::EndsAreNotTaken));
 }
 
