--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -63,7 +63,7 @@
     PeerStoreState shared;
 };
 
-enum class Fault { None, DrainsNotForwarded, EndsAreNotTaken };
+enum class Fault { None, DrainsNotForwarded, DrainEndsIgnored };
 
 class HallDrainSimulation
 {
@@ -155,7 +155,7 @@
             }
         } else {
             for (auto event = events_.upper_bound(since); event != events_.end(); ++event) {
-                if (fault_ != Fault::EndsAreNotTaken || !event->second.over) {
+                if (fault_ != Fault::DrainEndsIgnored || !event->second.over) {
                     message.items->items.emplace_back(event->second);
                 }
             }
@@ -297,7 +297,7 @@
 TEST(HallDrainTest, PlantedFaultsAreCaught)
 {
     CHECK_TRUE(isCaught(Fault::DrainsNotForwarded));
-    CHECK_TRUE(isCaught(Fault::EndsAreNotTaken));
+    CHECK_TRUE(isCaught(Fault::DrainEndsIgnored));
 }
 
 // More seeds by hand: SEAMARCH_DRAIN_SEEDS says how many.
