--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -283,7 +283,7 @@
         return HallDrainSimulation(*loop, metrics, seed, fault).run();
     }
 
-    bool isCaught(Fault fault)
+    bool isDetected(Fault fault)
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
             if (!runSeed(seed, fault).empty()) {
@@ -296,8 +296,8 @@
 
 TEST(HallDrainTest, PlantedFaultsAreCaught)
 {
-    CHECK_TRUE(isCaught(Fault::DrainsNotForwarded));
-    CHECK_TRUE(isCaught(Fault::DrainEndsIgnored));
+    CHECK_TRUE(isDetected(Fault::DrainsNotForwarded));
+    CHECK_TRUE(isDetected(Fault::DrainEndsIgnored));
 }
 
 // More seeds by hand: SEAMARCH_DRAIN_SEEDS says how many.
