--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -294,7 +294,7 @@
     }
 };
 
-TEST(HallDrainTest, PlantedFaultsAreCaught)
+TEST(HallDrainTest, InjectedFaultsAreDetected)
 {
     CHECK_TRUE(isDetected(Fault::DrainsNotForwarded));
     CHECK_TRUE(isDetected(Fault::DrainEndsIgnored));
