--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -301,7 +301,7 @@
 }
 
 // More seeds by hand: SEAMARCH_DRAIN_SEEDS says how many.
-TEST(HallDrainTest, EveryGatewaySendsAsTheRevisionSaysThatItStandsAt)
+TEST(HallDrainTest, GatewaysFollowTheDrainsOfTheirRevision)
 {
     const char *wanted = std::getenv("SEAMARCH_DRAIN_SEEDS");
     const std::uint64_t seeds = wanted == nullptr ? 500 : std::strtoull(wanted, nullptr, 10);
