--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -303,8 +303,8 @@
 // More seeds by hand: SEAMARCH_DRAIN_SEEDS says how many.
 TEST(HallDrainTest, GatewaysFollowTheDrainsOfTheirRevision)
 {
-    const char *wanted = std::getenv("SEAMARCH_DRAIN_SEEDS");
-    const std::uint64_t seeds = wanted == nullptr ? 500 : std::strtoull(wanted, nullptr, 10);
+    const char *seedCount = std::getenv("SEAMARCH_DRAIN_SEEDS");
+    const std::uint64_t seeds = seedCount == nullptr ? 500 : std::strtoull(seedCount, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         STRCMP_EQUAL("", runSeed(seed).c_str());
     }
