--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -203,9 +203,9 @@
         record.warmAt = warm ? TimePoint{} : loop_.now() + *record.warmUpLeft;
         return record;
     }
-    const UpstreamRecord *known = upstreams_.find(record.id);
-    if (knowledgeAge != nullptr && known->start == record.start) {
-        record.warmAt = known->warmAt;
+    const UpstreamRecord *previous = upstreams_.find(record.id);
+    if (knowledgeAge != nullptr && previous->start == record.start) {
+        record.warmAt = previous->warmAt;
         return record;
     }
     const ServiceRule *rule = table_ ? table_->service(record.service) : nullptr;
