--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -204,7 +204,7 @@
         return record;
     }
     const UpstreamRecord *previous = upstreams_.find(record.id);
-    if (knowledgeAge != nullptr && previous->start == record.start) {
+    if (previous != nullptr && previous->start == record.start) {
         record.warmAt = previous->warmAt;
         return record;
     }
