--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -292,8 +292,8 @@
     if (!table_) {
         return tl::unexpected(FailureCode::EntryNotReady);
     }
-    const Duration knowledgeAge = age();
-    const bool mayDeny = knowledgeAge <= freshness_.deny;
+    const Duration confirmationAge = age();
+    const bool mayDeny = confirmationAge <= freshness_.deny;
     GatewayRequest admitted;
     admitted.table = table_;
     admitted.route = table_->match(facts.host, request.path);
@@ -312,7 +312,7 @@
     if (account == nullptr) {
         return tl::unexpected(mayDeny ? FailureCode::Unauthorized : FailureCode::KnowledgeStale);
     }
-    if (knowledgeAge > freshness_.keys) {
+    if (confirmationAge > freshness_.keys) {
         return tl::unexpected(FailureCode::KnowledgeStale);
     }
     admitted.account = account->id;
