--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -104,13 +104,13 @@
     writeGateway(directory_.self(), Duration{}, request.initSelf());
     const auto finished = std::make_shared<bool>(false);
     const auto finish = [this, hall, id = *first, announced = ownEventCount(),
-                         finished](bool heard) {
+                         finished](bool delivered) {
         if (std::exchange(*finished, true)) {
             return;
         }
         Announcement &announcement = announcements_.at(hall);
         announcement.requestInFlight = false;
-        if (heard) {
+        if (delivered) {
             announcement.acknowledged = announced;
             return;
         }
