--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -257,11 +257,11 @@
 {
     GatewayDirectory::News news;
     news.mark = reader.getGatewaysMark();
-    const auto told = reader.getGateways();
-    directory_.hear(readGateway(told[0]), now);
-    for (std::uint32_t index = 1; index < told.size(); ++index) {
-        const TimePoint heardAt = now - Duration(told[index].getHeardMicrosAgo());
-        news.all.push_back({readGateway(told[index]), heardAt});
+    const auto listed = reader.getGateways();
+    directory_.hear(readGateway(listed[0]), now);
+    for (std::uint32_t index = 1; index < listed.size(); ++index) {
+        const TimePoint heardAt = now - Duration(listed[index].getHeardMicrosAgo());
+        news.all.push_back({readGateway(listed[index]), heardAt});
     }
     const auto ages = reader.getGatewayAges();
     news.ages.assign(ages.begin(), ages.end());
