--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -19,12 +19,12 @@
 } // namespace
 
 GatewayStoreView::GatewayStoreView(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
-                                   const FreshnessBounds &freshness, ConfigApplied applyRouteTable)
+                                   const FreshnessBounds &freshness, ConfigApplied onConfigApplied)
     : loop_(loop)
     , upstreams_(upstreams)
     , metrics_(metrics)
     , freshness_(freshness)
-    , onConfigApplied_(std::move(applyRouteTable))
+    , onConfigApplied_(std::move(onConfigApplied))
 {}
 
 // A document that could not be read may have taken a key away: until the next one, what is held is
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -50,7 +50,7 @@
     using ConfigApplied = std::function<void(const RouteTable &)>;
 
     GatewayStoreView(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
-                     const FreshnessBounds &freshness, ConfigApplied applyRouteTable);
+                     const FreshnessBounds &freshness, ConfigApplied onConfigApplied);
 
     void setFreshness(const FreshnessBounds &freshness) { freshness_ = freshness; }
 
