--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -5,22 +5,22 @@
 namespace seamarch {
 namespace {
 
-// A request with a good key is on its way to an upstream for some milliseconds, and may wait for a
-// slice of the processor.
+// A request with a valid key takes some milliseconds to reach an upstream, and may wait for CPU
+// time on the way.
 constexpr Duration kKeyMargin = std::chrono::milliseconds(300);
-// The same, for an answer to the caller.
+// The same delay for an answer on its way to the caller.
 constexpr Duration kDenyMargin = std::chrono::milliseconds(100);
-// What is left to send the last bytes and end the process.
+// Reserved for sending the last bytes and ending the process.
 constexpr Duration kStopMargin = std::chrono::milliseconds(500);
-// The balancer asks every second and takes an instance out after two misses.
+// The platform's balancer checks readiness every second and removes an instance after two failures.
 constexpr Duration kBalancerDetectionDelay = std::chrono::milliseconds(3200);
-// News of an upstream that is gone for good takes this long from the store through the gateways.
+// The time for the removal of an upstream to propagate from the store through the gateways.
 constexpr Duration kPropagationDelay = std::chrono::milliseconds(500);
-// Engines list themselves again about this long after the store is back: the protocol's figure,
-// counted from when a gateway first hears the store again.
+// Engines register again within about this time after the store is back. The figure is the
+// protocol's, counted from when a gateway first reaches the store again.
 constexpr Duration kReregistrationDelay = std::chrono::milliseconds(1500);
 constexpr Duration kMinTiming = std::chrono::milliseconds(1);
-// A change may come this part of the shortest bound on it later for being gathered with others.
+// Batching may delay a change by at most this fraction (1/n) of the shortest limit on propagation.
 constexpr int kBatchWindowDivisor = 20;
 
 } // namespace
@@ -31,7 +31,7 @@
     times.freshness.keys = std::max(kMinTiming, bounds.keyRevocationLimit - kKeyMargin);
     times.freshness.deny = std::max(kMinTiming, bounds.configPropagationLimit - kDenyMargin);
     times.stopDeadline = std::max(kMinTiming, bounds.stopLimit - kStopMargin);
-    // Requests that came just before need time to end.
+    // Leaves the rest for requests that arrive at the end of the delay.
     times.stopDelay = std::min(kBalancerDetectionDelay, times.stopDeadline / 2);
     times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
                                   Duration(kReregistrationDelay));
--- a/src/gateway/gatewaybounds.h
+++ b/src/gateway/gatewaybounds.h
@@ -1,10 +1,11 @@
-// What the platform asks of every gateway, and what follows from it for one.
+// The limits that the platform sets for every gateway, and the timings that one gateway derives
+// from them.
 //
-// The platform counts from moments that a gateway does not see (the store's acknowledgement of a
-// change, the signal to stop), so the times that a gateway keeps lie inside the bounds by the time
-// that news and answers take on their way.
+// The platform measures from events that a gateway does not observe (the store's acknowledgement of
+// a change, the signal to stop). The derived timings are therefore shorter than the limits, by the
+// time that updates and answers spend in transit.
 //
-// Pure.
+// All functions are pure.
 #pragma once
 
 #include "decision/gateway/gatewaycore.h"
@@ -12,45 +13,48 @@
 
 namespace seamarch {
 
-// As the platform's settings tell; the defaults are those of its published example.
+// Limits from the platform's settings. The defaults are those of its published example.
 struct GatewayBounds
 {
-    // A key that was taken away is not used later than this after the store took the change.
+    // The longest time that a revoked key may remain usable after the store accepted the revocation.
     Duration keyRevocationLimit = std::chrono::milliseconds(5000);
-    // A change of routes is in force everywhere within this.
+    // The longest time until a change of routes is in force at every gateway.
     Duration configPropagationLimit = std::chrono::milliseconds(2000);
-    // An upstream that is leaving or gone gets nothing later than this after the store knew.
+    // The longest time for which an upstream may still receive requests after the store recorded
+    // that it is leaving or gone.
     Duration leavingLimit = std::chrono::milliseconds(2000);
-    // A process is killed this long after it was told to stop.
+    // The time after the signal to stop at which the platform kills the process.
     Duration stopLimit = std::chrono::milliseconds(8000);
-    // What all gateways may send of second attempts: for each request, and besides in a span.
+    // The budget of all gateways together for second attempts: a share of the requests, plus an
+    // allowance per time span.
     double retryRatio = 0.2;
     double retrySlack = 88.0;
-    // What an upstream that warms up gets from all gateways in one second.
+    // Limits what all gateways together send per second to an upstream that is warming up.
     WarmUpBounds warmUp;
 };
 
-// How young a confirmation must be.
+// The maximum age of the store's last confirmation for a gateway to decide on a request.
 struct FreshnessBounds
 {
-    Duration keys{}; // For a key to be good.
-    Duration deny{}; // For a key or a path to be said to be unknown.
+    Duration keys{}; // To accept a key.
+    Duration deny{}; // To reject a key or a path as unknown.
 };
 
-// The times that one gateway keeps.
+// The timings that one gateway applies.
 struct GatewayTimings
 {
     FreshnessBounds freshness;
-    // How long a planned stop goes on taking requests.
+    // How long a gateway continues to accept requests after a planned stop has begun.
     Duration stopDelay{};
-    // When a planned stop ends, also when requests are under way.
+    // When a planned stop ends even if requests are still in flight, counted from its start.
     Duration stopDeadline{};
-    // How long an upstream that vanished around an outage of the store stays in use.
+    // How long an upstream stays in use that disappeared from the list around a store outage.
     Duration lapseGrace{};
-    // How long the store's changes are gathered after one of them was heard.
+    // How long a gateway waits after a change in the store, to read further changes in one batch.
     Duration storeBatchWindow{};
 };
 
+// Returns timings that keep within `bounds`. Timings to which a margin applies are at least 1 ms.
 GatewayTimings deriveTimings(const GatewayBounds &bounds);
 RetryLimits retryLimits(const GatewayBounds &bounds);
 
