--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -31,7 +31,7 @@
     times.freshness.keys = std::max(kMinTiming, bounds.keyRevocationLimit - kKeyMargin);
     times.freshness.deny = std::max(kMinTiming, bounds.configPropagationLimit - kDenyMargin);
     times.stopDeadline = std::max(kMinTiming, bounds.stopLimit - kStopMargin);
-    // Leaves the rest for requests that arrive at the end of the delay.
+    // Requests that arrive at the end of the delay need the remaining time to finish.
     times.stopDelay = std::min(kBalancerDetectionDelay, times.stopDeadline / 2);
     times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
                                   Duration(kReregistrationDelay));
--- a/src/gateway/gatewaybounds.h
+++ b/src/gateway/gatewaybounds.h
@@ -16,7 +16,7 @@
 // Limits from the platform's settings. The defaults are those of its published example.
 struct GatewayBounds
 {
-    // The longest time that a revoked key may remain usable after the store accepted the revocation.
+    // The longest time for which a key may be accepted after the store recorded its removal.
     Duration keyRevocationLimit = std::chrono::milliseconds(5000);
     // The longest time until a change of routes is in force at every gateway.
     Duration configPropagationLimit = std::chrono::milliseconds(2000);
