--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -69,34 +69,34 @@
     place_ = place;
 }
 
-void GatewayStoreView::adoptConfiguration(const PeerStoreState &shared)
+void GatewayStoreView::adoptConfiguration(const PeerStoreState &peerState)
 {
-    if (shared.document) {
-        applyRouting(*shared.document);
+    if (peerState.document) {
+        applyRouting(*peerState.document);
     }
 }
 
-bool GatewayStoreView::adopt(const PeerStoreState &shared, TimePoint confirmedAt)
+bool GatewayStoreView::adopt(const PeerStoreState &peerState, TimePoint confirmedAt)
 {
-    adoptConfiguration(shared);
+    adoptConfiguration(peerState);
     // A gateway of an earlier version does not tell the era.
-    const StorePlace place{shared.place.era == 0 ? place_.era : shared.place.era,
-                           shared.place.revision};
+    const StorePlace place{peerState.place.era == 0 ? place_.era : peerState.place.era,
+                           peerState.place.revision};
     const bool isNewer = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
-    const bool isComplete = (shared.document || shared.version <= version())
-                            && (shared.upstreams || shared.upstreamsMark == advertisedMark());
+    const bool isComplete = (peerState.document || peerState.version <= version())
+                            && (peerState.upstreams || peerState.upstreamsMark == advertisedMark());
     if (!isNewer || !isComplete) {
         return false;
     }
     handleRollback(place);
-    if (shared.upstreams) {
-        upstreams_.mirror(*shared.upstreams);
-        applyDrainedHalls(shared.drainedHalls);
-        adoptedMark_ = shared.upstreamsMark;
+    if (peerState.upstreams) {
+        upstreams_.mirror(*peerState.upstreams);
+        applyDrainedHalls(peerState.drainedHalls);
+        adoptedMark_ = peerState.upstreamsMark;
         changesAtAdoption_ = upstreams_.changes();
         logLine(LogLevel::Info, "upstreams.adopted",
                 {{"revision", place.revision},
-                 {"upstreams", shared.upstreams->size()},
+                 {"upstreams", peerState.upstreams->size()},
                  {"confirmedMsAgo", toMillis(loop_.now() - confirmedAt)}});
     }
     setPlace(place);
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -60,9 +60,9 @@
 
     // Takes what another gateway knows, which the store confirmed at `confirmedAt`. Returns false,
     // and takes nothing, when that is no news or leaves out what is not known here.
-    bool adopt(const PeerStoreState &shared, TimePoint confirmedAt);
+    bool adopt(const PeerStoreState &peerState, TimePoint confirmedAt);
     // Takes no more than the configuration of another gateway, if its version is higher.
-    void adoptConfiguration(const PeerStoreState &shared);
+    void adoptConfiguration(const PeerStoreState &peerState);
     // Returns by which mark the own list is named to other gateways: the one under which it was
     // adopted, while it holds still, else its own; zero: there is none. The two may differ, because
     // this gateway may know of an upstream that leaves and the teller did not.
