--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -283,11 +283,11 @@
 
 bool GatewayPeers::applyNews(TimePoint askedAt, wire::GatewayNews::Reader news)
 {
-    PeerStoreState shared;
-    shared.place = {news.getEra(), news.getRevision()};
-    shared.version = ConfigVersion(news.getConfigVersion());
-    shared.upstreamsMark = news.getUpstreamsMark();
-    if (news.hasConfig() && shared.version > storeView_.version()) {
+    PeerStoreState peerState;
+    peerState.place = {news.getEra(), news.getRevision()};
+    peerState.version = ConfigVersion(news.getConfigVersion());
+    peerState.upstreamsMark = news.getUpstreamsMark();
+    if (news.hasConfig() && peerState.version > storeView_.version()) {
         const auto bytes = news.getConfig();
         const auto text = decompressText(bytes.begin(), bytes.size(), news.getConfigBytes());
         auto document =
@@ -297,15 +297,15 @@
             return false;
         }
         configNotBefore_ = loop_.now() + restAfterConfig(text->size());
-        shared.document = std::move(*document);
+        peerState.document = std::move(*document);
     }
     if (news.hasUpstreams()) {
-        shared.upstreams = readUpstreams(news);
-        shared.drainedHalls = readDrainedHalls(news);
+        peerState.upstreams = readUpstreams(news);
+        peerState.drainedHalls = readDrainedHalls(news);
     }
     const Duration held(news.getHeldMicros());
     const Duration age(news.getAgeMicros());
-    return onStateReceived_(shared, askedAt + held - age);
+    return onStateReceived_(peerState, askedAt + held - age);
 }
 
 // Takes what the other gateway has heard of groups, each as of its own moment. Facts that it told
