--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// What a caller waits when it does not say how long, and its route does not either.
+// The deadline of a request when neither the caller nor the route sets one.
 constexpr Duration kDefaultDeadline = std::chrono::seconds(30);
 
 } // namespace
@@ -27,8 +27,8 @@
     , onConfigApplied_(std::move(onConfigApplied))
 {}
 
-// A document that could not be read may have taken a key away: until the next one, what is held is
-// not confirmed by anything.
+// Records the time only while the store's document is readable: an unreadable one may have removed
+// a key, so the configuration in force counts as unconfirmed until the next readable document.
 void GatewayStoreView::recordConfirmation(TimePoint askedAt, const StorePlace &place)
 {
     setPlace(std::max(place_, place));
@@ -47,7 +47,8 @@
     }
 }
 
-// Living upstreams that an older copy lacks are listed again soon, as after an outage.
+// Handles a store that was restored from an older copy. Live upstreams that the copy lacks register
+// again soon, as after an outage; until then the table treats them as lapsed, not as removed.
 void GatewayStoreView::handleRollback(const StorePlace &place)
 {
     if (!wentBack(place_, place)) {
@@ -79,7 +80,7 @@
 bool GatewayStoreView::adopt(const PeerStoreState &peerState, TimePoint confirmedAt)
 {
     adoptConfiguration(peerState);
-    // A gateway of an earlier version does not tell the era.
+    // Gateways of earlier software versions do not send the era.
     const StorePlace place{peerState.place.era == 0 ? place_.era : peerState.place.era,
                            peerState.place.revision};
     const bool isNewer = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
@@ -129,7 +130,8 @@
         text += fmt::format("drained|{}\n", hall.value());
     }
     markedChanges_ = upstreams_.changes();
-    mark_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size())); // Zero is no mark.
+    // Zero stands for "no list".
+    mark_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
     return mark_;
 }
 
@@ -185,7 +187,7 @@
 
 void GatewayStoreView::reportFaults(const std::vector<std::string> &faults)
 {
-    constexpr std::size_t kMaxFaultText = 200; // A fault may quote what it stumbled over.
+    constexpr std::size_t kMaxFaultText = 200; // A fault may quote the unreadable item.
     for (const std::string &fault : faults) {
         metrics_.count("seamarch_store_failures_total", "item unreadable");
         logLine(LogLevel::Warning, "store.item_unreadable",
@@ -193,9 +195,10 @@
     }
 }
 
-// Returns the record with the time from which on its upstream is warm. What the entry tells was
-// true when it was written, so counted from now it is never too short. An entry of older software
-// does not tell: its upstream has then just started, if the start is a new one.
+// Returns the record with the time at which its upstream's warm-up ends. The remaining warm-up in
+// the entry was correct when the entry was written, so counting it from now never ends it too
+// early. Upstreams with older software do not report it: their warm-up then begins now if their
+// start is a new one.
 UpstreamRecord GatewayStoreView::withWarmUpEnd(UpstreamRecord record) const
 {
     if (record.warmUpLeft) {
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -1,14 +1,13 @@
-// What a gateway knows from the platform's store, how old that is, and what it may therefore say of
-// a request's key and path.
+// A gateway's copy of the platform's store: the routing configuration, the list of upstreams and
+// the drained halls, with the time of the store's last confirmation.
 //
-// Knowledge is as old as the call that last confirmed it, measured on the own steady clock from
-// when the call was made. It comes from the store, or from another gateway that has asked the store
-// more recently: then its age travels with it. Within the life of a process a configuration never
-// goes back, also when the store itself comes back from an older copy: a version that was heard of
-// is in force until a higher one is heard, at the store or at any gateway, whatever else that one
-// knows.
+// The age of the copy counts from when the call was made that last confirmed it, on this process's
+// steady clock. Data comes from the store, or from another gateway that has queried the store more
+// recently; that gateway sends the age along. The configuration version never decreases within the
+// life of a process, even when the store is restored from an older copy: a version stays in force
+// until the store or any gateway reports a higher one, however old that gateway's other data is.
 //
-// Single-threaded. The loop, the table of upstreams and the metrics outlive the object.
+// Single-threaded. The loop, the table of upstreams and the metrics must outlive the object.
 #pragma once
 
 #include "decision/gateway/gatewaycore.h"
@@ -32,21 +31,24 @@
 
 namespace seamarch {
 
-// What one gateway tells another of the store.
+// The state of the store as one gateway sends it to another. Parts that the receiver has already
+// are omitted.
 struct PeerStoreState
 {
-    StorePlace place; // Of the store.
+    StorePlace place; // The era and revision of the store that the state was read at.
     ConfigVersion version;
-    std::optional<RoutingDocument> document;              // When the asker's version is lower.
-    std::uint64_t upstreamsMark = 0;                      // Names the state of the teller's list.
-    std::optional<std::vector<UpstreamRecord>> upstreams; // When the asker names another state.
-    std::set<HallId> drainedHalls;                        // Told with the list.
+    std::optional<RoutingDocument> document;              // Set if the receiver's version is lower.
+    std::uint64_t upstreamsMark = 0;                      // Digest of the sender's upstream list.
+    std::optional<std::vector<UpstreamRecord>> upstreams; // Set if the receiver's mark differs.
+    std::set<HallId> drainedHalls;                        // Valid if `upstreams` is set.
 };
 
+// Holds the copy, updates it from the store and from other gateways, and admits requests against
+// it.
 class GatewayStoreView final : public StoreListener
 {
 public:
-    // Hears of each configuration that comes into force.
+    // Called for each configuration that comes into force.
     using ConfigApplied = std::function<void(const RouteTable &)>;
 
     GatewayStoreView(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
@@ -58,36 +60,41 @@
     void onStoreChanged(const StoreItems &items, TimePoint askedAt) override;
     void onStoreFailed(std::string_view cause) override;
 
-    // Takes what another gateway knows, which the store confirmed at `confirmedAt`. Returns false,
-    // and takes nothing, when that is no news or leaves out what is not known here.
+    // Adopts the state of another gateway, which the store confirmed at `confirmedAt`. Returns
+    // false if the state is not newer than this copy, or omits a part that this copy lacks; then
+    // only a higher configuration version is applied.
     bool adopt(const PeerStoreState &peerState, TimePoint confirmedAt);
-    // Takes no more than the configuration of another gateway, if its version is higher.
+    // Applies only the configuration of another gateway's state, if its version is higher.
     void adoptConfiguration(const PeerStoreState &peerState);
-    // Returns by which mark the own list is named to other gateways: the one under which it was
-    // adopted, while it holds still, else its own; zero: there is none. The two may differ, because
-    // this gateway may know of an upstream that leaves and the teller did not.
+    // Returns the mark that stands for the own upstream list in requests to other gateways: the
+    // sender's mark if the list was adopted and is unchanged since, else `upstreamsMark`. The two
+    // may differ, because this gateway may know of a leaving upstream that the sender did not know
+    // of. Returns zero before the first confirmation.
     std::uint64_t advertisedMark() const;
-    // Returns the mark of the own list, a digest: gateways that hold the same list name it alike,
-    // so one that asks another than before is not handed it again.
+    // Returns the mark of the own list, a digest of its contents that is never zero. Equal lists
+    // have equal marks at all gateways, so a gateway that polls a different peer than before does
+    // not receive the same list again.
     std::uint64_t upstreamsMark() const;
     const StorePlace &place() const { return place_; }
-    // Returns the document in force as the store holds it; empty while there is none.
+    // Returns the text of the document in force as the store holds it; empty while there is none.
     const std::string &documentText() const;
     const UpstreamTable &upstreams() const { return upstreams_; }
 
-    // Finds the route and the account of a request, or says why it is refused.
+    // Returns the request with its route, account and deadline, or the reason why it is refused.
+    // A copy that is too old to accept a key, or to reject a key or path as unknown, refuses with
+    // `KnowledgeStale`.
     tl::expected<GatewayRequest, FailureCode> admit(const HttpRequest &request,
                                                     const CallerFacts &facts) const;
 
     bool hasConfiguration() const { return table_ != nullptr; }
-    // Tells whether keys can be judged.
+    // Returns whether the copy is recent enough to accept keys.
     bool fresh() const { return age() <= freshness_.keys; }
     const FreshnessBounds &freshness() const { return freshness_; }
     // Returns the version in force; zero while there is none.
     ConfigVersion version() const { return table_ ? table_->version() : ConfigVersion(); }
-    // Tells whether the upstreams of `service` are engines that make their passes in groups.
+    // Returns whether the upstreams of `service` are engines that run their passes in groups.
     bool formsGroups(const TargetName &service) const;
-    // Returns how long ago the store confirmed what is known; the longest duration when it never
+    // Returns the time since the store last confirmed the copy; the longest duration if it never
     // did.
     Duration age() const;
     bool confirmed() const { return confirmedAt_.has_value(); }
@@ -111,13 +118,13 @@
     ConfigApplied onConfigApplied_;
     std::shared_ptr<const RouteTable> table_;
     std::optional<TimePoint> confirmedAt_;
-    StorePlace place_;               // Of the store, that the list of upstreams stands at.
-    mutable std::uint64_t mark_ = 0; // Of the list after `markedChanges_` changes.
+    StorePlace place_;               // The era and revision of the list of upstreams.
+    mutable std::uint64_t mark_ = 0; // Cached mark of the list after `markedChanges_` changes.
     mutable std::uint64_t markedChanges_ = 0;
     std::uint64_t adoptedMark_ = 0;
-    std::uint64_t changesAtAdoption_ = 0; // Of the list of upstreams.
+    std::uint64_t changesAtAdoption_ = 0; // Change count of the list when it was adopted.
     bool storeReachable_ = false;
-    bool routingUnreadable_ = false; // The store holds a newer document that makes no sense.
+    bool routingUnreadable_ = false; // The store holds a newer document that could not be read.
 };
 
 } // namespace seamarch
