--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -76,7 +76,7 @@
         std::optional<RequestRate> warmUp; // What it takes while it warms up; nothing: it is warm.
     };
     // Asks the gateway `issuer` for permits. `answered` is called once, also when no answer comes.
-    void requestPermits(const GatewayRecord &issuer, const PermitRequest &question,
+    void requestPermits(const GatewayRecord &issuer, const PermitRequest &permitRequest,
                         PermitsCallback onAnswer);
     // Wakes the questions that wait here, if there is news for them. Call it often.
     void tick();
@@ -118,7 +118,7 @@
     void applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     void applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    PermitAnswer grantPermits(wire::GatewayPeer::PermitsParams::Reader question);
+    PermitAnswer grantPermits(wire::GatewayPeer::PermitsParams::Reader permitRequest);
     void onHasNews(const GatewayRecord &from);
     // Counts the crashes and the changes of limits that this gateway saw itself.
     std::uint64_t ownEventCount() const
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -23,12 +23,12 @@
 } // namespace
 
 // Hands out by the lowest of what the asker and this gateway know.
-PermitAnswer GatewayPeers::grantPermits(wire::GatewayPeer::PermitsParams::Reader question)
+PermitAnswer GatewayPeers::grantPermits(wire::GatewayPeer::PermitsParams::Reader permitRequest)
 {
     const TimePoint now = loop_.now();
-    const GatewayRecord from = readGateway(question.getSelf());
+    const GatewayRecord from = readGateway(permitRequest.getSelf());
     directory_.hear(from, now);
-    const LimitWord word = readLimit(question.getLimit(), now);
+    const LimitWord word = readLimit(permitRequest.getLimit(), now);
     if (word.rate) {
         limits_.learn(word, now);
     }
@@ -37,24 +37,24 @@
     upstream.start = word.start;
     std::optional<RequestRate> rate = limits_.limitOf(upstream);
     rate = rate ? rate : word.rate;
-    if (question.getWarmUpPerSecond() != 0.0) {
-        const RequestRate warmUp = readRate(question.getWarmUpPerSecond());
+    if (permitRequest.getWarmUpPerSecond() != 0.0) {
+        const RequestRate warmUp = readRate(permitRequest.getWarmUpPerSecond());
         rate = std::min(rate.value_or(warmUp), warmUp);
     }
     return permitIssuer_.take(word.upstream, rate.value_or(RequestRate()), from.id,
-                              question.getWanted(), now);
+                              permitRequest.getWanted(), now);
 }
 
-void GatewayPeers::requestPermits(const GatewayRecord &issuer, const PermitRequest &question,
+void GatewayPeers::requestPermits(const GatewayRecord &issuer, const PermitRequest &permitRequest,
                                   PermitsCallback onAnswer)
 {
     const SocketAddress address{issuer.host, issuer.port};
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().permitsRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
-    const LimitWord none{question.upstream, question.start, std::nullopt, TimePoint{}};
-    writeLimit(question.limit.value_or(none), loop_.now(), request.initLimit());
-    request.setWanted(question.wanted);
-    request.setWarmUpPerSecond(question.warmUp.value_or(RequestRate()).perSecond());
+    const LimitWord none{permitRequest.upstream, permitRequest.start, std::nullopt, TimePoint{}};
+    writeLimit(permitRequest.limit.value_or(none), loop_.now(), request.initLimit());
+    request.setWanted(permitRequest.wanted);
+    request.setWarmUpPerSecond(permitRequest.warmUp.value_or(RequestRate()).perSecond());
     // Whichever comes first, the answer or the end of patience, ends the question.
     const auto finished = std::make_shared<bool>(false);
     const auto finish = [finished, onAnswer = std::move(onAnswer)](const PermitAnswer &answer) {
