--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -176,11 +176,11 @@
     link.polling = true;
     auto request = link.rpc->capability().castAs<wire::GatewayPeer>().exchangeRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
-    const bool rests = now < configNotBefore_;
-    if (rests) {
+    const bool configDeferred = now < configNotBefore_;
+    if (configDeferred) {
         maxWait = std::min(maxWait, configNotBefore_ - now);
     }
-    request.setConfigVersion(rests ? kNewerThanAnyConfig : storeView_.version().value());
+    request.setConfigVersion(configDeferred ? kNewerThanAnyConfig : storeView_.version().value());
     request.setUpstreamsMark(storeView_.advertisedMark());
     request.setTakesChanges(true);
     request.setWantsGateways(gateways);
