--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -1,16 +1,17 @@
-// The other gateways of the site: asks them what they know of the platform's store, and tells them
-// what this one knows.
+// Exchanges state with the other gateways of the site: long-polls them for their copy of the
+// platform's store, answers their polls, and requests and grants permits to send to upstreams.
 //
-// A question waits at the other end until that knows more than the asker, so news passes on within
-// a connection's delay. An answer says how long ago the store confirmed what it tells; measured on
-// the asker's clock from when it asked, that is never too young.
+// A poll waits at the other gateway until that has something newer than the poller, so updates
+// propagate with the latency of a connection. An answer gives the age of the store's confirmation.
+// The poller subtracts it from the time of its own poll, plus the time that the answer was held
+// back, so it never takes the data for younger than it is.
 //
-// That upstreams have ended under a request cannot wait until somebody asks: the first gateway of
-// each hall is told at once that there is news, asks for it, and the others of its hall wait there.
-// So is what an upstream says that it takes from all gateways together.
+// Crashes of upstreams under a request, and the rate limits that upstreams name for all gateways
+// together, cannot wait for the next poll. This gateway notifies the first gateway of each hall at
+// once; that one polls for the update, and the other gateways of its hall have polls waiting there.
 //
-// Whom to ask is decided elsewhere: see KnowledgeSources. Single-threaded; what the constructor is
-// given outlives the object.
+// KnowledgeSources decides which gateways are polled. Single-threaded. The constructor's arguments
+// must outlive the object.
 #pragma once
 
 #include "decision/gateway/upstreamhistory.h"
@@ -36,21 +37,22 @@
 
 namespace detail {
 
-// How long an answer may take beyond its wait: some round trips between halls.
+// The timeout of a call, beyond the time that a poll may wait: some round trips between halls.
 inline constexpr Duration kPeerTimeout = std::chrono::milliseconds(350);
-// A gateway that failed, or whose news was not taken, is not asked again for this long.
+// A gateway that failed, or whose update was not applied, is not polled again for this long.
 inline constexpr Duration kPeerRetryDelay = std::chrono::milliseconds(150);
 
 } // namespace detail
 
+// The client and server sides of the protocol between gateways.
 class GatewayPeers final : private kj::TaskSet::ErrorHandler
 {
 public:
-    // Another gateway's knowledge, which the store confirmed at the time. Returns whether it was
-    // taken; one that was not is not asked again for a moment.
+    // Called with another gateway's state, which the store confirmed at `confirmedAt`. Returns
+    // whether the state was adopted; if not, that gateway is not polled again for a short time.
     using StateReceived = std::function<bool(const PeerStoreState &, TimePoint confirmedAt)>;
 
-    // Listens at the address of the directory's own record.
+    // Listens on the address in the directory's own record. Fails if it cannot be opened.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
     create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &beliefs,
            const MetadataStore &store, GatewayDirectory &directory, StateReceived onStateReceived);
@@ -58,48 +60,52 @@
     GatewayPeers(const GatewayPeers &) = delete;
     GatewayPeers &operator=(const GatewayPeers &) = delete;
 
-    // Whether a question also asks whom the other gateway has heard of.
+    // Whether a poll also requests the list of gateways that the other gateway knows.
     enum class ListRequest { IfDue, Always };
 
-    // Asks a gateway, unless a question to it is under way; the answer may wait for `longest`. The
-    // id of one that was never heard of is empty.
+    // Polls a gateway, unless a poll of it is in flight or it has to be left alone after a failure.
+    // The answer may be held back for `maxWait`. `id` is empty if only the address is known.
     void poll(const SocketAddress &address, const InstanceId &id, Duration maxWait,
               ListRequest list = ListRequest::IfDue);
     using PermitsCallback = std::function<void(const PermitAnswer &)>;
-    // What permits are asked for.
+    // A request for permits to send to one upstream.
     struct PermitRequest
     {
         InstanceId upstream;
         UpstreamStart start;
         std::uint32_t wanted = 0;
-        std::optional<LimitWord> limit;    // That the upstream named; nothing: none.
-        std::optional<RequestRate> warmUp; // What it takes while it warms up; nothing: it is warm.
+        std::optional<LimitWord> limit;    // Empty if the upstream names none.
+        std::optional<RequestRate> warmUp; // The warm-up limit; empty if the upstream is warm.
     };
-    // Asks the gateway `issuer` for permits. `answered` is called once, also when no answer comes.
+    // Requests permits from the gateway `issuer`. Calls `onAnswer` exactly once; with no permits if
+    // the gateway does not answer in time or fails.
     void requestPermits(const GatewayRecord &issuer, const PermitRequest &permitRequest,
                         PermitsCallback onAnswer);
-    // Wakes the questions that wait here, if there is news for them. Call it often.
+    // Answers the polls that wait here if there is an update for them, announces crashes and
+    // limits, and closes idle connections. Must be called every few milliseconds, as updates wait
+    // for it.
     void tick();
-    // Returns when another gateway last answered that it has no configuration; the distant past
-    // when none did.
+    // Returns when another gateway last answered that it has no configuration; the distant past if
+    // none did.
     TimePoint lastUnconfiguredAnswerAt() const { return lastUnconfiguredAnswerAt_; }
-    // Returns when any gateway last answered; the distant past when none did.
+    // Returns when any gateway last answered; the distant past if none did.
     TimePoint lastAnswerAt() const { return lastAnswerAt_; }
 
 private:
     class Server;
 
+    // The connection to another gateway, and which of its updates have been received.
     struct Link
     {
         std::unique_ptr<RpcLink> rpc;
         InstanceId id; // Empty until it has answered.
         bool polling = false;
-        bool pollAgain = false;       // It has news; ask once more when the question is answered.
-        std::uint64_t groupsMark = 0; // Of the groups that it has told last, or of those known here
-                                      // when it was first asked.
-        std::uint64_t crashCursor = 0; // Of what it has told of requests that end upstreams.
-        std::uint64_t limitsMark = 0;  // Of the limits that it has told last.
-        TimePoint notBefore{};
+        bool pollAgain = false;       // It announced an update during a poll; poll again after it.
+        std::uint64_t groupsMark = 0; // Mark of the groups last received from it, or of those known
+                                      // here at the first poll.
+        std::uint64_t crashCursor = 0; // Its crash record has been received up to this cursor.
+        std::uint64_t limitsMark = 0;  // Mark of the limits last received from it.
+        TimePoint notBefore{};         // It is not polled before this time.
         TimePoint usedAt{};
     };
 
@@ -120,24 +126,24 @@
     void applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
     PermitAnswer grantPermits(wire::GatewayPeer::PermitsParams::Reader permitRequest);
     void onHasNews(const GatewayRecord &from);
-    // Counts the crashes and the changes of limits that this gateway saw itself.
+    // Counts the changes to crashes and limits that this gateway observed itself.
     std::uint64_t ownEventCount() const
     {
         return crashes_.cursor() - peerCrashChanges_ + limits_.ownChanges();
     }
     void announce(TimePoint now);
     void announceTo(const HallId &hall, TimePoint now);
-    // What an asker says that it knows.
+    // What a polling gateway has already, and what it wants.
     struct PollRequest
     {
         ConfigVersion version;
         std::uint64_t upstreamsMark = 0;
-        bool takesChanges = false; // One of an earlier version takes whole lists alone.
+        bool takesChanges = false; // Earlier software versions accept only full lists.
         std::uint64_t groupsMark = 0;
         std::uint64_t crashCursor = 0;
         bool wantsGateways = false;
         std::uint64_t gatewaysMark = 0;
-        bool wantsLimits = false; // One of an earlier version does not know them.
+        bool wantsLimits = false; // Earlier software versions do not support limits.
         std::uint64_t limitsMark = 0;
     };
     bool hasNewsFor(const PollRequest &pollRequest) const;
@@ -167,18 +173,19 @@
     std::vector<std::uint8_t> compressedDocument_;      // The document of `compressedVersion_`.
     ConfigVersion compressedVersion_;
     UpstreamHistory history_;
-    std::uint64_t lastUpstreamsMark_ = 0; // The state at the last tick.
+    // The state at the last tick. A difference means that there is an update for waiting polls.
+    std::uint64_t lastUpstreamsMark_ = 0;
     ConfigVersion lastVersion_;
     std::uint64_t lastGroupsMark_ = 0;
-    std::uint64_t lastCrashCursor_ = 0;      // A cursor of the record, as those below.
-    std::uint64_t lastLimitsMark_ = 0;       // A mark of the limits.
-    std::uint64_t peerCrashChanges_ = 0;     // Changes of the record that other gateways brought.
-    std::uint64_t initialOwnEventCount_ = 0; // What `ownEventCount` was at the start.
-    std::uint64_t announcedEventCount_ = 0;  // What it was when all halls had been told.
-    // To the first gateway of a hall, that there is news here.
+    std::uint64_t lastCrashCursor_ = 0;
+    std::uint64_t lastLimitsMark_ = 0;
+    std::uint64_t peerCrashChanges_ = 0;     // Changes to `crashes_` received from other gateways.
+    std::uint64_t initialOwnEventCount_ = 0; // `ownEventCount` at the start.
+    std::uint64_t announcedEventCount_ = 0;  // `ownEventCount` when all halls had acknowledged.
+    // The notification to the first gateway of a hall that there is an update here.
     struct Announcement
     {
-        std::uint64_t acknowledged = 0; // Of `ownEventCount`.
+        std::uint64_t acknowledged = 0; // The value of `ownEventCount` that was acknowledged last.
         bool requestInFlight = false;
         TimePoint notBefore{};
     };
@@ -186,8 +193,9 @@
     TimePoint lastUnconfiguredAnswerAt_{};
     TimePoint lastAnswerAt_{};
     TimePoint startedAt_{};
-    TimePoint gatewayListRequestedAt_{}; // Last, from any gateway.
-    TimePoint configNotBefore_{};        // It rests from reading the last configuration until then.
+    TimePoint gatewayListRequestedAt_{}; // The last time, from any gateway.
+    TimePoint configNotBefore_{};        // No configuration is requested before this time, which
+                                         // bounds the CPU time spent on reading configurations.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     kj::TaskSet tasks_;
 };
