--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -11,16 +11,18 @@
 namespace seamarch {
 namespace {
 
-// The longest that an asker may have its question wait.
+// The longest time that a poll may wait here for an update.
 constexpr Duration kMaxPollWait = std::chrono::seconds(1);
-// How often any gateway is asked for those it knows: several times in the life of what is told.
+// The interval at which the gateway list is requested from any gateway: several requests fit into
+// the time to live of a list entry.
 constexpr Duration kGatewayListInterval = std::chrono::seconds(2);
-// A new gateway asks more often: when a site starts, all of its gateways come within a second.
+// A gateway that has just started requests the list more often: when a site starts, all of its
+// gateways appear within a second.
 constexpr Duration kStartupPeriod = std::chrono::seconds(3);
 constexpr Duration kStartupGatewayListInterval = std::chrono::milliseconds(800);
-// No configuration is newer than this one.
+// Sent as the own version to request no configuration: no configuration is newer than this one.
 constexpr std::uint64_t kNewerThanAnyConfig = std::numeric_limits<std::uint64_t>::max();
-// A connection that was not used for this long is closed.
+// A connection is closed after it was not used for this long.
 constexpr Duration kLinkIdleTimeout = std::chrono::seconds(15);
 
 std::pair<std::string, int> keyOf(const SocketAddress &address)
@@ -30,7 +32,7 @@
 
 } // namespace
 
-// The serving end for the other gateways.
+// Serves the calls of the other gateways.
 class GatewayPeers::Server final : public wire::GatewayPeer::Server
 {
 public:
@@ -153,8 +155,8 @@
     return link;
 }
 
-// Tells whether it is time to hear whom the other gateway knows; one whose id is not known says it
-// with its list.
+// Returns whether to request the gateway list with the next poll. It is always requested from a
+// gateway whose id is not known, because the list includes the id.
 bool GatewayPeers::isGatewayListDue(const Link &link, TimePoint now) const
 {
     const bool startingUp = now - startedAt_ < kStartupPeriod;
@@ -191,11 +193,11 @@
     request.setCrashCursor(link.crashCursor);
     request.setWantsLimits(true);
     request.setLimitsMark(link.limitsMark);
-    // Whichever comes first, the answer or the end of patience, ends the question.
+    // The first of the answer and the timeout ends the poll.
     const auto finished = std::make_shared<bool>(false);
     loop_.schedule(maxWait + detail::kPeerTimeout, [this, address, finished, alive = alive_] {
         if (*alive && !std::exchange(*finished, true)) {
-            // The connection may have gone silent for good while a new one works.
+            // The connection may be dead without an error, while a new one would work.
             linkTo(address).rpc.reset();
             onFailed(address);
         }
@@ -291,7 +293,8 @@
         const auto bytes = news.getConfig();
         const auto text = decompressText(bytes.begin(), bytes.size(), news.getConfigBytes());
         auto document =
-            text ? store_.readDocument(*text) : tl::unexpected(std::string("it does not inflate"));
+            text ? store_.readDocument(*text)
+                 : tl::unexpected(std::string("it does not decompress to the stated size"));
         if (!document) {
             logLine(LogLevel::Warning, "gateway.news_unreadable", {{"fault", document.error()}});
             return false;
@@ -308,9 +311,9 @@
     return onStateReceived_(peerState, askedAt + held - age);
 }
 
-// Takes what the other gateway has heard of groups, each as of its own moment. Facts that it told
-// before, or that were known here as well, are only renewed, if they are still those that are
-// known.
+// Applies the other gateway's facts about groups, each as of its own time. If its mark is the one
+// that the poll named, the members are omitted and the facts are only renewed, provided that those
+// held here still have that mark.
 void GatewayPeers::applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     const Duration held(news.getHeldMicros());
@@ -389,7 +392,8 @@
     }
 }
 
-// Writes what has changed since the list that the asker names, where that is known, else all.
+// Writes the changes since the list whose mark the poller sent, if that list is in the history,
+// else the full list.
 void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest)
 {
     recordUpstreamList();
@@ -416,7 +420,7 @@
     }
 }
 
-// Returns the whole list; nothing where what changed is told of a list that is not held any more.
+// Returns the full list, or nothing if the update has changes to a list that is no longer held.
 std::optional<std::vector<UpstreamRecord>>
 GatewayPeers::readUpstreams(wire::GatewayNews::Reader news) const
 {
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -82,8 +82,7 @@
     void requestPermits(const GatewayRecord &issuer, const PermitRequest &permitRequest,
                         PermitsCallback onAnswer);
     // Answers the polls that wait here if there is an update for them, announces crashes and
-    // limits, and closes idle connections. Must be called every few milliseconds, as updates wait
-    // for it.
+    // limits, and closes idle connections. Must be called often, as updates wait for the next call.
     void tick();
     // Returns when another gateway last answered that it has no configuration; the distant past if
     // none did.
