--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -1,5 +1,5 @@
-// The part of GatewayPeers that spreads word of requests that end upstreams, and of limits that
-// upstreams name.
+// The part of GatewayPeers that propagates the requests that crash upstreams, and the rate limits
+// that upstreams name.
 #include "base/log.h"
 #include "gateway/gatewaypeers.h"
 #include "gateway/gatewaywire.h"
@@ -11,8 +11,8 @@
 
 namespace seamarch {
 
-// Takes what the other gateway has heard of requests that end upstreams, counted back from when it
-// answered: `held` after the question came.
+// Adds the other gateway's changes to the crash record. Their ages count back from when that
+// gateway answered, which is its hold time after it received the poll.
 void GatewayPeers::applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
@@ -25,7 +25,7 @@
     }
 }
 
-// Takes what the other gateway has heard of limits, counted back from when it answered.
+// Adds the limits that the other gateway knows. Their ages count back from when it answered.
 void GatewayPeers::applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
@@ -70,9 +70,9 @@
     poll(address, from.id, Duration{});
 }
 
-// Tells the first gateway of each hall, until it has heard it, that there is news here: upstreams
-// have ended under requests of this one, or told it what they take. Gateways of its hall wait there
-// for news.
+// Notifies the first gateway of each hall that there is an update here, and repeats that until it
+// acknowledges: upstreams have ended under requests of this gateway, or have changed their limits
+// towards it. The other gateways of that hall have polls waiting there.
 void GatewayPeers::announce(TimePoint now)
 {
     if (announcedEventCount_ == ownEventCount()) {
@@ -127,7 +127,8 @@
     tasks_.add(request.send().then(
         [finish](capnp::Response<wire::GatewayPeer::HasNewsResults> && /*empty*/) { finish(true); },
         [finish](kj::Exception &&exception) {
-            // A gateway of an earlier version does not know the call; it is asked, and asks, later.
+            // A gateway of an earlier software version does not implement the call. It receives the
+            // update by a later poll.
             finish(exception.getType() == kj::Exception::Type::UNIMPLEMENTED);
         }));
 }
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -1,5 +1,5 @@
-// The part of GatewayPeers that asks for permits to send to upstreams that name a limit or warm up,
-// and hands them out.
+// The part of GatewayPeers that requests and grants permits to send to upstreams that name a rate
+// limit or are warming up.
 #include "base/log.h"
 #include "gateway/gatewaypeers.h"
 #include "gateway/gatewaywire.h"
@@ -11,10 +11,12 @@
 namespace seamarch {
 namespace {
 
-// One that answers that it does not know the question is of an earlier version and hands out none.
+// The delay before permits are requested again from a gateway of an earlier software version, which
+// does not implement the call and grants none.
 constexpr Duration kUnsupportedRetryDelay = std::chrono::seconds(1);
 
-// A rate that makes no sense lets an upstream be asked now and then.
+// Returns the rate; zero if it is negative or not finite. At zero the issuer still grants an
+// occasional permit.
 RequestRate readRate(double perSecond)
 {
     return RequestRate(std::isfinite(perSecond) && perSecond >= 0.0 ? perSecond : 0.0);
@@ -22,7 +24,7 @@
 
 } // namespace
 
-// Hands out by the lowest of what the asker and this gateway know.
+// Grants permits at the lowest rate that the requester and this gateway know of.
 PermitAnswer GatewayPeers::grantPermits(wire::GatewayPeer::PermitsParams::Reader permitRequest)
 {
     const TimePoint now = loop_.now();
@@ -55,7 +57,7 @@
     writeLimit(permitRequest.limit.value_or(none), loop_.now(), request.initLimit());
     request.setWanted(permitRequest.wanted);
     request.setWarmUpPerSecond(permitRequest.warmUp.value_or(RequestRate()).perSecond());
-    // Whichever comes first, the answer or the end of patience, ends the question.
+    // The first of the answer and the timeout ends the request.
     const auto finished = std::make_shared<bool>(false);
     const auto finish = [finished, onAnswer = std::move(onAnswer)](const PermitAnswer &answer) {
         if (!std::exchange(*finished, true)) {
@@ -67,7 +69,7 @@
                        if (!*alive || *finished) {
                            return;
                        }
-                       // The connection may have gone silent for good while a new one works.
+                       // The connection may be dead without an error, while a new one would work.
                        linkTo(address).rpc.reset();
                        directory_.onFailed(id, loop_.now());
                        logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", id.value()}});
