--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -7,7 +7,8 @@
 namespace seamarch {
 namespace {
 
-// Larger than any configuration that the store takes.
+// Larger than any configuration that the store accepts. Bounds the memory that a message can make
+// `decompressText` allocate.
 constexpr std::size_t kMaxTextBytes = std::size_t{64} * 1024 * 1024;
 
 } // namespace
@@ -97,7 +98,8 @@
     LimitWord word;
     word.upstream = InstanceId(from.getUpstream().cStr());
     word.start = UpstreamStart(from.getStartedUnixMillis());
-    // A rate that makes no sense binds as none at all would: the upstream is asked now and then.
+    // A negative or non-finite rate counts as zero, at which an occasional request is still
+    // permitted.
     const double perSecond = from.getPerSecond();
     const bool readable = std::isfinite(perSecond) && perSecond >= 0.0;
     if (from.getNamed()) {
@@ -144,7 +146,7 @@
 {
     uLongf size = compressBound(text.size());
     std::vector<std::uint8_t> bytes(size);
-    // With room for the bound, only a lack of memory could make it fail.
+    // The buffer has the size of the bound, so compression fails only if memory runs out.
     const int result = compress2(bytes.data(), &size, reinterpret_cast<const Bytef *>(text.data()),
                                  text.size(), Z_BEST_SPEED);
     bytes.resize(result == Z_OK ? size : 0);
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -1,4 +1,6 @@
-// Converts what gateways tell each other from and to its form on the wire.
+// Converts the data that gateways exchange to and from its Cap'n Proto messages. The write
+// functions fill a message, the read functions return what it holds. The clocks of two processes
+// are not comparable, so times are sent as ages or remaining times.
 #pragma once
 
 #include "decision/gateway/grouptable.h"
@@ -16,28 +18,32 @@
 
 namespace seamarch {
 
+// `heardAgo` is the time since the gateway was last heard from; `readGateway` does not return it.
 void writeGateway(const GatewayRecord &record, Duration heardAgo, wire::GatewayRecord::Builder to);
 GatewayRecord readGateway(wire::GatewayRecord::Reader from);
 
-// `record` is written as of `now`, and read as of when it is read.
+// The end of the warm-up is sent as the time remaining at `now`, and counts from `now` when read.
 void writeUpstream(const UpstreamRecord &record, TimePoint now, wire::ListedUpstream::Builder to);
 UpstreamRecord readUpstream(wire::ListedUpstream::Reader from, TimePoint now);
 
 void writeDrainedHalls(const std::set<HallId> &halls, wire::GatewayNews::Builder to);
 std::set<HallId> readDrainedHalls(wire::GatewayNews::Reader from);
 
-// Without `members`, what is written renews facts that the reader has.
+// If `members` is false, the members are omitted; the message then only renews facts that the
+// reader has already. `age` is the time since the facts were confirmed.
 void writeGroup(const GroupFacts &facts, Duration age, bool members, wire::GroupNews::Builder to);
 GroupFacts readGroup(wire::GroupNews::Reader from);
 
-// `word` is written as of `now`, and read as of when it was written.
+// The time at which the upstream named the limit is sent as its age at `now`. `writtenAt` is when
+// the message was written, on the reader's clock.
 void writeLimit(const LimitWord &word, TimePoint now, wire::UpstreamLimit::Builder to);
 LimitWord readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt);
 
-// A configuration of many routes is a large text that repeats itself, and goes to every gateway of
-// a hall over the link of one.
+// Compresses a text with zlib. A configuration of many routes is a large and repetitive text, and
+// one gateway sends it over its link to all gateways of a hall.
 std::vector<std::uint8_t> compressText(std::string_view text);
-// Returns nothing when `bytes` are no deflated text of `size` bytes.
+// Returns the text that `compressText` compressed to the `count` bytes at `bytes`, or nothing if
+// they do not decompress to exactly `size` bytes or `size` exceeds the limit for a configuration.
 std::optional<std::string> decompressText(const std::uint8_t *bytes, std::size_t count,
                                           std::size_t size);
 
