--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -1,5 +1,5 @@
-// The part of GatewayService that talks to upstreams: it starts and cancels attempts, and hands
-// their answers on.
+// The part of GatewayService that calls upstreams: it starts and cancels attempts and forwards
+// their answers to callers.
 #include "base/log.h"
 #include "gateway/gatewayservice.h"
 #include "gateway/requestdigest.h"
@@ -11,10 +11,9 @@
 namespace seamarch {
 namespace {
 
-// Answers up to this size are read whole before their head goes out, so that one that breaks off
-// is never half delivered; longer ones would hold too much memory.
+// The size limit of answers that are not streamed. They are buffered until complete and only then
+// sent, so that the caller never receives a truncated one; longer ones would use too much memory.
 constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{1024} * 1024;
-// How long a connection to an upstream may take to be made.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
 
 std::string_view nameOf(HttpCallEnd end)
@@ -69,7 +68,7 @@
 
 } // namespace
 
-// Hands an upstream's answer to the service under the request's number and attempt.
+// Passes an upstream's answer to the service with the numbers of the request and the attempt.
 class GatewayService::Receiver final : public HttpCallReceiver
 {
 public:
@@ -197,7 +196,7 @@
         return;
     }
     if (kind == AnswerKind::Success || kind == AnswerKind::Failure) {
-        return; // Decided once the body is whole.
+        return; // Decided when the body is complete.
     }
     logLine(LogLevel::Info, "attempt.refused",
             {{"id", active->facts.requestId},
@@ -265,7 +264,8 @@
     } else {
         active.longestPause = std::max(active.longestPause, now - active.lastEventAt);
     }
-    // The caller's pause over a change of upstreams says nothing of either.
+    // The gap before the first event of a further attempt spans a change of upstreams, so it does
+    // not count as a pause of either upstream.
     if (!std::exchange(active.attemptHasEvents, true)) {
         core_.onFirstEvent(number, now);
     } else {
@@ -308,15 +308,16 @@
     const auto found = activeRequests_.find(number);
     if (found == activeRequests_.end() || found->second.attempt != attempt
         || found->second.call != 0) {
-        return; // Over, or at another upstream meanwhile.
+        return; // The request has ended or has moved on to another upstream.
     }
     GatewayActions actions;
     core_.onEnd(number, end, loop_.now(), actions);
     carryOut(actions);
 }
 
-// Finds out whether the upstream has ended that lost the request. What becomes of the request waits
-// for that, some round trips at most: sent on at once, it might take another upstream down.
+// Probes whether the upstream that lost the request has ended. The request waits for the result,
+// which takes some round trips at most: retried at once, a request that crashes upstreams might
+// take down another one.
 void GatewayService::probeUpstream(RequestNumber number, const ActiveRequest &active)
 {
     LostAttempt lost{active.facts.requestId, active.admitted.digest, active.admitted.account,
--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -1,5 +1,5 @@
-// The part of GatewayService that takes what upstreams say of themselves, and asks for permits to
-// send to those that name a limit.
+// The part of GatewayService that processes the notices in upstreams' answers (pauses, leaving,
+// rate limits), and requests permits to send to upstreams.
 #include "base/log.h"
 #include "gateway/gatewayservice.h"
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-// Takes what the head of an answer says about the upstream that gave it.
+// Processes the notices in the head of an answer about the upstream that sent it.
 void GatewayService::handleNotice(RequestNumber number, const ActiveRequest &active,
                                   AnswerKind kind)
 {
@@ -58,8 +58,8 @@
     core_.onNotice(number, notice, loop_.now());
 }
 
-// Takes the limit that an answer names, or that it names none. An answer that cannot be trusted, or
-// that another instance may have given, ends no limit.
+// Applies the limit that an answer names, or ends the upstream's limit if the answer names none. An
+// invalid answer, or one that another instance may have sent, does not end a limit.
 void GatewayService::handleLimit(RequestNumber number, const ActiveRequest &active,
                                  const UpstreamNotice &notice, AnswerKind kind)
 {
@@ -83,7 +83,7 @@
     metrics_.count("seamarch_limit_changes_total", nameOf(change));
 }
 
-// Asks for the permits that requests have wanted.
+// Requests the permits that waiting requests need.
 void GatewayService::requestPermits()
 {
     const TimePoint now = loop_.now();
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -13,9 +13,10 @@
 
 using nlohmann::json;
 
-// How often requests are checked for the end of their time.
+// The interval at which deadlines and the periodic work of the gateway's parts are checked.
 constexpr Duration kTickInterval = std::chrono::milliseconds(25);
-// When a caller may come back to a gateway that does not know enough.
+// The Retry-After of requests refused because this gateway has no recent configuration or is
+// stopping.
 constexpr Duration kNotReadyRetryAfter = std::chrono::milliseconds(500);
 
 GatewayCore::Settings coreSettings(const GatewaySettings &settings)
@@ -122,7 +123,7 @@
 {
     CallerFacts facts = protocol_.readRequest(request);
     if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.times.stopDelay) {
-        // By now the balancer knows; what still comes would not be finished in time.
+        // The balancer has noticed the stop by now, and a new request might not finish in time.
         refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyRetryAfter);
         return;
     }
@@ -135,8 +136,8 @@
     admitRequest(exchange, std::move(request), loop_.now());
 }
 
-// Hands over requests that came before there was a configuration, once there is one; refuses those
-// that have waited long enough.
+// Processes requests that arrived before the first configuration, once there is one. Until then,
+// passes on those that have waited too long, which are refused for the lack of a configuration.
 void GatewayService::processEarlyRequests()
 {
     constexpr std::size_t kMaxPerTick = 1;
@@ -151,7 +152,7 @@
     }
 }
 
-// Admits a request, or refuses it.
+// Starts the request if it is admitted, else refuses it.
 void GatewayService::admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
 {
     CallerFacts facts = protocol_.readRequest(request);
@@ -325,7 +326,7 @@
     return true;
 }
 
-// The requests that upstreams have ended under, those with the most ends first.
+// Lists the requests under which upstreams have ended, those with the most ends first.
 json GatewayService::suspectsStatus() const
 {
     constexpr std::size_t kMaxSuspectsShown = 20;
@@ -346,7 +347,7 @@
     return shown;
 }
 
-// The upstreams that want nothing from this gateway now, and for how long still.
+// Lists the upstreams that have asked this gateway to pause, and the time left of each pause.
 json GatewayService::restingStatus() const
 {
     const TimePoint now = loop_.now();
@@ -357,7 +358,7 @@
     return shown;
 }
 
-// The upstreams that name a limit for all gateways together, and how long ago they last did.
+// Lists the upstreams that name a rate limit for all gateways together, and the age of that limit.
 json GatewayService::limitedStatus() const
 {
     const TimePoint now = loop_.now();
@@ -432,7 +433,7 @@
 void GatewayService::stopIfDrained()
 {
     const Duration since = loop_.now() - stopStartedAt_;
-    // The balancer lags behind the readiness, so new requests are served for a while.
+    // The balancer notices the lost readiness with a delay and sends requests until then.
     if (since < settings_.times.stopDelay) {
         return;
     }
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -1,9 +1,12 @@
-// A gateway: takes callers' requests and sends them straight to upstreams, as the platform's store
-// lists them.
+// The gateway process: accepts callers' requests over HTTP and forwards them directly to the
+// upstreams that the platform's store lists.
 //
-// The service is the shell around GatewayCore. It owns the callers' exchanges, the calls to
-// upstreams and the watch on the store, and decides nothing about requests itself: GatewayStoreView
-// says whether a request is admitted, GatewayCore what becomes of it.
+// The service does the I/O around GatewayCore. It owns the callers' exchanges, the calls to
+// upstreams and the sources of the store's data, and makes no decisions about requests itself:
+// GatewayStoreView admits or refuses a request, and GatewayCore decides how an admitted one is
+// handled.
+//
+// Single-threaded; runs on the event loop that it is created with.
 #pragma once
 
 #include "decision/gateway/eventstream.h"
@@ -38,13 +41,13 @@
     SocketAddress operatorListen; // For the platform's balancer and operators.
     std::optional<SocketAddress> metricsListen;
     SocketAddress store;
-    std::optional<SocketAddress> peerListen; // For other gateways; nothing: each asks the store.
-    std::vector<SocketAddress> seeds;        // Some of the other gateways.
-    std::optional<int> agentPort; // Of the agents beside engines, at the engines' addresses.
-    std::size_t maxAccountSeries = 300;
-    // How long it is remembered that an upstream ended under a request; zero: not at all.
+    std::optional<SocketAddress> peerListen; // For other gateways; if empty, each polls the store.
+    std::vector<SocketAddress> seeds;        // Some of the other gateways, for discovery.
+    std::optional<int> agentPort; // The port of the agents, which run at the engines' addresses.
+    std::size_t maxAccountSeries = 300; // Limits the metric series that are kept per account.
+    // How long the record is kept that an upstream ended under a request; zero disables it.
     Duration crashRetention = CrashRecord::Settings().life;
-    // What the platform asks of every gateway, as its settings tell.
+    // Limits from the platform's settings, and the timings derived from them.
     GatewayBounds bounds;
     GatewayTimings times = deriveTimings(GatewayBounds());
 };
@@ -52,8 +55,8 @@
 class GatewayService final : private HttpHandler, private StatusSource
 {
 public:
-    // Opens all addresses. Fails when one of them cannot be opened. The protocol and the store's
-    // reader outlive the service.
+    // Opens all addresses and starts serving. Fails if one of them cannot be opened. The loop, the
+    // protocol and the store must outlive the service.
     static tl::expected<std::unique_ptr<GatewayService>, NetError>
     create(EventLoop &loop, const GatewaySettings &settings, const CallerProtocol &protocol,
            const MetadataStore &store);
@@ -61,18 +64,18 @@
     GatewayService(const GatewayService &) = delete;
     GatewayService &operator=(const GatewayService &) = delete;
 
-    // Takes settings that were read anew. Addresses, the instance and the hall stay as they are
-    // until the process starts anew; a change of those is logged.
+    // Applies reloaded settings. Changes to addresses, the instance, the hall and its regions take
+    // effect only at the next start of the process; they are logged.
     void applySettings(const GatewaySettings &settings);
 
-    // Starts a planned stop: readiness goes down, requests go on, and the loop stops when the last
-    // answer is out or at the deadline.
+    // Starts a planned stop: the gateway reports that it is not ready, continues to serve requests,
+    // and stops the loop when the last answer has been sent or at the deadline.
     void stop();
 
 private:
     class Receiver;
 
-    // A caller's request on its way.
+    // An admitted request that has not ended, with the state of its current attempt.
     struct ActiveRequest
     {
         ExchangeId exchange = 0;
@@ -80,24 +83,24 @@
         CallerFacts facts;
         GatewayRequest admitted;
         HttpCallId call = 0;
-        std::uint32_t attempt = 0; // Of the call under way.
-        InstanceId upstream;
-        SocketAddress address; // Of that upstream.
+        std::uint32_t attempt = 0; // The number of the current attempt.
+        InstanceId upstream;       // The upstream of the current attempt.
+        SocketAddress address;
         GroupId group;
         HttpHead head;
-        std::string body;     // Of an answer that goes out whole.
-        bool streams = false; // The answer under way is a stream of events.
+        std::string body;     // Buffers an answer that is sent as a whole.
+        bool streams = false; // The current answer is an event stream.
         bool headSent = false;
-        bool attemptHasEvents = false; // The attempt under way has sent an event.
-        bool resuming = false;         // Events follow those of an earlier attempt.
+        bool attemptHasEvents = false; // The current attempt has received an event.
+        bool resuming = false;         // The current attempt continues an earlier one's stream.
         EventStream events;
         TimePoint startedAt{};
         TimePoint firstEventAt{};
         TimePoint lastEventAt{};
-        Duration longestPause{}; // Between two events, as the caller saw them.
+        Duration longestPause{}; // The longest gap between two events sent to the caller.
     };
 
-    // A request whose connection to its upstream broke.
+    // An attempt whose connection to the upstream broke.
     struct LostAttempt
     {
         std::string requestId;
