--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -11,7 +11,7 @@
     return std::chrono::milliseconds(count);
 }
 
-// Bounds unlike those of any example.
+// Bounds that differ from the defaults.
 GatewayBounds tightBounds()
 {
     GatewayBounds bounds;
--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -35,7 +35,7 @@
                           {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
                           [](const RouteTable &) {}};
 
-    // What another gateway tells of version 3 with one upstream, at revision 10.
+    // Returns a peer's state at revision 10, with configuration version 3 and one upstream.
     PeerStoreState peerState() const
     {
         return {{1, 10}, ConfigVersion(3), document(3), 77, std::vector{upstream("i-1")}, {}};
@@ -71,7 +71,8 @@
     CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
 
-// The store came back from an older copy: a revision means nothing without its era.
+// After the store is restored from an older copy, it assigns revisions again in a new era, so
+// revisions compare only within an era.
 TEST(GatewayStoreViewTest, AdoptsALowerRevisionOfALaterEra)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
@@ -121,7 +122,7 @@
     LONGS_EQUAL(4, view.version().value());
     LONGS_EQUAL(9, view.place().revision);
     CHECK_FALSE(upstreams.mayReceive(InstanceId("i-1")));
-    CHECK_TRUE(upstreams.mayReceive(InstanceId("i-2"))); // It may live, and lists itself again.
+    CHECK_TRUE(upstreams.mayReceive(InstanceId("i-2"))); // It may be alive and register again.
 }
 
 TEST(GatewayStoreViewTest, WarmUpIsCountedFromReadingTheEntry)
@@ -208,8 +209,9 @@
     CHECK_FALSE(view.adopt(same, loop->now()));
 }
 
-// The pattern: the gateway that a hall follows is turned away, and each of the others asks one
-// gateway after the other. Handing the list over each time took more bytes than all else.
+// When the gateway that a hall follows becomes unavailable, each of the others polls one gateway
+// after another. If equal lists had different marks, each poll would transfer the full list, which
+// outweighs all other traffic between gateways.
 TEST(GatewayStoreViewTest, EqualListsHaveEqualMarks)
 {
     UpstreamTable otherUpstreams;
@@ -237,8 +239,8 @@
     CHECK_FALSE(view.advertisedMark() == 77);
 }
 
-// The pattern: a gateway that follows the store asks others, and was handed the whole list each
-// time because it named none.
+// Guards against a gateway that reads the store itself and polls others without naming its list's
+// mark: it would receive the full list with each answer.
 TEST(GatewayStoreViewTest, StoreListIsAdvertisedByItsMark)
 {
     LONGS_EQUAL(0, view.advertisedMark());
