--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -41,7 +41,7 @@
     CHECK_TRUE(readUpstream(to.asReader(), now) == record);
 }
 
-// The clocks of two gateways have nothing to do with each other.
+// The steady clocks of two gateways are unrelated.
 TEST(GatewayWireTest, WarmUpIsSentAsRemainingTime)
 {
     UpstreamRecord record;
@@ -89,7 +89,7 @@
     CHECK_FALSE(decompressText(bytes.data(), bytes.size(), std::size_t{1} << 40U).has_value());
 }
 
-// What happened is told by how long ago it was, so that no two clocks are compared.
+// Times are sent as ages, because the clocks of two gateways are not comparable.
 TEST(GatewayWireTest, SuspectsAreSentWithRelativeTimes)
 {
     CrashSuspect suspect;
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -1,9 +1,9 @@
-// The load that this answers: operators drain halls, take that back and write it again, while
-// gateways hear of it from the store and from each other, late, out of order or not at all, and
-// start anew.
+// Simulates gateways that adopt the set of drained halls from the store and from each other, while
+// operators drain halls and end drains. Messages arrive late, out of order or not at all, and
+// gateways restart.
 //
-// The model keeps which halls the store held as drained at each of its revisions. Whatever a
-// gateway has heard, and from whom, its halls are those of the revision that it stands at.
+// The model records which halls were drained at each revision of the store. After each step, every
+// gateway must send to exactly the halls that were not drained at the revision that it is at.
 #include "gateway/gatewaystoreview.h"
 
 #include "base/log.h"
@@ -59,10 +59,11 @@
     int incarnation = 0;
     TimePoint askedAt{};
     bool wholeList = false;
-    std::optional<StoreItems> items; // Of the store; else of another gateway.
-    PeerStoreState shared;
+    std::optional<StoreItems> items; // Set if the message is from the store.
+    PeerStoreState shared;           // Set if it is from another gateway.
 };
 
+// Faults to inject, to show that the checks detect them.
 enum class Fault { None, DrainsNotForwarded, DrainEndsIgnored };
 
 class HallDrainSimulation
@@ -82,7 +83,7 @@
         }
     }
 
-    // Returns what was found; empty: nothing.
+    // Returns a description of the first wrong decision; empty if there is none.
     std::string run()
     {
         constexpr int kSteps = 150;
@@ -216,7 +217,7 @@
             return;
         }
         if (message.items->place < gateway.view.place()) {
-            return; // A watcher makes one call at a time.
+            return; // Not possible with the real store watcher, which makes one call at a time.
         }
         gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
         if (message.wholeList) {
@@ -300,7 +301,7 @@
     CHECK_TRUE(isDetected(Fault::DrainEndsIgnored));
 }
 
-// More seeds by hand: SEAMARCH_DRAIN_SEEDS says how many.
+// SEAMARCH_DRAIN_SEEDS sets the number of seeds for longer runs.
 TEST(HallDrainTest, GatewaysFollowTheDrainsOfTheirRevision)
 {
     const char *seedCount = std::getenv("SEAMARCH_DRAIN_SEEDS");
