--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -58,7 +58,7 @@
     std::size_t to = 0;
     int incarnation = 0;
     TimePoint askedAt{};
-    bool wholeList = false;
+    bool fullList = false;
     std::optional<StoreItems> items; // Set if the message is from the store.
     PeerStoreState shared;           // Set if it is from another gateway.
 };
@@ -137,14 +137,14 @@
         ++incarnations_[index];
     }
 
-    void queryStore(int index, bool wholeList)
+    void queryStore(int index, bool fullList)
     {
         const SimulatedGateway &gateway = *gateways_[index];
         const std::uint64_t since = gateway.view.place().revision;
         Message message{static_cast<std::size_t>(index), incarnations_[index], now_,
-                        wholeList || since == 0,         StoreItems(),         {}};
+                        fullList || since == 0,          StoreItems(),         {}};
         message.items->place = {1, revision_};
-        if (message.wholeList) {
+        if (message.fullList) {
             RoutingDocument document;
             document.version = ConfigVersion(1);
             message.items->items.emplace_back(document);
@@ -220,7 +220,7 @@
             return; // Not possible with the real store watcher, which makes one call at a time.
         }
         gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
-        if (message.wholeList) {
+        if (message.fullList) {
             gateway.view.onStoreListed(*message.items, message.askedAt);
         } else {
             gateway.view.onStoreChanged(*message.items, message.askedAt);
