--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -60,7 +60,7 @@
     TimePoint askedAt{};
     bool fullList = false;
     std::optional<StoreItems> items; // Set if the message is from the store.
-    PeerStoreState shared;           // Set if it is from another gateway.
+    PeerStoreState peerState;        // Set if it is from another gateway.
 };
 
 // Faults to inject, to show that the checks detect them.
@@ -176,19 +176,19 @@
                         false,
                         std::nullopt,
                         {}};
-        PeerStoreState &shared = message.shared;
-        shared.place = sender.view.place();
-        shared.version = sender.view.version();
-        shared.document.emplace();
-        shared.document->version = shared.version;
-        shared.upstreamsMark = sender.view.upstreamsMark();
-        if (shared.upstreamsMark != gateways_[to]->view.upstreamsMark()) {
-            shared.upstreams.emplace();
+        PeerStoreState &peerState = message.peerState;
+        peerState.place = sender.view.place();
+        peerState.version = sender.view.version();
+        peerState.document.emplace();
+        peerState.document->version = peerState.version;
+        peerState.upstreamsMark = sender.view.upstreamsMark();
+        if (peerState.upstreamsMark != gateways_[to]->view.upstreamsMark()) {
+            peerState.upstreams.emplace();
             for (const UpstreamRecord *record : sender.upstreams.all()) {
-                shared.upstreams->push_back(*record);
+                peerState.upstreams->push_back(*record);
             }
             if (fault_ != Fault::DrainsNotForwarded) {
-                shared.drainedHalls = sender.upstreams.drainedHalls();
+                peerState.drainedHalls = sender.upstreams.drainedHalls();
             }
         }
         pendingMessages_.push_back(std::move(message));
@@ -211,7 +211,7 @@
     static void applyMessage(SimulatedGateway &gateway, const Message &message)
     {
         if (!message.items) {
-            if (gateway.view.adopt(message.shared, message.askedAt)) {
+            if (gateway.view.adopt(message.peerState, message.askedAt)) {
                 gateway.confirmedAt = message.askedAt;
             }
             return;
