--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -91,7 +91,7 @@
             now_ += Duration(1);
             switch (draw(8)) {
             case 0:
-                changeDrain();
+                toggleDrain();
                 break;
             case 1:
             case 2:
@@ -119,7 +119,7 @@
 private:
     int draw(int limit) { return static_cast<int>(random_() % static_cast<std::uint64_t>(limit)); }
 
-    void changeDrain()
+    void toggleDrain()
     {
         const HallId hall = hallOf(draw(kHalls));
         std::set<HallId> halls = drainedAt_.rbegin()->second;
