--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -123,12 +123,12 @@
     {
         const HallId hall = hallOf(draw(kHalls));
         std::set<HallId> halls = drainedAt_.rbegin()->second;
-        const bool over = halls.erase(hall) > 0;
-        if (!over) {
+        const bool wasDrained = halls.erase(hall) > 0;
+        if (!wasDrained) {
             halls.insert(hall);
         }
         drainedAt_[++revision_] = halls;
-        events_[revision_] = {hall, over};
+        events_[revision_] = {hall, wasDrained};
     }
 
     void restart(int index)
