--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -128,7 +128,7 @@
             halls.insert(hall);
         }
         drainedAt_[++revision_] = halls;
-        events_[revision_] = {hall, wasDrained};
+        drainChanges_[revision_] = {hall, wasDrained};
     }
 
     void restart(int index)
@@ -155,7 +155,8 @@
                 message.items->items.emplace_back(HallDrain{hall, false});
             }
         } else {
-            for (auto event = events_.upper_bound(since); event != events_.end(); ++event) {
+            for (auto event = drainChanges_.upper_bound(since); event != drainChanges_.end();
+                 ++event) {
                 if (fault_ != Fault::DrainEndsIgnored || !event->second.over) {
                     message.items->items.emplace_back(event->second);
                 }
@@ -256,7 +257,7 @@
     TimePoint now_ = TimePoint(std::chrono::seconds(1));
     std::uint64_t revision_ = 1;
     std::map<std::uint64_t, std::set<HallId>> drainedAt_; // By revision.
-    std::map<std::uint64_t, HallDrain> events_;           // By revision.
+    std::map<std::uint64_t, HallDrain> drainChanges_;     // By revision.
     std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
     std::vector<int> incarnations_;
     std::vector<Message> pendingMessages_;
