--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -23,7 +23,7 @@
 
 namespace {
 
-constexpr std::size_t kGateways = 7;
+constexpr std::size_t kGatewayCount = 7;
 constexpr int kHalls = 3;
 
 HallId hallOf(int index)
@@ -75,10 +75,10 @@
         , seed_(seed)
         , fault_(fault)
         , random_(seed)
-        , incarnations_(kGateways, 0)
+        , incarnations_(kGatewayCount, 0)
     {
         drainedAt_[revision_] = {};
-        for (std::size_t index = 0; index < kGateways; ++index) {
+        for (std::size_t index = 0; index < kGatewayCount; ++index) {
             gateways_.push_back(std::make_unique<SimulatedGateway>(loop, metrics));
         }
     }
@@ -96,15 +96,15 @@
             case 1:
             case 2:
             case 3:
-                queryStore(draw(kGateways), draw(4) == 0);
+                queryStore(draw(kGatewayCount), draw(4) == 0);
                 break;
             case 4:
             case 5:
-                sendState(draw(kGateways), draw(kGateways));
+                sendState(draw(kGatewayCount), draw(kGatewayCount));
                 break;
             case 6:
                 if (draw(10) == 0) {
-                    restart(draw(kGateways));
+                    restart(draw(kGatewayCount));
                 }
                 break;
             default:
@@ -230,7 +230,7 @@
 
     void check()
     {
-        for (std::size_t index = 0; index < kGateways; ++index) {
+        for (std::size_t index = 0; index < kGatewayCount; ++index) {
             const SimulatedGateway &gateway = *gateways_[index];
             if (!gateway.view.confirmed()) {
                 continue;
