--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 constexpr std::size_t kGatewayCount = 7;
-constexpr int kHalls = 3;
+constexpr int kHallCount = 3;
 
 HallId hallOf(int index)
 {
@@ -121,7 +121,7 @@
 
     void toggleDrain()
     {
-        const HallId hall = hallOf(draw(kHalls));
+        const HallId hall = hallOf(draw(kHallCount));
         std::set<HallId> halls = drainedAt_.rbegin()->second;
         const bool wasDrained = halls.erase(hall) > 0;
         if (!wasDrained) {
@@ -148,7 +148,7 @@
             RoutingDocument document;
             document.version = ConfigVersion(1);
             message.items->items.emplace_back(document);
-            for (int hall = 0; hall < kHalls; ++hall) {
+            for (int hall = 0; hall < kHallCount; ++hall) {
                 message.items->items.emplace_back(makeUpstream(hall));
             }
             for (const HallId &hall : drainedAt_.rbegin()->second) {
@@ -237,7 +237,7 @@
             }
             const std::uint64_t revision = gateway.view.place().revision;
             const std::set<HallId> &drained = drainedAt_.at(revision);
-            for (int hall = 0; hall < kHalls; ++hall) {
+            for (int hall = 0; hall < kHallCount; ++hall) {
                 const bool sends =
                     gateway.upstreams.mayReceive(InstanceId(fmt::format("i-{}", hall)));
                 if (sends == drained.contains(hallOf(hall))) {
