--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -59,7 +59,7 @@
 }
 
 // Applies the limit that an answer names, or ends the upstream's limit if the answer names none. An
-// invalid answer, or one that another instance may have sent, does not end a limit.
+// answer that is refused or invalid, or that another instance may have sent, does not end a limit.
 void GatewayService::handleLimit(RequestNumber number, const ActiveRequest &active,
                                  const UpstreamNotice &notice, AnswerKind kind)
 {
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -44,7 +44,7 @@
     std::optional<SocketAddress> peerListen; // For other gateways; if empty, each polls the store.
     std::vector<SocketAddress> seeds;        // Some of the other gateways, for discovery.
     std::optional<int> agentPort; // The port of the agents, which run at the engines' addresses.
-    std::size_t maxAccountSeries = 300; // Limits the metric series that are kept per account.
+    std::size_t maxAccountSeries = 300; // The number of accounts with metric series of their own.
     // How long the record is kept that an upstream ended under a request; zero disables it.
     Duration crashRetention = CrashRecord::Settings().life;
     // Limits from the platform's settings, and the timings derived from them.
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -56,7 +56,7 @@
 struct Message
 {
     std::size_t to = 0;
-    int incarnation = 0;
+    int incarnation = 0; // Of the receiver when the message was sent; a restart invalidates it.
     TimePoint askedAt{};
     bool fullList = false;
     std::optional<StoreItems> items; // Set if the message is from the store.
@@ -66,6 +66,7 @@
 // Faults to inject, to show that the checks detect them.
 enum class Fault { None, DrainsNotForwarded, DrainEndsIgnored };
 
+// One run of the simulation; the seed determines all of its random choices.
 class HallDrainSimulation
 {
 public:
