--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -173,8 +173,8 @@
         return;
     }
     link.id = id == InstanceId() ? link.id : id;
-    const bool gateways = list == ListRequest::Always || isGatewayListDue(link, now);
-    gatewayListRequestedAt_ = gateways ? now : gatewayListRequestedAt_;
+    const bool withGatewayList = list == ListRequest::Always || isGatewayListDue(link, now);
+    gatewayListRequestedAt_ = withGatewayList ? now : gatewayListRequestedAt_;
     link.polling = true;
     auto request = link.rpc->capability().castAs<wire::GatewayPeer>().exchangeRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
@@ -185,7 +185,7 @@
     request.setConfigVersion(configDeferred ? kNewerThanAnyConfig : storeView_.version().value());
     request.setUpstreamsMark(storeView_.advertisedMark());
     request.setTakesChanges(true);
-    request.setWantsGateways(gateways);
+    request.setWantsGateways(withGatewayList);
     request.setGatewaysMark(directory_.mark());
     request.setWaitMicros(maxWait.count());
     link.groupsMark = link.groupsMark == 0 ? groups_.mark() : link.groupsMark;
