--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -332,9 +332,9 @@
 
 bool GatewayPeers::hasNewsFor(const PollRequest &pollRequest) const
 {
-    const bool groups = lastGroupsMark_ != 0 && lastGroupsMark_ != pollRequest.groupsMark;
+    const bool groupsChanged = lastGroupsMark_ != 0 && lastGroupsMark_ != pollRequest.groupsMark;
     return storeView_.version() > pollRequest.version
-           || storeView_.upstreamsMark() != pollRequest.upstreamsMark || groups
+           || storeView_.upstreamsMark() != pollRequest.upstreamsMark || groupsChanged
            || crashes_.hasChangedSince(pollRequest.crashCursor)
            || (pollRequest.wantsLimits && limits_.mark() != pollRequest.limitsMark);
 }
