--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -94,7 +94,8 @@
     std::uint32_t attempt_;
 };
 
-GatewayService::ActiveRequest *GatewayService::find(RequestNumber number, std::uint32_t attempt)
+GatewayService::ActiveRequest *GatewayService::findActiveRequest(RequestNumber number,
+                                                                 std::uint32_t attempt)
 {
     const auto found = activeRequests_.find(number);
     if (found == activeRequests_.end() || found->second.attempt != attempt
@@ -176,7 +177,7 @@
 
 void GatewayService::onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head)
 {
-    ActiveRequest *active = find(number, attempt);
+    ActiveRequest *active = findActiveRequest(number, attempt);
     if (active == nullptr) {
         return;
     }
@@ -228,7 +229,7 @@
                                    std::string_view piece)
 {
     constexpr std::size_t kBufferedHighWater = std::size_t{256} * 1024;
-    ActiveRequest *active = find(number, attempt);
+    ActiveRequest *active = findActiveRequest(number, attempt);
     if (active == nullptr) {
         return;
     }
@@ -277,7 +278,7 @@
 
 void GatewayService::onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end)
 {
-    ActiveRequest *active = find(number, attempt);
+    ActiveRequest *active = findActiveRequest(number, attempt);
     if (active == nullptr) {
         return;
     }
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -149,7 +149,7 @@
     void finishAnswer(RequestNumber number, ActiveRequest &active);
     void relayEvents(RequestNumber number, ActiveRequest &active, std::string_view piece);
     void endRequest(RequestNumber number, std::string_view result);
-    ActiveRequest *find(RequestNumber number, std::uint32_t attempt);
+    ActiveRequest *findActiveRequest(RequestNumber number, std::uint32_t attempt);
     void tick();
     void stopIfDrained();
 
