--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -152,7 +152,6 @@
     }
 }
 
-// Starts the request if it is admitted, else refuses it.
 void GatewayService::admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
 {
     CallerFacts facts = protocol_.readRequest(request);
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -32,6 +32,7 @@
 
 namespace seamarch {
 
+// The settings of a gateway process.
 struct GatewaySettings
 {
     InstanceId instance;
@@ -52,6 +53,7 @@
     GatewayTimings times = deriveTimings(GatewayBounds());
 };
 
+// Runs one gateway on an event loop.
 class GatewayService final : private HttpHandler, private StatusSource
 {
 public:
@@ -125,6 +127,7 @@
     nlohmann::json limitedStatus() const;
 
     void applyConfiguration(const RouteTable &table);
+    // Starts the request if it is admitted, else refuses it. Its times count from `arrivedAt`.
     void admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
     void processEarlyRequests();
     void refuse(ExchangeId exchange, const CallerFacts &facts, FailureCode code, Outcome outcome,
@@ -143,12 +146,15 @@
     void requestPermits();
     void onAnswerPiece(RequestNumber number, std::uint32_t attempt, std::string_view piece);
     void onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end);
+    // Reports a lost attempt to the core, unless the request has ended or a further attempt
+    // started.
     void onAttemptLost(RequestNumber number, std::uint32_t attempt, AttemptEnd end);
     void probeUpstream(RequestNumber number, const ActiveRequest &active);
     void startStream(RequestNumber number, ActiveRequest &active);
     void finishAnswer(RequestNumber number, ActiveRequest &active);
     void relayEvents(RequestNumber number, ActiveRequest &active, std::string_view piece);
     void endRequest(RequestNumber number, std::string_view result);
+    // Returns the request if `attempt` is its current attempt and has a call in flight, else null.
     ActiveRequest *findActiveRequest(RequestNumber number, std::uint32_t attempt);
     void tick();
     void stopIfDrained();
