--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -85,14 +85,14 @@
 };
 
 GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView,
-                           const SharedBeliefs &beliefs, const MetadataStore &store,
+                           const SharedBeliefs &sharedState, const MetadataStore &store,
                            GatewayDirectory &directory, StateReceived onStateReceived)
     : loop_(loop)
     , storeView_(storeView)
-    , groups_(beliefs.groups)
-    , crashes_(beliefs.crashes)
-    , limits_(beliefs.limits)
-    , permitIssuer_(beliefs.permitIssuer)
+    , groups_(sharedState.groups)
+    , crashes_(sharedState.crashes)
+    , limits_(sharedState.limits)
+    , permitIssuer_(sharedState.permitIssuer)
     , store_(store)
     , directory_(directory)
     , onStateReceived_(std::move(onStateReceived))
@@ -111,12 +111,12 @@
 }
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &beliefs,
+GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &sharedState,
                      const MetadataStore &store, GatewayDirectory &directory,
                      StateReceived onStateReceived)
 {
-    std::unique_ptr<GatewayPeers> peers(
-        new GatewayPeers(loop, storeView, beliefs, store, directory, std::move(onStateReceived)));
+    std::unique_ptr<GatewayPeers> peers(new GatewayPeers(loop, storeView, sharedState, store,
+                                                         directory, std::move(onStateReceived)));
     if (auto opened = peers->open(); !opened) {
         return tl::unexpected(opened.error());
     }
