--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -30,14 +30,14 @@
 {
     const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
     for (const auto &limit : news.getLimits()) {
-        const LimitWord word = readLimit(limit, answeredAt);
-        if (limits_.learn(word, loop_.now())) {
+        const LimitWord namedLimit = readLimit(limit, answeredAt);
+        if (limits_.learn(namedLimit, loop_.now())) {
             logLine(LogLevel::Info, "limit.heard",
                     {{"from", link.id.value()},
-                     {"upstream", word.upstream.value()},
-                     {"perSecond",
-                      word.rate ? nlohmann::json(word.rate->perSecond()) : nlohmann::json()},
-                     {"ageMs", toMillis(loop_.now() - word.saidAt)}});
+                     {"upstream", namedLimit.upstream.value()},
+                     {"perSecond", namedLimit.rate ? nlohmann::json(namedLimit.rate->perSecond())
+                                                   : nlohmann::json()},
+                     {"ageMs", toMillis(loop_.now() - namedLimit.saidAt)}});
         }
     }
     link.limitsMark = news.getLimitsMark();
--- a/src/gateway/gatewaypeerspermits.cpp
+++ b/src/gateway/gatewaypeerspermits.cpp
@@ -30,20 +30,20 @@
     const TimePoint now = loop_.now();
     const GatewayRecord from = readGateway(permitRequest.getSelf());
     directory_.hear(from, now);
-    const LimitWord word = readLimit(permitRequest.getLimit(), now);
-    if (word.rate) {
-        limits_.learn(word, now);
+    const LimitWord namedLimit = readLimit(permitRequest.getLimit(), now);
+    if (namedLimit.rate) {
+        limits_.learn(namedLimit, now);
     }
     UpstreamRecord upstream;
-    upstream.id = word.upstream;
-    upstream.start = word.start;
+    upstream.id = namedLimit.upstream;
+    upstream.start = namedLimit.start;
     std::optional<RequestRate> rate = limits_.limitOf(upstream);
-    rate = rate ? rate : word.rate;
+    rate = rate ? rate : namedLimit.rate;
     if (permitRequest.getWarmUpPerSecond() != 0.0) {
         const RequestRate warmUp = readRate(permitRequest.getWarmUpPerSecond());
         rate = std::min(rate.value_or(warmUp), warmUp);
     }
-    return permitIssuer_.take(word.upstream, rate.value_or(RequestRate()), from.id,
+    return permitIssuer_.take(namedLimit.upstream, rate.value_or(RequestRate()), from.id,
                               permitRequest.getWanted(), now);
 }
 
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -362,10 +362,10 @@
 {
     const TimePoint now = loop_.now();
     json shown = json::object();
-    for (const LimitWord &word : core_.limits().all()) {
-        if (word.rate) {
-            shown[word.upstream.value()] = {{"perSecond", word.rate->perSecond()},
-                                            {"msAgo", toMillis(now - word.saidAt)}};
+    for (const LimitWord &namedLimit : core_.limits().all()) {
+        if (namedLimit.rate) {
+            shown[namedLimit.upstream.value()] = {{"perSecond", namedLimit.rate->perSecond()},
+                                                  {"msAgo", toMillis(now - namedLimit.saidAt)}};
         }
     }
     return shown;
--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -84,29 +84,29 @@
     return halls;
 }
 
-void writeLimit(const LimitWord &word, TimePoint now, wire::UpstreamLimit::Builder to)
+void writeLimit(const LimitWord &namedLimit, TimePoint now, wire::UpstreamLimit::Builder to)
 {
-    to.setUpstream(word.upstream.value());
-    to.setStartedUnixMillis(word.start.value());
-    to.setNamed(word.rate.has_value());
-    to.setPerSecond(word.rate.value_or(RequestRate()).perSecond());
-    to.setSaidMicrosAgo((now - word.saidAt).count());
+    to.setUpstream(namedLimit.upstream.value());
+    to.setStartedUnixMillis(namedLimit.start.value());
+    to.setNamed(namedLimit.rate.has_value());
+    to.setPerSecond(namedLimit.rate.value_or(RequestRate()).perSecond());
+    to.setSaidMicrosAgo((now - namedLimit.saidAt).count());
 }
 
 LimitWord readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt)
 {
-    LimitWord word;
-    word.upstream = InstanceId(from.getUpstream().cStr());
-    word.start = UpstreamStart(from.getStartedUnixMillis());
+    LimitWord namedLimit;
+    namedLimit.upstream = InstanceId(from.getUpstream().cStr());
+    namedLimit.start = UpstreamStart(from.getStartedUnixMillis());
     // A negative or non-finite rate counts as zero, at which an occasional request is still
     // permitted.
     const double perSecond = from.getPerSecond();
     const bool readable = std::isfinite(perSecond) && perSecond >= 0.0;
     if (from.getNamed()) {
-        word.rate = RequestRate(readable ? perSecond : 0.0);
+        namedLimit.rate = RequestRate(readable ? perSecond : 0.0);
     }
-    word.saidAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
-    return word;
+    namedLimit.saidAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
+    return namedLimit;
 }
 
 void writeGroup(const GroupFacts &facts, Duration age, bool members, wire::GroupNews::Builder to)
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -36,7 +36,7 @@
 
 // The time at which the upstream named the limit is sent as its age at `now`. `writtenAt` is when
 // the message was written, on the reader's clock.
-void writeLimit(const LimitWord &word, TimePoint now, wire::UpstreamLimit::Builder to);
+void writeLimit(const LimitWord &namedLimit, TimePoint now, wire::UpstreamLimit::Builder to);
 LimitWord readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt);
 
 // Compresses a text with zlib. A configuration of many routes is a large and repetitive text, and
