--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -53,10 +53,10 @@
     if (limits_.mark() == pollRequest.limitsMark) {
         return;
     }
-    const std::vector<LimitWord> words = limits_.all();
-    auto list = news.initLimits(static_cast<std::uint32_t>(words.size()));
+    const std::vector<LimitWord> namedLimits = limits_.all();
+    auto list = news.initLimits(static_cast<std::uint32_t>(namedLimits.size()));
     for (std::uint32_t index = 0; index < list.size(); ++index) {
-        writeLimit(words[index], loop_.now(), list[index]);
+        writeLimit(namedLimits[index], loop_.now(), list[index]);
     }
 }
 
