--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -189,7 +189,7 @@
     CHECK_TRUE(!drained("south") && drained("west"));
 }
 
-TEST(GatewayStoreViewTest, VersionNeverGoesBack)
+TEST(GatewayStoreViewTest, VersionNeverDecreases)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     PeerStoreState later = peerState();
