--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -142,7 +142,7 @@
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt <= loop->now());
 }
 
-TEST(GatewayStoreViewTest, EntryWithoutWarmUpStartsItOncePerUpstreamStart)
+TEST(GatewayStoreViewTest, EntryWithoutWarmUpUsesTheServiceWarmUpOncePerStart)
 {
     StoreItems listed;
     listed.place = {1, 20};
