--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -90,7 +90,7 @@
 }
 
 // Times are sent as ages, because the clocks of two gateways are not comparable.
-TEST(GatewayWireTest, SuspectsAreSentWithRelativeTimes)
+TEST(GatewayWireTest, SuspectTimesAreSentAsAges)
 {
     CrashSuspect suspect;
     suspect.digest = RequestDigest(0xfeed);
