--- a/src/gateway/gatewaypeerspermits.cpp
+++ b/src/gateway/gatewaypeerspermits.cpp
@@ -53,8 +53,8 @@
     const SocketAddress address{issuer.host, issuer.port};
     auto request = linkTo(address).rpc->capability().castAs<wire::GatewayPeer>().permitsRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
-    const LimitWord none{permitRequest.upstream, permitRequest.start, std::nullopt, TimePoint{}};
-    writeLimit(permitRequest.limit.value_or(none), loop_.now(), request.initLimit());
+    const LimitWord noLimit{permitRequest.upstream, permitRequest.start, std::nullopt, TimePoint{}};
+    writeLimit(permitRequest.limit.value_or(noLimit), loop_.now(), request.initLimit());
     request.setWanted(permitRequest.wanted);
     request.setWarmUpPerSecond(permitRequest.warmUp.value_or(RequestRate()).perSecond());
     // The first of the answer and the timeout ends the request.
