--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -63,7 +63,7 @@
             answer();
             return kj::READY_NOW;
         }
-        return peers_.waiting_.wait(wait).then(kj::mv(answer));
+        return peers_.waitingPolls_.wait(wait).then(kj::mv(answer));
     }
 
     kj::Promise<void> hasNews(HasNewsContext context) override
@@ -96,7 +96,7 @@
     , store_(store)
     , directory_(directory)
     , onStateReceived_(std::move(onStateReceived))
-    , waiting_(loop)
+    , waitingPolls_(loop)
     , lastCrashCursor_(crashes_.cursor())
     , lastLimitsMark_(limits_.mark())
     , initialOwnEventCount_(ownEventCount())
@@ -454,7 +454,7 @@
         lastGroupsMark_ = groupsMark;
         lastCrashCursor_ = crashes_.cursor();
         lastLimitsMark_ = limits_.mark();
-        waiting_.wakeAll();
+        waitingPolls_.wakeAll();
     }
     announce(now);
     std::erase_if(links_, [now](const auto &entry) {
