--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -73,7 +73,7 @@
     {
         InstanceId upstream;
         UpstreamStart start;
-        std::uint32_t wanted = 0;
+        std::uint32_t wanted = 0;          // The number of permits.
         std::optional<LimitWord> limit;    // Empty if the upstream names none.
         std::optional<RequestRate> warmUp; // The warm-up limit; empty if the upstream is warm.
     };
@@ -165,13 +165,13 @@
     GatewayDirectory &directory_;
     StateReceived onStateReceived_;
     std::unique_ptr<RawTransport> transport_;
-    WakeList waitingPolls_;
-    std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
+    WakeList waitingPolls_; // The polls of other gateways that wait for an update.
+    std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_; // By number of the connection.
     std::uint64_t nextIncoming_ = 1;
     std::map<std::pair<std::string, int>, Link> links_; // By address.
     std::vector<std::uint8_t> compressedDocument_;      // The document of `compressedVersion_`.
     ConfigVersion compressedVersion_;
-    UpstreamHistory history_;
+    UpstreamHistory history_; // Recent changes of the upstream list, to send them instead of all.
     // The state at the last tick. A difference means that there is an update for waiting polls.
     std::uint64_t lastUpstreamsMark_ = 0;
     ConfigVersion lastVersion_;
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// The interval at which deadlines and the periodic work of the gateway's parts are checked.
+// The interval at which request deadlines are checked and periodic work is done.
 constexpr Duration kTickInterval = std::chrono::milliseconds(25);
 // The Retry-After of requests refused because this gateway has no recent configuration or is
 // stopping.
--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 // The size limit of answers that are not streamed. They are buffered until complete and only then
-// sent, so that the caller never receives a truncated one; longer ones would use too much memory.
+// sent, so that the caller never receives a truncated one. Longer ones would use too much memory
+// and count as invalid.
 constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{1024} * 1024;
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
 
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -35,7 +35,7 @@
 // are omitted.
 struct PeerStoreState
 {
-    StorePlace place; // The era and revision of the store that the state was read at.
+    StorePlace place; // The store's era and revision at which the state was read.
     ConfigVersion version;
     std::optional<RoutingDocument> document;              // Set if the receiver's version is lower.
     std::uint64_t upstreamsMark = 0;                      // Digest of the sender's upstream list.
@@ -75,6 +75,7 @@
     // have equal marks at all gateways, so a gateway that polls a different peer than before does
     // not receive the same list again.
     std::uint64_t upstreamsMark() const;
+    // Returns the store's era and revision that the list of upstreams is at.
     const StorePlace &place() const { return place_; }
     // Returns the text of the document in force as the store holds it; empty while there is none.
     const std::string &documentText() const;
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -39,8 +39,8 @@
 void writeLimit(const LimitWord &namedLimit, TimePoint now, wire::UpstreamLimit::Builder to);
 LimitWord readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt);
 
-// Compresses a text with zlib. A configuration of many routes is a large and repetitive text, and
-// one gateway sends it over its link to all gateways of a hall.
+// Compresses a text with zlib. Configurations are sent compressed, because one with many routes is
+// large and repetitive, and one gateway sends it over its link to all gateways of a hall.
 std::vector<std::uint8_t> compressText(std::string_view text);
 // Returns the text that `compressText` compressed to the `count` bytes at `bytes`, or nothing if
 // they do not decompress to exactly `size` bytes or `size` exceeds the limit for a configuration.
