--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -136,8 +136,8 @@
         return reader.milliseconds(name, 1, kMaxMillis, millisOf(fallback));
     };
     GatewayBounds bounds;
-    bounds.keyLife = millis("key-life-ms", usual.keyLife);
-    bounds.configSpread = millis("config-spread-ms", usual.configSpread);
+    bounds.keyRevocationLimit = millis("key-life-ms", usual.keyRevocationLimit);
+    bounds.configPropagationLimit = millis("config-spread-ms", usual.configPropagationLimit);
     bounds.leavingLimit = millis("leaving-limit-ms", usual.leavingLimit);
     bounds.stopLimit = fromSeconds(
         reader.number("stop-limit-s", 0.1, kMaxMillis / 1e3, toSeconds(usual.stopLimit)));
@@ -149,7 +149,7 @@
 }
 
 // A time that is given goes before the one that follows from the bounds.
-GatewayTimes readTimes(SettingsReader &reader, GatewayTimes times)
+GatewayTimings readTimes(SettingsReader &reader, GatewayTimings times)
 {
     const auto read = [&reader](std::string_view name, std::uint64_t least, Duration &time) {
         time = reader.milliseconds(name, least, kMaxMillis, millisOf(time));
@@ -191,10 +191,10 @@
         settings.agentPort = static_cast<int>(reader.integer("agent-port", 1, kLastPort, 1));
     }
     settings.maxAccountSeries = reader.integer("max-account-series", 0, 100'000, 300);
-    settings.crashMemory = fromSeconds(
-        reader.number("crash-memory-s", 0.0, kMostSeconds, toSeconds(settings.crashMemory)));
+    settings.crashRetention = fromSeconds(
+        reader.number("crash-memory-s", 0.0, kMostSeconds, toSeconds(settings.crashRetention)));
     settings.bounds = readBounds(reader);
-    settings.times = readTimes(reader, timesWithin(settings.bounds));
+    settings.times = readTimes(reader, deriveTimings(settings.bounds));
     return settings;
 }
 
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -11,17 +11,19 @@
 namespace seamarch {
 namespace {
 
-// The longest that an asker may have its question wait.
-constexpr Duration kLongestWait = std::chrono::seconds(1);
-// How often any gateway is asked for those it knows: several times in the life of what is told.
-constexpr Duration kGatewaysGap = std::chrono::seconds(2);
-// A new gateway asks more often: when a site starts, all of its gateways come within a second.
-constexpr Duration kYoung = std::chrono::seconds(3);
-constexpr Duration kGatewaysGapOfYoung = std::chrono::milliseconds(800);
-// No configuration is newer than this one.
-constexpr std::uint64_t kNoConfigWanted = std::numeric_limits<std::uint64_t>::max();
-// A connection that was not used for this long is closed.
-constexpr Duration kLinkLife = std::chrono::seconds(15);
+// The longest time that a poll may wait here for an update.
+constexpr Duration kMaxPollWait = std::chrono::seconds(1);
+// The interval at which the gateway list is requested from any gateway: several requests fit into
+// the time to live of a list entry.
+constexpr Duration kGatewayListInterval = std::chrono::seconds(2);
+// A gateway that has just started requests the list more often: when a site starts, all of its
+// gateways appear within a second.
+constexpr Duration kStartupPeriod = std::chrono::seconds(3);
+constexpr Duration kStartupGatewayListInterval = std::chrono::milliseconds(800);
+// Sent as the own version to request no configuration: no configuration is newer than this one.
+constexpr std::uint64_t kNewerThanAnyConfig = std::numeric_limits<std::uint64_t>::max();
+// A connection is closed after it was not used for this long.
+constexpr Duration kLinkIdleTimeout = std::chrono::seconds(15);
 
 std::pair<std::string, int> keyOf(const SocketAddress &address)
 {
@@ -30,7 +32,7 @@
 
 } // namespace
 
-// The serving end for the other gateways.
+// Serves the calls of the other gateways.
 class GatewayPeers::Server final : public wire::GatewayPeer::Server
 {
 public:
@@ -43,24 +45,25 @@
         const auto params = context.getParams();
         const TimePoint askedAt = peers_.loop_.now();
         peers_.directory_.hear(readGateway(params.getSelf()), askedAt);
-        const Asker asker{ConfigVersion(params.getConfigVersion()),
-                          params.getUpstreamsMark(),
-                          params.getTakesChanges(),
-                          params.getGroupsMark(),
-                          params.getCrashCursor(),
-                          params.getWantsGateways(),
-                          params.getGatewaysMark(),
-                          params.getWantsLimits(),
-                          params.getLimitsMark()};
-        const Duration wait = std::min(Duration(params.getWaitMicros()), kLongestWait);
-        auto answer = [this, context, asker, askedAt]() mutable {
-            peers_.writeNews(context.getResults().initNews(), asker, peers_.loop_.now() - askedAt);
+        const PollRequest pollRequest{ConfigVersion(params.getConfigVersion()),
+                                      params.getUpstreamsMark(),
+                                      params.getTakesChanges(),
+                                      params.getGroupsMark(),
+                                      params.getCrashCursor(),
+                                      params.getWantsGateways(),
+                                      params.getGatewaysMark(),
+                                      params.getWantsLimits(),
+                                      params.getLimitsMark()};
+        const Duration wait = std::min(Duration(params.getWaitMicros()), kMaxPollWait);
+        auto answer = [this, context, pollRequest, askedAt]() mutable {
+            peers_.writeNews(context.getResults().initNews(), pollRequest,
+                             peers_.loop_.now() - askedAt);
         };
-        if (wait <= Duration{} || peers_.hasNewsFor(asker)) {
+        if (wait <= Duration{} || peers_.hasNewsFor(pollRequest)) {
             answer();
             return kj::READY_NOW;
         }
-        return peers_.waiting_.wait(wait).then(kj::mv(answer));
+        return peers_.waitingPolls_.wait(wait).then(kj::mv(answer));
     }
 
     kj::Promise<void> hasNews(HasNewsContext context) override
@@ -71,7 +74,7 @@
 
     kj::Promise<void> permits(PermitsContext context) override
     {
-        const PermitGrant answer = peers_.handPermits(context.getParams());
+        const PermitGrant answer = peers_.grantPermits(context.getParams());
         context.getResults().setGranted(answer.granted);
         context.getResults().setAskAgainMicros(answer.retryAfter.count());
         return kj::READY_NOW;
@@ -81,23 +84,23 @@
     GatewayPeers &peers_;
 };
 
-GatewayPeers::GatewayPeers(EventLoop &loop, GatewayKnowledge &knowledge,
-                           const SharedBeliefs &beliefs, const MetadataStore &store,
-                           GatewayDirectory &directory, Heard heard)
+GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView,
+                           const SharedBeliefs &sharedState, const MetadataStore &store,
+                           GatewayDirectory &directory, StateReceived onStateReceived)
     : loop_(loop)
-    , knowledge_(knowledge)
-    , groups_(beliefs.groups)
-    , crashes_(beliefs.crashes)
-    , limits_(beliefs.limits)
-    , permitIssuer_(beliefs.permitIssuer)
+    , storeView_(storeView)
+    , groups_(sharedState.groups)
+    , crashes_(sharedState.crashes)
+    , limits_(sharedState.limits)
+    , permitIssuer_(sharedState.permitIssuer)
     , store_(store)
     , directory_(directory)
-    , heard_(std::move(heard))
-    , waiting_(loop)
-    , toldCrashes_(crashes_.cursor())
-    , toldLimits_(limits_.version())
-    , firstOwnNews_(ownNews())
-    , announcedNews_(ownNews())
+    , onStateReceived_(std::move(onStateReceived))
+    , waitingPolls_(loop)
+    , lastCrashCursor_(crashes_.cursor())
+    , lastLimitsMark_(limits_.version())
+    , initialOwnEventCount_(ownEventCount())
+    , announcedEventCount_(ownEventCount())
     , startedAt_(loop.now())
     , tasks_(*this)
 {}
@@ -108,11 +111,12 @@
 }
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-GatewayPeers::create(EventLoop &loop, GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
-                     const MetadataStore &store, GatewayDirectory &directory, Heard heard)
+GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &sharedState,
+                     const MetadataStore &store, GatewayDirectory &directory,
+                     StateReceived onStateReceived)
 {
-    std::unique_ptr<GatewayPeers> peers(
-        new GatewayPeers(loop, knowledge, beliefs, store, directory, std::move(heard)));
+    std::unique_ptr<GatewayPeers> peers(new GatewayPeers(loop, storeView, sharedState, store,
+                                                         directory, std::move(onStateReceived)));
     if (auto opened = peers->open(); !opened) {
         return tl::unexpected(opened.error());
     }
@@ -151,61 +155,62 @@
     return link;
 }
 
-// Tells whether it is time to hear whom the other gateway knows; one whose id is not known says it
-// with its list.
-bool GatewayPeers::isListDue(const Link &link, TimePoint now) const
+// Returns whether to request the gateway list with the next poll. It is always requested from a
+// gateway whose id is not known, because the list includes the id.
+bool GatewayPeers::isGatewayListDue(const Link &link, TimePoint now) const
 {
-    const bool young = now - startedAt_ < kYoung;
-    const Duration gap = young ? kGatewaysGapOfYoung : kGatewaysGap;
-    return link.id == InstanceId() || now - listAskedAt_ >= gap;
+    const bool startingUp = now - startedAt_ < kStartupPeriod;
+    const Duration interval = startingUp ? kStartupGatewayListInterval : kGatewayListInterval;
+    return link.id == InstanceId() || now - gatewayListRequestedAt_ >= interval;
 }
 
-void GatewayPeers::ask(const SocketAddress &address, const InstanceId &id, Duration longest,
-                       AskList list)
+void GatewayPeers::poll(const SocketAddress &address, const InstanceId &id, Duration maxWait,
+                        ListRequest list)
 {
     const TimePoint now = loop_.now();
     Link &link = linkTo(address);
-    if (link.asking || now < link.notBefore) {
+    if (link.polling || now < link.notBefore) {
         return;
     }
     link.id = id == InstanceId() ? link.id : id;
-    const bool gateways = list == AskList::Always || isListDue(link, now);
-    listAskedAt_ = gateways ? now : listAskedAt_;
-    link.asking = true;
+    const bool withGatewayList = list == ListRequest::Always || isGatewayListDue(link, now);
+    gatewayListRequestedAt_ = withGatewayList ? now : gatewayListRequestedAt_;
+    link.polling = true;
     auto request = link.rpc->capability().castAs<wire::GatewayPeer>().exchangeRequest();
     writeGateway(directory_.self(), Duration{}, request.initSelf());
-    const bool rests = now < configNotBefore_;
-    if (rests) {
-        longest = std::min(longest, configNotBefore_ - now);
+    const bool configDeferred = now < configNotBefore_;
+    if (configDeferred) {
+        maxWait = std::min(maxWait, configNotBefore_ - now);
     }
-    request.setConfigVersion(rests ? kNoConfigWanted : knowledge_.version().value());
-    request.setUpstreamsMark(knowledge_.namedMark());
+    request.setConfigVersion(configDeferred ? kNewerThanAnyConfig : storeView_.version().value());
+    request.setUpstreamsMark(storeView_.advertisedMark());
     request.setTakesChanges(true);
-    request.setWantsGateways(gateways);
+    request.setWantsGateways(withGatewayList);
     request.setGatewaysMark(directory_.mark());
-    request.setWaitMicros(longest.count());
+    request.setWaitMicros(maxWait.count());
     link.groupsMark = link.groupsMark == 0 ? groups_.digest() : link.groupsMark;
     request.setGroupsMark(link.groupsMark);
     request.setCrashCursor(link.crashCursor);
     request.setWantsLimits(true);
     request.setLimitsMark(link.limitsMark);
-    // Whichever comes first, the answer or the end of patience, ends the question.
-    const auto over = std::make_shared<bool>(false);
-    loop_.schedule(longest + detail::kPeerPatience, [this, address, over, alive = alive_] {
-        if (*alive && !std::exchange(*over, true)) {
-            // The connection may have gone silent for good while a new one works.
+    // The first of the answer and the timeout ends the poll.
+    const auto finished = std::make_shared<bool>(false);
+    loop_.schedule(maxWait + detail::kPeerTimeout, [this, address, finished, alive = alive_] {
+        if (*alive && !std::exchange(*finished, true)) {
+            // The connection may be dead without an error, while a new one would work.
             linkTo(address).rpc.reset();
             onFailed(address);
         }
     });
     tasks_.add(request.send().then(
-        [this, address, now, over](capnp::Response<wire::GatewayPeer::ExchangeResults> &&answer) {
-            if (!std::exchange(*over, true)) {
+        [this, address, now,
+         finished](capnp::Response<wire::GatewayPeer::ExchangeResults> &&answer) {
+            if (!std::exchange(*finished, true)) {
                 onNews(address, now, answer.getNews());
             }
         },
-        [this, address, over](kj::Exception && /*gone*/) {
-            if (!std::exchange(*over, true)) {
+        [this, address, finished](kj::Exception && /*gone*/) {
+            if (!std::exchange(*finished, true)) {
                 onFailed(address);
             }
         }));
@@ -214,9 +219,9 @@
 void GatewayPeers::onFailed(const SocketAddress &address)
 {
     Link &link = linkTo(address);
-    link.asking = false;
-    link.notBefore = loop_.now() + detail::kPeerPause;
-    listAskedAt_ = {};
+    link.polling = false;
+    link.notBefore = loop_.now() + detail::kPeerRetryDelay;
+    gatewayListRequestedAt_ = {};
     if (link.id != InstanceId()) {
         directory_.onFailed(link.id, loop_.now());
         logLine(LogLevel::Info, "gateway.unanswered", {{"gateway", link.id.value()}});
@@ -228,47 +233,47 @@
 {
     const TimePoint now = loop_.now();
     Link &link = linkTo(address);
-    link.asking = false;
-    answeredAt_ = now;
+    link.polling = false;
+    lastAnswerAt_ = now;
     if (news.getGateways().size() > 0) {
         link.id = readGateway(news.getGateways()[0]).id;
-        takeGateways(news, now);
+        applyGateways(news, now);
     }
     directory_.onAnswered(link.id, now);
-    takeGroups(link, askedAt, news);
-    takeCrashes(link, askedAt, news);
-    takeLimits(link, askedAt, news);
+    applyGroups(link, askedAt, news);
+    applyCrashes(link, askedAt, news);
+    applyLimits(link, askedAt, news);
     if (!news.getKnown()) {
-        unknownAt_ = now;
+        lastUnconfiguredAnswerAt_ = now;
     }
-    if (!news.getKnown() || !takeNews(askedAt, news)) {
-        link.notBefore = now + detail::kPeerPause;
+    if (!news.getKnown() || !applyNews(askedAt, news)) {
+        link.notBefore = now + detail::kPeerRetryDelay;
     }
-    if (std::exchange(link.askAgain, false)) {
+    if (std::exchange(link.pollAgain, false)) {
         link.notBefore = {};
-        ask(address, link.id, Duration{});
+        poll(address, link.id, Duration{});
     }
 }
 
-void GatewayPeers::takeGateways(wire::GatewayNews::Reader reader, TimePoint now)
+void GatewayPeers::applyGateways(wire::GatewayNews::Reader reader, TimePoint now)
 {
     GatewayDirectory::News news;
     news.mark = reader.getGatewaysMark();
-    const auto told = reader.getGateways();
-    directory_.hear(readGateway(told[0]), now);
-    for (std::uint32_t index = 1; index < told.size(); ++index) {
-        const TimePoint heardAt = now - Duration(told[index].getHeardMicrosAgo());
-        news.all.push_back({readGateway(told[index]), heardAt});
+    const auto listed = reader.getGateways();
+    directory_.hear(readGateway(listed[0]), now);
+    for (std::uint32_t index = 1; index < listed.size(); ++index) {
+        const TimePoint heardAt = now - Duration(listed[index].getHeardMicrosAgo());
+        news.all.push_back({readGateway(listed[index]), heardAt});
     }
     const auto ages = reader.getGatewayAges();
     news.ages.assign(ages.begin(), ages.end());
     directory_.take(news, now);
 }
 
-void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t askerMark) const
+void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t knownMark) const
 {
     const TimePoint now = loop_.now();
-    const GatewayDirectory::News news = directory_.newsFor(askerMark, now);
+    const GatewayDirectory::News news = directory_.newsFor(knownMark, now);
     to.setGatewaysMark(news.mark);
     auto list = to.initGateways(static_cast<std::uint32_t>(news.all.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
@@ -278,58 +283,60 @@
     to.setGatewayAges(kj::arrayPtr(news.ages.data(), news.ages.size()));
 }
 
-bool GatewayPeers::takeNews(TimePoint askedAt, wire::GatewayNews::Reader news)
+bool GatewayPeers::applyNews(TimePoint askedAt, wire::GatewayNews::Reader news)
 {
-    SharedKnowledge shared;
-    shared.place = {news.getEra(), news.getRevision()};
-    shared.version = ConfigVersion(news.getConfigVersion());
-    shared.upstreamsMark = news.getUpstreamsMark();
-    if (news.hasConfig() && shared.version > knowledge_.version()) {
+    PeerStoreState peerState;
+    peerState.place = {news.getEra(), news.getRevision()};
+    peerState.version = ConfigVersion(news.getConfigVersion());
+    peerState.upstreamsMark = news.getUpstreamsMark();
+    if (news.hasConfig() && peerState.version > storeView_.version()) {
         const auto bytes = news.getConfig();
-        const auto text = inflated(bytes.begin(), bytes.size(), news.getConfigBytes());
+        const auto text = decompressText(bytes.begin(), bytes.size(), news.getConfigBytes());
         auto document =
-            text ? store_.readDocument(*text) : tl::unexpected(std::string("it does not inflate"));
+            text ? store_.readDocument(*text)
+                 : tl::unexpected(std::string("it does not decompress to the stated size"));
         if (!document) {
             logLine(LogLevel::Warning, "gateway.news_unreadable", {{"fault", document.error()}});
             return false;
         }
         configNotBefore_ = loop_.now() + restAfterConfig(text->size());
-        shared.document = std::move(*document);
+        peerState.document = std::move(*document);
     }
     if (news.hasUpstreams()) {
-        shared.upstreams = readUpstreams(news);
-        shared.drainedHalls = readDrainedHalls(news);
+        peerState.upstreams = readUpstreams(news);
+        peerState.drainedHalls = readDrainedHalls(news);
     }
     const Duration held(news.getHeldMicros());
     const Duration age(news.getAgeMicros());
-    return heard_(shared, askedAt + held - age);
+    return onStateReceived_(peerState, askedAt + held - age);
 }
 
-// Takes what the other gateway has heard of groups, each as of its own moment. Facts that it told
-// before, or that were known here as well, are only renewed, if they are still those that are
-// known.
-void GatewayPeers::takeGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+// Applies the other gateway's facts about groups, each as of its own time. If its mark is the one
+// that the poll named, the members are omitted and the facts are only renewed, provided that those
+// held here still have that mark.
+void GatewayPeers::applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     const Duration held(news.getHeldMicros());
-    const bool told = link.groupsMark == news.getGroupsMark();
-    const bool same = groups_.digest() == news.getGroupsMark();
+    const bool repeated = link.groupsMark == news.getGroupsMark();
+    const bool matchesOwn = groups_.digest() == news.getGroupsMark();
     for (const auto &group : news.getGroups()) {
         const TimePoint asOf = askedAt + held - Duration(group.getAgeMicros());
-        if (!told) {
+        if (!repeated) {
             groups_.update(readGroup(group), asOf);
-        } else if (same) {
+        } else if (matchesOwn) {
             groups_.renew(GroupId(group.getGroup().cStr()), asOf);
         }
     }
     link.groupsMark = news.getGroupsMark();
 }
 
-bool GatewayPeers::hasNewsFor(const Asker &asker) const
+bool GatewayPeers::hasNewsFor(const PollRequest &pollRequest) const
 {
-    const bool groups = toldGroupsMark_ != 0 && toldGroupsMark_ != asker.groupsMark;
-    return knowledge_.version() > asker.version || knowledge_.upstreamsMark() != asker.upstreamsMark
-           || groups || crashes_.hasChangedSince(asker.crashCursor)
-           || (asker.wantsLimits && limits_.version() != asker.limitsMark);
+    const bool groupsChanged = lastGroupsMark_ != 0 && lastGroupsMark_ != pollRequest.groupsMark;
+    return storeView_.version() > pollRequest.version
+           || storeView_.upstreamsMark() != pollRequest.upstreamsMark || groupsChanged
+           || crashes_.hasChangedSince(pollRequest.crashCursor)
+           || (pollRequest.wantsLimits && limits_.version() != pollRequest.limitsMark);
 }
 
 void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const
@@ -345,52 +352,54 @@
     }
 }
 
-void GatewayPeers::writeNews(wire::GatewayNews::Builder news, const Asker &asker, Duration held)
+void GatewayPeers::writeNews(wire::GatewayNews::Builder news, const PollRequest &pollRequest,
+                             Duration held)
 {
-    if (asker.wantsGateways) {
-        writeGateways(news, asker.gatewaysMark);
+    if (pollRequest.wantsGateways) {
+        writeGateways(news, pollRequest.gatewaysMark);
     }
     news.setHeldMicros(held.count());
-    writeGroups(news, asker.groupsMark);
-    writeCrashes(news, asker.crashCursor);
-    writeLimits(news, asker);
-    if (!knowledge_.hasConfiguration() || !knowledge_.confirmed()) {
+    writeGroups(news, pollRequest.groupsMark);
+    writeCrashes(news, pollRequest.crashCursor);
+    writeLimits(news, pollRequest);
+    if (!storeView_.hasConfiguration() || !storeView_.confirmed()) {
         return;
     }
     news.setKnown(true);
-    news.setAgeMicros(knowledge_.age().count());
-    news.setRevision(knowledge_.place().revision);
-    news.setEra(knowledge_.place().era);
-    news.setConfigVersion(knowledge_.version().value());
-    if (knowledge_.version() > asker.version) {
-        if (packedVersion_ != knowledge_.version()) {
-            packedVersion_ = knowledge_.version();
-            packed_ = deflated(knowledge_.documentText());
+    news.setAgeMicros(storeView_.age().count());
+    news.setRevision(storeView_.place().revision);
+    news.setEra(storeView_.place().era);
+    news.setConfigVersion(storeView_.version().value());
+    if (storeView_.version() > pollRequest.version) {
+        if (compressedVersion_ != storeView_.version()) {
+            compressedVersion_ = storeView_.version();
+            compressedDocument_ = compressText(storeView_.documentText());
         }
-        news.setConfig(kj::arrayPtr(packed_.data(), packed_.size()));
-        news.setConfigBytes(static_cast<std::uint32_t>(knowledge_.documentText().size()));
+        news.setConfig(kj::arrayPtr(compressedDocument_.data(), compressedDocument_.size()));
+        news.setConfigBytes(static_cast<std::uint32_t>(storeView_.documentText().size()));
     }
-    news.setUpstreamsMark(knowledge_.upstreamsMark());
-    if (knowledge_.upstreamsMark() != asker.upstreamsMark) {
-        writeUpstreams(news, asker);
-        writeDrainedHalls(knowledge_.upstreams().drainedHalls(), news);
+    news.setUpstreamsMark(storeView_.upstreamsMark());
+    if (storeView_.upstreamsMark() != pollRequest.upstreamsMark) {
+        writeUpstreams(news, pollRequest);
+        writeDrainedHalls(storeView_.upstreams().drainedHalls(), news);
     }
 }
 
-void GatewayPeers::noteList()
+void GatewayPeers::recordUpstreamList()
 {
-    if (knowledge_.confirmed()) {
-        history_.recordState(knowledge_.upstreamsMark(), knowledge_.upstreams().all());
+    if (storeView_.confirmed()) {
+        history_.recordState(storeView_.upstreamsMark(), storeView_.upstreams().all());
     }
 }
 
-// Writes what has changed since the list that the asker names, where that is known, else all.
-void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const Asker &asker)
+// Writes the changes since the list whose mark the poller sent, if that list is in the history,
+// else the full list.
+void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest)
 {
-    noteList();
-    std::vector<const UpstreamRecord *> records = knowledge_.upstreams().all();
-    const auto changed = asker.takesChanges && asker.upstreamsMark != 0
-                             ? history_.changedSince(asker.upstreamsMark)
+    recordUpstreamList();
+    std::vector<const UpstreamRecord *> records = storeView_.upstreams().all();
+    const auto changed = pollRequest.takesChanges && pollRequest.upstreamsMark != 0
+                             ? history_.changedSince(pollRequest.upstreamsMark)
                              : std::nullopt;
     if (changed) {
         std::set<InstanceId> removed = *changed;
@@ -398,7 +407,7 @@
             removed.erase(record->id);
             return !changed->contains(record->id);
         });
-        news.setUpstreamsSince(asker.upstreamsMark);
+        news.setUpstreamsSince(pollRequest.upstreamsMark);
         auto ids = news.initRemovedUpstreams(static_cast<std::uint32_t>(removed.size()));
         std::uint32_t index = 0;
         for (const InstanceId &id : removed) {
@@ -411,7 +420,7 @@
     }
 }
 
-// Returns the whole list; nothing where what changed is told of a list that is not held any more.
+// Returns the full list, or nothing if the update has changes to a list that is no longer held.
 std::optional<std::vector<UpstreamRecord>>
 GatewayPeers::readUpstreams(wire::GatewayNews::Reader news) const
 {
@@ -422,34 +431,34 @@
     if (news.getUpstreamsSince() == 0) {
         return records;
     }
-    if (news.getUpstreamsSince() != knowledge_.namedMark()) {
+    if (news.getUpstreamsSince() != storeView_.advertisedMark()) {
         return std::nullopt;
     }
     std::set<InstanceId> removed;
     for (const auto &id : news.getRemovedUpstreams()) {
         removed.insert(InstanceId(id.cStr()));
     }
-    return applyChanges(knowledge_.upstreams().all(), records, removed);
+    return applyChanges(storeView_.upstreams().all(), records, removed);
 }
 
 void GatewayPeers::tick()
 {
     const TimePoint now = loop_.now();
     const std::uint64_t groupsMark = groups_.digest();
-    if (knowledge_.upstreamsMark() != toldMark_ || knowledge_.version() != toldVersion_
-        || groupsMark != toldGroupsMark_ || crashes_.cursor() != toldCrashes_
-        || limits_.version() != toldLimits_) {
-        noteList();
-        toldMark_ = knowledge_.upstreamsMark();
-        toldVersion_ = knowledge_.version();
-        toldGroupsMark_ = groupsMark;
-        toldCrashes_ = crashes_.cursor();
-        toldLimits_ = limits_.version();
-        waiting_.wakeAll();
+    if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
+        || groupsMark != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
+        || limits_.version() != lastLimitsMark_) {
+        recordUpstreamList();
+        lastUpstreamsMark_ = storeView_.upstreamsMark();
+        lastVersion_ = storeView_.version();
+        lastGroupsMark_ = groupsMark;
+        lastCrashCursor_ = crashes_.cursor();
+        lastLimitsMark_ = limits_.version();
+        waitingPolls_.wakeAll();
     }
     announce(now);
     std::erase_if(links_, [now](const auto &entry) {
-        return !entry.second.asking && now - entry.second.usedAt > kLinkLife;
+        return !entry.second.polling && now - entry.second.usedAt > kLinkIdleTimeout;
     });
 }
 
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -13,10 +13,11 @@
 
 using nlohmann::json;
 
-// How often requests are checked for the end of their time.
-constexpr Duration kTick = std::chrono::milliseconds(25);
-// When a caller may come back to a gateway that does not know enough.
-constexpr Duration kNotReadyPause = std::chrono::milliseconds(500);
+// The interval at which request deadlines are checked and periodic work is done.
+constexpr Duration kTickInterval = std::chrono::milliseconds(25);
+// The Retry-After of requests refused because this gateway has no recent configuration or is
+// stopping.
+constexpr Duration kNotReadyRetryAfter = std::chrono::milliseconds(500);
 
 GatewayCore::Settings coreSettings(const GatewaySettings &settings)
 {
@@ -25,7 +26,7 @@
     core.regions = settings.regions;
     core.seed = randomIdentity();
     core.retries = retryLimits(settings.bounds);
-    core.crashes.life = settings.crashMemory;
+    core.crashes.life = settings.crashRetention;
     core.crashes.seed = randomIdentity();
     core.limits.firstVersion = randomIdentity() | 1U;
     return core;
@@ -41,7 +42,7 @@
     , store_(store)
     , metrics_(settings.maxAccountSeries)
     , core_(coreSettings(settings))
-    , knowledge_(loop, core_.upstreams(), metrics_, settings.times.freshness,
+    , storeView_(loop, core_.upstreams(), metrics_, settings.times.freshness,
                  [this](const RouteTable &table) { applyConfiguration(table); })
 {
     core_.warmUps().setBounds(settings.bounds.warmUp);
@@ -93,16 +94,16 @@
         metricsServer_ = std::move(*metrics);
     }
     auto sources = KnowledgeSources::create(
-        loop_, *client_, store_, knowledge_,
+        loop_, *client_, store_, storeView_,
         {core_.groups(), core_.crashes(), core_.limits(), core_.permitIssuer(), core_.warmUps()},
         {settings_.instance, settings_.hall, settings_.peerListen, settings_.seeds,
-         settings_.agentPort, settings_.times.storeRest});
+         settings_.agentPort, settings_.times.storeBatchWindow});
     if (!sources) {
         return tl::unexpected(sources.error());
     }
     sources_ = std::move(*sources);
     sources_->tick();
-    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
+    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickInterval, [this] { tick(); });
     return {};
 }
 
@@ -122,59 +123,59 @@
 {
     CallerFacts facts = protocol_.readRequest(request);
     if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.times.stopDelay) {
-        // By now the balancer knows; what still comes would not be finished in time.
-        refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyPause);
+        // The balancer has noticed the stop by now, and a new request might not finish in time.
+        refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyRetryAfter);
         return;
     }
-    const bool early = (!knowledge_.hasConfiguration() || early_.size() > 0) && !stopping_;
+    const bool early = (!storeView_.hasConfiguration() || early_.size() > 0) && !stopping_;
     if (early && early_.hold(exchange, request, facts.deadline.value_or(Duration{}), loop_.now())) {
         logLine(LogLevel::Info, "request.held",
                 {{"id", facts.requestId}, {"reason", "no configuration"}, {"held", early_.size()}});
         return;
     }
-    take(exchange, std::move(request), loop_.now());
+    admitRequest(exchange, std::move(request), loop_.now());
 }
 
-// Hands over requests that came before there was a configuration, once there is one; refuses those
-// that have waited long enough.
-void GatewayService::takeEarly()
+// Processes requests that arrived before the first configuration, once there is one. Until then,
+// passes on those that have waited too long, which are refused for the lack of a configuration.
+void GatewayService::processEarlyRequests()
 {
-    constexpr std::size_t kAtATime = 1;
-    if (knowledge_.hasConfiguration()) {
-        for (EarlyRequests::Held &held : early_.takeFirst(kAtATime)) {
-            take(held.exchange, std::move(held.request), held.arrivedAt);
+    constexpr std::size_t kMaxPerTick = 1;
+    if (storeView_.hasConfiguration()) {
+        for (EarlyRequests::Held &held : early_.takeFirst(kMaxPerTick)) {
+            admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
         }
         return;
     }
     for (EarlyRequests::Held &held : early_.takeOverdue(loop_.now())) {
-        take(held.exchange, std::move(held.request), held.arrivedAt);
+        admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
     }
 }
 
-// Admits a request, or refuses it.
-void GatewayService::take(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
+void GatewayService::admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
 {
     CallerFacts facts = protocol_.readRequest(request);
-    auto admitted = knowledge_.admit(request, facts);
+    auto admitted = storeView_.admit(request, facts);
     if (!admitted) {
         const FailureCode code = admitted.error();
         const bool temporary =
             code == FailureCode::EntryNotReady || code == FailureCode::KnowledgeStale;
-        refuse(exchange, facts, code, Outcome::NotRun, temporary ? kNotReadyPause : Duration{});
+        refuse(exchange, facts, code, Outcome::NotRun,
+               temporary ? kNotReadyRetryAfter : Duration{});
         return;
     }
-    Flight flight;
-    flight.exchange = exchange;
-    flight.request = std::move(request);
-    flight.facts = std::move(facts);
+    ActiveRequest active;
+    active.exchange = exchange;
+    active.request = std::move(request);
+    active.facts = std::move(facts);
     admitted->age = loop_.now() - arrivedAt;
-    admitted->digest = digestOf(flight.request, admitted->account);
-    flight.admitted = *admitted;
-    flight.startedAt = arrivedAt;
+    admitted->digest = digestOf(active.request, admitted->account);
+    active.admitted = *admitted;
+    active.startedAt = arrivedAt;
     GatewayActions actions;
     const RequestNumber number = core_.begin(std::move(*admitted), loop_.now(), actions);
     byExchange_[exchange] = number;
-    flights_.emplace(number, std::move(flight));
+    activeRequests_.emplace(number, std::move(active));
     metrics_.count("seamarch_requests_total", "received");
     carryOut(actions);
 }
@@ -194,8 +195,8 @@
              {"code", toString(code)},
              {"outcome", toString(outcome)},
              {"retryAfterMs", toMillis(retryAfter)},
-             {"configVersion", knowledge_.version().value()},
-             {"knowledgeAgeMs", knowledge_.confirmed() ? toMillis(knowledge_.age()) : -1}});
+             {"configVersion", storeView_.version().value()},
+             {"knowledgeAgeMs", storeView_.confirmed() ? toMillis(storeView_.age()) : -1}});
     server_->respond(exchange, head, body.dump());
 }
 
@@ -212,16 +213,16 @@
     GatewayActions actions;
     core_.onCallerGone(number, actions);
     carryOut(actions);
-    endFlight(number, "caller gone");
+    endRequest(number, "caller gone");
 }
 
 void GatewayService::onDrained(ExchangeId exchange)
 {
     const auto found = byExchange_.find(exchange);
     if (found != byExchange_.end()) {
-        const auto flight = flights_.find(found->second);
-        if (flight != flights_.end()) {
-            client_->pause(flight->second.call, false);
+        const auto active = activeRequests_.find(found->second);
+        if (active != activeRequests_.end()) {
+            client_->pause(active->second.call, false);
         }
     }
 }
@@ -231,71 +232,71 @@
     for (const GatewayAction &action : actions) {
         std::visit([this](const auto &each) { carryOut(each); }, action);
     }
-    askForPermits();
+    requestPermits();
 }
 
 void GatewayService::carryOut(const RejectRequest &action)
 {
-    const auto found = flights_.find(action.request);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(action.request);
+    if (found == activeRequests_.end()) {
         return;
     }
-    const Flight &flight = found->second;
+    const ActiveRequest &active = found->second;
     if (action.failure == FailureCode::RequestEndsUpstreams) {
-        const RequestDigest &digest = flight.admitted.digest;
+        const RequestDigest &digest = active.admitted.digest;
         logLine(LogLevel::Warning, "request.stopped",
-                {{"id", flight.facts.requestId},
+                {{"id", active.facts.requestId},
                  {"digest", toText(digest)},
-                 {"account", flight.admitted.account.value()},
+                 {"account", active.admitted.account.value()},
                  {"ends", core_.crashes().ends(digest)}});
     }
-    refuse(flight.exchange, flight.facts, action.failure, action.outcome, action.retryAfter);
-    endFlight(action.request, toString(action.failure));
+    refuse(active.exchange, active.facts, action.failure, action.outcome, action.retryAfter);
+    endRequest(action.request, toString(action.failure));
 }
 
 void GatewayService::carryOut(const AbortAnswer &action)
 {
-    const auto found = flights_.find(action.request);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(action.request);
+    if (found == activeRequests_.end()) {
         return;
     }
     metrics_.count("seamarch_broken_answers_total", toString(action.failure));
     server_->abort(found->second.exchange);
-    endFlight(action.request, "broken off");
+    endRequest(action.request, "broken off");
 }
 
-void GatewayService::endFlight(RequestNumber number, std::string_view result)
+void GatewayService::endRequest(RequestNumber number, std::string_view result)
 {
-    const auto found = flights_.find(number);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(number);
+    if (found == activeRequests_.end()) {
         return;
     }
-    const Flight &flight = found->second;
+    const ActiveRequest &active = found->second;
     const TimePoint now = loop_.now();
     metrics_.count("seamarch_requests_total", result);
-    metrics_.observe(Stage::Total, flight.admitted.account, flight.admitted.route->name,
-                     now - flight.startedAt);
+    metrics_.observe(Stage::Total, active.admitted.account, active.admitted.route->name,
+                     now - active.startedAt);
     logLine(LogLevel::Info, "request.ended",
-            {{"id", flight.facts.requestId},
+            {{"id", active.facts.requestId},
              {"result", result},
-             {"route", flight.admitted.route->name},
-             {"account", flight.admitted.account.value()},
-             {"upstream", flight.upstream.value()},
-             {"group", flight.group.value()},
-             {"attempts", flight.attempt},
-             {"events", flight.events.eventCount()},
-             {"firstEventMs", flight.firstEventAt == TimePoint{}
+             {"route", active.admitted.route->name},
+             {"account", active.admitted.account.value()},
+             {"upstream", active.upstream.value()},
+             {"group", active.group.value()},
+             {"attempts", active.attempt},
+             {"events", active.events.eventCount()},
+             {"firstEventMs", active.firstEventAt == TimePoint{}
                                   ? json()
-                                  : json(toMillis(flight.firstEventAt - flight.startedAt))},
-             {"longestPauseMs", toMillis(flight.longestPause)},
-             {"ms", toMillis(now - flight.startedAt)}});
-    byExchange_.erase(flight.exchange);
-    flights_.erase(found);
+                                  : json(toMillis(active.firstEventAt - active.startedAt))},
+             {"longestPauseMs", toMillis(active.longestPause)},
+             {"ms", toMillis(now - active.startedAt)}});
+    byExchange_.erase(active.exchange);
+    activeRequests_.erase(found);
 }
 
 void GatewayService::tick()
 {
-    takeEarly();
+    processEarlyRequests();
     GatewayActions actions;
     core_.setGatewayCount(sources_->gateways() + 1);
     core_.setHallPosition(sources_->place());
@@ -313,27 +314,27 @@
         reason = "stopping";
         return false;
     }
-    if (!knowledge_.hasConfiguration()) {
+    if (!storeView_.hasConfiguration()) {
         reason = "no configuration";
         return false;
     }
-    if (!knowledge_.fresh()) {
+    if (!storeView_.fresh()) {
         reason = "the store has not confirmed the configuration for too long";
         return false;
     }
     return true;
 }
 
-// The requests that upstreams have ended under, those with the most ends first.
-json GatewayService::suspects() const
+// Lists the requests under which upstreams have ended, those with the most ends first.
+json GatewayService::suspectsStatus() const
 {
-    constexpr std::size_t kMostShown = 20;
+    constexpr std::size_t kMaxSuspectsShown = 20;
     std::vector<CrashSuspect> all = core_.crashes().all();
     std::erase_if(all, [](const CrashSuspect &suspect) { return suspect.ends.empty(); });
     std::stable_sort(all.begin(), all.end(), [](const auto &left, const auto &right) {
         return left.ends.size() > right.ends.size();
     });
-    all.resize(std::min(all.size(), kMostShown));
+    all.resize(std::min(all.size(), kMaxSuspectsShown));
     const TimePoint now = loop_.now();
     json shown = json::array();
     for (const CrashSuspect &suspect : all) {
@@ -345,8 +346,8 @@
     return shown;
 }
 
-// The upstreams that want nothing from this gateway now, and for how long still.
-json GatewayService::resting() const
+// Lists the upstreams that have asked this gateway to pause, and the time left of each pause.
+json GatewayService::restingStatus() const
 {
     const TimePoint now = loop_.now();
     json shown = json::object();
@@ -356,15 +357,15 @@
     return shown;
 }
 
-// The upstreams that name a limit for all gateways together, and how long ago they last did.
-json GatewayService::limited() const
+// Lists the upstreams that name a rate limit for all gateways together, and the age of that limit.
+json GatewayService::limitedStatus() const
 {
     const TimePoint now = loop_.now();
     json shown = json::object();
-    for (const LimitReport &word : core_.limits().all()) {
-        if (word.rate) {
-            shown[word.upstream.value()] = {{"perSecond", word.rate->perSecond()},
-                                            {"msAgo", toMillis(now - word.reportedAt)}};
+    for (const LimitReport &namedLimit : core_.limits().all()) {
+        if (namedLimit.rate) {
+            shown[namedLimit.upstream.value()] = {{"perSecond", namedLimit.rate->perSecond()},
+                                                  {"msAgo", toMillis(now - namedLimit.reportedAt)}};
         }
     }
     return shown;
@@ -379,20 +380,20 @@
             {"hall", settings_.hall.value()},
             {"ready", isReady},
             {"reason", reason},
-            {"configVersion", knowledge_.version().value()},
-            {"knowledgeAgeMs", knowledge_.confirmed() ? toMillis(knowledge_.age()) : -1},
-            {"storeReachable", knowledge_.storeReachable()},
+            {"configVersion", storeView_.version().value()},
+            {"knowledgeAgeMs", storeView_.confirmed() ? toMillis(storeView_.age()) : -1},
+            {"storeReachable", storeView_.storeReachable()},
             {"storeCalls", sources_->storeCalls()},
             {"followsStore", sources_->followsStore()},
             {"gateways", sources_->gateways()},
-            {"inFlight", flights_.size()},
+            {"inFlight", activeRequests_.size()},
             {"secondAttempts", core_.secondAttempts()},
             {"connectionsMade", client_->connectionsMade()},
             {"upstreams", core_.upstreams().all().size()},
             {"groups", core_.groups().groups().size()},
-            {"restingUpstreams", resting()},
-            {"limitedUpstreams", limited()},
-            {"requestsThatEndUpstreams", suspects()}};
+            {"restingUpstreams", restingStatus()},
+            {"limitedUpstreams", limitedStatus()},
+            {"requestsThatEndUpstreams", suspectsStatus()}};
 }
 
 void GatewayService::applySettings(const GatewaySettings &settings)
@@ -407,13 +408,13 @@
         logLine(LogLevel::Warning, "settings.need_restart",
                 {{"message", "names and addresses change at the next start"}});
     }
-    knowledge_.setFreshness(settings.times.freshness);
+    storeView_.setFreshness(settings.times.freshness);
     settings_.times = settings.times;
     settings_.bounds = settings.bounds;
     core_.setRetryLimits(retryLimits(settings_.bounds));
     core_.warmUps().setBounds(settings_.bounds.warmUp);
-    settings_.crashMemory = settings.crashMemory;
-    core_.crashes().setLife(settings_.crashMemory);
+    settings_.crashRetention = settings.crashRetention;
+    core_.crashes().setLife(settings_.crashRetention);
     core_.upstreams().setLapseGrace(settings_.times.lapseGrace);
 }
 
@@ -425,22 +426,22 @@
     stopping_ = true;
     stopStartedAt_ = loop_.now();
     server_->announceClose();
-    logLine(LogLevel::Info, "gateway.stopping", {{"inFlight", flights_.size()}});
+    logLine(LogLevel::Info, "gateway.stopping", {{"inFlight", activeRequests_.size()}});
 }
 
 void GatewayService::stopIfDrained()
 {
     const Duration since = loop_.now() - stopStartedAt_;
-    // The balancer lags behind the readiness, so new requests are served for a while.
+    // The balancer notices the lost readiness with a delay and sends requests until then.
     if (since < settings_.times.stopDelay) {
         return;
     }
     server_->closeIdle();
-    const bool drained = flights_.empty() && server_->open() == 0;
+    const bool drained = activeRequests_.empty() && server_->open() == 0;
     if (!drained && since < settings_.times.stopDeadline) {
         return;
     }
-    logLine(LogLevel::Info, "gateway.stopped", {{"cutOff", flights_.size()}});
+    logLine(LogLevel::Info, "gateway.stopped", {{"cutOff", activeRequests_.size()}});
     sources_->stop();
     loop_.stop();
 }
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -1,9 +1,12 @@
-// A gateway: takes callers' requests and sends them straight to upstreams, as the platform's store
-// lists them.
+// The gateway process: accepts callers' requests over HTTP and forwards them directly to the
+// upstreams that the platform's store lists.
 //
-// The service is the shell around GatewayCore. It owns the callers' exchanges, the calls to
-// upstreams and the watch on the store, and decides nothing about requests itself: GatewayKnowledge
-// says whether a request is admitted, GatewayCore what becomes of it.
+// The service does the I/O around GatewayCore. It owns the callers' exchanges, the calls to
+// upstreams and the sources of the store's data, and makes no decisions about requests itself:
+// GatewayStoreView admits or refuses a request, and GatewayCore decides how an admitted one is
+// handled.
+//
+// Single-threaded; runs on the event loop that it is created with.
 #pragma once
 
 #include "decision/gateway/eventsplitter.h"
@@ -11,7 +14,7 @@
 #include "gateway/callerprotocol.h"
 #include "gateway/earlyrequests.h"
 #include "gateway/gatewaybounds.h"
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 #include "gateway/knowledgesources.h"
 #include "gateway/metadatastore.h"
 #include "net/eventloop.h"
@@ -29,6 +32,7 @@
 
 namespace seamarch {
 
+// The settings of a gateway process.
 struct GatewaySettings
 {
     InstanceId instance;
@@ -38,22 +42,23 @@
     SocketAddress operatorListen; // For the platform's balancer and operators.
     std::optional<SocketAddress> metricsListen;
     SocketAddress store;
-    std::optional<SocketAddress> peerListen; // For other gateways; nothing: each asks the store.
-    std::vector<SocketAddress> seeds;        // Some of the other gateways.
-    std::optional<int> agentPort; // Of the agents beside engines, at the engines' addresses.
-    std::size_t maxAccountSeries = 300;
-    // How long it is remembered that an upstream ended under a request; zero: not at all.
-    Duration crashMemory = CrashRecord::Settings().life;
-    // What the platform asks of every gateway, as its settings tell.
+    std::optional<SocketAddress> peerListen; // For other gateways; if empty, each polls the store.
+    std::vector<SocketAddress> seeds;        // Some of the other gateways, for discovery.
+    std::optional<int> agentPort; // The port of the agents, which run at the engines' addresses.
+    std::size_t maxAccountSeries = 300; // The number of accounts with metric series of their own.
+    // How long the record is kept that an upstream ended under a request; zero disables it.
+    Duration crashRetention = CrashRecord::Settings().life;
+    // Limits from the platform's settings, and the timings derived from them.
     GatewayBounds bounds;
-    GatewayTimes times = timesWithin(GatewayBounds());
+    GatewayTimings times = deriveTimings(GatewayBounds());
 };
 
+// Runs one gateway on an event loop.
 class GatewayService final : private HttpHandler, private StatusSource
 {
 public:
-    // Opens all addresses. Fails when one of them cannot be opened. The protocol and the store's
-    // reader outlive the service.
+    // Opens all addresses and starts serving. Fails if one of them cannot be opened. The loop, the
+    // protocol and the store must outlive the service.
     static tl::expected<std::unique_ptr<GatewayService>, NetError>
     create(EventLoop &loop, const GatewaySettings &settings, const CallerProtocol &protocol,
            const MetadataStore &store);
@@ -61,44 +66,44 @@
     GatewayService(const GatewayService &) = delete;
     GatewayService &operator=(const GatewayService &) = delete;
 
-    // Takes settings that were read anew. Addresses, the instance and the hall stay as they are
-    // until the process starts anew; a change of those is logged.
+    // Applies reloaded settings. Changes to addresses, the instance, the hall and its regions take
+    // effect only at the next start of the process; they are logged.
     void applySettings(const GatewaySettings &settings);
 
-    // Starts a planned stop: readiness goes down, requests go on, and the loop stops when the last
-    // answer is out or at the deadline.
+    // Starts a planned stop: the gateway reports that it is not ready, continues to serve requests,
+    // and stops the loop when the last answer has been sent or at the deadline.
     void stop();
 
 private:
     class Receiver;
 
-    // A caller's request on its way.
-    struct Flight
+    // An admitted request that has not ended, with the state of its current attempt.
+    struct ActiveRequest
     {
         ExchangeId exchange = 0;
         HttpRequest request;
         CallerFacts facts;
         GatewayRequest admitted;
         HttpCallId call = 0;
-        std::uint32_t attempt = 0; // Of the call under way.
-        InstanceId upstream;
-        SocketAddress address; // Of that upstream.
+        std::uint32_t attempt = 0; // The number of the current attempt.
+        InstanceId upstream;       // The upstream of the current attempt.
+        SocketAddress address;
         GroupId group;
         HttpHead head;
-        std::string body;     // Of an answer that goes out whole.
-        bool streams = false; // The answer under way is a stream of events.
+        std::string body;     // Buffers an answer that is sent as a whole.
+        bool streams = false; // The current answer is an event stream.
         bool headSent = false;
-        bool attemptSpeaks = false; // The attempt under way has sent an event.
-        bool resuming = false;      // Events follow those of an earlier attempt.
+        bool attemptHasEvents = false; // The current attempt has received an event.
+        bool resuming = false;         // The current attempt continues an earlier one's stream.
         EventSplitter events;
         TimePoint startedAt{};
         TimePoint firstEventAt{};
         TimePoint lastEventAt{};
-        Duration longestPause{}; // Between two events, as the caller saw them.
+        Duration longestPause{}; // The longest gap between two events sent to the caller.
     };
 
-    // A request whose connection to its upstream broke.
-    struct Lost
+    // An attempt whose connection to the upstream broke.
+    struct LostAttempt
     {
         std::string requestId;
         RequestDigest digest;
@@ -117,13 +122,14 @@
 
     bool ready(std::string &reason) const override;
     nlohmann::json status() const override;
-    nlohmann::json suspects() const;
-    nlohmann::json resting() const;
-    nlohmann::json limited() const;
+    nlohmann::json suspectsStatus() const;
+    nlohmann::json restingStatus() const;
+    nlohmann::json limitedStatus() const;
 
     void applyConfiguration(const RouteTable &table);
-    void take(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
-    void takeEarly();
+    // Starts the request if it is admitted, else refuses it. Its times count from `arrivedAt`.
+    void admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
+    void processEarlyRequests();
     void refuse(ExchangeId exchange, const CallerFacts &facts, FailureCode code, Outcome outcome,
                 Duration retryAfter);
 
@@ -134,19 +140,22 @@
     void carryOut(const AbortAnswer &action);
 
     void onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head);
-    void noteNotice(RequestNumber number, const Flight &flight, AnswerKind kind);
-    void noteLimit(RequestNumber number, const Flight &flight, const UpstreamNotice &notice,
-                   AnswerKind kind);
-    void askForPermits();
+    void handleNotice(RequestNumber number, const ActiveRequest &active, AnswerKind kind);
+    void handleLimit(RequestNumber number, const ActiveRequest &active,
+                     const UpstreamNotice &notice, AnswerKind kind);
+    void requestPermits();
     void onAnswerPiece(RequestNumber number, std::uint32_t attempt, std::string_view piece);
     void onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end);
+    // Reports a lost attempt to the core, unless the request has ended or a further attempt
+    // started.
     void onAttemptLost(RequestNumber number, std::uint32_t attempt, AttemptEnd end);
-    void askAfterUpstream(RequestNumber number, const Flight &flight);
-    void startStream(RequestNumber number, Flight &flight);
-    void finishWhole(RequestNumber number, Flight &flight);
-    void relayEvents(RequestNumber number, Flight &flight, std::string_view piece);
-    void endFlight(RequestNumber number, std::string_view result);
-    Flight *find(RequestNumber number, std::uint32_t attempt);
+    void probeUpstream(RequestNumber number, const ActiveRequest &active);
+    void startStream(RequestNumber number, ActiveRequest &active);
+    void finishAnswer(RequestNumber number, ActiveRequest &active);
+    void relayEvents(RequestNumber number, ActiveRequest &active, std::string_view piece);
+    void endRequest(RequestNumber number, std::string_view result);
+    // Returns the request if `attempt` is its current attempt and has a call in flight, else null.
+    ActiveRequest *findActiveRequest(RequestNumber number, std::uint32_t attempt);
     void tick();
     void stopIfDrained();
 
@@ -156,7 +165,7 @@
     const MetadataStore &store_;
     Metrics metrics_;
     GatewayCore core_;
-    GatewayKnowledge knowledge_;
+    GatewayStoreView storeView_;
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<UpstreamProbe> probe_;
     std::unique_ptr<HttpServer> server_;
@@ -164,7 +173,7 @@
     std::unique_ptr<OperatorServer> metricsServer_;
     std::unique_ptr<KnowledgeSources> sources_;
     EarlyRequests early_;
-    std::unordered_map<RequestNumber, Flight> flights_;
+    std::unordered_map<RequestNumber, ActiveRequest> activeRequests_;
     std::unordered_map<ExchangeId, RequestNumber> byExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
     bool stopping_ = false;
--- /dev/null
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -0,0 +1,372 @@
+// The part of GatewayService that calls upstreams: it starts and cancels attempts and forwards
+// their answers to callers.
+#include "base/log.h"
+#include "gateway/gatewayservice.h"
+#include "gateway/requestdigest.h"
+
+#include <algorithm>
+#include <nlohmann/json.hpp>
+#include <utility>
+
+namespace seamarch {
+namespace {
+
+// The size limit of answers that are not streamed. They are buffered until complete and only then
+// sent, so that the caller never receives a truncated one. Longer ones would use too much memory
+// and count as invalid.
+constexpr std::size_t kMaxBufferedAnswerBytes = std::size_t{1024} * 1024;
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
+
+std::string_view nameOf(HttpCallEnd end)
+{
+    switch (end) {
+    case HttpCallEnd::Complete:
+        return "complete";
+    case HttpCallEnd::NotSent:
+        return "not sent";
+    case HttpCallEnd::KeptLost:
+        return "kept connection lost";
+    case HttpCallEnd::Interrupted:
+        return "interrupted";
+    case HttpCallEnd::Unreadable:
+        return "unreadable";
+    }
+    return "unknown";
+}
+
+std::string_view nameOf(AnswerKind kind)
+{
+    switch (kind) {
+    case AnswerKind::Success:
+        return "success";
+    case AnswerKind::Failure:
+        return "failure";
+    case AnswerKind::Full:
+        return "full";
+    case AnswerKind::WrongInstance:
+        return "wrong instance";
+    case AnswerKind::Refused:
+        return "refused";
+    case AnswerKind::Invalid:
+        return "invalid";
+    }
+    return "unknown";
+}
+
+bool isEventStream(const HttpHead &head)
+{
+    return findHeader(head.headers, "content-type").starts_with("text/event-stream");
+}
+
+HttpResponseHead toResponse(const HttpHead &head)
+{
+    HttpResponseHead response;
+    response.status = head.status;
+    response.contentType.clear();
+    response.headers = endToEndHeaders(head.headers);
+    return response;
+}
+
+} // namespace
+
+// Passes an upstream's answer to the service with the numbers of the request and the attempt.
+class GatewayService::Receiver final : public HttpCallReceiver
+{
+public:
+    Receiver(GatewayService &service, RequestNumber number, std::uint32_t attempt)
+        : service_(service)
+        , number_(number)
+        , attempt_(attempt)
+    {}
+
+    void onHead(HttpHead head) override
+    {
+        service_.onAnswerHead(number_, attempt_, std::move(head));
+    }
+    void onPiece(std::string_view piece) override
+    {
+        service_.onAnswerPiece(number_, attempt_, piece);
+    }
+    void onEnd(HttpCallEnd end) override { service_.onAnswerEnd(number_, attempt_, end); }
+
+private:
+    GatewayService &service_;
+    RequestNumber number_;
+    std::uint32_t attempt_;
+};
+
+GatewayService::ActiveRequest *GatewayService::findActiveRequest(RequestNumber number,
+                                                                 std::uint32_t attempt)
+{
+    const auto found = activeRequests_.find(number);
+    if (found == activeRequests_.end() || found->second.attempt != attempt
+        || found->second.call == 0) {
+        return nullptr;
+    }
+    return &found->second;
+}
+
+void GatewayService::carryOut(const StartAttempt &action)
+{
+    const auto found = activeRequests_.find(action.request);
+    if (found == activeRequests_.end()) {
+        return;
+    }
+    ActiveRequest &active = found->second;
+    AttemptFacts facts;
+    facts.instance = action.upstream.id;
+    facts.account = active.admitted.account;
+    facts.priority = active.admitted.priority;
+    facts.timeLeft = action.timeLeft;
+    facts.resumeAfter =
+        active.events.lastId().empty() ? active.facts.resumeAfter : active.events.lastId();
+    HttpCallRequest call;
+    call.address = {action.upstream.host, action.upstream.port};
+    call.method = active.request.method;
+    call.path = active.request.target;
+    call.headers = protocol_.upstreamHeaders(active.request, facts);
+    call.body = active.request.body;
+    call.reuse = action.mayReuseConnection ? HttpReuse::Any : HttpReuse::Young;
+    call.connectTimeout = kConnectTimeout;
+    active.attempt = action.attempt;
+    active.upstream = action.upstream.id;
+    active.address = call.address;
+    active.group = action.group;
+    active.body.clear();
+    active.streams = false;
+    active.attemptHasEvents = false;
+    active.resuming = active.headSent;
+    const TargetName &service = action.upstream.service;
+    const GroupTracker *tracker = core_.tracker(service, action.group);
+    logLine(LogLevel::Info, "attempt.started",
+            {{"id", active.facts.requestId},
+             {"attempt", action.attempt},
+             {"waitedMs", toMillis(loop_.now() - active.startedAt)},
+             {"group", action.group.value()},
+             {"streams", tracker == nullptr ? 0 : tracker->inFlight()},
+             {"streamLimit", tracker == nullptr ? 0.0 : tracker->limiter().limit()},
+             {"waiting", core_.queuedStreams(service)},
+             {"upstream", action.upstream.id.value()},
+             {"hall", action.upstream.hall.value()},
+             {"inFlightThere", core_.inFlightAt(action.upstream.id)},
+             {"timeLeftMs", toMillis(action.timeLeft)},
+             {"configVersion", active.admitted.table->version().value()},
+             {"knowledgeAgeMs", toMillis(storeView_.age())}});
+    active.call = client_->call(std::move(call),
+                                std::make_unique<Receiver>(*this, action.request, action.attempt));
+}
+
+void GatewayService::carryOut(const CancelAttempt &action)
+{
+    const auto found = activeRequests_.find(action.request);
+    if (found == activeRequests_.end() || found->second.call == 0) {
+        return;
+    }
+    ActiveRequest &active = found->second;
+    client_->cancel(std::exchange(active.call, 0));
+    if (action.silent) {
+        active.events.discardPartial();
+        logLine(LogLevel::Info, "attempt.silent",
+                {{"id", active.facts.requestId},
+                 {"attempt", active.attempt},
+                 {"upstream", active.upstream.value()},
+                 {"group", active.group.value()},
+                 {"events", active.events.eventCount()},
+                 {"ms", toMillis(loop_.now() - active.startedAt)}});
+    }
+}
+
+void GatewayService::onAnswerHead(RequestNumber number, std::uint32_t attempt, HttpHead head)
+{
+    ActiveRequest *active = findActiveRequest(number, attempt);
+    if (active == nullptr) {
+        return;
+    }
+    const AnswerKind kind = protocol_.judge(head, active->facts);
+    active->head = std::move(head);
+    handleNotice(number, *active, kind);
+    const bool events = kind == AnswerKind::Success && active->admitted.route->streamed
+                        && isEventStream(active->head);
+    if (active->resuming && kind == AnswerKind::Success && !events) {
+        GatewayActions actions;
+        core_.onHead(number, AnswerKind::Invalid, loop_.now(), actions);
+        carryOut(actions);
+        return;
+    }
+    if (events) {
+        startStream(number, *active);
+        return;
+    }
+    if (kind == AnswerKind::Success || kind == AnswerKind::Failure) {
+        return; // Decided when the body is complete.
+    }
+    logLine(LogLevel::Info, "attempt.refused",
+            {{"id", active->facts.requestId},
+             {"attempt", attempt},
+             {"upstream", active->upstream.value()},
+             {"status", active->head.status},
+             {"kind", nameOf(kind)},
+             {"ms", toMillis(loop_.now() - active->startedAt)}});
+    GatewayActions actions;
+    core_.onHead(number, kind, loop_.now(), actions);
+    carryOut(actions);
+}
+
+void GatewayService::startStream(RequestNumber number, ActiveRequest &active)
+{
+    GatewayActions actions;
+    if (!core_.onHead(number, AnswerKind::Success, loop_.now(), actions)) {
+        carryOut(actions);
+        return;
+    }
+    active.streams = true;
+    if (!active.headSent) {
+        active.headSent = true;
+        server_->begin(active.exchange, toResponse(active.head));
+    }
+}
+
+void GatewayService::onAnswerPiece(RequestNumber number, std::uint32_t attempt,
+                                   std::string_view piece)
+{
+    constexpr std::size_t kBufferedHighWater = std::size_t{256} * 1024;
+    ActiveRequest *active = findActiveRequest(number, attempt);
+    if (active == nullptr) {
+        return;
+    }
+    if (active->streams) {
+        relayEvents(number, *active, piece);
+        if (server_->buffered(active->exchange) > kBufferedHighWater) {
+            client_->pause(active->call, true);
+        }
+        return;
+    }
+    active->body.append(piece);
+    if (active->body.size() > kMaxBufferedAnswerBytes) {
+        GatewayActions actions;
+        core_.onHead(number, AnswerKind::Invalid, loop_.now(), actions);
+        carryOut(actions);
+    }
+}
+
+void GatewayService::relayEvents(RequestNumber number, ActiveRequest &active,
+                                 std::string_view piece)
+{
+    const std::string completeEvents = active.events.feed(piece);
+    if (completeEvents.empty()) {
+        return;
+    }
+    const TimePoint now = loop_.now();
+    const bool first = active.lastEventAt == TimePoint{};
+    metrics_.observe(first ? Stage::FirstToken : Stage::BetweenTokens, active.admitted.account,
+                     active.admitted.route->name,
+                     now - (first ? active.startedAt : active.lastEventAt));
+    if (first) {
+        active.firstEventAt = now;
+    } else {
+        active.longestPause = std::max(active.longestPause, now - active.lastEventAt);
+    }
+    // The gap before the first event of a further attempt spans a change of upstreams, so it does
+    // not count as a pause of either upstream.
+    if (!std::exchange(active.attemptHasEvents, true)) {
+        core_.onFirstEvent(number, now);
+    } else {
+        core_.onPause(number, now - active.lastEventAt, now);
+    }
+    active.lastEventAt = now;
+    server_->write(active.exchange, completeEvents);
+}
+
+void GatewayService::onAnswerEnd(RequestNumber number, std::uint32_t attempt, HttpCallEnd end)
+{
+    ActiveRequest *active = findActiveRequest(number, attempt);
+    if (active == nullptr) {
+        return;
+    }
+    active->call = 0;
+    if (end == HttpCallEnd::Complete && !(active->streams && active->events.hasPartial())) {
+        finishAnswer(number, *active);
+        return;
+    }
+    logLine(LogLevel::Info, "attempt.lost",
+            {{"id", active->facts.requestId},
+             {"attempt", attempt},
+             {"upstream", active->upstream.value()},
+             {"end", nameOf(end)},
+             {"headSent", active->headSent},
+             {"events", active->events.eventCount()},
+             {"ms", toMillis(loop_.now() - active->startedAt)}});
+    active->events.discardPartial();
+    if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
+        probeUpstream(number, *active);
+        return;
+    }
+    onAttemptLost(number, attempt,
+                  end == HttpCallEnd::NotSent ? AttemptEnd::NotSent : AttemptEnd::Lost);
+}
+
+void GatewayService::onAttemptLost(RequestNumber number, std::uint32_t attempt, AttemptEnd end)
+{
+    const auto found = activeRequests_.find(number);
+    if (found == activeRequests_.end() || found->second.attempt != attempt
+        || found->second.call != 0) {
+        return; // The request has ended or has moved on to another upstream.
+    }
+    GatewayActions actions;
+    core_.onEnd(number, end, loop_.now(), actions);
+    carryOut(actions);
+}
+
+// Probes whether the upstream that lost the request has ended. The request waits for the result,
+// which takes some round trips at most: retried at once, a request that crashes upstreams might
+// take down another one.
+void GatewayService::probeUpstream(RequestNumber number, const ActiveRequest &active)
+{
+    LostAttempt lost{active.facts.requestId, active.admitted.digest, active.admitted.account,
+                     active.upstream, loop_.now()};
+    const std::uint32_t attempt = active.attempt;
+    probe_->ask(active.address, [this, number, attempt, lost](UpstreamState state) {
+        metrics_.count("seamarch_upstreams_that_lost_requests_total", toString(state));
+        logLine(LogLevel::Info, "upstream.probed",
+                {{"id", lost.requestId},
+                 {"upstream", lost.upstream.value()},
+                 {"state", toString(state)},
+                 {"digest", toText(lost.digest)},
+                 {"ms", toMillis(loop_.now() - lost.at)}});
+        if (state == UpstreamState::Ended) {
+            GatewayActions actions;
+            core_.onUpstreamEnded(lost.digest, lost.account, lost.upstream, lost.at, loop_.now(),
+                                  actions);
+            carryOut(actions);
+        }
+        onAttemptLost(number, attempt, AttemptEnd::Lost);
+    });
+}
+
+void GatewayService::finishAnswer(RequestNumber number, ActiveRequest &active)
+{
+    GatewayActions actions;
+    if (active.streams) {
+        core_.onEnd(number, AttemptEnd::Complete, loop_.now(), actions);
+        carryOut(actions);
+        server_->finish(active.exchange);
+        endRequest(number, "served");
+        return;
+    }
+    const AnswerKind kind = protocol_.judge(active.head, active.facts);
+    if (!core_.onHead(number, kind, loop_.now(), actions)) {
+        logLine(LogLevel::Info, "attempt.failed",
+                {{"id", active.facts.requestId},
+                 {"attempt", active.attempt},
+                 {"upstream", active.upstream.value()},
+                 {"status", active.head.status}});
+        carryOut(actions);
+        return;
+    }
+    core_.onEnd(number, AttemptEnd::Complete, loop_.now(), actions);
+    carryOut(actions);
+    server_->respond(active.exchange, toResponse(active.head), active.body);
+    endRequest(number, kind == AnswerKind::Success ? "served" : "upstream failure");
+}
+
+} // namespace seamarch
--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewayservicenotices.cpp
@@ -1,5 +1,5 @@
-// The part of GatewayService that takes what upstreams say of themselves, and asks for permits to
-// send to those that name a limit.
+// The part of GatewayService that processes the notices in upstreams' answers (pauses, leaving,
+// rate limits), and requests permits to send to upstreams.
 #include "base/log.h"
 #include "gateway/gatewayservice.h"
 
@@ -8,7 +8,7 @@
 namespace seamarch {
 namespace {
 
-std::string_view wordFor(UpstreamLimits::Change change)
+std::string_view nameOf(UpstreamLimits::Change change)
 {
     switch (change) {
     case UpstreamLimits::Change::None:
@@ -25,19 +25,20 @@
 
 } // namespace
 
-// Takes what the head of an answer says about the upstream that gave it.
-void GatewayService::noteNotice(RequestNumber number, const Flight &flight, AnswerKind kind)
+// Processes the notices in the head of an answer about the upstream that sent it.
+void GatewayService::handleNotice(RequestNumber number, const ActiveRequest &active,
+                                  AnswerKind kind)
 {
-    const UpstreamNotice notice = protocol_.readNotice(flight.head);
-    noteLimit(number, flight, notice, kind);
+    const UpstreamNotice notice = protocol_.readNotice(active.head);
+    handleLimit(number, active, notice, kind);
     if (notice.empty()) {
         return;
     }
     logLine(LogLevel::Info, "upstream.notice",
-            {{"id", flight.facts.requestId},
-             {"attempt", flight.attempt},
-             {"upstream", flight.upstream.value()},
-             {"status", flight.head.status},
+            {{"id", active.facts.requestId},
+             {"attempt", active.attempt},
+             {"upstream", active.upstream.value()},
+             {"status", active.head.status},
              {"restMs", notice.rest ? nlohmann::json(toMillis(*notice.rest)) : nlohmann::json()},
              {"restUnreadable", notice.restUnreadable},
              {"leaving", notice.leaving},
@@ -57,14 +58,14 @@
     core_.onNotice(number, notice, loop_.now());
 }
 
-// Takes the limit that an answer names, or that it names none. An answer that cannot be trusted, or
-// that another instance may have given, ends no limit.
-void GatewayService::noteLimit(RequestNumber number, const Flight &flight,
-                               const UpstreamNotice &notice, AnswerKind kind)
+// Applies the limit that an answer names, or ends the upstream's limit if the answer names none. An
+// answer that is refused or invalid, or that another instance may have sent, does not end a limit.
+void GatewayService::handleLimit(RequestNumber number, const ActiveRequest &active,
+                                 const UpstreamNotice &notice, AnswerKind kind)
 {
-    const bool trusted =
+    const bool isConclusive =
         kind == AnswerKind::Success || kind == AnswerKind::Failure || kind == AnswerKind::Full;
-    if (!notice.limit && (notice.limitUnreadable || !trusted)) {
+    if (!notice.limit && (notice.limitUnreadable || !isConclusive)) {
         return;
     }
     const auto change = core_.onLimit(number, notice.limit, loop_.now());
@@ -73,17 +74,17 @@
     }
     logLine(
         LogLevel::Info, "limit.changed",
-        {{"id", flight.facts.requestId},
-         {"attempt", flight.attempt},
-         {"upstream", flight.upstream.value()},
-         {"change", wordFor(change)},
+        {{"id", active.facts.requestId},
+         {"attempt", active.attempt},
+         {"upstream", active.upstream.value()},
+         {"change", nameOf(change)},
          {"perSecond", notice.limit ? nlohmann::json(notice.limit->perSecond()) : nlohmann::json()},
          {"gateways", sources_->gateways()}});
-    metrics_.count("seamarch_limit_changes_total", wordFor(change));
+    metrics_.count("seamarch_limit_changes_total", nameOf(change));
 }
 
-// Asks for the permits that requests have wanted.
-void GatewayService::askForPermits()
+// Requests the permits that waiting requests need.
+void GatewayService::requestPermits()
 {
     const TimePoint now = loop_.now();
     for (const SendPermits::Query &ask : core_.takePermitAsks(now)) {
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -1,4 +1,4 @@
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 
 #include "base/log.h"
 
@@ -13,32 +13,32 @@
 
 using nlohmann::json;
 
-// What a caller waits when it does not say how long, and its route does not either.
+// The deadline of a request when neither the caller nor the route sets one.
 constexpr Duration kDefaultDeadline = std::chrono::seconds(30);
 
 } // namespace
 
-GatewayKnowledge::GatewayKnowledge(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
-                                   const FreshnessBounds &freshness, Applied applied)
+GatewayStoreView::GatewayStoreView(EventLoop &loop, UpstreamTable &upstreams, Metrics &metrics,
+                                   const FreshnessBounds &freshness, ConfigApplied onConfigApplied)
     : loop_(loop)
     , upstreams_(upstreams)
     , metrics_(metrics)
     , freshness_(freshness)
-    , applied_(std::move(applied))
+    , onConfigApplied_(std::move(onConfigApplied))
 {}
 
-// A document that could not be read may have taken a key away: until the next one, what is held is
-// not confirmed by anything.
-void GatewayKnowledge::confirm(TimePoint askedAt, const StorePlace &place)
+// Records the time only while the store's document is readable: an unreadable one may have removed
+// a key, so the configuration in force counts as unconfirmed until the next readable document.
+void GatewayStoreView::recordConfirmation(TimePoint askedAt, const StorePlace &place)
 {
-    takePlace(std::max(place_, place));
-    noteReachable();
+    setPlace(std::max(place_, place));
+    markStoreReachable();
     if (!routingUnreadable_) {
         confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, askedAt) : askedAt;
     }
 }
 
-void GatewayKnowledge::noteReachable()
+void GatewayStoreView::markStoreReachable()
 {
     if (!storeReachable_) {
         storeReachable_ = true;
@@ -47,8 +47,9 @@
     }
 }
 
-// Living upstreams that an older copy lacks are listed again soon, as after an outage.
-void GatewayKnowledge::notePlace(const StorePlace &place)
+// Handles a store that was restored from an older copy. Live upstreams that the copy lacks register
+// again soon, as after an outage; until then the table treats them as lapsed, not as removed.
+void GatewayStoreView::handleRollback(const StorePlace &place)
 {
     if (!wentBack(place_, place)) {
         return;
@@ -61,7 +62,7 @@
     upstreams_.onStoreRolledBack(loop_.now());
 }
 
-void GatewayKnowledge::takePlace(const StorePlace &place)
+void GatewayStoreView::setPlace(const StorePlace &place)
 {
     if (place.era != place_.era) {
         metrics_.set("seamarch_store_era", static_cast<double>(place.era));
@@ -69,42 +70,42 @@
     place_ = place;
 }
 
-void GatewayKnowledge::adoptVersion(const SharedKnowledge &shared)
+void GatewayStoreView::adoptConfiguration(const PeerStoreState &peerState)
 {
-    if (shared.document) {
-        takeRouting(*shared.document);
+    if (peerState.document) {
+        applyRouting(*peerState.document);
     }
 }
 
-bool GatewayKnowledge::adopt(const SharedKnowledge &shared, TimePoint confirmedAt)
+bool GatewayStoreView::adopt(const PeerStoreState &peerState, TimePoint confirmedAt)
 {
-    adoptVersion(shared);
-    // A gateway of an earlier version does not tell the era.
-    const StorePlace place{shared.place.era == 0 ? place_.era : shared.place.era,
-                           shared.place.revision};
-    const bool news = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
-    const bool whole = (shared.document || shared.version <= version())
-                       && (shared.upstreams || shared.upstreamsMark == namedMark());
-    if (!news || !whole) {
+    adoptConfiguration(peerState);
+    // Gateways of earlier software versions do not send the era.
+    const StorePlace place{peerState.place.era == 0 ? place_.era : peerState.place.era,
+                           peerState.place.revision};
+    const bool isNewer = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
+    const bool isComplete = (peerState.document || peerState.version <= version())
+                            && (peerState.upstreams || peerState.upstreamsMark == advertisedMark());
+    if (!isNewer || !isComplete) {
         return false;
     }
-    notePlace(place);
-    if (shared.upstreams) {
-        upstreams_.mirror(*shared.upstreams);
-        takeDrainedHalls(shared.drainedHalls);
-        adoptedMark_ = shared.upstreamsMark;
+    handleRollback(place);
+    if (peerState.upstreams) {
+        upstreams_.mirror(*peerState.upstreams);
+        applyDrainedHalls(peerState.drainedHalls);
+        adoptedMark_ = peerState.upstreamsMark;
         changesAtAdoption_ = upstreams_.changes();
         logLine(LogLevel::Info, "upstreams.adopted",
                 {{"revision", place.revision},
-                 {"upstreams", shared.upstreams->size()},
+                 {"upstreams", peerState.upstreams->size()},
                  {"confirmedMsAgo", toMillis(loop_.now() - confirmedAt)}});
     }
-    takePlace(place);
+    setPlace(place);
     confirmedAt_ = confirmedAt;
     return true;
 }
 
-std::uint64_t GatewayKnowledge::namedMark() const
+std::uint64_t GatewayStoreView::advertisedMark() const
 {
     if (!confirmed()) {
         return 0;
@@ -113,7 +114,7 @@
     return adopted ? adoptedMark_ : upstreamsMark();
 }
 
-std::uint64_t GatewayKnowledge::upstreamsMark() const
+std::uint64_t GatewayStoreView::upstreamsMark() const
 {
     if (mark_ != 0 && markedChanges_ == upstreams_.changes()) {
         return mark_;
@@ -129,83 +130,85 @@
         text += fmt::format("drained|{}\n", hall.value());
     }
     markedChanges_ = upstreams_.changes();
-    mark_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size())); // Zero is no mark.
+    // Zero stands for "no list".
+    mark_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
     return mark_;
 }
 
-const std::string &GatewayKnowledge::documentText() const
+const std::string &GatewayStoreView::documentText() const
 {
     static const std::string kNone;
     return table_ ? table_->source() : kNone;
 }
 
-bool GatewayKnowledge::formsGroups(const TargetName &service) const
+bool GatewayStoreView::formsGroups(const TargetName &service) const
 {
     const ServiceRule *rule = table_ ? table_->service(service) : nullptr;
     return rule != nullptr && rule->experts.has_value();
 }
 
-Duration GatewayKnowledge::age() const
+Duration GatewayStoreView::age() const
 {
     return confirmedAt_ ? loop_.now() - *confirmedAt_ : Duration::max();
 }
 
-void GatewayKnowledge::onStoreListed(const StoreItems &items, TimePoint askedAt)
+void GatewayStoreView::onStoreListed(const StoreItems &items, TimePoint askedAt)
 {
     std::vector<UpstreamRecord> records;
     std::set<HallId> drained;
     for (const StoreItem &item : items.items) {
         if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
-            records.push_back(dated(*record));
+            records.push_back(withWarmUpEnd(*record));
         } else if (const auto *drain = std::get_if<HallDrain>(&item)) {
             drained.insert(drain->hall);
         } else {
-            takeItem(item);
+            applyItem(item);
         }
     }
-    notePlace(items.place);
+    handleRollback(items.place);
     upstreams_.replaceAll(records, loop_.now());
-    takeDrainedHalls(std::move(drained));
+    applyDrainedHalls(std::move(drained));
     logLine(LogLevel::Info, "store.listed",
             {{"revision", items.place.revision}, {"upstreams", records.size()}});
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
-    noteFaults(items.faults);
-    confirm(askedAt, items.place);
+    reportFaults(items.faults);
+    recordConfirmation(askedAt, items.place);
 }
 
-void GatewayKnowledge::onStoreChanged(const StoreItems &items, TimePoint askedAt)
+void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint askedAt)
 {
     for (const StoreItem &item : items.items) {
-        takeItem(item);
+        applyItem(item);
     }
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
-    noteFaults(items.faults);
-    confirm(askedAt, items.place);
+    reportFaults(items.faults);
+    recordConfirmation(askedAt, items.place);
 }
 
-void GatewayKnowledge::noteFaults(const std::vector<std::string> &faults)
+void GatewayStoreView::reportFaults(const std::vector<std::string> &faults)
 {
-    constexpr std::size_t kMostText = 200; // A fault may quote what it stumbled over.
+    constexpr std::size_t kMaxFaultText = 200; // A fault may quote the unreadable item.
     for (const std::string &fault : faults) {
         metrics_.count("seamarch_store_failures_total", "item unreadable");
         logLine(LogLevel::Warning, "store.item_unreadable",
-                {{"fault", fault.substr(0, kMostText)}});
+                {{"fault", fault.substr(0, kMaxFaultText)}});
     }
 }
 
-// Returns the record with the time from which on its upstream is warm. What the entry tells was
-// true when it was written, so counted from now it is never too short. An entry of older software
-// does not tell: its upstream has then just started, if the start is a new one.
-UpstreamRecord GatewayKnowledge::dated(UpstreamRecord record) const
+// Returns the record with the time at which its upstream's warm-up ends. The remaining warm-up in
+// the entry was correct when the entry was written, so counting it from now never ends it too
+// early. Upstreams with older software do not report it: their warm-up then begins now if their
+// start is a new one.
+UpstreamRecord GatewayStoreView::withWarmUpEnd(UpstreamRecord record) const
 {
     if (record.warmUpLeft) {
         const bool warm = *record.warmUpLeft <= Duration{};
         record.warmAt = warm ? TimePoint{} : loop_.now() + *record.warmUpLeft;
         return record;
     }
-    const UpstreamRecord *known = upstreams_.find(record.id);
-    if (known != nullptr && known->start == record.start) {
-        record.warmAt = known->warmAt;
+    const UpstreamRecord *previous = upstreams_.find(record.id);
+    if (previous != nullptr && previous->start == record.start) {
+        record.warmAt = previous->warmAt;
         return record;
     }
     const ServiceRule *rule = table_ ? table_->service(record.service) : nullptr;
@@ -213,12 +216,12 @@
     return record;
 }
 
-void GatewayKnowledge::takeItem(const StoreItem &item)
+void GatewayStoreView::applyItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
-        takeRouting(*document);
+        applyRouting(*document);
     } else if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
-        upstreams_.put(dated(*record));
+        upstreams_.put(withWarmUpEnd(*record));
         logLine(
             LogLevel::Info, "upstream.listed",
             {{"upstream", record->id.value()},
@@ -239,11 +242,11 @@
         } else {
             halls.insert(drain->hall);
         }
-        takeDrainedHalls(std::move(halls));
+        applyDrainedHalls(std::move(halls));
     }
 }
 
-void GatewayKnowledge::takeDrainedHalls(std::set<HallId> halls)
+void GatewayStoreView::applyDrainedHalls(std::set<HallId> halls)
 {
     if (!upstreams_.setDrainedHalls(std::move(halls))) {
         return;
@@ -259,23 +262,23 @@
     metrics_.set("seamarch_drained_halls", static_cast<double>(names.size()));
 }
 
-void GatewayKnowledge::takeRouting(const RoutingDocument &document)
+void GatewayStoreView::applyRouting(const RoutingDocument &document)
 {
-    const ConfigVersion held = table_ ? table_->version() : ConfigVersion();
-    if (document.version <= held) {
+    const ConfigVersion currentVersion = table_ ? table_->version() : ConfigVersion();
+    if (document.version <= currentVersion) {
         return;
     }
     table_ = std::make_shared<const RouteTable>(document);
     routingUnreadable_ = false;
-    applied_(*table_);
+    onConfigApplied_(*table_);
     logLine(LogLevel::Info, "config.applied",
             {{"version", document.version.value()},
-             {"before", held.value()},
+             {"before", currentVersion.value()},
              {"routes", document.routes.size()},
              {"accounts", document.accounts.size()}});
 }
 
-void GatewayKnowledge::onStoreFailed(std::string_view cause)
+void GatewayStoreView::onStoreFailed(std::string_view cause)
 {
     upstreams_.onOutage(loop_.now());
     metrics_.count("seamarch_store_failures_total", cause);
@@ -286,14 +289,14 @@
     }
 }
 
-tl::expected<GatewayRequest, FailureCode> GatewayKnowledge::admit(const HttpRequest &request,
+tl::expected<GatewayRequest, FailureCode> GatewayStoreView::admit(const HttpRequest &request,
                                                                   const CallerFacts &facts) const
 {
     if (!table_) {
         return tl::unexpected(FailureCode::EntryNotReady);
     }
-    const Duration known = age();
-    const bool mayDeny = known <= freshness_.deny;
+    const Duration confirmationAge = age();
+    const bool mayDeny = confirmationAge <= freshness_.deny;
     GatewayRequest admitted;
     admitted.table = table_;
     admitted.route = table_->match(facts.host, request.path);
@@ -302,9 +305,9 @@
     }
     admitted.priority = admitted.route->priority;
     admitted.residency.restrictTo(admitted.route->regions);
-    const Duration longest =
+    const Duration defaultDeadline =
         admitted.route->timeout > Duration{} ? admitted.route->timeout : kDefaultDeadline;
-    admitted.deadline = facts.deadline.value_or(longest);
+    admitted.deadline = facts.deadline.value_or(defaultDeadline);
     if (admitted.route->allowsAnonymous || !table_->hasAccounts()) {
         return admitted;
     }
@@ -312,7 +315,7 @@
     if (account == nullptr) {
         return tl::unexpected(mayDeny ? FailureCode::Unauthorized : FailureCode::KnowledgeStale);
     }
-    if (known > freshness_.keys) {
+    if (confirmationAge > freshness_.keys) {
         return tl::unexpected(FailureCode::KnowledgeStale);
     }
     admitted.account = account->id;
--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -7,8 +7,9 @@
 namespace seamarch {
 namespace {
 
-// Larger than any configuration that the store takes.
-constexpr std::size_t kMostTextBytes = std::size_t{64} * 1024 * 1024;
+// Larger than any configuration that the store accepts. Bounds the memory that a message can make
+// `decompressText` allocate.
+constexpr std::size_t kMaxTextBytes = std::size_t{64} * 1024 * 1024;
 
 } // namespace
 
@@ -83,28 +84,29 @@
     return halls;
 }
 
-void writeLimit(const LimitReport &word, TimePoint now, wire::UpstreamLimit::Builder to)
+void writeLimit(const LimitReport &namedLimit, TimePoint now, wire::UpstreamLimit::Builder to)
 {
-    to.setUpstream(word.upstream.value());
-    to.setStartedUnixMillis(word.start.value());
-    to.setNamed(word.rate.has_value());
-    to.setPerSecond(word.rate.value_or(RequestRate()).perSecond());
-    to.setSaidMicrosAgo((now - word.reportedAt).count());
+    to.setUpstream(namedLimit.upstream.value());
+    to.setStartedUnixMillis(namedLimit.start.value());
+    to.setNamed(namedLimit.rate.has_value());
+    to.setPerSecond(namedLimit.rate.value_or(RequestRate()).perSecond());
+    to.setSaidMicrosAgo((now - namedLimit.reportedAt).count());
 }
 
 LimitReport readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt)
 {
-    LimitReport word;
-    word.upstream = InstanceId(from.getUpstream().cStr());
-    word.start = UpstreamStart(from.getStartedUnixMillis());
-    // A rate that makes no sense binds as none at all would: the upstream is asked now and then.
+    LimitReport namedLimit;
+    namedLimit.upstream = InstanceId(from.getUpstream().cStr());
+    namedLimit.start = UpstreamStart(from.getStartedUnixMillis());
+    // A negative or non-finite rate counts as zero, at which an occasional request is still
+    // permitted.
     const double perSecond = from.getPerSecond();
     const bool readable = std::isfinite(perSecond) && perSecond >= 0.0;
     if (from.getNamed()) {
-        word.rate = RequestRate(readable ? perSecond : 0.0);
+        namedLimit.rate = RequestRate(readable ? perSecond : 0.0);
     }
-    word.reportedAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
-    return word;
+    namedLimit.reportedAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
+    return namedLimit;
 }
 
 void writeGroup(const GroupFacts &facts, Duration age, bool members, wire::GroupNews::Builder to)
@@ -140,20 +142,21 @@
     return facts;
 }
 
-std::vector<std::uint8_t> deflated(std::string_view text)
+std::vector<std::uint8_t> compressText(std::string_view text)
 {
     uLongf size = compressBound(text.size());
     std::vector<std::uint8_t> bytes(size);
-    // With room for the bound, only a lack of memory could make it fail.
+    // The buffer has the size of the bound, so compression fails only if memory runs out.
     const int result = compress2(bytes.data(), &size, reinterpret_cast<const Bytef *>(text.data()),
                                  text.size(), Z_BEST_SPEED);
     bytes.resize(result == Z_OK ? size : 0);
     return bytes;
 }
 
-std::optional<std::string> inflated(const std::uint8_t *bytes, std::size_t count, std::size_t size)
+std::optional<std::string> decompressText(const std::uint8_t *bytes, std::size_t count,
+                                          std::size_t size)
 {
-    if (size > kMostTextBytes) {
+    if (size > kMaxTextBytes) {
         return std::nullopt;
     }
     std::string text(size, '\0');
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -46,7 +46,7 @@
 } // namespace
 
 KnowledgeSources::KnowledgeSources(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                                   GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                                   GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
                                    const Settings &settings)
     : loop_(loop)
     , client_(client)
@@ -61,7 +61,7 @@
 
 tl::expected<std::unique_ptr<KnowledgeSources>, NetError>
 KnowledgeSources::create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                         GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                         GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
                          const Settings &settings)
 {
     std::unique_ptr<KnowledgeSources> sources(
@@ -85,7 +85,7 @@
         return {};
     }
     auto peers = GatewayPeers::create(loop_, knowledge_, beliefs_, store_, directory_,
-                                      [this](const SharedKnowledge &shared, TimePoint confirmedAt) {
+                                      [this](const PeerStoreState &shared, TimePoint confirmedAt) {
                                           return takeShared(shared, confirmedAt);
                                       });
     if (!peers) {
@@ -96,7 +96,7 @@
 }
 
 void KnowledgeSources::askForPermits(const SendPermits::Query &ask,
-                                     GatewayPeers::PermitsAnswered answered)
+                                     GatewayPeers::PermitsCallback answered)
 {
     const TimePoint now = loop_.now();
     const UpstreamRecord *upstream = knowledge_.upstreams().find(ask.upstream);
@@ -104,7 +104,7 @@
         answered({}); // It is gone.
         return;
     }
-    GatewayPeers::PermitQuestion question{upstream->id, upstream->start, ask.wanted, {}, {}};
+    GatewayPeers::PermitRequest question{upstream->id, upstream->start, ask.wanted, {}, {}};
     if (const LimitReport *word = beliefs_.limits.find(*upstream); word != nullptr && word->rate) {
         question.limit = *word;
     }
@@ -122,7 +122,7 @@
             ask.upstream, std::min(rate, question.warmUp.value_or(rate)), self, ask.wanted, now));
         return;
     }
-    peers_->askForPermits(*record, question, std::move(answered));
+    peers_->requestPermits(*record, question, std::move(answered));
 }
 
 std::uint64_t KnowledgeSources::storeCalls() const
@@ -132,10 +132,10 @@
 
 // Takes another gateway's knowledge while the own is not fresh from the store. A watch that is
 // under way would go on from an older list; it is begun anew later, if it is still wanted.
-bool KnowledgeSources::takeShared(const SharedKnowledge &shared, TimePoint confirmedAt)
+bool KnowledgeSources::takeShared(const PeerStoreState &shared, TimePoint confirmedAt)
 {
     if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kOwnOld) {
-        knowledge_.adoptVersion(shared);
+        knowledge_.adoptConfiguration(shared);
         return false;
     }
     if (!knowledge_.adopt(shared, confirmedAt)) {
@@ -167,7 +167,7 @@
     if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || knowledge_.hasConfiguration()) {
         return false;
     }
-    const bool othersWait = now - peers_->unknownAt() < kHearFirst;
+    const bool othersWait = now - peers_->lastUnconfiguredAnswerAt() < kHearFirst;
     return now - startedAt_ < (othersWait ? kHearFirstAtMost : kHearFirst);
 }
 
@@ -180,7 +180,7 @@
 // Tells whether others of the hall ask the store in place of this gateway, and it hears them.
 bool KnowledgeSources::leavesStoreToOthers(TimePoint now) const
 {
-    const bool hearsOthers = peers_ != nullptr && now - peers_->answeredAt() < kHeard;
+    const bool hearsOthers = peers_ != nullptr && now - peers_->lastAnswerAt() < kHeard;
     return hearsOthers && !hasStoreTurn(directory_.place().index);
 }
 
@@ -255,7 +255,7 @@
         listsAskedAt_ = now;
         askOtherHalls(now);
         askGateway(directory_.another(settings_.instance, now), Duration{},
-                   GatewayPeers::AskList::Always);
+                   GatewayPeers::ListRequest::Always);
         askSeedInTurn();
     }
     if (old && now - anyAskedAt_ >= kAnyGap) {
@@ -281,7 +281,7 @@
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
         const bool turn = few || index == seedTurn_ % settings_.seeds.size();
         if (turn && settings_.peerListen != settings_.seeds[index]) {
-            peers_->ask(settings_.seeds[index], InstanceId(), Duration{});
+            peers_->poll(settings_.seeds[index], InstanceId(), Duration{});
         }
     }
 }
@@ -307,7 +307,8 @@
 {
     for (const HallId &hall : directory_.halls()) {
         if (hall != settings_.hall) {
-            askGateway(directory_.firstOf(hall, now), Duration{}, GatewayPeers::AskList::Always);
+            askGateway(directory_.firstOf(hall, now), Duration{},
+                       GatewayPeers::ListRequest::Always);
         }
     }
 }
@@ -321,16 +322,16 @@
     }
     const SocketAddress &seed = settings_.seeds[seedTurn_++ % settings_.seeds.size()];
     if (seed != settings_.peerListen) {
-        peers_->ask(seed, InstanceId(), Duration{}, GatewayPeers::AskList::Always);
+        peers_->poll(seed, InstanceId(), Duration{}, GatewayPeers::ListRequest::Always);
     }
 }
 
 void KnowledgeSources::askGateway(const std::optional<InstanceId> &id, Duration longest,
-                                  GatewayPeers::AskList list)
+                                  GatewayPeers::ListRequest list)
 {
     const GatewayRecord *record = id ? directory_.find(*id) : nullptr;
     if (record != nullptr) {
-        peers_->ask({record->host, record->port}, record->id, longest, list);
+        peers_->poll({record->host, record->port}, record->id, longest, list);
     }
 }
 
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -11,8 +11,8 @@
 #include "decision/gateway/sendpermits.h"
 #include "decision/membership/gatewaydirectory.h"
 #include "decision/membership/storeturn.h"
-#include "gateway/gatewayknowledge.h"
 #include "gateway/gatewaypeers.h"
+#include "gateway/gatewaystoreview.h"
 #include "gateway/groupwatch.h"
 #include "gateway/metadatastore.h"
 #include "gateway/sharedbeliefs.h"
@@ -42,11 +42,11 @@
 
     static tl::expected<std::unique_ptr<KnowledgeSources>, NetError>
     create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-           GatewayKnowledge &knowledge, const SharedBeliefs &beliefs, const Settings &settings);
+           GatewayStoreView &knowledge, const SharedBeliefs &beliefs, const Settings &settings);
 
     // Asks for permits to send to an upstream that names a limit, the gateway whose turn that is or
     // this one itself. `answered` is called once, maybe before this returns.
-    void askForPermits(const SendPermits::Query &ask, GatewayPeers::PermitsAnswered answered);
+    void askForPermits(const SendPermits::Query &ask, GatewayPeers::PermitsCallback answered);
 
     // Asks those whose turn it is. Call it often.
     void tick();
@@ -62,11 +62,11 @@
 
 private:
     KnowledgeSources(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                     GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                     GatewayStoreView &knowledge, const SharedBeliefs &beliefs,
                      const Settings &settings);
     tl::expected<void, NetError> open();
 
-    bool takeShared(const SharedKnowledge &shared, TimePoint confirmedAt);
+    bool takeShared(const PeerStoreState &shared, TimePoint confirmedAt);
     bool isSeed() const;
     bool isYoung(TimePoint now) const;
     bool hearsFirst(TimePoint now) const;
@@ -80,13 +80,13 @@
     void askOtherHalls(TimePoint now);
     void askSeedInTurn();
     void askGateway(const std::optional<InstanceId> &id, Duration longest,
-                    GatewayPeers::AskList list = GatewayPeers::AskList::IfDue);
+                    GatewayPeers::ListRequest list = GatewayPeers::ListRequest::IfDue);
     void followStore(bool wanted, std::string_view reason);
 
     EventLoop &loop_;
     HttpClient &client_;
     const MetadataStore &store_;
-    GatewayKnowledge &knowledge_;
+    GatewayStoreView &knowledge_;
     SharedBeliefs beliefs_;
     Settings settings_;
     GatewayDirectory directory_;
--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -11,12 +11,12 @@
     return std::chrono::milliseconds(count);
 }
 
-// Bounds unlike those of any example.
-GatewayBounds tight()
+// Bounds that differ from the defaults.
+GatewayBounds tightBounds()
 {
     GatewayBounds bounds;
-    bounds.keyLife = millis(2500);
-    bounds.configSpread = millis(1000);
+    bounds.keyRevocationLimit = millis(2500);
+    bounds.configPropagationLimit = millis(1000);
     bounds.leavingLimit = millis(1200);
     bounds.stopLimit = millis(4000);
     return bounds;
@@ -26,9 +26,9 @@
 
 TEST_GROUP(GatewayBoundsTest){};
 
-TEST(GatewayBoundsTest, KnowledgeIsYoungerThanWhatItIsBoundBy)
+TEST(GatewayBoundsTest, FreshnessIsTighterThanThePlatformBounds)
 {
-    const GatewayTimes times = timesWithin(tight());
+    const GatewayTimings times = deriveTimings(tightBounds());
     CHECK_TRUE(times.freshness.keys < millis(2500));
     CHECK_TRUE(times.freshness.deny < millis(1000));
     CHECK_TRUE(times.lapseGrace < millis(1200));
@@ -36,23 +36,24 @@
 
 TEST(GatewayBoundsTest, StopEndsBeforeTheProcessIsKilled)
 {
-    const GatewayTimes times = timesWithin(tight());
+    const GatewayTimings times = deriveTimings(tightBounds());
     CHECK_TRUE(times.stopDeadline < millis(4000));
     CHECK_TRUE(times.stopDelay * 2 <= times.stopDeadline);
 }
 
-TEST(GatewayBoundsTest, LongBoundsDoNotHoldAStopUp)
+TEST(GatewayBoundsTest, LongStopLimitDoesNotExtendTheStopDelay)
 {
     GatewayBounds bounds;
     bounds.stopLimit = std::chrono::seconds(60);
-    CHECK_TRUE(timesWithin(bounds).stopDelay < millis(4000));
+    CHECK_TRUE(deriveTimings(bounds).stopDelay < millis(4000));
 }
 
-TEST(GatewayBoundsTest, BoundsBelowTheMarginsLeaveNoNegativeTimes)
+TEST(GatewayBoundsTest, BoundsBelowTheMarginsGivePositiveTimings)
 {
     GatewayBounds bounds;
-    bounds.keyLife = bounds.configSpread = bounds.leavingLimit = bounds.stopLimit = millis(50);
-    const GatewayTimes times = timesWithin(bounds);
+    bounds.keyRevocationLimit = bounds.configPropagationLimit = bounds.leavingLimit =
+        bounds.stopLimit = millis(50);
+    const GatewayTimings times = deriveTimings(bounds);
     CHECK_TRUE(times.freshness.keys > Duration{});
     CHECK_TRUE(times.freshness.deny > Duration{});
     CHECK_TRUE(times.lapseGrace > Duration{});
--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(GatewayWireTest){};
 
-TEST(GatewayWireTest, GatewaysCrossTheWireUnchanged)
+TEST(GatewayWireTest, GatewayRecordRoundTrips)
 {
     const GatewayRecord record{InstanceId("gateway-1"), HallId("north"), "10.0.0.7", 7001};
     capnp::MallocMessageBuilder message;
@@ -20,7 +20,7 @@
     LONGS_EQUAL(40'000, to.asReader().getHeardMicrosAgo());
 }
 
-TEST(GatewayWireTest, UpstreamsCrossTheWireUnchanged)
+TEST(GatewayWireTest, UpstreamRecordRoundTrips)
 {
     const UpstreamRecord record{InstanceId("i-1"),
                                 TargetName("portal"),
@@ -41,8 +41,8 @@
     CHECK_TRUE(readUpstream(to.asReader(), now) == record);
 }
 
-// The clocks of two gateways have nothing to do with each other.
-TEST(GatewayWireTest, WarmUpEndsAsLongAfterItIsReadAsItWasLeftWhenItWasWritten)
+// The steady clocks of two gateways are unrelated.
+TEST(GatewayWireTest, WarmUpIsSentAsRemainingTime)
 {
     UpstreamRecord record;
     record.warmAt = TimePoint(std::chrono::seconds(9));
@@ -55,7 +55,7 @@
     CHECK_TRUE(readUpstream(to.asReader(), readAt).warmAt <= readAt);
 }
 
-TEST(GatewayWireTest, DrainedHallsCrossTheWireUnchanged)
+TEST(GatewayWireTest, DrainedHallsRoundTrip)
 {
     const std::set<HallId> halls{HallId("north"), HallId("south")};
     capnp::MallocMessageBuilder message;
@@ -64,33 +64,33 @@
     CHECK_TRUE(readDrainedHalls(to.asReader()) == halls);
 }
 
-TEST(GatewayWireTest, DocumentsInflateToWhatTheyWere)
+TEST(GatewayWireTest, CompressedDocumentRoundTrips)
 {
     std::string text;
     for (int route = 0; route < 2000; ++route) {
         text += R"({"name":"route-)" + std::to_string(route) + R"(","type":"streaming"},)";
     }
-    const auto bytes = deflated(text);
+    const auto bytes = compressText(text);
     CHECK_TRUE(bytes.size() < text.size() / 5);
-    STRCMP_EQUAL(text.c_str(), inflated(bytes.data(), bytes.size(), text.size())->c_str());
+    STRCMP_EQUAL(text.c_str(), decompressText(bytes.data(), bytes.size(), text.size())->c_str());
 }
 
-TEST(GatewayWireTest, TornDocumentIsRefused)
+TEST(GatewayWireTest, TruncatedOrMissizedDocumentIsRejected)
 {
-    const auto bytes = deflated("a document of some length, a document of some length");
-    CHECK_FALSE(inflated(bytes.data(), bytes.size() / 2, 52).has_value());
-    CHECK_FALSE(inflated(bytes.data(), bytes.size(), 51).has_value());
-    CHECK_FALSE(inflated(bytes.data(), bytes.size(), 53).has_value());
+    const auto bytes = compressText("a document of some length, a document of some length");
+    CHECK_FALSE(decompressText(bytes.data(), bytes.size() / 2, 52).has_value());
+    CHECK_FALSE(decompressText(bytes.data(), bytes.size(), 51).has_value());
+    CHECK_FALSE(decompressText(bytes.data(), bytes.size(), 53).has_value());
 }
 
-TEST(GatewayWireTest, DocumentThatClaimsToBeHugeIsRefused)
+TEST(GatewayWireTest, OversizedDocumentIsRejected)
 {
-    const auto bytes = deflated("short");
-    CHECK_FALSE(inflated(bytes.data(), bytes.size(), std::size_t{1} << 40U).has_value());
+    const auto bytes = compressText("short");
+    CHECK_FALSE(decompressText(bytes.data(), bytes.size(), std::size_t{1} << 40U).has_value());
 }
 
-// What happened is told by how long ago it was, so that no two clocks are compared.
-TEST(GatewayWireTest, SuspectsCrossTheWireByTheirAges)
+// Times are sent as ages, because the clocks of two gateways are not comparable.
+TEST(GatewayWireTest, SuspectTimesAreSentAsAges)
 {
     CrashSuspect suspect;
     suspect.digest = RequestDigest(0xfeed);
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -1,10 +1,10 @@
-// The load that this answers: operators drain halls, take that back and write it again, while
-// gateways hear of it from the store and from each other, late, out of order or not at all, and
-// start anew.
+// Simulates gateways that adopt the set of drained halls from the store and from each other, while
+// operators drain halls and end drains. Messages arrive late, out of order or not at all, and
+// gateways restart.
 //
-// The model keeps which halls the store held as drained at each of its revisions. Whatever a
-// gateway has heard, and from whom, its halls are those of the revision that it stands at.
-#include "gateway/gatewayknowledge.h"
+// The model records which halls were drained at each revision of the store. After each step, every
+// gateway must send to exactly the halls that were not drained at the revision that it is at.
+#include "gateway/gatewaystoreview.h"
 
 #include "base/log.h"
 
@@ -23,15 +23,15 @@
 
 namespace {
 
-constexpr std::size_t kGateways = 7;
-constexpr int kHalls = 3;
+constexpr std::size_t kGatewayCount = 7;
+constexpr int kHallCount = 3;
 
 HallId hallOf(int index)
 {
     return HallId(fmt::format("hall-{}", index));
 }
 
-UpstreamRecord upstreamIn(int hall)
+UpstreamRecord makeUpstream(int hall)
 {
     UpstreamRecord record;
     record.id = InstanceId(fmt::format("i-{}", hall));
@@ -40,70 +40,72 @@
     return record;
 }
 
-struct Gateway
+struct SimulatedGateway
 {
-    explicit Gateway(EventLoop &loop, Metrics &metrics)
-        : knowledge(loop, upstreams, metrics,
-                    {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
-                    [](const RouteTable &) {})
+    explicit SimulatedGateway(EventLoop &loop, Metrics &metrics)
+        : view(loop, upstreams, metrics,
+               {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
+               [](const RouteTable &) {})
     {}
 
     UpstreamTable upstreams;
-    GatewayKnowledge knowledge;
+    GatewayStoreView view;
     TimePoint confirmedAt{};
 };
 
 struct Message
 {
     std::size_t to = 0;
-    int life = 0;
+    int incarnation = 0; // Of the receiver when the message was sent; a restart invalidates it.
     TimePoint askedAt{};
-    bool wholeList = false;
-    std::optional<StoreItems> items; // Of the store; else of another gateway.
-    SharedKnowledge shared;
+    bool fullList = false;
+    std::optional<StoreItems> items; // Set if the message is from the store.
+    PeerStoreState peerState;        // Set if it is from another gateway.
 };
 
-enum class Fault { None, DrainsAreNotHandedOn, EndsAreNotTaken };
+// Faults to inject, to show that the checks detect them.
+enum class Fault { None, DrainsNotForwarded, DrainEndsIgnored };
 
-class World
+// One run of the simulation; the seed determines all of its random choices.
+class HallDrainSimulation
 {
 public:
-    World(EventLoop &loop, Metrics &metrics, std::uint64_t seed, Fault fault)
+    HallDrainSimulation(EventLoop &loop, Metrics &metrics, std::uint64_t seed, Fault fault)
         : loop_(loop)
         , metrics_(metrics)
         , seed_(seed)
         , fault_(fault)
         , random_(seed)
-        , lives_(kGateways, 0)
+        , incarnations_(kGatewayCount, 0)
     {
         drainedAt_[revision_] = {};
-        for (std::size_t index = 0; index < kGateways; ++index) {
-            gateways_.push_back(std::make_unique<Gateway>(loop, metrics));
+        for (std::size_t index = 0; index < kGatewayCount; ++index) {
+            gateways_.push_back(std::make_unique<SimulatedGateway>(loop, metrics));
         }
     }
 
-    // Returns what was found; empty: nothing.
-    std::string play()
+    // Returns a description of the first wrong decision; empty if there is none.
+    std::string run()
     {
         constexpr int kSteps = 150;
-        for (int step = 0; step < kSteps && found_.empty(); ++step) {
+        for (int step = 0; step < kSteps && failure_.empty(); ++step) {
             now_ += Duration(1);
             switch (draw(8)) {
             case 0:
-                changeDrain();
+                toggleDrain();
                 break;
             case 1:
             case 2:
             case 3:
-                askStore(draw(kGateways), draw(4) == 0);
+                queryStore(draw(kGatewayCount), draw(4) == 0);
                 break;
             case 4:
             case 5:
-                tell(draw(kGateways), draw(kGateways));
+                sendState(draw(kGatewayCount), draw(kGatewayCount));
                 break;
             case 6:
                 if (draw(10) == 0) {
-                    startAnew(draw(kGateways));
+                    restart(draw(kGatewayCount));
                 }
                 break;
             default:
@@ -112,130 +114,137 @@
             deliver();
             check();
         }
-        return found_;
+        return failure_;
     }
 
 private:
-    int draw(int most) { return static_cast<int>(random_() % static_cast<std::uint64_t>(most)); }
+    int draw(int limit) { return static_cast<int>(random_() % static_cast<std::uint64_t>(limit)); }
 
-    void changeDrain()
+    void toggleDrain()
     {
-        const HallId hall = hallOf(draw(kHalls));
+        const HallId hall = hallOf(draw(kHallCount));
         std::set<HallId> halls = drainedAt_.rbegin()->second;
-        const bool over = halls.erase(hall) > 0;
-        if (!over) {
+        const bool wasDrained = halls.erase(hall) > 0;
+        if (!wasDrained) {
             halls.insert(hall);
         }
         drainedAt_[++revision_] = halls;
-        events_[revision_] = {hall, over};
+        drainChanges_[revision_] = {hall, wasDrained};
     }
 
-    void startAnew(int index)
+    void restart(int index)
     {
-        gateways_[index] = std::make_unique<Gateway>(loop_, metrics_);
-        ++lives_[index];
+        gateways_[index] = std::make_unique<SimulatedGateway>(loop_, metrics_);
+        ++incarnations_[index];
     }
 
-    void askStore(int index, bool wholeList)
+    void queryStore(int index, bool fullList)
     {
-        const Gateway &gateway = *gateways_[index];
-        const std::uint64_t since = gateway.knowledge.place().revision;
-        Message message{static_cast<std::size_t>(index), lives_[index], now_,
-                        wholeList || since == 0,         StoreItems(),  {}};
+        const SimulatedGateway &gateway = *gateways_[index];
+        const std::uint64_t since = gateway.view.place().revision;
+        Message message{static_cast<std::size_t>(index), incarnations_[index], now_,
+                        fullList || since == 0,          StoreItems(),         {}};
         message.items->place = {1, revision_};
-        if (message.wholeList) {
+        if (message.fullList) {
             RoutingDocument document;
             document.version = ConfigVersion(1);
             message.items->items.emplace_back(document);
-            for (int hall = 0; hall < kHalls; ++hall) {
-                message.items->items.emplace_back(upstreamIn(hall));
+            for (int hall = 0; hall < kHallCount; ++hall) {
+                message.items->items.emplace_back(makeUpstream(hall));
             }
             for (const HallId &hall : drainedAt_.rbegin()->second) {
                 message.items->items.emplace_back(HallDrain{hall, false});
             }
         } else {
-            for (auto event = events_.upper_bound(since); event != events_.end(); ++event) {
-                if (fault_ != Fault::EndsAreNotTaken || !event->second.over) {
+            for (auto event = drainChanges_.upper_bound(since); event != drainChanges_.end();
+                 ++event) {
+                if (fault_ != Fault::DrainEndsIgnored || !event->second.over) {
                     message.items->items.emplace_back(event->second);
                 }
             }
         }
-        late_.push_back(std::move(message));
+        pendingMessages_.push_back(std::move(message));
     }
 
-    void tell(int from, int to)
+    void sendState(int from, int to)
     {
-        const Gateway &teller = *gateways_[from];
-        if (from == to || !teller.knowledge.confirmed()) {
+        const SimulatedGateway &sender = *gateways_[from];
+        if (from == to || !sender.view.confirmed()) {
             return;
         }
-        Message message{
-            static_cast<std::size_t>(to), lives_[to], teller.confirmedAt, false, std::nullopt, {}};
-        SharedKnowledge &shared = message.shared;
-        shared.place = teller.knowledge.place();
-        shared.version = teller.knowledge.version();
-        shared.document.emplace();
-        shared.document->version = shared.version;
-        shared.upstreamsMark = teller.knowledge.upstreamsMark();
-        if (shared.upstreamsMark != gateways_[to]->knowledge.upstreamsMark()) {
-            shared.upstreams.emplace();
-            for (const UpstreamRecord *record : teller.upstreams.all()) {
-                shared.upstreams->push_back(*record);
+        Message message{static_cast<std::size_t>(to),
+                        incarnations_[to],
+                        sender.confirmedAt,
+                        false,
+                        std::nullopt,
+                        {}};
+        PeerStoreState &peerState = message.peerState;
+        peerState.place = sender.view.place();
+        peerState.version = sender.view.version();
+        peerState.document.emplace();
+        peerState.document->version = peerState.version;
+        peerState.upstreamsMark = sender.view.upstreamsMark();
+        if (peerState.upstreamsMark != gateways_[to]->view.upstreamsMark()) {
+            peerState.upstreams.emplace();
+            for (const UpstreamRecord *record : sender.upstreams.all()) {
+                peerState.upstreams->push_back(*record);
             }
-            if (fault_ != Fault::DrainsAreNotHandedOn) {
-                shared.drainedHalls = teller.upstreams.drainedHalls();
+            if (fault_ != Fault::DrainsNotForwarded) {
+                peerState.drainedHalls = sender.upstreams.drainedHalls();
             }
         }
-        late_.push_back(std::move(message));
+        pendingMessages_.push_back(std::move(message));
     }
 
     void deliver()
     {
-        while (!late_.empty() && draw(3) != 0) {
-            const auto chosen = late_.begin() + draw(static_cast<int>(late_.size()));
+        while (!pendingMessages_.empty() && draw(3) != 0) {
+            const auto chosen =
+                pendingMessages_.begin() + draw(static_cast<int>(pendingMessages_.size()));
             const Message message = std::move(*chosen);
-            late_.erase(chosen);
+            pendingMessages_.erase(chosen);
             const bool lost = draw(5) == 0;
-            if (!lost && message.life == lives_[message.to]) {
-                take(*gateways_[message.to], message);
+            if (!lost && message.incarnation == incarnations_[message.to]) {
+                applyMessage(*gateways_[message.to], message);
             }
         }
     }
 
-    static void take(Gateway &gateway, const Message &message)
+    static void applyMessage(SimulatedGateway &gateway, const Message &message)
     {
         if (!message.items) {
-            if (gateway.knowledge.adopt(message.shared, message.askedAt)) {
+            if (gateway.view.adopt(message.peerState, message.askedAt)) {
                 gateway.confirmedAt = message.askedAt;
             }
             return;
         }
-        if (message.items->place < gateway.knowledge.place()) {
-            return; // A watcher makes one call at a time.
+        if (message.items->place < gateway.view.place()) {
+            return; // Not possible with the real store watcher, which makes one call at a time.
         }
         gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
-        if (message.wholeList) {
-            gateway.knowledge.onStoreListed(*message.items, message.askedAt);
+        if (message.fullList) {
+            gateway.view.onStoreListed(*message.items, message.askedAt);
         } else {
-            gateway.knowledge.onStoreChanged(*message.items, message.askedAt);
+            gateway.view.onStoreChanged(*message.items, message.askedAt);
         }
     }
 
     void check()
     {
-        for (std::size_t index = 0; index < kGateways; ++index) {
-            const Gateway &gateway = *gateways_[index];
-            if (!gateway.knowledge.confirmed()) {
+        for (std::size_t index = 0; index < kGatewayCount; ++index) {
+            const SimulatedGateway &gateway = *gateways_[index];
+            if (!gateway.view.confirmed()) {
                 continue;
             }
-            const std::uint64_t revision = gateway.knowledge.place().revision;
+            const std::uint64_t revision = gateway.view.place().revision;
             const std::set<HallId> &drained = drainedAt_.at(revision);
-            for (int hall = 0; hall < kHalls; ++hall) {
+            for (int hall = 0; hall < kHallCount; ++hall) {
                 const bool sends =
                     gateway.upstreams.mayReceive(InstanceId(fmt::format("i-{}", hall)));
                 if (sends == drained.contains(hallOf(hall))) {
-                    found_ = fmt::format("seed {}: gateway {} at revision {} {} hall {}", seed_,
-                                         index, revision, sends ? "sends to" : "leaves out", hall);
+                    failure_ =
+                        fmt::format("seed {}: gateway {} at revision {} {} hall {}", seed_, index,
+                                    revision, sends ? "sends to" : "leaves out", hall);
                 }
             }
         }
@@ -249,11 +258,11 @@
     TimePoint now_ = TimePoint(std::chrono::seconds(1));
     std::uint64_t revision_ = 1;
     std::map<std::uint64_t, std::set<HallId>> drainedAt_; // By revision.
-    std::map<std::uint64_t, HallDrain> events_;           // By revision.
-    std::vector<std::unique_ptr<Gateway>> gateways_;
-    std::vector<int> lives_;
-    std::vector<Message> late_;
-    std::string found_;
+    std::map<std::uint64_t, HallDrain> drainChanges_;     // By revision.
+    std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
+    std::vector<int> incarnations_;
+    std::vector<Message> pendingMessages_;
+    std::string failure_;
 };
 
 } // namespace
@@ -272,15 +281,15 @@
         setLogLevel(LogLevel::Info);
     }
 
-    std::string found(std::uint64_t seed, Fault fault = Fault::None)
+    std::string runSeed(std::uint64_t seed, Fault fault = Fault::None)
     {
-        return World(*loop, metrics, seed, fault).play();
+        return HallDrainSimulation(*loop, metrics, seed, fault).run();
     }
 
-    bool isCaught(Fault fault)
+    bool isDetected(Fault fault)
     {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-            if (!found(seed, fault).empty()) {
+            if (!runSeed(seed, fault).empty()) {
                 return true;
             }
         }
@@ -288,18 +297,18 @@
     }
 };
 
-TEST(HallDrainTest, PlantedFaultsAreCaught)
+TEST(HallDrainTest, InjectedFaultsAreDetected)
 {
-    CHECK_TRUE(isCaught(Fault::DrainsAreNotHandedOn));
-    CHECK_TRUE(isCaught(Fault::EndsAreNotTaken));
+    CHECK_TRUE(isDetected(Fault::DrainsNotForwarded));
+    CHECK_TRUE(isDetected(Fault::DrainEndsIgnored));
 }
 
-// More seeds by hand: SEAMARCH_DRAIN_SEEDS says how many.
-TEST(HallDrainTest, EveryGatewaySendsAsTheRevisionSaysThatItStandsAt)
+// SEAMARCH_DRAIN_SEEDS sets the number of seeds for longer runs.
+TEST(HallDrainTest, GatewaysFollowTheDrainsOfTheirRevision)
 {
-    const char *wanted = std::getenv("SEAMARCH_DRAIN_SEEDS");
-    const std::uint64_t seeds = wanted == nullptr ? 500 : std::strtoull(wanted, nullptr, 10);
+    const char *seedCount = std::getenv("SEAMARCH_DRAIN_SEEDS");
+    const std::uint64_t seeds = seedCount == nullptr ? 500 : std::strtoull(seedCount, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        STRCMP_EQUAL("", found(seed).c_str());
+        STRCMP_EQUAL("", runSeed(seed).c_str());
     }
 }
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -3,7 +3,7 @@
 // and five gateways hear of it from the store and from each other, late and out of order.
 //
 // The model of the store keeps what it would answer to each call; the world keeps what is true.
-#include "gateway/gatewayknowledge.h"
+#include "gateway/gatewaystoreview.h"
 
 #include "base/log.h"
 
@@ -65,7 +65,7 @@
     {}
 
     UpstreamTable upstreams;
-    GatewayKnowledge knowledge;
+    GatewayStoreView knowledge;
     StorePlace watched; // What its watch of the store goes on from.
     TimePoint confirmedAt{};
     std::uint64_t highest = 0;                           // Version that it has had in force.
@@ -82,7 +82,7 @@
     bool ofStore = false;
     bool wholeList = false;
     StoreItems items;
-    SharedKnowledge shared;
+    PeerStoreState shared;
 };
 
 class World
