--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -6,8 +6,8 @@
 
 namespace seamarch {
 
-bool EarlyRequests::hold(ExchangeId exchange, HttpRequest &request, Duration deadline,
-                         TimePoint now)
+bool StartupRequestQueue::hold(ExchangeId exchange, HttpRequest &request, Duration deadline,
+                               TimePoint now)
 {
     const std::size_t size = request.body.size();
     if (held_.size() >= settings_.most || bytes_ + size > settings_.mostBytes) {
@@ -21,7 +21,7 @@
     return true;
 }
 
-bool EarlyRequests::drop(ExchangeId exchange)
+bool StartupRequestQueue::drop(ExchangeId exchange)
 {
     const auto found = held_.find(exchange);
     if (found == held_.end()) {
@@ -32,7 +32,7 @@
     return true;
 }
 
-EarlyRequests::Held EarlyRequests::take(std::map<ExchangeId, Entry>::iterator entry)
+StartupRequestQueue::Held StartupRequestQueue::take(std::map<ExchangeId, Entry>::iterator entry)
 {
     bytes_ -= entry->second.request.body.size();
     Held held{entry->first, std::move(entry->second.request), entry->second.arrivedAt};
@@ -40,7 +40,7 @@
     return held;
 }
 
-std::vector<EarlyRequests::Held> EarlyRequests::takeFirst(std::size_t count)
+std::vector<StartupRequestQueue::Held> StartupRequestQueue::takeFirst(std::size_t count)
 {
     std::vector<Held> first;
     while (first.size() < count && !held_.empty()) {
@@ -49,7 +49,7 @@
     return first;
 }
 
-std::vector<EarlyRequests::Held> EarlyRequests::takeOverdue(TimePoint now)
+std::vector<StartupRequestQueue::Held> StartupRequestQueue::takeOverdue(TimePoint now)
 {
     std::vector<Held> overdue;
     for (auto entry = held_.begin(); entry != held_.end();) {
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -18,7 +18,7 @@
 
 namespace seamarch {
 
-class EarlyRequests
+class StartupRequestQueue
 {
 public:
     struct Settings
@@ -39,8 +39,8 @@
         TimePoint arrivedAt{};
     };
 
-    EarlyRequests() = default;
-    explicit EarlyRequests(const Settings &settings)
+    StartupRequestQueue() = default;
+    explicit StartupRequestQueue(const Settings &settings)
         : settings_(settings)
     {}
 
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -163,7 +163,7 @@
     std::unique_ptr<OperatorServer> operators_;
     std::unique_ptr<OperatorServer> metricsServer_;
     std::unique_ptr<KnowledgeSources> sources_;
-    EarlyRequests early_;
+    StartupRequestQueue early_;
     std::unordered_map<RequestNumber, Flight> flights_;
     std::unordered_map<ExchangeId, RequestNumber> byExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -15,9 +15,9 @@
 
 TEST_GROUP(EarlyRequestsTest)
 {
-    EarlyRequests::Settings settings;
+    StartupRequestQueue::Settings settings;
 
-    static bool hold(EarlyRequests & early, ExchangeId exchange, Duration deadline, int now,
+    static bool hold(StartupRequestQueue & early, ExchangeId exchange, Duration deadline, int now,
                      std::size_t bytes = 10)
     {
         HttpRequest request;
@@ -28,7 +28,7 @@
 
 TEST(EarlyRequestsTest, FirstComeFirstHandedOut)
 {
-    EarlyRequests early(settings);
+    StartupRequestQueue early(settings);
     hold(early, 7, std::chrono::seconds(8), 0);
     hold(early, 9, std::chrono::seconds(8), 10);
     const auto first = early.takeFirst(1);
@@ -40,7 +40,7 @@
 
 TEST(EarlyRequestsTest, NoneWaitsLongerThanASecond)
 {
-    EarlyRequests early(settings);
+    StartupRequestQueue early(settings);
     hold(early, 1, std::chrono::seconds(8), 0);
     LONGS_EQUAL(0, early.takeOverdue(at(999)).size());
     LONGS_EQUAL(1, early.takeOverdue(at(1000)).size());
@@ -49,7 +49,7 @@
 // A caller that waits for a second is told after half of it, while there is time to come back.
 TEST(EarlyRequestsTest, NoneWaitsLongerThanHalfOfItsCallersTime)
 {
-    EarlyRequests early(settings);
+    StartupRequestQueue early(settings);
     hold(early, 1, std::chrono::seconds(1), 0);
     LONGS_EQUAL(1, early.takeOverdue(at(500)).size());
 }
@@ -57,7 +57,7 @@
 TEST(EarlyRequestsTest, MemoryIsBounded)
 {
     settings.mostBytes = 25;
-    EarlyRequests early(settings);
+    StartupRequestQueue early(settings);
     CHECK_TRUE(hold(early, 1, Duration{}, 0));
     CHECK_TRUE(hold(early, 2, Duration{}, 0));
     CHECK_FALSE(hold(early, 3, Duration{}, 0));
@@ -68,7 +68,7 @@
 TEST(EarlyRequestsTest, NumberIsBounded)
 {
     settings.most = 2;
-    EarlyRequests early(settings);
+    StartupRequestQueue early(settings);
     hold(early, 1, Duration{}, 0);
     hold(early, 2, Duration{}, 0);
     CHECK_FALSE(hold(early, 3, Duration{}, 0));
@@ -76,7 +76,7 @@
 
 TEST(EarlyRequestsTest, CallerThatLeftIsForgotten)
 {
-    EarlyRequests early(settings);
+    StartupRequestQueue early(settings);
     hold(early, 1, Duration{}, 0);
     CHECK_TRUE(early.drop(1));
     CHECK_FALSE(early.drop(1));
