--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_GROUP(EarlyRequestsTest)
+TEST_GROUP(StartupRequestQueueTest)
 {
     StartupRequestQueue::Settings settings;
 
@@ -26,7 +26,7 @@
     }
 };
 
-TEST(EarlyRequestsTest, FirstComeFirstHandedOut)
+TEST(StartupRequestQueueTest, FirstComeFirstHandedOut)
 {
     StartupRequestQueue early(settings);
     hold(early, 7, std::chrono::seconds(8), 0);
@@ -38,7 +38,7 @@
     LONGS_EQUAL(1, early.size());
 }
 
-TEST(EarlyRequestsTest, NoneWaitsLongerThanASecond)
+TEST(StartupRequestQueueTest, NoneWaitsLongerThanASecond)
 {
     StartupRequestQueue early(settings);
     hold(early, 1, std::chrono::seconds(8), 0);
@@ -47,14 +47,14 @@
 }
 
 // A caller that waits for a second is told after half of it, while there is time to come back.
-TEST(EarlyRequestsTest, NoneWaitsLongerThanHalfOfItsCallersTime)
+TEST(StartupRequestQueueTest, NoneWaitsLongerThanHalfOfItsCallersTime)
 {
     StartupRequestQueue early(settings);
     hold(early, 1, std::chrono::seconds(1), 0);
     LONGS_EQUAL(1, early.takeOverdue(at(500)).size());
 }
 
-TEST(EarlyRequestsTest, MemoryIsBounded)
+TEST(StartupRequestQueueTest, MemoryIsBounded)
 {
     settings.mostBytes = 25;
     StartupRequestQueue early(settings);
@@ -65,7 +65,7 @@
     CHECK_TRUE(hold(early, 3, Duration{}, 0));
 }
 
-TEST(EarlyRequestsTest, NumberIsBounded)
+TEST(StartupRequestQueueTest, NumberIsBounded)
 {
     settings.most = 2;
     StartupRequestQueue early(settings);
@@ -74,7 +74,7 @@
     CHECK_FALSE(hold(early, 3, Duration{}, 0));
 }
 
-TEST(EarlyRequestsTest, CallerThatLeftIsForgotten)
+TEST(StartupRequestQueueTest, CallerThatLeftIsForgotten)
 {
     StartupRequestQueue early(settings);
     hold(early, 1, Duration{}, 0);
