--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -13,7 +13,7 @@
     if (held_.size() >= settings_.most || bytes_ + size > settings_.mostBytes) {
         return false;
     }
-    const Duration part = fromSeconds(toSeconds(deadline) * settings_.partOfDeadline);
+    const Duration part = fromSeconds(toSeconds(deadline) * settings_.maxDeadlineFraction);
     const Duration wait =
         deadline > Duration{} ? std::min(part, settings_.longestWait) : settings_.longestWait;
     bytes_ += size;
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -27,7 +27,7 @@
         // a second of its gateways' start.
         Duration longestWait = std::chrono::milliseconds(1000);
         // And no longer than this part of what its caller waits, so that it can still be served.
-        double partOfDeadline = 0.5;
+        double maxDeadlineFraction = 0.5;
         std::size_t most = 300;
         std::size_t mostBytes = std::size_t{8} * 1024 * 1024; // Of bodies.
     };
