--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -15,7 +15,7 @@
     }
     const Duration part = fromSeconds(toSeconds(deadline) * settings_.maxDeadlineFraction);
     const Duration wait =
-        deadline > Duration{} ? std::min(part, settings_.longestWait) : settings_.longestWait;
+        deadline > Duration{} ? std::min(part, settings_.maxWait) : settings_.maxWait;
     bytes_ += size;
     held_.emplace(exchange, Entry{std::move(request), now, now + wait});
     return true;
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -25,7 +25,7 @@
     {
         // How long a request waits at most: a site that starts anew knows its configuration within
         // a second of its gateways' start.
-        Duration longestWait = std::chrono::milliseconds(1000);
+        Duration maxWait = std::chrono::milliseconds(1000);
         // And no longer than this part of what its caller waits, so that it can still be served.
         double maxDeadlineFraction = 0.5;
         std::size_t most = 300;
