--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -29,7 +29,7 @@
         // And no longer than this part of what its caller waits, so that it can still be served.
         double maxDeadlineFraction = 0.5;
         std::size_t most = 300;
-        std::size_t mostBytes = std::size_t{8} * 1024 * 1024; // Of bodies.
+        std::size_t maxBytes = std::size_t{8} * 1024 * 1024; // Of bodies.
     };
 
     struct Held
--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -56,7 +56,7 @@
 
 TEST(StartupRequestQueueTest, MemoryIsBounded)
 {
-    settings.mostBytes = 25;
+    settings.maxBytes = 25;
     StartupRequestQueue early(settings);
     CHECK_TRUE(hold(early, 1, Duration{}, 0));
     CHECK_TRUE(hold(early, 2, Duration{}, 0));
