--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -10,7 +10,7 @@
                                TimePoint now)
 {
     const std::size_t size = request.body.size();
-    if (held_.size() >= settings_.most || bytes_ + size > settings_.maxBytes) {
+    if (held_.size() >= settings_.maxRequests || bytes_ + size > settings_.maxBytes) {
         return false;
     }
     const Duration part = fromSeconds(toSeconds(deadline) * settings_.maxDeadlineFraction);
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -28,7 +28,7 @@
         Duration maxWait = std::chrono::milliseconds(1000);
         // And no longer than this part of what its caller waits, so that it can still be served.
         double maxDeadlineFraction = 0.5;
-        std::size_t most = 300;
+        std::size_t maxRequests = 300;
         std::size_t maxBytes = std::size_t{8} * 1024 * 1024; // Of bodies.
     };
 
--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -67,7 +67,7 @@
 
 TEST(StartupRequestQueueTest, NumberIsBounded)
 {
-    settings.most = 2;
+    settings.maxRequests = 2;
     StartupRequestQueue early(settings);
     hold(early, 1, Duration{}, 0);
     hold(early, 2, Duration{}, 0);
