--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -32,26 +32,27 @@
     return true;
 }
 
-StartupRequestQueue::Held StartupRequestQueue::take(std::map<ExchangeId, Entry>::iterator entry)
+StartupRequestQueue::QueuedRequest
+StartupRequestQueue::take(std::map<ExchangeId, Entry>::iterator entry)
 {
     bytes_ -= entry->second.request.body.size();
-    Held held{entry->first, std::move(entry->second.request), entry->second.arrivedAt};
+    QueuedRequest held{entry->first, std::move(entry->second.request), entry->second.arrivedAt};
     held_.erase(entry);
     return held;
 }
 
-std::vector<StartupRequestQueue::Held> StartupRequestQueue::takeFirst(std::size_t count)
+std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::takeFirst(std::size_t count)
 {
-    std::vector<Held> first;
+    std::vector<QueuedRequest> first;
     while (first.size() < count && !held_.empty()) {
         first.push_back(take(held_.begin()));
     }
     return first;
 }
 
-std::vector<StartupRequestQueue::Held> StartupRequestQueue::takeOverdue(TimePoint now)
+std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::takeOverdue(TimePoint now)
 {
-    std::vector<Held> overdue;
+    std::vector<QueuedRequest> overdue;
     for (auto entry = held_.begin(); entry != held_.end();) {
         const auto next = std::next(entry);
         if (entry->second.until <= now) {
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -32,7 +32,7 @@
         std::size_t maxBytes = std::size_t{8} * 1024 * 1024; // Of bodies.
     };
 
-    struct Held
+    struct QueuedRequest
     {
         ExchangeId exchange = 0;
         HttpRequest request;
@@ -52,9 +52,9 @@
     // Hands out the first requests, in the order in which they came. Not all at once: after the
     // loss of all instances the engines refuse until their groups have formed, and what the first
     // of the requests finds out saves the others an attempt.
-    std::vector<Held> takeFirst(std::size_t count);
+    std::vector<QueuedRequest> takeFirst(std::size_t count);
     // Hands out those that have waited long enough.
-    std::vector<Held> takeOverdue(TimePoint now);
+    std::vector<QueuedRequest> takeOverdue(TimePoint now);
     std::size_t size() const { return held_.size(); }
 
 private:
@@ -65,7 +65,7 @@
         TimePoint until{};
     };
 
-    Held take(std::map<ExchangeId, Entry>::iterator entry);
+    QueuedRequest take(std::map<ExchangeId, Entry>::iterator entry);
 
     Settings settings_;
     std::map<ExchangeId, Entry> held_; // Numbers of exchanges rise.
