--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -141,12 +141,12 @@
 {
     constexpr std::size_t kAtATime = 1;
     if (knowledge_.hasConfiguration()) {
-        for (StartupRequestQueue::Held &held : early_.takeFirst(kAtATime)) {
+        for (StartupRequestQueue::QueuedRequest &held : early_.takeFirst(kAtATime)) {
             take(held.exchange, std::move(held.request), held.arrivedAt);
         }
         return;
     }
-    for (StartupRequestQueue::Held &held : early_.takeOverdue(loop_.now())) {
+    for (StartupRequestQueue::QueuedRequest &held : early_.takeOverdue(loop_.now())) {
         take(held.exchange, std::move(held.request), held.arrivedAt);
     }
 }
