--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -10,25 +10,25 @@
                                TimePoint now)
 {
     const std::size_t size = request.body.size();
-    if (held_.size() >= settings_.maxRequests || bytes_ + size > settings_.maxBytes) {
+    if (queued_.size() >= settings_.maxRequests || bytes_ + size > settings_.maxBytes) {
         return false;
     }
     const Duration part = fromSeconds(toSeconds(deadline) * settings_.maxDeadlineFraction);
     const Duration wait =
         deadline > Duration{} ? std::min(part, settings_.maxWait) : settings_.maxWait;
     bytes_ += size;
-    held_.emplace(exchange, Entry{std::move(request), now, now + wait});
+    queued_.emplace(exchange, Entry{std::move(request), now, now + wait});
     return true;
 }
 
 bool StartupRequestQueue::drop(ExchangeId exchange)
 {
-    const auto found = held_.find(exchange);
-    if (found == held_.end()) {
+    const auto found = queued_.find(exchange);
+    if (found == queued_.end()) {
         return false;
     }
     bytes_ -= found->second.request.body.size();
-    held_.erase(found);
+    queued_.erase(found);
     return true;
 }
 
@@ -37,15 +37,15 @@
 {
     bytes_ -= entry->second.request.body.size();
     QueuedRequest held{entry->first, std::move(entry->second.request), entry->second.arrivedAt};
-    held_.erase(entry);
+    queued_.erase(entry);
     return held;
 }
 
 std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::takeFirst(std::size_t count)
 {
     std::vector<QueuedRequest> first;
-    while (first.size() < count && !held_.empty()) {
-        first.push_back(take(held_.begin()));
+    while (first.size() < count && !queued_.empty()) {
+        first.push_back(take(queued_.begin()));
     }
     return first;
 }
@@ -53,7 +53,7 @@
 std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::takeOverdue(TimePoint now)
 {
     std::vector<QueuedRequest> overdue;
-    for (auto entry = held_.begin(); entry != held_.end();) {
+    for (auto entry = queued_.begin(); entry != queued_.end();) {
         const auto next = std::next(entry);
         if (entry->second.until <= now) {
             overdue.push_back(take(entry));
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -55,7 +55,7 @@
     std::vector<QueuedRequest> takeFirst(std::size_t count);
     // Hands out those that have waited long enough.
     std::vector<QueuedRequest> takeOverdue(TimePoint now);
-    std::size_t size() const { return held_.size(); }
+    std::size_t size() const { return queued_.size(); }
 
 private:
     struct Entry
@@ -68,7 +68,7 @@
     QueuedRequest take(std::map<ExchangeId, Entry>::iterator entry);
 
     Settings settings_;
-    std::map<ExchangeId, Entry> held_; // Numbers of exchanges rise.
+    std::map<ExchangeId, Entry> queued_; // Numbers of exchanges rise.
     std::size_t bytes_ = 0;
 };
 
