--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -36,9 +36,9 @@
 StartupRequestQueue::take(std::map<ExchangeId, Entry>::iterator entry)
 {
     bytes_ -= entry->second.request.body.size();
-    QueuedRequest held{entry->first, std::move(entry->second.request), entry->second.arrivedAt};
+    QueuedRequest queued{entry->first, std::move(entry->second.request), entry->second.arrivedAt};
     queued_.erase(entry);
-    return held;
+    return queued;
 }
 
 std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::takeFirst(std::size_t count)
