--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -6,7 +6,7 @@
 
 namespace seamarch {
 
-bool StartupRequestQueue::hold(ExchangeId exchange, HttpRequest &request, Duration deadline,
+bool StartupRequestQueue::push(ExchangeId exchange, HttpRequest &request, Duration deadline,
                                TimePoint now)
 {
     const std::size_t size = request.body.size();
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -46,7 +46,7 @@
 
     // Keeps a request whose caller waits for `deadline`; zero: it does not say. Returns false, and
     // leaves the request as it is, when there are too many.
-    bool hold(ExchangeId exchange, HttpRequest &request, Duration deadline, TimePoint now);
+    bool push(ExchangeId exchange, HttpRequest &request, Duration deadline, TimePoint now);
     // The caller has left. Returns false when nothing was kept for it.
     bool drop(ExchangeId exchange);
     // Hands out the first requests, in the order in which they came. Not all at once: after the
--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -17,20 +17,20 @@
 {
     StartupRequestQueue::Settings settings;
 
-    static bool hold(StartupRequestQueue & early, ExchangeId exchange, Duration deadline, int now,
+    static bool push(StartupRequestQueue & early, ExchangeId exchange, Duration deadline, int now,
                      std::size_t bytes = 10)
     {
         HttpRequest request;
         request.body.assign(bytes, 'x');
-        return early.hold(exchange, request, deadline, at(now));
+        return early.push(exchange, request, deadline, at(now));
     }
 };
 
 TEST(StartupRequestQueueTest, FirstComeFirstHandedOut)
 {
     StartupRequestQueue early(settings);
-    hold(early, 7, std::chrono::seconds(8), 0);
-    hold(early, 9, std::chrono::seconds(8), 10);
+    push(early, 7, std::chrono::seconds(8), 0);
+    push(early, 9, std::chrono::seconds(8), 10);
     const auto first = early.takeFirst(1);
     LONGS_EQUAL(1, first.size());
     LONGS_EQUAL(7, first.front().exchange);
@@ -41,7 +41,7 @@
 TEST(StartupRequestQueueTest, NoneWaitsLongerThanASecond)
 {
     StartupRequestQueue early(settings);
-    hold(early, 1, std::chrono::seconds(8), 0);
+    push(early, 1, std::chrono::seconds(8), 0);
     LONGS_EQUAL(0, early.takeOverdue(at(999)).size());
     LONGS_EQUAL(1, early.takeOverdue(at(1000)).size());
 }
@@ -50,7 +50,7 @@
 TEST(StartupRequestQueueTest, NoneWaitsLongerThanHalfOfItsCallersTime)
 {
     StartupRequestQueue early(settings);
-    hold(early, 1, std::chrono::seconds(1), 0);
+    push(early, 1, std::chrono::seconds(1), 0);
     LONGS_EQUAL(1, early.takeOverdue(at(500)).size());
 }
 
@@ -58,26 +58,26 @@
 {
     settings.maxBytes = 25;
     StartupRequestQueue early(settings);
-    CHECK_TRUE(hold(early, 1, Duration{}, 0));
-    CHECK_TRUE(hold(early, 2, Duration{}, 0));
-    CHECK_FALSE(hold(early, 3, Duration{}, 0));
+    CHECK_TRUE(push(early, 1, Duration{}, 0));
+    CHECK_TRUE(push(early, 2, Duration{}, 0));
+    CHECK_FALSE(push(early, 3, Duration{}, 0));
     CHECK_TRUE(early.drop(1));
-    CHECK_TRUE(hold(early, 3, Duration{}, 0));
+    CHECK_TRUE(push(early, 3, Duration{}, 0));
 }
 
 TEST(StartupRequestQueueTest, NumberIsBounded)
 {
     settings.maxRequests = 2;
     StartupRequestQueue early(settings);
-    hold(early, 1, Duration{}, 0);
-    hold(early, 2, Duration{}, 0);
-    CHECK_FALSE(hold(early, 3, Duration{}, 0));
+    push(early, 1, Duration{}, 0);
+    push(early, 2, Duration{}, 0);
+    CHECK_FALSE(push(early, 3, Duration{}, 0));
 }
 
 TEST(StartupRequestQueueTest, CallerThatLeftIsForgotten)
 {
     StartupRequestQueue early(settings);
-    hold(early, 1, Duration{}, 0);
+    push(early, 1, Duration{}, 0);
     CHECK_TRUE(early.drop(1));
     CHECK_FALSE(early.drop(1));
     LONGS_EQUAL(0, early.size());
