--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -127,7 +127,7 @@
         return;
     }
     const bool early = (!knowledge_.hasConfiguration() || early_.size() > 0) && !stopping_;
-    if (early && early_.hold(exchange, request, facts.deadline.value_or(Duration{}), loop_.now())) {
+    if (early && early_.push(exchange, request, facts.deadline.value_or(Duration{}), loop_.now())) {
         logLine(LogLevel::Info, "request.held",
                 {{"id", facts.requestId}, {"reason", "no configuration"}, {"held", early_.size()}});
         return;
