--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -21,7 +21,7 @@
     return true;
 }
 
-bool StartupRequestQueue::drop(ExchangeId exchange)
+bool StartupRequestQueue::remove(ExchangeId exchange)
 {
     const auto found = queued_.find(exchange);
     if (found == queued_.end()) {
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -48,7 +48,7 @@
     // leaves the request as it is, when there are too many.
     bool push(ExchangeId exchange, HttpRequest &request, Duration deadline, TimePoint now);
     // The caller has left. Returns false when nothing was kept for it.
-    bool drop(ExchangeId exchange);
+    bool remove(ExchangeId exchange);
     // Hands out the first requests, in the order in which they came. Not all at once: after the
     // loss of all instances the engines refuse until their groups have formed, and what the first
     // of the requests finds out saves the others an attempt.
--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -61,7 +61,7 @@
     CHECK_TRUE(push(early, 1, Duration{}, 0));
     CHECK_TRUE(push(early, 2, Duration{}, 0));
     CHECK_FALSE(push(early, 3, Duration{}, 0));
-    CHECK_TRUE(early.drop(1));
+    CHECK_TRUE(early.remove(1));
     CHECK_TRUE(push(early, 3, Duration{}, 0));
 }
 
@@ -78,7 +78,7 @@
 {
     StartupRequestQueue early(settings);
     push(early, 1, Duration{}, 0);
-    CHECK_TRUE(early.drop(1));
-    CHECK_FALSE(early.drop(1));
+    CHECK_TRUE(early.remove(1));
+    CHECK_FALSE(early.remove(1));
     LONGS_EQUAL(0, early.size());
 }
