--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -201,7 +201,7 @@
 
 void GatewayService::onCallerGone(ExchangeId exchange)
 {
-    if (early_.drop(exchange)) {
+    if (early_.remove(exchange)) {
         return;
     }
     const auto found = byExchange_.find(exchange);
