--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -41,7 +41,7 @@
     return queued;
 }
 
-std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::takeFirst(std::size_t count)
+std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::popFront(std::size_t count)
 {
     std::vector<QueuedRequest> first;
     while (first.size() < count && !queued_.empty()) {
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -52,7 +52,7 @@
     // Hands out the first requests, in the order in which they came. Not all at once: after the
     // loss of all instances the engines refuse until their groups have formed, and what the first
     // of the requests finds out saves the others an attempt.
-    std::vector<QueuedRequest> takeFirst(std::size_t count);
+    std::vector<QueuedRequest> popFront(std::size_t count);
     // Hands out those that have waited long enough.
     std::vector<QueuedRequest> takeOverdue(TimePoint now);
     std::size_t size() const { return queued_.size(); }
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -141,7 +141,7 @@
 {
     constexpr std::size_t kAtATime = 1;
     if (knowledge_.hasConfiguration()) {
-        for (StartupRequestQueue::QueuedRequest &held : early_.takeFirst(kAtATime)) {
+        for (StartupRequestQueue::QueuedRequest &held : early_.popFront(kAtATime)) {
             take(held.exchange, std::move(held.request), held.arrivedAt);
         }
         return;
--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -31,7 +31,7 @@
     StartupRequestQueue early(settings);
     push(early, 7, std::chrono::seconds(8), 0);
     push(early, 9, std::chrono::seconds(8), 10);
-    const auto first = early.takeFirst(1);
+    const auto first = early.popFront(1);
     LONGS_EQUAL(1, first.size());
     LONGS_EQUAL(7, first.front().exchange);
     CHECK_TRUE(first.front().arrivedAt == at(0));
