--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -50,7 +50,7 @@
     return first;
 }
 
-std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::takeOverdue(TimePoint now)
+std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::popExpired(TimePoint now)
 {
     std::vector<QueuedRequest> overdue;
     for (auto entry = queued_.begin(); entry != queued_.end();) {
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -54,7 +54,7 @@
     // of the requests finds out saves the others an attempt.
     std::vector<QueuedRequest> popFront(std::size_t count);
     // Hands out those that have waited long enough.
-    std::vector<QueuedRequest> takeOverdue(TimePoint now);
+    std::vector<QueuedRequest> popExpired(TimePoint now);
     std::size_t size() const { return queued_.size(); }
 
 private:
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -146,7 +146,7 @@
         }
         return;
     }
-    for (StartupRequestQueue::QueuedRequest &held : early_.takeOverdue(loop_.now())) {
+    for (StartupRequestQueue::QueuedRequest &held : early_.popExpired(loop_.now())) {
         take(held.exchange, std::move(held.request), held.arrivedAt);
     }
 }
--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -42,8 +42,8 @@
 {
     StartupRequestQueue early(settings);
     push(early, 1, std::chrono::seconds(8), 0);
-    LONGS_EQUAL(0, early.takeOverdue(at(999)).size());
-    LONGS_EQUAL(1, early.takeOverdue(at(1000)).size());
+    LONGS_EQUAL(0, early.popExpired(at(999)).size());
+    LONGS_EQUAL(1, early.popExpired(at(1000)).size());
 }
 
 // A caller that waits for a second is told after half of it, while there is time to come back.
@@ -51,7 +51,7 @@
 {
     StartupRequestQueue early(settings);
     push(early, 1, std::chrono::seconds(1), 0);
-    LONGS_EQUAL(1, early.takeOverdue(at(500)).size());
+    LONGS_EQUAL(1, early.popExpired(at(500)).size());
 }
 
 TEST(StartupRequestQueueTest, MemoryIsBounded)
