--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -52,15 +52,15 @@
 
 std::vector<StartupRequestQueue::QueuedRequest> StartupRequestQueue::popExpired(TimePoint now)
 {
-    std::vector<QueuedRequest> overdue;
+    std::vector<QueuedRequest> expired;
     for (auto entry = queued_.begin(); entry != queued_.end();) {
         const auto next = std::next(entry);
         if (entry->second.until <= now) {
-            overdue.push_back(take(entry));
+            expired.push_back(take(entry));
         }
         entry = next;
     }
-    return overdue;
+    return expired;
 }
 
 } // namespace seamarch
