--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -55,7 +55,7 @@
     std::vector<QueuedRequest> expired;
     for (auto entry = queued_.begin(); entry != queued_.end();) {
         const auto next = std::next(entry);
-        if (entry->second.until <= now) {
+        if (entry->second.expiresAt <= now) {
             expired.push_back(take(entry));
         }
         entry = next;
--- a/src/gateway/earlyrequests.h
+++ b/src/gateway/earlyrequests.h
@@ -62,7 +62,7 @@
     {
         HttpRequest request;
         TimePoint arrivedAt{};
-        TimePoint until{};
+        TimePoint expiresAt{};
     };
 
     QueuedRequest take(std::map<ExchangeId, Entry>::iterator entry);
