--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -26,7 +26,7 @@
     }
 };
 
-TEST(StartupRequestQueueTest, FirstComeFirstHandedOut)
+TEST(StartupRequestQueueTest, PopsInOrderOfArrival)
 {
     StartupRequestQueue queue(settings);
     push(queue, 7, std::chrono::seconds(8), 0);
