--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -38,7 +38,7 @@
     LONGS_EQUAL(1, queue.size());
 }
 
-TEST(StartupRequestQueueTest, NoneWaitsLongerThanASecond)
+TEST(StartupRequestQueueTest, RequestExpiresAfterOneSecond)
 {
     StartupRequestQueue queue(settings);
     push(queue, 1, std::chrono::seconds(8), 0);
