--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -47,7 +47,7 @@
 }
 
 // A caller that waits for a second is told after half of it, while there is time to come back.
-TEST(StartupRequestQueueTest, NoneWaitsLongerThanHalfOfItsCallersTime)
+TEST(StartupRequestQueueTest, RequestExpiresAfterHalfOfItsDeadline)
 {
     StartupRequestQueue queue(settings);
     push(queue, 1, std::chrono::seconds(1), 0);
