--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -54,7 +54,7 @@
     LONGS_EQUAL(1, queue.popExpired(at(500)).size());
 }
 
-TEST(StartupRequestQueueTest, MemoryIsBounded)
+TEST(StartupRequestQueueTest, RefusesBeyondMaxBytes)
 {
     settings.maxBytes = 25;
     StartupRequestQueue queue(settings);
