--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -65,7 +65,7 @@
     CHECK_TRUE(push(queue, 3, Duration{}, 0));
 }
 
-TEST(StartupRequestQueueTest, NumberIsBounded)
+TEST(StartupRequestQueueTest, RefusesBeyondMaxRequests)
 {
     settings.maxRequests = 2;
     StartupRequestQueue queue(settings);
