--- a/test/gateway/earlyrequests_test.cpp
+++ b/test/gateway/earlyrequests_test.cpp
@@ -74,7 +74,7 @@
     CHECK_FALSE(push(queue, 3, Duration{}, 0));
 }
 
-TEST(StartupRequestQueueTest, CallerThatLeftIsForgotten)
+TEST(StartupRequestQueueTest, RemovesRequestOfDisconnectedCaller)
 {
     StartupRequestQueue queue(settings);
     push(queue, 1, Duration{}, 0);
