--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -17,8 +17,8 @@
 
 } // namespace
 
-GroupWatch::GroupWatch(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
-                       int agentPort)
+GroupPoller::GroupPoller(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
+                         int agentPort)
     : loop_(loop)
     , knowledge_(knowledge)
     , groups_(groups)
@@ -26,25 +26,25 @@
     , tasks_(*this)
 {}
 
-GroupWatch::~GroupWatch()
+GroupPoller::~GroupPoller()
 {
     *alive_ = false;
 }
 
-tl::expected<std::unique_ptr<GroupWatch>, NetError>
-GroupWatch::create(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
-                   int agentPort)
+tl::expected<std::unique_ptr<GroupPoller>, NetError>
+GroupPoller::create(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
+                    int agentPort)
 {
     auto transport = RawTransport::create(loop);
     if (!transport) {
         return tl::unexpected(transport.error());
     }
-    std::unique_ptr<GroupWatch> watch(new GroupWatch(loop, knowledge, groups, agentPort));
+    std::unique_ptr<GroupPoller> watch(new GroupPoller(loop, knowledge, groups, agentPort));
     watch->transport_ = std::move(*transport);
     return watch;
 }
 
-void GroupWatch::taskFailed(kj::Exception &&exception)
+void GroupPoller::taskFailed(kj::Exception &&exception)
 {
     logLine(LogLevel::Warning, "group.call_failed",
             {{"message", exception.getDescription().cStr()}});
@@ -52,7 +52,7 @@
 
 // Collects the engines of services that form groups, where the list or the configuration is
 // another.
-void GroupWatch::listEngines()
+void GroupPoller::listEngines()
 {
     const std::uint64_t changes = knowledge_.upstreams().changes();
     if (changes == listedChanges_ && knowledge_.version() == listedVersion_) {
@@ -68,7 +68,7 @@
     }
 }
 
-void GroupWatch::tick(bool watches)
+void GroupPoller::tick(bool watches)
 {
     const TimePoint now = loop_.now();
     if (watches) {
@@ -81,7 +81,7 @@
                   [now](const auto &entry) { return now - entry.second.usedAt > kLinkLife; });
 }
 
-void GroupWatch::ask(const std::string &host)
+void GroupPoller::ask(const std::string &host)
 {
     const TimePoint now = loop_.now();
     Link &link = links_[host];
@@ -112,7 +112,7 @@
         }));
 }
 
-void GroupWatch::onFailed(const std::string &host)
+void GroupPoller::onFailed(const std::string &host)
 {
     // The connection may have gone silent for good while a new one works. It is closed from the
     // loop, because this may be a callback of its own.
@@ -124,8 +124,8 @@
     survey_.onFailed(host, loop_.now());
 }
 
-void GroupWatch::onAnswer(const std::string &host, TimePoint askedAt,
-                          wire::RankAgent::GroupResults::Reader answer)
+void GroupPoller::onAnswer(const std::string &host, TimePoint askedAt,
+                           wire::RankAgent::GroupResults::Reader answer)
 {
     if (!answer.getDecides()) {
         survey_.onReferred(host, answer.getDeciderHost().cStr(), loop_.now());
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -27,15 +27,15 @@
 
 namespace seamarch {
 
-class GroupWatch final : private kj::TaskSet::ErrorHandler
+class GroupPoller final : private kj::TaskSet::ErrorHandler
 {
 public:
     // Agents listen at `agentPort`, each at the address of its engine.
-    static tl::expected<std::unique_ptr<GroupWatch>, NetError>
+    static tl::expected<std::unique_ptr<GroupPoller>, NetError>
     create(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups, int agentPort);
-    ~GroupWatch();
-    GroupWatch(const GroupWatch &) = delete;
-    GroupWatch &operator=(const GroupWatch &) = delete;
+    ~GroupPoller();
+    GroupPoller(const GroupPoller &) = delete;
+    GroupPoller &operator=(const GroupPoller &) = delete;
 
     // Asks those whose turn it is, if this gateway `watches`. Call it often.
     void tick(bool watches);
@@ -48,8 +48,8 @@
         TimePoint usedAt{};
     };
 
-    GroupWatch(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
-               int agentPort);
+    GroupPoller(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
+                int agentPort);
     void listEngines();
     void ask(const std::string &host);
     void onAnswer(const std::string &host, TimePoint askedAt,
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -75,7 +75,7 @@
 tl::expected<void, NetError> KnowledgeSources::open()
 {
     if (settings_.agentPort) {
-        auto watch = GroupWatch::create(loop_, knowledge_, beliefs_.groups, *settings_.agentPort);
+        auto watch = GroupPoller::create(loop_, knowledge_, beliefs_.groups, *settings_.agentPort);
         if (!watch) {
             return tl::unexpected(watch.error());
         }
--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -94,7 +94,7 @@
     GroupTable groups;
     int port = freePort();
     std::unique_ptr<Agent> agent = std::make_unique<Agent>(*loop, kHost, port);
-    std::unique_ptr<GroupWatch> watch;
+    std::unique_ptr<GroupPoller> watch;
     std::unique_ptr<PeriodicTimer> timer;
 
     void setup() override
@@ -102,7 +102,7 @@
         StoreItems items;
         items.items = {documentWithGroups(), engine(kFirstEngine), engine(kSecondEngine)};
         knowledge.onStoreListed(items, loop->now());
-        watch = *GroupWatch::create(*loop, knowledge, groups, port);
+        watch = *GroupPoller::create(*loop, knowledge, groups, port);
         timer = std::make_unique<PeriodicTimer>(*loop, std::chrono::milliseconds(50),
                                                 [this] { watch->tick(true); });
     }
