--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -84,7 +84,7 @@
 
 } // namespace
 
-TEST_GROUP(GroupWatchTest)
+TEST_GROUP(GroupPollerTest)
 {
     std::unique_ptr<EventLoop> loop = *EventLoop::create();
     Metrics metrics{0};
@@ -123,7 +123,7 @@
     }
 };
 
-TEST(GroupWatchTest, HearsFromTheAgentThatDecidesAndHowLongAgoItWasSo)
+TEST(GroupPollerTest, HearsFromTheAgentThatDecidesAndHowLongAgoItWasSo)
 {
     agent->reporter.set(factsOf(true), loop->now());
     runFor(400);
@@ -133,7 +133,7 @@
                "facts are never younger than the question for them");
 }
 
-TEST(GroupWatchTest, NewsComesAsSoonAsSomethingChanges)
+TEST(GroupPollerTest, NewsComesAsSoonAsSomethingChanges)
 {
     agent->reporter.set(factsOf(true), loop->now());
     runFor(400);
@@ -144,7 +144,7 @@
     CHECK_TRUE(groups.closed(GroupId("north"), loop->now()));
 }
 
-TEST(GroupWatchTest, KeepsOneConnectionToTheAgentThatDecides)
+TEST(GroupPollerTest, KeepsOneConnectionToTheAgentThatDecides)
 {
     agent->reporter.set(factsOf(true), loop->now());
     runFor(1500);
@@ -153,7 +153,7 @@
 
 // An agent that does not decide says nothing of its group, but is asked again: it may decide by
 // then.
-TEST(GroupWatchTest, AsksAgainWhereNobodyDecidesYet)
+TEST(GroupPollerTest, AsksAgainWhereNobodyDecidesYet)
 {
     agent->reporter.refer("");
     runFor(300);
