--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -11,7 +11,7 @@
 // How long a question waits for news at the agent that decides: facts are renewed that often.
 constexpr Duration kLongPollWait = std::chrono::milliseconds(400);
 // How long an answer may take beyond its wait: some round trips between halls.
-constexpr Duration kPatience = std::chrono::milliseconds(350);
+constexpr Duration kReplyMargin = std::chrono::milliseconds(350);
 // A connection that was not used for this long is closed.
 constexpr Duration kLinkLife = std::chrono::seconds(5);
 
@@ -94,7 +94,7 @@
     request.setWaitMicros(kLongPollWait.count());
     // Whichever comes first, the answer or the end of patience, ends the question.
     const auto over = std::make_shared<bool>(false);
-    loop_.schedule(kLongPollWait + kPatience, [this, host, over, alive = alive_] {
+    loop_.schedule(kLongPollWait + kReplyMargin, [this, host, over, alive = alive_] {
         if (*alive && !std::exchange(*over, true)) {
             onFailed(host);
         }
