--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -13,7 +13,7 @@
 // How long an answer may take beyond its wait: some round trips between halls.
 constexpr Duration kReplyMargin = std::chrono::milliseconds(350);
 // A connection that was not used for this long is closed.
-constexpr Duration kLinkLife = std::chrono::seconds(5);
+constexpr Duration kLinkIdleTimeout = std::chrono::seconds(5);
 
 } // namespace
 
@@ -77,8 +77,8 @@
             ask(host);
         }
     }
-    std::erase_if(links_,
-                  [now](const auto &entry) { return now - entry.second.usedAt > kLinkLife; });
+    std::erase_if(
+        links_, [now](const auto &entry) { return now - entry.second.usedAt > kLinkIdleTimeout; });
 }
 
 void GroupPoller::ask(const std::string &host)
