--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -52,7 +52,7 @@
 
 // Collects the engines of services that form groups, where the list or the configuration is
 // another.
-void GroupPoller::listEngines()
+void GroupPoller::refreshEngines()
 {
     const std::uint64_t changes = knowledge_.upstreams().changes();
     if (changes == listedChanges_ && knowledge_.version() == listedVersion_) {
@@ -72,7 +72,7 @@
 {
     const TimePoint now = loop_.now();
     if (watches) {
-        listEngines();
+        refreshEngines();
         for (const std::string &host : survey_.next(engines_, groups_, now)) {
             ask(host);
         }
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -50,7 +50,7 @@
 
     GroupPoller(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
                 int agentPort);
-    void listEngines();
+    void refreshEngines();
     void ask(const std::string &host);
     void onAnswer(const std::string &host, TimePoint askedAt,
                   wire::RankAgent::GroupResults::Reader answer);
