--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -55,10 +55,10 @@
 void GroupPoller::refreshEngines()
 {
     const std::uint64_t changes = knowledge_.upstreams().changes();
-    if (changes == listedChanges_ && knowledge_.version() == listedVersion_) {
+    if (changes == engineListChanges_ && knowledge_.version() == listedVersion_) {
         return;
     }
-    listedChanges_ = changes;
+    engineListChanges_ = changes;
     listedVersion_ = knowledge_.version();
     engines_.clear();
     for (const UpstreamRecord *record : knowledge_.upstreams().all()) {
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -64,7 +64,7 @@
     std::unique_ptr<RawTransport> transport_;
     GroupSurvey survey_;
     std::vector<GroupSurvey::Engine> engines_; // As of the list and the configuration below.
-    std::uint64_t listedChanges_ = 0;
+    std::uint64_t engineListChanges_ = 0;
     ConfigVersion listedVersion_;
     std::map<std::string, Link> links_; // By host.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
