--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -55,11 +55,11 @@
 void GroupPoller::refreshEngines()
 {
     const std::uint64_t changes = knowledge_.upstreams().changes();
-    if (changes == engineListChanges_ && knowledge_.version() == listedVersion_) {
+    if (changes == engineListChanges_ && knowledge_.version() == engineListVersion_) {
         return;
     }
     engineListChanges_ = changes;
-    listedVersion_ = knowledge_.version();
+    engineListVersion_ = knowledge_.version();
     engines_.clear();
     for (const UpstreamRecord *record : knowledge_.upstreams().all()) {
         if (knowledge_.formsGroups(record->service)) {
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -65,7 +65,7 @@
     GroupSurvey survey_;
     std::vector<GroupSurvey::Engine> engines_; // As of the list and the configuration below.
     std::uint64_t engineListChanges_ = 0;
-    ConfigVersion listedVersion_;
+    ConfigVersion engineListVersion_;
     std::map<std::string, Link> links_; // By host.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     kj::TaskSet tasks_;
