--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -68,10 +68,10 @@
     }
 }
 
-void GroupPoller::tick(bool watches)
+void GroupPoller::tick(bool active)
 {
     const TimePoint now = loop_.now();
-    if (watches) {
+    if (active) {
         refreshEngines();
         for (const std::string &host : survey_.next(engines_, groups_, now)) {
             ask(host);
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -38,7 +38,7 @@
     GroupPoller &operator=(const GroupPoller &) = delete;
 
     // Asks those whose turn it is, if this gateway `watches`. Call it often.
-    void tick(bool watches);
+    void tick(bool active);
 
 private:
     struct Link
