--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -39,9 +39,9 @@
     if (!transport) {
         return tl::unexpected(transport.error());
     }
-    std::unique_ptr<GroupPoller> watch(new GroupPoller(loop, knowledge, groups, agentPort));
-    watch->transport_ = std::move(*transport);
-    return watch;
+    std::unique_ptr<GroupPoller> poller(new GroupPoller(loop, knowledge, groups, agentPort));
+    poller->transport_ = std::move(*transport);
+    return poller;
 }
 
 void GroupPoller::taskFailed(kj::Exception &&exception)
--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -94,7 +94,7 @@
     GroupTable groups;
     int port = freePort();
     std::unique_ptr<Agent> agent = std::make_unique<Agent>(*loop, kHost, port);
-    std::unique_ptr<GroupPoller> watch;
+    std::unique_ptr<GroupPoller> poller;
     std::unique_ptr<PeriodicTimer> timer;
 
     void setup() override
@@ -102,15 +102,15 @@
         StoreItems items;
         items.items = {documentWithGroups(), engine(kFirstEngine), engine(kSecondEngine)};
         knowledge.onStoreListed(items, loop->now());
-        watch = *GroupPoller::create(*loop, knowledge, groups, port);
+        poller = *GroupPoller::create(*loop, knowledge, groups, port);
         timer = std::make_unique<PeriodicTimer>(*loop, std::chrono::milliseconds(50),
-                                                [this] { watch->tick(true); });
+                                                [this] { poller->tick(true); });
     }
 
     void teardown() override
     {
         timer.reset();
-        watch.reset();
+        poller.reset();
         agent.reset();
         loop->shutDown();
         loop.reset();
