--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -74,14 +74,14 @@
     if (active) {
         refreshEngines();
         for (const std::string &host : survey_.next(engines_, groups_, now)) {
-            ask(host);
+            poll(host);
         }
     }
     std::erase_if(
         links_, [now](const auto &entry) { return now - entry.second.usedAt > kLinkIdleTimeout; });
 }
 
-void GroupPoller::ask(const std::string &host)
+void GroupPoller::poll(const std::string &host)
 {
     const TimePoint now = loop_.now();
     Link &link = links_[host];
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -51,7 +51,7 @@
     GroupPoller(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
                 int agentPort);
     void refreshEngines();
-    void ask(const std::string &host);
+    void poll(const std::string &host);
     void onAnswer(const std::string &host, TimePoint askedAt,
                   wire::RankAgent::GroupResults::Reader answer);
     void onFailed(const std::string &host);
