--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -102,7 +102,7 @@
     tasks_.add(request.send().then(
         [this, host, now, over](capnp::Response<wire::RankAgent::GroupResults> &&answer) {
             if (!std::exchange(*over, true)) {
-                onAnswer(host, now, answer);
+                onReply(host, now, answer);
             }
         },
         [this, host, over](kj::Exception && /*gone*/) {
@@ -124,8 +124,8 @@
     survey_.onFailed(host, loop_.now());
 }
 
-void GroupPoller::onAnswer(const std::string &host, TimePoint askedAt,
-                           wire::RankAgent::GroupResults::Reader answer)
+void GroupPoller::onReply(const std::string &host, TimePoint askedAt,
+                          wire::RankAgent::GroupResults::Reader answer)
 {
     if (!answer.getDecides()) {
         survey_.onReferred(host, answer.getDeciderHost().cStr(), loop_.now());
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -52,8 +52,8 @@
                 int agentPort);
     void refreshEngines();
     void poll(const std::string &host);
-    void onAnswer(const std::string &host, TimePoint askedAt,
-                  wire::RankAgent::GroupResults::Reader answer);
+    void onReply(const std::string &host, TimePoint askedAt,
+                 wire::RankAgent::GroupResults::Reader answer);
     void onFailed(const std::string &host);
     void taskFailed(kj::Exception &&exception) override;
 
