--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -96,7 +96,7 @@
     const auto over = std::make_shared<bool>(false);
     loop_.schedule(kLongPollWait + kReplyMargin, [this, host, over, alive = alive_] {
         if (*alive && !std::exchange(*over, true)) {
-            onFailed(host);
+            onPollFailed(host);
         }
     });
     tasks_.add(request.send().then(
@@ -107,12 +107,12 @@
         },
         [this, host, over](kj::Exception && /*gone*/) {
             if (!std::exchange(*over, true)) {
-                onFailed(host);
+                onPollFailed(host);
             }
         }));
 }
 
-void GroupPoller::onFailed(const std::string &host)
+void GroupPoller::onPollFailed(const std::string &host)
 {
     // The connection may have gone silent for good while a new one works. It is closed from the
     // loop, because this may be a callback of its own.
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -54,7 +54,7 @@
     void poll(const std::string &host);
     void onReply(const std::string &host, TimePoint askedAt,
                  wire::RankAgent::GroupResults::Reader answer);
-    void onFailed(const std::string &host);
+    void onPollFailed(const std::string &host);
     void taskFailed(kj::Exception &&exception) override;
 
     EventLoop &loop_;
