--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -124,7 +124,7 @@
     survey_.onFailed(host, loop_.now());
 }
 
-void GroupPoller::onReply(const std::string &host, TimePoint askedAt,
+void GroupPoller::onReply(const std::string &host, TimePoint sentAt,
                           wire::RankAgent::GroupResults::Reader answer)
 {
     if (!answer.getDecides()) {
@@ -137,7 +137,7 @@
     const auto news = answer.getNews();
     const bool told = link.mark == answer.getMark();
     link.mark = answer.getMark();
-    const TimePoint asOf = askedAt - Duration(news.getAgeMicros());
+    const TimePoint asOf = sentAt - Duration(news.getAgeMicros());
     if (told) {
         groups_.renew(group, asOf);
         return;
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -52,7 +52,7 @@
                 int agentPort);
     void refreshEngines();
     void poll(const std::string &host);
-    void onReply(const std::string &host, TimePoint askedAt,
+    void onReply(const std::string &host, TimePoint sentAt,
                  wire::RankAgent::GroupResults::Reader answer);
     void onPollFailed(const std::string &host);
     void taskFailed(kj::Exception &&exception) override;
