--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -100,9 +100,9 @@
         }
     });
     tasks_.add(request.send().then(
-        [this, host, now, over](capnp::Response<wire::RankAgent::GroupResults> &&answer) {
+        [this, host, now, over](capnp::Response<wire::RankAgent::GroupResults> &&reply) {
             if (!std::exchange(*over, true)) {
-                onReply(host, now, answer);
+                onReply(host, now, reply);
             }
         },
         [this, host, over](kj::Exception && /*gone*/) {
@@ -125,18 +125,18 @@
 }
 
 void GroupPoller::onReply(const std::string &host, TimePoint sentAt,
-                          wire::RankAgent::GroupResults::Reader answer)
+                          wire::RankAgent::GroupResults::Reader reply)
 {
-    if (!answer.getDecides()) {
-        survey_.onReferred(host, answer.getDeciderHost().cStr(), loop_.now());
+    if (!reply.getDecides()) {
+        survey_.onReferred(host, reply.getDeciderHost().cStr(), loop_.now());
         return;
     }
-    const GroupId group(answer.getGroup().cStr());
+    const GroupId group(reply.getGroup().cStr());
     survey_.onDecider(host, group);
     Link &link = links_[host];
-    const auto news = answer.getNews();
-    const bool told = link.mark == answer.getMark();
-    link.mark = answer.getMark();
+    const auto news = reply.getNews();
+    const bool told = link.mark == reply.getMark();
+    link.mark = reply.getMark();
     const TimePoint asOf = sentAt - Duration(news.getAgeMicros());
     if (told) {
         groups_.renew(group, asOf);
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -53,7 +53,7 @@
     void refreshEngines();
     void poll(const std::string &host);
     void onReply(const std::string &host, TimePoint sentAt,
-                 wire::RankAgent::GroupResults::Reader answer);
+                 wire::RankAgent::GroupResults::Reader reply);
     void onPollFailed(const std::string &host);
     void taskFailed(kj::Exception &&exception) override;
 
