--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -77,8 +77,9 @@
             poll(host);
         }
     }
-    std::erase_if(
-        links_, [now](const auto &entry) { return now - entry.second.usedAt > kLinkIdleTimeout; });
+    std::erase_if(links_, [now](const auto &entry) {
+        return now - entry.second.lastUsedAt > kLinkIdleTimeout;
+    });
 }
 
 void GroupPoller::poll(const std::string &host)
@@ -88,7 +89,7 @@
     if (link.rpc == nullptr) {
         link.rpc = std::make_unique<RpcLink>(loop_, *transport_, SocketAddress{host, agentPort_});
     }
-    link.usedAt = now;
+    link.lastUsedAt = now;
     auto request = link.rpc->capability().castAs<wire::RankAgent>().groupRequest();
     request.setMark(link.mark);
     request.setWaitMicros(kLongPollWait.count());
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -45,7 +45,7 @@
     {
         std::unique_ptr<RpcLink> rpc;
         std::uint64_t mark = 0; // Of the facts that the agent told last.
-        TimePoint usedAt{};
+        TimePoint lastUsedAt{};
     };
 
     GroupPoller(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups,
