--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -94,20 +94,20 @@
     request.setMark(link.mark);
     request.setWaitMicros(kLongPollWait.count());
     // Whichever comes first, the answer or the end of patience, ends the question.
-    const auto over = std::make_shared<bool>(false);
-    loop_.schedule(kLongPollWait + kReplyMargin, [this, host, over, alive = alive_] {
-        if (*alive && !std::exchange(*over, true)) {
+    const auto settled = std::make_shared<bool>(false);
+    loop_.schedule(kLongPollWait + kReplyMargin, [this, host, settled, alive = alive_] {
+        if (*alive && !std::exchange(*settled, true)) {
             onPollFailed(host);
         }
     });
     tasks_.add(request.send().then(
-        [this, host, now, over](capnp::Response<wire::RankAgent::GroupResults> &&reply) {
-            if (!std::exchange(*over, true)) {
+        [this, host, now, settled](capnp::Response<wire::RankAgent::GroupResults> &&reply) {
+            if (!std::exchange(*settled, true)) {
                 onReply(host, now, reply);
             }
         },
-        [this, host, over](kj::Exception && /*gone*/) {
-            if (!std::exchange(*over, true)) {
+        [this, host, settled](kj::Exception && /*gone*/) {
+            if (!std::exchange(*settled, true)) {
                 onPollFailed(host);
             }
         }));
