--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -136,10 +136,10 @@
     survey_.onDecider(host, group);
     Link &link = links_[host];
     const auto news = reply.getNews();
-    const bool told = link.mark == reply.getMark();
+    const bool unchanged = link.mark == reply.getMark();
     link.mark = reply.getMark();
     const TimePoint asOf = sentAt - Duration(news.getAgeMicros());
-    if (told) {
+    if (unchanged) {
         groups_.renew(group, asOf);
         return;
     }
