--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -123,7 +123,7 @@
     }
 };
 
-TEST(GroupPollerTest, HearsFromTheAgentThatDecidesAndHowLongAgoItWasSo)
+TEST(GroupPollerTest, ReadsGroupAndItsAgeFromDecidingAgent)
 {
     agent->reporter.set(factsOf(true), loop->now());
     runFor(400);
