--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -133,7 +133,7 @@
                "facts are never younger than the question for them");
 }
 
-TEST(GroupPollerTest, NewsComesAsSoonAsSomethingChanges)
+TEST(GroupPollerTest, ReceivesChangeWithoutWaitingForNextPoll)
 {
     agent->reporter.set(factsOf(true), loop->now());
     runFor(400);
