--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -144,7 +144,7 @@
     CHECK_TRUE(groups.closed(GroupId("north"), loop->now()));
 }
 
-TEST(GroupPollerTest, KeepsOneConnectionToTheAgentThatDecides)
+TEST(GroupPollerTest, ReusesConnectionToDecidingAgent)
 {
     agent->reporter.set(factsOf(true), loop->now());
     runFor(1500);
