--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -153,7 +153,7 @@
 
 // An agent that does not decide says nothing of its group, but is asked again: it may decide by
 // then.
-TEST(GroupPollerTest, AsksAgainWhereNobodyDecidesYet)
+TEST(GroupPollerTest, PollsAgainWhileNoAgentDecides)
 {
     agent->reporter.refer("");
     runFor(300);
