--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -16,10 +16,10 @@
 constexpr int kSecondEngine = 81;
 
 // An agent that answers questions about its group and nothing else.
-class Agent
+class FakeAgent
 {
 public:
-    Agent(EventLoop &loop, const char *host, int port)
+    FakeAgent(EventLoop &loop, const char *host, int port)
         : reporter(loop)
         , transport_(*RawTransport::create(loop))
     {
@@ -93,7 +93,7 @@
                                [](const RouteTable &) {}};
     GroupTable groups;
     int port = freePort();
-    std::unique_ptr<Agent> agent = std::make_unique<Agent>(*loop, kHost, port);
+    std::unique_ptr<FakeAgent> agent = std::make_unique<FakeAgent>(*loop, kHost, port);
     std::unique_ptr<GroupPoller> poller;
     std::unique_ptr<PeriodicTimer> timer;
 
