--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -9,7 +9,7 @@
 // each hall is told at once that there is news, asks for it, and the others of its hall wait there.
 // So is what an upstream says that it takes from all gateways together.
 //
-// Whom to ask is decided elsewhere: see KnowledgeSources. Single-threaded; what the constructor is
+// Whom to ask is decided elsewhere: see StateSynchronizer. Single-threaded; what the constructor is
 // given outlives the object.
 #pragma once
 
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -92,7 +92,7 @@
         }
         metricsServer_ = std::move(*metrics);
     }
-    auto sources = KnowledgeSources::create(
+    auto sources = StateSynchronizer::create(
         loop_, *client_, store_, knowledge_,
         {core_.groups(), core_.crashes(), core_.limits(), core_.permitIssuer(), core_.warmUps()},
         {settings_.instance, settings_.hall, settings_.peerListen, settings_.seeds,
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -162,7 +162,7 @@
     std::unique_ptr<HttpServer> server_;
     std::unique_ptr<OperatorServer> operators_;
     std::unique_ptr<OperatorServer> metricsServer_;
-    std::unique_ptr<KnowledgeSources> sources_;
+    std::unique_ptr<StateSynchronizer> sources_;
     StartupRequestQueue early_;
     std::unordered_map<RequestNumber, Flight> flights_;
     std::unordered_map<ExchangeId, RequestNumber> byExchange_;
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -37,7 +37,7 @@
 // all gateways within a second, and tell them within two more. Until then it hears the seeds.
 constexpr Duration kYoung = std::chrono::seconds(3);
 
-GatewayRecord recordOf(const KnowledgeSources::Settings &settings)
+GatewayRecord recordOf(const StateSynchronizer::Settings &settings)
 {
     const SocketAddress address = settings.peerListen.value_or(SocketAddress{});
     return {settings.instance, settings.hall, address.host, address.port};
@@ -45,9 +45,9 @@
 
 } // namespace
 
-KnowledgeSources::KnowledgeSources(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                                   GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
-                                   const Settings &settings)
+StateSynchronizer::StateSynchronizer(EventLoop &loop, HttpClient &client,
+                                     const MetadataStore &store, GatewayKnowledge &knowledge,
+                                     const SharedBeliefs &beliefs, const Settings &settings)
     : loop_(loop)
     , client_(client)
     , store_(store)
@@ -59,20 +59,20 @@
     , seedTurn_(randomIdentity())
 {}
 
-tl::expected<std::unique_ptr<KnowledgeSources>, NetError>
-KnowledgeSources::create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                         GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
-                         const Settings &settings)
+tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
+StateSynchronizer::create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
+                          GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                          const Settings &settings)
 {
-    std::unique_ptr<KnowledgeSources> sources(
-        new KnowledgeSources(loop, client, store, knowledge, beliefs, settings));
+    std::unique_ptr<StateSynchronizer> sources(
+        new StateSynchronizer(loop, client, store, knowledge, beliefs, settings));
     if (auto opened = sources->open(); !opened) {
         return tl::unexpected(opened.error());
     }
     return sources;
 }
 
-tl::expected<void, NetError> KnowledgeSources::open()
+tl::expected<void, NetError> StateSynchronizer::open()
 {
     if (settings_.agentPort) {
         auto watch = GroupPoller::create(loop_, knowledge_, beliefs_.groups, *settings_.agentPort);
@@ -95,8 +95,8 @@
     return {};
 }
 
-void KnowledgeSources::askForPermits(const SendPermits::Ask &ask,
-                                     GatewayPeers::PermitsAnswered answered)
+void StateSynchronizer::askForPermits(const SendPermits::Ask &ask,
+                                      GatewayPeers::PermitsAnswered answered)
 {
     const TimePoint now = loop_.now();
     const UpstreamRecord *upstream = knowledge_.upstreams().find(ask.upstream);
@@ -125,14 +125,14 @@
     peers_->askForPermits(*record, question, std::move(answered));
 }
 
-std::uint64_t KnowledgeSources::storeCalls() const
+std::uint64_t StateSynchronizer::storeCalls() const
 {
     return earlierCalls_ + (watcher_ ? watcher_->calls() : 0);
 }
 
 // Takes another gateway's knowledge while the own is not fresh from the store. A watch that is
 // under way would go on from an older list; it is begun anew later, if it is still wanted.
-bool KnowledgeSources::takeShared(const SharedKnowledge &shared, TimePoint confirmedAt)
+bool StateSynchronizer::takeShared(const SharedKnowledge &shared, TimePoint confirmedAt)
 {
     if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kOwnOld) {
         knowledge_.adoptVersion(shared);
@@ -149,20 +149,20 @@
     return true;
 }
 
-bool KnowledgeSources::isSeed() const
+bool StateSynchronizer::isSeed() const
 {
     return std::find(settings_.seeds.begin(), settings_.seeds.end(), settings_.peerListen)
            != settings_.seeds.end();
 }
 
 // Tells whether this gateway is so new that it may not know the others of its hall.
-bool KnowledgeSources::isYoung(TimePoint now) const
+bool StateSynchronizer::isYoung(TimePoint now) const
 {
     return !settings_.seeds.empty() && !isSeed() && now - startedAt_ < kYoung;
 }
 
 // Tells whether this gateway is new and may yet hear the configuration from others.
-bool KnowledgeSources::hearsFirst(TimePoint now) const
+bool StateSynchronizer::hearsFirst(TimePoint now) const
 {
     if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || knowledge_.hasConfiguration()) {
         return false;
@@ -171,21 +171,21 @@
     return now - startedAt_ < (othersWait ? kHearFirstAtMost : kHearFirst);
 }
 
-KnowledgeTimes KnowledgeSources::times() const
+KnowledgeTimes StateSynchronizer::times() const
 {
     const FreshnessBounds &bounds = knowledge_.freshness();
     return knowledgeTimes({bounds.keys, bounds.deny});
 }
 
 // Tells whether others of the hall ask the store in place of this gateway, and it hears them.
-bool KnowledgeSources::leavesStoreToOthers(TimePoint now) const
+bool StateSynchronizer::leavesStoreToOthers(TimePoint now) const
 {
     const bool hearsOthers = peers_ != nullptr && now - peers_->answeredAt() < kHeard;
     return hearsOthers && !hasStoreTurn(directory_.place().index);
 }
 
 // Tells whether it is this gateway's turn to ask the store, although it follows another one.
-bool KnowledgeSources::asksStore(TimePoint now) const
+bool StateSynchronizer::asksStore(TimePoint now) const
 {
     if (leavesStoreToOthers(now)) {
         return false;
@@ -196,13 +196,13 @@
     return knowledge_.age() > storeTurnAge(times(), directory_.place().index);
 }
 
-void KnowledgeSources::stop()
+void StateSynchronizer::stop()
 {
     stopped_ = true;
     followStore(false, "the gateway stops");
 }
 
-void KnowledgeSources::tick()
+void StateSynchronizer::tick()
 {
     if (stopped_) {
         return;
@@ -234,7 +234,7 @@
     peers_->tick();
 }
 
-void KnowledgeSources::watchGroups(bool watches, TimePoint now)
+void StateSynchronizer::watchGroups(bool watches, TimePoint now)
 {
     if (groupWatch_ != nullptr && now - groupsAskedAt_ >= kGroupsGap) {
         groupsAskedAt_ = now;
@@ -242,7 +242,7 @@
     }
 }
 
-void KnowledgeSources::askPeers(const InstanceId &followed, TimePoint now)
+void StateSynchronizer::askPeers(const InstanceId &followed, TimePoint now)
 {
     const bool own = followed == settings_.instance;
     // Knowledge that is followed is older than that of the gateway that follows the store.
@@ -270,7 +270,7 @@
 // Seeds are asked while nobody else is known, and by all that have heard of few. A gateway that is
 // new and knows of nobody to follow `follows` one of them: the same one, so that it is not handed
 // the whole list again, unless that one has no news.
-void KnowledgeSources::askSeeds(bool follows, TimePoint now)
+void StateSynchronizer::askSeeds(bool follows, TimePoint now)
 {
     const bool few = directory_.size() <= settings_.seeds.size();
     if (!few && !follows) {
@@ -288,7 +288,7 @@
 
 // Returns the first of another hall, a different one with each call: those that follow the store
 // know most. Any gateway where there is no other hall.
-std::optional<InstanceId> KnowledgeSources::firstElsewhere(TimePoint now)
+std::optional<InstanceId> StateSynchronizer::firstElsewhere(TimePoint now)
 {
     std::vector<InstanceId> firsts;
     for (const HallId &hall : directory_.halls()) {
@@ -303,7 +303,7 @@
     return firsts[hallTurn_++ % firsts.size()];
 }
 
-void KnowledgeSources::askOtherHalls(TimePoint now)
+void StateSynchronizer::askOtherHalls(TimePoint now)
 {
     for (const HallId &hall : directory_.halls()) {
         if (hall != settings_.hall) {
@@ -314,7 +314,7 @@
 
 // A seed that starts anew while no other one lives is told of nobody; who asks it is whom it hears
 // of.
-void KnowledgeSources::askSeedInTurn()
+void StateSynchronizer::askSeedInTurn()
 {
     if (settings_.seeds.empty()) {
         return;
@@ -325,8 +325,8 @@
     }
 }
 
-void KnowledgeSources::askGateway(const std::optional<InstanceId> &id, Duration longest,
-                                  GatewayPeers::AskList list)
+void StateSynchronizer::askGateway(const std::optional<InstanceId> &id, Duration longest,
+                                   GatewayPeers::AskList list)
 {
     const GatewayRecord *record = id ? directory_.find(*id) : nullptr;
     if (record != nullptr) {
@@ -334,7 +334,7 @@
     }
 }
 
-void KnowledgeSources::followStore(bool wanted, std::string_view reason)
+void StateSynchronizer::followStore(bool wanted, std::string_view reason)
 {
     if (wanted == followsStore()) {
         return;
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -27,7 +27,7 @@
 
 namespace seamarch {
 
-class KnowledgeSources
+class StateSynchronizer
 {
 public:
     struct Settings
@@ -40,7 +40,7 @@
         Duration storeRest{};                    // For which the store's changes are gathered.
     };
 
-    static tl::expected<std::unique_ptr<KnowledgeSources>, NetError>
+    static tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
     create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
            GatewayKnowledge &knowledge, const SharedBeliefs &beliefs, const Settings &settings);
 
@@ -61,9 +61,9 @@
     HallPlace place() const { return directory_.place(); }
 
 private:
-    KnowledgeSources(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                     GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
-                     const Settings &settings);
+    StateSynchronizer(EventLoop &loop, HttpClient &client, const MetadataStore &store,
+                      GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                      const Settings &settings);
     tl::expected<void, NetError> open();
 
     bool takeShared(const SharedKnowledge &shared, TimePoint confirmedAt);
