--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -37,7 +37,7 @@
         std::optional<SocketAddress> peerListen; // For other gateways; nothing: there are none.
         std::vector<SocketAddress> seeds;        // Of some gateways, maybe gone by now.
         std::optional<int> agentPort;            // Of the agents beside engines; nothing: none.
-        Duration storeRest{};                    // For which the store's changes are gathered.
+        Duration storeCoalesceDelay{};           // For which the store's changes are gathered.
     };
 
     static tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
