--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -52,7 +52,7 @@
     , client_(client)
     , store_(store)
     , knowledge_(knowledge)
-    , beliefs_(beliefs)
+    , gossip_(beliefs)
     , settings_(settings)
     , directory_(recordOf(settings), GatewayDirectory::Settings())
     , startedAt_(loop.now())
@@ -75,7 +75,7 @@
 tl::expected<void, NetError> StateSynchronizer::open()
 {
     if (settings_.agentPort) {
-        auto watch = GroupPoller::create(loop_, knowledge_, beliefs_.groups, *settings_.agentPort);
+        auto watch = GroupPoller::create(loop_, knowledge_, gossip_.groups, *settings_.agentPort);
         if (!watch) {
             return tl::unexpected(watch.error());
         }
@@ -84,7 +84,7 @@
     if (!settings_.peerListen) {
         return {};
     }
-    auto peers = GatewayPeers::create(loop_, knowledge_, beliefs_, store_, directory_,
+    auto peers = GatewayPeers::create(loop_, knowledge_, gossip_, store_, directory_,
                                       [this](const SharedKnowledge &shared, TimePoint confirmedAt) {
                                           return takeShared(shared, confirmedAt);
                                       });
@@ -105,10 +105,10 @@
         return;
     }
     GatewayPeers::PermitQuestion question{upstream->id, upstream->start, ask.wanted, {}, {}};
-    if (const LimitWord *word = beliefs_.limits.find(*upstream); word != nullptr && word->rate) {
+    if (const LimitWord *word = gossip_.limits.find(*upstream); word != nullptr && word->rate) {
         question.limit = *word;
     }
-    question.warmUp = beliefs_.warmUps.limitOf(*upstream, now);
+    question.warmUp = gossip_.warmUps.limitOf(*upstream, now);
     if (!question.limit && !question.warmUp) {
         answered({}); // It names none any more, and is warm.
         return;
@@ -118,7 +118,7 @@
     if (peers_ == nullptr || record == nullptr) {
         const InstanceId &self = settings_.instance;
         const RequestRate rate = question.limit ? *question.limit->rate : *question.warmUp;
-        answered(beliefs_.permitIssuer.take(
+        answered(gossip_.permitIssuer.take(
             ask.upstream, std::min(rate, question.warmUp.value_or(rate)), self, ask.wanted, now));
         return;
     }
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -87,7 +87,7 @@
     HttpClient &client_;
     const MetadataStore &store_;
     GatewayKnowledge &knowledge_;
-    SharedBeliefs beliefs_;
+    SharedBeliefs gossip_;
     Settings settings_;
     GatewayDirectory directory_;
     std::unique_ptr<GatewayPeers> peers_;
