--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -81,9 +81,8 @@
     GatewayPeers &peers_;
 };
 
-GatewayPeers::GatewayPeers(EventLoop &loop, GatewayKnowledge &knowledge,
-                           const SharedBeliefs &beliefs, const MetadataStore &store,
-                           GatewayDirectory &directory, Heard heard)
+GatewayPeers::GatewayPeers(EventLoop &loop, GatewayKnowledge &knowledge, const GossipState &beliefs,
+                           const MetadataStore &store, GatewayDirectory &directory, Heard heard)
     : loop_(loop)
     , knowledge_(knowledge)
     , groups_(beliefs.groups)
@@ -108,7 +107,7 @@
 }
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-GatewayPeers::create(EventLoop &loop, GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+GatewayPeers::create(EventLoop &loop, GatewayKnowledge &knowledge, const GossipState &beliefs,
                      const MetadataStore &store, GatewayDirectory &directory, Heard heard)
 {
     std::unique_ptr<GatewayPeers> peers(
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -52,7 +52,7 @@
 
     // Listens at the address of the directory's own record.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-    create(EventLoop &loop, GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+    create(EventLoop &loop, GatewayKnowledge &knowledge, const GossipState &beliefs,
            const MetadataStore &store, GatewayDirectory &directory, Heard heard);
     ~GatewayPeers();
     GatewayPeers(const GatewayPeers &) = delete;
@@ -103,7 +103,7 @@
         TimePoint usedAt{};
     };
 
-    GatewayPeers(EventLoop &loop, GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+    GatewayPeers(EventLoop &loop, GatewayKnowledge &knowledge, const GossipState &beliefs,
                  const MetadataStore &store, GatewayDirectory &directory, Heard heard);
     tl::expected<void, NetError> open();
 
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -47,7 +47,7 @@
 
 StateSynchronizer::StateSynchronizer(EventLoop &loop, HttpClient &client,
                                      const MetadataStore &store, GatewayKnowledge &knowledge,
-                                     const SharedBeliefs &beliefs, const Settings &settings)
+                                     const GossipState &beliefs, const Settings &settings)
     : loop_(loop)
     , client_(client)
     , store_(store)
@@ -61,7 +61,7 @@
 
 tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
 StateSynchronizer::create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                          GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                          GatewayKnowledge &knowledge, const GossipState &beliefs,
                           const Settings &settings)
 {
     std::unique_ptr<StateSynchronizer> sources(
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -42,7 +42,7 @@
 
     static tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
     create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-           GatewayKnowledge &knowledge, const SharedBeliefs &beliefs, const Settings &settings);
+           GatewayKnowledge &knowledge, const GossipState &beliefs, const Settings &settings);
 
     // Asks for permits to send to an upstream that names a limit, the gateway whose turn that is or
     // this one itself. `answered` is called once, maybe before this returns.
@@ -62,7 +62,7 @@
 
 private:
     StateSynchronizer(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                      GatewayKnowledge &knowledge, const SharedBeliefs &beliefs,
+                      GatewayKnowledge &knowledge, const GossipState &beliefs,
                       const Settings &settings);
     tl::expected<void, NetError> open();
 
@@ -87,7 +87,7 @@
     HttpClient &client_;
     const MetadataStore &store_;
     GatewayKnowledge &knowledge_;
-    SharedBeliefs gossip_;
+    GossipState gossip_;
     Settings settings_;
     GatewayDirectory directory_;
     std::unique_ptr<GatewayPeers> peers_;
--- a/src/gateway/sharedbeliefs.h
+++ b/src/gateway/sharedbeliefs.h
@@ -10,7 +10,7 @@
 namespace seamarch {
 
 // All of it belongs to the gateway's core, which outlives those that are given it.
-struct SharedBeliefs
+struct GossipState
 {
     GroupTable &groups;
     CrashRecord &crashes;
