--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -47,12 +47,12 @@
 
 StateSynchronizer::StateSynchronizer(EventLoop &loop, HttpClient &client,
                                      const MetadataStore &store, GatewayKnowledge &knowledge,
-                                     const GossipState &beliefs, const Settings &settings)
+                                     const GossipState &gossip, const Settings &settings)
     : loop_(loop)
     , client_(client)
     , store_(store)
     , knowledge_(knowledge)
-    , gossip_(beliefs)
+    , gossip_(gossip)
     , settings_(settings)
     , directory_(recordOf(settings), GatewayDirectory::Settings())
     , startedAt_(loop.now())
@@ -61,11 +61,11 @@
 
 tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
 StateSynchronizer::create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                          GatewayKnowledge &knowledge, const GossipState &beliefs,
+                          GatewayKnowledge &knowledge, const GossipState &gossip,
                           const Settings &settings)
 {
     std::unique_ptr<StateSynchronizer> sources(
-        new StateSynchronizer(loop, client, store, knowledge, beliefs, settings));
+        new StateSynchronizer(loop, client, store, knowledge, gossip, settings));
     if (auto opened = sources->open(); !opened) {
         return tl::unexpected(opened.error());
     }
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -42,7 +42,7 @@
 
     static tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
     create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-           GatewayKnowledge &knowledge, const GossipState &beliefs, const Settings &settings);
+           GatewayKnowledge &knowledge, const GossipState &gossip, const Settings &settings);
 
     // Asks for permits to send to an upstream that names a limit, the gateway whose turn that is or
     // this one itself. `answered` is called once, maybe before this returns.
@@ -62,7 +62,7 @@
 
 private:
     StateSynchronizer(EventLoop &loop, HttpClient &client, const MetadataStore &store,
-                      GatewayKnowledge &knowledge, const GossipState &beliefs,
+                      GatewayKnowledge &knowledge, const GossipState &gossip,
                       const Settings &settings);
     tl::expected<void, NetError> open();
 
