--- a/src/gateway/gatewaynotices.cpp
+++ b/src/gateway/gatewaynotices.cpp
@@ -87,7 +87,7 @@
 {
     const TimePoint now = loop_.now();
     for (const SendPermits::Ask &ask : core_.takePermitAsks(now)) {
-        sources_->askForPermits(ask, [this, ask, now](const PermitAnswer &answer) {
+        sources_->requestPermits(ask, [this, ask, now](const PermitAnswer &answer) {
             logLine(LogLevel::Debug, "permits.answered",
                     {{"upstream", ask.upstream.value()},
                      {"wanted", ask.wanted},
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -95,8 +95,8 @@
     return {};
 }
 
-void StateSynchronizer::askForPermits(const SendPermits::Ask &ask,
-                                      GatewayPeers::PermitsAnswered answered)
+void StateSynchronizer::requestPermits(const SendPermits::Ask &ask,
+                                       GatewayPeers::PermitsAnswered answered)
 {
     const TimePoint now = loop_.now();
     const UpstreamRecord *upstream = knowledge_.upstreams().find(ask.upstream);
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -46,7 +46,7 @@
 
     // Asks for permits to send to an upstream that names a limit, the gateway whose turn that is or
     // this one itself. `answered` is called once, maybe before this returns.
-    void askForPermits(const SendPermits::Ask &ask, GatewayPeers::PermitsAnswered answered);
+    void requestPermits(const SendPermits::Ask &ask, GatewayPeers::PermitsAnswered answered);
 
     // Asks those whose turn it is. Call it often.
     void tick();
