--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -11,7 +11,7 @@
 
 // How long a question to the gateway that is followed waits for news. Knowledge is at most this
 // much older here than there.
-constexpr Duration kFollowWait = std::chrono::milliseconds(400);
+constexpr Duration kFollowLongPoll = std::chrono::milliseconds(400);
 // The gateway that follows the store takes another's word when its own is this old.
 constexpr Duration kOwnOld = std::chrono::milliseconds(1200);
 // An own watch that was begun because knowledge was old goes on for this long.
@@ -248,7 +248,7 @@
     // Knowledge that is followed is older than that of the gateway that follows the store.
     const bool old = !knowledge_.confirmed() || knowledge_.age() > (own ? kOwnOld : times().old);
     if (!own) {
-        askGateway(followed, kFollowWait);
+        askGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsAskedAt_ >= kListsGap) {
         // One that knew nobody, as a seed that starts anew, asks the first that it hears of at
         // once: what it has forgotten must be known within the time in which it counts as in touch.
