--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -13,7 +13,7 @@
 // much older here than there.
 constexpr Duration kFollowLongPoll = std::chrono::milliseconds(400);
 // The gateway that follows the store takes another's word when its own is this old.
-constexpr Duration kOwnOld = std::chrono::milliseconds(1200);
+constexpr Duration kMaxStoreWatchAge = std::chrono::milliseconds(1200);
 // An own watch that was begun because knowledge was old goes on for this long.
 constexpr Duration kOwnWatch = std::chrono::seconds(3);
 // After another gateway has shown that it knows more, the store is asked again from then on.
@@ -134,7 +134,7 @@
 // under way would go on from an older list; it is begun anew later, if it is still wanted.
 bool StateSynchronizer::takeShared(const SharedKnowledge &shared, TimePoint confirmedAt)
 {
-    if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kOwnOld) {
+    if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge) {
         knowledge_.adoptVersion(shared);
         return false;
     }
@@ -246,7 +246,8 @@
 {
     const bool own = followed == settings_.instance;
     // Knowledge that is followed is older than that of the gateway that follows the store.
-    const bool old = !knowledge_.confirmed() || knowledge_.age() > (own ? kOwnOld : times().old);
+    const bool old =
+        !knowledge_.confirmed() || knowledge_.age() > (own ? kMaxStoreWatchAge : times().old);
     if (!own) {
         askGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsAskedAt_ >= kListsGap) {
@@ -277,7 +278,7 @@
         return;
     }
     seedsAskedAt_ = now;
-    seedTurn_ += knowledge_.confirmed() && knowledge_.age() < kOwnOld ? 0 : 1;
+    seedTurn_ += knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
         const bool turn = few || index == seedTurn_ % settings_.seeds.size();
         if (turn && settings_.peerListen != settings_.seeds[index]) {
