--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -15,7 +15,7 @@
 // The gateway that follows the store takes another's word when its own is this old.
 constexpr Duration kMaxStoreWatchAge = std::chrono::milliseconds(1200);
 // An own watch that was begun because knowledge was old goes on for this long.
-constexpr Duration kOwnWatch = std::chrono::seconds(3);
+constexpr Duration kFallbackWatchDuration = std::chrono::seconds(3);
 // After another gateway has shown that it knows more, the store is asked again from then on.
 constexpr Duration kStorePause = std::chrono::seconds(1);
 // A new gateway asks the others for this long before it asks the store; longer while they answer
@@ -219,7 +219,7 @@
     // While a site starts nobody knows yet who is first of its hall, and seeds are heard by all.
     watchGroups(isSeed() && now - startedAt_ < kYoung ? true : own && !isYoung(now), now);
     if (asksStore(now)) {
-        storeUntil_ = now + kOwnWatch;
+        storeUntil_ = now + kFallbackWatchDuration;
     }
     if (hearsFirst(now) || now < storeNotBefore_) {
         followStore(false, "hears other gateways first");
