--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -17,7 +17,7 @@
 // An own watch that was begun because knowledge was old goes on for this long.
 constexpr Duration kFallbackWatchDuration = std::chrono::seconds(3);
 // After another gateway has shown that it knows more, the store is asked again from then on.
-constexpr Duration kStorePause = std::chrono::seconds(1);
+constexpr Duration kStoreBackoff = std::chrono::seconds(1);
 // A new gateway asks the others for this long before it asks the store; longer while they answer
 // that they have no configuration either, as when a site starts.
 constexpr Duration kHearFirst = std::chrono::milliseconds(700);
@@ -143,7 +143,7 @@
     }
     if (watcher_ != nullptr) {
         followStore(false, "another gateway knows more");
-        storeNotBefore_ = loop_.now() + kStorePause;
+        storeNotBefore_ = loop_.now() + kStoreBackoff;
         storeUntil_ = {};
     }
     return true;
