--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -20,7 +20,7 @@
 constexpr Duration kStoreBackoff = std::chrono::seconds(1);
 // A new gateway asks the others for this long before it asks the store; longer while they answer
 // that they have no configuration either, as when a site starts.
-constexpr Duration kHearFirst = std::chrono::milliseconds(700);
+constexpr Duration kPeerBootstrapWait = std::chrono::milliseconds(700);
 constexpr Duration kHearFirstAtMost = std::chrono::seconds(5);
 // How often the gateway that follows the store asks the first of each other hall, and any one. That
 // keeps the lists of gateways together: of a gateway in any hall all hear again well within the
@@ -167,8 +167,8 @@
     if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || knowledge_.hasConfiguration()) {
         return false;
     }
-    const bool othersWait = now - peers_->unknownAt() < kHearFirst;
-    return now - startedAt_ < (othersWait ? kHearFirstAtMost : kHearFirst);
+    const bool othersWait = now - peers_->unknownAt() < kPeerBootstrapWait;
+    return now - startedAt_ < (othersWait ? kHearFirstAtMost : kPeerBootstrapWait);
 }
 
 KnowledgeTimes StateSynchronizer::times() const
