--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -21,7 +21,7 @@
 // A new gateway asks the others for this long before it asks the store; longer while they answer
 // that they have no configuration either, as when a site starts.
 constexpr Duration kPeerBootstrapWait = std::chrono::milliseconds(700);
-constexpr Duration kHearFirstAtMost = std::chrono::seconds(5);
+constexpr Duration kMaxPeerBootstrapWait = std::chrono::seconds(5);
 // How often the gateway that follows the store asks the first of each other hall, and any one. That
 // keeps the lists of gateways together: of a gateway in any hall all hear again well within the
 // time after which it is forgotten, and two that follow the store in one hall find each other.
@@ -168,7 +168,7 @@
         return false;
     }
     const bool othersWait = now - peers_->unknownAt() < kPeerBootstrapWait;
-    return now - startedAt_ < (othersWait ? kHearFirstAtMost : kPeerBootstrapWait);
+    return now - startedAt_ < (othersWait ? kMaxPeerBootstrapWait : kPeerBootstrapWait);
 }
 
 KnowledgeTimes StateSynchronizer::times() const
