--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -25,7 +25,7 @@
 // How often the gateway that follows the store asks the first of each other hall, and any one. That
 // keeps the lists of gateways together: of a gateway in any hall all hear again well within the
 // time after which it is forgotten, and two that follow the store in one hall find each other.
-constexpr Duration kListsGap = std::chrono::seconds(2);
+constexpr Duration kListExchangeInterval = std::chrono::seconds(2);
 // How often any gateway is asked while knowledge is old.
 constexpr Duration kAnyGap = std::chrono::milliseconds(150);
 // A gateway that nobody has answered for this long may be cut off from the others.
@@ -250,7 +250,7 @@
         !knowledge_.confirmed() || knowledge_.age() > (own ? kMaxStoreWatchAge : times().old);
     if (!own) {
         askGateway(followed, kFollowLongPoll);
-    } else if (directory_.size() > 1 && now - listsAskedAt_ >= kListsGap) {
+    } else if (directory_.size() > 1 && now - listsAskedAt_ >= kListExchangeInterval) {
         // One that knew nobody, as a seed that starts anew, asks the first that it hears of at
         // once: what it has forgotten must be known within the time in which it counts as in touch.
         listsAskedAt_ = now;
