--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -27,7 +27,7 @@
 // time after which it is forgotten, and two that follow the store in one hall find each other.
 constexpr Duration kListExchangeInterval = std::chrono::seconds(2);
 // How often any gateway is asked while knowledge is old.
-constexpr Duration kAnyGap = std::chrono::milliseconds(150);
+constexpr Duration kStaleQueryInterval = std::chrono::milliseconds(150);
 // A gateway that nobody has answered for this long may be cut off from the others.
 constexpr Duration kHeard = std::chrono::seconds(1);
 // How often it is looked at whom to ask about groups; answers come when something changes.
@@ -259,7 +259,7 @@
                    GatewayPeers::AskList::Always);
         askSeedInTurn();
     }
-    if (old && now - anyAskedAt_ >= kAnyGap) {
+    if (old && now - anyAskedAt_ >= kStaleQueryInterval) {
         anyAskedAt_ = now;
         askGateway(own ? firstElsewhere(now) : directory_.another(followed, now), Duration{});
     }
