--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -29,7 +29,7 @@
 // How often any gateway is asked while knowledge is old.
 constexpr Duration kStaleQueryInterval = std::chrono::milliseconds(150);
 // A gateway that nobody has answered for this long may be cut off from the others.
-constexpr Duration kHeard = std::chrono::seconds(1);
+constexpr Duration kPeerContactTimeout = std::chrono::seconds(1);
 // How often it is looked at whom to ask about groups; answers come when something changes.
 constexpr Duration kGroupsGap = std::chrono::milliseconds(50);
 constexpr Duration kSeedsGap = std::chrono::milliseconds(300);
@@ -180,7 +180,7 @@
 // Tells whether others of the hall ask the store in place of this gateway, and it hears them.
 bool StateSynchronizer::leavesStoreToOthers(TimePoint now) const
 {
-    const bool hearsOthers = peers_ != nullptr && now - peers_->answeredAt() < kHeard;
+    const bool hearsOthers = peers_ != nullptr && now - peers_->answeredAt() < kPeerContactTimeout;
     return hearsOthers && !hasStoreTurn(directory_.place().index);
 }
 
