--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -31,7 +31,7 @@
 // A gateway that nobody has answered for this long may be cut off from the others.
 constexpr Duration kPeerContactTimeout = std::chrono::seconds(1);
 // How often it is looked at whom to ask about groups; answers come when something changes.
-constexpr Duration kGroupsGap = std::chrono::milliseconds(50);
+constexpr Duration kGroupPollInterval = std::chrono::milliseconds(50);
 constexpr Duration kSeedsGap = std::chrono::milliseconds(300);
 // A new gateway may not know yet who is first of its hall: when a site starts, the seeds hear of
 // all gateways within a second, and tell them within two more. Until then it hears the seeds.
@@ -236,7 +236,7 @@
 
 void StateSynchronizer::watchGroups(bool watches, TimePoint now)
 {
-    if (groupWatch_ != nullptr && now - groupsAskedAt_ >= kGroupsGap) {
+    if (groupWatch_ != nullptr && now - groupsAskedAt_ >= kGroupPollInterval) {
         groupsAskedAt_ = now;
         groupWatch_->tick(watches);
     }
