--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -32,7 +32,7 @@
 constexpr Duration kPeerContactTimeout = std::chrono::seconds(1);
 // How often it is looked at whom to ask about groups; answers come when something changes.
 constexpr Duration kGroupPollInterval = std::chrono::milliseconds(50);
-constexpr Duration kSeedsGap = std::chrono::milliseconds(300);
+constexpr Duration kSeedQueryInterval = std::chrono::milliseconds(300);
 // A new gateway may not know yet who is first of its hall: when a site starts, the seeds hear of
 // all gateways within a second, and tell them within two more. Until then it hears the seeds.
 constexpr Duration kYoung = std::chrono::seconds(3);
@@ -263,7 +263,7 @@
         anyAskedAt_ = now;
         askGateway(own ? firstElsewhere(now) : directory_.another(followed, now), Duration{});
     }
-    if (now - seedsAskedAt_ >= kSeedsGap) {
+    if (now - seedsAskedAt_ >= kSeedQueryInterval) {
         askSeeds(own && isYoung(now), now);
     }
 }
