--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -35,7 +35,7 @@
 constexpr Duration kSeedQueryInterval = std::chrono::milliseconds(300);
 // A new gateway may not know yet who is first of its hall: when a site starts, the seeds hear of
 // all gateways within a second, and tell them within two more. Until then it hears the seeds.
-constexpr Duration kYoung = std::chrono::seconds(3);
+constexpr Duration kDiscoveryPeriod = std::chrono::seconds(3);
 
 GatewayRecord recordOf(const StateSynchronizer::Settings &settings)
 {
@@ -158,7 +158,7 @@
 // Tells whether this gateway is so new that it may not know the others of its hall.
 bool StateSynchronizer::isYoung(TimePoint now) const
 {
-    return !settings_.seeds.empty() && !isSeed() && now - startedAt_ < kYoung;
+    return !settings_.seeds.empty() && !isSeed() && now - startedAt_ < kDiscoveryPeriod;
 }
 
 // Tells whether this gateway is new and may yet hear the configuration from others.
@@ -217,7 +217,7 @@
     const InstanceId followed = directory_.follower(now);
     const bool own = followed == settings_.instance;
     // While a site starts nobody knows yet who is first of its hall, and seeds are heard by all.
-    watchGroups(isSeed() && now - startedAt_ < kYoung ? true : own && !isYoung(now), now);
+    watchGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true : own && !isYoung(now), now);
     if (asksStore(now)) {
         storeUntil_ = now + kFallbackWatchDuration;
     }
