--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -37,7 +37,7 @@
 // all gateways within a second, and tell them within two more. Until then it hears the seeds.
 constexpr Duration kDiscoveryPeriod = std::chrono::seconds(3);
 
-GatewayRecord recordOf(const StateSynchronizer::Settings &settings)
+GatewayRecord makeRecord(const StateSynchronizer::Settings &settings)
 {
     const SocketAddress address = settings.peerListen.value_or(SocketAddress{});
     return {settings.instance, settings.hall, address.host, address.port};
@@ -54,7 +54,7 @@
     , knowledge_(knowledge)
     , gossip_(gossip)
     , settings_(settings)
-    , directory_(recordOf(settings), GatewayDirectory::Settings())
+    , directory_(makeRecord(settings), GatewayDirectory::Settings())
     , startedAt_(loop.now())
     , seedTurn_(randomIdentity())
 {}
