--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -156,7 +156,7 @@
 }
 
 // Tells whether this gateway is so new that it may not know the others of its hall.
-bool StateSynchronizer::isYoung(TimePoint now) const
+bool StateSynchronizer::isDiscovering(TimePoint now) const
 {
     return !settings_.seeds.empty() && !isSeed() && now - startedAt_ < kDiscoveryPeriod;
 }
@@ -217,13 +217,14 @@
     const InstanceId followed = directory_.follower(now);
     const bool own = followed == settings_.instance;
     // While a site starts nobody knows yet who is first of its hall, and seeds are heard by all.
-    watchGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true : own && !isYoung(now), now);
+    watchGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true : own && !isDiscovering(now),
+                now);
     if (asksStore(now)) {
         storeUntil_ = now + kFallbackWatchDuration;
     }
     if (hearsFirst(now) || now < storeNotBefore_) {
         followStore(false, "hears other gateways first");
-    } else if (own && !isYoung(now)) {
+    } else if (own && !isDiscovering(now)) {
         followStore(true, "first of its hall");
     } else if (now < storeUntil_) {
         followStore(true, "knowledge is old");
@@ -264,7 +265,7 @@
         askGateway(own ? firstElsewhere(now) : directory_.another(followed, now), Duration{});
     }
     if (now - seedsAskedAt_ >= kSeedQueryInterval) {
-        askSeeds(own && isYoung(now), now);
+        askSeeds(own && isDiscovering(now), now);
     }
 }
 
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -68,7 +68,7 @@
 
     bool takeShared(const SharedKnowledge &shared, TimePoint confirmedAt);
     bool isSeed() const;
-    bool isYoung(TimePoint now) const;
+    bool isDiscovering(TimePoint now) const;
     bool hearsFirst(TimePoint now) const;
     KnowledgeTimes times() const;
     bool asksStore(TimePoint now) const;
