--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -162,7 +162,7 @@
 }
 
 // Tells whether this gateway is new and may yet hear the configuration from others.
-bool StateSynchronizer::hearsFirst(TimePoint now) const
+bool StateSynchronizer::waitsForPeers(TimePoint now) const
 {
     if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || knowledge_.hasConfiguration()) {
         return false;
@@ -191,7 +191,7 @@
         return false;
     }
     if (!knowledge_.confirmed()) {
-        return !hearsFirst(now);
+        return !waitsForPeers(now);
     }
     return knowledge_.age() > storeTurnAge(times(), directory_.place().index);
 }
@@ -222,7 +222,7 @@
     if (asksStore(now)) {
         storeUntil_ = now + kFallbackWatchDuration;
     }
-    if (hearsFirst(now) || now < storeNotBefore_) {
+    if (waitsForPeers(now) || now < storeNotBefore_) {
         followStore(false, "hears other gateways first");
     } else if (own && !isDiscovering(now)) {
         followStore(true, "first of its hall");
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -69,7 +69,7 @@
     bool takeShared(const SharedKnowledge &shared, TimePoint confirmedAt);
     bool isSeed() const;
     bool isDiscovering(TimePoint now) const;
-    bool hearsFirst(TimePoint now) const;
+    bool waitsForPeers(TimePoint now) const;
     KnowledgeTimes times() const;
     bool asksStore(TimePoint now) const;
     bool leavesStoreToOthers(TimePoint now) const;
