--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -185,7 +185,7 @@
 }
 
 // Tells whether it is this gateway's turn to ask the store, although it follows another one.
-bool StateSynchronizer::asksStore(TimePoint now) const
+bool StateSynchronizer::isStoreQueryDue(TimePoint now) const
 {
     if (leavesStoreToOthers(now)) {
         return false;
@@ -219,7 +219,7 @@
     // While a site starts nobody knows yet who is first of its hall, and seeds are heard by all.
     watchGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true : own && !isDiscovering(now),
                 now);
-    if (asksStore(now)) {
+    if (isStoreQueryDue(now)) {
         storeUntil_ = now + kFallbackWatchDuration;
     }
     if (waitsForPeers(now) || now < storeNotBefore_) {
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -71,7 +71,7 @@
     bool isDiscovering(TimePoint now) const;
     bool waitsForPeers(TimePoint now) const;
     KnowledgeTimes times() const;
-    bool asksStore(TimePoint now) const;
+    bool isStoreQueryDue(TimePoint now) const;
     bool leavesStoreToOthers(TimePoint now) const;
     void watchGroups(bool watches, TimePoint now);
     void askPeers(const InstanceId &followed, TimePoint now);
