--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -178,7 +178,7 @@
 }
 
 // Tells whether others of the hall ask the store in place of this gateway, and it hears them.
-bool StateSynchronizer::leavesStoreToOthers(TimePoint now) const
+bool StateSynchronizer::peersQueryStore(TimePoint now) const
 {
     const bool hearsOthers = peers_ != nullptr && now - peers_->answeredAt() < kPeerContactTimeout;
     return hearsOthers && !hasStoreTurn(directory_.place().index);
@@ -187,7 +187,7 @@
 // Tells whether it is this gateway's turn to ask the store, although it follows another one.
 bool StateSynchronizer::isStoreQueryDue(TimePoint now) const
 {
-    if (leavesStoreToOthers(now)) {
+    if (peersQueryStore(now)) {
         return false;
     }
     if (!knowledge_.confirmed()) {
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -72,7 +72,7 @@
     bool waitsForPeers(TimePoint now) const;
     KnowledgeTimes times() const;
     bool isStoreQueryDue(TimePoint now) const;
-    bool leavesStoreToOthers(TimePoint now) const;
+    bool peersQueryStore(TimePoint now) const;
     void watchGroups(bool watches, TimePoint now);
     void askPeers(const InstanceId &followed, TimePoint now);
     void askSeeds(bool follows, TimePoint now);
