--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -86,7 +86,7 @@
     }
     auto peers = GatewayPeers::create(loop_, knowledge_, gossip_, store_, directory_,
                                       [this](const SharedKnowledge &shared, TimePoint confirmedAt) {
-                                          return takeShared(shared, confirmedAt);
+                                          return onSharedState(shared, confirmedAt);
                                       });
     if (!peers) {
         return tl::unexpected(peers.error());
@@ -132,7 +132,7 @@
 
 // Takes another gateway's knowledge while the own is not fresh from the store. A watch that is
 // under way would go on from an older list; it is begun anew later, if it is still wanted.
-bool StateSynchronizer::takeShared(const SharedKnowledge &shared, TimePoint confirmedAt)
+bool StateSynchronizer::onSharedState(const SharedKnowledge &shared, TimePoint confirmedAt)
 {
     if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge) {
         knowledge_.adoptVersion(shared);
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -66,7 +66,7 @@
                       const Settings &settings);
     tl::expected<void, NetError> open();
 
-    bool takeShared(const SharedKnowledge &shared, TimePoint confirmedAt);
+    bool onSharedState(const SharedKnowledge &shared, TimePoint confirmedAt);
     bool isSeed() const;
     bool isDiscovering(TimePoint now) const;
     bool waitsForPeers(TimePoint now) const;
