--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -210,15 +210,15 @@
     const TimePoint now = loop_.now();
     if (peers_ == nullptr) {
         followStore(true, "there are no other gateways");
-        watchGroups(true, now);
+        pollGroups(true, now);
         return;
     }
     directory_.expire(now);
     const InstanceId followed = directory_.follower(now);
     const bool own = followed == settings_.instance;
     // While a site starts nobody knows yet who is first of its hall, and seeds are heard by all.
-    watchGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true : own && !isDiscovering(now),
-                now);
+    pollGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true : own && !isDiscovering(now),
+               now);
     if (isStoreQueryDue(now)) {
         storeUntil_ = now + kFallbackWatchDuration;
     }
@@ -235,7 +235,7 @@
     peers_->tick();
 }
 
-void StateSynchronizer::watchGroups(bool watches, TimePoint now)
+void StateSynchronizer::pollGroups(bool watches, TimePoint now)
 {
     if (groupWatch_ != nullptr && now - groupsAskedAt_ >= kGroupPollInterval) {
         groupsAskedAt_ = now;
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -73,7 +73,7 @@
     KnowledgeTimes times() const;
     bool isStoreQueryDue(TimePoint now) const;
     bool peersQueryStore(TimePoint now) const;
-    void watchGroups(bool watches, TimePoint now);
+    void pollGroups(bool watches, TimePoint now);
     void askPeers(const InstanceId &followed, TimePoint now);
     void askSeeds(bool follows, TimePoint now);
     std::optional<InstanceId> firstElsewhere(TimePoint now);
