--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -231,7 +231,7 @@
     } else {
         followStore(false, "another gateway of the hall follows it");
     }
-    askPeers(followed, now);
+    queryPeers(followed, now);
     peers_->tick();
 }
 
@@ -243,7 +243,7 @@
     }
 }
 
-void StateSynchronizer::askPeers(const InstanceId &followed, TimePoint now)
+void StateSynchronizer::queryPeers(const InstanceId &followed, TimePoint now)
 {
     const bool own = followed == settings_.instance;
     // Knowledge that is followed is older than that of the gateway that follows the store.
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -74,7 +74,7 @@
     bool isStoreQueryDue(TimePoint now) const;
     bool peersQueryStore(TimePoint now) const;
     void pollGroups(bool watches, TimePoint now);
-    void askPeers(const InstanceId &followed, TimePoint now);
+    void queryPeers(const InstanceId &followed, TimePoint now);
     void askSeeds(bool follows, TimePoint now);
     std::optional<InstanceId> firstElsewhere(TimePoint now);
     void askOtherHalls(TimePoint now);
