--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -265,14 +265,14 @@
         askGateway(own ? firstElsewhere(now) : directory_.another(followed, now), Duration{});
     }
     if (now - seedsAskedAt_ >= kSeedQueryInterval) {
-        askSeeds(own && isDiscovering(now), now);
+        querySeeds(own && isDiscovering(now), now);
     }
 }
 
 // Seeds are asked while nobody else is known, and by all that have heard of few. A gateway that is
 // new and knows of nobody to follow `follows` one of them: the same one, so that it is not handed
 // the whole list again, unless that one has no news.
-void StateSynchronizer::askSeeds(bool follows, TimePoint now)
+void StateSynchronizer::querySeeds(bool follows, TimePoint now)
 {
     const bool few = directory_.size() <= settings_.seeds.size();
     if (!few && !follows) {
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -75,7 +75,7 @@
     bool peersQueryStore(TimePoint now) const;
     void pollGroups(bool watches, TimePoint now);
     void queryPeers(const InstanceId &followed, TimePoint now);
-    void askSeeds(bool follows, TimePoint now);
+    void querySeeds(bool follows, TimePoint now);
     std::optional<InstanceId> firstElsewhere(TimePoint now);
     void askOtherHalls(TimePoint now);
     void askSeedInTurn();
