--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -262,7 +262,7 @@
     }
     if (old && now - anyAskedAt_ >= kStaleQueryInterval) {
         anyAskedAt_ = now;
-        askGateway(own ? firstElsewhere(now) : directory_.another(followed, now), Duration{});
+        askGateway(own ? nextRemoteGateway(now) : directory_.another(followed, now), Duration{});
     }
     if (now - seedsAskedAt_ >= kSeedQueryInterval) {
         querySeeds(own && isDiscovering(now), now);
@@ -290,7 +290,7 @@
 
 // Returns the first of another hall, a different one with each call: those that follow the store
 // know most. Any gateway where there is no other hall.
-std::optional<InstanceId> StateSynchronizer::firstElsewhere(TimePoint now)
+std::optional<InstanceId> StateSynchronizer::nextRemoteGateway(TimePoint now)
 {
     std::vector<InstanceId> firsts;
     for (const HallId &hall : directory_.halls()) {
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -76,7 +76,7 @@
     void pollGroups(bool watches, TimePoint now);
     void queryPeers(const InstanceId &followed, TimePoint now);
     void querySeeds(bool follows, TimePoint now);
-    std::optional<InstanceId> firstElsewhere(TimePoint now);
+    std::optional<InstanceId> nextRemoteGateway(TimePoint now);
     void askOtherHalls(TimePoint now);
     void askSeedInTurn();
     void askGateway(const std::optional<InstanceId> &id, Duration longest,
