--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -255,7 +255,7 @@
         // One that knew nobody, as a seed that starts anew, asks the first that it hears of at
         // once: what it has forgotten must be known within the time in which it counts as in touch.
         listsAskedAt_ = now;
-        askOtherHalls(now);
+        queryOtherHalls(now);
         askGateway(directory_.another(settings_.instance, now), Duration{},
                    GatewayPeers::AskList::Always);
         askSeedInTurn();
@@ -305,7 +305,7 @@
     return firsts[hallTurn_++ % firsts.size()];
 }
 
-void StateSynchronizer::askOtherHalls(TimePoint now)
+void StateSynchronizer::queryOtherHalls(TimePoint now)
 {
     for (const HallId &hall : directory_.halls()) {
         if (hall != settings_.hall) {
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -77,7 +77,7 @@
     void queryPeers(const InstanceId &followed, TimePoint now);
     void querySeeds(bool follows, TimePoint now);
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
-    void askOtherHalls(TimePoint now);
+    void queryOtherHalls(TimePoint now);
     void askSeedInTurn();
     void askGateway(const std::optional<InstanceId> &id, Duration longest,
                     GatewayPeers::AskList list = GatewayPeers::AskList::IfDue);
