--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -258,7 +258,7 @@
         queryOtherHalls(now);
         askGateway(directory_.another(settings_.instance, now), Duration{},
                    GatewayPeers::AskList::Always);
-        askSeedInTurn();
+        queryNextSeed();
     }
     if (old && now - anyAskedAt_ >= kStaleQueryInterval) {
         anyAskedAt_ = now;
@@ -316,7 +316,7 @@
 
 // A seed that starts anew while no other one lives is told of nobody; who asks it is whom it hears
 // of.
-void StateSynchronizer::askSeedInTurn()
+void StateSynchronizer::queryNextSeed()
 {
     if (settings_.seeds.empty()) {
         return;
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -78,7 +78,7 @@
     void querySeeds(bool follows, TimePoint now);
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
     void queryOtherHalls(TimePoint now);
-    void askSeedInTurn();
+    void queryNextSeed();
     void askGateway(const std::optional<InstanceId> &id, Duration longest,
                     GatewayPeers::AskList list = GatewayPeers::AskList::IfDue);
     void followStore(bool wanted, std::string_view reason);
