--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -250,19 +250,19 @@
     const bool old =
         !knowledge_.confirmed() || knowledge_.age() > (own ? kMaxStoreWatchAge : times().old);
     if (!own) {
-        askGateway(followed, kFollowLongPoll);
+        queryGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsAskedAt_ >= kListExchangeInterval) {
         // One that knew nobody, as a seed that starts anew, asks the first that it hears of at
         // once: what it has forgotten must be known within the time in which it counts as in touch.
         listsAskedAt_ = now;
         queryOtherHalls(now);
-        askGateway(directory_.another(settings_.instance, now), Duration{},
-                   GatewayPeers::AskList::Always);
+        queryGateway(directory_.another(settings_.instance, now), Duration{},
+                     GatewayPeers::AskList::Always);
         queryNextSeed();
     }
     if (old && now - anyAskedAt_ >= kStaleQueryInterval) {
         anyAskedAt_ = now;
-        askGateway(own ? nextRemoteGateway(now) : directory_.another(followed, now), Duration{});
+        queryGateway(own ? nextRemoteGateway(now) : directory_.another(followed, now), Duration{});
     }
     if (now - seedsAskedAt_ >= kSeedQueryInterval) {
         querySeeds(own && isDiscovering(now), now);
@@ -309,7 +309,7 @@
 {
     for (const HallId &hall : directory_.halls()) {
         if (hall != settings_.hall) {
-            askGateway(directory_.firstOf(hall, now), Duration{}, GatewayPeers::AskList::Always);
+            queryGateway(directory_.firstOf(hall, now), Duration{}, GatewayPeers::AskList::Always);
         }
     }
 }
@@ -327,8 +327,8 @@
     }
 }
 
-void StateSynchronizer::askGateway(const std::optional<InstanceId> &id, Duration longest,
-                                   GatewayPeers::AskList list)
+void StateSynchronizer::queryGateway(const std::optional<InstanceId> &id, Duration longest,
+                                     GatewayPeers::AskList list)
 {
     const GatewayRecord *record = id ? directory_.find(*id) : nullptr;
     if (record != nullptr) {
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -79,8 +79,8 @@
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
     void queryOtherHalls(TimePoint now);
     void queryNextSeed();
-    void askGateway(const std::optional<InstanceId> &id, Duration longest,
-                    GatewayPeers::AskList list = GatewayPeers::AskList::IfDue);
+    void queryGateway(const std::optional<InstanceId> &id, Duration longest,
+                      GatewayPeers::AskList list = GatewayPeers::AskList::IfDue);
     void followStore(bool wanted, std::string_view reason);
 
     EventLoop &loop_;
