--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -79,7 +79,7 @@
         if (!watch) {
             return tl::unexpected(watch.error());
         }
-        groupWatch_ = std::move(*watch);
+        groupPoller_ = std::move(*watch);
     }
     if (!settings_.peerListen) {
         return {};
@@ -237,9 +237,9 @@
 
 void StateSynchronizer::pollGroups(bool watches, TimePoint now)
 {
-    if (groupWatch_ != nullptr && now - groupsAskedAt_ >= kGroupPollInterval) {
+    if (groupPoller_ != nullptr && now - groupsAskedAt_ >= kGroupPollInterval) {
         groupsAskedAt_ = now;
-        groupWatch_->tick(watches);
+        groupPoller_->tick(watches);
     }
 }
 
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -91,7 +91,7 @@
     Settings settings_;
     GatewayDirectory directory_;
     std::unique_ptr<GatewayPeers> peers_;
-    std::unique_ptr<GroupPoller> groupWatch_;
+    std::unique_ptr<GroupPoller> groupPoller_;
     TimePoint groupsAskedAt_{};
     std::unique_ptr<StoreWatcher> watcher_;
     std::uint64_t earlierCalls_ = 0; // Of watchers that are gone.
