--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -237,8 +237,8 @@
 
 void StateSynchronizer::pollGroups(bool watches, TimePoint now)
 {
-    if (groupPoller_ != nullptr && now - groupsAskedAt_ >= kGroupPollInterval) {
-        groupsAskedAt_ = now;
+    if (groupPoller_ != nullptr && now - groupsPolledAt_ >= kGroupPollInterval) {
+        groupsPolledAt_ = now;
         groupPoller_->tick(watches);
     }
 }
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -92,7 +92,7 @@
     GatewayDirectory directory_;
     std::unique_ptr<GatewayPeers> peers_;
     std::unique_ptr<GroupPoller> groupPoller_;
-    TimePoint groupsAskedAt_{};
+    TimePoint groupsPolledAt_{};
     std::unique_ptr<StoreWatcher> watcher_;
     std::uint64_t earlierCalls_ = 0; // Of watchers that are gone.
     bool stopped_ = false;
