--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -251,10 +251,10 @@
         !knowledge_.confirmed() || knowledge_.age() > (own ? kMaxStoreWatchAge : times().old);
     if (!own) {
         queryGateway(followed, kFollowLongPoll);
-    } else if (directory_.size() > 1 && now - listsAskedAt_ >= kListExchangeInterval) {
+    } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
         // One that knew nobody, as a seed that starts anew, asks the first that it hears of at
         // once: what it has forgotten must be known within the time in which it counts as in touch.
-        listsAskedAt_ = now;
+        listsQueriedAt_ = now;
         queryOtherHalls(now);
         queryGateway(directory_.another(settings_.instance, now), Duration{},
                      GatewayPeers::AskList::Always);
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -101,7 +101,7 @@
     std::uint64_t seedTurn_ = 0; // Drawn at random at first, so that new gateways spread.
     TimePoint storeUntil_{};     // An own watch on the store goes on until then.
     TimePoint storeNotBefore_{}; // Another gateway knows more; the store is asked again from then.
-    TimePoint listsAskedAt_{};
+    TimePoint listsQueriedAt_{};
     TimePoint anyAskedAt_{};
     TimePoint seedsAskedAt_{};
 };
