--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -260,8 +260,8 @@
                      GatewayPeers::AskList::Always);
         queryNextSeed();
     }
-    if (old && now - anyAskedAt_ >= kStaleQueryInterval) {
-        anyAskedAt_ = now;
+    if (old && now - staleQueriedAt_ >= kStaleQueryInterval) {
+        staleQueriedAt_ = now;
         queryGateway(own ? nextRemoteGateway(now) : directory_.another(followed, now), Duration{});
     }
     if (now - seedsAskedAt_ >= kSeedQueryInterval) {
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -102,7 +102,7 @@
     TimePoint storeUntil_{};     // An own watch on the store goes on until then.
     TimePoint storeNotBefore_{}; // Another gateway knows more; the store is asked again from then.
     TimePoint listsQueriedAt_{};
-    TimePoint anyAskedAt_{};
+    TimePoint staleQueriedAt_{};
     TimePoint seedsAskedAt_{};
 };
 
