--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -264,7 +264,7 @@
         staleQueriedAt_ = now;
         queryGateway(own ? nextRemoteGateway(now) : directory_.another(followed, now), Duration{});
     }
-    if (now - seedsAskedAt_ >= kSeedQueryInterval) {
+    if (now - seedsQueriedAt_ >= kSeedQueryInterval) {
         querySeeds(own && isDiscovering(now), now);
     }
 }
@@ -278,7 +278,7 @@
     if (!few && !follows) {
         return;
     }
-    seedsAskedAt_ = now;
+    seedsQueriedAt_ = now;
     seedTurn_ += knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
         const bool turn = few || index == seedTurn_ % settings_.seeds.size();
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -103,7 +103,7 @@
     TimePoint storeNotBefore_{}; // Another gateway knows more; the store is asked again from then.
     TimePoint listsQueriedAt_{};
     TimePoint staleQueriedAt_{};
-    TimePoint seedsAskedAt_{};
+    TimePoint seedsQueriedAt_{};
 };
 
 } // namespace seamarch
