--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -127,7 +127,7 @@
 
 std::uint64_t StateSynchronizer::storeCalls() const
 {
-    return earlierCalls_ + (watcher_ ? watcher_->calls() : 0);
+    return endedWatcherCalls_ + (watcher_ ? watcher_->calls() : 0);
 }
 
 // Takes another gateway's knowledge while the own is not fresh from the store. A watch that is
@@ -346,7 +346,7 @@
              {"gateways", directory_.size()},
              {"knowledgeAgeMs", knowledge_.confirmed() ? toMillis(knowledge_.age()) : -1}});
     if (!wanted) {
-        earlierCalls_ += watcher_->calls();
+        endedWatcherCalls_ += watcher_->calls();
         watcher_.reset();
         return;
     }
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -94,7 +94,7 @@
     std::unique_ptr<GroupPoller> groupPoller_;
     TimePoint groupsPolledAt_{};
     std::unique_ptr<StoreWatcher> watcher_;
-    std::uint64_t earlierCalls_ = 0; // Of watchers that are gone.
+    std::uint64_t endedWatcherCalls_ = 0; // Of watchers that are gone.
     bool stopped_ = false;
     TimePoint startedAt_{};
     std::size_t hallTurn_ = 0;   // Whose first is asked next.
