--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -144,7 +144,7 @@
     if (watcher_ != nullptr) {
         followStore(false, "another gateway knows more");
         storeNotBefore_ = loop_.now() + kStoreBackoff;
-        storeUntil_ = {};
+        fallbackWatchUntil_ = {};
     }
     return true;
 }
@@ -220,13 +220,13 @@
     pollGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true : own && !isDiscovering(now),
                now);
     if (isStoreQueryDue(now)) {
-        storeUntil_ = now + kFallbackWatchDuration;
+        fallbackWatchUntil_ = now + kFallbackWatchDuration;
     }
     if (waitsForPeers(now) || now < storeNotBefore_) {
         followStore(false, "hears other gateways first");
     } else if (own && !isDiscovering(now)) {
         followStore(true, "first of its hall");
-    } else if (now < storeUntil_) {
+    } else if (now < fallbackWatchUntil_) {
         followStore(true, "knowledge is old");
     } else {
         followStore(false, "another gateway of the hall follows it");
