--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -143,7 +143,7 @@
     }
     if (watcher_ != nullptr) {
         followStore(false, "another gateway knows more");
-        storeNotBefore_ = loop_.now() + kStoreBackoff;
+        storeBackoffUntil_ = loop_.now() + kStoreBackoff;
         fallbackWatchUntil_ = {};
     }
     return true;
@@ -222,7 +222,7 @@
     if (isStoreQueryDue(now)) {
         fallbackWatchUntil_ = now + kFallbackWatchDuration;
     }
-    if (waitsForPeers(now) || now < storeNotBefore_) {
+    if (waitsForPeers(now) || now < storeBackoffUntil_) {
         followStore(false, "hears other gateways first");
     } else if (own && !isDiscovering(now)) {
         followStore(true, "first of its hall");
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -100,7 +100,8 @@
     std::size_t hallTurn_ = 0;       // Whose first is asked next.
     std::uint64_t seedTurn_ = 0;     // Drawn at random at first, so that new gateways spread.
     TimePoint fallbackWatchUntil_{}; // An own watch on the store goes on until then.
-    TimePoint storeNotBefore_{}; // Another gateway knows more; the store is asked again from then.
+    TimePoint
+        storeBackoffUntil_{}; // Another gateway knows more; the store is asked again from then.
     TimePoint listsQueriedAt_{};
     TimePoint staleQueriedAt_{};
     TimePoint seedsQueriedAt_{};
