--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -302,7 +302,7 @@
     if (firsts.empty()) {
         return directory_.another(settings_.instance, now);
     }
-    return firsts[hallTurn_++ % firsts.size()];
+    return firsts[nextHall_++ % firsts.size()];
 }
 
 void StateSynchronizer::queryOtherHalls(TimePoint now)
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -97,7 +97,7 @@
     std::uint64_t endedWatcherCalls_ = 0; // Of watchers that are gone.
     bool stopped_ = false;
     TimePoint startedAt_{};
-    std::size_t hallTurn_ = 0;       // Whose first is asked next.
+    std::size_t nextHall_ = 0;       // Whose first is asked next.
     std::uint64_t seedTurn_ = 0;     // Drawn at random at first, so that new gateways spread.
     TimePoint fallbackWatchUntil_{}; // An own watch on the store goes on until then.
     TimePoint
