--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -56,7 +56,7 @@
     , settings_(settings)
     , directory_(makeRecord(settings), GatewayDirectory::Settings())
     , startedAt_(loop.now())
-    , seedTurn_(randomIdentity())
+    , nextSeed_(randomIdentity())
 {}
 
 tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
@@ -279,9 +279,9 @@
         return;
     }
     seedsQueriedAt_ = now;
-    seedTurn_ += knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge ? 0 : 1;
+    nextSeed_ += knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
-        const bool turn = few || index == seedTurn_ % settings_.seeds.size();
+        const bool turn = few || index == nextSeed_ % settings_.seeds.size();
         if (turn && settings_.peerListen != settings_.seeds[index]) {
             peers_->ask(settings_.seeds[index], InstanceId(), Duration{});
         }
@@ -321,7 +321,7 @@
     if (settings_.seeds.empty()) {
         return;
     }
-    const SocketAddress &seed = settings_.seeds[seedTurn_++ % settings_.seeds.size()];
+    const SocketAddress &seed = settings_.seeds[nextSeed_++ % settings_.seeds.size()];
     if (seed != settings_.peerListen) {
         peers_->ask(seed, InstanceId(), Duration{}, GatewayPeers::AskList::Always);
     }
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -98,7 +98,7 @@
     bool stopped_ = false;
     TimePoint startedAt_{};
     std::size_t nextHall_ = 0;       // Whose first is asked next.
-    std::uint64_t seedTurn_ = 0;     // Drawn at random at first, so that new gateways spread.
+    std::uint64_t nextSeed_ = 0;     // Drawn at random at first, so that new gateways spread.
     TimePoint fallbackWatchUntil_{}; // An own watch on the store goes on until then.
     TimePoint
         storeBackoffUntil_{}; // Another gateway knows more; the store is asked again from then.
