--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -180,8 +180,8 @@
 // Tells whether others of the hall ask the store in place of this gateway, and it hears them.
 bool StateSynchronizer::peersQueryStore(TimePoint now) const
 {
-    const bool hearsOthers = peers_ != nullptr && now - peers_->answeredAt() < kPeerContactTimeout;
-    return hearsOthers && !hasStoreTurn(directory_.place().index);
+    const bool peersAnswer = peers_ != nullptr && now - peers_->answeredAt() < kPeerContactTimeout;
+    return peersAnswer && !hasStoreTurn(directory_.place().index);
 }
 
 // Tells whether it is this gateway's turn to ask the store, although it follows another one.
