--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -167,8 +167,8 @@
     if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || knowledge_.hasConfiguration()) {
         return false;
     }
-    const bool othersWait = now - peers_->unknownAt() < kPeerBootstrapWait;
-    return now - startedAt_ < (othersWait ? kMaxPeerBootstrapWait : kPeerBootstrapWait);
+    const bool peersLackConfiguration = now - peers_->unknownAt() < kPeerBootstrapWait;
+    return now - startedAt_ < (peersLackConfiguration ? kMaxPeerBootstrapWait : kPeerBootstrapWait);
 }
 
 KnowledgeTimes StateSynchronizer::times() const
