--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -235,11 +235,11 @@
     peers_->tick();
 }
 
-void StateSynchronizer::pollGroups(bool watches, TimePoint now)
+void StateSynchronizer::pollGroups(bool active, TimePoint now)
 {
     if (groupPoller_ != nullptr && now - groupsPolledAt_ >= kGroupPollInterval) {
         groupsPolledAt_ = now;
-        groupPoller_->tick(watches);
+        groupPoller_->tick(active);
     }
 }
 
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -73,7 +73,7 @@
     KnowledgeTimes times() const;
     bool isStoreQueryDue(TimePoint now) const;
     bool peersQueryStore(TimePoint now) const;
-    void pollGroups(bool watches, TimePoint now);
+    void pollGroups(bool active, TimePoint now);
     void queryPeers(const InstanceId &followed, TimePoint now);
     void querySeeds(bool follows, TimePoint now);
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
