--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -327,12 +327,12 @@
     }
 }
 
-void StateSynchronizer::queryGateway(const std::optional<InstanceId> &id, Duration longest,
+void StateSynchronizer::queryGateway(const std::optional<InstanceId> &id, Duration longPollWait,
                                      GatewayPeers::AskList list)
 {
     const GatewayRecord *record = id ? directory_.find(*id) : nullptr;
     if (record != nullptr) {
-        peers_->ask({record->host, record->port}, record->id, longest, list);
+        peers_->ask({record->host, record->port}, record->id, longPollWait, list);
     }
 }
 
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -79,7 +79,7 @@
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
     void queryOtherHalls(TimePoint now);
     void queryNextSeed();
-    void queryGateway(const std::optional<InstanceId> &id, Duration longest,
+    void queryGateway(const std::optional<InstanceId> &id, Duration longPollWait,
                       GatewayPeers::AskList list = GatewayPeers::AskList::IfDue);
     void followStore(bool wanted, std::string_view reason);
 
