--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -215,16 +215,17 @@
     }
     directory_.expire(now);
     const InstanceId followed = directory_.follower(now);
-    const bool own = followed == settings_.instance;
+    const bool followsSelf = followed == settings_.instance;
     // While a site starts nobody knows yet who is first of its hall, and seeds are heard by all.
-    pollGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true : own && !isDiscovering(now),
+    pollGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true
+                                                               : followsSelf && !isDiscovering(now),
                now);
     if (isStoreQueryDue(now)) {
         fallbackWatchUntil_ = now + kFallbackWatchDuration;
     }
     if (waitsForPeers(now) || now < storeBackoffUntil_) {
         followStore(false, "hears other gateways first");
-    } else if (own && !isDiscovering(now)) {
+    } else if (followsSelf && !isDiscovering(now)) {
         followStore(true, "first of its hall");
     } else if (now < fallbackWatchUntil_) {
         followStore(true, "knowledge is old");
@@ -245,11 +246,11 @@
 
 void StateSynchronizer::queryPeers(const InstanceId &followed, TimePoint now)
 {
-    const bool own = followed == settings_.instance;
+    const bool followsSelf = followed == settings_.instance;
     // Knowledge that is followed is older than that of the gateway that follows the store.
-    const bool old =
-        !knowledge_.confirmed() || knowledge_.age() > (own ? kMaxStoreWatchAge : times().old);
-    if (!own) {
+    const bool old = !knowledge_.confirmed()
+                     || knowledge_.age() > (followsSelf ? kMaxStoreWatchAge : times().old);
+    if (!followsSelf) {
         queryGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
         // One that knew nobody, as a seed that starts anew, asks the first that it hears of at
@@ -262,10 +263,11 @@
     }
     if (old && now - staleQueriedAt_ >= kStaleQueryInterval) {
         staleQueriedAt_ = now;
-        queryGateway(own ? nextRemoteGateway(now) : directory_.another(followed, now), Duration{});
+        queryGateway(followsSelf ? nextRemoteGateway(now) : directory_.another(followed, now),
+                     Duration{});
     }
     if (now - seedsQueriedAt_ >= kSeedQueryInterval) {
-        querySeeds(own && isDiscovering(now), now);
+        querySeeds(followsSelf && isDiscovering(now), now);
     }
 }
 
