--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -248,8 +248,8 @@
 {
     const bool followsSelf = followed == settings_.instance;
     // Knowledge that is followed is older than that of the gateway that follows the store.
-    const bool old = !knowledge_.confirmed()
-                     || knowledge_.age() > (followsSelf ? kMaxStoreWatchAge : times().old);
+    const bool stale = !knowledge_.confirmed()
+                       || knowledge_.age() > (followsSelf ? kMaxStoreWatchAge : times().old);
     if (!followsSelf) {
         queryGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
@@ -261,7 +261,7 @@
                      GatewayPeers::AskList::Always);
         queryNextSeed();
     }
-    if (old && now - staleQueriedAt_ >= kStaleQueryInterval) {
+    if (stale && now - staleQueriedAt_ >= kStaleQueryInterval) {
         staleQueriedAt_ = now;
         queryGateway(followsSelf ? nextRemoteGateway(now) : directory_.another(followed, now),
                      Duration{});
