--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -276,14 +276,14 @@
 // the whole list again, unless that one has no news.
 void StateSynchronizer::querySeeds(bool follows, TimePoint now)
 {
-    const bool few = directory_.size() <= settings_.seeds.size();
-    if (!few && !follows) {
+    const bool knowsFewGateways = directory_.size() <= settings_.seeds.size();
+    if (!knowsFewGateways && !follows) {
         return;
     }
     seedsQueriedAt_ = now;
     nextSeed_ += knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
-        const bool turn = few || index == nextSeed_ % settings_.seeds.size();
+        const bool turn = knowsFewGateways || index == nextSeed_ % settings_.seeds.size();
         if (turn && settings_.peerListen != settings_.seeds[index]) {
             peers_->ask(settings_.seeds[index], InstanceId(), Duration{});
         }
