--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -283,8 +283,8 @@
     seedsQueriedAt_ = now;
     nextSeed_ += knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
-        const bool turn = knowsFewGateways || index == nextSeed_ % settings_.seeds.size();
-        if (turn && settings_.peerListen != settings_.seeds[index]) {
+        const bool selected = knowsFewGateways || index == nextSeed_ % settings_.seeds.size();
+        if (selected && settings_.peerListen != settings_.seeds[index]) {
             peers_->ask(settings_.seeds[index], InstanceId(), Duration{});
         }
     }
