--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -294,17 +294,17 @@
 // know most. Any gateway where there is no other hall.
 std::optional<InstanceId> StateSynchronizer::nextRemoteGateway(TimePoint now)
 {
-    std::vector<InstanceId> firsts;
+    std::vector<InstanceId> candidates;
     for (const HallId &hall : directory_.halls()) {
         const auto first = hall == settings_.hall ? std::nullopt : directory_.firstOf(hall, now);
         if (first) {
-            firsts.push_back(*first);
+            candidates.push_back(*first);
         }
     }
-    if (firsts.empty()) {
+    if (candidates.empty()) {
         return directory_.another(settings_.instance, now);
     }
-    return firsts[nextHall_++ % firsts.size()];
+    return candidates[nextHall_++ % candidates.size()];
 }
 
 void StateSynchronizer::queryOtherHalls(TimePoint now)
