--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -135,7 +135,7 @@
 };
 
 ExpertAgent::ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings,
-                         const MetadataStore &store, const EngineCalls &engineCalls)
+                         const StoreProtocol &store, const EngineCalls &engineCalls)
     : loop_(loop)
     , settings_(settings)
     , store_(store)
@@ -149,7 +149,7 @@
 
 tl::expected<std::unique_ptr<ExpertAgent>, NetError>
 ExpertAgent::create(EventLoop &loop, const ExpertAgentSettings &settings,
-                    const MetadataStore &store, const EngineCalls &engineCalls)
+                    const StoreProtocol &store, const EngineCalls &engineCalls)
 {
     std::unique_ptr<ExpertAgent> agent(new ExpertAgent(loop, settings, store, engineCalls));
     if (auto opened = agent->open(); !opened) {
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -54,7 +54,7 @@
 {
 public:
     static tl::expected<std::unique_ptr<ExpertAgent>, NetError>
-    create(EventLoop &loop, const ExpertAgentSettings &settings, const MetadataStore &store,
+    create(EventLoop &loop, const ExpertAgentSettings &settings, const StoreProtocol &store,
            const EngineCalls &engineCalls);
     ~ExpertAgent() noexcept override;
     ExpertAgent(const ExpertAgent &) = delete;
@@ -81,7 +81,7 @@
         ExpertMap map;
     };
 
-    ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings, const MetadataStore &store,
+    ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings, const StoreProtocol &store,
                 const EngineCalls &engineCalls);
     tl::expected<void, NetError> open();
 
@@ -125,7 +125,7 @@
 
     EventLoop &loop_;
     ExpertAgentSettings settings_;
-    const MetadataStore &store_;
+    const StoreProtocol &store_;
     const EngineCalls &engineCalls_;
     Metrics metrics_;
     UpstreamTable upstreams_;
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -82,7 +82,7 @@
 };
 
 GatewayPeers::GatewayPeers(EventLoop &loop, GatewayKnowledge &knowledge, const GossipState &beliefs,
-                           const MetadataStore &store, GatewayDirectory &directory, Heard heard)
+                           const StoreProtocol &store, GatewayDirectory &directory, Heard heard)
     : loop_(loop)
     , knowledge_(knowledge)
     , groups_(beliefs.groups)
@@ -108,7 +108,7 @@
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
 GatewayPeers::create(EventLoop &loop, GatewayKnowledge &knowledge, const GossipState &beliefs,
-                     const MetadataStore &store, GatewayDirectory &directory, Heard heard)
+                     const StoreProtocol &store, GatewayDirectory &directory, Heard heard)
 {
     std::unique_ptr<GatewayPeers> peers(
         new GatewayPeers(loop, knowledge, beliefs, store, directory, std::move(heard)));
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -53,7 +53,7 @@
     // Listens at the address of the directory's own record.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
     create(EventLoop &loop, GatewayKnowledge &knowledge, const GossipState &beliefs,
-           const MetadataStore &store, GatewayDirectory &directory, Heard heard);
+           const StoreProtocol &store, GatewayDirectory &directory, Heard heard);
     ~GatewayPeers();
     GatewayPeers(const GatewayPeers &) = delete;
     GatewayPeers &operator=(const GatewayPeers &) = delete;
@@ -104,7 +104,7 @@
     };
 
     GatewayPeers(EventLoop &loop, GatewayKnowledge &knowledge, const GossipState &beliefs,
-                 const MetadataStore &store, GatewayDirectory &directory, Heard heard);
+                 const StoreProtocol &store, GatewayDirectory &directory, Heard heard);
     tl::expected<void, NetError> open();
 
     Link &linkTo(const SocketAddress &address);
@@ -155,7 +155,7 @@
     CrashRecord &crashes_;
     UpstreamLimits &limits_;
     PermitIssuer &permitIssuer_;
-    const MetadataStore &store_;
+    const StoreProtocol &store_;
     GatewayDirectory &directory_;
     Heard heard_;
     std::unique_ptr<RawTransport> transport_;
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -34,7 +34,7 @@
 } // namespace
 
 GatewayService::GatewayService(EventLoop &loop, const GatewaySettings &settings,
-                               const CallerProtocol &protocol, const MetadataStore &store)
+                               const CallerProtocol &protocol, const StoreProtocol &store)
     : loop_(loop)
     , settings_(settings)
     , protocol_(protocol)
@@ -52,7 +52,7 @@
 
 tl::expected<std::unique_ptr<GatewayService>, NetError>
 GatewayService::create(EventLoop &loop, const GatewaySettings &settings,
-                       const CallerProtocol &protocol, const MetadataStore &store)
+                       const CallerProtocol &protocol, const StoreProtocol &store)
 {
     std::unique_ptr<GatewayService> service(new GatewayService(loop, settings, protocol, store));
     if (auto opened = service->open(); !opened) {
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -56,7 +56,7 @@
     // reader outlive the service.
     static tl::expected<std::unique_ptr<GatewayService>, NetError>
     create(EventLoop &loop, const GatewaySettings &settings, const CallerProtocol &protocol,
-           const MetadataStore &store);
+           const StoreProtocol &store);
     ~GatewayService() override;
     GatewayService(const GatewayService &) = delete;
     GatewayService &operator=(const GatewayService &) = delete;
@@ -108,7 +108,7 @@
     };
 
     GatewayService(EventLoop &loop, const GatewaySettings &settings, const CallerProtocol &protocol,
-                   const MetadataStore &store);
+                   const StoreProtocol &store);
     tl::expected<void, NetError> open();
 
     void onRequest(ExchangeId exchange, HttpRequest request) override;
@@ -153,7 +153,7 @@
     EventLoop &loop_;
     GatewaySettings settings_;
     const CallerProtocol &protocol_;
-    const MetadataStore &store_;
+    const StoreProtocol &store_;
     Metrics metrics_;
     GatewayCore core_;
     GatewayKnowledge knowledge_;
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -46,7 +46,7 @@
 } // namespace
 
 StateSynchronizer::StateSynchronizer(EventLoop &loop, HttpClient &client,
-                                     const MetadataStore &store, GatewayKnowledge &knowledge,
+                                     const StoreProtocol &store, GatewayKnowledge &knowledge,
                                      const GossipState &gossip, const Settings &settings)
     : loop_(loop)
     , client_(client)
@@ -60,7 +60,7 @@
 {}
 
 tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
-StateSynchronizer::create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
+StateSynchronizer::create(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
                           GatewayKnowledge &knowledge, const GossipState &gossip,
                           const Settings &settings)
 {
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -41,7 +41,7 @@
     };
 
     static tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
-    create(EventLoop &loop, HttpClient &client, const MetadataStore &store,
+    create(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
            GatewayKnowledge &knowledge, const GossipState &gossip, const Settings &settings);
 
     // Asks for permits to send to an upstream that names a limit, the gateway whose turn that is or
@@ -61,7 +61,7 @@
     HallPlace place() const { return directory_.place(); }
 
 private:
-    StateSynchronizer(EventLoop &loop, HttpClient &client, const MetadataStore &store,
+    StateSynchronizer(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
                       GatewayKnowledge &knowledge, const GossipState &gossip,
                       const Settings &settings);
     tl::expected<void, NetError> open();
@@ -85,7 +85,7 @@
 
     EventLoop &loop_;
     HttpClient &client_;
-    const MetadataStore &store_;
+    const StoreProtocol &store_;
     GatewayKnowledge &knowledge_;
     GossipState gossip_;
     Settings settings_;
--- a/src/gateway/metadatastore.h
+++ b/src/gateway/metadatastore.h
@@ -52,10 +52,10 @@
     Unreadable,  // The answer makes no sense.
 };
 
-class MetadataStore
+class StoreProtocol
 {
 public:
-    virtual ~MetadataStore() = default;
+    virtual ~StoreProtocol() = default;
 
     // Lists all items, or those from a page on.
     virtual HttpCallRequest listCall(const std::string &page) const = 0;
--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-StoreWatcher::StoreWatcher(EventLoop &loop, HttpClient &client, const MetadataStore &store,
+StoreWatcher::StoreWatcher(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
                            StoreListener &listener, const Settings &settings)
     : loop_(loop)
     , client_(client)
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -55,7 +55,7 @@
         std::uint64_t seed = 0;
     };
 
-    StoreWatcher(EventLoop &loop, HttpClient &client, const MetadataStore &store,
+    StoreWatcher(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
                  StoreListener &listener, const Settings &settings);
     ~StoreWatcher();
     StoreWatcher(const StoreWatcher &) = delete;
@@ -81,7 +81,7 @@
 
     EventLoop &loop_;
     HttpClient &client_;
-    const MetadataStore &store_;
+    const StoreProtocol &store_;
     StoreListener &listener_;
     Settings settings_;
     std::mt19937_64 random_;
