--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -238,7 +238,7 @@
         }
     } else if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
         upstreams_.put(*record);
-    } else if (const auto *gone = std::get_if<UpstreamGone>(&item)) {
+    } else if (const auto *gone = std::get_if<UpstreamRemoval>(&item)) {
         if (gone->unreadable) {
             upstreams_.drop(gone->id, loop_.now());
         } else {
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -225,7 +225,7 @@
              {"service", record->service.value()},
              {"leaving", record->leaving},
              {"warmUpLeftMs", record->warmUpLeft ? json(toMillis(*record->warmUpLeft)) : json()}});
-    } else if (const auto *gone = std::get_if<UpstreamGone>(&item)) {
+    } else if (const auto *gone = std::get_if<UpstreamRemoval>(&item)) {
         if (gone->unreadable) {
             upstreams_.drop(gone->id, loop_.now());
         } else {
--- a/src/gateway/metadatastore.h
+++ b/src/gateway/metadatastore.h
@@ -20,7 +20,7 @@
 namespace seamarch {
 
 // An upstream that the store no longer lists.
-struct UpstreamGone
+struct UpstreamRemoval
 {
     InstanceId id;
     bool unreadable = false; // It is listed, but its entry makes no sense.
@@ -34,7 +34,7 @@
 };
 
 // One item of the store, or its removal. Items of no interest are left out.
-using StoreItem = std::variant<RoutingDocument, UpstreamRecord, UpstreamGone, HallDrain>;
+using StoreItem = std::variant<RoutingDocument, UpstreamRecord, UpstreamRemoval, HallDrain>;
 
 // What a listing or a watch brought.
 struct StoreItems
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -260,7 +260,7 @@
         }
         for (const auto &[id, at] : store_.removedAt) {
             if (!late.wholeList && at > since) {
-                late.items.items.emplace_back(UpstreamGone{InstanceId(id), false});
+                late.items.items.emplace_back(UpstreamRemoval{InstanceId(id), false});
             }
         }
         late_.push_back(std::move(late));
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -204,7 +204,7 @@
     STRCMP_EQUAL("10.1.0.9", record.host.c_str());
     LONGS_EQUAL(8080, record.port);
     CHECK_TRUE(record.leaving);
-    STRCMP_EQUAL("i-2", std::get<UpstreamGone>(items->items[1]).id.value().c_str());
+    STRCMP_EQUAL("i-2", std::get<UpstreamRemoval>(items->items[1]).id.value().c_str());
 }
 
 TEST(StoreItemsTest, OneBadItemDoesNotHideTheOthers)
@@ -215,8 +215,8 @@
     LONGS_EQUAL(2, items->items.size());
     LONGS_EQUAL(1, items->faults.size());
     // What was believed of an upstream goes with an entry that makes no sense.
-    STRCMP_EQUAL("i-1", std::get<UpstreamGone>(items->items[0]).id.value().c_str());
-    STRCMP_EQUAL("i-2", std::get<UpstreamGone>(items->items[1]).id.value().c_str());
+    STRCMP_EQUAL("i-1", std::get<UpstreamRemoval>(items->items[0]).id.value().c_str());
+    STRCMP_EQUAL("i-2", std::get<UpstreamRemoval>(items->items[1]).id.value().c_str());
 }
 
 // An entry may come from another writer: it names nothing to use unless it is whole.
