--- a/src/gateway/metadatastore.h
+++ b/src/gateway/metadatastore.h
@@ -46,7 +46,7 @@
     bool routingUnreadable = false;  // One of them is the routing document.
 };
 
-enum class StoreFault {
+enum class StoreError {
     HistoryGone, // The changes since the revision asked for are forgotten: list anew.
     Unavailable, // The store did nothing; ask again later.
     Unreadable,  // The answer makes no sense.
@@ -61,9 +61,9 @@
     virtual HttpCallRequest listCall(const std::string &page) const = 0;
     // Waits for changes after `revision`.
     virtual HttpCallRequest watchCall(std::uint64_t revision, Duration longest) const = 0;
-    virtual tl::expected<StoreItems, StoreFault> readList(int status,
+    virtual tl::expected<StoreItems, StoreError> readList(int status,
                                                           std::string_view body) const = 0;
-    virtual tl::expected<StoreItems, StoreFault> readWatch(int status,
+    virtual tl::expected<StoreItems, StoreError> readWatch(int status,
                                                            std::string_view body) const = 0;
     // Reads the era of the store that gave an answer; zero when the answer does not tell it.
     virtual std::uint64_t readEra(const HttpHeaders &headers) const = 0;
--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -148,16 +148,16 @@
     }
 }
 
-void StoreWatcher::onFault(StoreFault fault)
+void StoreWatcher::onFault(StoreError fault)
 {
     switch (fault) {
-    case StoreFault::HistoryGone:
+    case StoreError::HistoryGone:
         list({});
         return;
-    case StoreFault::Unavailable:
+    case StoreError::Unavailable:
         onFailure("refused");
         return;
-    case StoreFault::Unreadable:
+    case StoreError::Unreadable:
         onFailure("unreadable answer");
         return;
     }
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -75,7 +75,7 @@
     bool isOfThisEra(const HttpText &text);
     void onListed(StoreItems items);
     void onChanged(const StoreItems &items);
-    void onFault(StoreFault fault);
+    void onFault(StoreError fault);
     void onFailure(std::string_view cause);
     void endCall();
 
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -349,9 +349,9 @@
 
 TEST(StoreItemsTest, TellsFaultsOfTheStoreApart)
 {
-    CHECK_TRUE(store.readWatch(410, "").error() == StoreFault::HistoryGone);
-    CHECK_TRUE(store.readWatch(503, "").error() == StoreFault::Unavailable);
-    CHECK_TRUE(store.readWatch(200, "[]").error() == StoreFault::Unreadable);
+    CHECK_TRUE(store.readWatch(410, "").error() == StoreError::HistoryGone);
+    CHECK_TRUE(store.readWatch(503, "").error() == StoreError::Unavailable);
+    CHECK_TRUE(store.readWatch(200, "[]").error() == StoreError::Unreadable);
 }
 
 // The values are configurations of versions 1 and 2 without routes. When they come in quick
