--- a/src/gateway/metadatastore.h
+++ b/src/gateway/metadatastore.h
@@ -47,9 +47,9 @@
 };
 
 enum class StoreError {
-    HistoryGone, // The changes since the revision asked for are forgotten: list anew.
-    Unavailable, // The store did nothing; ask again later.
-    Unreadable,  // The answer makes no sense.
+    HistoryCompacted, // The changes since the revision asked for are forgotten: list anew.
+    Unavailable,      // The store did nothing; ask again later.
+    Unreadable,       // The answer makes no sense.
 };
 
 class StoreProtocol
--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -151,7 +151,7 @@
 void StoreWatcher::onFault(StoreError fault)
 {
     switch (fault) {
-    case StoreError::HistoryGone:
+    case StoreError::HistoryCompacted:
         list({});
         return;
     case StoreError::Unavailable:
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -349,7 +349,7 @@
 
 TEST(StoreItemsTest, TellsFaultsOfTheStoreApart)
 {
-    CHECK_TRUE(store.readWatch(410, "").error() == StoreError::HistoryGone);
+    CHECK_TRUE(store.readWatch(410, "").error() == StoreError::HistoryCompacted);
     CHECK_TRUE(store.readWatch(503, "").error() == StoreError::Unavailable);
     CHECK_TRUE(store.readWatch(200, "[]").error() == StoreError::Unreadable);
 }
