--- a/src/gateway/metadatastore.h
+++ b/src/gateway/metadatastore.h
@@ -30,7 +30,7 @@
 struct HallDrain
 {
     HallId hall;
-    bool over = false;
+    bool cancelled = false;
 };
 
 // One item of the store, or its removal. Items of no interest are left out.
