--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -234,7 +234,7 @@
         logLine(LogLevel::Info, "upstream.gone", {{"upstream", gone->id.value()}});
     } else if (const auto *drain = std::get_if<HallDrain>(&item)) {
         std::set<HallId> halls = upstreams_.drainedHalls();
-        if (drain->over) {
+        if (drain->cancelled) {
             halls.erase(drain->hall);
         } else {
             halls.insert(drain->hall);
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -333,9 +333,9 @@
     const auto drain = [&items](std::size_t index) {
         return std::get<HallDrain>(items->items[index]);
     };
-    CHECK_TRUE(drain(0).hall == HallId("north") && !drain(0).over);
-    CHECK_TRUE(drain(1).hall == HallId("south") && !drain(1).over);
-    CHECK_TRUE(drain(2).hall == HallId("north") && drain(2).over);
+    CHECK_TRUE(drain(0).hall == HallId("north") && !drain(0).cancelled);
+    CHECK_TRUE(drain(1).hall == HallId("south") && !drain(1).cancelled);
+    CHECK_TRUE(drain(2).hall == HallId("north") && drain(2).cancelled);
     UNSIGNED_LONGS_EQUAL(1, items->faults.size());
 }
 
