--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -129,7 +129,7 @@
     const EngineCalls &engineCalls_;
     Metrics metrics_;
     UpstreamTable upstreams_;
-    StorePlace storePlace_; // Of the last list.
+    StorePosition storePlace_; // Of the last list.
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<RawTransport> transport_;
     std::unique_ptr<OperatorServer> metricsServer_;
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -29,7 +29,7 @@
 
 // A document that could not be read may have taken a key away: until the next one, what is held is
 // not confirmed by anything.
-void GatewayKnowledge::confirm(TimePoint askedAt, const StorePlace &place)
+void GatewayKnowledge::confirm(TimePoint askedAt, const StorePosition &place)
 {
     takePlace(std::max(place_, place));
     noteReachable();
@@ -48,7 +48,7 @@
 }
 
 // Living upstreams that an older copy lacks are listed again soon, as after an outage.
-void GatewayKnowledge::notePlace(const StorePlace &place)
+void GatewayKnowledge::notePlace(const StorePosition &place)
 {
     if (!wentBack(place_, place)) {
         return;
@@ -61,7 +61,7 @@
     upstreams_.onStoreWentBack(loop_.now());
 }
 
-void GatewayKnowledge::takePlace(const StorePlace &place)
+void GatewayKnowledge::takePlace(const StorePosition &place)
 {
     if (place.era != place_.era) {
         metrics_.set("seamarch_store_era", static_cast<double>(place.era));
@@ -80,8 +80,8 @@
 {
     adoptVersion(shared);
     // A gateway of an earlier version does not tell the era.
-    const StorePlace place{shared.place.era == 0 ? place_.era : shared.place.era,
-                           shared.place.revision};
+    const StorePosition place{shared.place.era == 0 ? place_.era : shared.place.era,
+                              shared.place.revision};
     const bool news = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
     const bool whole = (shared.document || shared.version <= version())
                        && (shared.upstreams || shared.upstreamsMark == namedMark());
--- a/src/gateway/gatewayknowledge.h
+++ b/src/gateway/gatewayknowledge.h
@@ -35,7 +35,7 @@
 // What one gateway tells another of the store.
 struct SharedKnowledge
 {
-    StorePlace place; // Of the store.
+    StorePosition place; // Of the store.
     ConfigVersion version;
     std::optional<RoutingDocument> document;              // When the asker's version is lower.
     std::uint64_t upstreamsMark = 0;                      // Names the state of the teller's list.
@@ -70,7 +70,7 @@
     // Returns the mark of the own list, a digest: gateways that hold the same list name it alike,
     // so one that asks another than before is not handed it again.
     std::uint64_t upstreamsMark() const;
-    const StorePlace &place() const { return place_; }
+    const StorePosition &place() const { return place_; }
     // Returns the document in force as the store holds it; empty while there is none.
     const std::string &documentText() const;
     const UpstreamTable &upstreams() const { return upstreams_; }
@@ -99,9 +99,9 @@
     UpstreamRecord dated(UpstreamRecord record) const;
     void takeDrainedHalls(std::set<HallId> halls);
     void takeRouting(const RoutingDocument &document);
-    void confirm(TimePoint askedAt, const StorePlace &place);
-    void takePlace(const StorePlace &place);
-    void notePlace(const StorePlace &place);
+    void confirm(TimePoint askedAt, const StorePosition &place);
+    void takePlace(const StorePosition &place);
+    void notePlace(const StorePosition &place);
     void noteReachable();
 
     EventLoop &loop_;
@@ -111,7 +111,7 @@
     Applied applied_;
     std::shared_ptr<const RouteTable> table_;
     std::optional<TimePoint> confirmedAt_;
-    StorePlace place_;               // Of the store, that the list of upstreams stands at.
+    StorePosition place_;            // Of the store, that the list of upstreams stands at.
     mutable std::uint64_t mark_ = 0; // Of the list after `markedChanges_` changes.
     mutable std::uint64_t markedChanges_ = 0;
     std::uint64_t adoptedMark_ = 0;
--- a/src/gateway/storeplace.h
+++ b/src/gateway/storeplace.h
@@ -9,17 +9,17 @@
 
 namespace seamarch {
 
-struct StorePlace
+struct StorePosition
 {
     std::uint64_t era = 0; // Zero: not told, as by a store or a gateway of an earlier version.
     std::uint64_t revision = 0;
 
-    friend bool operator==(const StorePlace &, const StorePlace &) = default;
-    friend auto operator<=>(const StorePlace &, const StorePlace &) = default;
+    friend bool operator==(const StorePosition &, const StorePosition &) = default;
+    friend auto operator<=>(const StorePosition &, const StorePosition &) = default;
 };
 
 // Tells whether the store has come back from a copy between `before` and `after`.
-inline bool wentBack(const StorePlace &before, const StorePlace &after)
+inline bool wentBack(const StorePosition &before, const StorePosition &after)
 {
     return before.era != 0 && after.era > before.era;
 }
--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -79,7 +79,7 @@
 // before the store went back, or it is the first after that and goes on from what is gone.
 bool StoreWatcher::isOfThisEra(const HttpText &text)
 {
-    const StorePlace told{store_.readEra(text.headers), 0};
+    const StorePosition told{store_.readEra(text.headers), 0};
     if (told.era == 0 || told.era == place_.era) {
         return true;
     }
@@ -89,7 +89,7 @@
     }
     const bool first = place_.era == 0;
     place_ = told;
-    const bool startsList = step_ == Step::List && listed_.place == StorePlace();
+    const bool startsList = step_ == Step::List && listed_.place == StorePosition();
     if (first || startsList) {
         return true;
     }
@@ -121,7 +121,7 @@
 void StoreWatcher::onListed(StoreItems items)
 {
     // Pages are no snapshot: changes are followed from the first page's revision on.
-    listed_.place = listed_.place == StorePlace() ? items.place : listed_.place;
+    listed_.place = listed_.place == StorePosition() ? items.place : listed_.place;
     std::move(items.items.begin(), items.items.end(), std::back_inserter(listed_.items));
     std::move(items.faults.begin(), items.faults.end(), std::back_inserter(listed_.faults));
     listed_.routingUnreadable = listed_.routingUnreadable || items.routingUnreadable;
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -91,7 +91,7 @@
     TimePoint listStartedAt_{};
     HttpCallId call_ = 0;
     TimerId timer_ = 0;
-    StorePlace place_;
+    StorePosition place_;
     std::uint64_t calls_ = 0;
     int failures_ = 0;
     bool reachable_ = false;
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -66,7 +66,7 @@
 
     UpstreamTable upstreams;
     GatewayKnowledge knowledge;
-    StorePlace watched; // What its watch of the store goes on from.
+    StorePosition watched; // What its watch of the store goes on from.
     TimePoint confirmedAt{};
     std::uint64_t highest = 0;                           // Version that it has had in force.
     std::set<std::pair<std::string, std::int64_t>> left; // Starts that it has heard to leave.
