--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -204,7 +204,7 @@
             takeItem(item);
         }
     }
-    if (wentBack(storePlace_, items.place)) {
+    if (wasRolledBack(storePlace_, items.place)) {
         upstreams_.onStoreWentBack(loop_.now());
     }
     storePlace_ = items.place;
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -50,7 +50,7 @@
 // Living upstreams that an older copy lacks are listed again soon, as after an outage.
 void GatewayKnowledge::notePlace(const StorePosition &place)
 {
-    if (!wentBack(place_, place)) {
+    if (!wasRolledBack(place_, place)) {
         return;
     }
     logLine(LogLevel::Warning, "store.went_back",
--- a/src/gateway/storeplace.h
+++ b/src/gateway/storeplace.h
@@ -19,7 +19,7 @@
 };
 
 // Tells whether the store has come back from a copy between `before` and `after`.
-inline bool wentBack(const StorePosition &before, const StorePosition &after)
+inline bool wasRolledBack(const StorePosition &before, const StorePosition &after)
 {
     return before.era != 0 && after.era > before.era;
 }
