--- a/src/gateway/metadatastore.h
+++ b/src/gateway/metadatastore.h
@@ -39,7 +39,7 @@
 // What a listing or a watch brought.
 struct StoreItems
 {
-    StorePosition place; // The reader knows the revision; who made the call adds the era.
+    StorePosition position; // The reader knows the revision; who made the call adds the era.
     std::vector<StoreItem> items;
     std::string nextPage;            // Where the next page starts; empty: this was the last.
     std::vector<std::string> faults; // Items that could not be read, for the log.
