--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -204,10 +204,10 @@
             takeItem(item);
         }
     }
-    if (wasRolledBack(storePlace_, items.place)) {
+    if (wasRolledBack(storePlace_, items.position)) {
         upstreams_.onStoreWentBack(loop_.now());
     }
-    storePlace_ = items.place;
+    storePlace_ = items.position;
     upstreams_.replaceAll(records, loop_.now());
     updatePeers();
 }
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -163,14 +163,14 @@
             takeItem(item);
         }
     }
-    notePlace(items.place);
+    notePlace(items.position);
     upstreams_.replaceAll(records, loop_.now());
     takeDrainedHalls(std::move(drained));
     logLine(LogLevel::Info, "store.listed",
-            {{"revision", items.place.revision}, {"upstreams", records.size()}});
+            {{"revision", items.position.revision}, {"upstreams", records.size()}});
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     noteFaults(items.faults);
-    confirm(askedAt, items.place);
+    confirm(askedAt, items.position);
 }
 
 void GatewayKnowledge::onStoreChanged(const StoreItems &items, TimePoint askedAt)
@@ -180,7 +180,7 @@
     }
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     noteFaults(items.faults);
-    confirm(askedAt, items.place);
+    confirm(askedAt, items.position);
 }
 
 void GatewayKnowledge::noteFaults(const std::vector<std::string> &faults)
--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -110,7 +110,7 @@
     }
     failures_ = 0;
     reachable_ = true;
-    items->place.era = place_.era;
+    items->position.era = place_.era;
     if (step_ == Step::List) {
         onListed(std::move(*items));
     } else {
@@ -121,7 +121,7 @@
 void StoreWatcher::onListed(StoreItems items)
 {
     // Pages are no snapshot: changes are followed from the first page's revision on.
-    listed_.place = listed_.place == StorePosition() ? items.place : listed_.place;
+    listed_.place = listed_.place == StorePosition() ? items.position : listed_.place;
     std::move(items.items.begin(), items.items.end(), std::back_inserter(listed_.items));
     std::move(items.faults.begin(), items.faults.end(), std::back_inserter(listed_.faults));
     listed_.routingUnreadable = listed_.routingUnreadable || items.routingUnreadable;
@@ -137,7 +137,7 @@
 
 void StoreWatcher::onChanged(const StoreItems &items)
 {
-    place_ = std::max(place_, items.place);
+    place_ = std::max(place_, items.position);
     listener_.onStoreChanged(items, askedAt_);
     const bool changed = !items.items.empty() || !items.faults.empty();
     const Duration rest = std::max(restAfter(items), changed ? settings_.rest : Duration{});
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -249,7 +249,7 @@
         Late late{index, lives_[index], now_, true, false, {}, {}};
         late.wholeList = wholeList || gateway.watched.era != era_;
         const std::uint64_t since = late.wholeList ? 0 : gateway.watched.revision;
-        late.items.place = {era_, store_.revision};
+        late.items.position = {era_, store_.revision};
         if (store_.versionAt > since) {
             late.items.items.emplace_back(document(store_.version));
         }
@@ -309,10 +309,10 @@
     // A watcher makes one call at a time: an answer that an earlier call of it got is not taken.
     static void takeStore(Gateway &gateway, const Late &late)
     {
-        if (late.items.place < gateway.watched) {
+        if (late.items.position < gateway.watched) {
             return;
         }
-        gateway.watched = late.items.place;
+        gateway.watched = late.items.position;
         gateway.confirmedAt = std::max(gateway.confirmedAt, late.askedAt);
         for (const StoreItem &item : late.items.items) {
             const auto *record = std::get_if<UpstreamRecord>(&item);
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -198,7 +198,7 @@
         R"({"events":[{"key-file":"servers/i-1","value":"eyJzZXJ2aWNlIjoib25lIiwiYWRkcmVzcyI6IjEwLjEuMC45OjgwODAiLCJ6b25lIjoibm9ydGgiLCJjYXBhY2l0eSI6NiwicGhhc2UiOiJkcmFpbmluZyJ9","revision":4},{"key-file":"servers/i-2","revision":5,"removed":true},{"key-file":"other","value":"","revision":6}],"current-rev":6})";
     const auto items = store.readWatch(200, body);
     CHECK_TRUE(items.has_value());
-    LONGS_EQUAL(6, items->place.revision);
+    LONGS_EQUAL(6, items->position.revision);
     LONGS_EQUAL(2, items->items.size());
     const auto &record = std::get<UpstreamRecord>(items->items[0]);
     STRCMP_EQUAL("10.1.0.9", record.host.c_str());
