--- a/test/gateway/gatewayknowledge_test.cpp
+++ b/test/gateway/gatewayknowledge_test.cpp
@@ -67,7 +67,7 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     SharedKnowledge earlier = shared();
-    earlier.place.revision = 9;
+    earlier.position.revision = 9;
     CHECK_FALSE(knowledge.adopt(earlier, loop->now()));
 }
 
@@ -76,10 +76,10 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     SharedKnowledge later = shared();
-    later.place = {2, 4};
+    later.position = {2, 4};
     CHECK_TRUE(knowledge.adopt(later, loop->now() - std::chrono::seconds(1)));
     SharedKnowledge earlier = shared();
-    earlier.place = {1, 99};
+    earlier.position = {1, 99};
     CHECK_FALSE(knowledge.adopt(earlier, loop->now()));
 }
 
@@ -87,9 +87,9 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     SharedKnowledge without = shared();
-    without.place = {0, 11};
+    without.position = {0, 11};
     CHECK_TRUE(knowledge.adopt(without, loop->now() - std::chrono::seconds(1)));
-    without.place = {0, 9};
+    without.position = {0, 9};
     CHECK_FALSE(knowledge.adopt(without, loop->now()));
 }
 
@@ -97,7 +97,7 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
     SharedKnowledge behind = shared();
-    behind.place = {1, 2};
+    behind.position = {1, 2};
     behind.version = ConfigVersion(4);
     behind.document = document(4);
     CHECK_FALSE(knowledge.adopt(behind, loop->now() - std::chrono::seconds(1)));
@@ -108,13 +108,13 @@
 TEST(GatewayKnowledgeTest, OlderCopyOfTheStoreTakesNothingBack)
 {
     StoreItems listed;
-    listed.place = {1, 20};
+    listed.position = {1, 20};
     listed.items.emplace_back(document(4));
     listed.items.emplace_back(upstream("i-1", true));
     listed.items.emplace_back(upstream("i-2"));
     knowledge.onStoreListed(listed, loop->now());
     StoreItems copy;
-    copy.place = {2, 9};
+    copy.position = {2, 9};
     copy.items.emplace_back(document(3));
     copy.items.emplace_back(upstream("i-1"));
     knowledge.onStoreListed(copy, loop->now());
@@ -127,7 +127,7 @@
 TEST(GatewayKnowledgeTest, WarmUpIsCountedFromWhenTheEntryIsRead)
 {
     StoreItems listed;
-    listed.place = {1, 20};
+    listed.position = {1, 20};
     UpstreamRecord record = upstream("i-1");
     record.warmUpLeft = std::chrono::seconds(3);
     listed.items.emplace_back(record);
@@ -135,7 +135,7 @@
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt > loop->now() + std::chrono::seconds(2));
     record.warmUpLeft = Duration{};
     StoreItems changed;
-    changed.place = {1, 21};
+    changed.position = {1, 21};
     changed.items.emplace_back(record);
     knowledge.onStoreChanged(changed, loop->now());
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt <= loop->now());
@@ -144,7 +144,7 @@
 TEST(GatewayKnowledgeTest, EntryThatDoesNotTellItsWarmUpIsOfANewStart)
 {
     StoreItems listed;
-    listed.place = {1, 20};
+    listed.position = {1, 20};
     RoutingDocument made = document(1);
     made.services.emplace_back();
     made.services.back().name = TargetName("portal");
@@ -152,14 +152,14 @@
     listed.items.emplace_back(made);
     knowledge.onStoreListed(listed, loop->now());
     StoreItems changed;
-    changed.place = {1, 21};
+    changed.position = {1, 21};
     UpstreamRecord record = upstream("i-1");
     record.start = UpstreamStart(1);
     changed.items.emplace_back(record);
     knowledge.onStoreChanged(changed, loop->now());
     const TimePoint warmAt = upstreams.find(InstanceId("i-1"))->warmAt;
     CHECK_TRUE(warmAt > loop->now() + std::chrono::seconds(2));
-    changed.place = {1, 22};
+    changed.position = {1, 22};
     knowledge.onStoreChanged(changed, loop->now());
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt == warmAt);
 }
@@ -170,13 +170,13 @@
         return upstreams.drainedHalls().contains(HallId(hall));
     };
     StoreItems listed;
-    listed.place = {1, 20};
+    listed.position = {1, 20};
     listed.items.emplace_back(document(1));
     listed.items.emplace_back(HallDrain{HallId("north"), false});
     knowledge.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
     CHECK_TRUE(drained("north"));
     StoreItems changed;
-    changed.place = {1, 21};
+    changed.position = {1, 21};
     changed.items.emplace_back(HallDrain{HallId("north"), true});
     changed.items.emplace_back(HallDrain{HallId("south"), false});
     knowledge.onStoreChanged(changed, loop->now() - std::chrono::seconds(1));
@@ -192,7 +192,7 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     SharedKnowledge later = shared();
-    later.place.revision = 11;
+    later.position.revision = 11;
     later.version = ConfigVersion(2);
     later.document = document(2);
     CHECK_TRUE(knowledge.adopt(later, loop->now()));
@@ -217,7 +217,7 @@
                            [](const RouteTable &) {}};
     CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
     StoreItems listed;
-    listed.place.revision = 12;
+    listed.position.revision = 12;
     listed.items.emplace_back(upstream("i-1"));
     other.onStoreListed(listed, loop->now());
     CHECK_TRUE(knowledge.upstreamsMark() == other.upstreamsMark());
@@ -243,7 +243,7 @@
 {
     LONGS_EQUAL(0, knowledge.namedMark());
     StoreItems listed;
-    listed.place = {1, 9};
+    listed.position = {1, 9};
     listed.items.emplace_back(document(3));
     listed.items.emplace_back(upstream("i-1"));
     knowledge.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -142,7 +142,7 @@
         const std::uint64_t since = gateway.knowledge.place().revision;
         Message message{static_cast<std::size_t>(index), lives_[index], now_,
                         wholeList || since == 0,         StoreItems(),  {}};
-        message.items->place = {1, revision_};
+        message.items->position = {1, revision_};
         if (message.wholeList) {
             RoutingDocument document;
             document.version = ConfigVersion(1);
@@ -210,7 +210,7 @@
             }
             return;
         }
-        if (message.items->place < gateway.knowledge.place()) {
+        if (message.items->position < gateway.knowledge.place()) {
             return; // A watcher makes one call at a time.
         }
         gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
