--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -71,7 +71,7 @@
 void StoreWatcher::watch()
 {
     step_ = Step::Watch;
-    makeCall(store_.watchCall(place_.revision, settings_.wait),
+    makeCall(store_.watchCall(position_.revision, settings_.wait),
              settings_.wait + settings_.patience);
 }
 
@@ -80,15 +80,15 @@
 bool StoreWatcher::isOfThisEra(const HttpText &text)
 {
     const StorePosition told{store_.readEra(text.headers), 0};
-    if (told.era == 0 || told.era == place_.era) {
+    if (told.era == 0 || told.era == position_.era) {
         return true;
     }
-    if (told.era < place_.era) {
+    if (told.era < position_.era) {
         onFailure("answer of an earlier era");
         return false;
     }
-    const bool first = place_.era == 0;
-    place_ = told;
+    const bool first = position_.era == 0;
+    position_ = told;
     const bool startsList = step_ == Step::List && listed_.place == StorePosition();
     if (first || startsList) {
         return true;
@@ -110,7 +110,7 @@
     }
     failures_ = 0;
     reachable_ = true;
-    items->position.era = place_.era;
+    items->position.era = position_.era;
     if (step_ == Step::List) {
         onListed(std::move(*items));
     } else {
@@ -129,7 +129,7 @@
         list(items.nextPage);
         return;
     }
-    place_ = listed_.place;
+    position_ = listed_.place;
     const StoreItems whole = std::exchange(listed_, {});
     listener_.onStoreListed(whole, listStartedAt_);
     watch();
@@ -137,7 +137,7 @@
 
 void StoreWatcher::onChanged(const StoreItems &items)
 {
-    place_ = std::max(place_, items.position);
+    position_ = std::max(position_, items.position);
     listener_.onStoreChanged(items, askedAt_);
     const bool changed = !items.items.empty() || !items.faults.empty();
     const Duration rest = std::max(restAfter(items), changed ? settings_.rest : Duration{});
@@ -173,7 +173,7 @@
     std::uniform_real_distribution<double> jitter(0.5, 1.5);
     listener_.onStoreFailed(cause);
     timer_ = loop_.schedule(fromSeconds(toSeconds(pause) * jitter(random_)), [this] {
-        if (place_.revision == 0) {
+        if (position_.revision == 0) {
             list({});
         } else {
             watch();
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -91,7 +91,7 @@
     TimePoint listStartedAt_{};
     HttpCallId call_ = 0;
     TimerId timer_ = 0;
-    StorePosition place_;
+    StorePosition position_;
     std::uint64_t calls_ = 0;
     int failures_ = 0;
     bool reachable_ = false;
