--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -71,8 +71,8 @@
 void StoreWatcher::watch()
 {
     step_ = Step::Watch;
-    makeCall(store_.watchCall(position_.revision, settings_.wait),
-             settings_.wait + settings_.patience);
+    makeCall(store_.watchCall(position_.revision, settings_.longPollWait),
+             settings_.longPollWait + settings_.patience);
 }
 
 // Takes the era that an answer tells. Returns false when what it says cannot be used: it was given
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -44,7 +44,7 @@
     {
         // How long a watch waits. Shorter waits confirm sooner and cost more calls: keys must be
         // refused five seconds after they were revoked, and every call has a price.
-        Duration wait = std::chrono::milliseconds(1000);
+        Duration longPollWait = std::chrono::milliseconds(1000);
         // What an answer may take beyond the wait; a slow store takes some 300 ms.
         Duration patience = std::chrono::milliseconds(900);
         Duration firstPause = std::chrono::milliseconds(100);
