--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -380,7 +380,7 @@
     notedCleared_ = 0;
     StoreWatcher::Settings watch;
     watch.wait = kWatchWait;
-    watch.rest = kWatchRest;
+    watch.coalesceDelay = kWatchRest;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
     watcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -354,7 +354,7 @@
     }
     StoreWatcher::Settings watch;
     watch.wait = peers_ == nullptr ? watch.wait : times().watchWait;
-    watch.rest = settings_.storeCoalesceDelay;
+    watch.coalesceDelay = settings_.storeCoalesceDelay;
     watch.seed = randomIdentity();
     watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, knowledge_, watch);
     watcher_->start();
