--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -140,7 +140,8 @@
     position_ = std::max(position_, items.position);
     listener_.onStoreChanged(items, askedAt_);
     const bool changed = !items.items.empty() || !items.faults.empty();
-    const Duration rest = std::max(restAfter(items), changed ? settings_.rest : Duration{});
+    const Duration rest =
+        std::max(restAfter(items), changed ? settings_.coalesceDelay : Duration{});
     if (rest > Duration{}) {
         timer_ = loop_.schedule(rest, [this] { watch(); });
     } else {
