--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -51,7 +51,7 @@
         Duration longestPause = std::chrono::milliseconds(800);
         // How long to wait after changes before asking for the next. Each answer of a watch is a
         // call, and when many upstreams come and go, changes follow each other in milliseconds.
-        Duration rest{};
+        Duration coalesceDelay{};
         std::uint64_t seed = 0;
     };
 
