--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -48,7 +48,7 @@
 {
     ++calls_;
     askedAt_ = loop_.now();
-    request.connectTimeout = settings_.patience;
+    request.connectTimeout = settings_.answerTimeout;
     call_ = fetchText(loop_, client_, std::move(request), longest, [this](const HttpText &text) {
         if (text.complete) {
             onAnswer(text);
@@ -65,14 +65,14 @@
         listed_ = {};
         listStartedAt_ = loop_.now();
     }
-    makeCall(store_.listCall(page), settings_.patience);
+    makeCall(store_.listCall(page), settings_.answerTimeout);
 }
 
 void StoreWatcher::watch()
 {
     step_ = Step::Watch;
     makeCall(store_.watchCall(position_.revision, settings_.longPollWait),
-             settings_.longPollWait + settings_.patience);
+             settings_.longPollWait + settings_.answerTimeout);
 }
 
 // Takes the era that an answer tells. Returns false when what it says cannot be used: it was given
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -46,7 +46,7 @@
         // refused five seconds after they were revoked, and every call has a price.
         Duration longPollWait = std::chrono::milliseconds(1000);
         // What an answer may take beyond the wait; a slow store takes some 300 ms.
-        Duration patience = std::chrono::milliseconds(900);
+        Duration answerTimeout = std::chrono::milliseconds(900);
         Duration firstPause = std::chrono::milliseconds(100);
         Duration longestPause = std::chrono::milliseconds(800);
         // How long to wait after changes before asking for the next. Each answer of a watch is a
