--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -170,7 +170,7 @@
     reachable_ = false;
     const int doublings = std::min(failures_++, kMaxDoublings);
     const Duration pause =
-        std::min(settings_.initialBackoff * (1 << doublings), settings_.longestPause);
+        std::min(settings_.initialBackoff * (1 << doublings), settings_.maxBackoff);
     std::uniform_real_distribution<double> jitter(0.5, 1.5);
     listener_.onStoreFailed(cause);
     timer_ = loop_.schedule(fromSeconds(toSeconds(pause) * jitter(random_)), [this] {
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -48,7 +48,7 @@
         // What an answer may take beyond the wait; a slow store takes some 300 ms.
         Duration answerTimeout = std::chrono::milliseconds(900);
         Duration initialBackoff = std::chrono::milliseconds(100);
-        Duration longestPause = std::chrono::milliseconds(800);
+        Duration maxBackoff = std::chrono::milliseconds(800);
         // How long to wait after changes before asking for the next. Each answer of a watch is a
         // call, and when many upstreams come and go, changes follow each other in milliseconds.
         Duration coalesceDelay{};
