--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -169,11 +169,11 @@
     constexpr int kMaxDoublings = 3;
     reachable_ = false;
     const int doublings = std::min(failures_++, kMaxDoublings);
-    const Duration pause =
+    const Duration backoff =
         std::min(settings_.initialBackoff * (1 << doublings), settings_.maxBackoff);
     std::uniform_real_distribution<double> jitter(0.5, 1.5);
     listener_.onStoreFailed(cause);
-    timer_ = loop_.schedule(fromSeconds(toSeconds(pause) * jitter(random_)), [this] {
+    timer_ = loop_.schedule(fromSeconds(toSeconds(backoff) * jitter(random_)), [this] {
         if (position_.revision == 0) {
             list({});
         } else {
