--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -44,12 +44,12 @@
     client_.cancel(call_);
 }
 
-void StoreWatcher::makeCall(HttpCallRequest request, Duration longest)
+void StoreWatcher::makeCall(HttpCallRequest request, Duration timeout)
 {
     ++calls_;
     askedAt_ = loop_.now();
     request.connectTimeout = settings_.answerTimeout;
-    call_ = fetchText(loop_, client_, std::move(request), longest, [this](const HttpText &text) {
+    call_ = fetchText(loop_, client_, std::move(request), timeout, [this](const HttpText &text) {
         if (text.complete) {
             onAnswer(text);
         } else {
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -70,7 +70,7 @@
 
     void list(const std::string &page);
     void watch();
-    void makeCall(HttpCallRequest request, Duration longest);
+    void makeCall(HttpCallRequest request, Duration timeout);
     void onAnswer(const HttpText &text);
     bool isOfThisEra(const HttpText &text);
     void onListed(StoreItems items);
