--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -77,7 +77,7 @@
 
 // Takes the era that an answer tells. Returns false when what it says cannot be used: it was given
 // before the store went back, or it is the first after that and goes on from what is gone.
-bool StoreWatcher::isOfThisEra(const HttpText &text)
+bool StoreWatcher::acceptEra(const HttpText &text)
 {
     const StorePosition told{store_.readEra(text.headers), 0};
     if (told.era == 0 || told.era == position_.era) {
@@ -99,7 +99,7 @@
 
 void StoreWatcher::onAnswer(const HttpText &text)
 {
-    if (!isOfThisEra(text)) {
+    if (!acceptEra(text)) {
         return;
     }
     auto items = step_ == Step::List ? store_.readList(text.status, text.body)
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -72,7 +72,7 @@
     void watch();
     void makeCall(HttpCallRequest request, Duration timeout);
     void onAnswer(const HttpText &text);
-    bool isOfThisEra(const HttpText &text);
+    bool acceptEra(const HttpText &text);
     void onListed(StoreItems items);
     void onChanged(const StoreItems &items);
     void onFault(StoreError fault);
