--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -79,16 +79,16 @@
 // before the store went back, or it is the first after that and goes on from what is gone.
 bool StoreWatcher::acceptEra(const HttpText &text)
 {
-    const StorePosition told{store_.readEra(text.headers), 0};
-    if (told.era == 0 || told.era == position_.era) {
+    const StorePosition reported{store_.readEra(text.headers), 0};
+    if (reported.era == 0 || reported.era == position_.era) {
         return true;
     }
-    if (told.era < position_.era) {
+    if (reported.era < position_.era) {
         onFailure("answer of an earlier era");
         return false;
     }
     const bool first = position_.era == 0;
-    position_ = told;
+    position_ = reported;
     const bool startsList = step_ == Step::List && listed_.place == StorePosition();
     if (first || startsList) {
         return true;
