--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -87,10 +87,10 @@
         onFailure("answer of an earlier era");
         return false;
     }
-    const bool first = position_.era == 0;
+    const bool firstEra = position_.era == 0;
     position_ = reported;
     const bool startsList = step_ == Step::List && listed_.place == StorePosition();
-    if (first || startsList) {
+    if (firstEra || startsList) {
         return true;
     }
     list({});
