--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -47,7 +47,7 @@
 void StoreWatcher::makeCall(HttpCallRequest request, Duration timeout)
 {
     ++calls_;
-    askedAt_ = loop_.now();
+    sentAt_ = loop_.now();
     request.connectTimeout = settings_.answerTimeout;
     call_ = fetchText(loop_, client_, std::move(request), timeout, [this](const HttpText &text) {
         if (text.complete) {
@@ -138,7 +138,7 @@
 void StoreWatcher::onChanged(const StoreItems &items)
 {
     position_ = std::max(position_, items.position);
-    listener_.onStoreChanged(items, askedAt_);
+    listener_.onStoreChanged(items, sentAt_);
     const bool changed = !items.items.empty() || !items.faults.empty();
     const Duration delay =
         std::max(restAfter(items), changed ? settings_.coalesceDelay : Duration{});
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -87,7 +87,7 @@
     std::mt19937_64 random_;
     Step step_ = Step::List;
     StoreItems listed_; // Of the pages so far.
-    TimePoint askedAt_{};
+    TimePoint sentAt_{};
     TimePoint listStartedAt_{};
     HttpCallId call_ = 0;
     TimerId timer_ = 0;
