--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -29,10 +29,10 @@
 public:
     virtual ~StoreListener() = default;
 
-    // All items of the store, as of a call that was made at `askedAt`.
-    virtual void onStoreListed(const StoreItems &items, TimePoint askedAt) = 0;
+    // All items of the store, as of a call that was made at `sentAt`.
+    virtual void onStoreListed(const StoreItems &items, TimePoint sentAt) = 0;
     // Changes; none, when the store only confirmed that there are none.
-    virtual void onStoreChanged(const StoreItems &items, TimePoint askedAt) = 0;
+    virtual void onStoreChanged(const StoreItems &items, TimePoint sentAt) = 0;
     // A call has failed.
     virtual void onStoreFailed(std::string_view cause) = 0;
 };
