--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -89,8 +89,8 @@
     }
     const bool firstEra = position_.era == 0;
     position_ = reported;
-    const bool startsList = step_ == Step::List && listed_.place == StorePosition();
-    if (firstEra || startsList) {
+    const bool restartsList = step_ == Step::List && listed_.place == StorePosition();
+    if (firstEra || restartsList) {
         return true;
     }
     list({});
