--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -105,7 +105,7 @@
     auto items = step_ == Step::List ? store_.readList(text.status, text.body)
                                      : store_.readWatch(text.status, text.body);
     if (!items) {
-        onFault(items.error());
+        onError(items.error());
         return;
     }
     failures_ = 0;
@@ -149,7 +149,7 @@
     }
 }
 
-void StoreWatcher::onFault(StoreError fault)
+void StoreWatcher::onError(StoreError fault)
 {
     switch (fault) {
     case StoreError::HistoryCompacted:
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -75,7 +75,7 @@
     bool acceptEra(const HttpText &text);
     void onListed(StoreItems items);
     void onChanged(const StoreItems &items);
-    void onFault(StoreError fault);
+    void onError(StoreError fault);
     void onFailure(std::string_view cause);
     void endCall();
 
