--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -130,8 +130,8 @@
         return;
     }
     position_ = listed_.place;
-    const StoreItems whole = std::exchange(listed_, {});
-    listener_.onStoreListed(whole, listStartedAt_);
+    const StoreItems snapshot = std::exchange(listed_, {});
+    listener_.onStoreListed(snapshot, listStartedAt_);
     watch();
 }
 
