--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Returns how long to rest after reading the items.
-Duration restAfter(const StoreItems &items)
+Duration delayAfter(const StoreItems &items)
 {
     std::size_t bytes = 0;
     for (const StoreItem &item : items.items) {
@@ -141,7 +141,7 @@
     listener_.onStoreChanged(items, sentAt_);
     const bool changed = !items.items.empty() || !items.faults.empty();
     const Duration delay =
-        std::max(restAfter(items), changed ? settings_.coalesceDelay : Duration{});
+        std::max(delayAfter(items), changed ? settings_.coalesceDelay : Duration{});
     if (delay > Duration{}) {
         timer_ = loop_.schedule(delay, [this] { watch(); });
     } else {
