--- a/src/gateway/configpace.h
+++ b/src/gateway/configpace.h
@@ -17,7 +17,7 @@
 // whole core (261 kB in 6.6 ms, measured), 0.1 ms on a quarter of one: at most a tenth of the time
 // goes to it. The bound keeps a configuration that passes through two processes well inside the two
 // seconds in which it must be in force.
-inline Duration restAfterConfig(std::size_t bytes)
+inline Duration configReadDelay(std::size_t bytes)
 {
     constexpr std::size_t kKilobyte = 1000;
     constexpr Duration kRestPerKilobyte = std::chrono::milliseconds(1);
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -292,7 +292,7 @@
             logLine(LogLevel::Warning, "gateway.news_unreadable", {{"fault", document.error()}});
             return false;
         }
-        configNotBefore_ = loop_.now() + restAfterConfig(text->size());
+        configNotBefore_ = loop_.now() + configReadDelay(text->size());
         shared.document = std::move(*document);
     }
     if (news.hasUpstreams()) {
--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -18,7 +18,7 @@
             bytes += document->source.size();
         }
     }
-    return restAfterConfig(bytes);
+    return configReadDelay(bytes);
 }
 
 } // namespace
--- a/test/gateway/configpace_test.cpp
+++ b/test/gateway/configpace_test.cpp
@@ -11,8 +11,8 @@
 
 TEST(ConfigPaceTest, SmallConfigurationIsFollowedAtOnce)
 {
-    CHECK_TRUE(restAfterConfig(0) == Duration{});
-    CHECK_TRUE(restAfterConfig(10'000) <= std::chrono::milliseconds(10));
+    CHECK_TRUE(configReadDelay(0) == Duration{});
+    CHECK_TRUE(configReadDelay(10'000) <= std::chrono::milliseconds(10));
 }
 
 // A quarter of a core reads a kilobyte in 0.1 ms.
@@ -20,12 +20,12 @@
 {
     const std::size_t bytes = 200'000;
     const Duration reading = std::chrono::milliseconds(20);
-    CHECK_TRUE(restAfterConfig(bytes) >= 9 * reading);
+    CHECK_TRUE(configReadDelay(bytes) >= 9 * reading);
 }
 
 // Through two processes, with a store's and a link's delays, it must be in force within two
 // seconds.
 TEST(ConfigPaceTest, LargestConfigurationIsNotPutOffForLong)
 {
-    CHECK_TRUE(restAfterConfig(50'000'000) <= std::chrono::milliseconds(250));
+    CHECK_TRUE(configReadDelay(50'000'000) <= std::chrono::milliseconds(250));
 }
