--- a/src/gateway/configpace.h
+++ b/src/gateway/configpace.h
@@ -20,10 +20,10 @@
 inline Duration configReadDelay(std::size_t bytes)
 {
     constexpr std::size_t kKilobyte = 1000;
-    constexpr Duration kRestPerKilobyte = std::chrono::milliseconds(1);
+    constexpr Duration kDelayPerKilobyte = std::chrono::milliseconds(1);
     constexpr Duration kLongestRest = std::chrono::milliseconds(250);
     const auto kilobytes = static_cast<Duration::rep>(bytes / kKilobyte);
-    return std::min(kRestPerKilobyte * kilobytes, kLongestRest);
+    return std::min(kDelayPerKilobyte * kilobytes, kLongestRest);
 }
 
 } // namespace seamarch
