--- a/src/gateway/configpace.h
+++ b/src/gateway/configpace.h
@@ -21,9 +21,9 @@
 {
     constexpr std::size_t kKilobyte = 1000;
     constexpr Duration kDelayPerKilobyte = std::chrono::milliseconds(1);
-    constexpr Duration kLongestRest = std::chrono::milliseconds(250);
+    constexpr Duration kMaxDelay = std::chrono::milliseconds(250);
     const auto kilobytes = static_cast<Duration::rep>(bytes / kKilobyte);
-    return std::min(kDelayPerKilobyte * kilobytes, kLongestRest);
+    return std::min(kDelayPerKilobyte * kilobytes, kMaxDelay);
 }
 
 } // namespace seamarch
