--- a/test/gateway/configpace_test.cpp
+++ b/test/gateway/configpace_test.cpp
@@ -7,16 +7,16 @@
 
 using namespace seamarch;
 
-TEST_GROUP(ConfigPaceTest){};
+TEST_GROUP(ConfigReadDelayTest){};
 
-TEST(ConfigPaceTest, SmallConfigurationIsFollowedAtOnce)
+TEST(ConfigReadDelayTest, SmallConfigurationIsFollowedAtOnce)
 {
     CHECK_TRUE(configReadDelay(0) == Duration{});
     CHECK_TRUE(configReadDelay(10'000) <= std::chrono::milliseconds(10));
 }
 
 // A quarter of a core reads a kilobyte in 0.1 ms.
-TEST(ConfigPaceTest, ReadingTakesATenthOfTheTime)
+TEST(ConfigReadDelayTest, ReadingTakesATenthOfTheTime)
 {
     const std::size_t bytes = 200'000;
     const Duration reading = std::chrono::milliseconds(20);
@@ -25,7 +25,7 @@
 
 // Through two processes, with a store's and a link's delays, it must be in force within two
 // seconds.
-TEST(ConfigPaceTest, LargestConfigurationIsNotPutOffForLong)
+TEST(ConfigReadDelayTest, LargestConfigurationIsNotPutOffForLong)
 {
     CHECK_TRUE(configReadDelay(50'000'000) <= std::chrono::milliseconds(250));
 }
