--- a/test/gateway/configpace_test.cpp
+++ b/test/gateway/configpace_test.cpp
@@ -9,7 +9,7 @@
 
 TEST_GROUP(ConfigReadDelayTest){};
 
-TEST(ConfigReadDelayTest, SmallConfigurationIsFollowedAtOnce)
+TEST(ConfigReadDelayTest, SmallConfigurationCausesAlmostNoDelay)
 {
     CHECK_TRUE(configReadDelay(0) == Duration{});
     CHECK_TRUE(configReadDelay(10'000) <= std::chrono::milliseconds(10));
