--- a/test/gateway/configpace_test.cpp
+++ b/test/gateway/configpace_test.cpp
@@ -16,7 +16,7 @@
 }
 
 // A quarter of a core reads a kilobyte in 0.1 ms.
-TEST(ConfigReadDelayTest, ReadingTakesATenthOfTheTime)
+TEST(ConfigReadDelayTest, ReadingTakesAtMostATenthOfTheTime)
 {
     const std::size_t bytes = 200'000;
     const Duration reading = std::chrono::milliseconds(20);
