--- a/src/gateway/callerprotocol.h
+++ b/src/gateway/callerprotocol.h
@@ -19,7 +19,7 @@
 namespace seamarch {
 
 // What a caller's request says about itself.
-struct CallerFacts
+struct RequestMetadata
 {
     std::string requestId;            // The caller's own name for this attempt; may be empty.
     std::string host;                 // Without a port.
@@ -44,12 +44,12 @@
 public:
     virtual ~CallerProtocol() = default;
 
-    virtual CallerFacts readRequest(const HttpRequest &request) const = 0;
+    virtual RequestMetadata readRequest(const HttpRequest &request) const = 0;
     // Returns the headers of the request as an upstream gets it.
     virtual HttpHeaders upstreamHeaders(const HttpRequest &request,
                                         const AttemptFacts &attempt) const = 0;
     // Tells what the head of an upstream's answer to a request says.
-    virtual AnswerKind judge(const HttpHead &head, const CallerFacts &request) const = 0;
+    virtual AnswerKind judge(const HttpHead &head, const RequestMetadata &request) const = 0;
     // Reads what the head of an upstream's answer says about the upstream itself. One that another
     // instance gave at the upstream's address says nothing of it.
     virtual UpstreamNotice readNotice(const HttpHead &head) const = 0;
--- a/src/gateway/gatewayknowledge.cpp
+++ b/src/gateway/gatewayknowledge.cpp
@@ -286,8 +286,8 @@
     }
 }
 
-tl::expected<GatewayRequest, FailureCode> GatewayKnowledge::admit(const HttpRequest &request,
-                                                                  const CallerFacts &facts) const
+tl::expected<GatewayRequest, FailureCode>
+GatewayKnowledge::admit(const HttpRequest &request, const RequestMetadata &facts) const
 {
     if (!table_) {
         return tl::unexpected(FailureCode::EntryNotReady);
--- a/src/gateway/gatewayknowledge.h
+++ b/src/gateway/gatewayknowledge.h
@@ -77,7 +77,7 @@
 
     // Finds the route and the account of a request, or says why it is refused.
     tl::expected<GatewayRequest, FailureCode> admit(const HttpRequest &request,
-                                                    const CallerFacts &facts) const;
+                                                    const RequestMetadata &facts) const;
 
     bool hasConfiguration() const { return table_ != nullptr; }
     // Tells whether keys can be judged.
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -120,7 +120,7 @@
 
 void GatewayService::onRequest(ExchangeId exchange, HttpRequest request)
 {
-    CallerFacts facts = protocol_.readRequest(request);
+    RequestMetadata facts = protocol_.readRequest(request);
     if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.times.stopDelay) {
         // By now the balancer knows; what still comes would not be finished in time.
         refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyPause);
@@ -154,7 +154,7 @@
 // Admits a request, or refuses it.
 void GatewayService::take(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
 {
-    CallerFacts facts = protocol_.readRequest(request);
+    RequestMetadata facts = protocol_.readRequest(request);
     auto admitted = knowledge_.admit(request, facts);
     if (!admitted) {
         const FailureCode code = admitted.error();
@@ -179,7 +179,7 @@
     carryOut(actions);
 }
 
-void GatewayService::refuse(ExchangeId exchange, const CallerFacts &facts, FailureCode code,
+void GatewayService::refuse(ExchangeId exchange, const RequestMetadata &facts, FailureCode code,
                             Outcome outcome, Duration retryAfter)
 {
     HttpResponseHead head;
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -77,7 +77,7 @@
     {
         ExchangeId exchange = 0;
         HttpRequest request;
-        CallerFacts facts;
+        RequestMetadata facts;
         GatewayRequest admitted;
         HttpCallId call = 0;
         std::uint32_t attempt = 0; // Of the call under way.
@@ -124,8 +124,8 @@
     void applyConfiguration(const RouteTable &table);
     void take(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
     void takeEarly();
-    void refuse(ExchangeId exchange, const CallerFacts &facts, FailureCode code, Outcome outcome,
-                Duration retryAfter);
+    void refuse(ExchangeId exchange, const RequestMetadata &facts, FailureCode code,
+                Outcome outcome, Duration retryAfter);
 
     void carryOut(const GatewayActions &actions);
     void carryOut(const StartAttempt &action);
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -18,9 +18,9 @@
     return head;
 }
 
-CallerFacts requestOf(const std::string &id)
+RequestMetadata requestOf(const std::string &id)
 {
-    CallerFacts request;
+    RequestMetadata request;
     request.requestId = id;
     return request;
 }
@@ -55,7 +55,7 @@
 
 TEST(CallerHeadersTest, ReadsWhatTheCallerSays)
 {
-    const CallerFacts facts = protocol.readRequest(request);
+    const RequestMetadata facts = protocol.readRequest(request);
     STRCMP_EQUAL("id-1", facts.requestId.c_str());
     STRCMP_EQUAL("a.example", facts.host.c_str());
     STRCMP_EQUAL("secret", facts.key.c_str());
@@ -100,7 +100,7 @@
     CHECK_TRUE(protocol.judge(head(503, {id, notRun}), requestOf("id-1")) == AnswerKind::Full);
     CHECK_TRUE(protocol.judge(head(503, {id}), requestOf("id-1")) == AnswerKind::Invalid);
     CHECK_TRUE(protocol.judge(head(421, {id}), requestOf("id-1")) == AnswerKind::WrongInstance);
-    CallerFacts expecting = requestOf("id-1");
+    RequestMetadata expecting = requestOf("id-1");
     expecting.expectsVersion = true;
     CHECK_TRUE(protocol.judge(head(421, {id}), expecting) == AnswerKind::Refused);
     CHECK_TRUE(protocol.judge(head(500, {id, proof}), requestOf("id-1")) == AnswerKind::Failure);
