--- a/src/gateway/callerprotocol.h
+++ b/src/gateway/callerprotocol.h
@@ -30,7 +30,7 @@
 };
 
 // What an upstream is told besides the request itself.
-struct AttemptFacts
+struct AttemptMetadata
 {
     InstanceId instance; // The instance that is meant; another one refuses.
     AccountId account;   // Empty: none.
@@ -47,7 +47,7 @@
     virtual RequestMetadata readRequest(const HttpRequest &request) const = 0;
     // Returns the headers of the request as an upstream gets it.
     virtual HttpHeaders upstreamHeaders(const HttpRequest &request,
-                                        const AttemptFacts &attempt) const = 0;
+                                        const AttemptMetadata &attempt) const = 0;
     // Tells what the head of an upstream's answer to a request says.
     virtual AnswerKind judge(const HttpHead &head, const RequestMetadata &request) const = 0;
     // Reads what the head of an upstream's answer says about the upstream itself. One that another
--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -111,7 +111,7 @@
         return;
     }
     Flight &flight = found->second;
-    AttemptFacts facts;
+    AttemptMetadata facts;
     facts.instance = action.upstream.id;
     facts.account = flight.admitted.account;
     facts.priority = flight.admitted.priority;
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -72,7 +72,7 @@
 
 TEST(CallerHeadersTest, KeyAndForgedAccountNeverReachTheUpstream)
 {
-    AttemptFacts attempt;
+    AttemptMetadata attempt;
     attempt.instance = InstanceId("i-1");
     attempt.account = AccountId("bids");
     attempt.timeLeft = std::chrono::milliseconds(900);
