--- a/src/gateway/callerprotocol.h
+++ b/src/gateway/callerprotocol.h
@@ -49,7 +49,8 @@
     virtual HttpHeaders upstreamHeaders(const HttpRequest &request,
                                         const AttemptMetadata &attempt) const = 0;
     // Tells what the head of an upstream's answer to a request says.
-    virtual AnswerKind judge(const HttpHead &head, const RequestMetadata &request) const = 0;
+    virtual AnswerKind classifyAnswer(const HttpHead &head,
+                                      const RequestMetadata &request) const = 0;
     // Reads what the head of an upstream's answer says about the upstream itself. One that another
     // instance gave at the upstream's address says nothing of it.
     virtual UpstreamNotice readNotice(const HttpHead &head) const = 0;
--- a/src/gateway/gatewayattempts.cpp
+++ b/src/gateway/gatewayattempts.cpp
@@ -180,7 +180,7 @@
     if (flight == nullptr) {
         return;
     }
-    const AnswerKind kind = protocol_.judge(head, flight->facts);
+    const AnswerKind kind = protocol_.classifyAnswer(head, flight->facts);
     flight->head = std::move(head);
     noteNotice(number, *flight, kind);
     const bool events = kind == AnswerKind::Success && flight->admitted.route->streamed
@@ -347,7 +347,7 @@
         endFlight(number, "served");
         return;
     }
-    const AnswerKind kind = protocol_.judge(flight.head, flight.facts);
+    const AnswerKind kind = protocol_.classifyAnswer(flight.head, flight.facts);
     if (!core_.onHead(number, kind, loop_.now(), actions)) {
         logLine(LogLevel::Info, "attempt.failed",
                 {{"id", flight.facts.requestId},
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -91,19 +91,24 @@
     const HttpHeader id{"Seamarch-Request-Id", "id-1"};
     const HttpHeader proof{"Seamarch-Replica-Signature", "p"};
     const HttpHeader notRun{"Seamarch-Not-Executed", "1"};
-    CHECK_TRUE(protocol.judge(head(200, {id, proof}), requestOf("id-1")) == AnswerKind::Success);
-    CHECK_TRUE(protocol.judge(head(200, {id}), requestOf("id-1")) == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.judge(head(200, {id, proof}), requestOf("id-2")) == AnswerKind::Invalid);
-    CHECK_TRUE(
-        protocol.judge(head(200, {id, proof, {"Content-Encoding", "gzip"}}), requestOf("id-1"))
-        == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.judge(head(503, {id, notRun}), requestOf("id-1")) == AnswerKind::Full);
-    CHECK_TRUE(protocol.judge(head(503, {id}), requestOf("id-1")) == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.judge(head(421, {id}), requestOf("id-1")) == AnswerKind::WrongInstance);
+    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof}), requestOf("id-1"))
+               == AnswerKind::Success);
+    CHECK_TRUE(protocol.classifyAnswer(head(200, {id}), requestOf("id-1")) == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof}), requestOf("id-2"))
+               == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof, {"Content-Encoding", "gzip"}}),
+                                       requestOf("id-1"))
+               == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(head(503, {id, notRun}), requestOf("id-1"))
+               == AnswerKind::Full);
+    CHECK_TRUE(protocol.classifyAnswer(head(503, {id}), requestOf("id-1")) == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(head(421, {id}), requestOf("id-1"))
+               == AnswerKind::WrongInstance);
     RequestMetadata expecting = requestOf("id-1");
     expecting.expectsVersion = true;
-    CHECK_TRUE(protocol.judge(head(421, {id}), expecting) == AnswerKind::Refused);
-    CHECK_TRUE(protocol.judge(head(500, {id, proof}), requestOf("id-1")) == AnswerKind::Failure);
+    CHECK_TRUE(protocol.classifyAnswer(head(421, {id}), expecting) == AnswerKind::Refused);
+    CHECK_TRUE(protocol.classifyAnswer(head(500, {id, proof}), requestOf("id-1"))
+               == AnswerKind::Failure);
 }
 
 TEST(CallerHeadersTest, AnswersOfEveryKindTellThatTheUpstreamLeaves)
