--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -150,7 +150,7 @@
 {
     const GatewaySettings &settings = *options.gateway;
     const platform::CallerHeaders protocol;
-    const platform::StoreItemsReader store(settings.store);
+    const platform::StoreHttp store(settings.store);
     return serve(
         options,
         [&](EventLoop &loop) { return GatewayService::create(loop, settings, protocol, store); },
@@ -163,7 +163,7 @@
 {
     const ExpertAgentSettings &settings = *options.expertAgent;
     const platform::EngineHttp engines;
-    const platform::StoreItemsReader store(settings.store);
+    const platform::StoreHttp store(settings.store);
     return serve(
         options,
         [&](EventLoop &loop) { return ExpertAgent::create(loop, settings, store, engines); },
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -170,7 +170,7 @@
 
 TEST_GROUP(StoreItemsTest)
 {
-    StoreItemsReader store{{"127.0.0.1", 1}};
+    StoreHttp store{{"127.0.0.1", 1}};
 };
 
 TEST(StoreItemsTest, ReadsTheRoutingDocument)
