--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -168,12 +168,12 @@
     STRCMP_EQUAL("not-run", findHeader(headers, "Seamarch-Outcome").c_str());
 }
 
-TEST_GROUP(StoreItemsTest)
+TEST_GROUP(StoreHttpTest)
 {
     StoreHttp store{{"127.0.0.1", 1}};
 };
 
-TEST(StoreItemsTest, ReadsTheRoutingDocument)
+TEST(StoreHttpTest, ReadsTheRoutingDocument)
 {
     const auto document = readRouting(kRouting);
     CHECK_TRUE(document.has_value());
@@ -188,14 +188,14 @@
     LONGS_EQUAL(100, document->bounds.headerBytes);
 }
 
-TEST(StoreItemsTest, FaultyDocumentIsSaidAndNotTaken)
+TEST(StoreHttpTest, FaultyDocumentIsSaidAndNotTaken)
 {
     CHECK_FALSE(readRouting(R"({"version":"seven","routes":[]})").has_value());
     CHECK_FALSE(readRouting("{").has_value());
     CHECK_FALSE(readUpstream("i-1", R"({"address":"1.2.3.4:5"})").has_value());
 }
 
-TEST(StoreItemsTest, ReadsChangesAndRemovals)
+TEST(StoreHttpTest, ReadsChangesAndRemovals)
 {
     // The value is {"service":"one","address":"10.1.0.9:8080","zone":"north","capacity":6,
     // "phase":"draining"}.
@@ -212,7 +212,7 @@
     STRCMP_EQUAL("i-2", std::get<UpstreamRemoval>(items->items[1]).id.value().c_str());
 }
 
-TEST(StoreItemsTest, OneBadItemDoesNotHideTheOthers)
+TEST(StoreHttpTest, OneBadItemDoesNotHideTheOthers)
 {
     const auto items = store.readWatch(
         200, R"({"events":[{"key-file":"servers/i-1","value":"%%","revision":4},)"
@@ -225,7 +225,7 @@
 }
 
 // An entry may come from another writer: it names nothing to use unless it is whole.
-TEST(StoreItemsTest, EntryThatIsNotWholeNamesNoUpstream)
+TEST(StoreHttpTest, EntryThatIsNotWholeNamesNoUpstream)
 {
     const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
                               R"("phase":"ready","version":"v1","unknown":[1]})";
@@ -255,7 +255,7 @@
     }
 }
 
-TEST(StoreItemsTest, AnswersTellTheEraOfTheStore)
+TEST(StoreHttpTest, AnswersTellTheEraOfTheStore)
 {
     LONGS_EQUAL(7, store.readEra({{"store-era", "7"}}));
     for (const char *const text : {"", "x", "-1", "7x", "1.5", "99999999999999999999999"}) {
@@ -264,7 +264,7 @@
     LONGS_EQUAL(0, store.readEra({}));
 }
 
-TEST(StoreItemsTest, EntryTellsWhenItsUpstreamStarted)
+TEST(StoreHttpTest, EntryTellsWhenItsUpstreamStarted)
 {
     const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
                               R"("phase":"ready"%})";
@@ -281,7 +281,7 @@
     }
 }
 
-TEST(StoreItemsTest, EntryTellsHowLongItsUpstreamStillWarmsUp)
+TEST(StoreHttpTest, EntryTellsHowLongItsUpstreamStillWarmsUp)
 {
     const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
                               R"("phase":"ready"%})";
@@ -299,7 +299,7 @@
     }
 }
 
-TEST(StoreItemsTest, ConfigurationTellsWhatUpstreamsBearWhileTheyWarmUp)
+TEST(StoreHttpTest, ConfigurationTellsWhatUpstreamsBearWhileTheyWarmUp)
 {
     const auto document = readRouting(
         R"({"version":1,"routes":[],"services":[{"name":"one","warmup-s":3.0,"warmup-per-s":26.0},)"
@@ -309,7 +309,7 @@
     CHECK_TRUE(document->services[1].warmUpRate == RequestRate());
 }
 
-TEST(StoreItemsTest, ConfigurationTellsWhereRequestsMayBeServed)
+TEST(StoreHttpTest, ConfigurationTellsWhereRequestsMayBeServed)
 {
     const auto document = readRouting(
         R"({"version":1,"routes":[{"name":"r","hostname":"h","path-prefix":"/","service":"s",)"
@@ -327,7 +327,7 @@
 }
 
 // The values are "{}" and no base64 at all.
-TEST(StoreItemsTest, KeyAloneNamesAHallThatIsDrained)
+TEST(StoreHttpTest, KeyAloneNamesAHallThatIsDrained)
 {
     const auto items = store.readWatch(
         200, R"({"events":[{"key-file":"op/evacuate/north","value":"e30=","revision":4},)"
@@ -344,7 +344,7 @@
     UNSIGNED_LONGS_EQUAL(1, items->faults.size());
 }
 
-TEST(StoreItemsTest, SaysWhenTheRoutingDocumentCannotBeRead)
+TEST(StoreHttpTest, SaysWhenTheRoutingDocumentCannotBeRead)
 {
     const auto items = store.readWatch(
         200,
@@ -352,7 +352,7 @@
     CHECK_TRUE(items->routingUnreadable);
 }
 
-TEST(StoreItemsTest, TellsFaultsOfTheStoreApart)
+TEST(StoreHttpTest, TellsFaultsOfTheStoreApart)
 {
     CHECK_TRUE(store.readWatch(410, "").error() == StoreError::HistoryCompacted);
     CHECK_TRUE(store.readWatch(503, "").error() == StoreError::Unavailable);
@@ -361,7 +361,7 @@
 
 // The values are configurations of versions 1 and 2 without routes. When they come in quick
 // succession, reading all of them would take a gateway's processor from its streams.
-TEST(StoreItemsTest, ReadsTheLastOfSeveralConfigurations)
+TEST(StoreHttpTest, ReadsTheLastOfSeveralConfigurations)
 {
     const auto items = store.readWatch(
         200,
@@ -374,7 +374,7 @@
 }
 
 // The value is {"service":"s","address":"1.2.3.4:5","zone":"n","capacity":1,"phase":"ready"}.
-TEST(StoreItemsTest, ReadsWhenAnUpstreamWasListed)
+TEST(StoreHttpTest, ReadsWhenAnUpstreamWasListed)
 {
     const auto items = store.readWatch(
         200,
@@ -384,7 +384,7 @@
     LONGS_EQUAL(4, std::get<UpstreamRecord>(items->items.front()).listedAt);
 }
 
-TEST(StoreItemsTest, NextPageStartsAfterTheLastKey)
+TEST(StoreHttpTest, NextPageStartsAfterTheLastKey)
 {
     const auto items = store.readList(
         200, R"({"items":[{"key-file":"a","value":"","revision":1}],"more-pages":true,)"
