--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -71,7 +71,7 @@
                          {"key", request.header(names::kKey)},
                          {"body", request.body},
                          {"resumeAfter", request.header(names::kResumeAfter)}});
-        head.headers.push_back({std::string(names::kProof), "proof-of-" + id_});
+        head.headers.push_back({std::string(names::kReplicaSignature), "proof-of-" + id_});
         if (foreignId_) {
             head.headers.front().value = "another";
         }
