--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -53,7 +53,7 @@
     }
 };
 
-TEST(CallerHeadersTest, ReadsWhatTheCallerSays)
+TEST(CallerHeadersTest, ReadsRequestMetadata)
 {
     const RequestMetadata facts = protocol.readRequest(request);
     STRCMP_EQUAL("id-1", facts.requestId.c_str());
