--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -62,7 +62,7 @@
     CHECK_TRUE(facts.deadline == Duration(std::chrono::milliseconds(1500)));
 }
 
-TEST(CallerHeadersTest, NoDeadlineIsReadFromNonsense)
+TEST(CallerHeadersTest, IgnoresInvalidDeadline)
 {
     for (const char *const text : {"", "-1", "12x", "999999999999999999999"}) {
         request.headers = {{"Seamarch-Deadline-Ms", text}};
