--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -70,7 +70,7 @@
     }
 }
 
-TEST(CallerHeadersTest, KeyAndForgedAccountNeverReachTheUpstream)
+TEST(CallerHeadersTest, DropsKeyAndForgedAccountForUpstream)
 {
     AttemptMetadata attempt;
     attempt.instance = InstanceId("i-1");
