--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -86,7 +86,7 @@
     STRCMP_EQUAL("", findHeader(headers, "Connection").c_str());
 }
 
-TEST(CallerHeadersTest, JudgesAnswersByIdProofAndStatus)
+TEST(CallerHeadersTest, ClassifiesAnswersByIdSignatureAndStatus)
 {
     const HttpHeader id{"Seamarch-Request-Id", "id-1"};
     const HttpHeader proof{"Seamarch-Replica-Signature", "p"};
