--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -111,7 +111,7 @@
                == AnswerKind::Failure);
 }
 
-TEST(CallerHeadersTest, AnswersOfEveryKindTellThatTheUpstreamLeaves)
+TEST(CallerHeadersTest, ReadsLeavingFromAnswersOfAnyStatus)
 {
     const HttpHeader leaving{"Server-Leaving", "1"};
     for (const int status : {200, 404, 429, 500, 503}) {
