--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -121,7 +121,7 @@
     }
 }
 
-TEST(CallerHeadersTest, RefusalsTellForHowLongTheUpstreamWantsNothing)
+TEST(CallerHeadersTest, ReadsRetryAfterFromRefusals)
 {
     const HttpHeader rest{"Retry-After", "3"};
     CHECK_TRUE(protocol.readNotice(head(503, {rest})).rest == Duration(std::chrono::seconds(3)));
