--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -129,7 +129,7 @@
     CHECK_TRUE(protocol.readNotice(head(503, {{"Retry-After", "soon"}})).restUnreadable);
 }
 
-TEST(CallerHeadersTest, AnswersOfEveryKindTellHowMuchTheUpstreamTakes)
+TEST(CallerHeadersTest, ReadsLimitFromAnswersOfAnyStatus)
 {
     for (const int status : {200, 404, 429, 500, 503}) {
         const UpstreamNotice notice = protocol.readNotice(head(status, {{"Server-Limit", "1.3"}}));
