--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -138,7 +138,7 @@
     CHECK_TRUE(protocol.readNotice(head(200, {{"server-limit", "0"}})).limit == RequestRate(0.0));
 }
 
-TEST(CallerHeadersTest, LimitThatIsNoRateIsUnreadable)
+TEST(CallerHeadersTest, ReportsInvalidLimitAsUnreadable)
 {
     for (const char *text : {"", "-1", "soon", "1 a second", "nan", "inf", "1e3", "0x10"}) {
         const UpstreamNotice notice = protocol.readNotice(head(200, {{"Server-Limit", text}}));
