--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -147,7 +147,7 @@
     }
 }
 
-TEST(CallerHeadersTest, LowestOfSeveralLimitsBinds)
+TEST(CallerHeadersTest, LowestOfSeveralLimitsApplies)
 {
     const HttpHeaders several{{"Server-Limit", "3"}, {"Server-Limit", "1.5"}};
     CHECK_TRUE(protocol.readNotice(head(200, several)).limit == RequestRate(1.5));
