--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -154,7 +154,7 @@
 }
 
 // Whoever has the address by now speaks for itself.
-TEST(CallerHeadersTest, AnotherInstanceAtTheAddressSaysNothingOfTheOneThatWasMeant)
+TEST(CallerHeadersTest, IgnoresNoticesOfMisdirectedRequests)
 {
     const HttpHeaders all{{"Retry-After", "3"}, {"Server-Leaving", "1"}, {"Server-Limit", "1"}};
     CHECK_TRUE(protocol.readNotice(head(421, all)).empty());
