--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -160,7 +160,7 @@
     CHECK_TRUE(protocol.readNotice(head(421, all)).empty());
 }
 
-TEST(CallerHeadersTest, RefusalSaysWhenToComeBackInFractions)
+TEST(CallerHeadersTest, WritesRetryAfterWithMilliseconds)
 {
     const HttpHeaders headers =
         protocol.refusalHeaders("id-1", Outcome::NotRun, std::chrono::milliseconds(250));
