--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -188,7 +188,7 @@
     LONGS_EQUAL(100, document->bounds.headerBytes);
 }
 
-TEST(StoreHttpTest, FaultyDocumentIsSaidAndNotTaken)
+TEST(StoreHttpTest, RejectsInvalidDocuments)
 {
     CHECK_FALSE(readRouting(R"({"version":"seven","routes":[]})").has_value());
     CHECK_FALSE(readRouting("{").has_value());
