--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -212,7 +212,7 @@
     STRCMP_EQUAL("i-2", std::get<UpstreamRemoval>(items->items[1]).id.value().c_str());
 }
 
-TEST(StoreHttpTest, OneBadItemDoesNotHideTheOthers)
+TEST(StoreHttpTest, InvalidItemDoesNotHideOthers)
 {
     const auto items = store.readWatch(
         200, R"({"events":[{"key-file":"servers/i-1","value":"%%","revision":4},)"
