--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -225,7 +225,7 @@
 }
 
 // An entry may come from another writer: it names nothing to use unless it is whole.
-TEST(StoreHttpTest, EntryThatIsNotWholeNamesNoUpstream)
+TEST(StoreHttpTest, RejectsIncompleteUpstreamEntries)
 {
     const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
                               R"("phase":"ready","version":"v1","unknown":[1]})";
