--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -255,7 +255,7 @@
     }
 }
 
-TEST(StoreHttpTest, AnswersTellTheEraOfTheStore)
+TEST(StoreHttpTest, ReadsEra)
 {
     LONGS_EQUAL(7, store.readEra({{"store-era", "7"}}));
     for (const char *const text : {"", "x", "-1", "7x", "1.5", "99999999999999999999999"}) {
