--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -264,7 +264,7 @@
     LONGS_EQUAL(0, store.readEra({}));
 }
 
-TEST(StoreHttpTest, EntryTellsWhenItsUpstreamStarted)
+TEST(StoreHttpTest, ReadsUpstreamStart)
 {
     const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
                               R"("phase":"ready"%})";
