--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -281,7 +281,7 @@
     }
 }
 
-TEST(StoreHttpTest, EntryTellsHowLongItsUpstreamStillWarmsUp)
+TEST(StoreHttpTest, ReadsRemainingWarmUp)
 {
     const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
                               R"("phase":"ready"%})";
