--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -299,7 +299,7 @@
     }
 }
 
-TEST(StoreHttpTest, ConfigurationTellsWhatUpstreamsBearWhileTheyWarmUp)
+TEST(StoreHttpTest, ReadsWarmUpOfServices)
 {
     const auto document = readRouting(
         R"({"version":1,"routes":[],"services":[{"name":"one","warmup-s":3.0,"warmup-per-s":26.0},)"
