--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -309,7 +309,7 @@
     CHECK_TRUE(document->services[1].warmUpRate == RequestRate());
 }
 
-TEST(StoreHttpTest, ConfigurationTellsWhereRequestsMayBeServed)
+TEST(StoreHttpTest, ReadsAllowedRegions)
 {
     const auto document = readRouting(
         R"({"version":1,"routes":[{"name":"r","hostname":"h","path-prefix":"/","service":"s",)"
