--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -327,7 +327,7 @@
 }
 
 // The values are "{}" and no base64 at all.
-TEST(StoreHttpTest, KeyAloneNamesAHallThatIsDrained)
+TEST(StoreHttpTest, ReadsDrainedHallFromKeyAlone)
 {
     const auto items = store.readWatch(
         200, R"({"events":[{"key-file":"op/evacuate/north","value":"e30=","revision":4},)"
