--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -344,7 +344,7 @@
     UNSIGNED_LONGS_EQUAL(1, items->faults.size());
 }
 
-TEST(StoreHttpTest, SaysWhenTheRoutingDocumentCannotBeRead)
+TEST(StoreHttpTest, ReportsUnreadableRoutingDocument)
 {
     const auto items = store.readWatch(
         200,
