--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -352,7 +352,7 @@
     CHECK_TRUE(items->routingUnreadable);
 }
 
-TEST(StoreHttpTest, TellsFaultsOfTheStoreApart)
+TEST(StoreHttpTest, DistinguishesStoreErrors)
 {
     CHECK_TRUE(store.readWatch(410, "").error() == StoreError::HistoryCompacted);
     CHECK_TRUE(store.readWatch(503, "").error() == StoreError::Unavailable);
