--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -361,7 +361,7 @@
 
 // The values are configurations of versions 1 and 2 without routes. When they come in quick
 // succession, reading all of them would take a gateway's processor from its streams.
-TEST(StoreHttpTest, ReadsTheLastOfSeveralConfigurations)
+TEST(StoreHttpTest, ReadsOnlyTheLastConfiguration)
 {
     const auto items = store.readWatch(
         200,
