--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -374,7 +374,7 @@
 }
 
 // The value is {"service":"s","address":"1.2.3.4:5","zone":"n","capacity":1,"phase":"ready"}.
-TEST(StoreHttpTest, ReadsWhenAnUpstreamWasListed)
+TEST(StoreHttpTest, ReadsCreationRevisionOfUpstream)
 {
     const auto items = store.readWatch(
         200,
