--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -411,7 +411,7 @@
     DOUBLES_EQUAL(4.2, report->pace, 1e-9);
 }
 
-TEST(EngineHttpTest, EngineWithoutAGroupIsNoRank)
+TEST(EngineHttpTest, RejectsReportWithoutGroup)
 {
     CHECK_FALSE(engines.readReport(R"({"stage":"mixed","queued":0})").has_value());
 }
