--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -416,7 +416,7 @@
     CHECK_FALSE(engines.readReport(R"({"stage":"mixed","queued":0})").has_value());
 }
 
-TEST(EngineHttpTest, OnlyAConflictRefusesAnOrder)
+TEST(EngineHttpTest, ReadsOrderAnswers)
 {
     CHECK_TRUE(engines.readOrderAnswer(200) == MapOrderAnswer::Done);
     CHECK_TRUE(engines.readOrderAnswer(202) == MapOrderAnswer::Done);
