--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -425,7 +425,7 @@
     CHECK_TRUE(engines.readOrderAnswer(503) == MapOrderAnswer::Lost);
 }
 
-TEST(EngineHttpTest, OrdersNameTheirEpochAndFence)
+TEST(EngineHttpTest, WritesEpochAndFenceIntoOrders)
 {
     const MapOrder order{MapOrderKind::Arm, 9, 80, 2, 4096, {}, {}};
     const HttpCallRequest call = engines.orderCall({"127.0.0.1", 1}, order);
