--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -18,7 +18,7 @@
     return head;
 }
 
-RequestMetadata requestOf(const std::string &id)
+RequestMetadata makeRequest(const std::string &id)
 {
     RequestMetadata request;
     request.requestId = id;
@@ -91,23 +91,25 @@
     const HttpHeader id{"Seamarch-Request-Id", "id-1"};
     const HttpHeader proof{"Seamarch-Replica-Signature", "p"};
     const HttpHeader notRun{"Seamarch-Not-Executed", "1"};
-    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof}), requestOf("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof}), makeRequest("id-1"))
                == AnswerKind::Success);
-    CHECK_TRUE(protocol.classifyAnswer(head(200, {id}), requestOf("id-1")) == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof}), requestOf("id-2"))
+    CHECK_TRUE(protocol.classifyAnswer(head(200, {id}), makeRequest("id-1"))
+               == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof}), makeRequest("id-2"))
                == AnswerKind::Invalid);
     CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof, {"Content-Encoding", "gzip"}}),
-                                       requestOf("id-1"))
+                                       makeRequest("id-1"))
                == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(head(503, {id, notRun}), requestOf("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(head(503, {id, notRun}), makeRequest("id-1"))
                == AnswerKind::Full);
-    CHECK_TRUE(protocol.classifyAnswer(head(503, {id}), requestOf("id-1")) == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(head(421, {id}), requestOf("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(head(503, {id}), makeRequest("id-1"))
+               == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(head(421, {id}), makeRequest("id-1"))
                == AnswerKind::WrongInstance);
-    RequestMetadata expecting = requestOf("id-1");
+    RequestMetadata expecting = makeRequest("id-1");
     expecting.expectsVersion = true;
     CHECK_TRUE(protocol.classifyAnswer(head(421, {id}), expecting) == AnswerKind::Refused);
-    CHECK_TRUE(protocol.classifyAnswer(head(500, {id, proof}), requestOf("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(head(500, {id, proof}), makeRequest("id-1"))
                == AnswerKind::Failure);
 }
 
