--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -55,11 +55,11 @@
 
 TEST(CallerHeadersTest, ReadsRequestMetadata)
 {
-    const RequestMetadata facts = protocol.readRequest(request);
-    STRCMP_EQUAL("id-1", facts.requestId.c_str());
-    STRCMP_EQUAL("a.example", facts.host.c_str());
-    STRCMP_EQUAL("secret", facts.key.c_str());
-    CHECK_TRUE(facts.deadline == Duration(std::chrono::milliseconds(1500)));
+    const RequestMetadata metadata = protocol.readRequest(request);
+    STRCMP_EQUAL("id-1", metadata.requestId.c_str());
+    STRCMP_EQUAL("a.example", metadata.host.c_str());
+    STRCMP_EQUAL("secret", metadata.key.c_str());
+    CHECK_TRUE(metadata.deadline == Duration(std::chrono::milliseconds(1500)));
 }
 
 TEST(CallerHeadersTest, IgnoresInvalidDeadline)
