--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -85,10 +85,10 @@
     SharedKnowledge shared;
 };
 
-class World
+class Simulation
 {
 public:
-    World(EventLoop &loop, Metrics &metrics, std::uint64_t seed)
+    Simulation(EventLoop &loop, Metrics &metrics, std::uint64_t seed)
         : loop_(loop)
         , metrics_(metrics)
         , seed_(seed)
@@ -398,10 +398,10 @@
         return wanted == nullptr ? 2000 : std::strtoull(wanted, nullptr, 10);
     }
 
-    World played(std::uint64_t seed)
+    Simulation played(std::uint64_t seed)
     {
         constexpr int kSteps = 200;
-        World world(*loop, metrics, seed);
+        Simulation world(*loop, metrics, seed);
         world.run(kSteps);
         return world;
     }
