--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -74,7 +74,7 @@
 };
 
 // A message that is on its way to a gateway.
-struct Late
+struct Message
 {
     std::size_t to = 0;
     int life = 0;
@@ -246,7 +246,7 @@
     void askStore(std::size_t index, bool wholeList)
     {
         Gateway &gateway = *gateways_[index];
-        Late late{index, lives_[index], now_, true, false, {}, {}};
+        Message late{index, lives_[index], now_, true, false, {}, {}};
         late.wholeList = wholeList || gateway.watched.era != era_;
         const std::uint64_t since = late.wholeList ? 0 : gateway.watched.revision;
         late.items.position = {era_, store_.revision};
@@ -272,7 +272,7 @@
         if (from == to || !teller.knowledge.confirmed()) {
             return;
         }
-        Late late{to, lives_[to], teller.confirmedAt, false, false, {}, {}};
+        Message late{to, lives_[to], teller.confirmedAt, false, false, {}, {}};
         late.shared.place = teller.knowledge.place();
         late.shared.version = teller.knowledge.version();
         if (late.shared.version > gateways_[to]->knowledge.version()) {
@@ -290,7 +290,7 @@
     {
         while (!late_.empty() && draw(3) != 0) {
             const auto chosen = late_.begin() + draw(static_cast<int>(late_.size()));
-            const Late late = std::move(*chosen);
+            const Message late = std::move(*chosen);
             late_.erase(chosen);
             if (late.life != lives_[late.to]) {
                 continue; // The one that asked has ended.
@@ -307,7 +307,7 @@
     }
 
     // A watcher makes one call at a time: an answer that an earlier call of it got is not taken.
-    static void takeStore(Gateway &gateway, const Late &late)
+    static void takeStore(Gateway &gateway, const Message &late)
     {
         if (late.items.position < gateway.watched) {
             return;
@@ -372,7 +372,7 @@
     std::vector<std::string> pending_; // Who has yet to write again; empty: the operator.
     std::vector<std::unique_ptr<Gateway>> gateways_;
     std::vector<int> lives_;
-    std::vector<Late> late_;
+    std::vector<Message> late_;
 };
 
 } // namespace
