--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -263,7 +263,7 @@
                 late.items.items.emplace_back(UpstreamRemoval{InstanceId(id), false});
             }
         }
-        late_.push_back(std::move(late));
+        inFlight_.push_back(std::move(late));
     }
 
     void tell(std::size_t from, std::size_t to)
@@ -283,15 +283,15 @@
         for (const UpstreamRecord *record : teller.upstreams.all()) {
             late.shared.upstreams->push_back(*record);
         }
-        late_.push_back(std::move(late));
+        inFlight_.push_back(std::move(late));
     }
 
     void deliver()
     {
-        while (!late_.empty() && draw(3) != 0) {
-            const auto chosen = late_.begin() + draw(static_cast<int>(late_.size()));
+        while (!inFlight_.empty() && draw(3) != 0) {
+            const auto chosen = inFlight_.begin() + draw(static_cast<int>(inFlight_.size()));
             const Message late = std::move(*chosen);
-            late_.erase(chosen);
+            inFlight_.erase(chosen);
             if (late.life != lives_[late.to]) {
                 continue; // The one that asked has ended.
             }
@@ -372,7 +372,7 @@
     std::vector<std::string> pending_; // Who has yet to write again; empty: the operator.
     std::vector<std::unique_ptr<Gateway>> gateways_;
     std::vector<int> lives_;
-    std::vector<Message> late_;
+    std::vector<Message> inFlight_;
 };
 
 } // namespace
