--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -246,24 +246,24 @@
     void askStore(std::size_t index, bool wholeList)
     {
         Gateway &gateway = *gateways_[index];
-        Message late{index, lives_[index], now_, true, false, {}, {}};
-        late.wholeList = wholeList || gateway.watched.era != era_;
-        const std::uint64_t since = late.wholeList ? 0 : gateway.watched.revision;
-        late.items.position = {era_, store_.revision};
+        Message message{index, lives_[index], now_, true, false, {}, {}};
+        message.wholeList = wholeList || gateway.watched.era != era_;
+        const std::uint64_t since = message.wholeList ? 0 : gateway.watched.revision;
+        message.items.position = {era_, store_.revision};
         if (store_.versionAt > since) {
-            late.items.items.emplace_back(document(store_.version));
+            message.items.items.emplace_back(document(store_.version));
         }
         for (const auto &[id, entry] : store_.entries) {
             if (entry.changedAt > since) {
-                late.items.items.emplace_back(entry.record);
+                message.items.items.emplace_back(entry.record);
             }
         }
         for (const auto &[id, at] : store_.removedAt) {
-            if (!late.wholeList && at > since) {
-                late.items.items.emplace_back(UpstreamRemoval{InstanceId(id), false});
+            if (!message.wholeList && at > since) {
+                message.items.items.emplace_back(UpstreamRemoval{InstanceId(id), false});
             }
         }
-        inFlight_.push_back(std::move(late));
+        inFlight_.push_back(std::move(message));
     }
 
     void tell(std::size_t from, std::size_t to)
@@ -272,58 +272,58 @@
         if (from == to || !teller.knowledge.confirmed()) {
             return;
         }
-        Message late{to, lives_[to], teller.confirmedAt, false, false, {}, {}};
-        late.shared.place = teller.knowledge.place();
-        late.shared.version = teller.knowledge.version();
-        if (late.shared.version > gateways_[to]->knowledge.version()) {
-            late.shared.document = document(late.shared.version.value());
+        Message message{to, lives_[to], teller.confirmedAt, false, false, {}, {}};
+        message.shared.place = teller.knowledge.place();
+        message.shared.version = teller.knowledge.version();
+        if (message.shared.version > gateways_[to]->knowledge.version()) {
+            message.shared.document = document(message.shared.version.value());
         }
-        late.shared.upstreamsMark = teller.knowledge.upstreamsMark();
-        late.shared.upstreams.emplace();
+        message.shared.upstreamsMark = teller.knowledge.upstreamsMark();
+        message.shared.upstreams.emplace();
         for (const UpstreamRecord *record : teller.upstreams.all()) {
-            late.shared.upstreams->push_back(*record);
+            message.shared.upstreams->push_back(*record);
         }
-        inFlight_.push_back(std::move(late));
+        inFlight_.push_back(std::move(message));
     }
 
     void deliver()
     {
         while (!inFlight_.empty() && draw(3) != 0) {
             const auto chosen = inFlight_.begin() + draw(static_cast<int>(inFlight_.size()));
-            const Message late = std::move(*chosen);
+            const Message message = std::move(*chosen);
             inFlight_.erase(chosen);
-            if (late.life != lives_[late.to]) {
+            if (message.life != lives_[message.to]) {
                 continue; // The one that asked has ended.
             }
-            Gateway &gateway = *gateways_[late.to];
-            if (!late.ofStore) {
-                if (gateway.knowledge.adopt(late.shared, late.askedAt)) {
-                    gateway.confirmedAt = late.askedAt;
+            Gateway &gateway = *gateways_[message.to];
+            if (!message.ofStore) {
+                if (gateway.knowledge.adopt(message.shared, message.askedAt)) {
+                    gateway.confirmedAt = message.askedAt;
                 }
             } else {
-                takeStore(gateway, late);
+                takeStore(gateway, message);
             }
         }
     }
 
     // A watcher makes one call at a time: an answer that an earlier call of it got is not taken.
-    static void takeStore(Gateway &gateway, const Message &late)
+    static void takeStore(Gateway &gateway, const Message &message)
     {
-        if (late.items.position < gateway.watched) {
+        if (message.items.position < gateway.watched) {
             return;
         }
-        gateway.watched = late.items.position;
-        gateway.confirmedAt = std::max(gateway.confirmedAt, late.askedAt);
-        for (const StoreItem &item : late.items.items) {
+        gateway.watched = message.items.position;
+        gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
+        for (const StoreItem &item : message.items.items) {
             const auto *record = std::get_if<UpstreamRecord>(&item);
             if (record != nullptr && record->leaving) {
                 gateway.left.emplace(record->id.value(), record->start.value());
             }
         }
-        if (late.wholeList) {
-            gateway.knowledge.onStoreListed(late.items, late.askedAt);
+        if (message.wholeList) {
+            gateway.knowledge.onStoreListed(message.items, message.askedAt);
         } else {
-            gateway.knowledge.onStoreChanged(late.items, late.askedAt);
+            gateway.knowledge.onStoreChanged(message.items, message.askedAt);
         }
     }
 
