--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -77,7 +77,7 @@
 struct Message
 {
     std::size_t to = 0;
-    int life = 0;
+    int incarnation = 0;
     TimePoint askedAt{};
     bool ofStore = false;
     bool wholeList = false;
@@ -292,7 +292,7 @@
             const auto chosen = inFlight_.begin() + draw(static_cast<int>(inFlight_.size()));
             const Message message = std::move(*chosen);
             inFlight_.erase(chosen);
-            if (message.life != lives_[message.to]) {
+            if (message.incarnation != lives_[message.to]) {
                 continue; // The one that asked has ended.
             }
             Gateway &gateway = *gateways_[message.to];
