--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -93,7 +93,7 @@
         , metrics_(metrics)
         , seed_(seed)
         , random_(seed)
-        , lives_(kGateways, 0)
+        , incarnations_(kGateways, 0)
     {
         for (int index = 0; index < kUpstreams; ++index) {
             truth_.emplace(fmt::format("i-{}", index), Upstream());
@@ -132,7 +132,7 @@
             case 4:
                 if (draw(20) == 0) {
                     gateways_[one] = std::make_unique<Gateway>(loop_, metrics_);
-                    ++lives_[one];
+                    ++incarnations_[one];
                 }
                 break;
             default:
@@ -246,7 +246,7 @@
     void askStore(std::size_t index, bool wholeList)
     {
         Gateway &gateway = *gateways_[index];
-        Message message{index, lives_[index], now_, true, false, {}, {}};
+        Message message{index, incarnations_[index], now_, true, false, {}, {}};
         message.wholeList = wholeList || gateway.watched.era != era_;
         const std::uint64_t since = message.wholeList ? 0 : gateway.watched.revision;
         message.items.position = {era_, store_.revision};
@@ -272,7 +272,7 @@
         if (from == to || !teller.knowledge.confirmed()) {
             return;
         }
-        Message message{to, lives_[to], teller.confirmedAt, false, false, {}, {}};
+        Message message{to, incarnations_[to], teller.confirmedAt, false, false, {}, {}};
         message.shared.place = teller.knowledge.place();
         message.shared.version = teller.knowledge.version();
         if (message.shared.version > gateways_[to]->knowledge.version()) {
@@ -292,7 +292,7 @@
             const auto chosen = inFlight_.begin() + draw(static_cast<int>(inFlight_.size()));
             const Message message = std::move(*chosen);
             inFlight_.erase(chosen);
-            if (message.incarnation != lives_[message.to]) {
+            if (message.incarnation != incarnations_[message.to]) {
                 continue; // The one that asked has ended.
             }
             Gateway &gateway = *gateways_[message.to];
@@ -371,7 +371,7 @@
     std::map<std::string, Upstream> truth_;
     std::vector<std::string> pending_; // Who has yet to write again; empty: the operator.
     std::vector<std::unique_ptr<Gateway>> gateways_;
-    std::vector<int> lives_;
+    std::vector<int> incarnations_;
     std::vector<Message> inFlight_;
 };
 
