--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -30,7 +30,7 @@
 {
     std::int64_t start = 1;
     bool leaving = false;
-    bool lives = true;
+    bool running = true;
 };
 
 // What the store holds, as of a revision.
@@ -158,7 +158,7 @@
     {
         const Upstream &upstream = truth_.at(id);
         const std::uint64_t revision = ++store_.revision;
-        if (!upstream.lives) {
+        if (!upstream.running) {
             store_.entries.erase(id);
             store_.removedAt[id] = revision;
             return;
@@ -184,15 +184,15 @@
             writeConfig();
             break;
         case 1:
-            upstream.leaving = upstream.lives;
+            upstream.leaving = upstream.running;
             list(id);
             break;
         case 2:
-            upstream.lives = upstream.lives && !upstream.leaving;
+            upstream.running = upstream.running && !upstream.leaving;
             list(id);
             break;
         case 3:
-            if (upstream.leaving || !upstream.lives) {
+            if (upstream.leaving || !upstream.running) {
                 upstream = {upstream.start + 1, false, true};
                 list(id);
             }
