--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -108,7 +108,7 @@
     }
 
     // What was found to be taken back of versions and words of leaving; empty: nothing.
-    const std::string &fail() const { return fail_; }
+    const std::string &failure() const { return fail_; }
     // The same of upstreams that were gone.
     const std::string &failOfGone() const { return failOfGone_; }
 
@@ -410,7 +410,7 @@
 TEST(StoreDrillTest, NoGatewayTakesBackAVersionOrWhatTheStoreHasToldItOfLeaving)
 {
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
-        STRCMP_EQUAL("", played(seed).fail().c_str());
+        STRCMP_EQUAL("", played(seed).failure().c_str());
     }
 }
 
