--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -110,7 +110,7 @@
     // What was found to be taken back of versions and words of leaving; empty: nothing.
     const std::string &failure() const { return fail_; }
     // The same of upstreams that were gone.
-    const std::string &failOfGone() const { return failOfGone_; }
+    const std::string &removalFailure() const { return failOfGone_; }
 
     void run(int steps)
     {
@@ -418,7 +418,7 @@
 TEST(StoreDrillTest, NoGatewayTakesBackThatAnUpstreamIsGone)
 {
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
-        STRCMP_EQUAL("", played(seed).failOfGone().c_str());
+        STRCMP_EQUAL("", played(seed).removalFailure().c_str());
     }
 }
 
@@ -426,5 +426,5 @@
 // to the same copy once more, which holds the entry before.
 TEST(StoreDrillTest, CopyThatComesBackTwiceTakesNothingBack)
 {
-    STRCMP_EQUAL("", played(30683).failOfGone().c_str());
+    STRCMP_EQUAL("", played(30683).removalFailure().c_str());
 }
