--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -108,7 +108,7 @@
     }
 
     // What was found to be taken back of versions and words of leaving; empty: nothing.
-    const std::string &failure() const { return fail_; }
+    const std::string &failure() const { return failure_; }
     // The same of upstreams that were gone.
     const std::string &removalFailure() const { return failOfGone_; }
 
@@ -332,10 +332,10 @@
         for (std::size_t index = 0; index < kGateways; ++index) {
             Gateway &gateway = *gateways_[index];
             const std::uint64_t version = gateway.knowledge.version().value();
-            fail_ = version < gateway.highest
-                        ? fmt::format("seed {}: gateway {} went back from version {} to {}", seed_,
-                                      index, gateway.highest, version)
-                        : fail_;
+            failure_ = version < gateway.highest
+                           ? fmt::format("seed {}: gateway {} went back from version {} to {}",
+                                         seed_, index, gateway.highest, version)
+                           : failure_;
             gateway.highest = version;
             for (const auto &[id, upstream] : truth_) {
                 const std::pair start(id, upstream.start);
@@ -345,7 +345,7 @@
                 const std::string about =
                     fmt::format("seed {}: gateway {} sends to {} again, whose start {} it ", seed_,
                                 index, id, upstream.start);
-                fail_ = gateway.left.contains(start) ? about + "has heard to leave" : fail_;
+                failure_ = gateway.left.contains(start) ? about + "has heard to leave" : failure_;
                 failOfGone_ =
                     gateway.gone.contains(start) ? about + "took for leaving or gone" : failOfGone_;
             }
@@ -357,7 +357,7 @@
         }
     }
 
-    std::string fail_;
+    std::string failure_;
     std::string failOfGone_;
     EventLoop &loop_;
     Metrics &metrics_;
