--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -110,7 +110,7 @@
     // What was found to be taken back of versions and words of leaving; empty: nothing.
     const std::string &failure() const { return failure_; }
     // The same of upstreams that were gone.
-    const std::string &removalFailure() const { return failOfGone_; }
+    const std::string &removalFailure() const { return removalFailure_; }
 
     void run(int steps)
     {
@@ -346,8 +346,8 @@
                     fmt::format("seed {}: gateway {} sends to {} again, whose start {} it ", seed_,
                                 index, id, upstream.start);
                 failure_ = gateway.left.contains(start) ? about + "has heard to leave" : failure_;
-                failOfGone_ =
-                    gateway.gone.contains(start) ? about + "took for leaving or gone" : failOfGone_;
+                removalFailure_ = gateway.gone.contains(start) ? about + "took for leaving or gone"
+                                                               : removalFailure_;
             }
             for (const UpstreamRecord *record : gateway.upstreams.all()) {
                 if (record->leaving) {
@@ -358,7 +358,7 @@
     }
 
     std::string failure_;
-    std::string failOfGone_;
+    std::string removalFailure_;
     EventLoop &loop_;
     Metrics &metrics_;
     std::uint64_t seed_;
