--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -398,7 +398,7 @@
         return wanted == nullptr ? 2000 : std::strtoull(wanted, nullptr, 10);
     }
 
-    Simulation played(std::uint64_t seed)
+    Simulation simulate(std::uint64_t seed)
     {
         constexpr int kSteps = 200;
         Simulation world(*loop, metrics, seed);
@@ -410,7 +410,7 @@
 TEST(StoreDrillTest, NoGatewayTakesBackAVersionOrWhatTheStoreHasToldItOfLeaving)
 {
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
-        STRCMP_EQUAL("", played(seed).failure().c_str());
+        STRCMP_EQUAL("", simulate(seed).failure().c_str());
     }
 }
 
@@ -418,7 +418,7 @@
 TEST(StoreDrillTest, NoGatewayTakesBackThatAnUpstreamIsGone)
 {
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
-        STRCMP_EQUAL("", played(seed).removalFailure().c_str());
+        STRCMP_EQUAL("", simulate(seed).removalFailure().c_str());
     }
 }
 
@@ -426,5 +426,5 @@
 // to the same copy once more, which holds the entry before.
 TEST(StoreDrillTest, CopyThatComesBackTwiceTakesNothingBack)
 {
-    STRCMP_EQUAL("", played(30683).removalFailure().c_str());
+    STRCMP_EQUAL("", simulate(30683).removalFailure().c_str());
 }
