--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -120,11 +120,11 @@
             const auto one = static_cast<std::size_t>(draw(kGateways));
             switch (draw(6)) {
             case 0:
-                askStore(one, true);
+                callStore(one, true);
                 break;
             case 1:
             case 2:
-                askStore(one, false);
+                callStore(one, false);
                 break;
             case 3:
                 tell(one, static_cast<std::size_t>(draw(kGateways)));
@@ -243,7 +243,7 @@
     }
 
     // Answers a call of a gateway; a watch from a place of another era begins a list.
-    void askStore(std::size_t index, bool wholeList)
+    void callStore(std::size_t index, bool wholeList)
     {
         Gateway &gateway = *gateways_[index];
         Message message{index, incarnations_[index], now_, true, false, {}, {}};
