--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -127,7 +127,7 @@
                 callStore(one, false);
                 break;
             case 3:
-                tell(one, static_cast<std::size_t>(draw(kGateways)));
+                sendState(one, static_cast<std::size_t>(draw(kGateways)));
                 break;
             case 4:
                 if (draw(20) == 0) {
@@ -266,7 +266,7 @@
         inFlight_.push_back(std::move(message));
     }
 
-    void tell(std::size_t from, std::size_t to)
+    void sendState(std::size_t from, std::size_t to)
     {
         const Gateway &teller = *gateways_[from];
         if (from == to || !teller.knowledge.confirmed()) {
