--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -268,19 +268,19 @@
 
     void sendState(std::size_t from, std::size_t to)
     {
-        const Gateway &teller = *gateways_[from];
-        if (from == to || !teller.knowledge.confirmed()) {
+        const Gateway &sender = *gateways_[from];
+        if (from == to || !sender.knowledge.confirmed()) {
             return;
         }
-        Message message{to, incarnations_[to], teller.confirmedAt, false, false, {}, {}};
-        message.shared.place = teller.knowledge.place();
-        message.shared.version = teller.knowledge.version();
+        Message message{to, incarnations_[to], sender.confirmedAt, false, false, {}, {}};
+        message.shared.place = sender.knowledge.place();
+        message.shared.version = sender.knowledge.version();
         if (message.shared.version > gateways_[to]->knowledge.version()) {
             message.shared.document = document(message.shared.version.value());
         }
-        message.shared.upstreamsMark = teller.knowledge.upstreamsMark();
+        message.shared.upstreamsMark = sender.knowledge.upstreamsMark();
         message.shared.upstreams.emplace();
-        for (const UpstreamRecord *record : teller.upstreams.all()) {
+        for (const UpstreamRecord *record : sender.upstreams.all()) {
             message.shared.upstreams->push_back(*record);
         }
         inFlight_.push_back(std::move(message));
