--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -100,7 +100,7 @@
         }
         writeConfig();
         for (const auto &[id, upstream] : truth_) {
-            list(id);
+            writeEntry(id);
         }
         for (std::size_t index = 0; index < kGateways; ++index) {
             gateways_.push_back(std::make_unique<Gateway>(loop, metrics));
@@ -154,7 +154,7 @@
     }
 
     // The upstream, or what removes it, writes its entry anew.
-    void list(const std::string &id)
+    void writeEntry(const std::string &id)
     {
         const Upstream &upstream = truth_.at(id);
         const std::uint64_t revision = ++store_.revision;
@@ -185,16 +185,16 @@
             break;
         case 1:
             upstream.leaving = upstream.running;
-            list(id);
+            writeEntry(id);
             break;
         case 2:
             upstream.running = upstream.running && !upstream.leaving;
-            list(id);
+            writeEntry(id);
             break;
         case 3:
             if (upstream.leaving || !upstream.running) {
                 upstream = {upstream.start + 1, false, true};
-                list(id);
+                writeEntry(id);
             }
             break;
         case 4:
@@ -235,7 +235,7 @@
         const std::string id = pending_.back();
         pending_.pop_back();
         if (!id.empty()) {
-            list(id);
+            writeEntry(id);
             return;
         }
         store_.version = version_;
