--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -205,7 +205,7 @@
             break;
         case 6:
         case 7:
-            writeAgain();
+            rewriteOne();
             break;
         default:
             break;
@@ -227,7 +227,7 @@
     }
 
     // One of those that had written since the copy writes it again.
-    void writeAgain()
+    void rewriteOne()
     {
         if (pending_.empty()) {
             return;
