--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -201,7 +201,7 @@
             copy_ = store_;
             break;
         case 5:
-            goBack();
+            restoreCopy();
             break;
         case 6:
         case 7:
@@ -212,7 +212,7 @@
         }
     }
 
-    void goBack()
+    void restoreCopy()
     {
         if (copy_.revision == 0) {
             return;
