--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -219,21 +219,21 @@
         }
         store_ = copy_;
         ++era_;
-        pending_.assign(1, std::string());
+        pendingRewrites_.assign(1, std::string());
         for (const auto &[id, upstream] : truth_) {
-            pending_.push_back(id);
+            pendingRewrites_.push_back(id);
         }
-        std::shuffle(pending_.begin(), pending_.end(), random_);
+        std::shuffle(pendingRewrites_.begin(), pendingRewrites_.end(), random_);
     }
 
     // One of those that had written since the copy writes it again.
     void rewriteOne()
     {
-        if (pending_.empty()) {
+        if (pendingRewrites_.empty()) {
             return;
         }
-        const std::string id = pending_.back();
-        pending_.pop_back();
+        const std::string id = pendingRewrites_.back();
+        pendingRewrites_.pop_back();
         if (!id.empty()) {
             writeEntry(id);
             return;
@@ -369,7 +369,7 @@
     StoreState store_;
     StoreState copy_;
     std::map<std::string, Upstream> truth_;
-    std::vector<std::string> pending_; // Who has yet to write again; empty: the operator.
+    std::vector<std::string> pendingRewrites_; // Who has yet to write again; empty: the operator.
     std::vector<std::unique_ptr<Gateway>> gateways_;
     std::vector<int> incarnations_;
     std::vector<Message> inFlight_;
