--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -116,7 +116,7 @@
     {
         for (int step = 0; step < steps; ++step) {
             now_ += Duration(1);
-            change();
+            changeOne();
             const auto one = static_cast<std::size_t>(draw(kGateways));
             switch (draw(6)) {
             case 0:
@@ -175,7 +175,7 @@
         store_.removedAt.erase(id);
     }
 
-    void change()
+    void changeOne()
     {
         const std::string id = fmt::format("i-{}", draw(kUpstreams));
         Upstream &upstream = truth_.at(id);
