--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -66,7 +66,7 @@
 
     UpstreamTable upstreams;
     GatewayKnowledge knowledge;
-    StorePosition watched; // What its watch of the store goes on from.
+    StorePosition watchPosition; // What its watch of the store goes on from.
     TimePoint confirmedAt{};
     std::uint64_t highest = 0;                           // Version that it has had in force.
     std::set<std::pair<std::string, std::int64_t>> left; // Starts that it has heard to leave.
@@ -247,8 +247,8 @@
     {
         Gateway &gateway = *gateways_[index];
         Message message{index, incarnations_[index], now_, true, false, {}, {}};
-        message.wholeList = wholeList || gateway.watched.era != era_;
-        const std::uint64_t since = message.wholeList ? 0 : gateway.watched.revision;
+        message.wholeList = wholeList || gateway.watchPosition.era != era_;
+        const std::uint64_t since = message.wholeList ? 0 : gateway.watchPosition.revision;
         message.items.position = {era_, store_.revision};
         if (store_.versionAt > since) {
             message.items.items.emplace_back(document(store_.version));
@@ -309,10 +309,10 @@
     // A watcher makes one call at a time: an answer that an earlier call of it got is not taken.
     static void takeStore(Gateway &gateway, const Message &message)
     {
-        if (message.items.position < gateway.watched) {
+        if (message.items.position < gateway.watchPosition) {
             return;
         }
-        gateway.watched = message.items.position;
+        gateway.watchPosition = message.items.position;
         gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
         for (const StoreItem &item : message.items.items) {
             const auto *record = std::get_if<UpstreamRecord>(&item);
