--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -68,8 +68,9 @@
     GatewayKnowledge knowledge;
     StorePosition watchPosition; // What its watch of the store goes on from.
     TimePoint confirmedAt{};
-    std::uint64_t highest = 0;                           // Version that it has had in force.
-    std::set<std::pair<std::string, std::int64_t>> left; // Starts that it has heard to leave.
+    std::uint64_t highest = 0; // Version that it has had in force.
+    std::set<std::pair<std::string, std::int64_t>>
+        announcedLeaving;                                // Starts that it has heard to leave.
     std::set<std::pair<std::string, std::int64_t>> gone; // Starts that it took for leaving or gone.
 };
 
@@ -317,7 +318,7 @@
         for (const StoreItem &item : message.items.items) {
             const auto *record = std::get_if<UpstreamRecord>(&item);
             if (record != nullptr && record->leaving) {
-                gateway.left.emplace(record->id.value(), record->start.value());
+                gateway.announcedLeaving.emplace(record->id.value(), record->start.value());
             }
         }
         if (message.wholeList) {
@@ -345,7 +346,8 @@
                 const std::string about =
                     fmt::format("seed {}: gateway {} sends to {} again, whose start {} it ", seed_,
                                 index, id, upstream.start);
-                failure_ = gateway.left.contains(start) ? about + "has heard to leave" : failure_;
+                failure_ = gateway.announcedLeaving.contains(start) ? about + "has heard to leave"
+                                                                    : failure_;
                 removalFailure_ = gateway.gone.contains(start) ? about + "took for leaving or gone"
                                                                : removalFailure_;
             }
