--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -70,8 +70,9 @@
     TimePoint confirmedAt{};
     std::uint64_t highest = 0; // Version that it has had in force.
     std::set<std::pair<std::string, std::int64_t>>
-        announcedLeaving;                                // Starts that it has heard to leave.
-    std::set<std::pair<std::string, std::int64_t>> gone; // Starts that it took for leaving or gone.
+        announcedLeaving; // Starts that it has heard to leave.
+    std::set<std::pair<std::string, std::int64_t>>
+        seenLeaving; // Starts that it took for leaving or gone.
 };
 
 // A message that is on its way to a gateway.
@@ -348,12 +349,13 @@
                                 index, id, upstream.start);
                 failure_ = gateway.announcedLeaving.contains(start) ? about + "has heard to leave"
                                                                     : failure_;
-                removalFailure_ = gateway.gone.contains(start) ? about + "took for leaving or gone"
-                                                               : removalFailure_;
+                removalFailure_ = gateway.seenLeaving.contains(start)
+                                      ? about + "took for leaving or gone"
+                                      : removalFailure_;
             }
             for (const UpstreamRecord *record : gateway.upstreams.all()) {
                 if (record->leaving) {
-                    gateway.gone.emplace(record->id.value(), record->start.value());
+                    gateway.seenLeaving.emplace(record->id.value(), record->start.value());
                 }
             }
         }
