--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -303,13 +303,13 @@
                     gateway.confirmedAt = message.askedAt;
                 }
             } else {
-                takeStore(gateway, message);
+                applyStoreAnswer(gateway, message);
             }
         }
     }
 
     // A watcher makes one call at a time: an answer that an earlier call of it got is not taken.
-    static void takeStore(Gateway &gateway, const Message &message)
+    static void applyStoreAnswer(Gateway &gateway, const Message &message)
     {
         if (message.items.position < gateway.watchPosition) {
             return;
