--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -80,7 +80,7 @@
 {
     std::size_t to = 0;
     int incarnation = 0;
-    TimePoint askedAt{};
+    TimePoint sentAt{};
     bool ofStore = false;
     bool wholeList = false;
     StoreItems items;
@@ -299,8 +299,8 @@
             }
             Gateway &gateway = *gateways_[message.to];
             if (!message.ofStore) {
-                if (gateway.knowledge.adopt(message.shared, message.askedAt)) {
-                    gateway.confirmedAt = message.askedAt;
+                if (gateway.knowledge.adopt(message.shared, message.sentAt)) {
+                    gateway.confirmedAt = message.sentAt;
                 }
             } else {
                 applyStoreAnswer(gateway, message);
@@ -315,7 +315,7 @@
             return;
         }
         gateway.watchPosition = message.items.position;
-        gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
+        gateway.confirmedAt = std::max(gateway.confirmedAt, message.sentAt);
         for (const StoreItem &item : message.items.items) {
             const auto *record = std::get_if<UpstreamRecord>(&item);
             if (record != nullptr && record->leaving) {
@@ -323,9 +323,9 @@
             }
         }
         if (message.wholeList) {
-            gateway.knowledge.onStoreListed(message.items, message.askedAt);
+            gateway.knowledge.onStoreListed(message.items, message.sentAt);
         } else {
-            gateway.knowledge.onStoreChanged(message.items, message.askedAt);
+            gateway.knowledge.onStoreChanged(message.items, message.sentAt);
         }
     }
 
