--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -98,10 +98,10 @@
         , incarnations_(kGateways, 0)
     {
         for (int index = 0; index < kUpstreams; ++index) {
-            truth_.emplace(fmt::format("i-{}", index), Upstream());
+            actual_.emplace(fmt::format("i-{}", index), Upstream());
         }
         writeConfig();
-        for (const auto &[id, upstream] : truth_) {
+        for (const auto &[id, upstream] : actual_) {
             writeEntry(id);
         }
         for (std::size_t index = 0; index < kGateways; ++index) {
@@ -158,7 +158,7 @@
     // The upstream, or what removes it, writes its entry anew.
     void writeEntry(const std::string &id)
     {
-        const Upstream &upstream = truth_.at(id);
+        const Upstream &upstream = actual_.at(id);
         const std::uint64_t revision = ++store_.revision;
         if (!upstream.running) {
             store_.entries.erase(id);
@@ -180,7 +180,7 @@
     void changeOne()
     {
         const std::string id = fmt::format("i-{}", draw(kUpstreams));
-        Upstream &upstream = truth_.at(id);
+        Upstream &upstream = actual_.at(id);
         switch (draw(24)) {
         case 0:
             writeConfig();
@@ -222,7 +222,7 @@
         store_ = copy_;
         ++era_;
         pendingRewrites_.assign(1, std::string());
-        for (const auto &[id, upstream] : truth_) {
+        for (const auto &[id, upstream] : actual_) {
             pendingRewrites_.push_back(id);
         }
         std::shuffle(pendingRewrites_.begin(), pendingRewrites_.end(), random_);
@@ -339,7 +339,7 @@
                                          seed_, index, gateway.highest, version)
                            : failure_;
             gateway.highest = version;
-            for (const auto &[id, upstream] : truth_) {
+            for (const auto &[id, upstream] : actual_) {
                 const std::pair start(id, upstream.start);
                 if (!gateway.upstreams.mayReceive(InstanceId(id))) {
                     continue;
@@ -372,7 +372,7 @@
     std::uint64_t era_ = 1;
     StoreState store_;
     StoreState copy_;
-    std::map<std::string, Upstream> truth_;
+    std::map<std::string, Upstream> actual_;
     std::vector<std::string> pendingRewrites_; // Who has yet to write again; empty: the operator.
     std::vector<std::unique_ptr<Gateway>> gateways_;
     std::vector<int> incarnations_;
