--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -51,9 +51,9 @@
 
 RoutingDocument document(std::uint64_t version)
 {
-    RoutingDocument made;
-    made.version = ConfigVersion(version);
-    return made;
+    RoutingDocument routing;
+    routing.version = ConfigVersion(version);
+    return routing;
 }
 
 struct Gateway
