--- a/src/gateway/earlyrequests.cpp
+++ b/src/gateway/earlyrequests.cpp
@@ -1,4 +1,4 @@
-#include "gateway/earlyrequests.h"
+#include "gateway/startuprequestqueue.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -9,7 +9,7 @@
 #include "decision/gateway/eventstream.h"
 #include "decision/gateway/gatewaycore.h"
 #include "gateway/callerprotocol.h"
-#include "gateway/earlyrequests.h"
+#include "gateway/startuprequestqueue.h"
 #include "gateway/gatewaybounds.h"
 #include "gateway/gatewayknowledge.h"
 #include "gateway/knowledgesources.h"
