--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -1,4 +1,4 @@
-#include "gateway/groupwatch.h"
+#include "gateway/grouppoller.h"
 
 #include "base/log.h"
 #include "gateway/gatewaywire.h"
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -13,7 +13,7 @@
 #include "decision/membership/storeturn.h"
 #include "gateway/gatewayknowledge.h"
 #include "gateway/gatewaypeers.h"
-#include "gateway/groupwatch.h"
+#include "gateway/grouppoller.h"
 #include "gateway/metadatastore.h"
 #include "gateway/sharedbeliefs.h"
 #include "gateway/storewatcher.h"
--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/groupwatch_test.cpp
@@ -2,7 +2,7 @@
 // asks where there are many agents is tested without sockets: see groupsurvey_test.cpp.
 #include "experts/groupreporter.h"
 #include "freeport.h"
-#include "gateway/groupwatch.h"
+#include "gateway/grouppoller.h"
 #include "net/rpcpeer.h"
 
 #include <CppUTest/TestHarness.h>
