--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -12,7 +12,7 @@
 #include "gateway/startuprequestqueue.h"
 #include "gateway/gatewaybounds.h"
 #include "gateway/gatewayknowledge.h"
-#include "gateway/knowledgesources.h"
+#include "gateway/statesynchronizer.h"
 #include "gateway/metadatastore.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -1,4 +1,4 @@
-#include "gateway/knowledgesources.h"
+#include "gateway/statesynchronizer.h"
 
 #include "base/digest.h"
 #include "base/log.h"
