--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -8,7 +8,7 @@
 #include "entry/entryservice.h"
 #include "gateway/gatewayservice.h"
 #include "net/eventloop.h"
-#include "storeitems.h"
+#include "storehttp.h"
 
 #include <csignal>
 #include <cstdint>
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -1,7 +1,7 @@
 // What the platform's messages mean, and what is written to it.
 #include "callerheaders.h"
 #include "enginecalls.h"
-#include "storeitems.h"
+#include "storehttp.h"
 
 #include <CppUTest/TestHarness.h>
 
