--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -4,7 +4,7 @@
 #include "base/settings.h"
 #include "callerheaders.h"
 #include "daemon/options.h"
-#include "enginecalls.h"
+#include "enginehttp.h"
 #include "entry/entryservice.h"
 #include "gateway/gatewayservice.h"
 #include "net/eventloop.h"
--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -1,5 +1,5 @@
 // What a decider does when the agent beside a rank goes silent. Real sockets on loopback.
-#include "enginecalls.h"
+#include "enginehttp.h"
 #include "experts/rankpeers.h"
 #include "freeport.h"
 
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -1,6 +1,6 @@
 // What the platform's messages mean, and what is written to it.
 #include "callerheaders.h"
-#include "enginecalls.h"
+#include "enginehttp.h"
 #include "storehttp.h"
 
 #include <CppUTest/TestHarness.h>
