--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -16,7 +16,7 @@
 #include "decision/gateway/upstreamhistory.h"
 #include "decision/membership/gatewaydirectory.h"
 #include "gateway/gatewayknowledge.h"
-#include "gateway/metadatastore.h"
+#include "gateway/storeprotocol.h"
 #include "gateway/sharedbeliefs.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -13,7 +13,7 @@
 #include "gateway/gatewaybounds.h"
 #include "gateway/gatewayknowledge.h"
 #include "gateway/statesynchronizer.h"
-#include "gateway/metadatastore.h"
+#include "gateway/storeprotocol.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
 #include "net/httpserver.h"
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -14,7 +14,7 @@
 #include "gateway/gatewayknowledge.h"
 #include "gateway/gatewaypeers.h"
 #include "gateway/grouppoller.h"
-#include "gateway/metadatastore.h"
+#include "gateway/storeprotocol.h"
 #include "gateway/sharedbeliefs.h"
 #include "gateway/storewatcher.h"
 #include "net/eventloop.h"
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -11,7 +11,7 @@
 // same.
 #pragma once
 
-#include "gateway/metadatastore.h"
+#include "gateway/storeprotocol.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
 #include "net/httpfetch.h"
