--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -1,7 +1,7 @@
 #include "gateway/gatewaypeers.h"
 
 #include "base/log.h"
-#include "gateway/configpace.h"
+#include "gateway/configreaddelay.h"
 #include "gateway/gatewaywire.h"
 
 #include <algorithm>
--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -1,6 +1,6 @@
 #include "gateway/storewatcher.h"
 
-#include "gateway/configpace.h"
+#include "gateway/configreaddelay.h"
 
 #include <algorithm>
 #include <iterator>
--- a/test/gateway/configpace_test.cpp
+++ b/test/gateway/configpace_test.cpp
@@ -1,7 +1,7 @@
 // The load that this answers: twenty-five configurations of a thousand routes within a second and a
 // half. Read one by one they take most of a gateway's quarter of a core, and events of streams
 // wait.
-#include "gateway/configpace.h"
+#include "gateway/configreaddelay.h"
 
 #include <CppUTest/TestHarness.h>
 
