--- a/src/gateway/storeprotocol.h
+++ b/src/gateway/storeprotocol.h
@@ -6,7 +6,7 @@
 
 #include "decision/gateway/routetable.h"
 #include "decision/gateway/upstreamtable.h"
-#include "gateway/storeplace.h"
+#include "gateway/storeposition.h"
 #include "net/httpclient.h"
 #include "seamarch/units.h"
 
