--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -17,7 +17,7 @@
 #include "decision/membership/gatewaydirectory.h"
 #include "gateway/gatewayknowledge.h"
 #include "gateway/storeprotocol.h"
-#include "gateway/sharedbeliefs.h"
+#include "gateway/gossipstate.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -15,7 +15,7 @@
 #include "gateway/gatewaypeers.h"
 #include "gateway/grouppoller.h"
 #include "gateway/storeprotocol.h"
-#include "gateway/sharedbeliefs.h"
+#include "gateway/gossipstate.h"
 #include "gateway/storewatcher.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
