--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -379,7 +379,7 @@
     notedChanges_ = 0;
     notedCleared_ = 0;
     StoreWatcher::Settings watch;
-    watch.wait = kWatchWait;
+    watch.longPollWait = kWatchWait;
     watch.coalesceDelay = kWatchRest;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -353,7 +353,7 @@
         return;
     }
     StoreWatcher::Settings watch;
-    watch.wait = peers_ == nullptr ? watch.wait : times().watchWait;
+    watch.longPollWait = peers_ == nullptr ? watch.longPollWait : times().watchWait;
     watch.coalesceDelay = settings_.storeCoalesceDelay;
     watch.seed = randomIdentity();
     watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, knowledge_, watch);
