--- a/src/gateway/storeprotocol.h
+++ b/src/gateway/storeprotocol.h
@@ -60,7 +60,7 @@
     // Lists all items, or those from a page on.
     virtual HttpCallRequest listCall(const std::string &page) const = 0;
     // Waits for changes after `revision`.
-    virtual HttpCallRequest watchCall(std::uint64_t revision, Duration longest) const = 0;
+    virtual HttpCallRequest watchCall(std::uint64_t revision, Duration maxWait) const = 0;
     virtual tl::expected<StoreItems, StoreError> readList(int status,
                                                           std::string_view body) const = 0;
     virtual tl::expected<StoreItems, StoreError> readWatch(int status,
