--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -89,7 +89,7 @@
     }
     const bool firstEra = position_.era == 0;
     position_ = reported;
-    const bool restartsList = step_ == Step::List && listed_.place == StorePosition();
+    const bool restartsList = step_ == Step::List && listed_.position == StorePosition();
     if (firstEra || restartsList) {
         return true;
     }
@@ -121,7 +121,7 @@
 void StoreWatcher::onListed(StoreItems items)
 {
     // Pages are no snapshot: changes are followed from the first page's revision on.
-    listed_.place = listed_.place == StorePosition() ? items.position : listed_.place;
+    listed_.position = listed_.position == StorePosition() ? items.position : listed_.position;
     std::move(items.items.begin(), items.items.end(), std::back_inserter(listed_.items));
     std::move(items.faults.begin(), items.faults.end(), std::back_inserter(listed_.faults));
     listed_.routingUnreadable = listed_.routingUnreadable || items.routingUnreadable;
@@ -129,7 +129,7 @@
         list(items.nextPage);
         return;
     }
-    position_ = listed_.place;
+    position_ = listed_.position;
     const StoreItems snapshot = std::exchange(listed_, {});
     listener_.onStoreListed(snapshot, listStartedAt_);
     watch();
