--- a/test/gateway/gatewayknowledge_test.cpp
+++ b/test/gateway/gatewayknowledge_test.cpp
@@ -230,7 +230,7 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     StoreItems items;
-    items.place.revision = 11;
+    items.position.revision = 11;
     items.items.emplace_back(upstream("i-1", true));
     knowledge.onStoreChanged(items, loop->now());
     CHECK_TRUE(knowledge.namedMark() == knowledge.upstreamsMark());
