--- a/test/gateway/gatewayknowledge_test.cpp
+++ b/test/gateway/gatewayknowledge_test.cpp
@@ -67,7 +67,7 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     SharedKnowledge earlier = shared();
-    earlier.position.revision = 9;
+    earlier.place.revision = 9;
     CHECK_FALSE(knowledge.adopt(earlier, loop->now()));
 }
 
@@ -76,10 +76,10 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     SharedKnowledge later = shared();
-    later.position = {2, 4};
+    later.place = {2, 4};
     CHECK_TRUE(knowledge.adopt(later, loop->now() - std::chrono::seconds(1)));
     SharedKnowledge earlier = shared();
-    earlier.position = {1, 99};
+    earlier.place = {1, 99};
     CHECK_FALSE(knowledge.adopt(earlier, loop->now()));
 }
 
@@ -87,9 +87,9 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(2)));
     SharedKnowledge without = shared();
-    without.position = {0, 11};
+    without.place = {0, 11};
     CHECK_TRUE(knowledge.adopt(without, loop->now() - std::chrono::seconds(1)));
-    without.position = {0, 9};
+    without.place = {0, 9};
     CHECK_FALSE(knowledge.adopt(without, loop->now()));
 }
 
@@ -97,7 +97,7 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now()));
     SharedKnowledge behind = shared();
-    behind.position = {1, 2};
+    behind.place = {1, 2};
     behind.version = ConfigVersion(4);
     behind.document = document(4);
     CHECK_FALSE(knowledge.adopt(behind, loop->now() - std::chrono::seconds(1)));
@@ -192,7 +192,7 @@
 {
     CHECK_TRUE(knowledge.adopt(shared(), loop->now() - std::chrono::seconds(1)));
     SharedKnowledge later = shared();
-    later.position.revision = 11;
+    later.place.revision = 11;
     later.version = ConfigVersion(2);
     later.document = document(2);
     CHECK_TRUE(knowledge.adopt(later, loop->now()));
