--- a/src/gateway/startuprequestqueue.h
+++ b/src/gateway/startuprequestqueue.h
@@ -1,10 +1,10 @@
-// Requests that came before this gateway knew a configuration.
+// A bounded queue of requests that arrive before the gateway has a configuration.
 //
-// A gateway that has just started hears the configuration within a second, from another gateway or
-// from the store. Its callers are better served late than sent away: after the loss of all
-// instances most have used up their first try already, and come no third time. So their requests
-// wait for a moment, within bounds of time, number and memory, and are refused when the
-// configuration does not come.
+// A gateway that has just started receives the configuration within a second, from another gateway
+// or from the store. Serving the requests late is better than rejecting them: after the loss of all
+// instances most callers have already used their first attempt and do not retry a third time.
+// Requests are therefore queued for a short time, with limits on time, count and memory, and
+// rejected if the configuration does not arrive.
 //
 // Single-threaded.
 #pragma once
@@ -23,13 +23,14 @@
 public:
     struct Settings
     {
-        // How long a request waits at most: a site that starts anew knows its configuration within
-        // a second of its gateways' start.
+        // Maximum time in the queue. After a restart of a whole site, gateways have their
+        // configuration within a second of their start.
         Duration maxWait = std::chrono::milliseconds(1000);
-        // And no longer than this part of what its caller waits, so that it can still be served.
+        // Maximum time in the queue as a fraction of the caller's deadline, so that enough time
+        // remains to serve the request.
         double maxDeadlineFraction = 0.5;
         std::size_t maxRequests = 300;
-        std::size_t maxBytes = std::size_t{8} * 1024 * 1024; // Of bodies.
+        std::size_t maxBytes = std::size_t{8} * 1024 * 1024; // Of request bodies, in total.
     };
 
     struct QueuedRequest
@@ -44,16 +45,16 @@
         : settings_(settings)
     {}
 
-    // Keeps a request whose caller waits for `deadline`; zero: it does not say. Returns false, and
-    // leaves the request as it is, when there are too many.
+    // Queues a request whose caller waits for `deadline`; zero means that the caller states none.
+    // Returns false and leaves `request` unchanged if the queue is full.
     bool push(ExchangeId exchange, HttpRequest &request, Duration deadline, TimePoint now);
-    // The caller has left. Returns false when nothing was kept for it.
+    // Removes the request of a caller that has disconnected. Returns false if it is not queued.
     bool remove(ExchangeId exchange);
-    // Hands out the first requests, in the order in which they came. Not all at once: after the
-    // loss of all instances the engines refuse until their groups have formed, and what the first
-    // of the requests finds out saves the others an attempt.
+    // Removes and returns up to `count` requests, in order of arrival. Callers drain the queue in
+    // small steps: after the loss of all instances the engines refuse requests until their groups
+    // have formed, and what the first requests learn saves the others a failed attempt.
     std::vector<QueuedRequest> popFront(std::size_t count);
-    // Hands out those that have waited long enough.
+    // Removes and returns the requests whose time in the queue has expired.
     std::vector<QueuedRequest> popExpired(TimePoint now);
     std::size_t size() const { return queued_.size(); }
 
@@ -68,7 +69,7 @@
     QueuedRequest take(std::map<ExchangeId, Entry>::iterator entry);
 
     Settings settings_;
-    std::map<ExchangeId, Entry> queued_; // Numbers of exchanges rise.
+    std::map<ExchangeId, Entry> queued_; // Ordered by arrival, because exchange ids increase.
     std::size_t bytes_ = 0;
 };
 
