--- a/src/gateway/grouppoller.cpp
+++ b/src/gateway/grouppoller.cpp
@@ -8,11 +8,12 @@
 namespace seamarch {
 namespace {
 
-// How long a question waits for news at the agent that decides: facts are renewed that often.
+// How long a poll waits for a change at the deciding agent. Also the interval at which unchanged
+// state is renewed.
 constexpr Duration kLongPollWait = std::chrono::milliseconds(400);
-// How long an answer may take beyond its wait: some round trips between halls.
+// Time allowed for a reply beyond the wait: a few round trips between halls.
 constexpr Duration kReplyMargin = std::chrono::milliseconds(350);
-// A connection that was not used for this long is closed.
+// Connections that are unused for this long are closed.
 constexpr Duration kLinkIdleTimeout = std::chrono::seconds(5);
 
 } // namespace
@@ -50,8 +51,8 @@
             {{"message", exception.getDescription().cStr()}});
 }
 
-// Collects the engines of services that form groups, where the list or the configuration is
-// another.
+// Collects the engines of services that form groups if the upstream list or the configuration has
+// changed.
 void GroupPoller::refreshEngines()
 {
     const std::uint64_t changes = knowledge_.upstreams().changes();
@@ -93,7 +94,7 @@
     auto request = link.rpc->capability().castAs<wire::RankAgent>().groupRequest();
     request.setMark(link.mark);
     request.setWaitMicros(kLongPollWait.count());
-    // Whichever comes first, the answer or the end of patience, ends the question.
+    // The poll is settled by the reply or by the timeout, whichever comes first.
     const auto settled = std::make_shared<bool>(false);
     loop_.schedule(kLongPollWait + kReplyMargin, [this, host, settled, alive = alive_] {
         if (*alive && !std::exchange(*settled, true)) {
@@ -115,8 +116,8 @@
 
 void GroupPoller::onPollFailed(const std::string &host)
 {
-    // The connection may have gone silent for good while a new one works. It is closed from the
-    // loop, because this may be a callback of its own.
+    // The connection may be dead although a new one would work, so it is dropped. It is closed from
+    // the event loop because this function may run inside one of its callbacks.
     const auto found = links_.find(host);
     if (found != links_.end()) {
         loop_.post([old = std::make_shared<Link>(std::move(found->second))] { old->rpc.reset(); });
--- a/src/gateway/grouppoller.h
+++ b/src/gateway/grouppoller.h
@@ -1,13 +1,14 @@
-// Asks the agents beside the engines what becomes of their groups, for the gateway of a hall that
-// follows the store. The others of the hall hear it from that one (see GatewayPeers).
+// Polls the agents beside the engines for the state of expert groups.
 //
-// Agents read their own engine's reports for nothing and know their group; a gateway that asked the
-// engines themselves would pay for each report. A question waits at the agent that decides until
-// something changes, so news comes within a connection's delay. Without any agent nothing is known
-// of groups, and all upstreams of a service count as one.
+// Runs on the gateway of a hall that follows the store; the other gateways of the hall receive the
+// state from that gateway (see GatewayPeers). Agents read the reports of their own engine at no
+// cost and know their group, whereas a gateway would pay for each report that it requested from an
+// engine. A poll is a long poll at the agent that decides for the group, so changes arrive within
+// the latency of one connection. Without agents no groups are known, and all upstreams of a service
+// count as one group.
 //
-// Whom to ask is decided elsewhere: see GroupSurvey. Single-threaded; what the constructor is given
-// outlives the object.
+// GroupSurvey selects the agents to poll. Single-threaded; the constructor's arguments must outlive
+// the object.
 #pragma once
 
 #include "decision/gateway/grouptable.h"
@@ -30,21 +31,23 @@
 class GroupPoller final : private kj::TaskSet::ErrorHandler
 {
 public:
-    // Agents listen at `agentPort`, each at the address of its engine.
+    // Creates a poller for agents that listen on `agentPort` at the addresses of their engines.
+    // Fails if no transport can be set up.
     static tl::expected<std::unique_ptr<GroupPoller>, NetError>
     create(EventLoop &loop, const GatewayKnowledge &knowledge, GroupTable &groups, int agentPort);
     ~GroupPoller();
     GroupPoller(const GroupPoller &) = delete;
     GroupPoller &operator=(const GroupPoller &) = delete;
 
-    // Asks those whose turn it is, if this gateway `watches`. Call it often.
+    // Sends the polls that are due if `active`, and closes idle connections. Must be called often,
+    // several times per second.
     void tick(bool active);
 
 private:
     struct Link
     {
         std::unique_ptr<RpcLink> rpc;
-        std::uint64_t mark = 0; // Of the facts that the agent told last.
+        std::uint64_t mark = 0; // Version of the group state that the agent sent last.
         TimePoint lastUsedAt{};
     };
 
@@ -63,10 +66,11 @@
     int agentPort_;
     std::unique_ptr<RawTransport> transport_;
     GroupSurvey survey_;
-    std::vector<GroupSurvey::Engine> engines_; // As of the list and the configuration below.
+    std::vector<GroupSurvey::Engine>
+        engines_; // Built from the list and configuration that the next two members identify.
     std::uint64_t engineListChanges_ = 0;
     ConfigVersion engineListVersion_;
-    std::map<std::string, Link> links_; // By host.
+    std::map<std::string, Link> links_; // Keyed by host.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     kj::TaskSet tasks_;
 };
