--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -9,32 +9,35 @@
 namespace seamarch {
 namespace {
 
-// How long a question to the gateway that is followed waits for news. Knowledge is at most this
-// much older here than there.
+// How long a poll of the followed gateway waits for changes. A follower's state is at most this
+// much older than that of the gateway that it follows.
 constexpr Duration kFollowLongPoll = std::chrono::milliseconds(400);
-// The gateway that follows the store takes another's word when its own is this old.
+// A gateway that follows the store adopts state from other gateways once its own state is this old.
 constexpr Duration kMaxStoreWatchAge = std::chrono::milliseconds(1200);
-// An own watch that was begun because knowledge was old goes on for this long.
+// How long a watch lasts that was started because the state was stale.
 constexpr Duration kFallbackWatchDuration = std::chrono::seconds(3);
-// After another gateway has shown that it knows more, the store is asked again from then on.
+// How long the store is not queried after another gateway has provided newer state.
 constexpr Duration kStoreBackoff = std::chrono::seconds(1);
-// A new gateway asks the others for this long before it asks the store; longer while they answer
-// that they have no configuration either, as when a site starts.
+// How long a new gateway queries only other gateways before it queries the store. The maximum
+// applies while the others answer that they have no configuration either, as when a whole site
+// starts.
 constexpr Duration kPeerBootstrapWait = std::chrono::milliseconds(700);
 constexpr Duration kMaxPeerBootstrapWait = std::chrono::seconds(5);
-// How often the gateway that follows the store asks the first of each other hall, and any one. That
-// keeps the lists of gateways together: of a gateway in any hall all hear again well within the
-// time after which it is forgotten, and two that follow the store in one hall find each other.
+// Interval at which a gateway that follows the store exchanges gateway lists with the first gateway
+// of each other hall and with one arbitrary gateway. This keeps the lists consistent: every gateway
+// is reported to all halls well within the time after which it would be forgotten, and two gateways
+// of one hall that both follow the store discover each other.
 constexpr Duration kListExchangeInterval = std::chrono::seconds(2);
-// How often any gateway is asked while knowledge is old.
+// Interval between queries to arbitrary gateways while the state is stale.
 constexpr Duration kStaleQueryInterval = std::chrono::milliseconds(150);
-// A gateway that nobody has answered for this long may be cut off from the others.
+// A gateway that has had no answer from any peer for this long may be partitioned from the others.
 constexpr Duration kPeerContactTimeout = std::chrono::seconds(1);
-// How often it is looked at whom to ask about groups; answers come when something changes.
+// Interval at which the poller checks which agents to poll. Replies arrive when something changes.
 constexpr Duration kGroupPollInterval = std::chrono::milliseconds(50);
 constexpr Duration kSeedQueryInterval = std::chrono::milliseconds(300);
-// A new gateway may not know yet who is first of its hall: when a site starts, the seeds hear of
-// all gateways within a second, and tell them within two more. Until then it hears the seeds.
+// How long a new gateway may not know the first gateway of its hall, and queries the seeds instead.
+// When a site starts, the seeds learn of all gateways within one second and distribute the list
+// within two more.
 constexpr Duration kDiscoveryPeriod = std::chrono::seconds(3);
 
 GatewayRecord makeRecord(const StateSynchronizer::Settings &settings)
@@ -101,7 +104,7 @@
     const TimePoint now = loop_.now();
     const UpstreamRecord *upstream = knowledge_.upstreams().find(ask.upstream);
     if (upstream == nullptr) {
-        answered({}); // It is gone.
+        answered({}); // The upstream has been removed.
         return;
     }
     GatewayPeers::PermitQuestion question{upstream->id, upstream->start, ask.wanted, {}, {}};
@@ -110,7 +113,7 @@
     }
     question.warmUp = gossip_.warmUps.limitOf(*upstream, now);
     if (!question.limit && !question.warmUp) {
-        answered({}); // It names none any more, and is warm.
+        answered({}); // The upstream states no limit any more and is warmed up.
         return;
     }
     const InstanceId issuer = directory_.issuerOf(ask.upstream, upstream->hall, now);
@@ -130,8 +133,9 @@
     return endedWatcherCalls_ + (watcher_ ? watcher_->calls() : 0);
 }
 
-// Takes another gateway's knowledge while the own is not fresh from the store. A watch that is
-// under way would go on from an older list; it is begun anew later, if it is still wanted.
+// Adopts the state of another gateway unless this gateway's own state is fresh from the store. A
+// running watch would continue from an older list, so it is stopped; it is restarted later if it is
+// still needed.
 bool StateSynchronizer::onSharedState(const SharedKnowledge &shared, TimePoint confirmedAt)
 {
     if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge) {
@@ -155,13 +159,13 @@
            != settings_.seeds.end();
 }
 
-// Tells whether this gateway is so new that it may not know the others of its hall.
+// Returns whether this gateway is so new that it may not know the other gateways of its hall.
 bool StateSynchronizer::isDiscovering(TimePoint now) const
 {
     return !settings_.seeds.empty() && !isSeed() && now - startedAt_ < kDiscoveryPeriod;
 }
 
-// Tells whether this gateway is new and may yet hear the configuration from others.
+// Returns whether this gateway is new and may still receive the configuration from others.
 bool StateSynchronizer::waitsForPeers(TimePoint now) const
 {
     if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || knowledge_.hasConfiguration()) {
@@ -177,14 +181,15 @@
     return knowledgeTimes({bounds.keys, bounds.deny});
 }
 
-// Tells whether others of the hall ask the store in place of this gateway, and it hears them.
+// Returns whether other gateways of the hall query the store on behalf of this one, and this one
+// receives their answers.
 bool StateSynchronizer::peersQueryStore(TimePoint now) const
 {
     const bool peersAnswer = peers_ != nullptr && now - peers_->answeredAt() < kPeerContactTimeout;
     return peersAnswer && !hasStoreTurn(directory_.place().index);
 }
 
-// Tells whether it is this gateway's turn to ask the store, although it follows another one.
+// Returns whether this gateway is due to query the store although it follows another gateway.
 bool StateSynchronizer::isStoreQueryDue(TimePoint now) const
 {
     if (peersQueryStore(now)) {
@@ -216,7 +221,8 @@
     directory_.expire(now);
     const InstanceId followed = directory_.follower(now);
     const bool followsSelf = followed == settings_.instance;
-    // While a site starts nobody knows yet who is first of its hall, and seeds are heard by all.
+    // While a site starts, no gateway knows the first of its hall yet, and all gateways query the
+    // seeds.
     pollGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true
                                                                : followsSelf && !isDiscovering(now),
                now);
@@ -247,14 +253,16 @@
 void StateSynchronizer::queryPeers(const InstanceId &followed, TimePoint now)
 {
     const bool followsSelf = followed == settings_.instance;
-    // Knowledge that is followed is older than that of the gateway that follows the store.
+    // A follower's state is normally older than that of a gateway that follows the store, so its
+    // threshold is higher.
     const bool stale = !knowledge_.confirmed()
                        || knowledge_.age() > (followsSelf ? kMaxStoreWatchAge : times().old);
     if (!followsSelf) {
         queryGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
-        // One that knew nobody, as a seed that starts anew, asks the first that it hears of at
-        // once: what it has forgotten must be known within the time in which it counts as in touch.
+        // A gateway that knows no others, such as a restarted seed, queries the first gateway that
+        // it learns of at once: it must learn of the gateways that it has forgotten while they
+        // still count as alive.
         listsQueriedAt_ = now;
         queryOtherHalls(now);
         queryGateway(directory_.another(settings_.instance, now), Duration{},
@@ -271,9 +279,9 @@
     }
 }
 
-// Seeds are asked while nobody else is known, and by all that have heard of few. A gateway that is
-// new and knows of nobody to follow `follows` one of them: the same one, so that it is not handed
-// the whole list again, unless that one has no news.
+// Queries the seeds. All seeds are queried while few gateways are known. Otherwise a new gateway
+// that knows no gateway to follow (`follows`) queries a single seed, always the same one so that
+// the full list is not sent again, and switches to the next when the state is not fresh.
 void StateSynchronizer::querySeeds(bool follows, TimePoint now)
 {
     const bool knowsFewGateways = directory_.size() <= settings_.seeds.size();
@@ -290,8 +298,8 @@
     }
 }
 
-// Returns the first of another hall, a different one with each call: those that follow the store
-// know most. Any gateway where there is no other hall.
+// Returns the first gateway of another hall, in round-robin order, because gateways that follow the
+// store have the newest state. Returns an arbitrary gateway if there is no other hall.
 std::optional<InstanceId> StateSynchronizer::nextRemoteGateway(TimePoint now)
 {
     std::vector<InstanceId> candidates;
@@ -316,8 +324,8 @@
     }
 }
 
-// A seed that starts anew while no other one lives is told of nobody; who asks it is whom it hears
-// of.
+// Queries the seeds in round-robin order. A seed that restarts while no other seed is running has
+// no gateway to learn from, and learns of a gateway when that gateway queries it.
 void StateSynchronizer::queryNextSeed()
 {
     if (settings_.seeds.empty()) {
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -1,11 +1,12 @@
-// Where a gateway's knowledge comes from: the platform's store, or another gateway.
+// Keeps a gateway's copy of the platform's state up to date, from the store or from other gateways.
 //
-// One gateway of each hall follows the store; see GatewayDirectory. The others of its hall follow
-// it. A gateway whose knowledge grows old all the same, because the one it follows is dead, cut off
-// or turned away by the store, asks the store itself and the other gateways in turn, and takes what
-// was confirmed last. A new gateway hears the others before it asks the store.
+// One gateway of each hall follows the store (see GatewayDirectory), and the other gateways of the
+// hall follow that gateway. The one that is followed may be dead, partitioned or refused by the
+// store. A gateway whose state becomes stale for such a reason queries the store itself and the
+// other gateways in turn, and adopts the most recently confirmed state. A new gateway queries the
+// other gateways before the store.
 //
-// Single-threaded; what the constructor is given outlives the object.
+// Single-threaded; the constructor's arguments must outlive the object.
 #pragma once
 
 #include "decision/gateway/sendpermits.h"
@@ -13,9 +14,9 @@
 #include "decision/membership/storeturn.h"
 #include "gateway/gatewayknowledge.h"
 #include "gateway/gatewaypeers.h"
+#include "gateway/gossipstate.h"
 #include "gateway/grouppoller.h"
 #include "gateway/storeprotocol.h"
-#include "gateway/gossipstate.h"
 #include "gateway/storewatcher.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
@@ -34,30 +35,32 @@
     {
         InstanceId instance;
         HallId hall;
-        std::optional<SocketAddress> peerListen; // For other gateways; nothing: there are none.
-        std::vector<SocketAddress> seeds;        // Of some gateways, maybe gone by now.
-        std::optional<int> agentPort;            // Of the agents beside engines; nothing: none.
-        Duration storeCoalesceDelay{};           // For which the store's changes are gathered.
+        std::optional<SocketAddress>
+            peerListen; // Listening address for other gateways; empty if there are none.
+        std::vector<SocketAddress> seeds; // Addresses of some gateways, which may no longer exist.
+        std::optional<int> agentPort; // Port of the agents beside engines; empty if there are none.
+        Duration storeCoalesceDelay{}; // How long changes of the store are batched.
     };
 
     static tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
     create(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
            GatewayKnowledge &knowledge, const GossipState &gossip, const Settings &settings);
 
-    // Asks for permits to send to an upstream that names a limit, the gateway whose turn that is or
-    // this one itself. `answered` is called once, maybe before this returns.
+    // Requests permits to send to an upstream that states a limit or is warming up, from the
+    // gateway that issues them or, if there is no such peer, from this gateway's own issuer.
+    // `answered` is called once, possibly before this function returns.
     void requestPermits(const SendPermits::Ask &ask, GatewayPeers::PermitsAnswered answered);
 
-    // Asks those whose turn it is. Call it often.
+    // Starts the queries that are due. Must be called at short intervals.
     void tick();
 
-    // The gateway stops: asks nobody any more.
+    // Ends all queries, because the gateway is stopping.
     void stop();
 
     std::uint64_t storeCalls() const;
     bool followsStore() const { return watcher_ != nullptr; }
     std::size_t gateways() const { return directory_.size(); }
-    // Returns where this gateway stands among those of its hall.
+    // Returns the position of this gateway among the gateways of its hall.
     HallPlace place() const { return directory_.place(); }
 
 private:
@@ -94,14 +97,15 @@
     std::unique_ptr<GroupPoller> groupPoller_;
     TimePoint groupsPolledAt_{};
     std::unique_ptr<StoreWatcher> watcher_;
-    std::uint64_t endedWatcherCalls_ = 0; // Of watchers that are gone.
+    std::uint64_t endedWatcherCalls_ = 0; // Store calls made by earlier watchers.
     bool stopped_ = false;
     TimePoint startedAt_{};
-    std::size_t nextHall_ = 0;       // Whose first is asked next.
-    std::uint64_t nextSeed_ = 0;     // Drawn at random at first, so that new gateways spread.
-    TimePoint fallbackWatchUntil_{}; // An own watch on the store goes on until then.
+    std::size_t nextHall_ = 0;   // Selects the hall whose first gateway is queried next.
+    std::uint64_t nextSeed_ = 0; // Starts at a random value to spread new gateways over the seeds.
+    TimePoint fallbackWatchUntil_{}; // End of a watch that was started because the state was stale.
     TimePoint
-        storeBackoffUntil_{}; // Another gateway knows more; the store is asked again from then.
+        // Until then the store is not queried, because another gateway has newer state.
+        storeBackoffUntil_{};
     TimePoint listsQueriedAt_{};
     TimePoint staleQueriedAt_{};
     TimePoint seedsQueriedAt_{};
