--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -9,7 +9,7 @@
 namespace seamarch {
 namespace {
 
-// Returns how long to rest after reading the items.
+// Returns the delay before the next watch call that reading `items` requires.
 Duration delayAfter(const StoreItems &items)
 {
     std::size_t bytes = 0;
@@ -75,8 +75,9 @@
              settings_.longPollWait + settings_.answerTimeout);
 }
 
-// Takes the era that an answer tells. Returns false when what it says cannot be used: it was given
-// before the store went back, or it is the first after that and goes on from what is gone.
+// Adopts the era that an answer reports. Returns false if the answer is unusable: it is from an
+// earlier era, or it is the first of a later era and continues from a state that the store has
+// lost.
 bool StoreWatcher::acceptEra(const HttpText &text)
 {
     const StorePosition reported{store_.readEra(text.headers), 0};
@@ -120,7 +121,8 @@
 
 void StoreWatcher::onListed(StoreItems items)
 {
-    // Pages are no snapshot: changes are followed from the first page's revision on.
+    // A list of several pages is not an atomic snapshot, so changes are watched from the revision
+    // of the first page.
     listed_.position = listed_.position == StorePosition() ? items.position : listed_.position;
     std::move(items.items.begin(), items.items.end(), std::back_inserter(listed_.items));
     std::move(items.faults.begin(), items.faults.end(), std::back_inserter(listed_.faults));
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -1,14 +1,15 @@
-// Follows the platform's store: lists its items once, then waits for changes.
+// Follows the platform's store: lists all items once, then watches for changes with long polls.
 //
-// A watch that hears nothing proves nothing, so each wait is short; its answer, also an empty one,
-// confirms that what is held was true when the call was made. A call that is not answered in time
-// is given up with its connection, and the next one follows after a pause that doubles, with
-// jitter, so that a store that comes back is not met by all gateways together.
+// The absence of an event alone does not prove that a watch is alive, so each watch call is short;
+// its answer, even an empty one, confirms that the known state was current when the call was sent.
+// A call that is not answered in time is cancelled along with its connection. The next one follows
+// after an exponential backoff with jitter, so that a recovering store does not receive calls from
+// all gateways at once.
 //
-// A store that comes back from an older copy gives revisions out again: a watch from the one that
-// is held would skip what was written below it. So the first answer of a later era, whatever it
-// says, begins a new list at once. An answer that does not tell its era is taken for one of the
-// same.
+// A store that is restored from an older copy issues revisions again, and a watch from the known
+// revision would skip what was written below it. The first answer of a later era, whatever its
+// content, therefore starts a new list at once. An answer without an era counts as one of the
+// current era.
 #pragma once
 
 #include "gateway/storeprotocol.h"
@@ -23,17 +24,17 @@
 
 namespace seamarch {
 
-// Hears what the store says. Outlives the watcher.
+// Receives the results of store calls. Must outlive the watcher.
 class StoreListener
 {
 public:
     virtual ~StoreListener() = default;
 
-    // All items of the store, as of a call that was made at `sentAt`.
+    // Called with all items of the store, as of a list whose first call was sent at `sentAt`.
     virtual void onStoreListed(const StoreItems &items, TimePoint sentAt) = 0;
-    // Changes; none, when the store only confirmed that there are none.
+    // Called with changes, or with no items if the store confirms that there are none.
     virtual void onStoreChanged(const StoreItems &items, TimePoint sentAt) = 0;
-    // A call has failed.
+    // Called when a call has failed.
     virtual void onStoreFailed(std::string_view cause) = 0;
 };
 
@@ -42,15 +43,17 @@
 public:
     struct Settings
     {
-        // How long a watch waits. Shorter waits confirm sooner and cost more calls: keys must be
-        // refused five seconds after they were revoked, and every call has a price.
+        // How long a watch call waits for changes. Shorter waits confirm the state sooner but cost
+        // more calls: keys must be refused five seconds after their revocation, and each call has a
+        // price.
         Duration longPollWait = std::chrono::milliseconds(1000);
-        // What an answer may take beyond the wait; a slow store takes some 300 ms.
+        // Time allowed for an answer beyond the wait, and for connecting. A slow store takes about
+        // 300 ms.
         Duration answerTimeout = std::chrono::milliseconds(900);
         Duration initialBackoff = std::chrono::milliseconds(100);
         Duration maxBackoff = std::chrono::milliseconds(800);
-        // How long to wait after changes before asking for the next. Each answer of a watch is a
-        // call, and when many upstreams come and go, changes follow each other in milliseconds.
+        // Delay after a change before the next watch call. Each answer costs one call, and while
+        // many upstreams start and stop, changes are only milliseconds apart.
         Duration coalesceDelay{};
         std::uint64_t seed = 0;
     };
@@ -86,7 +89,7 @@
     Settings settings_;
     std::mt19937_64 random_;
     Step step_ = Step::List;
-    StoreItems listed_; // Of the pages so far.
+    StoreItems listed_; // Merged from the pages received so far.
     TimePoint sentAt_{};
     TimePoint listStartedAt_{};
     HttpCallId call_ = 0;
