--- a/src/gateway/callerprotocol.h
+++ b/src/gateway/callerprotocol.h
@@ -1,7 +1,7 @@
-// What a gateway must know of the protocol that callers and upstreams speak.
+// The interface between a gateway and the protocol that callers and upstreams use.
 //
-// The gateway decides on typed facts; an implementation of this interface reads them from messages
-// and writes them into messages. It decides nothing and keeps no state.
+// The gateway works on typed values; implementations decode them from messages and encode them into
+// messages. They are stateless and make no decisions.
 #pragma once
 
 #include "decision/gateway/gatewaycore.h"
@@ -18,22 +18,23 @@
 
 namespace seamarch {
 
-// What a caller's request says about itself.
+// Metadata that a caller sends with its request.
 struct RequestMetadata
 {
-    std::string requestId;            // The caller's own name for this attempt; may be empty.
+    std::string requestId;            // The caller's id of this attempt; may be empty.
     std::string host;                 // Without a port.
-    std::string key;                  // Of a client account; empty when there is none.
-    std::optional<Duration> deadline; // How long the caller waits.
-    std::string resumeAfter;          // The last event that the caller has; empty: from the start.
-    bool expectsVersion = false;      // Upstreams whose weights have another version refuse it.
+    std::string key;                  // The key of a client account; empty if the request has none.
+    std::optional<Duration> deadline; // How long the caller waits for the answer.
+    std::string
+        resumeAfter; // Id of the last event that the caller received; empty: from the start.
+    bool expectsVersion = false; // Upstreams with other weights refuse the request.
 };
 
-// What an upstream is told besides the request itself.
+// Metadata that the gateway sends to an upstream along with a request.
 struct AttemptMetadata
 {
-    InstanceId instance; // The instance that is meant; another one refuses.
-    AccountId account;   // Empty: none.
+    InstanceId instance; // The intended instance; any other refuses the request.
+    AccountId account;   // Empty if the request has no account.
     std::optional<std::uint8_t> priority;
     Duration timeLeft{};
     std::string resumeAfter;
@@ -45,16 +46,16 @@
     virtual ~CallerProtocol() = default;
 
     virtual RequestMetadata readRequest(const HttpRequest &request) const = 0;
-    // Returns the headers of the request as an upstream gets it.
+    // Returns the headers of the request that is sent to an upstream.
     virtual HttpHeaders upstreamHeaders(const HttpRequest &request,
                                         const AttemptMetadata &attempt) const = 0;
-    // Tells what the head of an upstream's answer to a request says.
+    // Classifies an upstream's answer by its head.
     virtual AnswerKind classifyAnswer(const HttpHead &head,
                                       const RequestMetadata &request) const = 0;
-    // Reads what the head of an upstream's answer says about the upstream itself. One that another
-    // instance gave at the upstream's address says nothing of it.
+    // Extracts the notices about the upstream itself from the head of its answer. The notice is
+    // empty if another instance answered at the upstream's address.
     virtual UpstreamNotice readNotice(const HttpHead &head) const = 0;
-    // Returns the headers of the gateway's own refusal of a request.
+    // Returns the headers of a refusal by the gateway itself.
     virtual HttpHeaders refusalHeaders(const std::string &requestId, Outcome outcome,
                                        Duration retryAfter) const = 0;
 };
