--- a/src/gateway/configreaddelay.h
+++ b/src/gateway/configreaddelay.h
@@ -1,9 +1,9 @@
-// How soon a process reads the next configuration.
+// The delay between two configurations that a process reads.
 //
-// Reading a large one takes a gateway's small share of a processor for tens of milliseconds, in
-// which it passes on no event of any stream. When configurations come in quick succession only the
-// last counts, so a process rests between two of them, longer after a larger one, and is spared
-// most.
+// Reading a large configuration occupies a gateway's small share of a processor for tens of
+// milliseconds, during which it forwards no stream events. When configurations follow each other
+// quickly only the last one matters, so a process waits between two of them, longer after a larger
+// one, and skips most of them.
 #pragma once
 
 #include "seamarch/units.h"
@@ -13,10 +13,10 @@
 
 namespace seamarch {
 
-// Returns how long to rest after a configuration of `bytes`. Reading takes 25 us a kilobyte on a
-// whole core (261 kB in 6.6 ms, measured), 0.1 ms on a quarter of one: at most a tenth of the time
-// goes to it. The bound keeps a configuration that passes through two processes well inside the two
-// seconds in which it must be in force.
+// Returns how long to wait after reading a configuration of `bytes`. Reading takes 25 us per
+// kilobyte on a full core (measured: 261 kB in 6.6 ms), so 0.1 ms on a quarter of a core; the delay
+// keeps it to a tenth of the time at most. The upper bound keeps the propagation of a configuration
+// through two processes well within the two seconds in which it must take effect.
 inline Duration configReadDelay(std::size_t bytes)
 {
     constexpr std::size_t kKilobyte = 1000;
--- a/src/gateway/gossipstate.h
+++ b/src/gateway/gossipstate.h
@@ -1,4 +1,4 @@
-// What gateways tell each other besides the state of the platform's store.
+// The state that gateways exchange in addition to the state of the platform's store.
 #pragma once
 
 #include "decision/gateway/grouptable.h"
@@ -9,7 +9,7 @@
 
 namespace seamarch {
 
-// All of it belongs to the gateway's core, which outlives those that are given it.
+// References to tables that the gateway's core owns. The core outlives all users of this struct.
 struct GossipState
 {
     GroupTable &groups;
--- a/src/gateway/requestdigest.h
+++ b/src/gateway/requestdigest.h
@@ -1,4 +1,4 @@
-// What a request asks, as a digest.
+// A digest that identifies requests with the same content.
 #pragma once
 
 #include "net/httpserver.h"
@@ -8,11 +8,11 @@
 
 namespace seamarch {
 
-// Requests are the same to an upstream that have the same method, host, path, account and body. The
-// digest takes 2.4 us for 4 KiB and 4.6 ms for 8 MiB, the longest body that is usually taken.
+// Returns the digest of the method, host, path, account and body. Requests with equal digests are
+// the same to an upstream. Takes 2.4 us for 4 KiB and 4.6 ms for 8 MiB, the usual limit of bodies.
 RequestDigest digestOf(const HttpRequest &request, const AccountId &account);
 
-// Returns the digest as logs and the status show it.
+// Returns the digest as 16 hexadecimal digits, for logs and status output.
 std::string toText(const RequestDigest &digest);
 
 } // namespace seamarch
