--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -155,7 +155,7 @@
             }
         } else {
             for (auto event = events_.upper_bound(since); event != events_.end(); ++event) {
-                if (fault_ != Fault::EndsAreNotTaken || !event->second.over) {
+                if (fault_ != Fault::EndsAreNotTaken || !event->second.cancelled) {
                     message.items->items.emplace_back(event->second);
                 }
             }
