--- a/src/gateway/grouppoller.h
+++ b/src/gateway/grouppoller.h
@@ -39,8 +39,8 @@
     GroupPoller(const GroupPoller &) = delete;
     GroupPoller &operator=(const GroupPoller &) = delete;
 
-    // Sends the polls that are due if `active`, and closes idle connections. Must be called often,
-    // several times per second.
+    // Sends the polls that are due if `active`, and closes idle connections. Must be called at
+    // short intervals.
     void tick(bool active);
 
 private:
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -35,11 +35,14 @@
     {
         InstanceId instance;
         HallId hall;
-        std::optional<SocketAddress>
-            peerListen; // Listening address for other gateways; empty if there are none.
-        std::vector<SocketAddress> seeds; // Addresses of some gateways, which may no longer exist.
-        std::optional<int> agentPort; // Port of the agents beside engines; empty if there are none.
-        Duration storeCoalesceDelay{}; // How long changes of the store are batched.
+        // Listening address for other gateways; empty if there are none.
+        std::optional<SocketAddress> peerListen;
+        // Addresses of some gateways, which may no longer exist.
+        std::vector<SocketAddress> seeds;
+        // Port of the agents beside engines; empty if there are none.
+        std::optional<int> agentPort;
+        // How long changes of the store are batched.
+        Duration storeCoalesceDelay{};
     };
 
     static tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
@@ -103,9 +106,8 @@
     std::size_t nextHall_ = 0;   // Selects the hall whose first gateway is queried next.
     std::uint64_t nextSeed_ = 0; // Starts at a random value to spread new gateways over the seeds.
     TimePoint fallbackWatchUntil_{}; // End of a watch that was started because the state was stale.
-    TimePoint
-        // Until then the store is not queried, because another gateway has newer state.
-        storeBackoffUntil_{};
+    // Until then the store is not queried, because another gateway has newer state.
+    TimePoint storeBackoffUntil_{};
     TimePoint listsQueriedAt_{};
     TimePoint staleQueriedAt_{};
     TimePoint seedsQueriedAt_{};
