--- a/src/gateway/startuprequestqueue.cpp
+++ b/src/gateway/startuprequestqueue.cpp
@@ -13,9 +13,9 @@
     if (queued_.size() >= settings_.maxRequests || bytes_ + size > settings_.maxBytes) {
         return false;
     }
-    const Duration fraction = fromSeconds(toSeconds(deadline) * settings_.maxDeadlineFraction);
+    const Duration deadlineShare = fromSeconds(toSeconds(deadline) * settings_.maxDeadlineFraction);
     const Duration wait =
-        deadline > Duration{} ? std::min(fraction, settings_.maxWait) : settings_.maxWait;
+        deadline > Duration{} ? std::min(deadlineShare, settings_.maxWait) : settings_.maxWait;
     bytes_ += size;
     queued_.emplace(exchange, Entry{std::move(request), now, now + wait});
     return true;
