--- a/src/gateway/startuprequestqueue.cpp
+++ b/src/gateway/startuprequestqueue.cpp
@@ -33,7 +33,7 @@
 }
 
 StartupRequestQueue::QueuedRequest
-StartupRequestQueue::take(std::map<ExchangeId, Entry>::iterator entry)
+StartupRequestQueue::extract(std::map<ExchangeId, Entry>::iterator entry)
 {
     bytes_ -= entry->second.request.body.size();
     QueuedRequest queued{entry->first, std::move(entry->second.request), entry->second.arrivedAt};
@@ -45,7 +45,7 @@
 {
     std::vector<QueuedRequest> first;
     while (first.size() < count && !queued_.empty()) {
-        first.push_back(take(queued_.begin()));
+        first.push_back(extract(queued_.begin()));
     }
     return first;
 }
@@ -56,7 +56,7 @@
     for (auto entry = queued_.begin(); entry != queued_.end();) {
         const auto next = std::next(entry);
         if (entry->second.expiresAt <= now) {
-            expired.push_back(take(entry));
+            expired.push_back(extract(entry));
         }
         entry = next;
     }
--- a/src/gateway/startuprequestqueue.h
+++ b/src/gateway/startuprequestqueue.h
@@ -66,7 +66,7 @@
         TimePoint expiresAt{};
     };
 
-    QueuedRequest take(std::map<ExchangeId, Entry>::iterator entry);
+    QueuedRequest extract(std::map<ExchangeId, Entry>::iterator entry);
 
     Settings settings_;
     std::map<ExchangeId, Entry> queued_; // Ordered by arrival, because exchange ids increase.
