--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -346,16 +346,16 @@
     }
 }
 
-void StateSynchronizer::followStore(bool wanted, std::string_view reason)
+void StateSynchronizer::followStore(bool follow, std::string_view reason)
 {
-    if (wanted == followsStore()) {
+    if (follow == followsStore()) {
         return;
     }
-    logLine(LogLevel::Info, wanted ? "store.followed" : "store.left",
+    logLine(LogLevel::Info, follow ? "store.followed" : "store.left",
             {{"reason", reason},
              {"gateways", directory_.size()},
              {"knowledgeAgeMs", knowledge_.confirmed() ? toMillis(knowledge_.age()) : -1}});
-    if (!wanted) {
+    if (!follow) {
         endedWatcherCalls_ += watcher_->calls();
         watcher_.reset();
         return;
