--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -87,7 +87,7 @@
     void queryNextSeed();
     void queryGateway(const std::optional<InstanceId> &id, Duration longPollWait,
                       GatewayPeers::AskList list = GatewayPeers::AskList::IfDue);
-    void followStore(bool wanted, std::string_view reason);
+    void followStore(bool follow, std::string_view reason);
 
     EventLoop &loop_;
     HttpClient &client_;
