--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -405,9 +405,9 @@
     Simulation simulate(std::uint64_t seed)
     {
         constexpr int kSteps = 200;
-        Simulation world(*loop, metrics, seed);
-        world.run(kSteps);
-        return world;
+        Simulation simulation(*loop, metrics, seed);
+        simulation.run(kSteps);
+        return simulation;
     }
 };
 
