--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -119,17 +119,17 @@
         for (int step = 0; step < steps; ++step) {
             now_ += Duration(1);
             changeOne();
-            const auto one = static_cast<std::size_t>(draw(kGateways));
+            const auto gateway = static_cast<std::size_t>(draw(kGateways));
             switch (draw(6)) {
             case 0:
-                callStore(one, true);
+                callStore(gateway, true);
                 break;
             case 1:
             case 2:
-                callStore(one, false);
+                callStore(gateway, false);
                 break;
             case 3:
-                sendState(one, static_cast<std::size_t>(draw(kGateways)));
+                sendState(gateway, static_cast<std::size_t>(draw(kGateways)));
                 break;
             case 4:
                 if (draw(20) == 0) {
