--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -133,8 +133,8 @@
                 break;
             case 4:
                 if (draw(20) == 0) {
-                    gateways_[one] = std::make_unique<Gateway>(loop_, metrics_);
-                    ++incarnations_[one];
+                    gateways_[gateway] = std::make_unique<Gateway>(loop_, metrics_);
+                    ++incarnations_[gateway];
                 }
                 break;
             default:
