--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -165,13 +165,13 @@
             store_.removedAt[id] = revision;
             return;
         }
-        const auto held = store_.entries.find(id);
+        const auto entry = store_.entries.find(id);
         UpstreamRecord record;
         record.id = InstanceId(id);
         record.service = TargetName("portal");
         record.start = UpstreamStart(upstream.start);
         record.leaving = upstream.leaving;
-        record.listedAt = held == store_.entries.end() ? revision : held->second.record.listedAt;
+        record.listedAt = held == store_.entries.end() ? revision : entry->second.record.listedAt;
         record.createdAt = record.listedAt;
         store_.entries[id] = {record, revision};
         store_.removedAt.erase(id);
