--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -171,7 +171,7 @@
         record.service = TargetName("portal");
         record.start = UpstreamStart(upstream.start);
         record.leaving = upstream.leaving;
-        record.listedAt = held == store_.entries.end() ? revision : entry->second.record.listedAt;
+        record.listedAt = entry == store_.entries.end() ? revision : entry->second.record.listedAt;
         record.createdAt = record.listedAt;
         store_.entries[id] = {record, revision};
         store_.removedAt.erase(id);
