--- a/test/gateway/configreaddelay_test.cpp
+++ b/test/gateway/configreaddelay_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: twenty-five configurations of a thousand routes within a second and a
-// half. Read one by one they take most of a gateway's quarter of a core, and events of streams
-// wait.
+// Guards against stalled streams under a burst of configurations, such as 25 configurations with a
+// thousand routes each within 1.5 s. Reading each of them takes most of a gateway's quarter of a
+// core, and stream events are delayed.
 #include "gateway/configreaddelay.h"
 
 #include <CppUTest/TestHarness.h>
@@ -15,7 +15,7 @@
     CHECK_TRUE(configReadDelay(10'000) <= std::chrono::milliseconds(10));
 }
 
-// A quarter of a core reads a kilobyte in 0.1 ms.
+// A quarter of a core reads one kilobyte in 0.1 ms.
 TEST(ConfigReadDelayTest, ReadingTakesAtMostATenthOfTheTime)
 {
     const std::size_t bytes = 200'000;
@@ -23,8 +23,8 @@
     CHECK_TRUE(configReadDelay(bytes) >= 9 * reading);
 }
 
-// Through two processes, with a store's and a link's delays, it must be in force within two
-// seconds.
+// A configuration must take effect within two seconds, including two processes that read it and the
+// delays of a store and a link.
 TEST(ConfigReadDelayTest, DelayIsBounded)
 {
     CHECK_TRUE(configReadDelay(50'000'000) <= std::chrono::milliseconds(250));
--- a/test/gateway/grouppoller_test.cpp
+++ b/test/gateway/grouppoller_test.cpp
@@ -1,5 +1,5 @@
-// How a gateway hears of groups from the agent beside an engine. Real sockets on loopback. Whom it
-// asks where there are many agents is tested without sockets: see groupsurvey_test.cpp.
+// Tests polling of a single agent over sockets on the loopback interface. The selection among many
+// agents is tested in groupsurvey_test.cpp, without sockets.
 #include "experts/groupreporter.h"
 #include "freeport.h"
 #include "gateway/grouppoller.h"
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr const char *kHost = "127.0.0.1";
-constexpr int kFirstEngine = 80; // Ports.
+constexpr int kFirstEngine = 80; // Port numbers.
 constexpr int kSecondEngine = 81;
 
-// An agent that answers questions about its group and nothing else.
+// An agent that only answers polls about its group.
 class FakeAgent
 {
 public:
@@ -151,8 +151,8 @@
     LONGS_EQUAL(1, agent->connections);
 }
 
-// An agent that does not decide says nothing of its group, but is asked again: it may decide by
-// then.
+// An agent that does not decide sends no group state. It is polled again because it may have become
+// the decider.
 TEST(GroupPollerTest, PollsAgainWhileNoAgentDecides)
 {
     agent->reporter.refer("");
--- a/test/gateway/startuprequestqueue_test.cpp
+++ b/test/gateway/startuprequestqueue_test.cpp
@@ -46,7 +46,8 @@
     LONGS_EQUAL(1, queue.popExpired(at(1000)).size());
 }
 
-// A caller that waits for a second is told after half of it, while there is time to come back.
+// A caller with a deadline of one second is answered after half of it, so that it has time to
+// retry.
 TEST(StartupRequestQueueTest, RequestExpiresAfterHalfOfItsDeadline)
 {
     StartupRequestQueue queue(settings);
