--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -1,8 +1,10 @@
-// The load that this answers: the platform's store comes back from an older copy, again and again,
-// while its operator writes configurations, upstreams leave, end and start again under their ids,
-// and five gateways hear of it from the store and from each other, late and out of order.
+// A randomized simulation of five gateways while the platform's store is repeatedly restored from
+// an older copy. Meanwhile the operator writes configurations, and upstreams announce that they are
+// leaving, stop and restart under the same ids. Gateways receive this from the store and from each
+// other, late and out of order.
 //
-// The model of the store keeps what it would answer to each call; the world keeps what is true.
+// Guards against gateways that revert to an older version or use an upstream again that is leaving
+// or gone. `store_` is what the store would answer; `actual_` is the true state of the upstreams.
 #include "gateway/gatewayknowledge.h"
 
 #include "base/log.h"
@@ -33,7 +35,7 @@
     bool running = true;
 };
 
-// What the store holds, as of a revision.
+// The content of the store at a revision.
 struct StoreState
 {
     struct Entry
@@ -66,16 +68,16 @@
 
     UpstreamTable upstreams;
     GatewayKnowledge knowledge;
-    StorePosition watchPosition; // What its watch of the store goes on from.
+    StorePosition watchPosition; // Where the next watch call continues.
     TimePoint confirmedAt{};
-    std::uint64_t highest = 0; // Version that it has had in force.
-    std::set<std::pair<std::string, std::int64_t>>
-        announcedLeaving; // Starts that it has heard to leave.
-    std::set<std::pair<std::string, std::int64_t>>
-        seenLeaving; // Starts that it took for leaving or gone.
+    std::uint64_t highest = 0; // Highest version in force so far.
+    // Starts that the store reported as leaving.
+    std::set<std::pair<std::string, std::int64_t>> announcedLeaving;
+    // Starts that it has treated as leaving or gone.
+    std::set<std::pair<std::string, std::int64_t>> seenLeaving;
 };
 
-// A message that is on its way to a gateway.
+// A message in transit to a gateway.
 struct Message
 {
     std::size_t to = 0;
@@ -109,9 +111,11 @@
         }
     }
 
-    // What was found to be taken back of versions and words of leaving; empty: nothing.
+    // Describes a violation in which a gateway reverted a version or an announced leave; empty if
+    // there was none.
     const std::string &failure() const { return failure_; }
-    // The same of upstreams that were gone.
+    // Describes a violation in which a gateway used a removed upstream again; empty if there was
+    // none.
     const std::string &removalFailure() const { return removalFailure_; }
 
     void run(int steps)
@@ -155,7 +159,7 @@
         store_.versionAt = ++store_.revision;
     }
 
-    // The upstream, or what removes it, writes its entry anew.
+    // Writes the entry of an upstream to the store, or removes it if the upstream has stopped.
     void writeEntry(const std::string &id)
     {
         const Upstream &upstream = actual_.at(id);
@@ -228,7 +232,7 @@
         std::shuffle(pendingRewrites_.begin(), pendingRewrites_.end(), random_);
     }
 
-    // One of those that had written since the copy writes it again.
+    // Repeats one of the writes that were lost when the store was restored from its copy.
     void rewriteOne()
     {
         if (pendingRewrites_.empty()) {
@@ -244,7 +248,8 @@
         store_.versionAt = ++store_.revision;
     }
 
-    // Answers a call of a gateway; a watch from a place of another era begins a list.
+    // Sends an answer of the store to a gateway. A watch that continues from another era becomes a
+    // list.
     void callStore(std::size_t index, bool wholeList)
     {
         Gateway &gateway = *gateways_[index];
@@ -295,7 +300,7 @@
             const Message message = std::move(*chosen);
             inFlight_.erase(chosen);
             if (message.incarnation != incarnations_[message.to]) {
-                continue; // The one that asked has ended.
+                continue; // The gateway that sent the call has been restarted.
             }
             Gateway &gateway = *gateways_[message.to];
             if (!message.ofStore) {
@@ -308,7 +313,7 @@
         }
     }
 
-    // A watcher makes one call at a time: an answer that an earlier call of it got is not taken.
+    // A watcher has only one call in progress, so it does not accept answers to earlier calls.
     static void applyStoreAnswer(Gateway &gateway, const Message &message)
     {
         if (message.items.position < gateway.watchPosition) {
@@ -373,7 +378,8 @@
     StoreState store_;
     StoreState copy_;
     std::map<std::string, Upstream> actual_;
-    std::vector<std::string> pendingRewrites_; // Who has yet to write again; empty: the operator.
+    // Upstreams that have to write again; empty id: the operator.
+    std::vector<std::string> pendingRewrites_;
     std::vector<std::unique_ptr<Gateway>> gateways_;
     std::vector<int> incarnations_;
     std::vector<Message> inFlight_;
@@ -395,7 +401,7 @@
         setLogLevel(LogLevel::Info);
     }
 
-    // More seeds by hand: SEAMARCH_DRILL_SEEDS says how many.
+    // Returns the number of seeds; SEAMARCH_DRILL_SEEDS overrides it for longer manual runs.
     static std::uint64_t seeds()
     {
         const char *wanted = std::getenv("SEAMARCH_DRILL_SEEDS");
@@ -418,7 +424,7 @@
     }
 }
 
-// Its record is gone from the store; a copy of some seconds ago lists it once more.
+// The store no longer lists the upstream, but a copy that is a few seconds old still does.
 TEST(StoreDrillTest, NoGatewayTakesBackThatAnUpstreamIsGone)
 {
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
@@ -426,8 +432,8 @@
     }
 }
 
-// The upstream writes a new entry after the store has gone back to a copy; then the store goes back
-// to the same copy once more, which holds the entry before.
+// An upstream writes a new entry after the store was restored from a copy. Then the store is
+// restored from the same copy again, which holds the previous entry.
 TEST(StoreDrillTest, CopyThatComesBackTwiceTakesNothingBack)
 {
     STRCMP_EQUAL("", simulate(30683).removalFailure().c_str());
