--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -1,4 +1,4 @@
-// What the platform's messages mean, and what is written to it.
+// Tests decoding and encoding of the platform's messages.
 #include "callerheaders.h"
 #include "enginehttp.h"
 #include "storehttp.h"
@@ -155,7 +155,7 @@
     CHECK_TRUE(protocol.readNotice(head(200, several)).limit == RequestRate(1.5));
 }
 
-// Whoever has the address by now speaks for itself.
+// Notices come from whichever instance uses the address now, not from the intended one.
 TEST(CallerHeadersTest, IgnoresNoticesOfMisdirectedRequests)
 {
     const HttpHeaders all{{"Retry-After", "3"}, {"Server-Leaving", "1"}, {"Server-Limit", "1"}};
@@ -221,12 +221,12 @@
              R"({"key-file":"servers/i-2","revision":5,"removed":true}],"current-rev":6})");
     LONGS_EQUAL(2, items->items.size());
     LONGS_EQUAL(1, items->faults.size());
-    // What was believed of an upstream goes with an entry that makes no sense.
+    // An upstream whose entry becomes invalid is removed.
     STRCMP_EQUAL("i-1", std::get<UpstreamRemoval>(items->items[0]).id.value().c_str());
     STRCMP_EQUAL("i-2", std::get<UpstreamRemoval>(items->items[1]).id.value().c_str());
 }
 
-// An entry may come from another writer: it names nothing to use unless it is whole.
+// Entries may come from another writer, so incomplete ones are rejected.
 TEST(StoreHttpTest, RejectsIncompleteUpstreamEntries)
 {
     const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
@@ -246,7 +246,7 @@
     for (const auto &[field, others] : fields) {
         for (const std::string &other : others) {
             std::string entry = whole;
-            const std::size_t comma = other.empty() ? 1 : 0; // The one after the field.
+            const std::size_t comma = other.empty() ? 1 : 0; // The comma after the field.
             entry.replace(entry.find(field), field.size() + comma, other);
             CHECK_TEXT(!readUpstream("i-1", entry).has_value(), entry.c_str());
         }
@@ -276,7 +276,8 @@
     };
     LONGS_EQUAL(1764000000123,
                 readUpstream("i-1", entry(R"(,"born":1764000000123)"))->start.value());
-    LONGS_EQUAL(0, readUpstream("i-1", entry(""))->start.value()); // Of older software.
+    LONGS_EQUAL(0,
+                readUpstream("i-1", entry(""))->start.value()); // Older software omits the field.
     for (const char *const born :
          {"\"1\"", "1.5", "0", "-1", "null", "true", "18446744073709551615"}) {
         CHECK_TEXT(!readUpstream("i-1", entry(std::string(",\"born\":") + born)).has_value(), born);
@@ -294,7 +295,8 @@
     const auto left = readUpstream("i-1", entry(R"(,"warmup-left-ms":2500)"))->warmUpLeft;
     CHECK_TRUE(left == Duration(std::chrono::milliseconds(2500)));
     CHECK_TRUE(readUpstream("i-1", entry(R"(,"warmup-left-ms":0)"))->warmUpLeft == Duration{});
-    CHECK_FALSE(readUpstream("i-1", entry(""))->warmUpLeft.has_value()); // Of older software.
+    CHECK_FALSE(
+        readUpstream("i-1", entry(""))->warmUpLeft.has_value()); // Older software omits the field.
     for (const char *const text : {"\"1\"", "-1", "null", "true", "[]", "1e300"}) {
         const std::string field = std::string(",\"warmup-left-ms\":") + text;
         CHECK_TEXT(!readUpstream("i-1", entry(field)).has_value(), text);
@@ -328,7 +330,7 @@
     }
 }
 
-// The values are "{}" and no base64 at all.
+// The values are "{}" and invalid base64.
 TEST(StoreHttpTest, ReadsDrainedHallFromKeyAlone)
 {
     const auto items = store.readWatch(
@@ -361,8 +363,8 @@
     CHECK_TRUE(store.readWatch(200, "[]").error() == StoreError::Unreadable);
 }
 
-// The values are configurations of versions 1 and 2 without routes. When they come in quick
-// succession, reading all of them would take a gateway's processor from its streams.
+// The values are configurations of versions 1 and 2 without routes. Parsing every configuration of
+// a rapid sequence would take processor time from the gateway's streams.
 TEST(StoreHttpTest, ReadsOnlyTheLastConfiguration)
 {
     const auto items = store.readWatch(
