--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -146,7 +146,7 @@
         return false;
     }
     if (watcher_ != nullptr) {
-        followStore(false, "another gateway knows more");
+        followStore(false, "another gateway has newer state");
         storeBackoffUntil_ = loop_.now() + kStoreBackoff;
         fallbackWatchUntil_ = {};
     }
@@ -204,7 +204,7 @@
 void StateSynchronizer::stop()
 {
     stopped_ = true;
-    followStore(false, "the gateway stops");
+    followStore(false, "the gateway is stopping");
 }
 
 void StateSynchronizer::tick()
@@ -230,13 +230,13 @@
         fallbackWatchUntil_ = now + kFallbackWatchDuration;
     }
     if (waitsForPeers(now) || now < storeBackoffUntil_) {
-        followStore(false, "hears other gateways first");
+        followStore(false, "waiting for other gateways or backing off");
     } else if (followsSelf && !isDiscovering(now)) {
         followStore(true, "first of its hall");
     } else if (now < fallbackWatchUntil_) {
-        followStore(true, "knowledge is old");
+        followStore(true, "state is stale");
     } else {
-        followStore(false, "another gateway of the hall follows it");
+        followStore(false, "another gateway of the hall follows the store");
     }
     queryPeers(followed, now);
     peers_->tick();
