--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -83,7 +83,7 @@
     std::size_t to = 0;
     int incarnation = 0;
     TimePoint sentAt{};
-    bool ofStore = false;
+    bool fromStore = false;
     bool wholeList = false;
     StoreItems items;
     SharedKnowledge shared;
@@ -303,7 +303,7 @@
                 continue; // The gateway that sent the call has been restarted.
             }
             Gateway &gateway = *gateways_[message.to];
-            if (!message.ofStore) {
+            if (!message.fromStore) {
                 if (gateway.knowledge.adopt(message.shared, message.sentAt)) {
                     gateway.confirmedAt = message.sentAt;
                 }
