--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -70,7 +70,7 @@
     GatewayKnowledge knowledge;
     StorePosition watchPosition; // Where the next watch call continues.
     TimePoint confirmedAt{};
-    std::uint64_t highest = 0; // Highest version in force so far.
+    std::uint64_t highestVersion = 0; // Highest version in force so far.
     // Starts that the store reported as leaving.
     std::set<std::pair<std::string, std::int64_t>> announcedLeaving;
     // Starts that it has treated as leaving or gone.
@@ -339,11 +339,11 @@
         for (std::size_t index = 0; index < kGateways; ++index) {
             Gateway &gateway = *gateways_[index];
             const std::uint64_t version = gateway.knowledge.version().value();
-            failure_ = version < gateway.highest
+            failure_ = version < gateway.highestVersion
                            ? fmt::format("seed {}: gateway {} went back from version {} to {}",
-                                         seed_, index, gateway.highest, version)
+                                         seed_, index, gateway.highestVersion, version)
                            : failure_;
-            gateway.highest = version;
+            gateway.highestVersion = version;
             for (const auto &[id, upstream] : actual_) {
                 const std::pair start(id, upstream.start);
                 if (!gateway.upstreams.mayReceive(InstanceId(id))) {
