--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -150,7 +150,7 @@
     }
 
 private:
-    int draw(int bound) { return static_cast<int>(random_() % static_cast<std::uint64_t>(most)); }
+    int draw(int bound) { return static_cast<int>(random_() % static_cast<std::uint64_t>(bound)); }
 
     void writeConfig()
     {
