--- a/src/gateway/grouppoller.cpp
+++ b/src/gateway/grouppoller.cpp
@@ -136,15 +136,15 @@
     const GroupId group(reply.getGroup().cStr());
     survey_.onDecider(host, group);
     Link &link = links_[host];
-    const auto news = reply.getNews();
+    const auto groupNews = reply.getNews();
     const bool unchanged = link.mark == reply.getMark();
     link.mark = reply.getMark();
-    const TimePoint asOf = sentAt - Duration(news.getAgeMicros());
+    const TimePoint asOf = sentAt - Duration(groupNews.getAgeMicros());
     if (unchanged) {
         groups_.renew(group, asOf);
         return;
     }
-    const GroupFacts facts = readGroup(news);
+    const GroupFacts facts = readGroup(groupNews);
     if (groups_.learn(facts, asOf)) {
         logLine(LogLevel::Info, "group.heard",
                 {{"group", group.value()},
