--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -78,11 +78,12 @@
 tl::expected<void, NetError> StateSynchronizer::open()
 {
     if (settings_.agentPort) {
-        auto watch = GroupPoller::create(loop_, knowledge_, gossip_.groups, *settings_.agentPort);
-        if (!watch) {
-            return tl::unexpected(watch.error());
+        auto watchSettings =
+            GroupPoller::create(loop_, knowledge_, gossip_.groups, *settings_.agentPort);
+        if (!watchSettings) {
+            return tl::unexpected(watchSettings.error());
         }
-        groupPoller_ = std::move(*watch);
+        groupPoller_ = std::move(*watchSettings);
     }
     if (!settings_.peerListen) {
         return {};
@@ -360,11 +361,11 @@
         watcher_.reset();
         return;
     }
-    StoreWatcher::Settings watch;
-    watch.longPollWait = peers_ == nullptr ? watch.longPollWait : times().watchWait;
-    watch.coalesceDelay = settings_.storeCoalesceDelay;
-    watch.seed = randomIdentity();
-    watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, knowledge_, watch);
+    StoreWatcher::Settings watchSettings;
+    watchSettings.longPollWait = peers_ == nullptr ? watchSettings.longPollWait : times().watchWait;
+    watchSettings.coalesceDelay = settings_.storeCoalesceDelay;
+    watchSettings.seed = randomIdentity();
+    watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, knowledge_, watchSettings);
     watcher_->start();
 }
 
