--- a/test/gateway/grouppoller_test.cpp
+++ b/test/gateway/grouppoller_test.cpp
@@ -72,7 +72,7 @@
     return record;
 }
 
-GroupFacts factsOf(bool open)
+GroupFacts makeGroupFacts(bool open)
 {
     GroupFacts facts;
     facts.group = GroupId("north");
@@ -125,7 +125,7 @@
 
 TEST(GroupPollerTest, ReadsGroupAndItsAgeFromDecidingAgent)
 {
-    agent->reporter.set(factsOf(true), loop->now());
+    agent->reporter.set(makeGroupFacts(true), loop->now());
     runFor(400);
     STRCMP_EQUAL("north", groups.groupOf(engine(kFirstEngine)).value().c_str());
     DOUBLES_EQUAL(5.0, groups.slowness(engine(82), loop->now()), 0.01);
@@ -135,18 +135,18 @@
 
 TEST(GroupPollerTest, ReceivesChangeWithoutWaitingForNextPoll)
 {
-    agent->reporter.set(factsOf(true), loop->now());
+    agent->reporter.set(makeGroupFacts(true), loop->now());
     runFor(400);
     CHECK_FALSE(groups.closed(GroupId("north"), loop->now()));
     loop->schedule(std::chrono::milliseconds(5),
-                   [this] { agent->reporter.set(factsOf(false), loop->now()); });
+                   [this] { agent->reporter.set(makeGroupFacts(false), loop->now()); });
     runFor(150);
     CHECK_TRUE(groups.closed(GroupId("north"), loop->now()));
 }
 
 TEST(GroupPollerTest, ReusesConnectionToDecidingAgent)
 {
-    agent->reporter.set(factsOf(true), loop->now());
+    agent->reporter.set(makeGroupFacts(true), loop->now());
     runFor(1500);
     LONGS_EQUAL(1, agent->connections);
 }
@@ -158,7 +158,7 @@
     agent->reporter.refer("");
     runFor(300);
     LONGS_EQUAL(0, groups.known().size());
-    agent->reporter.set(factsOf(true), loop->now());
+    agent->reporter.set(makeGroupFacts(true), loop->now());
     runFor(900);
     LONGS_EQUAL(1, groups.known().size());
 }
