--- a/test/gateway/grouppoller_test.cpp
+++ b/test/gateway/grouppoller_test.cpp
@@ -50,7 +50,7 @@
     std::vector<std::unique_ptr<RpcPeer>> peers_;
 };
 
-RoutingDocument documentWithGroups()
+RoutingDocument makeDocument()
 {
     RoutingDocument document;
     document.version = ConfigVersion(1);
@@ -100,7 +100,7 @@
     void setup() override
     {
         StoreItems items;
-        items.items = {documentWithGroups(), engine(kFirstEngine), engine(kSecondEngine)};
+        items.items = {makeDocument(), engine(kFirstEngine), engine(kSecondEngine)};
         knowledge.onStoreListed(items, loop->now());
         poller = *GroupPoller::create(*loop, knowledge, groups, port);
         timer = std::make_unique<PeriodicTimer>(*loop, std::chrono::milliseconds(50),
