--- a/test/gateway/grouppoller_test.cpp
+++ b/test/gateway/grouppoller_test.cpp
@@ -62,7 +62,7 @@
     return document;
 }
 
-UpstreamRecord engine(int port)
+UpstreamRecord makeEngine(int port)
 {
     UpstreamRecord record;
     record.id = InstanceId("i-" + std::to_string(port));
@@ -100,7 +100,7 @@
     void setup() override
     {
         StoreItems items;
-        items.items = {makeDocument(), engine(kFirstEngine), engine(kSecondEngine)};
+        items.items = {makeDocument(), makeEngine(kFirstEngine), makeEngine(kSecondEngine)};
         knowledge.onStoreListed(items, loop->now());
         poller = *GroupPoller::create(*loop, knowledge, groups, port);
         timer = std::make_unique<PeriodicTimer>(*loop, std::chrono::milliseconds(50),
@@ -127,8 +127,8 @@
 {
     agent->reporter.set(makeGroupFacts(true), loop->now());
     runFor(400);
-    STRCMP_EQUAL("north", groups.groupOf(engine(kFirstEngine)).value().c_str());
-    DOUBLES_EQUAL(5.0, groups.slowness(engine(82), loop->now()), 0.01);
+    STRCMP_EQUAL("north", groups.groupOf(makeEngine(kFirstEngine)).value().c_str());
+    DOUBLES_EQUAL(5.0, groups.slowness(makeEngine(82), loop->now()), 0.01);
     CHECK_TEXT(groups.known().at(GroupId("north")).asOf <= loop->now(),
                "facts are never younger than the question for them");
 }
