--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-HttpHead head(int status, HttpHeaders headers)
+HttpHead makeHead(int status, HttpHeaders headers)
 {
-    HttpHead head;
+    HttpHead makeHead;
     head.status = status;
     head.headers = std::move(headers);
     return head;
@@ -91,25 +91,25 @@
     const HttpHeader id{"Seamarch-Request-Id", "id-1"};
     const HttpHeader proof{"Seamarch-Replica-Signature", "p"};
     const HttpHeader notRun{"Seamarch-Not-Executed", "1"};
-    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof}), makeRequest("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, proof}), makeRequest("id-1"))
                == AnswerKind::Success);
-    CHECK_TRUE(protocol.classifyAnswer(head(200, {id}), makeRequest("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id}), makeRequest("id-1"))
                == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof}), makeRequest("id-2"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, proof}), makeRequest("id-2"))
                == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(head(200, {id, proof, {"Content-Encoding", "gzip"}}),
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, proof, {"Content-Encoding", "gzip"}}),
                                        makeRequest("id-1"))
                == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(head(503, {id, notRun}), makeRequest("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(503, {id, notRun}), makeRequest("id-1"))
                == AnswerKind::Full);
-    CHECK_TRUE(protocol.classifyAnswer(head(503, {id}), makeRequest("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(503, {id}), makeRequest("id-1"))
                == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(head(421, {id}), makeRequest("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(421, {id}), makeRequest("id-1"))
                == AnswerKind::WrongInstance);
     RequestMetadata expecting = makeRequest("id-1");
     expecting.expectsVersion = true;
-    CHECK_TRUE(protocol.classifyAnswer(head(421, {id}), expecting) == AnswerKind::Refused);
-    CHECK_TRUE(protocol.classifyAnswer(head(500, {id, proof}), makeRequest("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(421, {id}), expecting) == AnswerKind::Refused);
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(500, {id, proof}), makeRequest("id-1"))
                == AnswerKind::Failure);
 }
 
@@ -117,33 +117,36 @@
 {
     const HttpHeader leaving{"Server-Leaving", "1"};
     for (const int status : {200, 404, 429, 500, 503}) {
-        CHECK_TRUE(protocol.readNotice(head(status, {leaving})).leaving);
-        CHECK_FALSE(protocol.readNotice(head(status, {{"Server-Leaving", "0"}})).leaving);
-        CHECK_TRUE(protocol.readNotice(head(status, {})).empty());
+        CHECK_TRUE(protocol.readNotice(makeHead(status, {leaving})).leaving);
+        CHECK_FALSE(protocol.readNotice(makeHead(status, {{"Server-Leaving", "0"}})).leaving);
+        CHECK_TRUE(protocol.readNotice(makeHead(status, {})).empty());
     }
 }
 
 TEST(CallerHeadersTest, ReadsRetryAfterFromRefusals)
 {
     const HttpHeader rest{"Retry-After", "3"};
-    CHECK_TRUE(protocol.readNotice(head(503, {rest})).rest == Duration(std::chrono::seconds(3)));
-    CHECK_TRUE(protocol.readNotice(head(200, {rest})).empty());
-    CHECK_TRUE(protocol.readNotice(head(503, {{"Retry-After", "soon"}})).restUnreadable);
+    CHECK_TRUE(protocol.readNotice(makeHead(503, {rest})).rest
+               == Duration(std::chrono::seconds(3)));
+    CHECK_TRUE(protocol.readNotice(makeHead(200, {rest})).empty());
+    CHECK_TRUE(protocol.readNotice(makeHead(503, {{"Retry-After", "soon"}})).restUnreadable);
 }
 
 TEST(CallerHeadersTest, ReadsLimitFromAnswersOfAnyStatus)
 {
     for (const int status : {200, 404, 429, 500, 503}) {
-        const UpstreamNotice notice = protocol.readNotice(head(status, {{"Server-Limit", "1.3"}}));
+        const UpstreamNotice notice =
+            protocol.readNotice(makeHead(status, {{"Server-Limit", "1.3"}}));
         CHECK_TRUE(notice.limit == RequestRate(1.3));
     }
-    CHECK_TRUE(protocol.readNotice(head(200, {{"server-limit", "0"}})).limit == RequestRate(0.0));
+    CHECK_TRUE(protocol.readNotice(makeHead(200, {{"server-limit", "0"}})).limit
+               == RequestRate(0.0));
 }
 
 TEST(CallerHeadersTest, ReportsInvalidLimitAsUnreadable)
 {
     for (const char *text : {"", "-1", "soon", "1 a second", "nan", "inf", "1e3", "0x10"}) {
-        const UpstreamNotice notice = protocol.readNotice(head(200, {{"Server-Limit", text}}));
+        const UpstreamNotice notice = protocol.readNotice(makeHead(200, {{"Server-Limit", text}}));
         CHECK_FALSE(notice.limit.has_value());
         CHECK_TRUE(notice.limitUnreadable);
     }
@@ -152,14 +155,14 @@
 TEST(CallerHeadersTest, LowestOfSeveralLimitsApplies)
 {
     const HttpHeaders several{{"Server-Limit", "3"}, {"Server-Limit", "1.5"}};
-    CHECK_TRUE(protocol.readNotice(head(200, several)).limit == RequestRate(1.5));
+    CHECK_TRUE(protocol.readNotice(makeHead(200, several)).limit == RequestRate(1.5));
 }
 
 // Notices come from whichever instance uses the address now, not from the intended one.
 TEST(CallerHeadersTest, IgnoresNoticesOfMisdirectedRequests)
 {
     const HttpHeaders all{{"Retry-After", "3"}, {"Server-Leaving", "1"}, {"Server-Limit", "1"}};
-    CHECK_TRUE(protocol.readNotice(head(421, all)).empty());
+    CHECK_TRUE(protocol.readNotice(makeHead(421, all)).empty());
 }
 
 TEST(CallerHeadersTest, WritesRetryAfterWithMilliseconds)
