--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -232,9 +232,9 @@
 // Entries may come from another writer, so incomplete ones are rejected.
 TEST(StoreHttpTest, RejectsIncompleteUpstreamEntries)
 {
-    const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
-                              R"("phase":"ready","version":"v1","unknown":[1]})";
-    CHECK_TRUE(readUpstream("i-1", whole).has_value());
+    const std::string complete = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
+                                 R"("phase":"ready","version":"v1","unknown":[1]})";
+    CHECK_TRUE(readUpstream("i-1", complete).has_value());
     const std::vector<std::pair<std::string, std::vector<std::string>>> fields = {
         {R"("service":"s")", {R"("service":"")", R"("service":7)", R"("service":null)", ""}},
         {R"("address":"1.2.3.4:5")",
@@ -248,7 +248,7 @@
     };
     for (const auto &[field, others] : fields) {
         for (const std::string &other : others) {
-            std::string entry = whole;
+            std::string entry = complete;
             const std::size_t comma = other.empty() ? 1 : 0; // The comma after the field.
             entry.replace(entry.find(field), field.size() + comma, other);
             CHECK_TEXT(!readUpstream("i-1", entry).has_value(), entry.c_str());
@@ -271,10 +271,10 @@
 
 TEST(StoreHttpTest, ReadsUpstreamStart)
 {
-    const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
-                              R"("phase":"ready"%})";
-    const auto entry = [&whole](const std::string &more) {
-        std::string text = whole;
+    const std::string complete = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
+                                 R"("phase":"ready"%})";
+    const auto entry = [&complete](const std::string &more) {
+        std::string text = complete;
         return text.replace(text.find('%'), 1, more);
     };
     LONGS_EQUAL(1764000000123,
@@ -289,10 +289,10 @@
 
 TEST(StoreHttpTest, ReadsRemainingWarmUp)
 {
-    const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
-                              R"("phase":"ready"%})";
-    const auto entry = [&whole](const std::string &more) {
-        std::string text = whole;
+    const std::string complete = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
+                                 R"("phase":"ready"%})";
+    const auto entry = [&complete](const std::string &more) {
+        std::string text = complete;
         return text.replace(text.find('%'), 1, more);
     };
     const auto left = readUpstream("i-1", entry(R"(,"warmup-left-ms":2500)"))->warmUpLeft;
