--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -84,7 +84,7 @@
     int incarnation = 0;
     TimePoint sentAt{};
     bool fromStore = false;
-    bool wholeList = false;
+    bool isList = false;
     StoreItems items;
     SharedKnowledge shared;
 };
@@ -250,12 +250,12 @@
 
     // Sends an answer of the store to a gateway. A watch that continues from another era becomes a
     // list.
-    void callStore(std::size_t index, bool wholeList)
+    void callStore(std::size_t index, bool isList)
     {
         Gateway &gateway = *gateways_[index];
         Message message{index, incarnations_[index], now_, true, false, {}, {}};
-        message.wholeList = wholeList || gateway.watchPosition.era != era_;
-        const std::uint64_t since = message.wholeList ? 0 : gateway.watchPosition.revision;
+        message.isList = isList || gateway.watchPosition.era != era_;
+        const std::uint64_t since = message.isList ? 0 : gateway.watchPosition.revision;
         message.items.position = {era_, store_.revision};
         if (store_.versionAt > since) {
             message.items.items.emplace_back(document(store_.version));
@@ -266,7 +266,7 @@
             }
         }
         for (const auto &[id, at] : store_.removedAt) {
-            if (!message.wholeList && at > since) {
+            if (!message.isList && at > since) {
                 message.items.items.emplace_back(UpstreamRemoval{InstanceId(id), false});
             }
         }
@@ -327,7 +327,7 @@
                 gateway.announcedLeaving.emplace(record->id.value(), record->start.value());
             }
         }
-        if (message.wholeList) {
+        if (message.isList) {
             gateway.knowledge.onStoreListed(message.items, message.sentAt);
         } else {
             gateway.knowledge.onStoreChanged(message.items, message.sentAt);
