--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -349,13 +349,13 @@
                 if (!gateway.upstreams.mayReceive(InstanceId(id))) {
                     continue;
                 }
-                const std::string about =
+                const std::string prefix =
                     fmt::format("seed {}: gateway {} sends to {} again, whose start {} it ", seed_,
                                 index, id, upstream.start);
-                failure_ = gateway.announcedLeaving.contains(start) ? about + "has heard to leave"
+                failure_ = gateway.announcedLeaving.contains(start) ? prefix + "has heard to leave"
                                                                     : failure_;
                 removalFailure_ = gateway.seenLeaving.contains(start)
-                                      ? about + "took for leaving or gone"
+                                      ? prefix + "took for leaving or gone"
                                       : removalFailure_;
             }
             for (const UpstreamRecord *record : gateway.upstreams.all()) {
