--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -89,15 +89,15 @@
 TEST(CallerHeadersTest, ClassifiesAnswersByIdSignatureAndStatus)
 {
     const HttpHeader id{"Seamarch-Request-Id", "id-1"};
-    const HttpHeader proof{"Seamarch-Replica-Signature", "p"};
+    const HttpHeader signature{"Seamarch-Replica-Signature", "p"};
     const HttpHeader notRun{"Seamarch-Not-Executed", "1"};
-    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, proof}), makeRequest("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, signature}), makeRequest("id-1"))
                == AnswerKind::Success);
     CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id}), makeRequest("id-1"))
                == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, proof}), makeRequest("id-2"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, signature}), makeRequest("id-2"))
                == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, proof, {"Content-Encoding", "gzip"}}),
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, signature, {"Content-Encoding", "gzip"}}),
                                        makeRequest("id-1"))
                == AnswerKind::Invalid);
     CHECK_TRUE(protocol.classifyAnswer(makeHead(503, {id, notRun}), makeRequest("id-1"))
@@ -109,7 +109,7 @@
     RequestMetadata expecting = makeRequest("id-1");
     expecting.expectsVersion = true;
     CHECK_TRUE(protocol.classifyAnswer(makeHead(421, {id}), expecting) == AnswerKind::Refused);
-    CHECK_TRUE(protocol.classifyAnswer(makeHead(500, {id, proof}), makeRequest("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(500, {id, signature}), makeRequest("id-1"))
                == AnswerKind::Failure);
 }
 
