--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -90,7 +90,7 @@
 {
     const HttpHeader id{"Seamarch-Request-Id", "id-1"};
     const HttpHeader signature{"Seamarch-Replica-Signature", "p"};
-    const HttpHeader notRun{"Seamarch-Not-Executed", "1"};
+    const HttpHeader notExecuted{"Seamarch-Not-Executed", "1"};
     CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, signature}), makeRequest("id-1"))
                == AnswerKind::Success);
     CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id}), makeRequest("id-1"))
@@ -100,7 +100,7 @@
     CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, signature, {"Content-Encoding", "gzip"}}),
                                        makeRequest("id-1"))
                == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.classifyAnswer(makeHead(503, {id, notRun}), makeRequest("id-1"))
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(503, {id, notExecuted}), makeRequest("id-1"))
                == AnswerKind::Full);
     CHECK_TRUE(protocol.classifyAnswer(makeHead(503, {id}), makeRequest("id-1"))
                == AnswerKind::Invalid);
