--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -125,10 +125,10 @@
 
 TEST(CallerHeadersTest, ReadsRetryAfterFromRefusals)
 {
-    const HttpHeader rest{"Retry-After", "3"};
-    CHECK_TRUE(protocol.readNotice(makeHead(503, {rest})).rest
+    const HttpHeader retryAfter{"Retry-After", "3"};
+    CHECK_TRUE(protocol.readNotice(makeHead(503, {retryAfter})).rest
                == Duration(std::chrono::seconds(3)));
-    CHECK_TRUE(protocol.readNotice(makeHead(200, {rest})).empty());
+    CHECK_TRUE(protocol.readNotice(makeHead(200, {retryAfter})).empty());
     CHECK_TRUE(protocol.readNotice(makeHead(503, {{"Retry-After", "soon"}})).restUnreadable);
 }
 
