--- a/test/gateway/grouppoller_test.cpp
+++ b/test/gateway/grouppoller_test.cpp
@@ -130,7 +130,7 @@
     STRCMP_EQUAL("north", groups.groupOf(makeEngine(kFirstEngine)).value().c_str());
     DOUBLES_EQUAL(5.0, groups.slowness(makeEngine(82), loop->now()), 0.01);
     CHECK_TEXT(groups.known().at(GroupId("north")).asOf <= loop->now(),
-               "facts are never younger than the question for them");
+               "group state must not be newer than the poll that requested it");
 }
 
 TEST(GroupPollerTest, ReceivesChangeWithoutWaitingForNextPoll)
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -340,7 +340,7 @@
             Gateway &gateway = *gateways_[index];
             const std::uint64_t version = gateway.knowledge.version().value();
             failure_ = version < gateway.highestVersion
-                           ? fmt::format("seed {}: gateway {} went back from version {} to {}",
+                           ? fmt::format("seed {}: gateway {} reverted from version {} to {}",
                                          seed_, index, gateway.highestVersion, version)
                            : failure_;
             gateway.highestVersion = version;
@@ -350,12 +350,13 @@
                     continue;
                 }
                 const std::string prefix =
-                    fmt::format("seed {}: gateway {} sends to {} again, whose start {} it ", seed_,
+                    fmt::format("seed {}: gateway {} sends to {} again, although start {} ", seed_,
                                 index, id, upstream.start);
-                failure_ = gateway.announcedLeaving.contains(start) ? prefix + "has heard to leave"
-                                                                    : failure_;
+                failure_ = gateway.announcedLeaving.contains(start)
+                               ? prefix + "was reported as leaving"
+                               : failure_;
                 removalFailure_ = gateway.seenLeaving.contains(start)
-                                      ? prefix + "took for leaving or gone"
+                                      ? prefix + "was treated as leaving or gone"
                                       : removalFailure_;
             }
             for (const UpstreamRecord *record : gateway.upstreams.all()) {
