--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-HttpHead makeHead(int status, HttpHeaders headers)
+HttpHead head(int status, HttpHeaders headers)
 {
-    HttpHead makeHead;
+    HttpHead head;
     head.status = status;
     head.headers = std::move(headers);
     return head;
