--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -78,12 +78,11 @@
 tl::expected<void, NetError> StateSynchronizer::open()
 {
     if (settings_.agentPort) {
-        auto watchSettings =
-            GroupPoller::create(loop_, knowledge_, gossip_.groups, *settings_.agentPort);
-        if (!watchSettings) {
-            return tl::unexpected(watchSettings.error());
+        auto poller = GroupPoller::create(loop_, knowledge_, gossip_.groups, *settings_.agentPort);
+        if (!poller) {
+            return tl::unexpected(poller.error());
         }
-        groupPoller_ = std::move(*watchSettings);
+        groupPoller_ = std::move(*poller);
     }
     if (!settings_.peerListen) {
         return {};
