--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -108,8 +108,9 @@
         return;
     }
     GatewayPeers::PermitQuestion question{upstream->id, upstream->start, ask.wanted, {}, {}};
-    if (const LimitWord *word = gossip_.limits.find(*upstream); word != nullptr && word->rate) {
-        question.limit = *word;
+    if (const LimitWord *statedLimit = gossip_.limits.find(*upstream);
+        statedLimit != nullptr && statedLimit->rate) {
+        question.limit = *statedLimit;
     }
     question.warmUp = gossip_.warmUps.limitOf(*upstream, now);
     if (!question.limit && !question.warmUp) {
