--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-HttpHead head(int status, HttpHeaders headers)
+HttpHead makeHead(int status, HttpHeaders headers)
 {
     HttpHead head;
     head.status = status;
