--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -13,7 +13,7 @@
 // much older than that of the gateway that it follows.
 constexpr Duration kFollowLongPoll = std::chrono::milliseconds(400);
 // A gateway that follows the store adopts state from other gateways once its own state is this old.
-constexpr Duration kMaxStoreWatchAge = std::chrono::milliseconds(1200);
+constexpr Duration kMaxFreshAge = std::chrono::milliseconds(1200);
 // How long a watch lasts that was started because the state was stale.
 constexpr Duration kFallbackWatchDuration = std::chrono::seconds(3);
 // How long the store is not queried after another gateway has provided newer state.
@@ -139,7 +139,7 @@
 // still needed.
 bool StateSynchronizer::onSharedState(const SharedKnowledge &shared, TimePoint confirmedAt)
 {
-    if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge) {
+    if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kMaxFreshAge) {
         knowledge_.adoptVersion(shared);
         return false;
     }
@@ -256,8 +256,8 @@
     const bool followsSelf = followed == settings_.instance;
     // A follower's state is normally older than that of a gateway that follows the store, so its
     // threshold is higher.
-    const bool stale = !knowledge_.confirmed()
-                       || knowledge_.age() > (followsSelf ? kMaxStoreWatchAge : times().old);
+    const bool stale =
+        !knowledge_.confirmed() || knowledge_.age() > (followsSelf ? kMaxFreshAge : times().old);
     if (!followsSelf) {
         queryGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
@@ -290,7 +290,7 @@
         return;
     }
     seedsQueriedAt_ = now;
-    nextSeed_ += knowledge_.confirmed() && knowledge_.age() < kMaxStoreWatchAge ? 0 : 1;
+    nextSeed_ += knowledge_.confirmed() && knowledge_.age() < kMaxFreshAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
         const bool selected = knowsFewGateways || index == nextSeed_ % settings_.seeds.size();
         if (selected && settings_.peerListen != settings_.seeds[index]) {
