--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -391,7 +391,7 @@
     LONGS_EQUAL(4, std::get<UpstreamRecord>(items->items.front()).listedAt);
 }
 
-TEST(StoreHttpTest, NextPageStartsAtLastKey)
+TEST(StoreHttpTest, NextPageCursorIsLastKey)
 {
     const auto items = store.readList(
         200, R"({"items":[{"key-file":"a","value":"","revision":1}],"more-pages":true,)"
