--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -405,8 +405,8 @@
     // Returns the number of seeds; SEAMARCH_DRILL_SEEDS overrides it for longer manual runs.
     static std::uint64_t seeds()
     {
-        const char *wanted = std::getenv("SEAMARCH_DRILL_SEEDS");
-        return wanted == nullptr ? 2000 : std::strtoull(wanted, nullptr, 10);
+        const char *count = std::getenv("SEAMARCH_DRILL_SEEDS");
+        return count == nullptr ? 2000 : std::strtoull(count, nullptr, 10);
     }
 
     Simulation simulate(std::uint64_t seed)
