--- a/src/gateway/callerprotocol.h
+++ b/src/gateway/callerprotocol.h
@@ -25,8 +25,8 @@
     std::string host;                 // Without a port.
     std::string key;                  // The key of a client account; empty if the request has none.
     std::optional<Duration> deadline; // How long the caller waits for the answer.
-    std::string
-        resumeAfter; // Id of the last event that the caller received; empty: from the start.
+    // Id of the last event that the caller received; empty to start from the beginning.
+    std::string resumeAfter;
     bool expectsVersion = false; // Upstreams with other weights refuse the request.
 };
 
@@ -36,8 +36,8 @@
     InstanceId instance; // The intended instance; any other refuses the request.
     AccountId account;   // Empty if the request has no account.
     std::optional<std::uint8_t> priority;
-    Duration timeLeft{};
-    std::string resumeAfter;
+    Duration timeLeft{};     // Time that remains for the request.
+    std::string resumeAfter; // As in RequestMetadata.
 };
 
 class CallerProtocol
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -222,8 +222,8 @@
     directory_.expire(now);
     const InstanceId followed = directory_.follower(now);
     const bool followsSelf = followed == settings_.instance;
-    // While a site starts, no gateway knows the first of its hall yet, and all gateways query the
-    // seeds.
+    // While a site starts, no gateway knows the first of its hall yet. All gateways query the seeds
+    // then, so the seeds poll the groups.
     pollGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true
                                                                : followsSelf && !isDiscovering(now),
                now);
@@ -262,8 +262,8 @@
         queryGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
         // A gateway that knows no others, such as a restarted seed, queries the first gateway that
-        // it learns of at once: it must learn of the gateways that it has forgotten while they
-        // still count as alive.
+        // it learns of at once: it must relearn the gateways that it has forgotten while it still
+        // counts as being in contact with its peers.
         listsQueriedAt_ = now;
         queryOtherHalls(now);
         queryGateway(directory_.another(settings_.instance, now), Duration{},
