--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -151,9 +151,9 @@
     }
 }
 
-void StoreWatcher::onError(StoreError fault)
+void StoreWatcher::onError(StoreError error)
 {
-    switch (fault) {
+    switch (error) {
     case StoreError::HistoryCompacted:
         list({});
         return;
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -78,7 +78,7 @@
     bool acceptEra(const HttpText &text);
     void onListed(StoreItems items);
     void onChanged(const StoreItems &items);
-    void onError(StoreError fault);
+    void onError(StoreError error);
     void onFailure(std::string_view cause);
     void endCall();
 
