--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -59,7 +59,7 @@
                              {"rest", full_ ? rest_ : std::string()}});
         if (full_) {
             head.status = 503;
-            head.headers.push_back({std::string(names::kNotRun), "1"});
+            head.headers.push_back({std::string(names::kNotExecuted), "1"});
             if (!rest_.empty()) {
                 head.headers.push_back({std::string(names::kRetryAfter), rest_});
             }
@@ -77,7 +77,7 @@
         }
         if (lies_ && runs_.size() % 3 == 0) {
             head.status = 503;
-            head.headers.push_back({std::string(names::kNotRun), "1"});
+            head.headers.push_back({std::string(names::kNotExecuted), "1"});
             server().respond(exchange, head, "{}");
             return;
         }
