--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -68,7 +68,7 @@
         }
         runs_.push_back({{"id", requestId},
                          {"account", request.header(names::kAccount)},
-                         {"key", request.header(names::kKey)},
+                         {"key", request.header(names::kAuthorization)},
                          {"body", request.body},
                          {"resumeAfter", request.header(names::kResumeAfter)}});
         head.headers.push_back({std::string(names::kReplicaSignature), "proof-of-" + id_});
