--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -141,7 +141,7 @@
 };
 
 ExpertAgent::ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings,
-                         const MetadataStore &store, const EngineProtocol &engineProtocol)
+                         const StoreProtocol &store, const EngineProtocol &engineProtocol)
     : loop_(loop)
     , settings_(settings)
     , store_(store)
@@ -155,7 +155,7 @@
 
 tl::expected<std::unique_ptr<ExpertAgent>, NetError>
 ExpertAgent::create(EventLoop &loop, const ExpertAgentSettings &settings,
-                    const MetadataStore &store, const EngineProtocol &engineProtocol)
+                    const StoreProtocol &store, const EngineProtocol &engineProtocol)
 {
     std::unique_ptr<ExpertAgent> agent(new ExpertAgent(loop, settings, store, engineProtocol));
     if (auto opened = agent->open(); !opened) {
@@ -210,10 +210,10 @@
             applyStoreItem(item);
         }
     }
-    if (wentBack(storePlace_, items.place)) {
+    if (wasRolledBack(storePlace_, items.position)) {
         upstreams_.onStoreRolledBack(loop_.now());
     }
-    storePlace_ = items.place;
+    storePlace_ = items.position;
     upstreams_.replaceAll(records, loop_.now());
     updatePeers();
 }
@@ -244,7 +244,7 @@
         }
     } else if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
         upstreams_.put(*record);
-    } else if (const auto *gone = std::get_if<UpstreamGone>(&item)) {
+    } else if (const auto *gone = std::get_if<UpstreamRemoval>(&item)) {
         if (gone->unreadable) {
             upstreams_.dropUnreadable(gone->id, loop_.now());
         } else {
@@ -390,8 +390,8 @@
     loggedChanges_ = 0;
     loggedCleared_ = 0;
     StoreWatcher::Settings watch;
-    watch.wait = kStoreWatchTimeout;
-    watch.rest = kStoreWatchBatchDelay;
+    watch.longPollWait = kStoreWatchTimeout;
+    watch.coalesceDelay = kStoreWatchBatchDelay;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
     storeWatcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -58,7 +58,7 @@
 public:
     // Opens the listening sockets and starts the agent.
     static tl::expected<std::unique_ptr<ExpertAgent>, NetError>
-    create(EventLoop &loop, const ExpertAgentSettings &settings, const MetadataStore &store,
+    create(EventLoop &loop, const ExpertAgentSettings &settings, const StoreProtocol &store,
            const EngineProtocol &engineProtocol);
     ~ExpertAgent() noexcept override;
     ExpertAgent(const ExpertAgent &) = delete;
@@ -85,7 +85,7 @@
         ExpertMap map;
     };
 
-    ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings, const MetadataStore &store,
+    ExpertAgent(EventLoop &loop, const ExpertAgentSettings &settings, const StoreProtocol &store,
                 const EngineProtocol &engineProtocol);
     tl::expected<void, NetError> open();
 
@@ -130,11 +130,11 @@
 
     EventLoop &loop_;
     ExpertAgentSettings settings_;
-    const MetadataStore &store_;
+    const StoreProtocol &store_;
     const EngineProtocol &engineProtocol_;
     Metrics metrics_;
     UpstreamTable upstreams_;
-    StorePlace storePlace_; // Position of the last full listing.
+    StorePosition storePlace_; // Position of the last full listing.
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<RawTransport> transport_;
     std::unique_ptr<OperatorServer> metricsServer_;
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -1,7 +1,7 @@
 #include "gateway/gatewaypeers.h"
 
 #include "base/log.h"
-#include "gateway/configpace.h"
+#include "gateway/configreaddelay.h"
 #include "gateway/gatewaywire.h"
 
 #include <algorithm>
@@ -85,7 +85,7 @@
 };
 
 GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView,
-                           const SharedBeliefs &sharedState, const MetadataStore &store,
+                           const GossipState &sharedState, const StoreProtocol &store,
                            GatewayDirectory &directory, StateReceived onStateReceived)
     : loop_(loop)
     , storeView_(storeView)
@@ -111,8 +111,8 @@
 }
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &sharedState,
-                     const MetadataStore &store, GatewayDirectory &directory,
+GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &sharedState,
+                     const StoreProtocol &store, GatewayDirectory &directory,
                      StateReceived onStateReceived)
 {
     std::unique_ptr<GatewayPeers> peers(new GatewayPeers(loop, storeView, sharedState, store,
@@ -299,7 +299,7 @@
             logLine(LogLevel::Warning, "gateway.news_unreadable", {{"fault", document.error()}});
             return false;
         }
-        configNotBefore_ = loop_.now() + restAfterConfig(text->size());
+        configNotBefore_ = loop_.now() + configReadDelay(text->size());
         peerState.document = std::move(*document);
     }
     if (news.hasUpstreams()) {
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -10,15 +10,15 @@
 // together, cannot wait for the next poll. This gateway notifies the first gateway of each hall at
 // once; that one polls for the update, and the other gateways of its hall have polls waiting there.
 //
-// KnowledgeSources decides which gateways are polled. Single-threaded. The constructor's arguments
+// StateSynchronizer decides which gateways are polled. Single-threaded. The constructor's arguments
 // must outlive the object.
 #pragma once
 
 #include "decision/gateway/upstreamhistory.h"
 #include "decision/membership/gatewaydirectory.h"
 #include "gateway/gatewaystoreview.h"
-#include "gateway/metadatastore.h"
-#include "gateway/sharedbeliefs.h"
+#include "gateway/gossipstate.h"
+#include "gateway/storeprotocol.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
@@ -54,8 +54,8 @@
 
     // Listens on the address in the directory's own record. Fails if it cannot be opened.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-    create(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &sharedState,
-           const MetadataStore &store, GatewayDirectory &directory, StateReceived onStateReceived);
+    create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &sharedState,
+           const StoreProtocol &store, GatewayDirectory &directory, StateReceived onStateReceived);
     ~GatewayPeers();
     GatewayPeers(const GatewayPeers &) = delete;
     GatewayPeers &operator=(const GatewayPeers &) = delete;
@@ -108,8 +108,8 @@
         TimePoint usedAt{};
     };
 
-    GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const SharedBeliefs &sharedState,
-                 const MetadataStore &store, GatewayDirectory &directory,
+    GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const GossipState &sharedState,
+                 const StoreProtocol &store, GatewayDirectory &directory,
                  StateReceived onStateReceived);
     tl::expected<void, NetError> open();
 
@@ -161,7 +161,7 @@
     CrashRecord &crashes_;
     UpstreamLimits &limits_;
     PermitIssuer &permitIssuer_;
-    const MetadataStore &store_;
+    const StoreProtocol &store_;
     GatewayDirectory &directory_;
     StateReceived onStateReceived_;
     std::unique_ptr<RawTransport> transport_;
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -35,7 +35,7 @@
 } // namespace
 
 GatewayService::GatewayService(EventLoop &loop, const GatewaySettings &settings,
-                               const CallerProtocol &protocol, const MetadataStore &store)
+                               const CallerProtocol &protocol, const StoreProtocol &store)
     : loop_(loop)
     , settings_(settings)
     , protocol_(protocol)
@@ -53,7 +53,7 @@
 
 tl::expected<std::unique_ptr<GatewayService>, NetError>
 GatewayService::create(EventLoop &loop, const GatewaySettings &settings,
-                       const CallerProtocol &protocol, const MetadataStore &store)
+                       const CallerProtocol &protocol, const StoreProtocol &store)
 {
     std::unique_ptr<GatewayService> service(new GatewayService(loop, settings, protocol, store));
     if (auto opened = service->open(); !opened) {
@@ -93,7 +93,7 @@
         }
         metricsServer_ = std::move(*metrics);
     }
-    auto sources = KnowledgeSources::create(
+    auto sources = StateSynchronizer::create(
         loop_, *client_, store_, storeView_,
         {core_.groups(), core_.crashes(), core_.limits(), core_.permitIssuer(), core_.warmUps()},
         {settings_.instance, settings_.hall, settings_.peerListen, settings_.seeds,
@@ -121,14 +121,14 @@
 
 void GatewayService::onRequest(ExchangeId exchange, HttpRequest request)
 {
-    CallerFacts facts = protocol_.readRequest(request);
+    RequestMetadata facts = protocol_.readRequest(request);
     if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.times.stopDelay) {
         // The balancer has noticed the stop by now, and a new request might not finish in time.
         refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyRetryAfter);
         return;
     }
     const bool early = (!storeView_.hasConfiguration() || early_.size() > 0) && !stopping_;
-    if (early && early_.hold(exchange, request, facts.deadline.value_or(Duration{}), loop_.now())) {
+    if (early && early_.push(exchange, request, facts.deadline.value_or(Duration{}), loop_.now())) {
         logLine(LogLevel::Info, "request.held",
                 {{"id", facts.requestId}, {"reason", "no configuration"}, {"held", early_.size()}});
         return;
@@ -142,19 +142,19 @@
 {
     constexpr std::size_t kMaxPerTick = 1;
     if (storeView_.hasConfiguration()) {
-        for (EarlyRequests::Held &held : early_.takeFirst(kMaxPerTick)) {
+        for (StartupRequestQueue::QueuedRequest &held : early_.popFront(kMaxPerTick)) {
             admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
         }
         return;
     }
-    for (EarlyRequests::Held &held : early_.takeOverdue(loop_.now())) {
+    for (StartupRequestQueue::QueuedRequest &held : early_.popExpired(loop_.now())) {
         admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
     }
 }
 
 void GatewayService::admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
 {
-    CallerFacts facts = protocol_.readRequest(request);
+    RequestMetadata facts = protocol_.readRequest(request);
     auto admitted = storeView_.admit(request, facts);
     if (!admitted) {
         const FailureCode code = admitted.error();
@@ -180,7 +180,7 @@
     carryOut(actions);
 }
 
-void GatewayService::refuse(ExchangeId exchange, const CallerFacts &facts, FailureCode code,
+void GatewayService::refuse(ExchangeId exchange, const RequestMetadata &facts, FailureCode code,
                             Outcome outcome, Duration retryAfter)
 {
     HttpResponseHead head;
@@ -202,7 +202,7 @@
 
 void GatewayService::onCallerGone(ExchangeId exchange)
 {
-    if (early_.drop(exchange)) {
+    if (early_.remove(exchange)) {
         return;
     }
     const auto found = byExchange_.find(exchange);
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -12,11 +12,11 @@
 #include "decision/gateway/eventsplitter.h"
 #include "decision/gateway/gatewaycore.h"
 #include "gateway/callerprotocol.h"
-#include "gateway/earlyrequests.h"
 #include "gateway/gatewaybounds.h"
 #include "gateway/gatewaystoreview.h"
-#include "gateway/knowledgesources.h"
-#include "gateway/metadatastore.h"
+#include "gateway/startuprequestqueue.h"
+#include "gateway/statesynchronizer.h"
+#include "gateway/storeprotocol.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
 #include "net/httpserver.h"
@@ -61,7 +61,7 @@
     // protocol and the store must outlive the service.
     static tl::expected<std::unique_ptr<GatewayService>, NetError>
     create(EventLoop &loop, const GatewaySettings &settings, const CallerProtocol &protocol,
-           const MetadataStore &store);
+           const StoreProtocol &store);
     ~GatewayService() override;
     GatewayService(const GatewayService &) = delete;
     GatewayService &operator=(const GatewayService &) = delete;
@@ -82,7 +82,7 @@
     {
         ExchangeId exchange = 0;
         HttpRequest request;
-        CallerFacts facts;
+        RequestMetadata facts;
         GatewayRequest admitted;
         HttpCallId call = 0;
         std::uint32_t attempt = 0; // The number of the current attempt.
@@ -113,7 +113,7 @@
     };
 
     GatewayService(EventLoop &loop, const GatewaySettings &settings, const CallerProtocol &protocol,
-                   const MetadataStore &store);
+                   const StoreProtocol &store);
     tl::expected<void, NetError> open();
 
     void onRequest(ExchangeId exchange, HttpRequest request) override;
@@ -130,8 +130,8 @@
     // Starts the request if it is admitted, else refuses it. Its times count from `arrivedAt`.
     void admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
     void processEarlyRequests();
-    void refuse(ExchangeId exchange, const CallerFacts &facts, FailureCode code, Outcome outcome,
-                Duration retryAfter);
+    void refuse(ExchangeId exchange, const RequestMetadata &facts, FailureCode code,
+                Outcome outcome, Duration retryAfter);
 
     void carryOut(const GatewayActions &actions);
     void carryOut(const StartAttempt &action);
@@ -162,7 +162,7 @@
     EventLoop &loop_;
     GatewaySettings settings_;
     const CallerProtocol &protocol_;
-    const MetadataStore &store_;
+    const StoreProtocol &store_;
     Metrics metrics_;
     GatewayCore core_;
     GatewayStoreView storeView_;
@@ -171,8 +171,8 @@
     std::unique_ptr<HttpServer> server_;
     std::unique_ptr<OperatorServer> operators_;
     std::unique_ptr<OperatorServer> metricsServer_;
-    std::unique_ptr<KnowledgeSources> sources_;
-    EarlyRequests early_;
+    std::unique_ptr<StateSynchronizer> sources_;
+    StartupRequestQueue early_;
     std::unordered_map<RequestNumber, ActiveRequest> activeRequests_;
     std::unordered_map<ExchangeId, RequestNumber> byExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -113,7 +113,7 @@
         return;
     }
     ActiveRequest &active = found->second;
-    AttemptFacts facts;
+    AttemptMetadata facts;
     facts.instance = action.upstream.id;
     facts.account = active.admitted.account;
     facts.priority = active.admitted.priority;
@@ -182,7 +182,7 @@
     if (active == nullptr) {
         return;
     }
-    const AnswerKind kind = protocol_.judge(head, active->facts);
+    const AnswerKind kind = protocol_.classifyAnswer(head, active->facts);
     active->head = std::move(head);
     handleNotice(number, *active, kind);
     const bool events = kind == AnswerKind::Success && active->admitted.route->streamed
@@ -353,7 +353,7 @@
         endRequest(number, "served");
         return;
     }
-    const AnswerKind kind = protocol_.judge(active.head, active.facts);
+    const AnswerKind kind = protocol_.classifyAnswer(active.head, active.facts);
     if (!core_.onHead(number, kind, loop_.now(), actions)) {
         logLine(LogLevel::Info, "attempt.failed",
                 {{"id", active.facts.requestId},
--- a/src/gateway/gatewayservicenotices.cpp
+++ b/src/gateway/gatewayservicenotices.cpp
@@ -88,7 +88,7 @@
 {
     const TimePoint now = loop_.now();
     for (const SendPermits::Query &ask : core_.takePermitAsks(now)) {
-        sources_->askForPermits(ask, [this, ask, now](const PermitGrant &answer) {
+        sources_->requestPermits(ask, [this, ask, now](const PermitGrant &answer) {
             logLine(LogLevel::Debug, "permits.answered",
                     {{"upstream", ask.upstream.value()},
                      {"wanted", ask.wanted},
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -29,7 +29,7 @@
 
 // Records the time only while the store's document is readable: an unreadable one may have removed
 // a key, so the configuration in force counts as unconfirmed until the next readable document.
-void GatewayStoreView::recordConfirmation(TimePoint askedAt, const StorePlace &place)
+void GatewayStoreView::recordConfirmation(TimePoint askedAt, const StorePosition &place)
 {
     setPlace(std::max(place_, place));
     markStoreReachable();
@@ -49,9 +49,9 @@
 
 // Handles a store that was restored from an older copy. Live upstreams that the copy lacks register
 // again soon, as after an outage; until then the table treats them as lapsed, not as removed.
-void GatewayStoreView::handleRollback(const StorePlace &place)
+void GatewayStoreView::handleRollback(const StorePosition &place)
 {
-    if (!wentBack(place_, place)) {
+    if (!wasRolledBack(place_, place)) {
         return;
     }
     logLine(LogLevel::Warning, "store.went_back",
@@ -62,7 +62,7 @@
     upstreams_.onStoreRolledBack(loop_.now());
 }
 
-void GatewayStoreView::setPlace(const StorePlace &place)
+void GatewayStoreView::setPlace(const StorePosition &place)
 {
     if (place.era != place_.era) {
         metrics_.set("seamarch_store_era", static_cast<double>(place.era));
@@ -81,8 +81,8 @@
 {
     adoptConfiguration(peerState);
     // Gateways of earlier software versions do not send the era.
-    const StorePlace place{peerState.place.era == 0 ? place_.era : peerState.place.era,
-                           peerState.place.revision};
+    const StorePosition place{peerState.place.era == 0 ? place_.era : peerState.place.era,
+                              peerState.place.revision};
     const bool isNewer = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
     const bool isComplete = (peerState.document || peerState.version <= version())
                             && (peerState.upstreams || peerState.upstreamsMark == advertisedMark());
@@ -165,14 +165,14 @@
             applyItem(item);
         }
     }
-    handleRollback(items.place);
+    handleRollback(items.position);
     upstreams_.replaceAll(records, loop_.now());
     applyDrainedHalls(std::move(drained));
     logLine(LogLevel::Info, "store.listed",
-            {{"revision", items.place.revision}, {"upstreams", records.size()}});
+            {{"revision", items.position.revision}, {"upstreams", records.size()}});
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     reportFaults(items.faults);
-    recordConfirmation(askedAt, items.place);
+    recordConfirmation(askedAt, items.position);
 }
 
 void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint askedAt)
@@ -182,7 +182,7 @@
     }
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     reportFaults(items.faults);
-    recordConfirmation(askedAt, items.place);
+    recordConfirmation(askedAt, items.position);
 }
 
 void GatewayStoreView::reportFaults(const std::vector<std::string> &faults)
@@ -228,7 +228,7 @@
              {"service", record->service.value()},
              {"leaving", record->leaving},
              {"warmUpLeftMs", record->warmUpLeft ? json(toMillis(*record->warmUpLeft)) : json()}});
-    } else if (const auto *gone = std::get_if<UpstreamGone>(&item)) {
+    } else if (const auto *gone = std::get_if<UpstreamRemoval>(&item)) {
         if (gone->unreadable) {
             upstreams_.dropUnreadable(gone->id, loop_.now());
         } else {
@@ -237,7 +237,7 @@
         logLine(LogLevel::Info, "upstream.gone", {{"upstream", gone->id.value()}});
     } else if (const auto *drain = std::get_if<HallDrain>(&item)) {
         std::set<HallId> halls = upstreams_.drainedHalls();
-        if (drain->over) {
+        if (drain->cancelled) {
             halls.erase(drain->hall);
         } else {
             halls.insert(drain->hall);
@@ -289,8 +289,8 @@
     }
 }
 
-tl::expected<GatewayRequest, FailureCode> GatewayStoreView::admit(const HttpRequest &request,
-                                                                  const CallerFacts &facts) const
+tl::expected<GatewayRequest, FailureCode>
+GatewayStoreView::admit(const HttpRequest &request, const RequestMetadata &facts) const
 {
     if (!table_) {
         return tl::unexpected(FailureCode::EntryNotReady);
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -35,7 +35,7 @@
 // are omitted.
 struct PeerStoreState
 {
-    StorePlace place; // The store's era and revision at which the state was read.
+    StorePosition place; // The store's era and revision at which the state was read.
     ConfigVersion version;
     std::optional<RoutingDocument> document;              // Set if the receiver's version is lower.
     std::uint64_t upstreamsMark = 0;                      // Digest of the sender's upstream list.
@@ -76,7 +76,7 @@
     // not receive the same list again.
     std::uint64_t upstreamsMark() const;
     // Returns the store's era and revision that the list of upstreams is at.
-    const StorePlace &place() const { return place_; }
+    const StorePosition &place() const { return place_; }
     // Returns the text of the document in force as the store holds it; empty while there is none.
     const std::string &documentText() const;
     const UpstreamTable &upstreams() const { return upstreams_; }
@@ -85,7 +85,7 @@
     // A copy that is too old to accept a key, or to reject a key or path as unknown, refuses with
     // `KnowledgeStale`.
     tl::expected<GatewayRequest, FailureCode> admit(const HttpRequest &request,
-                                                    const CallerFacts &facts) const;
+                                                    const RequestMetadata &facts) const;
 
     bool hasConfiguration() const { return table_ != nullptr; }
     // Returns whether the copy is recent enough to accept keys.
@@ -107,9 +107,9 @@
     UpstreamRecord withWarmUpEnd(UpstreamRecord record) const;
     void applyDrainedHalls(std::set<HallId> halls);
     void applyRouting(const RoutingDocument &document);
-    void recordConfirmation(TimePoint askedAt, const StorePlace &place);
-    void setPlace(const StorePlace &place);
-    void handleRollback(const StorePlace &place);
+    void recordConfirmation(TimePoint askedAt, const StorePosition &place);
+    void setPlace(const StorePosition &place);
+    void handleRollback(const StorePosition &place);
     void markStoreReachable();
 
     EventLoop &loop_;
@@ -119,7 +119,7 @@
     ConfigApplied onConfigApplied_;
     std::shared_ptr<const RouteTable> table_;
     std::optional<TimePoint> confirmedAt_;
-    StorePlace place_;               // The era and revision of the list of upstreams.
+    StorePosition place_;            // The era and revision of the list of upstreams.
     mutable std::uint64_t mark_ = 0; // Cached mark of the list after `markedChanges_` changes.
     mutable std::uint64_t markedChanges_ = 0;
     std::uint64_t adoptedMark_ = 0;
--- /dev/null
+++ b/src/gateway/grouppoller.cpp
@@ -0,0 +1,159 @@
+#include "gateway/grouppoller.h"
+
+#include "base/log.h"
+#include "gateway/gatewaywire.h"
+
+#include <utility>
+
+namespace seamarch {
+namespace {
+
+// How long a poll waits for a change at the deciding agent. Also the interval at which unchanged
+// state is renewed.
+constexpr Duration kLongPollWait = std::chrono::milliseconds(400);
+// Time allowed for a reply beyond the wait: a few round trips between halls.
+constexpr Duration kReplyMargin = std::chrono::milliseconds(350);
+// Connections that are unused for this long are closed.
+constexpr Duration kLinkIdleTimeout = std::chrono::seconds(5);
+
+} // namespace
+
+GroupPoller::GroupPoller(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
+                         int agentPort)
+    : loop_(loop)
+    , knowledge_(knowledge)
+    , groups_(groups)
+    , agentPort_(agentPort)
+    , tasks_(*this)
+{}
+
+GroupPoller::~GroupPoller()
+{
+    *alive_ = false;
+}
+
+tl::expected<std::unique_ptr<GroupPoller>, NetError>
+GroupPoller::create(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
+                    int agentPort)
+{
+    auto transport = RawTransport::create(loop);
+    if (!transport) {
+        return tl::unexpected(transport.error());
+    }
+    std::unique_ptr<GroupPoller> poller(new GroupPoller(loop, knowledge, groups, agentPort));
+    poller->transport_ = std::move(*transport);
+    return poller;
+}
+
+void GroupPoller::taskFailed(kj::Exception &&exception)
+{
+    logLine(LogLevel::Warning, "group.call_failed",
+            {{"message", exception.getDescription().cStr()}});
+}
+
+// Collects the engines of services that form groups if the upstream list or the configuration has
+// changed.
+void GroupPoller::refreshEngines()
+{
+    const std::uint64_t changes = knowledge_.upstreams().changes();
+    if (changes == engineListChanges_ && knowledge_.version() == engineListVersion_) {
+        return;
+    }
+    engineListChanges_ = changes;
+    engineListVersion_ = knowledge_.version();
+    engines_.clear();
+    for (const UpstreamRecord *record : knowledge_.upstreams().all()) {
+        if (knowledge_.formsGroups(record->service)) {
+            engines_.push_back({record->host, record->port});
+        }
+    }
+}
+
+void GroupPoller::tick(bool active)
+{
+    const TimePoint now = loop_.now();
+    if (active) {
+        refreshEngines();
+        for (const std::string &host : survey_.next(engines_, groups_, now)) {
+            poll(host);
+        }
+    }
+    std::erase_if(links_, [now](const auto &entry) {
+        return now - entry.second.lastUsedAt > kLinkIdleTimeout;
+    });
+}
+
+void GroupPoller::poll(const std::string &host)
+{
+    const TimePoint now = loop_.now();
+    Link &link = links_[host];
+    if (link.rpc == nullptr) {
+        link.rpc = std::make_unique<RpcLink>(loop_, *transport_, SocketAddress{host, agentPort_});
+    }
+    link.lastUsedAt = now;
+    auto request = link.rpc->capability().castAs<wire::RankAgent>().groupRequest();
+    request.setMark(link.mark);
+    request.setWaitMicros(kLongPollWait.count());
+    // The poll is settled by the reply or by the timeout, whichever comes first.
+    const auto settled = std::make_shared<bool>(false);
+    loop_.schedule(kLongPollWait + kReplyMargin, [this, host, settled, alive = alive_] {
+        if (*alive && !std::exchange(*settled, true)) {
+            onPollFailed(host);
+        }
+    });
+    tasks_.add(request.send().then(
+        [this, host, now, settled](capnp::Response<wire::RankAgent::GroupResults> &&reply) {
+            if (!std::exchange(*settled, true)) {
+                onReply(host, now, reply);
+            }
+        },
+        [this, host, settled](kj::Exception && /*gone*/) {
+            if (!std::exchange(*settled, true)) {
+                onPollFailed(host);
+            }
+        }));
+}
+
+void GroupPoller::onPollFailed(const std::string &host)
+{
+    // The connection may be dead although a new one would work, so it is dropped. It is closed from
+    // the event loop because this function may run inside one of its callbacks.
+    const auto found = links_.find(host);
+    if (found != links_.end()) {
+        loop_.post([old = std::make_shared<Link>(std::move(found->second))] { old->rpc.reset(); });
+        links_.erase(found);
+    }
+    survey_.onFailed(host, loop_.now());
+}
+
+void GroupPoller::onReply(const std::string &host, TimePoint sentAt,
+                          wire::RankAgent::GroupResults::Reader reply)
+{
+    if (!reply.getDecides()) {
+        survey_.onReferred(host, reply.getDeciderHost().cStr(), loop_.now());
+        return;
+    }
+    const GroupId group(reply.getGroup().cStr());
+    survey_.onDecider(host, group);
+    Link &link = links_[host];
+    const auto groupNews = reply.getNews();
+    const bool unchanged = link.mark == reply.getMark();
+    link.mark = reply.getMark();
+    const TimePoint asOf = sentAt - Duration(groupNews.getAgeMicros());
+    if (unchanged) {
+        groups_.renew(group, asOf);
+        return;
+    }
+    const GroupFacts facts = readGroup(groupNews);
+    if (groups_.update(facts, asOf)) {
+        logLine(LogLevel::Info, "group.heard",
+                {{"group", group.value()},
+                 {"epoch", facts.epoch},
+                 {"open", facts.open},
+                 {"ranks", facts.members.size()},
+                 {"ageMs", toMillis(loop_.now() - asOf)},
+                 {"agent", host}});
+    }
+}
+
+} // namespace seamarch
--- /dev/null
+++ b/src/gateway/statesynchronizer.h
@@ -0,0 +1,116 @@
+// Keeps a gateway's copy of the platform's state up to date, from the store or from other gateways.
+//
+// One gateway of each hall follows the store (see GatewayDirectory), and the other gateways of the
+// hall follow that gateway. The one that is followed may be dead, partitioned or refused by the
+// store. A gateway whose state becomes stale for such a reason queries the store itself and the
+// other gateways in turn, and adopts the most recently confirmed state. A new gateway queries the
+// other gateways before the store.
+//
+// Single-threaded; the constructor's arguments must outlive the object.
+#pragma once
+
+#include "decision/gateway/sendpermits.h"
+#include "decision/membership/gatewaydirectory.h"
+#include "decision/membership/storeturn.h"
+#include "gateway/gatewaypeers.h"
+#include "gateway/gatewaystoreview.h"
+#include "gateway/gossipstate.h"
+#include "gateway/grouppoller.h"
+#include "gateway/storeprotocol.h"
+#include "gateway/storewatcher.h"
+#include "net/eventloop.h"
+#include "net/httpclient.h"
+
+#include <memory>
+#include <optional>
+#include <tl/expected.hpp>
+#include <vector>
+
+namespace seamarch {
+
+class StateSynchronizer
+{
+public:
+    struct Settings
+    {
+        InstanceId instance;
+        HallId hall;
+        // Listening address for other gateways; empty if there are none.
+        std::optional<SocketAddress> peerListen;
+        // Addresses of some gateways, which may no longer exist.
+        std::vector<SocketAddress> seeds;
+        // Port of the agents beside engines; empty if there are none.
+        std::optional<int> agentPort;
+        // How long changes of the store are batched.
+        Duration storeCoalesceDelay{};
+    };
+
+    static tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
+    create(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
+           GatewayStoreView &knowledge, const GossipState &gossip, const Settings &settings);
+
+    // Requests permits to send to an upstream that states a limit or is warming up, from the
+    // gateway that issues them or, if there is no such peer, from this gateway's own issuer.
+    // `answered` is called once, possibly before this function returns.
+    void requestPermits(const SendPermits::Query &ask, GatewayPeers::PermitsCallback answered);
+
+    // Starts the queries that are due. Must be called at short intervals.
+    void tick();
+
+    // Ends all queries, because the gateway is stopping.
+    void stop();
+
+    std::uint64_t storeCalls() const;
+    bool followsStore() const { return watcher_ != nullptr; }
+    std::size_t gateways() const { return directory_.size(); }
+    // Returns the position of this gateway among the gateways of its hall.
+    HallPosition place() const { return directory_.place(); }
+
+private:
+    StateSynchronizer(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
+                      GatewayStoreView &knowledge, const GossipState &gossip,
+                      const Settings &settings);
+    tl::expected<void, NetError> open();
+
+    bool onSharedState(const PeerStoreState &shared, TimePoint confirmedAt);
+    bool isSeed() const;
+    bool isDiscovering(TimePoint now) const;
+    bool waitsForPeers(TimePoint now) const;
+    KnowledgeTimes times() const;
+    bool isStoreQueryDue(TimePoint now) const;
+    bool peersQueryStore(TimePoint now) const;
+    void pollGroups(bool active, TimePoint now);
+    void queryPeers(const InstanceId &followed, TimePoint now);
+    void querySeeds(bool follows, TimePoint now);
+    std::optional<InstanceId> nextRemoteGateway(TimePoint now);
+    void queryOtherHalls(TimePoint now);
+    void queryNextSeed();
+    void queryGateway(const std::optional<InstanceId> &id, Duration longPollWait,
+                      GatewayPeers::ListRequest list = GatewayPeers::ListRequest::IfDue);
+    void followStore(bool follow, std::string_view reason);
+
+    EventLoop &loop_;
+    HttpClient &client_;
+    const StoreProtocol &store_;
+    GatewayStoreView &knowledge_;
+    GossipState gossip_;
+    Settings settings_;
+    GatewayDirectory directory_;
+    std::unique_ptr<GatewayPeers> peers_;
+    std::unique_ptr<GroupPoller> groupPoller_;
+    TimePoint groupsPolledAt_{};
+    std::unique_ptr<StoreWatcher> watcher_;
+    std::uint64_t endedWatcherCalls_ = 0; // Store calls made by earlier watchers.
+    bool stopped_ = false;
+    TimePoint startedAt_{};
+    std::size_t nextHall_ = 0;   // Selects the hall whose first gateway is queried next.
+    std::uint64_t nextSeed_ = 0; // Starts at a random value to spread new gateways over the seeds.
+    TimePoint fallbackWatchUntil_{}; // End of a watch that was started because the state was stale.
+    // Until then the store is not queried, because another gateway has newer state.
+    TimePoint storeBackoffUntil_{};
+    TimePoint listsQueriedAt_{};
+    TimePoint staleQueriedAt_{};
+    TimePoint seedsQueriedAt_{};
+};
+
+} // namespace seamarch
--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -1,6 +1,6 @@
 #include "gateway/storewatcher.h"
 
-#include "gateway/configpace.h"
+#include "gateway/configreaddelay.h"
 
 #include <algorithm>
 #include <iterator>
@@ -9,8 +9,8 @@
 namespace seamarch {
 namespace {
 
-// Returns how long to rest after reading the items.
-Duration restAfter(const StoreItems &items)
+// Returns the delay before the next watch call that reading `items` requires.
+Duration delayAfter(const StoreItems &items)
 {
     std::size_t bytes = 0;
     for (const StoreItem &item : items.items) {
@@ -18,12 +18,12 @@
             bytes += document->source.size();
         }
     }
-    return restAfterConfig(bytes);
+    return configReadDelay(bytes);
 }
 
 } // namespace
 
-StoreWatcher::StoreWatcher(EventLoop &loop, HttpClient &client, const MetadataStore &store,
+StoreWatcher::StoreWatcher(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
                            StoreListener &listener, const Settings &settings)
     : loop_(loop)
     , client_(client)
@@ -44,12 +44,12 @@
     client_.cancel(call_);
 }
 
-void StoreWatcher::makeCall(HttpCallRequest request, Duration longest)
+void StoreWatcher::makeCall(HttpCallRequest request, Duration timeout)
 {
     ++calls_;
-    askedAt_ = loop_.now();
-    request.connectTimeout = settings_.patience;
-    call_ = fetchText(loop_, client_, std::move(request), longest, [this](const HttpText &text) {
+    sentAt_ = loop_.now();
+    request.connectTimeout = settings_.answerTimeout;
+    call_ = fetchText(loop_, client_, std::move(request), timeout, [this](const HttpText &text) {
         if (text.complete) {
             onAnswer(text);
         } else {
@@ -65,32 +65,33 @@
         listed_ = {};
         listStartedAt_ = loop_.now();
     }
-    makeCall(store_.listCall(page), settings_.patience);
+    makeCall(store_.listCall(page), settings_.answerTimeout);
 }
 
 void StoreWatcher::watch()
 {
     step_ = Step::Watch;
-    makeCall(store_.watchCall(place_.revision, settings_.wait),
-             settings_.wait + settings_.patience);
+    makeCall(store_.watchCall(position_.revision, settings_.longPollWait),
+             settings_.longPollWait + settings_.answerTimeout);
 }
 
-// Takes the era that an answer tells. Returns false when what it says cannot be used: it was given
-// before the store went back, or it is the first after that and goes on from what is gone.
-bool StoreWatcher::isOfThisEra(const HttpText &text)
+// Adopts the era that an answer reports. Returns false if the answer is unusable: it is from an
+// earlier era, or it is the first of a later era and continues from a state that the store has
+// lost.
+bool StoreWatcher::acceptEra(const HttpText &text)
 {
-    const StorePlace told{store_.readEra(text.headers), 0};
-    if (told.era == 0 || told.era == place_.era) {
+    const StorePosition reported{store_.readEra(text.headers), 0};
+    if (reported.era == 0 || reported.era == position_.era) {
         return true;
     }
-    if (told.era < place_.era) {
+    if (reported.era < position_.era) {
         onFailure("answer of an earlier era");
         return false;
     }
-    const bool first = place_.era == 0;
-    place_ = told;
-    const bool startsList = step_ == Step::List && listed_.place == StorePlace();
-    if (first || startsList) {
+    const bool firstEra = position_.era == 0;
+    position_ = reported;
+    const bool restartsList = step_ == Step::List && listed_.position == StorePosition();
+    if (firstEra || restartsList) {
         return true;
     }
     list({});
@@ -99,18 +100,18 @@
 
 void StoreWatcher::onAnswer(const HttpText &text)
 {
-    if (!isOfThisEra(text)) {
+    if (!acceptEra(text)) {
         return;
     }
     auto items = step_ == Step::List ? store_.readList(text.status, text.body)
                                      : store_.readWatch(text.status, text.body);
     if (!items) {
-        onFault(items.error());
+        onError(items.error());
         return;
     }
     failures_ = 0;
     reachable_ = true;
-    items->place.era = place_.era;
+    items->position.era = position_.era;
     if (step_ == Step::List) {
         onListed(std::move(*items));
     } else {
@@ -120,8 +121,9 @@
 
 void StoreWatcher::onListed(StoreItems items)
 {
-    // Pages are no snapshot: changes are followed from the first page's revision on.
-    listed_.place = listed_.place == StorePlace() ? items.place : listed_.place;
+    // A list of several pages is not an atomic snapshot, so changes are watched from the revision
+    // of the first page.
+    listed_.position = listed_.position == StorePosition() ? items.position : listed_.position;
     std::move(items.items.begin(), items.items.end(), std::back_inserter(listed_.items));
     std::move(items.faults.begin(), items.faults.end(), std::back_inserter(listed_.faults));
     listed_.routingUnreadable = listed_.routingUnreadable || items.routingUnreadable;
@@ -129,35 +131,36 @@
         list(items.nextPage);
         return;
     }
-    place_ = listed_.place;
-    const StoreItems whole = std::exchange(listed_, {});
-    listener_.onStoreListed(whole, listStartedAt_);
+    position_ = listed_.position;
+    const StoreItems snapshot = std::exchange(listed_, {});
+    listener_.onStoreListed(snapshot, listStartedAt_);
     watch();
 }
 
 void StoreWatcher::onChanged(const StoreItems &items)
 {
-    place_ = std::max(place_, items.place);
-    listener_.onStoreChanged(items, askedAt_);
+    position_ = std::max(position_, items.position);
+    listener_.onStoreChanged(items, sentAt_);
     const bool changed = !items.items.empty() || !items.faults.empty();
-    const Duration rest = std::max(restAfter(items), changed ? settings_.rest : Duration{});
-    if (rest > Duration{}) {
-        timer_ = loop_.schedule(rest, [this] { watch(); });
+    const Duration delay =
+        std::max(delayAfter(items), changed ? settings_.coalesceDelay : Duration{});
+    if (delay > Duration{}) {
+        timer_ = loop_.schedule(delay, [this] { watch(); });
     } else {
         watch();
     }
 }
 
-void StoreWatcher::onFault(StoreFault fault)
+void StoreWatcher::onError(StoreError error)
 {
-    switch (fault) {
-    case StoreFault::HistoryGone:
+    switch (error) {
+    case StoreError::HistoryCompacted:
         list({});
         return;
-    case StoreFault::Unavailable:
+    case StoreError::Unavailable:
         onFailure("refused");
         return;
-    case StoreFault::Unreadable:
+    case StoreError::Unreadable:
         onFailure("unreadable answer");
         return;
     }
@@ -168,12 +171,12 @@
     constexpr int kMaxDoublings = 3;
     reachable_ = false;
     const int doublings = std::min(failures_++, kMaxDoublings);
-    const Duration pause =
-        std::min(settings_.firstPause * (1 << doublings), settings_.longestPause);
+    const Duration backoff =
+        std::min(settings_.initialBackoff * (1 << doublings), settings_.maxBackoff);
     std::uniform_real_distribution<double> jitter(0.5, 1.5);
     listener_.onStoreFailed(cause);
-    timer_ = loop_.schedule(fromSeconds(toSeconds(pause) * jitter(random_)), [this] {
-        if (place_.revision == 0) {
+    timer_ = loop_.schedule(fromSeconds(toSeconds(backoff) * jitter(random_)), [this] {
+        if (position_.revision == 0) {
             list({});
         } else {
             watch();
--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -59,7 +59,7 @@
                              {"rest", full_ ? rest_ : std::string()}});
         if (full_) {
             head.status = 503;
-            head.headers.push_back({std::string(names::kNotRun), "1"});
+            head.headers.push_back({std::string(names::kNotExecuted), "1"});
             if (!rest_.empty()) {
                 head.headers.push_back({std::string(names::kRetryAfter), rest_});
             }
@@ -68,16 +68,16 @@
         }
         runs_.push_back({{"id", requestId},
                          {"account", request.header(names::kAccount)},
-                         {"key", request.header(names::kKey)},
+                         {"key", request.header(names::kAuthorization)},
                          {"body", request.body},
                          {"resumeAfter", request.header(names::kResumeAfter)}});
-        head.headers.push_back({std::string(names::kProof), "proof-of-" + id_});
+        head.headers.push_back({std::string(names::kReplicaSignature), "proof-of-" + id_});
         if (foreignId_) {
             head.headers.front().value = "another";
         }
         if (lies_ && runs_.size() % 3 == 0) {
             head.status = 503;
-            head.headers.push_back({std::string(names::kNotRun), "1"});
+            head.headers.push_back({std::string(names::kNotExecuted), "1"});
             server().respond(exchange, head, "{}");
             return;
         }
--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -1,5 +1,5 @@
 // Tests of RankPeers with an agent that does not answer. Uses real sockets on loopback.
-#include "enginecalls.h"
+#include "enginehttp.h"
 #include "experts/rankpeers.h"
 #include "freeport.h"
 
--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -109,13 +109,13 @@
 TEST(GatewayStoreViewTest, StoreRollbackKeepsVersionAndLeavingUpstreams)
 {
     StoreItems listed;
-    listed.place = {1, 20};
+    listed.position = {1, 20};
     listed.items.emplace_back(document(4));
     listed.items.emplace_back(upstream("i-1", true));
     listed.items.emplace_back(upstream("i-2"));
     view.onStoreListed(listed, loop->now());
     StoreItems copy;
-    copy.place = {2, 9};
+    copy.position = {2, 9};
     copy.items.emplace_back(document(3));
     copy.items.emplace_back(upstream("i-1"));
     view.onStoreListed(copy, loop->now());
@@ -128,7 +128,7 @@
 TEST(GatewayStoreViewTest, WarmUpIsCountedFromReadingTheEntry)
 {
     StoreItems listed;
-    listed.place = {1, 20};
+    listed.position = {1, 20};
     UpstreamRecord record = upstream("i-1");
     record.warmUpLeft = std::chrono::seconds(3);
     listed.items.emplace_back(record);
@@ -136,7 +136,7 @@
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt > loop->now() + std::chrono::seconds(2));
     record.warmUpLeft = Duration{};
     StoreItems changed;
-    changed.place = {1, 21};
+    changed.position = {1, 21};
     changed.items.emplace_back(record);
     view.onStoreChanged(changed, loop->now());
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt <= loop->now());
@@ -145,7 +145,7 @@
 TEST(GatewayStoreViewTest, EntryWithoutWarmUpUsesTheServiceWarmUpOncePerStart)
 {
     StoreItems listed;
-    listed.place = {1, 20};
+    listed.position = {1, 20};
     RoutingDocument routing = document(1);
     routing.services.emplace_back();
     routing.services.back().name = TargetName("portal");
@@ -153,14 +153,14 @@
     listed.items.emplace_back(routing);
     view.onStoreListed(listed, loop->now());
     StoreItems changed;
-    changed.place = {1, 21};
+    changed.position = {1, 21};
     UpstreamRecord record = upstream("i-1");
     record.start = UpstreamStart(1);
     changed.items.emplace_back(record);
     view.onStoreChanged(changed, loop->now());
     const TimePoint warmAt = upstreams.find(InstanceId("i-1"))->warmAt;
     CHECK_TRUE(warmAt > loop->now() + std::chrono::seconds(2));
-    changed.place = {1, 22};
+    changed.position = {1, 22};
     view.onStoreChanged(changed, loop->now());
     CHECK_TRUE(upstreams.find(InstanceId("i-1"))->warmAt == warmAt);
 }
@@ -171,13 +171,13 @@
         return upstreams.drainedHalls().contains(HallId(hall));
     };
     StoreItems listed;
-    listed.place = {1, 20};
+    listed.position = {1, 20};
     listed.items.emplace_back(document(1));
     listed.items.emplace_back(HallDrain{HallId("north"), false});
     view.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
     CHECK_TRUE(drained("north"));
     StoreItems changed;
-    changed.place = {1, 21};
+    changed.position = {1, 21};
     changed.items.emplace_back(HallDrain{HallId("north"), true});
     changed.items.emplace_back(HallDrain{HallId("south"), false});
     view.onStoreChanged(changed, loop->now() - std::chrono::seconds(1));
@@ -219,7 +219,7 @@
                            [](const RouteTable &) {}};
     CHECK_TRUE(view.adopt(peerState(), loop->now()));
     StoreItems listed;
-    listed.place.revision = 12;
+    listed.position.revision = 12;
     listed.items.emplace_back(upstream("i-1"));
     other.onStoreListed(listed, loop->now());
     CHECK_TRUE(view.upstreamsMark() == other.upstreamsMark());
@@ -232,7 +232,7 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     StoreItems items;
-    items.place.revision = 11;
+    items.position.revision = 11;
     items.items.emplace_back(upstream("i-1", true));
     view.onStoreChanged(items, loop->now());
     CHECK_TRUE(view.advertisedMark() == view.upstreamsMark());
@@ -245,7 +245,7 @@
 {
     LONGS_EQUAL(0, view.advertisedMark());
     StoreItems listed;
-    listed.place = {1, 9};
+    listed.position = {1, 9};
     listed.items.emplace_back(document(3));
     listed.items.emplace_back(upstream("i-1"));
     view.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
--- a/test/gateway/groupwatch_test.cpp
+++ b/test/gateway/grouppoller_test.cpp
@@ -1,8 +1,8 @@
-// How a gateway hears of groups from the agent beside an engine. Real sockets on loopback. Whom it
-// asks where there are many agents is tested without sockets: see groupsurvey_test.cpp.
+// Tests polling of a single agent over sockets on the loopback interface. The selection among many
+// agents is tested in groupsurvey_test.cpp, without sockets.
 #include "experts/groupreporter.h"
 #include "freeport.h"
-#include "gateway/groupwatch.h"
+#include "gateway/grouppoller.h"
 #include "net/rpcpeer.h"
 
 #include <CppUTest/TestHarness.h>
@@ -12,14 +12,14 @@
 namespace {
 
 constexpr const char *kHost = "127.0.0.1";
-constexpr int kFirstEngine = 80; // Ports.
+constexpr int kFirstEngine = 80; // Port numbers.
 constexpr int kSecondEngine = 81;
 
-// An agent that answers questions about its group and nothing else.
-class Agent
+// An agent that only answers polls about its group.
+class FakeAgent
 {
 public:
-    Agent(EventLoop &loop, const char *host, int port)
+    FakeAgent(EventLoop &loop, const char *host, int port)
         : reporter(loop)
         , transport_(*RawTransport::create(loop))
     {
@@ -50,7 +50,7 @@
     std::vector<std::unique_ptr<RpcPeer>> peers_;
 };
 
-RoutingDocument documentWithGroups()
+RoutingDocument makeDocument()
 {
     RoutingDocument document;
     document.version = ConfigVersion(1);
@@ -62,7 +62,7 @@
     return document;
 }
 
-UpstreamRecord engine(int port)
+UpstreamRecord makeEngine(int port)
 {
     UpstreamRecord record;
     record.id = InstanceId("i-" + std::to_string(port));
@@ -72,7 +72,7 @@
     return record;
 }
 
-GroupFacts factsOf(bool open)
+GroupFacts makeGroupFacts(bool open)
 {
     GroupFacts facts;
     facts.group = GroupId("north");
@@ -84,7 +84,7 @@
 
 } // namespace
 
-TEST_GROUP(GroupWatchTest)
+TEST_GROUP(GroupPollerTest)
 {
     std::unique_ptr<EventLoop> loop = *EventLoop::create();
     Metrics metrics{0};
@@ -93,24 +93,24 @@
                                [](const RouteTable &) {}};
     GroupTable groups;
     int port = freePort();
-    std::unique_ptr<Agent> agent = std::make_unique<Agent>(*loop, kHost, port);
-    std::unique_ptr<GroupWatch> watch;
+    std::unique_ptr<FakeAgent> agent = std::make_unique<FakeAgent>(*loop, kHost, port);
+    std::unique_ptr<GroupPoller> poller;
     std::unique_ptr<PeriodicTimer> timer;
 
     void setup() override
     {
         StoreItems items;
-        items.items = {documentWithGroups(), engine(kFirstEngine), engine(kSecondEngine)};
+        items.items = {makeDocument(), makeEngine(kFirstEngine), makeEngine(kSecondEngine)};
         knowledge.onStoreListed(items, loop->now());
-        watch = *GroupWatch::create(*loop, knowledge, groups, port);
+        poller = *GroupPoller::create(*loop, knowledge, groups, port);
         timer = std::make_unique<PeriodicTimer>(*loop, std::chrono::milliseconds(50),
-                                                [this] { watch->tick(true); });
+                                                [this] { poller->tick(true); });
     }
 
     void teardown() override
     {
         timer.reset();
-        watch.reset();
+        poller.reset();
         agent.reset();
         loop->shutDown();
         loop.reset();
@@ -123,42 +123,42 @@
     }
 };
 
-TEST(GroupWatchTest, HearsFromTheAgentThatDecidesAndHowLongAgoItWasSo)
+TEST(GroupPollerTest, ReadsGroupAndItsAgeFromDecidingAgent)
 {
-    agent->reporter.publish(factsOf(true), loop->now());
+    agent->reporter.publish(makeGroupFacts(true), loop->now());
     runFor(400);
-    STRCMP_EQUAL("north", groups.groupOf(engine(kFirstEngine)).value().c_str());
-    DOUBLES_EQUAL(5.0, groups.slowness(engine(82), loop->now()), 0.01);
+    STRCMP_EQUAL("north", groups.groupOf(makeEngine(kFirstEngine)).value().c_str());
+    DOUBLES_EQUAL(5.0, groups.slowness(makeEngine(82), loop->now()), 0.01);
     CHECK_TEXT(groups.groups().at(GroupId("north")).asOf <= loop->now(),
-               "facts are never younger than the question for them");
+               "group state must not be newer than the poll that requested it");
 }
 
-TEST(GroupWatchTest, NewsComesAsSoonAsSomethingChanges)
+TEST(GroupPollerTest, ReceivesChangeWithoutWaitingForNextPoll)
 {
-    agent->reporter.publish(factsOf(true), loop->now());
+    agent->reporter.publish(makeGroupFacts(true), loop->now());
     runFor(400);
     CHECK_FALSE(groups.isClosed(GroupId("north"), loop->now()));
     loop->schedule(std::chrono::milliseconds(5),
-                   [this] { agent->reporter.publish(factsOf(false), loop->now()); });
+                   [this] { agent->reporter.publish(makeGroupFacts(false), loop->now()); });
     runFor(150);
     CHECK_TRUE(groups.isClosed(GroupId("north"), loop->now()));
 }
 
-TEST(GroupWatchTest, KeepsOneConnectionToTheAgentThatDecides)
+TEST(GroupPollerTest, ReusesConnectionToDecidingAgent)
 {
-    agent->reporter.publish(factsOf(true), loop->now());
+    agent->reporter.publish(makeGroupFacts(true), loop->now());
     runFor(1500);
     LONGS_EQUAL(1, agent->connections);
 }
 
-// An agent that does not decide says nothing of its group, but is asked again: it may decide by
-// then.
-TEST(GroupWatchTest, AsksAgainWhereNobodyDecidesYet)
+// An agent that does not decide sends no group state. It is polled again because it may have become
+// the decider.
+TEST(GroupPollerTest, PollsAgainWhileNoAgentDecides)
 {
     agent->reporter.referTo("");
     runFor(300);
     LONGS_EQUAL(0, groups.groups().size());
-    agent->reporter.publish(factsOf(true), loop->now());
+    agent->reporter.publish(makeGroupFacts(true), loop->now());
     runFor(900);
     LONGS_EQUAL(1, groups.groups().size());
 }
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -144,7 +144,7 @@
         const std::uint64_t since = gateway.view.place().revision;
         Message message{static_cast<std::size_t>(index), incarnations_[index], now_,
                         fullList || since == 0,          StoreItems(),         {}};
-        message.items->place = {1, revision_};
+        message.items->position = {1, revision_};
         if (message.fullList) {
             RoutingDocument document;
             document.version = ConfigVersion(1);
@@ -158,7 +158,7 @@
         } else {
             for (auto event = drainChanges_.upper_bound(since); event != drainChanges_.end();
                  ++event) {
-                if (fault_ != Fault::DrainEndsIgnored || !event->second.over) {
+                if (fault_ != Fault::DrainEndsIgnored || !event->second.cancelled) {
                     message.items->items.emplace_back(event->second);
                 }
             }
@@ -218,7 +218,7 @@
             }
             return;
         }
-        if (message.items->place < gateway.view.place()) {
+        if (message.items->position < gateway.view.place()) {
             return; // Not possible with the real store watcher, which makes one call at a time.
         }
         gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -1,8 +1,10 @@
-// The load that this answers: the platform's store comes back from an older copy, again and again,
-// while its operator writes configurations, upstreams leave, end and start again under their ids,
-// and five gateways hear of it from the store and from each other, late and out of order.
+// A randomized simulation of five gateways while the platform's store is repeatedly restored from
+// an older copy. Meanwhile the operator writes configurations, and upstreams announce that they are
+// leaving, stop and restart under the same ids. Gateways receive this from the store and from each
+// other, late and out of order.
 //
-// The model of the store keeps what it would answer to each call; the world keeps what is true.
+// Guards against gateways that revert to an older version or use an upstream again that is leaving
+// or gone. `store_` is what the store would answer; `actual_` is the true state of the upstreams.
 #include "gateway/gatewaystoreview.h"
 
 #include "base/log.h"
@@ -30,10 +32,10 @@
 {
     std::int64_t start = 1;
     bool leaving = false;
-    bool lives = true;
+    bool running = true;
 };
 
-// What the store holds, as of a revision.
+// The content of the store at a revision.
 struct StoreState
 {
     struct Entry
@@ -51,9 +53,9 @@
 
 RoutingDocument document(std::uint64_t version)
 {
-    RoutingDocument made;
-    made.version = ConfigVersion(version);
-    return made;
+    RoutingDocument routing;
+    routing.version = ConfigVersion(version);
+    return routing;
 }
 
 struct Gateway
@@ -66,73 +68,77 @@
 
     UpstreamTable upstreams;
     GatewayStoreView knowledge;
-    StorePlace watched; // What its watch of the store goes on from.
+    StorePosition watchPosition; // Where the next watch call continues.
     TimePoint confirmedAt{};
-    std::uint64_t highest = 0;                           // Version that it has had in force.
-    std::set<std::pair<std::string, std::int64_t>> left; // Starts that it has heard to leave.
-    std::set<std::pair<std::string, std::int64_t>> gone; // Starts that it took for leaving or gone.
+    std::uint64_t highestVersion = 0; // Highest version in force so far.
+    // Starts that the store reported as leaving.
+    std::set<std::pair<std::string, std::int64_t>> announcedLeaving;
+    // Starts that it has treated as leaving or gone.
+    std::set<std::pair<std::string, std::int64_t>> seenLeaving;
 };
 
-// A message that is on its way to a gateway.
-struct Late
+// A message in transit to a gateway.
+struct Message
 {
     std::size_t to = 0;
-    int life = 0;
-    TimePoint askedAt{};
-    bool ofStore = false;
-    bool wholeList = false;
+    int incarnation = 0;
+    TimePoint sentAt{};
+    bool fromStore = false;
+    bool isList = false;
     StoreItems items;
     PeerStoreState shared;
 };
 
-class World
+class Simulation
 {
 public:
-    World(EventLoop &loop, Metrics &metrics, std::uint64_t seed)
+    Simulation(EventLoop &loop, Metrics &metrics, std::uint64_t seed)
         : loop_(loop)
         , metrics_(metrics)
         , seed_(seed)
         , random_(seed)
-        , lives_(kGateways, 0)
+        , incarnations_(kGateways, 0)
     {
         for (int index = 0; index < kUpstreams; ++index) {
-            truth_.emplace(fmt::format("i-{}", index), Upstream());
+            actual_.emplace(fmt::format("i-{}", index), Upstream());
         }
         writeConfig();
-        for (const auto &[id, upstream] : truth_) {
-            list(id);
+        for (const auto &[id, upstream] : actual_) {
+            writeEntry(id);
         }
         for (std::size_t index = 0; index < kGateways; ++index) {
             gateways_.push_back(std::make_unique<Gateway>(loop, metrics));
         }
     }
 
-    // What was found to be taken back of versions and words of leaving; empty: nothing.
-    const std::string &fail() const { return fail_; }
-    // The same of upstreams that were gone.
-    const std::string &failOfGone() const { return failOfGone_; }
+    // Describes a violation in which a gateway reverted a version or an announced leave; empty if
+    // there was none.
+    const std::string &failure() const { return failure_; }
+    // Describes a violation in which a gateway used a removed upstream again; empty if there was
+    // none.
+    const std::string &removalFailure() const { return removalFailure_; }
 
     void run(int steps)
     {
         for (int step = 0; step < steps; ++step) {
             now_ += Duration(1);
-            change();
-            const auto one = static_cast<std::size_t>(draw(kGateways));
+            changeOne();
+            const auto gateway = static_cast<std::size_t>(draw(kGateways));
             switch (draw(6)) {
             case 0:
-                askStore(one, true);
+                callStore(gateway, true);
                 break;
             case 1:
             case 2:
-                askStore(one, false);
+                callStore(gateway, false);
                 break;
             case 3:
-                tell(one, static_cast<std::size_t>(draw(kGateways)));
+                sendState(gateway, static_cast<std::size_t>(draw(kGateways)));
                 break;
             case 4:
                 if (draw(20) == 0) {
-                    gateways_[one] = std::make_unique<Gateway>(loop_, metrics_);
-                    ++lives_[one];
+                    gateways_[gateway] = std::make_unique<Gateway>(loop_, metrics_);
+                    ++incarnations_[gateway];
                 }
                 break;
             default:
@@ -144,7 +150,7 @@
     }
 
 private:
-    int draw(int most) { return static_cast<int>(random_() % static_cast<std::uint64_t>(most)); }
+    int draw(int bound) { return static_cast<int>(random_() % static_cast<std::uint64_t>(bound)); }
 
     void writeConfig()
     {
@@ -153,177 +159,178 @@
         store_.versionAt = ++store_.revision;
     }
 
-    // The upstream, or what removes it, writes its entry anew.
-    void list(const std::string &id)
+    // Writes the entry of an upstream to the store, or removes it if the upstream has stopped.
+    void writeEntry(const std::string &id)
     {
-        const Upstream &upstream = truth_.at(id);
+        const Upstream &upstream = actual_.at(id);
         const std::uint64_t revision = ++store_.revision;
-        if (!upstream.lives) {
+        if (!upstream.running) {
             store_.entries.erase(id);
             store_.removedAt[id] = revision;
             return;
         }
-        const auto held = store_.entries.find(id);
+        const auto entry = store_.entries.find(id);
         UpstreamRecord record;
         record.id = InstanceId(id);
         record.service = TargetName("portal");
         record.start = UpstreamStart(upstream.start);
         record.leaving = upstream.leaving;
-        record.listedAt = held == store_.entries.end() ? revision : held->second.record.listedAt;
+        record.listedAt = entry == store_.entries.end() ? revision : entry->second.record.listedAt;
         record.createdAt = record.listedAt;
         store_.entries[id] = {record, revision};
         store_.removedAt.erase(id);
     }
 
-    void change()
+    void changeOne()
     {
         const std::string id = fmt::format("i-{}", draw(kUpstreams));
-        Upstream &upstream = truth_.at(id);
+        Upstream &upstream = actual_.at(id);
         switch (draw(24)) {
         case 0:
             writeConfig();
             break;
         case 1:
-            upstream.leaving = upstream.lives;
-            list(id);
+            upstream.leaving = upstream.running;
+            writeEntry(id);
             break;
         case 2:
-            upstream.lives = upstream.lives && !upstream.leaving;
-            list(id);
+            upstream.running = upstream.running && !upstream.leaving;
+            writeEntry(id);
             break;
         case 3:
-            if (upstream.leaving || !upstream.lives) {
+            if (upstream.leaving || !upstream.running) {
                 upstream = {upstream.start + 1, false, true};
-                list(id);
+                writeEntry(id);
             }
             break;
         case 4:
             copy_ = store_;
             break;
         case 5:
-            goBack();
+            restoreCopy();
             break;
         case 6:
         case 7:
-            writeAgain();
+            rewriteOne();
             break;
         default:
             break;
         }
     }
 
-    void goBack()
+    void restoreCopy()
     {
         if (copy_.revision == 0) {
             return;
         }
         store_ = copy_;
         ++era_;
-        pending_.assign(1, std::string());
-        for (const auto &[id, upstream] : truth_) {
-            pending_.push_back(id);
+        pendingRewrites_.assign(1, std::string());
+        for (const auto &[id, upstream] : actual_) {
+            pendingRewrites_.push_back(id);
         }
-        std::shuffle(pending_.begin(), pending_.end(), random_);
+        std::shuffle(pendingRewrites_.begin(), pendingRewrites_.end(), random_);
     }
 
-    // One of those that had written since the copy writes it again.
-    void writeAgain()
+    // Repeats one of the writes that were lost when the store was restored from its copy.
+    void rewriteOne()
     {
-        if (pending_.empty()) {
+        if (pendingRewrites_.empty()) {
             return;
         }
-        const std::string id = pending_.back();
-        pending_.pop_back();
+        const std::string id = pendingRewrites_.back();
+        pendingRewrites_.pop_back();
         if (!id.empty()) {
-            list(id);
+            writeEntry(id);
             return;
         }
         store_.version = version_;
         store_.versionAt = ++store_.revision;
     }
 
-    // Answers a call of a gateway; a watch from a place of another era begins a list.
-    void askStore(std::size_t index, bool wholeList)
+    // Sends an answer of the store to a gateway. A watch that continues from another era becomes a
+    // list.
+    void callStore(std::size_t index, bool isList)
     {
         Gateway &gateway = *gateways_[index];
-        Late late{index, lives_[index], now_, true, false, {}, {}};
-        late.wholeList = wholeList || gateway.watched.era != era_;
-        const std::uint64_t since = late.wholeList ? 0 : gateway.watched.revision;
-        late.items.place = {era_, store_.revision};
+        Message message{index, incarnations_[index], now_, true, false, {}, {}};
+        message.isList = isList || gateway.watchPosition.era != era_;
+        const std::uint64_t since = message.isList ? 0 : gateway.watchPosition.revision;
+        message.items.position = {era_, store_.revision};
         if (store_.versionAt > since) {
-            late.items.items.emplace_back(document(store_.version));
+            message.items.items.emplace_back(document(store_.version));
         }
         for (const auto &[id, entry] : store_.entries) {
             if (entry.changedAt > since) {
-                late.items.items.emplace_back(entry.record);
+                message.items.items.emplace_back(entry.record);
             }
         }
         for (const auto &[id, at] : store_.removedAt) {
-            if (!late.wholeList && at > since) {
-                late.items.items.emplace_back(UpstreamGone{InstanceId(id), false});
+            if (!message.isList && at > since) {
+                message.items.items.emplace_back(UpstreamRemoval{InstanceId(id), false});
             }
         }
-        late_.push_back(std::move(late));
+        inFlight_.push_back(std::move(message));
     }
 
-    void tell(std::size_t from, std::size_t to)
+    void sendState(std::size_t from, std::size_t to)
     {
-        const Gateway &teller = *gateways_[from];
-        if (from == to || !teller.knowledge.confirmed()) {
+        const Gateway &sender = *gateways_[from];
+        if (from == to || !sender.knowledge.confirmed()) {
             return;
         }
-        Late late{to, lives_[to], teller.confirmedAt, false, false, {}, {}};
-        late.shared.place = teller.knowledge.place();
-        late.shared.version = teller.knowledge.version();
-        if (late.shared.version > gateways_[to]->knowledge.version()) {
-            late.shared.document = document(late.shared.version.value());
+        Message message{to, incarnations_[to], sender.confirmedAt, false, false, {}, {}};
+        message.shared.place = sender.knowledge.place();
+        message.shared.version = sender.knowledge.version();
+        if (message.shared.version > gateways_[to]->knowledge.version()) {
+            message.shared.document = document(message.shared.version.value());
         }
-        late.shared.upstreamsMark = teller.knowledge.upstreamsMark();
-        late.shared.upstreams.emplace();
-        for (const UpstreamRecord *record : teller.upstreams.all()) {
-            late.shared.upstreams->push_back(*record);
+        message.shared.upstreamsMark = sender.knowledge.upstreamsMark();
+        message.shared.upstreams.emplace();
+        for (const UpstreamRecord *record : sender.upstreams.all()) {
+            message.shared.upstreams->push_back(*record);
         }
-        late_.push_back(std::move(late));
+        inFlight_.push_back(std::move(message));
     }
 
     void deliver()
     {
-        while (!late_.empty() && draw(3) != 0) {
-            const auto chosen = late_.begin() + draw(static_cast<int>(late_.size()));
-            const Late late = std::move(*chosen);
-            late_.erase(chosen);
-            if (late.life != lives_[late.to]) {
-                continue; // The one that asked has ended.
+        while (!inFlight_.empty() && draw(3) != 0) {
+            const auto chosen = inFlight_.begin() + draw(static_cast<int>(inFlight_.size()));
+            const Message message = std::move(*chosen);
+            inFlight_.erase(chosen);
+            if (message.incarnation != incarnations_[message.to]) {
+                continue; // The gateway that sent the call has been restarted.
             }
-            Gateway &gateway = *gateways_[late.to];
-            if (!late.ofStore) {
-                if (gateway.knowledge.adopt(late.shared, late.askedAt)) {
-                    gateway.confirmedAt = late.askedAt;
+            Gateway &gateway = *gateways_[message.to];
+            if (!message.fromStore) {
+                if (gateway.knowledge.adopt(message.shared, message.sentAt)) {
+                    gateway.confirmedAt = message.sentAt;
                 }
             } else {
-                takeStore(gateway, late);
+                applyStoreAnswer(gateway, message);
             }
         }
     }
 
-    // A watcher makes one call at a time: an answer that an earlier call of it got is not taken.
-    static void takeStore(Gateway &gateway, const Late &late)
+    // A watcher has only one call in progress, so it does not accept answers to earlier calls.
+    static void applyStoreAnswer(Gateway &gateway, const Message &message)
     {
-        if (late.items.place < gateway.watched) {
+        if (message.items.position < gateway.watchPosition) {
             return;
         }
-        gateway.watched = late.items.place;
-        gateway.confirmedAt = std::max(gateway.confirmedAt, late.askedAt);
-        for (const StoreItem &item : late.items.items) {
+        gateway.watchPosition = message.items.position;
+        gateway.confirmedAt = std::max(gateway.confirmedAt, message.sentAt);
+        for (const StoreItem &item : message.items.items) {
             const auto *record = std::get_if<UpstreamRecord>(&item);
             if (record != nullptr && record->leaving) {
-                gateway.left.emplace(record->id.value(), record->start.value());
+                gateway.announcedLeaving.emplace(record->id.value(), record->start.value());
             }
         }
-        if (late.wholeList) {
-            gateway.knowledge.onStoreListed(late.items, late.askedAt);
+        if (message.isList) {
+            gateway.knowledge.onStoreListed(message.items, message.sentAt);
         } else {
-            gateway.knowledge.onStoreChanged(late.items, late.askedAt);
+            gateway.knowledge.onStoreChanged(message.items, message.sentAt);
         }
     }
 
@@ -332,33 +339,36 @@
         for (std::size_t index = 0; index < kGateways; ++index) {
             Gateway &gateway = *gateways_[index];
             const std::uint64_t version = gateway.knowledge.version().value();
-            fail_ = version < gateway.highest
-                        ? fmt::format("seed {}: gateway {} went back from version {} to {}", seed_,
-                                      index, gateway.highest, version)
-                        : fail_;
-            gateway.highest = version;
-            for (const auto &[id, upstream] : truth_) {
+            failure_ = version < gateway.highestVersion
+                           ? fmt::format("seed {}: gateway {} reverted from version {} to {}",
+                                         seed_, index, gateway.highestVersion, version)
+                           : failure_;
+            gateway.highestVersion = version;
+            for (const auto &[id, upstream] : actual_) {
                 const std::pair start(id, upstream.start);
                 if (!gateway.upstreams.mayReceive(InstanceId(id))) {
                     continue;
                 }
-                const std::string about =
-                    fmt::format("seed {}: gateway {} sends to {} again, whose start {} it ", seed_,
+                const std::string prefix =
+                    fmt::format("seed {}: gateway {} sends to {} again, although start {} ", seed_,
                                 index, id, upstream.start);
-                fail_ = gateway.left.contains(start) ? about + "has heard to leave" : fail_;
-                failOfGone_ =
-                    gateway.gone.contains(start) ? about + "took for leaving or gone" : failOfGone_;
+                failure_ = gateway.announcedLeaving.contains(start)
+                               ? prefix + "was reported as leaving"
+                               : failure_;
+                removalFailure_ = gateway.seenLeaving.contains(start)
+                                      ? prefix + "was treated as leaving or gone"
+                                      : removalFailure_;
             }
             for (const UpstreamRecord *record : gateway.upstreams.all()) {
                 if (record->leaving) {
-                    gateway.gone.emplace(record->id.value(), record->start.value());
+                    gateway.seenLeaving.emplace(record->id.value(), record->start.value());
                 }
             }
         }
     }
 
-    std::string fail_;
-    std::string failOfGone_;
+    std::string failure_;
+    std::string removalFailure_;
     EventLoop &loop_;
     Metrics &metrics_;
     std::uint64_t seed_;
@@ -368,11 +378,12 @@
     std::uint64_t era_ = 1;
     StoreState store_;
     StoreState copy_;
-    std::map<std::string, Upstream> truth_;
-    std::vector<std::string> pending_; // Who has yet to write again; empty: the operator.
+    std::map<std::string, Upstream> actual_;
+    // Upstreams that have to write again; empty id: the operator.
+    std::vector<std::string> pendingRewrites_;
     std::vector<std::unique_ptr<Gateway>> gateways_;
-    std::vector<int> lives_;
-    std::vector<Late> late_;
+    std::vector<int> incarnations_;
+    std::vector<Message> inFlight_;
 };
 
 } // namespace
@@ -391,40 +402,40 @@
         setLogLevel(LogLevel::Info);
     }
 
-    // More seeds by hand: SEAMARCH_DRILL_SEEDS says how many.
+    // Returns the number of seeds; SEAMARCH_DRILL_SEEDS overrides it for longer manual runs.
     static std::uint64_t seeds()
     {
-        const char *wanted = std::getenv("SEAMARCH_DRILL_SEEDS");
-        return wanted == nullptr ? 2000 : std::strtoull(wanted, nullptr, 10);
+        const char *count = std::getenv("SEAMARCH_DRILL_SEEDS");
+        return count == nullptr ? 2000 : std::strtoull(count, nullptr, 10);
     }
 
-    World played(std::uint64_t seed)
+    Simulation simulate(std::uint64_t seed)
     {
         constexpr int kSteps = 200;
-        World world(*loop, metrics, seed);
-        world.run(kSteps);
-        return world;
+        Simulation simulation(*loop, metrics, seed);
+        simulation.run(kSteps);
+        return simulation;
     }
 };
 
 TEST(StoreDrillTest, NoGatewayTakesBackAVersionOrWhatTheStoreHasToldItOfLeaving)
 {
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
-        STRCMP_EQUAL("", played(seed).fail().c_str());
+        STRCMP_EQUAL("", simulate(seed).failure().c_str());
     }
 }
 
-// Its record is gone from the store; a copy of some seconds ago lists it once more.
+// The store no longer lists the upstream, but a copy that is a few seconds old still does.
 TEST(StoreDrillTest, NoGatewayTakesBackThatAnUpstreamIsGone)
 {
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
-        STRCMP_EQUAL("", played(seed).failOfGone().c_str());
+        STRCMP_EQUAL("", simulate(seed).removalFailure().c_str());
     }
 }
 
-// The upstream writes a new entry after the store has gone back to a copy; then the store goes back
-// to the same copy once more, which holds the entry before.
+// An upstream writes a new entry after the store was restored from a copy. Then the store is
+// restored from the same copy again, which holds the previous entry.
 TEST(StoreDrillTest, CopyThatComesBackTwiceTakesNothingBack)
 {
-    STRCMP_EQUAL("", played(30683).failOfGone().c_str());
+    STRCMP_EQUAL("", simulate(30683).removalFailure().c_str());
 }
--- a/test/platform/platform_test.cpp
+++ b/test/platform/platform_test.cpp
@@ -1,7 +1,7 @@
-// What the platform's messages mean, and what is written to it.
+// Tests decoding and encoding of the platform's messages.
 #include "callerheaders.h"
-#include "enginecalls.h"
-#include "storeitems.h"
+#include "enginehttp.h"
+#include "storehttp.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-HttpHead head(int status, HttpHeaders headers)
+HttpHead makeHead(int status, HttpHeaders headers)
 {
     HttpHead head;
     head.status = status;
@@ -18,9 +18,9 @@
     return head;
 }
 
-CallerFacts requestOf(const std::string &id)
+RequestMetadata makeRequest(const std::string &id)
 {
-    CallerFacts request;
+    RequestMetadata request;
     request.requestId = id;
     return request;
 }
@@ -53,16 +53,16 @@
     }
 };
 
-TEST(CallerHeadersTest, ReadsWhatTheCallerSays)
+TEST(CallerHeadersTest, ReadsRequestMetadata)
 {
-    const CallerFacts facts = protocol.readRequest(request);
-    STRCMP_EQUAL("id-1", facts.requestId.c_str());
-    STRCMP_EQUAL("a.example", facts.host.c_str());
-    STRCMP_EQUAL("secret", facts.key.c_str());
-    CHECK_TRUE(facts.deadline == Duration(std::chrono::milliseconds(1500)));
+    const RequestMetadata metadata = protocol.readRequest(request);
+    STRCMP_EQUAL("id-1", metadata.requestId.c_str());
+    STRCMP_EQUAL("a.example", metadata.host.c_str());
+    STRCMP_EQUAL("secret", metadata.key.c_str());
+    CHECK_TRUE(metadata.deadline == Duration(std::chrono::milliseconds(1500)));
 }
 
-TEST(CallerHeadersTest, NoDeadlineIsReadFromNonsense)
+TEST(CallerHeadersTest, IgnoresInvalidDeadline)
 {
     for (const char *const text : {"", "-1", "12x", "999999999999999999999"}) {
         request.headers = {{"Seamarch-Deadline-Ms", text}};
@@ -70,9 +70,9 @@
     }
 }
 
-TEST(CallerHeadersTest, KeyAndForgedAccountNeverReachTheUpstream)
+TEST(CallerHeadersTest, DropsKeyAndForgedAccountForUpstream)
 {
-    AttemptFacts attempt;
+    AttemptMetadata attempt;
     attempt.instance = InstanceId("i-1");
     attempt.account = AccountId("bids");
     attempt.timeLeft = std::chrono::milliseconds(900);
@@ -86,76 +86,86 @@
     STRCMP_EQUAL("", findHeader(headers, "Connection").c_str());
 }
 
-TEST(CallerHeadersTest, JudgesAnswersByIdProofAndStatus)
+TEST(CallerHeadersTest, ClassifiesAnswersByIdSignatureAndStatus)
 {
     const HttpHeader id{"Seamarch-Request-Id", "id-1"};
-    const HttpHeader proof{"Seamarch-Replica-Signature", "p"};
-    const HttpHeader notRun{"Seamarch-Not-Executed", "1"};
-    CHECK_TRUE(protocol.judge(head(200, {id, proof}), requestOf("id-1")) == AnswerKind::Success);
-    CHECK_TRUE(protocol.judge(head(200, {id}), requestOf("id-1")) == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.judge(head(200, {id, proof}), requestOf("id-2")) == AnswerKind::Invalid);
-    CHECK_TRUE(
-        protocol.judge(head(200, {id, proof, {"Content-Encoding", "gzip"}}), requestOf("id-1"))
-        == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.judge(head(503, {id, notRun}), requestOf("id-1")) == AnswerKind::Full);
-    CHECK_TRUE(protocol.judge(head(503, {id}), requestOf("id-1")) == AnswerKind::Invalid);
-    CHECK_TRUE(protocol.judge(head(421, {id}), requestOf("id-1")) == AnswerKind::WrongInstance);
-    CallerFacts expecting = requestOf("id-1");
+    const HttpHeader signature{"Seamarch-Replica-Signature", "p"};
+    const HttpHeader notExecuted{"Seamarch-Not-Executed", "1"};
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, signature}), makeRequest("id-1"))
+               == AnswerKind::Success);
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id}), makeRequest("id-1"))
+               == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, signature}), makeRequest("id-2"))
+               == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(200, {id, signature, {"Content-Encoding", "gzip"}}),
+                                       makeRequest("id-1"))
+               == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(503, {id, notExecuted}), makeRequest("id-1"))
+               == AnswerKind::Full);
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(503, {id}), makeRequest("id-1"))
+               == AnswerKind::Invalid);
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(421, {id}), makeRequest("id-1"))
+               == AnswerKind::WrongInstance);
+    RequestMetadata expecting = makeRequest("id-1");
     expecting.expectsVersion = true;
-    CHECK_TRUE(protocol.judge(head(421, {id}), expecting) == AnswerKind::Refused);
-    CHECK_TRUE(protocol.judge(head(500, {id, proof}), requestOf("id-1")) == AnswerKind::Failure);
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(421, {id}), expecting) == AnswerKind::Refused);
+    CHECK_TRUE(protocol.classifyAnswer(makeHead(500, {id, signature}), makeRequest("id-1"))
+               == AnswerKind::Failure);
 }
 
-TEST(CallerHeadersTest, AnswersOfEveryKindTellThatTheUpstreamLeaves)
+TEST(CallerHeadersTest, ReadsLeavingFromAnswersOfAnyStatus)
 {
     const HttpHeader leaving{"Server-Leaving", "1"};
     for (const int status : {200, 404, 429, 500, 503}) {
-        CHECK_TRUE(protocol.readNotice(head(status, {leaving})).leaving);
-        CHECK_FALSE(protocol.readNotice(head(status, {{"Server-Leaving", "0"}})).leaving);
-        CHECK_TRUE(protocol.readNotice(head(status, {})).empty());
+        CHECK_TRUE(protocol.readNotice(makeHead(status, {leaving})).leaving);
+        CHECK_FALSE(protocol.readNotice(makeHead(status, {{"Server-Leaving", "0"}})).leaving);
+        CHECK_TRUE(protocol.readNotice(makeHead(status, {})).empty());
     }
 }
 
-TEST(CallerHeadersTest, RefusalsTellForHowLongTheUpstreamWantsNothing)
+TEST(CallerHeadersTest, ReadsRetryAfterFromRefusals)
 {
-    const HttpHeader rest{"Retry-After", "3"};
-    CHECK_TRUE(protocol.readNotice(head(503, {rest})).rest == Duration(std::chrono::seconds(3)));
-    CHECK_TRUE(protocol.readNotice(head(200, {rest})).empty());
-    CHECK_TRUE(protocol.readNotice(head(503, {{"Retry-After", "soon"}})).restUnreadable);
+    const HttpHeader retryAfter{"Retry-After", "3"};
+    CHECK_TRUE(protocol.readNotice(makeHead(503, {retryAfter})).rest
+               == Duration(std::chrono::seconds(3)));
+    CHECK_TRUE(protocol.readNotice(makeHead(200, {retryAfter})).empty());
+    CHECK_TRUE(protocol.readNotice(makeHead(503, {{"Retry-After", "soon"}})).restUnreadable);
 }
 
-TEST(CallerHeadersTest, AnswersOfEveryKindTellHowMuchTheUpstreamTakes)
+TEST(CallerHeadersTest, ReadsLimitFromAnswersOfAnyStatus)
 {
     for (const int status : {200, 404, 429, 500, 503}) {
-        const UpstreamNotice notice = protocol.readNotice(head(status, {{"Server-Limit", "1.3"}}));
+        const UpstreamNotice notice =
+            protocol.readNotice(makeHead(status, {{"Server-Limit", "1.3"}}));
         CHECK_TRUE(notice.limit == RequestRate(1.3));
     }
-    CHECK_TRUE(protocol.readNotice(head(200, {{"server-limit", "0"}})).limit == RequestRate(0.0));
+    CHECK_TRUE(protocol.readNotice(makeHead(200, {{"server-limit", "0"}})).limit
+               == RequestRate(0.0));
 }
 
-TEST(CallerHeadersTest, LimitThatIsNoRateIsUnreadable)
+TEST(CallerHeadersTest, ReportsInvalidLimitAsUnreadable)
 {
     for (const char *text : {"", "-1", "soon", "1 a second", "nan", "inf", "1e3", "0x10"}) {
-        const UpstreamNotice notice = protocol.readNotice(head(200, {{"Server-Limit", text}}));
+        const UpstreamNotice notice = protocol.readNotice(makeHead(200, {{"Server-Limit", text}}));
         CHECK_FALSE(notice.limit.has_value());
         CHECK_TRUE(notice.limitUnreadable);
     }
 }
 
-TEST(CallerHeadersTest, LowestOfSeveralLimitsBinds)
+TEST(CallerHeadersTest, LowestOfSeveralLimitsApplies)
 {
     const HttpHeaders several{{"Server-Limit", "3"}, {"Server-Limit", "1.5"}};
-    CHECK_TRUE(protocol.readNotice(head(200, several)).limit == RequestRate(1.5));
+    CHECK_TRUE(protocol.readNotice(makeHead(200, several)).limit == RequestRate(1.5));
 }
 
-// Whoever has the address by now speaks for itself.
-TEST(CallerHeadersTest, AnotherInstanceAtTheAddressSaysNothingOfTheOneThatWasMeant)
+// Notices come from whichever instance uses the address now, not from the intended one.
+TEST(CallerHeadersTest, IgnoresNoticesOfMisdirectedRequests)
 {
     const HttpHeaders all{{"Retry-After", "3"}, {"Server-Leaving", "1"}, {"Server-Limit", "1"}};
-    CHECK_TRUE(protocol.readNotice(head(421, all)).empty());
+    CHECK_TRUE(protocol.readNotice(makeHead(421, all)).empty());
 }
 
-TEST(CallerHeadersTest, RefusalSaysWhenToComeBackInFractions)
+TEST(CallerHeadersTest, WritesRetryAfterWithMilliseconds)
 {
     const HttpHeaders headers =
         protocol.refusalHeaders("id-1", Outcome::NotRun, std::chrono::milliseconds(250));
@@ -163,12 +173,12 @@
     STRCMP_EQUAL("not-run", findHeader(headers, "Seamarch-Outcome").c_str());
 }
 
-TEST_GROUP(StoreItemsTest)
+TEST_GROUP(StoreHttpTest)
 {
-    StoreItemsReader store{{"127.0.0.1", 1}};
+    StoreHttp store{{"127.0.0.1", 1}};
 };
 
-TEST(StoreItemsTest, ReadsTheRoutingDocument)
+TEST(StoreHttpTest, ReadsTheRoutingDocument)
 {
     const auto document = readRouting(kRouting);
     CHECK_TRUE(document.has_value());
@@ -183,14 +193,14 @@
     LONGS_EQUAL(100, document->bounds.maxHeaderBytes);
 }
 
-TEST(StoreItemsTest, FaultyDocumentIsSaidAndNotTaken)
+TEST(StoreHttpTest, RejectsInvalidDocuments)
 {
     CHECK_FALSE(readRouting(R"({"version":"seven","routes":[]})").has_value());
     CHECK_FALSE(readRouting("{").has_value());
     CHECK_FALSE(readUpstream("i-1", R"({"address":"1.2.3.4:5"})").has_value());
 }
 
-TEST(StoreItemsTest, ReadsChangesAndRemovals)
+TEST(StoreHttpTest, ReadsChangesAndRemovals)
 {
     // The value is {"service":"one","address":"10.1.0.9:8080","zone":"north","capacity":6,
     // "phase":"draining"}.
@@ -198,33 +208,33 @@
         R"({"events":[{"key-file":"servers/i-1","value":"eyJzZXJ2aWNlIjoib25lIiwiYWRkcmVzcyI6IjEwLjEuMC45OjgwODAiLCJ6b25lIjoibm9ydGgiLCJjYXBhY2l0eSI6NiwicGhhc2UiOiJkcmFpbmluZyJ9","revision":4},{"key-file":"servers/i-2","revision":5,"removed":true},{"key-file":"other","value":"","revision":6}],"current-rev":6})";
     const auto items = store.readWatch(200, body);
     CHECK_TRUE(items.has_value());
-    LONGS_EQUAL(6, items->place.revision);
+    LONGS_EQUAL(6, items->position.revision);
     LONGS_EQUAL(2, items->items.size());
     const auto &record = std::get<UpstreamRecord>(items->items[0]);
     STRCMP_EQUAL("10.1.0.9", record.host.c_str());
     LONGS_EQUAL(8080, record.port);
     CHECK_TRUE(record.leaving);
-    STRCMP_EQUAL("i-2", std::get<UpstreamGone>(items->items[1]).id.value().c_str());
+    STRCMP_EQUAL("i-2", std::get<UpstreamRemoval>(items->items[1]).id.value().c_str());
 }
 
-TEST(StoreItemsTest, OneBadItemDoesNotHideTheOthers)
+TEST(StoreHttpTest, InvalidItemDoesNotHideOthers)
 {
     const auto items = store.readWatch(
         200, R"({"events":[{"key-file":"servers/i-1","value":"%%","revision":4},)"
              R"({"key-file":"servers/i-2","revision":5,"removed":true}],"current-rev":6})");
     LONGS_EQUAL(2, items->items.size());
     LONGS_EQUAL(1, items->faults.size());
-    // What was believed of an upstream goes with an entry that makes no sense.
-    STRCMP_EQUAL("i-1", std::get<UpstreamGone>(items->items[0]).id.value().c_str());
-    STRCMP_EQUAL("i-2", std::get<UpstreamGone>(items->items[1]).id.value().c_str());
+    // An upstream whose entry becomes invalid is removed.
+    STRCMP_EQUAL("i-1", std::get<UpstreamRemoval>(items->items[0]).id.value().c_str());
+    STRCMP_EQUAL("i-2", std::get<UpstreamRemoval>(items->items[1]).id.value().c_str());
 }
 
-// An entry may come from another writer: it names nothing to use unless it is whole.
-TEST(StoreItemsTest, EntryThatIsNotWholeNamesNoUpstream)
+// Entries may come from another writer, so incomplete ones are rejected.
+TEST(StoreHttpTest, RejectsIncompleteUpstreamEntries)
 {
-    const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
-                              R"("phase":"ready","version":"v1","unknown":[1]})";
-    CHECK_TRUE(readUpstream("i-1", whole).has_value());
+    const std::string complete = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
+                                 R"("phase":"ready","version":"v1","unknown":[1]})";
+    CHECK_TRUE(readUpstream("i-1", complete).has_value());
     const std::vector<std::pair<std::string, std::vector<std::string>>> fields = {
         {R"("service":"s")", {R"("service":"")", R"("service":7)", R"("service":null)", ""}},
         {R"("address":"1.2.3.4:5")",
@@ -238,8 +248,8 @@
     };
     for (const auto &[field, others] : fields) {
         for (const std::string &other : others) {
-            std::string entry = whole;
-            const std::size_t comma = other.empty() ? 1 : 0; // The one after the field.
+            std::string entry = complete;
+            const std::size_t comma = other.empty() ? 1 : 0; // The comma after the field.
             entry.replace(entry.find(field), field.size() + comma, other);
             CHECK_TEXT(!readUpstream("i-1", entry).has_value(), entry.c_str());
         }
@@ -250,7 +260,7 @@
     }
 }
 
-TEST(StoreItemsTest, AnswersTellTheEraOfTheStore)
+TEST(StoreHttpTest, ReadsEra)
 {
     LONGS_EQUAL(7, store.readEra({{"store-era", "7"}}));
     for (const char *const text : {"", "x", "-1", "7x", "1.5", "99999999999999999999999"}) {
@@ -259,42 +269,44 @@
     LONGS_EQUAL(0, store.readEra({}));
 }
 
-TEST(StoreItemsTest, EntryTellsWhenItsUpstreamStarted)
+TEST(StoreHttpTest, ReadsUpstreamStart)
 {
-    const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
-                              R"("phase":"ready"%})";
-    const auto entry = [&whole](const std::string &more) {
-        std::string text = whole;
+    const std::string complete = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
+                                 R"("phase":"ready"%})";
+    const auto entry = [&complete](const std::string &more) {
+        std::string text = complete;
         return text.replace(text.find('%'), 1, more);
     };
     LONGS_EQUAL(1764000000123,
                 readUpstream("i-1", entry(R"(,"born":1764000000123)"))->start.value());
-    LONGS_EQUAL(0, readUpstream("i-1", entry(""))->start.value()); // Of older software.
+    LONGS_EQUAL(0,
+                readUpstream("i-1", entry(""))->start.value()); // Older software omits the field.
     for (const char *const born :
          {"\"1\"", "1.5", "0", "-1", "null", "true", "18446744073709551615"}) {
         CHECK_TEXT(!readUpstream("i-1", entry(std::string(",\"born\":") + born)).has_value(), born);
     }
 }
 
-TEST(StoreItemsTest, EntryTellsHowLongItsUpstreamStillWarmsUp)
+TEST(StoreHttpTest, ReadsRemainingWarmUp)
 {
-    const std::string whole = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
-                              R"("phase":"ready"%})";
-    const auto entry = [&whole](const std::string &more) {
-        std::string text = whole;
+    const std::string complete = R"({"service":"s","address":"1.2.3.4:5","zone":"n","capacity":6,)"
+                                 R"("phase":"ready"%})";
+    const auto entry = [&complete](const std::string &more) {
+        std::string text = complete;
         return text.replace(text.find('%'), 1, more);
     };
     const auto left = readUpstream("i-1", entry(R"(,"warmup-left-ms":2500)"))->warmUpLeft;
     CHECK_TRUE(left == Duration(std::chrono::milliseconds(2500)));
     CHECK_TRUE(readUpstream("i-1", entry(R"(,"warmup-left-ms":0)"))->warmUpLeft == Duration{});
-    CHECK_FALSE(readUpstream("i-1", entry(""))->warmUpLeft.has_value()); // Of older software.
+    CHECK_FALSE(
+        readUpstream("i-1", entry(""))->warmUpLeft.has_value()); // Older software omits the field.
     for (const char *const text : {"\"1\"", "-1", "null", "true", "[]", "1e300"}) {
         const std::string field = std::string(",\"warmup-left-ms\":") + text;
         CHECK_TEXT(!readUpstream("i-1", entry(field)).has_value(), text);
     }
 }
 
-TEST(StoreItemsTest, ConfigurationTellsWhatUpstreamsBearWhileTheyWarmUp)
+TEST(StoreHttpTest, ReadsWarmUpOfServices)
 {
     const auto document = readRouting(
         R"({"version":1,"routes":[],"services":[{"name":"one","warmup-s":3.0,"warmup-per-s":26.0},)"
@@ -304,7 +316,7 @@
     CHECK_TRUE(document->services[1].warmUpRate == RequestRate());
 }
 
-TEST(StoreItemsTest, ConfigurationTellsWhereRequestsMayBeServed)
+TEST(StoreHttpTest, ReadsAllowedRegions)
 {
     const auto document = readRouting(
         R"({"version":1,"routes":[{"name":"r","hostname":"h","path-prefix":"/","service":"s",)"
@@ -321,8 +333,8 @@
     }
 }
 
-// The values are "{}" and no base64 at all.
-TEST(StoreItemsTest, KeyAloneNamesAHallThatIsDrained)
+// The values are "{}" and invalid base64.
+TEST(StoreHttpTest, ReadsDrainedHallFromKeyAlone)
 {
     const auto items = store.readWatch(
         200, R"({"events":[{"key-file":"op/evacuate/north","value":"e30=","revision":4},)"
@@ -333,13 +345,13 @@
     const auto drain = [&items](std::size_t index) {
         return std::get<HallDrain>(items->items[index]);
     };
-    CHECK_TRUE(drain(0).hall == HallId("north") && !drain(0).over);
-    CHECK_TRUE(drain(1).hall == HallId("south") && !drain(1).over);
-    CHECK_TRUE(drain(2).hall == HallId("north") && drain(2).over);
+    CHECK_TRUE(drain(0).hall == HallId("north") && !drain(0).cancelled);
+    CHECK_TRUE(drain(1).hall == HallId("south") && !drain(1).cancelled);
+    CHECK_TRUE(drain(2).hall == HallId("north") && drain(2).cancelled);
     UNSIGNED_LONGS_EQUAL(1, items->faults.size());
 }
 
-TEST(StoreItemsTest, SaysWhenTheRoutingDocumentCannotBeRead)
+TEST(StoreHttpTest, ReportsUnreadableRoutingDocument)
 {
     const auto items = store.readWatch(
         200,
@@ -347,16 +359,16 @@
     CHECK_TRUE(items->routingUnreadable);
 }
 
-TEST(StoreItemsTest, TellsFaultsOfTheStoreApart)
+TEST(StoreHttpTest, DistinguishesStoreErrors)
 {
-    CHECK_TRUE(store.readWatch(410, "").error() == StoreFault::HistoryGone);
-    CHECK_TRUE(store.readWatch(503, "").error() == StoreFault::Unavailable);
-    CHECK_TRUE(store.readWatch(200, "[]").error() == StoreFault::Unreadable);
+    CHECK_TRUE(store.readWatch(410, "").error() == StoreError::HistoryCompacted);
+    CHECK_TRUE(store.readWatch(503, "").error() == StoreError::Unavailable);
+    CHECK_TRUE(store.readWatch(200, "[]").error() == StoreError::Unreadable);
 }
 
-// The values are configurations of versions 1 and 2 without routes. When they come in quick
-// succession, reading all of them would take a gateway's processor from its streams.
-TEST(StoreItemsTest, ReadsTheLastOfSeveralConfigurations)
+// The values are configurations of versions 1 and 2 without routes. Parsing every configuration of
+// a rapid sequence would take processor time from the gateway's streams.
+TEST(StoreHttpTest, ReadsOnlyTheLastConfiguration)
 {
     const auto items = store.readWatch(
         200,
@@ -369,7 +381,7 @@
 }
 
 // The value is {"service":"s","address":"1.2.3.4:5","zone":"n","capacity":1,"phase":"ready"}.
-TEST(StoreItemsTest, ReadsWhenAnUpstreamWasListed)
+TEST(StoreHttpTest, ReadsCreationRevisionOfUpstream)
 {
     const auto items = store.readWatch(
         200,
@@ -379,7 +391,7 @@
     LONGS_EQUAL(4, std::get<UpstreamRecord>(items->items.front()).listedAt);
 }
 
-TEST(StoreItemsTest, NextPageStartsAfterTheLastKey)
+TEST(StoreHttpTest, NextPageCursorIsLastKey)
 {
     const auto items = store.readList(
         200, R"({"items":[{"key-file":"a","value":"","revision":1}],"more-pages":true,)"
@@ -406,12 +418,12 @@
     DOUBLES_EQUAL(4.2, report->pace, 1e-9);
 }
 
-TEST(EngineHttpTest, EngineWithoutAGroupIsNoRank)
+TEST(EngineHttpTest, RejectsReportWithoutGroup)
 {
     CHECK_FALSE(engines.readReport(R"({"stage":"mixed","queued":0})").has_value());
 }
 
-TEST(EngineHttpTest, OnlyAConflictRefusesAnOrder)
+TEST(EngineHttpTest, OnlyConflictMeansRefusedOrder)
 {
     CHECK_TRUE(engines.readOrderAnswer(200) == MapOrderAnswer::Done);
     CHECK_TRUE(engines.readOrderAnswer(202) == MapOrderAnswer::Done);
@@ -420,7 +432,7 @@
     CHECK_TRUE(engines.readOrderAnswer(503) == MapOrderAnswer::Lost);
 }
 
-TEST(EngineHttpTest, OrdersNameTheirEpochAndFence)
+TEST(EngineHttpTest, WritesEpochAndFenceIntoOrders)
 {
     const MapOrder order{MapOrderKind::Arm, 9, 80, 2, 4096, {}, {}};
     const HttpCallRequest call = engines.orderCall({"127.0.0.1", 1}, order);
