--- a/bench/fairnessfigures.cpp
+++ b/bench/fairnessfigures.cpp
@@ -49,7 +49,7 @@
         call.deadline = fromSeconds(deadline);
         call.agentIncarnation = Incarnation(1);
         AgentActions actions;
-        const StartVerdict verdict = core_.onCall(call, now_, {}, actions);
+        const AdmissionResult verdict = core_.onCall(call, now_, {}, actions);
         refused += verdict.accepted ? 0 : 1;
         carryOut(actions);
     }
--- a/bench/virtualfleet.cpp
+++ b/bench/virtualfleet.cpp
@@ -292,7 +292,7 @@
         message.deadline = call.deadline;
         message.agentIncarnation = call.agentIncarnation;
         AgentActions actions;
-        const StartVerdict verdict = engines_[index].core->onCall(message, now_, {}, actions);
+        const AdmissionResult verdict = engines_[index].core->onCall(message, now_, {}, actions);
         carryOut(index, actions);
         if (verdict.accepted) {
             after(0.0015, [this, entry, id = call.id, verdict] {
--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -70,7 +70,8 @@
 
     kj::Promise<void> start(StartContext context) override
     {
-        const StartVerdict verdict = service_.onStart(connection_, context.getParams().getCall());
+        const AdmissionResult verdict =
+            service_.onStart(connection_, context.getParams().getCall());
         auto builder = context.getResults().initVerdict();
         builder.setAccepted(verdict.accepted);
         builder.setFailure(static_cast<std::uint16_t>(verdict.failure));
@@ -262,7 +263,7 @@
     }
 }
 
-StartVerdict AgentService::onStart(ConnectionId connection, wire::Call::Reader call)
+AdmissionResult AgentService::onStart(ConnectionId connection, wire::Call::Reader call)
 {
     AgentCall decided;
     decided.id = readRequestId(call.getId());
@@ -278,7 +279,7 @@
         decided.ticket = parseTicket(toString(call.getTicket()));
     }
     AgentActions actions;
-    const StartVerdict verdict = core_.onCall(decided, loop_.now(), wallNow(), actions);
+    const AdmissionResult verdict = core_.onCall(decided, loop_.now(), wallNow(), actions);
     metrics_.count("seamarch_agent_calls_total",
                    verdict.accepted ? "accepted" : toString(verdict.failure));
     if (!verdict.accepted) {
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -97,7 +97,7 @@
     void accept(kj::Own<RawStream> stream);
     void onConnectionClosed(ConnectionId connection);
 
-    StartVerdict onStart(ConnectionId connection, wire::Call::Reader call);
+    AdmissionResult onStart(ConnectionId connection, wire::Call::Reader call);
     bool onCancel(RequestId id, Incarnation meant);
     bool onWithdraw(RequestId id, Incarnation meant);
 
--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -17,7 +17,7 @@
 constexpr int kServiceMargin = 4; // Of answers that vary freely one in fifty is longer than this.
 constexpr Duration kShortRetry = std::chrono::milliseconds(250);
 
-StartVerdict refused(FailureCode failure, Duration retryAfter = kShortRetry)
+AdmissionResult refused(FailureCode failure, Duration retryAfter = kShortRetry)
 {
     return {false, false, failure, Outcome::NotRun, retryAfter};
 }
@@ -100,7 +100,8 @@
     return fromSeconds(cost * settings_.slots / tokensPerSecond_);
 }
 
-std::optional<StartVerdict> AgentCore::refuseBeforeProof(const AgentCall &call, TimePoint now) const
+std::optional<AdmissionResult> AgentCore::refuseBeforeProof(const AgentCall &call,
+                                                            TimePoint now) const
 {
     if (call.agentIncarnation != settings_.incarnation) {
         return refused(FailureCode::UpstreamUnreachable);
@@ -124,8 +125,8 @@
     return std::nullopt;
 }
 
-std::optional<StartVerdict> AgentCore::checkProof(const AgentCall &call, TimePoint now,
-                                                  WallMillis wall)
+std::optional<AdmissionResult> AgentCore::checkProof(const AgentCall &call, TimePoint now,
+                                                     WallMillis wall)
 {
     if (call.ticket) {
         switch (tickets_.redeem(*call.ticket)) {
@@ -133,34 +134,34 @@
             break;
         case TicketVerdict::Spent:
             // This copy does not run; the one before it may have, so the caller learns 'unknown'.
-            return StartVerdict{false, false, FailureCode::TicketSpent, Outcome::Unknown, {}};
+            return AdmissionResult{false, false, FailureCode::TicketSpent, Outcome::Unknown, {}};
         case TicketVerdict::Unknown:
-            return StartVerdict{false, false, FailureCode::TicketSpent, Outcome::Unknown, {}};
+            return AdmissionResult{false, false, FailureCode::TicketSpent, Outcome::Unknown, {}};
         }
     }
     if (call.callerKey.empty()) {
         return std::nullopt;
     }
     if (call.target != keyTarget_) {
-        return StartVerdict{false, false, FailureCode::KeyHomeUnsure, Outcome::Unknown,
-                            kShortRetry};
+        return AdmissionResult{false, false, FailureCode::KeyHomeUnsure, Outcome::Unknown,
+                               kShortRetry};
     }
     switch (keyHome_.accept(call.account, call.callerKey, now, wall)) {
     case KeyVerdict::Accept:
         return std::nullopt;
     case KeyVerdict::SeenBefore:
-        return StartVerdict{false, false, FailureCode::KeySeenBefore, Outcome::Unknown, {}};
+        return AdmissionResult{false, false, FailureCode::KeySeenBefore, Outcome::Unknown, {}};
     case KeyVerdict::NotHome:
     case KeyVerdict::Unsure:
         // An earlier copy may have run at an earlier home, so no more than 'unknown' is true.
-        return StartVerdict{false, false, FailureCode::KeyHomeUnsure, Outcome::Unknown,
-                            kShortRetry};
+        return AdmissionResult{false, false, FailureCode::KeyHomeUnsure, Outcome::Unknown,
+                               kShortRetry};
     }
     return std::nullopt;
 }
 
-StartVerdict AgentCore::onCall(const AgentCall &call, TimePoint now, WallMillis wall,
-                               AgentActions &actions)
+AdmissionResult AgentCore::onCall(const AgentCall &call, TimePoint now, WallMillis wall,
+                                  AgentActions &actions)
 {
     if (ledger_.state(call.id) != RunState::Unknown) {
         // A copy of a request that is known here. Its first copy speaks for itself.
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -90,8 +90,8 @@
     void applyConfig(const ConfigDocument &document);
 
     // A request has arrived.
-    StartVerdict onCall(const AgentCall &call, TimePoint now, WallMillis wall,
-                        AgentActions &actions);
+    AdmissionResult onCall(const AgentCall &call, TimePoint now, WallMillis wall,
+                           AgentActions &actions);
     // The entry gives a request up. Returns true when it is proved that it did not and will not
     // run. A cancel that means another incarnation proves nothing: its request may have run there.
     bool onCancel(RequestId id, Incarnation meant, TimePoint now, AgentActions &actions);
@@ -154,8 +154,9 @@
     };
 
     void refuseAllWaiting(FailureCode failure, Duration retryAfter, AgentActions &actions);
-    std::optional<StartVerdict> refuseBeforeProof(const AgentCall &call, TimePoint now) const;
-    std::optional<StartVerdict> checkProof(const AgentCall &call, TimePoint now, WallMillis wall);
+    std::optional<AdmissionResult> refuseBeforeProof(const AgentCall &call, TimePoint now) const;
+    std::optional<AdmissionResult> checkProof(const AgentCall &call, TimePoint now,
+                                              WallMillis wall);
     void giveProofBack(RequestId id);
     Duration predictedWait(const AccountId &account) const;
     Duration predictedService(const AccountId &account, Tokens promptTokens,
--- a/src/decision/dispatch/verdict.h
+++ b/src/decision/dispatch/verdict.h
@@ -7,7 +7,7 @@
 namespace seamarch {
 
 // Whether an agent takes a request. A refusal says whether it proves that the request did not run.
-struct StartVerdict
+struct AdmissionResult
 {
     bool accepted = false;
     bool started = false; // Accepted, and it did not have to wait.
--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -45,7 +45,7 @@
     AgentCall other = call(1, 10);
     other.agentIncarnation = Incarnation(6);
 
-    const StartVerdict verdict = core.onCall(other, TimePoint{}, {}, actions);
+    const AdmissionResult verdict = core.onCall(other, TimePoint{}, {}, actions);
 
     CHECK_FALSE(verdict.accepted);
     CHECK(verdict.outcome == Outcome::NotRun);
@@ -88,7 +88,7 @@
     CHECK_EQUAL(1U, actions.size());
     CHECK(std::get<ReportNotRun>(actions.front()).id == call(2, 10).id);
     CHECK(std::get<ReportNotRun>(actions.front()).retryAfter == end - start);
-    const StartVerdict verdict =
+    const AdmissionResult verdict =
         core.onCall(call(3, 10), start + std::chrono::seconds(1), {}, actions);
     CHECK_FALSE(verdict.accepted);
     CHECK(verdict.outcome == Outcome::NotRun);
--- a/test/decision/dispatch/dispatchworld.cpp
+++ b/test/decision/dispatch/dispatchworld.cpp
@@ -459,7 +459,7 @@
     }
     Agent &target = agents_[agent];
     AgentActions actions;
-    const StartVerdict verdict = target.core->onCall(message, now_, wall(), actions);
+    const AdmissionResult verdict = target.core->onCall(message, now_, wall(), actions);
     const bool takesLeaving = options_.fault == PlantedFault::KeepServingLeaving && target.leftAt;
     if (verdict.accepted && listened) {
         atEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict] {
