--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -6,7 +6,7 @@
 // Single-threaded.
 #pragma once
 
-#include "decision/dispatch/verdict.h"
+#include "decision/dispatch/admissionresult.h"
 #include "decision/fairness/fairqueue.h"
 #include "decision/membership/membertable.h"
 #include "decision/once/keyhome.h"
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "decision/dispatch/entrycore.h"
-#include "decision/dispatch/verdict.h"
+#include "decision/dispatch/admissionresult.h"
 #include "knowledge/knowledge.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
