--- a/bench/virtualfleet.cpp
+++ b/bench/virtualfleet.cpp
@@ -311,7 +311,7 @@
     void carryOut(std::size_t index, const AgentActions &actions)
     {
         for (const AgentAction &action : actions) {
-            if (std::holds_alternative<AnnounceFree>(action)) {
+            if (std::holds_alternative<AnnounceFreeSlot>(action)) {
                 announceFree(index);
             } else if (const auto *start = std::get_if<StartUpstream>(&action)) {
                 const RequestId id = start->id;
--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -352,7 +352,7 @@
     sendFailure(action.id, action.failure, Outcome::NotRun, action.retryAfter);
 }
 
-void AgentService::carryOut(const AnnounceFree & /*action*/)
+void AgentService::carryOut(const AnnounceFreeSlot & /*action*/)
 {
     // A few entries drawn at random hear of it: enough that one of them has a request that waits.
     std::vector<Connection *> entries;
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -111,7 +111,7 @@
     void carryOut(const StartUpstream &action);
     void carryOut(const AbortUpstream &action);
     void carryOut(const ReportNotRun &action);
-    void carryOut(const AnnounceFree &action);
+    void carryOut(const AnnounceFreeSlot &action);
     void sendFailure(RequestId id, FailureCode failure, Outcome outcome, Duration retryAfter);
     void flushLater(RequestId id);
     void flush(RequestId id);
--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -309,7 +309,7 @@
     settle(running, counted ? running.promptCost + running.produced : running.expected);
     startNext(now, actions);
     if (running_.size() < settings_.slots && !leaving_ && serving_ && !restUntil_) {
-        actions.emplace_back(AnnounceFree{});
+        actions.emplace_back(AnnounceFreeSlot{});
     }
 }
 
@@ -334,7 +334,7 @@
     if (restUntil_ && now >= *restUntil_) {
         restUntil_.reset();
         if (!leaving_ && serving_) {
-            actions.emplace_back(AnnounceFree{});
+            actions.emplace_back(AnnounceFreeSlot{});
         }
     }
     startNext(now, actions);
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -61,10 +61,10 @@
 };
 
 // Tell an entry or two that a slot is free and nothing waits for it here.
-struct AnnounceFree
+struct AnnounceFreeSlot
 {};
 
-using AgentAction = std::variant<StartUpstream, AbortUpstream, ReportNotRun, AnnounceFree>;
+using AgentAction = std::variant<StartUpstream, AbortUpstream, ReportNotRun, AnnounceFreeSlot>;
 using AgentActions = std::vector<AgentAction>;
 
 class AgentCore
--- a/test/decision/dispatch/dispatchworld.cpp
+++ b/test/decision/dispatch/dispatchworld.cpp
@@ -548,7 +548,7 @@
 void DispatchWorld::carryOut(std::size_t agent, const AgentActions &actions)
 {
     for (const AgentAction &action : actions) {
-        if (std::holds_alternative<AnnounceFree>(action)) {
+        if (std::holds_alternative<AnnounceFreeSlot>(action)) {
             announceFree(agent);
             continue;
         }
