--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -129,7 +129,7 @@
         service_.turnBook_.learn(InstanceId(toString(params.getInstance())),
                                  {Incarnation(params.getIncarnation()), params.getTurnsReleased(),
                                   params.getHoldsTurn()});
-        context.getResults().setGranted(service_.core_.onGrantAsked(set, service_.loop_.now()));
+        context.getResults().setGranted(service_.core_.onGrantRequest(set, service_.loop_.now()));
         return kj::READY_NOW;
     }
 
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -122,7 +122,7 @@
     if (context_.core.keyMembers().members.empty()) {
         return;
     }
-    if (context_.core.onGrantAsked(set, now)) {
+    if (context_.core.onGrantRequest(set, now)) {
         context_.core.onGranted(context_.self, set, now, now, wallNow());
     }
     for (const auto &[member, link] : links_) {
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -127,7 +127,7 @@
     // The platform was asked at `at` or later and confirmed that list.
     void confirmKeyView(TimePoint at) { keyHome_.confirmView(at); }
     // Another agent asks this one to promise a member set.
-    bool onGrantAsked(std::uint64_t set, TimePoint now) { return grants_.grant(set, now); }
+    bool onGrantRequest(std::uint64_t set, TimePoint now) { return grants_.grant(set, now); }
     // Another agent has promised `set`; it was asked at `askedAt`.
     void onGranted(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
                    WallMillis wall);
--- a/test/decision/dispatch/dispatchworld.cpp
+++ b/test/decision/dispatch/dispatchworld.cpp
@@ -227,7 +227,7 @@
                 continue;
             }
             atAgent(other, randomDelay(0.5, 30), [this, index, other, meant, set, askedAt] {
-                if (!agents_[other].core->onGrantAsked(set, now_)) {
+                if (!agents_[other].core->onGrantRequest(set, now_)) {
                     return;
                 }
                 atAgent(index, randomDelay(0.5, 30), [this, index, other, meant, set, askedAt] {
