--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -146,7 +146,7 @@
     };
 
     // What an accepted request holds until it starts, to be given back when it does not.
-    struct Proof
+    struct Reservation
     {
         std::optional<Ticket> ticket;
         AccountId account;
@@ -176,7 +176,7 @@
     GrantBook grants_;
     TargetName keyTarget_; // Keys are honoured for requests to it only.
     std::unordered_map<RequestId, Running> running_;
-    std::unordered_map<RequestId, Proof> proofs_;
+    std::unordered_map<RequestId, Reservation> proofs_;
     double tokensPerSecond_;
     // What an account's answers turn out to be over what it declares. Accounts differ: some declare
     // the most that they would take.
