--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -189,7 +189,7 @@
     }
     ledger_.enqueue(call.id);
     if (call.ticket || !call.callerKey.empty()) {
-        proofs_[call.id] = {call.ticket, call.account, call.callerKey};
+        reservations_[call.id] = {call.ticket, call.account, call.callerKey};
     }
     startNext(now, actions);
     return {true, running_.contains(call.id), FailureCode::NoUpstream, Outcome::NotRun, {}};
@@ -209,7 +209,7 @@
             continue;
         }
         ledger_.start(request->id);
-        proofs_.erase(request->id);
+        reservations_.erase(request->id);
         const auto expected = static_cast<double>(request->expected);
         const auto promptCost = static_cast<double>(request->promptCost);
         running_[request->id] = {request->account, expected, promptCost,
@@ -221,8 +221,8 @@
 
 void AgentCore::giveProofBack(RequestId id)
 {
-    const auto proof = proofs_.find(id);
-    if (proof == proofs_.end()) {
+    const auto proof = reservations_.find(id);
+    if (proof == reservations_.end()) {
         return;
     }
     if (proof->second.ticket) {
@@ -231,7 +231,7 @@
     if (!proof->second.callerKey.empty()) {
         keyHome_.withdraw(proof->second.account, proof->second.callerKey);
     }
-    proofs_.erase(proof);
+    reservations_.erase(proof);
 }
 
 void AgentCore::refuseWaiting(const QueuedRequest &request, FailureCode failure,
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -176,7 +176,7 @@
     GrantBook grants_;
     TargetName keyTarget_; // Keys are honoured for requests to it only.
     std::unordered_map<RequestId, Running> running_;
-    std::unordered_map<RequestId, Reservation> proofs_;
+    std::unordered_map<RequestId, Reservation> reservations_;
     double tokensPerSecond_;
     // What an account's answers turn out to be over what it declares. Accounts differ: some declare
     // the most that they would take.
