--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -219,7 +219,7 @@
     }
 }
 
-void AgentCore::giveProofBack(RequestId id)
+void AgentCore::releaseReservation(RequestId id)
 {
     const auto proof = reservations_.find(id);
     if (proof == reservations_.end()) {
@@ -238,7 +238,7 @@
                               Duration retryAfter, AgentActions &actions)
 {
     ledger_.withdraw(request.id);
-    giveProofBack(request.id);
+    releaseReservation(request.id);
     actions.emplace_back(ReportNotRun{request.id, failure, retryAfter});
 }
 
@@ -263,7 +263,7 @@
     queue_.remove(id);
     const bool notRun = ledger_.cancel(id);
     if (notRun) {
-        giveProofBack(id);
+        releaseReservation(id);
     }
     return notRun;
 }
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -157,7 +157,7 @@
     std::optional<AdmissionResult> refuseBeforeProof(const AgentCall &call, TimePoint now) const;
     std::optional<AdmissionResult> checkProof(const AgentCall &call, TimePoint now,
                                               WallMillis wall);
-    void giveProofBack(RequestId id);
+    void releaseReservation(RequestId id);
     Duration predictedWait(const AccountId &account) const;
     Duration predictedService(const AccountId &account, Tokens promptTokens,
                               Tokens answerTokens) const;
