--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -125,8 +125,8 @@
     return std::nullopt;
 }
 
-std::optional<AdmissionResult> AgentCore::checkProof(const AgentCall &call, TimePoint now,
-                                                     WallMillis wall)
+std::optional<AdmissionResult> AgentCore::reserveTicketAndKey(const AgentCall &call, TimePoint now,
+                                                              WallMillis wall)
 {
     if (call.ticket) {
         switch (tickets_.redeem(*call.ticket)) {
@@ -183,7 +183,7 @@
     if (!queue_.push(request)) {
         return refused(FailureCode::AccountQueueFull, predictedWait(call.account));
     }
-    if (const auto verdict = checkProof(call, now, wall)) {
+    if (const auto verdict = reserveTicketAndKey(call, now, wall)) {
         queue_.remove(call.id);
         return *verdict;
     }
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -155,8 +155,8 @@
 
     void refuseAllWaiting(FailureCode failure, Duration retryAfter, AgentActions &actions);
     std::optional<AdmissionResult> refuseBeforeProof(const AgentCall &call, TimePoint now) const;
-    std::optional<AdmissionResult> checkProof(const AgentCall &call, TimePoint now,
-                                              WallMillis wall);
+    std::optional<AdmissionResult> reserveTicketAndKey(const AgentCall &call, TimePoint now,
+                                                       WallMillis wall);
     void releaseReservation(RequestId id);
     Duration predictedWait(const AccountId &account) const;
     Duration predictedService(const AccountId &account, Tokens promptTokens,
