--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -100,8 +100,7 @@
     return fromSeconds(cost * settings_.slots / tokensPerSecond_);
 }
 
-std::optional<AdmissionResult> AgentCore::refuseBeforeProof(const AgentCall &call,
-                                                            TimePoint now) const
+std::optional<AdmissionResult> AgentCore::checkAdmission(const AgentCall &call, TimePoint now) const
 {
     if (call.agentIncarnation != settings_.incarnation) {
         return refused(FailureCode::UpstreamUnreachable);
@@ -167,7 +166,7 @@
         // A copy of a request that is known here. Its first copy speaks for itself.
         return {false, false, FailureCode::Cancelled, Outcome::Unknown, {}};
     }
-    if (const auto verdict = refuseBeforeProof(call, now)) {
+    if (const auto verdict = checkAdmission(call, now)) {
         return *verdict;
     }
     QueuedRequest request;
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -154,7 +154,7 @@
     };
 
     void refuseAllWaiting(FailureCode failure, Duration retryAfter, AgentActions &actions);
-    std::optional<AdmissionResult> refuseBeforeProof(const AgentCall &call, TimePoint now) const;
+    std::optional<AdmissionResult> checkAdmission(const AgentCall &call, TimePoint now) const;
     std::optional<AdmissionResult> reserveTicketAndKey(const AgentCall &call, TimePoint now,
                                                        WallMillis wall);
     void releaseReservation(RequestId id);
