--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -220,17 +220,17 @@
 
 void AgentCore::releaseReservation(RequestId id)
 {
-    const auto proof = reservations_.find(id);
-    if (proof == reservations_.end()) {
+    const auto reservation = reservations_.find(id);
+    if (reservation == reservations_.end()) {
         return;
     }
-    if (proof->second.ticket) {
-        tickets_.restore(*proof->second.ticket);
+    if (reservation->second.ticket) {
+        tickets_.restore(*reservation->second.ticket);
     }
-    if (!proof->second.callerKey.empty()) {
-        keyHome_.withdraw(proof->second.account, proof->second.callerKey);
+    if (!reservation->second.callerKey.empty()) {
+        keyHome_.withdraw(reservation->second.account, reservation->second.callerKey);
     }
-    reservations_.erase(proof);
+    reservations_.erase(reservation);
 }
 
 void AgentCore::refuseWaiting(const QueuedRequest &request, FailureCode failure,
