--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -241,9 +241,10 @@
     actions.emplace_back(ReportNotRun{request.id, failure, retryAfter});
 }
 
-bool AgentCore::onCancel(RequestId id, Incarnation meant, TimePoint now, AgentActions &actions)
+bool AgentCore::onCancel(RequestId id, Incarnation targetIncarnation, TimePoint now,
+                         AgentActions &actions)
 {
-    if (meant != settings_.incarnation) {
+    if (targetIncarnation != settings_.incarnation) {
         return false;
     }
     if (running_.contains(id)) {
@@ -251,12 +252,12 @@
         onEnded(id, now, actions);
         return false;
     }
-    return onWithdraw(id, meant);
+    return onWithdraw(id, targetIncarnation);
 }
 
-bool AgentCore::onWithdraw(RequestId id, Incarnation meant)
+bool AgentCore::onWithdraw(RequestId id, Incarnation targetIncarnation)
 {
-    if (meant != settings_.incarnation || running_.contains(id)) {
+    if (targetIncarnation != settings_.incarnation || running_.contains(id)) {
         return false;
     }
     queue_.remove(id);
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -94,10 +94,11 @@
                            AgentActions &actions);
     // The entry gives a request up. Returns true when it is proved that it did not and will not
     // run. A cancel that means another incarnation proves nothing: its request may have run there.
-    bool onCancel(RequestId id, Incarnation meant, TimePoint now, AgentActions &actions);
+    bool onCancel(RequestId id, Incarnation targetIncarnation, TimePoint now,
+                  AgentActions &actions);
     // An entry takes a request back to send it elsewhere, unless it has started. Returns true when
     // it is proved that it did not and will not run here.
-    bool onWithdraw(RequestId id, Incarnation meant);
+    bool onWithdraw(RequestId id, Incarnation targetIncarnation);
     // The upstream has generated answer tokens.
     void onTokens(RequestId id, Tokens count);
     // The upstream has ended a request, well or not.
