--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -402,7 +402,7 @@
              {"restUnreadable", wish.unreadable}});
     if (wish.rest) {
         AgentActions actions;
-        core_.rest(loop_.now() + *wish.rest, loop_.now(), actions);
+        core_.backOffUntil(loop_.now() + *wish.rest, loop_.now(), actions);
         carryOut(actions);
     }
 }
--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -82,7 +82,7 @@
     core.onCall(call(2, 10), start, {}, actions);
     actions.clear();
 
-    core.rest(end, start, actions);
+    core.backOffUntil(end, start, actions);
     core.onEnded(call(1, 10).id, start, actions);
 
     CHECK_EQUAL(1U, actions.size());
@@ -102,8 +102,8 @@
 TEST(AgentCoreTest, ShorterRestThatIsAskedForLaterDoesNotCutALongerOneShort)
 {
     const TimePoint end = TimePoint{} + std::chrono::seconds(3);
-    core.rest(end, TimePoint{}, actions);
-    core.rest(TimePoint{} + std::chrono::seconds(1), TimePoint{}, actions);
+    core.backOffUntil(end, TimePoint{}, actions);
+    core.backOffUntil(TimePoint{} + std::chrono::seconds(1), TimePoint{}, actions);
 
     core.onTick(end - std::chrono::milliseconds(1), actions);
     CHECK(core.report().leaving);
