--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -359,7 +359,7 @@
     }
 }
 
-void AgentCore::rest(TimePoint until, TimePoint now, AgentActions &actions)
+void AgentCore::backOffUntil(TimePoint until, TimePoint now, AgentActions &actions)
 {
     if (until <= now) {
         return;
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -113,7 +113,7 @@
     bool leaving() const { return leaving_; }
     // The upstream wants nothing before `until`: nothing is started there, what waits is reported
     // as not run, and entries hear that no work is taken. A rest is never cut short.
-    void rest(TimePoint until, TimePoint now, AgentActions &actions);
+    void backOffUntil(TimePoint until, TimePoint now, AgentActions &actions);
     // Takes no new work while the upstream is being reloaded; what waits is reported as not run.
     void setServing(bool serving, AgentActions &actions);
     // Tells whether nothing waits and nothing runs.
