--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -108,8 +108,8 @@
     if (leaving_ || !serving_) {
         return refused(FailureCode::UpstreamLeaving);
     }
-    if (restUntil_) {
-        return refused(FailureCode::NoUpstream, std::max(*restUntil_ - now, kShortRetry));
+    if (backoffUntil_) {
+        return refused(FailureCode::NoUpstream, std::max(*backoffUntil_ - now, kShortRetry));
     }
     // An answer that comes after its deadline is work for nothing, so the request's own run counts.
     const Duration wait = predictedWait(call.account);
@@ -196,7 +196,7 @@
 
 void AgentCore::startNext(TimePoint now, AgentActions &actions)
 {
-    while (running_.size() < settings_.slots && !restUntil_) {
+    while (running_.size() < settings_.slots && !backoffUntil_) {
         const auto request = queue_.take();
         if (!request) {
             return;
@@ -308,7 +308,7 @@
     servedInWindow_ += counted ? running.promptCost : running.expected;
     settle(running, counted ? running.promptCost + running.produced : running.expected);
     startNext(now, actions);
-    if (running_.size() < settings_.slots && !leaving_ && serving_ && !restUntil_) {
+    if (running_.size() < settings_.slots && !leaving_ && serving_ && !backoffUntil_) {
         actions.emplace_back(AnnounceFreeSlot{});
     }
 }
@@ -331,8 +331,8 @@
     for (const QueuedRequest &request : queue_.takeExpired(now)) {
         refuseWaiting(request, FailureCode::DeadlineUnreachable, kShortRetry, actions);
     }
-    if (restUntil_ && now >= *restUntil_) {
-        restUntil_.reset();
+    if (backoffUntil_ && now >= *backoffUntil_) {
+        backoffUntil_.reset();
         if (!leaving_ && serving_) {
             actions.emplace_back(AnnounceFreeSlot{});
         }
@@ -364,8 +364,8 @@
     if (until <= now) {
         return;
     }
-    restUntil_ = std::max(until, restUntil_.value_or(until));
-    refuseAllWaiting(FailureCode::NoUpstream, *restUntil_ - now, actions);
+    backoffUntil_ = std::max(until, backoffUntil_.value_or(until));
+    refuseAllWaiting(FailureCode::NoUpstream, *backoffUntil_ - now, actions);
 }
 
 void AgentCore::leave(AgentActions &actions)
@@ -386,7 +386,7 @@
 {
     AgentReport report;
     report.incarnation = settings_.incarnation;
-    report.leaving = leaving_ || !serving_ || restUntil_.has_value();
+    report.leaving = leaving_ || !serving_ || backoffUntil_.has_value();
     report.queuedTokens = queue_.queuedTokens();
     report.runningTokens = static_cast<Tokens>(runningTokens_);
     report.queuedRequests = static_cast<std::uint32_t>(queue_.size());
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -187,7 +187,7 @@
     TimePoint windowStart_{};
     bool leaving_ = false;
     bool serving_ = true;
-    std::optional<TimePoint> restUntil_; // While the upstream rests.
+    std::optional<TimePoint> backoffUntil_; // While the upstream rests.
 };
 
 } // namespace seamarch
