--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -77,7 +77,7 @@
     return static_cast<Tokens>(std::ceil(ratio * static_cast<double>(declared)));
 }
 
-void AgentCore::learnLength(const Running &running)
+void AgentCore::updateLengthRatio(const Running &running)
 {
     if (running.produced <= 0.0 || running.declared <= 0.0) {
         return;
@@ -304,7 +304,7 @@
     ledger_.finish(id);
     // A plain service reports no tokens: the whole expected cost counts as served.
     const bool counted = running.produced > 0.0;
-    learnLength(running);
+    updateLengthRatio(running);
     servedInWindow_ += counted ? running.promptCost : running.expected;
     settle(running, counted ? running.promptCost + running.produced : running.expected);
     startNext(now, actions);
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -163,7 +163,7 @@
     Duration predictedService(const AccountId &account, Tokens promptTokens,
                               Tokens answerTokens) const;
     Tokens expectedAnswer(const AccountId &account, Tokens declared) const;
-    void learnLength(const Running &running);
+    void updateLengthRatio(const Running &running);
     void startNext(TimePoint now, AgentActions &actions);
     void refuseWaiting(const QueuedRequest &request, FailureCode failure, Duration retryAfter,
                        AgentActions &actions);
