--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -87,8 +87,8 @@
     ratio->second += kLengthWeight * (observed - ratio->second);
 }
 
-Duration AgentCore::predictedService(const AccountId &account, Tokens promptTokens,
-                                     Tokens answerTokens) const
+Duration AgentCore::predictedServiceTime(const AccountId &account, Tokens promptTokens,
+                                         Tokens answerTokens) const
 {
     // Callers declare the most that they would take, so until an account's habit is known only a
     // part of it is believed: a guess must not refuse what may well end in time.
@@ -113,7 +113,8 @@
     }
     // An answer that comes after its deadline is work for nothing, so the request's own run counts.
     const Duration wait = predictedWait(call.account);
-    const Duration service = predictedService(call.account, call.promptTokens, call.answerTokens);
+    const Duration service =
+        predictedServiceTime(call.account, call.promptTokens, call.answerTokens);
     const Duration needed = wait + kServiceMargin * service;
     // A free slot is never kept from work by a guess: refusing it all would leave the guess as it
     // is.
@@ -201,7 +202,7 @@
         if (!request) {
             return;
         }
-        const Duration service = predictedService(request->account, 0, request->answerTokens);
+        const Duration service = predictedServiceTime(request->account, 0, request->answerTokens);
         if (request->deadline <= now + 2 * service) {
             queue_.charge(request->account, -static_cast<double>(request->expected));
             refuseWaiting(*request, FailureCode::DeadlineUnreachable, kShortRetry, actions);
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -160,8 +160,8 @@
                                                        WallMillis wall);
     void releaseReservation(RequestId id);
     Duration predictedWait(const AccountId &account) const;
-    Duration predictedService(const AccountId &account, Tokens promptTokens,
-                              Tokens answerTokens) const;
+    Duration predictedServiceTime(const AccountId &account, Tokens promptTokens,
+                                  Tokens answerTokens) const;
     Tokens expectedAnswer(const AccountId &account, Tokens declared) const;
     void updateLengthRatio(const Running &running);
     void startNext(TimePoint now, AgentActions &actions);
