--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -70,7 +70,7 @@
     return fromSeconds((queue_.tokensAhead(account) + firstEnd) / tokensPerSecond_);
 }
 
-Tokens AgentCore::expectedAnswer(const AccountId &account, Tokens declared) const
+Tokens AgentCore::expectedAnswerTokens(const AccountId &account, Tokens declared) const
 {
     const auto found = lengthRatios_.find(account);
     const double ratio = found == lengthRatios_.end() ? 1.0 : found->second;
@@ -96,7 +96,7 @@
     const double believed = (known ? 1.0 : kUnknownLength) * static_cast<double>(answerTokens);
     answerTokens = static_cast<Tokens>(std::ceil(believed));
     const auto cost =
-        static_cast<double>(requestCost(promptTokens, expectedAnswer(account, answerTokens)));
+        static_cast<double>(requestCost(promptTokens, expectedAnswerTokens(account, answerTokens)));
     return fromSeconds(cost * settings_.slots / tokensPerSecond_);
 }
 
@@ -174,7 +174,7 @@
     request.id = call.id;
     request.account = call.account;
     request.priority = call.priority;
-    const Tokens answer = expectedAnswer(call.account, call.answerTokens);
+    const Tokens answer = expectedAnswerTokens(call.account, call.answerTokens);
     request.expected = requestCost(call.promptTokens, answer);
     request.promptCost = requestCost(call.promptTokens, 0);
     request.answerTokens = call.answerTokens;
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -162,7 +162,7 @@
     Duration predictedWait(const AccountId &account) const;
     Duration predictedServiceTime(const AccountId &account, Tokens promptTokens,
                                   Tokens answerTokens) const;
-    Tokens expectedAnswer(const AccountId &account, Tokens declared) const;
+    Tokens expectedAnswerTokens(const AccountId &account, Tokens declared) const;
     void updateLengthRatio(const Running &running);
     void startNext(TimePoint now, AgentActions &actions);
     void refuseWaiting(const QueuedRequest &request, FailureCode failure, Duration retryAfter,
