--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -140,7 +140,7 @@
     struct Running
     {
         AccountId account;
-        double expected = 0.0; // Cost that it was charged so far.
+        double chargedCost = 0.0; // Cost that it was charged so far.
         double promptCost = 0.0;
         double declared = 0.0; // Answer tokens that the caller declared.
         double produced = 0.0;
