--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -280,18 +280,18 @@
     running.produced += added;
     servedInWindow_ += added;
     // What goes beyond the declared length is charged as it is produced.
-    const double beyond = running.promptCost + running.produced - running.expected;
+    const double beyond = running.promptCost + running.produced - running.chargedCost;
     if (beyond > 0.0) {
         queue_.charge(running.account, beyond);
-        running.expected += beyond;
+        running.chargedCost += beyond;
         runningTokens_ += beyond;
     }
 }
 
 void AgentCore::settle(const Running &running, double actual)
 {
-    queue_.charge(running.account, actual - running.expected);
-    runningTokens_ = std::max(0.0, runningTokens_ - running.expected);
+    queue_.charge(running.account, actual - running.chargedCost);
+    runningTokens_ = std::max(0.0, runningTokens_ - running.chargedCost);
 }
 
 void AgentCore::onEnded(RequestId id, TimePoint now, AgentActions &actions)
@@ -306,8 +306,8 @@
     // A plain service reports no tokens: the whole expected cost counts as served.
     const bool counted = running.produced > 0.0;
     updateLengthRatio(running);
-    servedInWindow_ += counted ? running.promptCost : running.expected;
-    settle(running, counted ? running.promptCost + running.produced : running.expected);
+    servedInWindow_ += counted ? running.promptCost : running.chargedCost;
+    settle(running, counted ? running.promptCost + running.produced : running.chargedCost);
     startNext(now, actions);
     if (running_.size() < settings_.slots && !leaving_ && serving_ && !backoffUntil_) {
         actions.emplace_back(AnnounceFreeSlot{});
