--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -142,7 +142,7 @@
         AccountId account;
         double chargedCost = 0.0; // Cost that it was charged so far.
         double promptCost = 0.0;
-        double declared = 0.0; // Answer tokens that the caller declared.
+        double declaredTokens = 0.0; // Answer tokens that the caller declared.
         double produced = 0.0;
     };
 
@@ -162,7 +162,7 @@
     Duration predictedWait(const AccountId &account) const;
     Duration predictedServiceTime(const AccountId &account, Tokens promptTokens,
                                   Tokens answerTokens) const;
-    Tokens expectedAnswerTokens(const AccountId &account, Tokens declared) const;
+    Tokens expectedAnswerTokens(const AccountId &account, Tokens declaredTokens) const;
     void updateLengthRatio(const Running &running);
     void startNext(TimePoint now, AgentActions &actions);
     void refuseWaiting(const QueuedRequest &request, FailureCode failure, Duration retryAfter,
