--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -79,10 +79,10 @@
 
 void AgentCore::updateLengthRatio(const Running &running)
 {
-    if (running.produced <= 0.0 || running.declared <= 0.0) {
+    if (running.produced <= 0.0 || running.declaredTokens <= 0.0) {
         return;
     }
-    const double observed = std::min(running.produced / running.declared, kMaxLengthRatio);
+    const double observed = std::min(running.produced / running.declaredTokens, kMaxLengthRatio);
     const auto [ratio, added] = lengthRatios_.try_emplace(running.account, observed);
     ratio->second += kLengthWeight * (observed - ratio->second);
 }
