--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -143,7 +143,7 @@
         double chargedCost = 0.0; // Cost that it was charged so far.
         double promptCost = 0.0;
         double declaredTokens = 0.0; // Answer tokens that the caller declared.
-        double produced = 0.0;
+        double producedTokens = 0.0;
     };
 
     // What an accepted request holds until it starts, to be given back when it does not.
