--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -79,10 +79,11 @@
 
 void AgentCore::updateLengthRatio(const Running &running)
 {
-    if (running.produced <= 0.0 || running.declaredTokens <= 0.0) {
+    if (running.producedTokens <= 0.0 || running.declaredTokens <= 0.0) {
         return;
     }
-    const double observed = std::min(running.produced / running.declaredTokens, kMaxLengthRatio);
+    const double observed =
+        std::min(running.producedTokens / running.declaredTokens, kMaxLengthRatio);
     const auto [ratio, added] = lengthRatios_.try_emplace(running.account, observed);
     ratio->second += kLengthWeight * (observed - ratio->second);
 }
@@ -277,10 +278,10 @@
     }
     Running &running = found->second;
     const auto added = static_cast<double>(count);
-    running.produced += added;
+    running.producedTokens += added;
     servedInWindow_ += added;
     // What goes beyond the declared length is charged as it is produced.
-    const double beyond = running.promptCost + running.produced - running.chargedCost;
+    const double beyond = running.promptCost + running.producedTokens - running.chargedCost;
     if (beyond > 0.0) {
         queue_.charge(running.account, beyond);
         running.chargedCost += beyond;
@@ -304,10 +305,10 @@
     running_.erase(found);
     ledger_.finish(id);
     // A plain service reports no tokens: the whole expected cost counts as served.
-    const bool counted = running.produced > 0.0;
+    const bool counted = running.producedTokens > 0.0;
     updateLengthRatio(running);
     servedInWindow_ += counted ? running.promptCost : running.chargedCost;
-    settle(running, counted ? running.promptCost + running.produced : running.chargedCost);
+    settle(running, counted ? running.promptCost + running.producedTokens : running.chargedCost);
     startNext(now, actions);
     if (running_.size() < settings_.slots && !leaving_ && serving_ && !backoffUntil_) {
         actions.emplace_back(AnnounceFreeSlot{});
