--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -289,7 +289,7 @@
     }
 }
 
-void AgentCore::settle(const Running &running, double actual)
+void AgentCore::settleCharge(const Running &running, double actual)
 {
     queue_.charge(running.account, actual - running.chargedCost);
     runningTokens_ = std::max(0.0, runningTokens_ - running.chargedCost);
@@ -308,7 +308,8 @@
     const bool counted = running.producedTokens > 0.0;
     updateLengthRatio(running);
     servedInWindow_ += counted ? running.promptCost : running.chargedCost;
-    settle(running, counted ? running.promptCost + running.producedTokens : running.chargedCost);
+    settleCharge(running,
+                 counted ? running.promptCost + running.producedTokens : running.chargedCost);
     startNext(now, actions);
     if (running_.size() < settings_.slots && !leaving_ && serving_ && !backoffUntil_) {
         actions.emplace_back(AnnounceFreeSlot{});
@@ -321,7 +322,7 @@
     if (found == running_.end()) {
         return;
     }
-    settle(found->second, 0.0);
+    settleCharge(found->second, 0.0);
     running_.erase(found);
     ledger_.withdraw(id);
     actions.emplace_back(ReportNotRun{id, FailureCode::UpstreamUnreachable, kShortRetry});
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -167,7 +167,7 @@
     void startNext(TimePoint now, AgentActions &actions);
     void refuseWaiting(const QueuedRequest &request, FailureCode failure, Duration retryAfter,
                        AgentActions &actions);
-    void settle(const Running &running, double actual);
+    void settleCharge(const Running &running, double actual);
 
     Settings settings_;
     FairQueue queue_;
