--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kRateWindow = std::chrono::seconds(1);
-constexpr double kRateWeight = 0.3;
+constexpr double kRateSmoothing = 0.3;
 constexpr double kMaxLengthRatio = 4.0;
 constexpr double kUnknownLength = 0.25; // Of a declared length, for an account not seen here yet.
 constexpr double kLengthWeight = 0.05;
@@ -349,7 +349,7 @@
     const bool saturated = running_.size() >= settings_.slots;
     const double rate = servedInWindow_ / toSeconds(passed);
     if (servedInWindow_ > 0.0 && (saturated || rate > tokensPerSecond_)) {
-        tokensPerSecond_ += kRateWeight * (rate - tokensPerSecond_);
+        tokensPerSecond_ += kRateSmoothing * (rate - tokensPerSecond_);
     }
     windowStart_ = now;
     servedInWindow_ = 0.0;
