--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -12,7 +12,8 @@
 constexpr Duration kRateWindow = std::chrono::seconds(1);
 constexpr double kRateSmoothing = 0.3;
 constexpr double kMaxLengthRatio = 4.0;
-constexpr double kUnknownLength = 0.25; // Of a declared length, for an account not seen here yet.
+constexpr double kInitialLengthRatio =
+    0.25; // Of a declared length, for an account not seen here yet.
 constexpr double kLengthWeight = 0.05;
 constexpr int kServiceMargin = 4; // Of answers that vary freely one in fifty is longer than this.
 constexpr Duration kShortRetry = std::chrono::milliseconds(250);
@@ -94,7 +95,7 @@
     // Callers declare the most that they would take, so until an account's habit is known only a
     // part of it is believed: a guess must not refuse what may well end in time.
     const bool known = lengthRatios_.contains(account);
-    const double believed = (known ? 1.0 : kUnknownLength) * static_cast<double>(answerTokens);
+    const double believed = (known ? 1.0 : kInitialLengthRatio) * static_cast<double>(answerTokens);
     answerTokens = static_cast<Tokens>(std::ceil(believed));
     const auto cost =
         static_cast<double>(requestCost(promptTokens, expectedAnswerTokens(account, answerTokens)));
