--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -14,7 +14,7 @@
 constexpr double kMaxLengthRatio = 4.0;
 constexpr double kInitialLengthRatio =
     0.25; // Of a declared length, for an account not seen here yet.
-constexpr double kLengthWeight = 0.05;
+constexpr double kLengthRatioSmoothing = 0.05;
 constexpr int kServiceMargin = 4; // Of answers that vary freely one in fifty is longer than this.
 constexpr Duration kShortRetry = std::chrono::milliseconds(250);
 
@@ -86,7 +86,7 @@
     const double observed =
         std::min(running.producedTokens / running.declaredTokens, kMaxLengthRatio);
     const auto [ratio, added] = lengthRatios_.try_emplace(running.account, observed);
-    ratio->second += kLengthWeight * (observed - ratio->second);
+    ratio->second += kLengthRatioSmoothing * (observed - ratio->second);
 }
 
 Duration AgentCore::predictedServiceTime(const AccountId &account, Tokens promptTokens,
