--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -15,7 +15,8 @@
 constexpr double kInitialLengthRatio =
     0.25; // Of a declared length, for an account not seen here yet.
 constexpr double kLengthRatioSmoothing = 0.05;
-constexpr int kServiceMargin = 4; // Of answers that vary freely one in fifty is longer than this.
+constexpr int kServiceTimeMargin =
+    4; // Of answers that vary freely one in fifty is longer than this.
 constexpr Duration kShortRetry = std::chrono::milliseconds(250);
 
 AdmissionResult refused(FailureCode failure, Duration retryAfter = kShortRetry)
@@ -117,7 +118,7 @@
     const Duration wait = predictedWait(call.account);
     const Duration service =
         predictedServiceTime(call.account, call.promptTokens, call.answerTokens);
-    const Duration needed = wait + kServiceMargin * service;
+    const Duration needed = wait + kServiceTimeMargin * service;
     // A free slot is never kept from work by a guess: refusing it all would leave the guess as it
     // is.
     if (wait > Duration{} && needed > call.deadline) {
