--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -17,9 +17,9 @@
 constexpr double kLengthRatioSmoothing = 0.05;
 constexpr int kServiceTimeMargin =
     4; // Of answers that vary freely one in fifty is longer than this.
-constexpr Duration kShortRetry = std::chrono::milliseconds(250);
+constexpr Duration kDefaultRetryAfter = std::chrono::milliseconds(250);
 
-AdmissionResult refused(FailureCode failure, Duration retryAfter = kShortRetry)
+AdmissionResult refused(FailureCode failure, Duration retryAfter = kDefaultRetryAfter)
 {
     return {false, false, failure, Outcome::NotRun, retryAfter};
 }
@@ -112,7 +112,7 @@
         return refused(FailureCode::UpstreamLeaving);
     }
     if (backoffUntil_) {
-        return refused(FailureCode::NoUpstream, std::max(*backoffUntil_ - now, kShortRetry));
+        return refused(FailureCode::NoUpstream, std::max(*backoffUntil_ - now, kDefaultRetryAfter));
     }
     // An answer that comes after its deadline is work for nothing, so the request's own run counts.
     const Duration wait = predictedWait(call.account);
@@ -123,7 +123,7 @@
     // is.
     if (wait > Duration{} && needed > call.deadline) {
         return refused(FailureCode::DeadlineUnreachable,
-                       std::min(needed - call.deadline, wait + kShortRetry));
+                       std::min(needed - call.deadline, wait + kDefaultRetryAfter));
     }
     return std::nullopt;
 }
@@ -147,7 +147,7 @@
     }
     if (call.target != keyTarget_) {
         return AdmissionResult{false, false, FailureCode::KeyHomeUnsure, Outcome::Unknown,
-                               kShortRetry};
+                               kDefaultRetryAfter};
     }
     switch (keyHome_.accept(call.account, call.callerKey, now, wall)) {
     case KeyVerdict::Accept:
@@ -158,7 +158,7 @@
     case KeyVerdict::Unsure:
         // An earlier copy may have run at an earlier home, so no more than 'unknown' is true.
         return AdmissionResult{false, false, FailureCode::KeyHomeUnsure, Outcome::Unknown,
-                               kShortRetry};
+                               kDefaultRetryAfter};
     }
     return std::nullopt;
 }
@@ -208,7 +208,7 @@
         const Duration service = predictedServiceTime(request->account, 0, request->answerTokens);
         if (request->deadline <= now + 2 * service) {
             queue_.charge(request->account, -static_cast<double>(request->expected));
-            refuseWaiting(*request, FailureCode::DeadlineUnreachable, kShortRetry, actions);
+            refuseWaiting(*request, FailureCode::DeadlineUnreachable, kDefaultRetryAfter, actions);
             continue;
         }
         ledger_.start(request->id);
@@ -327,14 +327,14 @@
     settleCharge(found->second, 0.0);
     running_.erase(found);
     ledger_.withdraw(id);
-    actions.emplace_back(ReportNotRun{id, FailureCode::UpstreamUnreachable, kShortRetry});
+    actions.emplace_back(ReportNotRun{id, FailureCode::UpstreamUnreachable, kDefaultRetryAfter});
     startNext(now, actions);
 }
 
 void AgentCore::onTick(TimePoint now, AgentActions &actions)
 {
     for (const QueuedRequest &request : queue_.takeExpired(now)) {
-        refuseWaiting(request, FailureCode::DeadlineUnreachable, kShortRetry, actions);
+        refuseWaiting(request, FailureCode::DeadlineUnreachable, kDefaultRetryAfter, actions);
     }
     if (backoffUntil_ && now >= *backoffUntil_) {
         backoffUntil_.reset();
@@ -376,14 +376,14 @@
 void AgentCore::leave(AgentActions &actions)
 {
     leaving_ = true;
-    refuseAllWaiting(FailureCode::UpstreamLeaving, kShortRetry, actions);
+    refuseAllWaiting(FailureCode::UpstreamLeaving, kDefaultRetryAfter, actions);
 }
 
 void AgentCore::setServing(bool serving, AgentActions &actions)
 {
     serving_ = serving;
     if (!serving) {
-        refuseAllWaiting(FailureCode::UpstreamLeaving, kShortRetry, actions);
+        refuseAllWaiting(FailureCode::UpstreamLeaving, kDefaultRetryAfter, actions);
     }
 }
 
