--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -95,9 +95,9 @@
 {
     // Callers declare the most that they would take, so until an account's habit is known only a
     // part of it is believed: a guess must not refuse what may well end in time.
-    const bool known = lengthRatios_.contains(account);
+    const bool ratioKnown = lengthRatios_.contains(account);
     const double assumedTokens =
-        (known ? 1.0 : kInitialLengthRatio) * static_cast<double>(answerTokens);
+        (ratioKnown ? 1.0 : kInitialLengthRatio) * static_cast<double>(answerTokens);
     answerTokens = static_cast<Tokens>(std::ceil(assumedTokens));
     const auto cost =
         static_cast<double>(requestCost(promptTokens, expectedAnswerTokens(account, answerTokens)));
