--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -67,9 +67,9 @@
         return {};
     }
     // All slots are taken, so the first of the running requests must end before anything starts.
-    const double firstEnd =
+    const double tokensToFirstEnd =
         runningTokens_ / static_cast<double>(std::max<std::size_t>(1, running_.size()));
-    return fromSeconds((queue_.tokensAhead(account) + firstEnd) / tokensPerSecond_);
+    return fromSeconds((queue_.tokensAhead(account) + tokensToFirstEnd) / tokensPerSecond_);
 }
 
 Tokens AgentCore::expectedAnswerTokens(const AccountId &account, Tokens declared) const
