--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -308,11 +308,11 @@
     running_.erase(found);
     ledger_.finish(id);
     // A plain service reports no tokens: the whole expected cost counts as served.
-    const bool counted = running.producedTokens > 0.0;
+    const bool reportsTokens = running.producedTokens > 0.0;
     updateLengthRatio(running);
-    servedInWindow_ += counted ? running.promptCost : running.chargedCost;
+    servedInWindow_ += reportsTokens ? running.promptCost : running.chargedCost;
     settleCharge(running,
-                 counted ? running.promptCost + running.producedTokens : running.chargedCost);
+                 reportsTokens ? running.promptCost + running.producedTokens : running.chargedCost);
     startNext(now, actions);
     if (running_.size() < settings_.slots && !leaving_ && serving_ && !backoffUntil_) {
         actions.emplace_back(AnnounceFreeSlot{});
