--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -284,11 +284,11 @@
     running.producedTokens += added;
     servedInWindow_ += added;
     // What goes beyond the declared length is charged as it is produced.
-    const double beyond = running.promptCost + running.producedTokens - running.chargedCost;
-    if (beyond > 0.0) {
-        queue_.charge(running.account, beyond);
-        running.chargedCost += beyond;
-        runningTokens_ += beyond;
+    const double excess = running.promptCost + running.producedTokens - running.chargedCost;
+    if (excess > 0.0) {
+        queue_.charge(running.account, excess);
+        running.chargedCost += excess;
+        runningTokens_ += excess;
     }
 }
 
