--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -344,13 +344,13 @@
         }
     }
     startNext(now, actions);
-    const Duration passed = now - windowStart_;
-    if (passed < kRateWindow) {
+    const Duration elapsed = now - windowStart_;
+    if (elapsed < kRateWindow) {
         return;
     }
     // A window counts only when work waited through it: an idle upstream says nothing of its speed.
     const bool saturated = running_.size() >= settings_.slots;
-    const double rate = servedInWindow_ / toSeconds(passed);
+    const double rate = servedInWindow_ / toSeconds(elapsed);
     if (servedInWindow_ > 0.0 && (saturated || rate > tokensPerSecond_)) {
         tokensPerSecond_ += kRateSmoothing * (rate - tokensPerSecond_);
     }
