--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -72,11 +72,11 @@
     return fromSeconds((queue_.tokensAhead(account) + tokensToFirstEnd) / tokensPerSecond_);
 }
 
-Tokens AgentCore::expectedAnswerTokens(const AccountId &account, Tokens declared) const
+Tokens AgentCore::expectedAnswerTokens(const AccountId &account, Tokens declaredTokens) const
 {
     const auto found = lengthRatios_.find(account);
     const double ratio = found == lengthRatios_.end() ? 1.0 : found->second;
-    return static_cast<Tokens>(std::ceil(ratio * static_cast<double>(declared)));
+    return static_cast<Tokens>(std::ceil(ratio * static_cast<double>(declaredTokens)));
 }
 
 void AgentCore::updateLengthRatio(const Running &running)
