--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -84,10 +84,10 @@
     if (running.producedTokens <= 0.0 || running.declaredTokens <= 0.0) {
         return;
     }
-    const double observed =
+    const double observedRatio =
         std::min(running.producedTokens / running.declaredTokens, kMaxLengthRatio);
-    const auto [ratio, added] = lengthRatios_.try_emplace(running.account, observed);
-    ratio->second += kLengthRatioSmoothing * (observed - ratio->second);
+    const auto [ratio, added] = lengthRatios_.try_emplace(running.account, observedRatio);
+    ratio->second += kLengthRatioSmoothing * (observedRatio - ratio->second);
 }
 
 Duration AgentCore::predictedServiceTime(const AccountId &account, Tokens promptTokens,
