--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -171,7 +171,7 @@
         // A copy of a request that is known here. Its first copy speaks for itself.
         return {false, false, FailureCode::Cancelled, Outcome::Unknown, {}};
     }
-    if (const auto verdict = checkAdmission(call, now)) {
+    if (const auto refusal = checkAdmission(call, now)) {
         return *verdict;
     }
     QueuedRequest request;
@@ -187,7 +187,7 @@
     if (!queue_.push(request)) {
         return refused(FailureCode::AccountQueueFull, predictedWait(call.account));
     }
-    if (const auto verdict = reserveTicketAndKey(call, now, wall)) {
+    if (const auto refusal = reserveTicketAndKey(call, now, wall)) {
         queue_.remove(call.id);
         return *verdict;
     }
