--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -110,7 +110,7 @@
 {
     request.phase = Phase::Holding;
     request.agent = agent;
-    request.giveUpAt = now + settings_.holdTime;
+    request.giveUpAt = now + settings_.holdTimeout;
     actions.emplace_back(ConnectAgent{agent});
 }
 
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -104,7 +104,7 @@
         Incarnation incarnation;
         std::uint64_t seed = 0;
         Duration lease = std::chrono::seconds(3);
-        Duration holdTime = std::chrono::seconds(1);
+        Duration holdTimeout = std::chrono::seconds(1);
         Duration resolveTime = std::chrono::seconds(1);
         Duration slowStart = std::chrono::seconds(5);
         std::uint32_t maxAttempts = 3;
