--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -356,7 +356,7 @@
     }
     // The agent may still be alive behind a broken connection; its word on a cancel is a proof.
     request->phase = Phase::Resolving;
-    request->giveUpAt = std::min(now + settings_.resolveTime, request->deadline);
+    request->giveUpAt = std::min(now + settings_.resolveTimeout, request->deadline);
     actions.emplace_back(SendCancel{id, request->agent, request->agentIncarnation});
 }
 
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -105,7 +105,7 @@
         std::uint64_t seed = 0;
         Duration lease = std::chrono::seconds(3);
         Duration holdTimeout = std::chrono::seconds(1);
-        Duration resolveTime = std::chrono::seconds(1);
+        Duration resolveTimeout = std::chrono::seconds(1);
         Duration slowStart = std::chrono::seconds(5);
         std::uint32_t maxAttempts = 3;
         std::uint32_t maxMoves = 3;
