--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -110,7 +110,7 @@
 {
     request.phase = Phase::Holding;
     request.agent = agent;
-    request.giveUpAt = now + settings_.holdTimeout;
+    request.expiresAt = now + settings_.holdTimeout;
     actions.emplace_back(ConnectAgent{agent});
 }
 
@@ -356,7 +356,7 @@
     }
     // The agent may still be alive behind a broken connection; its word on a cancel is a proof.
     request->phase = Phase::Resolving;
-    request->giveUpAt = std::min(now + settings_.resolveTimeout, request->deadline);
+    request->expiresAt = std::min(now + settings_.resolveTimeout, request->deadline);
     actions.emplace_back(SendCancel{id, request->agent, request->agentIncarnation});
 }
 
@@ -496,7 +496,7 @@
     std::vector<RequestId> overdue;
     for (const auto &[id, request] : requests_) {
         const bool waits = request.phase == Phase::Resolving || request.phase == Phase::Holding;
-        if (waits && now >= request.giveUpAt) {
+        if (waits && now >= request.expiresAt) {
             overdue.push_back(id);
         }
     }
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -181,7 +181,7 @@
         std::uint32_t moves = 0;
         bool waits = false;               // Waits at its agent, as far as is known.
         std::optional<InstanceId> moveTo; // Set while a withdrawal is under way.
-        TimePoint giveUpAt{};
+        TimePoint expiresAt{};
     };
 
     struct Choice
