--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -97,7 +97,7 @@
         fail(id, choice.failure, choice.outcome, retryAfter(choice), actions);
         return id;
     }
-    if (choice.unheard) {
+    if (choice.awaitsReport) {
         hold(added, *choice.agent, now, actions);
         return id;
     }
@@ -125,7 +125,7 @@
     for (const RequestId &id : held) {
         Request &request = requests_.at(id);
         const Choice choice = choose(request, now);
-        if (choice.agent && !choice.unheard) {
+        if (choice.agent && !choice.awaitsReport) {
             dispatch(id, request, *choice.agent, now, actions);
         } else {
             fail(id, choice.failure, choice.outcome, retryAfter(choice), actions);
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -189,7 +189,7 @@
         std::optional<InstanceId> agent;
         FailureCode failure = FailureCode::NoUpstream;
         Outcome outcome = Outcome::NotRun;
-        bool unheard = false; // `agent` is listed, but has not been heard yet.
+        bool awaitsReport = false; // `agent` is listed, but has not been heard yet.
     };
 
     void hold(Request &request, const InstanceId &agent, TimePoint now, EntryActions &actions);
