--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -66,15 +66,15 @@
 void EntryCore::onReport(const InstanceId &agent, const AgentReport &report, TimePoint askedAt,
                          TimePoint now, EntryActions &actions)
 {
-    const bool reborn = members_.onReport(agent, report, askedAt, now);
+    const bool newIncarnation = members_.onReport(agent, report, askedAt, now);
     LoadEstimate &load = loads_[agent];
-    if (reborn) {
+    if (newIncarnation) {
         load.reset();
         outliers_.forget(agent);
         prefixes_.forget(agent);
     }
     load.onReport(report, askedAt);
-    if (reborn) {
+    if (newIncarnation) {
         releaseHeld(agent, now, actions);
     }
     if (report.queuedRequests == 0 && load.freeSlots() >= 1.0) {
