--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -78,7 +78,7 @@
         releaseHeld(agent, now, actions);
     }
     if (report.queuedRequests == 0 && load.freeSlots() >= 1.0) {
-        moveOneTo(agent, now, actions);
+        moveWaitingRequestTo(agent, now, actions);
     }
 }
 
@@ -411,10 +411,10 @@
     if (member.report.incarnation != report.incarnation || report.leaving) {
         return;
     }
-    moveOneTo(agent, now, actions);
+    moveWaitingRequestTo(agent, now, actions);
 }
 
-void EntryCore::moveOneTo(const InstanceId &agent, TimePoint now, EntryActions &actions)
+void EntryCore::moveWaitingRequestTo(const InstanceId &agent, TimePoint now, EntryActions &actions)
 {
     const auto id = members_.mayReceive(agent, now) ? findMovable(agent) : std::nullopt;
     if (!id) {
@@ -438,7 +438,7 @@
     if (!notRun || request->phase != Phase::Sent) {
         // It has started meanwhile; the free slot is offered to the next one that waits.
         request->waits = false;
-        moveOneTo(to, now, actions);
+        moveWaitingRequestTo(to, now, actions);
         return;
     }
     leaveAgent(id, *request);
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -203,7 +203,7 @@
     Choice chooseByRouter(const Request &request, TimePoint now);
     RouteCandidate candidateFor(const Member &member, const Request &request, TimePoint now);
     std::optional<RequestId> findMovable(const InstanceId &to) const;
-    void moveOneTo(const InstanceId &agent, TimePoint now, EntryActions &actions);
+    void moveWaitingRequestTo(const InstanceId &agent, TimePoint now, EntryActions &actions);
     double readiness(const Member &member, TimePoint now) const;
     void retryOrFail(RequestId id, FailureCode failure, Duration retryAfter, TimePoint now,
                      EntryActions &actions);
