--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -381,7 +381,7 @@
     }
 }
 
-std::optional<RequestId> EntryCore::findMovable(const InstanceId &to) const
+std::optional<RequestId> EntryCore::findMovableRequest(const InstanceId &to) const
 {
     const Member *member = members_.find(to);
     std::optional<RequestId> oldest;
@@ -416,7 +416,7 @@
 
 void EntryCore::moveWaitingRequestTo(const InstanceId &agent, TimePoint now, EntryActions &actions)
 {
-    const auto id = members_.mayReceive(agent, now) ? findMovable(agent) : std::nullopt;
+    const auto id = members_.mayReceive(agent, now) ? findMovableRequest(agent) : std::nullopt;
     if (!id) {
         return;
     }
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -202,7 +202,7 @@
     Choice chooseKeyHome(const Request &request, TimePoint now) const;
     Choice chooseByRouter(const Request &request, TimePoint now);
     RouteCandidate candidateFor(const Member &member, const Request &request, TimePoint now);
-    std::optional<RequestId> findMovable(const InstanceId &to) const;
+    std::optional<RequestId> findMovableRequest(const InstanceId &to) const;
     void moveWaitingRequestTo(const InstanceId &agent, TimePoint now, EntryActions &actions);
     double readiness(const Member &member, TimePoint now) const;
     void retryOrFail(RequestId id, FailureCode failure, Duration retryAfter, TimePoint now,
