--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -261,7 +261,7 @@
     return found == requests_.end() ? nullptr : &found->second;
 }
 
-void EntryCore::leaveAgent(RequestId id, const Request &request)
+void EntryCore::removeFromAgentLoad(RequestId id, const Request &request)
 {
     const auto load = loads_.find(request.agent);
     if (load != loads_.end()) {
@@ -276,7 +276,7 @@
     if (request == nullptr) {
         return;
     }
-    leaveAgent(id, *request);
+    removeFromAgentLoad(id, *request);
     const Outcome told = request->mayHaveRun ? Outcome::Unknown : outcome;
     requests_.erase(id);
     actions.emplace_back(FailRequest{id, failure, told, retryAfter});
@@ -289,7 +289,7 @@
     if (request == nullptr) {
         return;
     }
-    leaveAgent(id, *request);
+    removeFromAgentLoad(id, *request);
     // A ticket and a key bind the request to one agent, so there is no other to try.
     const bool bound = request->request.ticket || !request->request.callerKey.empty();
     const bool mayRetry =
@@ -441,7 +441,7 @@
         moveWaitingRequestTo(to, now, actions);
         return;
     }
-    leaveAgent(id, *request);
+    removeFromAgentLoad(id, *request);
     if (!members_.mayReceive(to, now)) {
         retryOrFail(id, FailureCode::NoUpstream, kRetryAfterNoUpstream, now, actions);
         return;
@@ -473,7 +473,7 @@
     if (request->attempts == 1) {
         budget_.onSuccess();
     }
-    leaveAgent(id, *request);
+    removeFromAgentLoad(id, *request);
     requests_.erase(id);
 }
 
@@ -486,7 +486,7 @@
     if (request->phase != Phase::Holding) {
         actions.emplace_back(SendCancel{id, request->agent, request->agentIncarnation});
     }
-    leaveAgent(id, *request);
+    removeFromAgentLoad(id, *request);
     requests_.erase(id);
 }
 
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -209,7 +209,7 @@
                      EntryActions &actions);
     void fail(RequestId id, FailureCode failure, Outcome outcome, Duration retryAfter,
               EntryActions &actions);
-    void leaveAgent(RequestId id, const Request &request);
+    void removeFromAgentLoad(RequestId id, const Request &request);
     Request *find(RequestId id);
 
     Settings settings_;
