--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -277,9 +277,9 @@
         return;
     }
     removeFromAgentLoad(id, *request);
-    const Outcome told = request->mayHaveRun ? Outcome::Unknown : outcome;
+    const Outcome reportedOutcome = request->mayHaveRun ? Outcome::Unknown : outcome;
     requests_.erase(id);
-    actions.emplace_back(FailRequest{id, failure, told, retryAfter});
+    actions.emplace_back(FailRequest{id, failure, reportedOutcome, retryAfter});
 }
 
 void EntryCore::retryOrFail(RequestId id, FailureCode failure, Duration retryAfter, TimePoint now,
