--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -337,7 +337,7 @@
     retryOrFail(id, FailureCode::UpstreamUnreachable, kRetryAfterNoUpstream, now, actions);
 }
 
-void EntryCore::onLost(RequestId id, TimePoint now, EntryActions &actions)
+void EntryCore::onConnectionLost(RequestId id, TimePoint now, EntryActions &actions)
 {
     Request *request = find(id);
     if (request == nullptr || request->phase == Phase::Resolving
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -481,7 +481,7 @@
 {
     EntryActions actions;
     if (written) {
-        core_.onLost(id, loop_.now(), actions);
+        core_.onConnectionLost(id, loop_.now(), actions);
     } else {
         core_.onNotWritten(id, loop_.now(), actions);
     }
@@ -519,7 +519,7 @@
     }
     EntryActions actions;
     for (const RequestId &id : lost) {
-        core_.onLost(id, loop_.now(), actions);
+        core_.onConnectionLost(id, loop_.now(), actions);
     }
     carryOut(actions);
 }
--- a/test/decision/dispatch/dispatchworld.cpp
+++ b/test/decision/dispatch/dispatchworld.cpp
@@ -332,7 +332,7 @@
             if (options_.fault == PlantedFault::RetryUnknown) {
                 entries_[entry].core->onNotWritten(request, now_, actions);
             } else {
-                entries_[entry].core->onLost(request, now_, actions);
+                entries_[entry].core->onConnectionLost(request, now_, actions);
             }
             carryOut(entry, actions);
         });
@@ -435,7 +435,7 @@
     if (lost) {
         atEntry(entry, call.id.entry, randomDelay(10, 500), [this, entry, call] {
             EntryActions actions;
-            entries_[entry].core->onLost(call.id, now_, actions);
+            entries_[entry].core->onConnectionLost(call.id, now_, actions);
             carryOut(entry, actions);
         });
     }
--- a/test/decision/dispatch/entrysuspect_test.cpp
+++ b/test/decision/dispatch/entrysuspect_test.cpp
@@ -125,6 +125,6 @@
 TEST(EntrySuspectTest, FailureOfAnAgentSaysNothingOfTheCall)
 {
     const RequestId id = begin(false, 0);
-    core->onLost(id, at(100), actions);
+    core->onConnectionLost(id, at(100), actions);
     LONGS_EQUAL(0, core->crashes().ends(kPoison));
 }
