--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -134,7 +134,7 @@
     // The call could not be written to any connection: a proof that it did not run.
     void onNotWritten(RequestId id, TimePoint now, EntryActions &actions);
     // The connection broke after the call was written and before its answer was whole.
-    void onLost(RequestId id, TimePoint now, EntryActions &actions);
+    void onConnectionLost(RequestId id, TimePoint now, EntryActions &actions);
     // The agent has answered a cancel.
     void onCancelled(RequestId id, bool notRun, TimePoint now, EntryActions &actions);
     // An agent has a free slot and nothing that waits for it: a request of this entry that waits
