--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -179,7 +179,7 @@
         std::set<InstanceId> tried;
         TimePoint sentAt{};
         std::uint32_t moves = 0;
-        bool waits = false;               // Waits at its agent, as far as is known.
+        bool queuedAtAgent = false;       // Waits at its agent, as far as is known.
         std::optional<InstanceId> moveTo; // Set while a withdrawal is under way.
         TimePoint expiresAt{};
     };
