--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -143,7 +143,7 @@
     request.tried.insert(request.agent);
     request.sentAt = now;
     request.moveTo.reset();
-    request.waits = false;
+    request.queuedAtAgent = false;
     ++request.attempts;
     loads_[request.agent].onSent(id, expectedCost(request.request), now);
     if (request.request.prefixHash != 0) {
@@ -377,7 +377,7 @@
 {
     Request *request = find(id);
     if (request != nullptr) {
-        request->waits = !started;
+        request->queuedAtAgent = !started;
     }
 }
 
@@ -389,7 +389,7 @@
     for (const auto &[id, request] : requests_) {
         const auto &serves = member->record.serves;
         const bool bound = request.request.ticket || !request.request.callerKey.empty();
-        const bool waits = request.phase == Phase::Sent && request.waits && !request.moveTo;
+        const bool waits = request.phase == Phase::Sent && request.queuedAtAgent && !request.moveTo;
         const bool fits =
             !bound && !request.tried.contains(to) && request.moves < settings_.maxMoves
             && std::find(serves.begin(), serves.end(), request.request.target) != serves.end();
@@ -437,7 +437,7 @@
     request->moveTo.reset();
     if (!notRun || request->phase != Phase::Sent) {
         // It has started meanwhile; the free slot is offered to the next one that waits.
-        request->waits = false;
+        request->queuedAtAgent = false;
         moveWaitingRequestTo(to, now, actions);
         return;
     }
