--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -169,7 +169,7 @@
 
     struct Request
     {
-        EntryRequest request;
+        EntryRequest original;
         TimePoint deadline;
         Phase phase = Phase::Sent;
         InstanceId agent;
