--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -90,7 +90,7 @@
         return id;
     }
     Request &added = requests_[id];
-    added.request = request;
+    added.original = request;
     added.deadline = now + request.deadline;
     const Choice choice = choose(added, now);
     if (!choice.agent) {
@@ -145,9 +145,9 @@
     request.moveTo.reset();
     request.queuedAtAgent = false;
     ++request.attempts;
-    loads_[request.agent].onSent(id, expectedCost(request.request), now);
-    if (request.request.prefixHash != 0) {
-        prefixes_.learn(request.request.prefixHash, request.agent, now);
+    loads_[request.agent].onSent(id, expectedCost(request.original), now);
+    if (request.original.prefixHash != 0) {
+        prefixes_.learn(request.original.prefixHash, request.agent, now);
     }
     actions.emplace_back(
         SendCall{id, request.agent, request.agentIncarnation, request.deadline - now});
@@ -161,13 +161,13 @@
 
 EntryCore::Choice EntryCore::choose(const Request &request, TimePoint now)
 {
-    if (!crashes_.mayBeSent(request.request.digest, now)) {
+    if (!crashes_.mayBeSent(request.original.digest, now)) {
         return {std::nullopt, FailureCode::RequestEndsUpstreams, Outcome::NotRun};
     }
-    if (request.request.ticket) {
+    if (request.original.ticket) {
         return chooseTicketAgent(request, now);
     }
-    if (!request.request.callerKey.empty()) {
+    if (!request.original.callerKey.empty()) {
         return chooseKeyHome(request, now);
     }
     return chooseByRouter(request, now);
@@ -175,7 +175,7 @@
 
 EntryCore::Choice EntryCore::chooseTicketAgent(const Request &request, TimePoint now) const
 {
-    const Ticket &ticket = *request.request.ticket;
+    const Ticket &ticket = *request.original.ticket;
     const Member *member = members_.find(ticket.agent);
     const bool alive =
         member != nullptr && member->heard && member->report.incarnation == ticket.incarnation;
@@ -191,11 +191,11 @@
 
 EntryCore::Choice EntryCore::chooseKeyHome(const Request &request, TimePoint now) const
 {
-    const auto hall = homes_.find(request.request.account);
+    const auto hall = homes_.find(request.original.account);
     const HallId home = hall == homes_.end() ? HallId() : hall->second;
-    const MemberSet set = makeMemberSet(members_.listed(request.request.target, home));
+    const MemberSet set = makeMemberSet(members_.listed(request.original.target, home));
     const auto agent =
-        rendezvousHome(set, scopedKey(request.request.account, request.request.callerKey));
+        rendezvousHome(set, scopedKey(request.original.account, request.original.callerKey));
     const Member *member = agent ? members_.find(*agent) : nullptr;
     if (member != nullptr && !member->heard) {
         return {*agent, FailureCode::KeyHomeUnsure, Outcome::Unknown, true};
@@ -208,7 +208,7 @@
 
 EntryCore::Choice EntryCore::chooseByRouter(const Request &request, TimePoint now)
 {
-    std::vector<const Member *> members = members_.candidates(request.request.target, now);
+    std::vector<const Member *> members = members_.candidates(request.original.target, now);
     std::erase_if(members, [&](const Member *member) {
         const InstanceRecord &record = member->record;
         return request.tried.contains(record.id) || draining_.contains(record.id)
@@ -222,7 +222,7 @@
     for (const InstanceId &id : outliers_.remaining(ids, now)) {
         candidates.push_back(candidateFor(*members_.find(id), request, now));
     }
-    const RouteRequest traits{request.request.promptTokens, request.request.answerTokens};
+    const RouteRequest traits{request.original.promptTokens, request.original.answerTokens};
     const auto picked = router_->pick(candidates, traits, random_);
     if (!picked) {
         return {std::nullopt, FailureCode::NoUpstream, Outcome::NotRun};
@@ -242,9 +242,9 @@
     candidate.readiness = readiness(member, now);
     const auto distance = distances_.find(member.record.hall);
     candidate.distance = distance == distances_.end() ? Duration{} : distance->second;
-    if (request.request.prefixHash != 0) {
-        candidate.cachedTokens = prefixes_.probability(request.request.prefixHash, id, now)
-                                 * static_cast<double>(request.request.promptTokens);
+    if (request.original.prefixHash != 0) {
+        candidate.cachedTokens = prefixes_.probability(request.original.prefixHash, id, now)
+                                 * static_cast<double>(request.original.promptTokens);
     }
     return candidate;
 }
@@ -291,7 +291,7 @@
     }
     removeFromAgentLoad(id, *request);
     // A ticket and a key bind the request to one agent, so there is no other to try.
-    const bool bound = request->request.ticket || !request->request.callerKey.empty();
+    const bool bound = request->original.ticket || !request->original.callerKey.empty();
     const bool mayRetry =
         !bound && request->attempts < settings_.maxAttempts && now < request->deadline;
     const Choice choice = mayRetry ? choose(*request, now) : Choice();
@@ -315,11 +315,11 @@
     }
     // An upstream that is to leave ends because it was told to.
     if (failure == FailureCode::UpstreamEnded && members_.mayReceive(request->agent, now)) {
-        crashes_.onEnded(request->request.digest, request->request.account, request->agent, now);
+        crashes_.onEnded(request->original.digest, request->original.account, request->agent, now);
     }
     if (outcome == Outcome::Unknown) {
         request->mayHaveRun = true;
-        if (!request->request.repeatable || request->phase == Phase::Answering) {
+        if (!request->original.repeatable || request->phase == Phase::Answering) {
             fail(id, failure, outcome, retryAfter, actions);
             return;
         }
@@ -349,7 +349,7 @@
         fail(id, FailureCode::UpstreamFailed, Outcome::Unknown, {}, actions);
         return;
     }
-    if (request->request.repeatable) {
+    if (request->original.repeatable) {
         request->mayHaveRun = true;
         retryOrFail(id, FailureCode::UpstreamUnreachable, kRetryAfterNoUpstream, now, actions);
         return;
@@ -388,11 +388,11 @@
     TimePoint oldestSentAt{};
     for (const auto &[id, request] : requests_) {
         const auto &serves = member->record.serves;
-        const bool bound = request.request.ticket || !request.request.callerKey.empty();
+        const bool bound = request.original.ticket || !request.original.callerKey.empty();
         const bool waits = request.phase == Phase::Sent && request.queuedAtAgent && !request.moveTo;
         const bool fits =
             !bound && !request.tried.contains(to) && request.moves < settings_.maxMoves
-            && std::find(serves.begin(), serves.end(), request.request.target) != serves.end();
+            && std::find(serves.begin(), serves.end(), request.original.target) != serves.end();
         if (waits && fits && (!oldest || request.sentAt < oldestSentAt)) {
             oldest = id;
             oldestSentAt = request.sentAt;
@@ -469,7 +469,7 @@
         return;
     }
     outliers_.onSuccess(agent);
-    crashes_.onSurvived(request->request.digest, now);
+    crashes_.onSurvived(request->original.digest, now);
     if (request->attempts == 1) {
         budget_.onSuccess();
     }
