--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -29,10 +29,10 @@
 
 void EntryCore::applyConfig(const ConfigDocument &document)
 {
-    homes_.clear();
+    homeHalls_.clear();
     for (const AccountConfig &account : document.accounts) {
         limiter_.setLimit(account.id, account.requestsPerSecond);
-        homes_[account.id] = account.homeHall;
+        homeHalls_[account.id] = account.homeHall;
     }
     distances_.clear();
     drainingHalls_.clear();
@@ -191,8 +191,8 @@
 
 EntryCore::Choice EntryCore::chooseKeyHome(const Request &request, TimePoint now) const
 {
-    const auto hall = homes_.find(request.original.account);
-    const HallId home = hall == homes_.end() ? HallId() : hall->second;
+    const auto hall = homeHalls_.find(request.original.account);
+    const HallId home = hall == homeHalls_.end() ? HallId() : hall->second;
     const MemberSet set = makeMemberSet(members_.listed(request.original.target, home));
     const auto agent =
         rendezvousHome(set, scopedKey(request.original.account, request.original.callerKey));
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -223,7 +223,7 @@
     PrefixIndex prefixes_;
     std::unordered_map<InstanceId, LoadEstimate> loads_;
     std::unordered_map<HallId, Duration> distances_;
-    std::unordered_map<AccountId, HallId> homes_;
+    std::unordered_map<AccountId, HallId> homeHalls_;
     std::set<InstanceId> draining_;
     std::set<HallId> drainingHalls_;
     std::unordered_map<RequestId, Request> requests_;
