--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -34,14 +34,14 @@
         limiter_.setLimit(account.id, account.requestsPerSecond);
         homeHalls_[account.id] = account.homeHall;
     }
-    distances_.clear();
+    hallDistances_.clear();
     drainingHalls_.clear();
     for (const HallConfig &hall : document.halls) {
         if (hall.draining) {
             drainingHalls_.insert(hall.id);
         }
         if (hall.id == settings_.hall) {
-            distances_.insert(hall.distance.begin(), hall.distance.end());
+            hallDistances_.insert(hall.distance.begin(), hall.distance.end());
         }
     }
     draining_.clear();
@@ -240,8 +240,8 @@
     candidate.wait = load.expectedWait(now);
     candidate.ownInFlight = load.inFlight();
     candidate.readiness = readiness(member, now);
-    const auto distance = distances_.find(member.record.hall);
-    candidate.distance = distance == distances_.end() ? Duration{} : distance->second;
+    const auto distance = hallDistances_.find(member.record.hall);
+    candidate.distance = distance == hallDistances_.end() ? Duration{} : distance->second;
     if (request.original.prefixHash != 0) {
         candidate.cachedTokens = prefixes_.probability(request.original.prefixHash, id, now)
                                  * static_cast<double>(request.original.promptTokens);
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -222,7 +222,7 @@
     CrashRecord crashes_;
     PrefixIndex prefixes_;
     std::unordered_map<InstanceId, LoadEstimate> loads_;
-    std::unordered_map<HallId, Duration> distances_;
+    std::unordered_map<HallId, Duration> hallDistances_;
     std::unordered_map<AccountId, HallId> homeHalls_;
     std::set<InstanceId> draining_;
     std::set<HallId> drainingHalls_;
