--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -44,10 +44,10 @@
             hallDistances_.insert(hall.distance.begin(), hall.distance.end());
         }
     }
-    draining_.clear();
+    drainingAgents_.clear();
     for (const UpstreamConfig &upstream : document.upstreams) {
         if (upstream.draining) {
-            draining_.insert(upstream.agent);
+            drainingAgents_.insert(upstream.agent);
         }
     }
 }
@@ -211,7 +211,7 @@
     std::vector<const Member *> members = members_.candidates(request.original.target, now);
     std::erase_if(members, [&](const Member *member) {
         const InstanceRecord &record = member->record;
-        return request.tried.contains(record.id) || draining_.contains(record.id)
+        return request.tried.contains(record.id) || drainingAgents_.contains(record.id)
                || drainingHalls_.contains(record.hall);
     });
     std::vector<InstanceId> ids;
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -224,7 +224,7 @@
     std::unordered_map<InstanceId, LoadEstimate> loads_;
     std::unordered_map<HallId, Duration> hallDistances_;
     std::unordered_map<AccountId, HallId> homeHalls_;
-    std::set<InstanceId> draining_;
+    std::set<InstanceId> drainingAgents_;
     std::set<HallId> drainingHalls_;
     std::unordered_map<RequestId, Request> requests_;
     std::uint64_t nextCounter_ = 1;
