--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -22,7 +22,7 @@
     , router_(std::move(router))
     , random_(settings.seed)
     , members_(settings.lease)
-    , budget_(settings.retryBudget)
+    , retryBudget_(settings.retryBudget)
     , outliers_(settings.outliers)
     , crashes_(settings.crashes)
 {}
@@ -295,7 +295,7 @@
     const bool mayRetry =
         !bound && request->attempts < settings_.maxAttempts && now < request->deadline;
     const Choice choice = mayRetry ? choose(*request, now) : Choice();
-    if (!choice.agent || !budget_.take()) {
+    if (!choice.agent || !retryBudget_.take()) {
         fail(id, failure, Outcome::NotRun, retryAfter, actions);
         return;
     }
@@ -471,7 +471,7 @@
     outliers_.onSuccess(agent);
     crashes_.onSurvived(request->original.digest, now);
     if (request->attempts == 1) {
-        budget_.onSuccess();
+        retryBudget_.onSuccess();
     }
     removeFromAgentLoad(id, *request);
     requests_.erase(id);
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -217,7 +217,7 @@
     RandomEngine random_;
     MemberTable members_;
     RateLimiter limiter_;
-    RetryBudget budget_;
+    RetryBudget retryBudget_;
     OutlierDetector outliers_;
     CrashRecord crashes_;
     PrefixIndex prefixes_;
