--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -140,7 +140,7 @@
     request.agent = agent;
     request.agentIncarnation = member.report.incarnation;
     request.phase = Phase::Sent;
-    request.tried.insert(request.agent);
+    request.triedAgents.insert(request.agent);
     request.sentAt = now;
     request.moveTo.reset();
     request.queuedAtAgent = false;
@@ -211,7 +211,7 @@
     std::vector<const Member *> members = members_.candidates(request.original.target, now);
     std::erase_if(members, [&](const Member *member) {
         const InstanceRecord &record = member->record;
-        return request.tried.contains(record.id) || drainingAgents_.contains(record.id)
+        return request.triedAgents.contains(record.id) || drainingAgents_.contains(record.id)
                || drainingHalls_.contains(record.hall);
     });
     std::vector<InstanceId> ids;
@@ -391,7 +391,7 @@
         const bool bound = request.original.ticket || !request.original.callerKey.empty();
         const bool waits = request.phase == Phase::Sent && request.queuedAtAgent && !request.moveTo;
         const bool fits =
-            !bound && !request.tried.contains(to) && request.moves < settings_.maxMoves
+            !bound && !request.triedAgents.contains(to) && request.moves < settings_.maxMoves
             && std::find(serves.begin(), serves.end(), request.original.target) != serves.end();
         if (waits && fits && (!oldest || request.sentAt < oldestSentAt)) {
             oldest = id;
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -176,7 +176,7 @@
         Incarnation agentIncarnation;
         std::uint32_t attempts = 0;
         bool mayHaveRun = false; // An attempt ended without a proof that it did not run.
-        std::set<InstanceId> tried;
+        std::set<InstanceId> triedAgents;
         TimePoint sentAt{};
         std::uint32_t moves = 0;
         bool queuedAtAgent = false;       // Waits at its agent, as far as is known.
