--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -108,7 +108,7 @@
 void EntryCore::hold(Request &request, const InstanceId &agent, TimePoint now,
                      EntryActions &actions)
 {
-    request.phase = Phase::Holding;
+    request.phase = RequestPhase::Holding;
     request.agent = agent;
     request.expiresAt = now + settings_.holdTimeout;
     actions.emplace_back(ConnectAgent{agent});
@@ -118,7 +118,7 @@
 {
     std::vector<RequestId> held;
     for (const auto &[id, request] : requests_) {
-        if (request.phase == Phase::Holding && request.agent == agent) {
+        if (request.phase == RequestPhase::Holding && request.agent == agent) {
             held.push_back(id);
         }
     }
@@ -139,7 +139,7 @@
     const Member &member = *members_.find(agent);
     request.agent = agent;
     request.agentIncarnation = member.report.incarnation;
-    request.phase = Phase::Sent;
+    request.phase = RequestPhase::Sent;
     request.triedAgents.insert(request.agent);
     request.sentAt = now;
     request.moveTo.reset();
@@ -319,7 +319,7 @@
     }
     if (outcome == Outcome::Unknown) {
         request->mayHaveRun = true;
-        if (!request->original.repeatable || request->phase == Phase::Answering) {
+        if (!request->original.repeatable || request->phase == RequestPhase::Answering) {
             fail(id, failure, outcome, retryAfter, actions);
             return;
         }
@@ -340,12 +340,12 @@
 void EntryCore::onConnectionLost(RequestId id, TimePoint now, EntryActions &actions)
 {
     Request *request = find(id);
-    if (request == nullptr || request->phase == Phase::Resolving
-        || request->phase == Phase::Holding) {
+    if (request == nullptr || request->phase == RequestPhase::Resolving
+        || request->phase == RequestPhase::Holding) {
         return;
     }
     outliers_.onFailure(request->agent, now);
-    if (request->phase == Phase::Answering) {
+    if (request->phase == RequestPhase::Answering) {
         fail(id, FailureCode::UpstreamFailed, Outcome::Unknown, {}, actions);
         return;
     }
@@ -355,7 +355,7 @@
         return;
     }
     // The agent may still be alive behind a broken connection; its word on a cancel is a proof.
-    request->phase = Phase::Resolving;
+    request->phase = RequestPhase::Resolving;
     request->expiresAt = std::min(now + settings_.resolveTimeout, request->deadline);
     actions.emplace_back(SendCancel{id, request->agent, request->agentIncarnation});
 }
@@ -363,7 +363,7 @@
 void EntryCore::onCancelled(RequestId id, bool notRun, TimePoint now, EntryActions &actions)
 {
     const Request *request = find(id);
-    if (request == nullptr || request->phase != Phase::Resolving) {
+    if (request == nullptr || request->phase != RequestPhase::Resolving) {
         return;
     }
     if (!notRun) {
@@ -389,7 +389,8 @@
     for (const auto &[id, request] : requests_) {
         const auto &serves = member->record.serves;
         const bool bound = request.original.ticket || !request.original.callerKey.empty();
-        const bool waits = request.phase == Phase::Sent && request.queuedAtAgent && !request.moveTo;
+        const bool waits =
+            request.phase == RequestPhase::Sent && request.queuedAtAgent && !request.moveTo;
         const bool fits =
             !bound && !request.triedAgents.contains(to) && request.moves < settings_.maxMoves
             && std::find(serves.begin(), serves.end(), request.original.target) != serves.end();
@@ -435,7 +436,7 @@
     }
     const InstanceId to = *request->moveTo;
     request->moveTo.reset();
-    if (!notRun || request->phase != Phase::Sent) {
+    if (!notRun || request->phase != RequestPhase::Sent) {
         // It has started meanwhile; the free slot is offered to the next one that waits.
         request->queuedAtAgent = false;
         moveWaitingRequestTo(to, now, actions);
@@ -454,11 +455,12 @@
 bool EntryCore::onAnswer(RequestId id, const InstanceId &agent)
 {
     Request *request = find(id);
-    if (request == nullptr || request->agent != agent || request->phase == Phase::Resolving) {
+    if (request == nullptr || request->agent != agent
+        || request->phase == RequestPhase::Resolving) {
         ++droppedAnswers_;
         return false;
     }
-    request->phase = Phase::Answering;
+    request->phase = RequestPhase::Answering;
     return true;
 }
 
@@ -483,7 +485,7 @@
     if (request == nullptr) {
         return;
     }
-    if (request->phase != Phase::Holding) {
+    if (request->phase != RequestPhase::Holding) {
         actions.emplace_back(SendCancel{id, request->agent, request->agentIncarnation});
     }
     removeFromAgentLoad(id, *request);
@@ -495,7 +497,8 @@
     crashes_.expire(now);
     std::vector<RequestId> overdue;
     for (const auto &[id, request] : requests_) {
-        const bool waits = request.phase == Phase::Resolving || request.phase == Phase::Holding;
+        const bool waits =
+            request.phase == RequestPhase::Resolving || request.phase == RequestPhase::Holding;
         if (waits && now >= request.expiresAt) {
             overdue.push_back(id);
         }
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -165,13 +165,13 @@
     TimePoint leaseUntil(const InstanceId &agent) const;
 
 private:
-    enum class Phase { Holding, Sent, Answering, Resolving };
+    enum class RequestPhase { Holding, Sent, Answering, Resolving };
 
     struct Request
     {
         EntryRequest original;
         TimePoint deadline;
-        Phase phase = Phase::Sent;
+        RequestPhase phase = RequestPhase::Sent;
         InstanceId agent;
         Incarnation agentIncarnation;
         std::uint32_t attempts = 0;
