--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -108,7 +108,7 @@
 void EntryCore::hold(Request &request, const InstanceId &agent, TimePoint now,
                      EntryActions &actions)
 {
-    request.phase = RequestPhase::Holding;
+    request.phase = RequestPhase::AwaitingReport;
     request.agent = agent;
     request.expiresAt = now + settings_.holdTimeout;
     actions.emplace_back(ConnectAgent{agent});
@@ -118,7 +118,7 @@
 {
     std::vector<RequestId> held;
     for (const auto &[id, request] : requests_) {
-        if (request.phase == RequestPhase::Holding && request.agent == agent) {
+        if (request.phase == RequestPhase::AwaitingReport && request.agent == agent) {
             held.push_back(id);
         }
     }
@@ -341,7 +341,7 @@
 {
     Request *request = find(id);
     if (request == nullptr || request->phase == RequestPhase::Resolving
-        || request->phase == RequestPhase::Holding) {
+        || request->phase == RequestPhase::AwaitingReport) {
         return;
     }
     outliers_.onFailure(request->agent, now);
@@ -485,7 +485,7 @@
     if (request == nullptr) {
         return;
     }
-    if (request->phase != RequestPhase::Holding) {
+    if (request->phase != RequestPhase::AwaitingReport) {
         actions.emplace_back(SendCancel{id, request->agent, request->agentIncarnation});
     }
     removeFromAgentLoad(id, *request);
@@ -497,8 +497,8 @@
     crashes_.expire(now);
     std::vector<RequestId> overdue;
     for (const auto &[id, request] : requests_) {
-        const bool waits =
-            request.phase == RequestPhase::Resolving || request.phase == RequestPhase::Holding;
+        const bool waits = request.phase == RequestPhase::Resolving
+                           || request.phase == RequestPhase::AwaitingReport;
         if (waits && now >= request.expiresAt) {
             overdue.push_back(id);
         }
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -165,7 +165,7 @@
     TimePoint leaseUntil(const InstanceId &agent) const;
 
 private:
-    enum class RequestPhase { Holding, Sent, Answering, Resolving };
+    enum class RequestPhase { AwaitingReport, Sent, Answering, Resolving };
 
     struct Request
     {
