--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -98,15 +98,15 @@
         return id;
     }
     if (choice.awaitsReport) {
-        hold(added, *choice.agent, now, actions);
+        holdForReport(added, *choice.agent, now, actions);
         return id;
     }
     dispatch(id, added, *choice.agent, now, actions);
     return id;
 }
 
-void EntryCore::hold(Request &request, const InstanceId &agent, TimePoint now,
-                     EntryActions &actions)
+void EntryCore::holdForReport(Request &request, const InstanceId &agent, TimePoint now,
+                              EntryActions &actions)
 {
     request.phase = RequestPhase::AwaitingReport;
     request.agent = agent;
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -192,7 +192,8 @@
         bool awaitsReport = false; // `agent` is listed, but has not been heard yet.
     };
 
-    void hold(Request &request, const InstanceId &agent, TimePoint now, EntryActions &actions);
+    void holdForReport(Request &request, const InstanceId &agent, TimePoint now,
+                       EntryActions &actions);
     void releaseHeld(const InstanceId &agent, TimePoint now, EntryActions &actions);
     void dispatch(RequestId id, Request &request, const InstanceId &agent, TimePoint now,
                   EntryActions &actions);
