--- a/bench/prooffigures.cpp
+++ b/bench/prooffigures.cpp
@@ -6,7 +6,7 @@
 namespace seamarch::bench {
 namespace {
 
-using test::DispatchWorld;
+using test::DispatchSimulation;
 using test::OperationKind;
 using test::Scenario;
 
@@ -23,12 +23,12 @@
     constexpr int kSeeds = 40;
     ProofResult result;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        DispatchWorld::Options options;
+        DispatchSimulation::Options options;
         options.seed = seed;
         options.scenario = scenario;
         options.onlyKind = kind;
         options.operations = kOperations;
-        DispatchWorld world(options);
+        DispatchSimulation world(options);
         result.violations += static_cast<int>(world.run().size());
         result.refused += world.notRun() + world.unknown();
         result.unknown += world.unknown();
--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -18,9 +18,9 @@
     return text == nullptr ? 2000 : std::strtoull(text, nullptr, 10);
 }
 
-DispatchWorld::Options optionsOf(std::uint64_t seed, PlantedFault fault = PlantedFault::None)
+DispatchSimulation::Options optionsOf(std::uint64_t seed, PlantedFault fault = PlantedFault::None)
 {
-    DispatchWorld::Options options;
+    DispatchSimulation::Options options;
     options.seed = seed;
     options.fault = fault;
     options.operations = 40;
@@ -31,7 +31,7 @@
 std::string firstViolation(PlantedFault fault, std::uint64_t seeds)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        const auto violations = DispatchWorld(optionsOf(seed, fault)).run();
+        const auto violations = DispatchSimulation(optionsOf(seed, fault)).run();
         if (!violations.empty()) {
             return violations.front();
         }
@@ -48,7 +48,7 @@
     int answered = 0;
     int moved = 0;
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
-        DispatchWorld world(optionsOf(seed));
+        DispatchSimulation world(optionsOf(seed));
         const auto violations = world.run();
         if (!violations.empty()) {
             FAIL(fmt::format("seed {}: {}", seed, violations.front()).c_str());
@@ -63,9 +63,9 @@
 
 TEST(DispatchScheduleTest, AnswersEverythingWhenNothingFails)
 {
-    DispatchWorld::Options options = optionsOf(7);
+    DispatchSimulation::Options options = optionsOf(7);
     options.scenario = Scenario::Nothing;
-    DispatchWorld world(options);
+    DispatchSimulation world(options);
 
     const auto violations = world.run();
 
@@ -80,11 +80,11 @@
     // Found by the figures of the proofs: under no fault at all 2% of the calls without a key ended
     // unknown, because a request was moved back to an agent that it had been withdrawn from.
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        DispatchWorld::Options options = optionsOf(seed);
+        DispatchSimulation::Options options = optionsOf(seed);
         options.scenario = Scenario::Nothing;
         options.onlyKind = OperationKind::Plain;
         options.operations = 60;
-        DispatchWorld world(options);
+        DispatchSimulation world(options);
         world.run();
         CHECK_EQUAL(0, world.unknown());
     }
--- a/test/decision/dispatch/dispatchworld.cpp
+++ b/test/decision/dispatch/dispatchworld.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-DispatchWorld::DispatchWorld(const Options &options)
+DispatchSimulation::DispatchSimulation(const Options &options)
     : options_(options)
     , random_(options.seed)
     , entries_(static_cast<std::size_t>(options.entries))
@@ -44,41 +44,41 @@
     }
 }
 
-void DispatchWorld::at(TimePoint time, std::function<void()> action)
+void DispatchSimulation::at(TimePoint time, std::function<void()> action)
 {
     events_.push({std::max(time, now_), nextSequence_++, std::move(action)});
 }
 
-Duration DispatchWorld::randomDelay(double lowMs, double highMs)
+Duration DispatchSimulation::randomDelay(double lowMs, double highMs)
 {
     return fromSeconds(std::uniform_real_distribution<double>(lowMs, highMs)(random_) / 1000.0);
 }
 
-bool DispatchWorld::chance(double probability)
+bool DispatchSimulation::chance(double probability)
 {
     return std::bernoulli_distribution(probability)(random_);
 }
 
 // The cut parts the first process of each kind from all others.
-bool DispatchWorld::cut(std::size_t left, std::size_t right) const
+bool DispatchSimulation::cut(std::size_t left, std::size_t right) const
 {
     const Duration time = now_.time_since_epoch();
     const bool during = time >= kTroubleAt && time < kTroubleAt + kCutLength;
     return options_.scenario == Scenario::Cut && during && (left == 0) != (right == 0);
 }
 
-std::size_t DispatchWorld::pickIndex(std::size_t size)
+std::size_t DispatchSimulation::pickIndex(std::size_t size)
 {
     return std::uniform_int_distribution<std::size_t>(0, size - 1)(random_);
 }
 
-WallMillis DispatchWorld::wall() const
+WallMillis DispatchSimulation::wall() const
 {
     constexpr WallMillis kStart(1'700'000'000'000);
     return kStart + std::chrono::duration_cast<WallMillis>(now_.time_since_epoch());
 }
 
-void DispatchWorld::publishList()
+void DispatchSimulation::publishList()
 {
     InstanceList list;
     list.version = ListVersion(lists_.size() + 1);
@@ -95,7 +95,7 @@
     lists_.push_back(list);
 }
 
-void DispatchWorld::applyMembers(std::size_t agent, const InstanceList &list)
+void DispatchSimulation::applyMembers(std::size_t agent, const InstanceList &list)
 {
     std::vector<InstanceId> members;
     for (const InstanceRecord &record : list.instances) {
@@ -105,7 +105,7 @@
 }
 
 // The list drops an agent that may well live, or takes it back; every process hears of it late.
-void DispatchWorld::relist()
+void DispatchSimulation::relist()
 {
     if (delisted_) {
         delisted_.reset();
@@ -123,7 +123,7 @@
     }
 }
 
-void DispatchWorld::startEntry(std::size_t index)
+void DispatchSimulation::startEntry(std::size_t index)
 {
     Entry &entry = entries_[index];
     entry.incarnation = Incarnation(nextIncarnation_++);
@@ -145,7 +145,7 @@
     }
 }
 
-void DispatchWorld::startAgent(std::size_t index)
+void DispatchSimulation::startAgent(std::size_t index)
 {
     Agent &agent = agents_[index];
     agent.incarnation = Incarnation(nextIncarnation_++);
@@ -165,8 +165,8 @@
     grantLoop(index);
 }
 
-void DispatchWorld::atEntry(std::size_t index, Incarnation meant, Duration delay,
-                            const std::function<void()> &action)
+void DispatchSimulation::atEntry(std::size_t index, Incarnation meant, Duration delay,
+                                 const std::function<void()> &action)
 {
     after(delay, [this, index, meant, action] {
         const Entry &entry = entries_[index];
@@ -181,7 +181,8 @@
     });
 }
 
-void DispatchWorld::atAgent(std::size_t index, Duration delay, const std::function<void()> &action)
+void DispatchSimulation::atAgent(std::size_t index, Duration delay,
+                                 const std::function<void()> &action)
 {
     after(delay, [this, index, action] {
         const Agent &agent = agents_[index];
@@ -193,7 +194,7 @@
     });
 }
 
-void DispatchWorld::heartbeatLoop(std::size_t entry, std::size_t agent)
+void DispatchSimulation::heartbeatLoop(std::size_t entry, std::size_t agent)
 {
     const Incarnation meant = entries_[entry].incarnation;
     atEntry(entry, meant, kHeartbeat, [this, entry, agent, meant] {
@@ -213,7 +214,7 @@
     });
 }
 
-void DispatchWorld::grantLoop(std::size_t index)
+void DispatchSimulation::grantLoop(std::size_t index)
 {
     const Incarnation meant = agents_[index].incarnation;
     atAgent(index, kHeartbeat, [this, index, meant] {
@@ -242,7 +243,7 @@
     });
 }
 
-void DispatchWorld::tickLoop()
+void DispatchSimulation::tickLoop()
 {
     for (std::size_t index = 0; index < entries_.size(); ++index) {
         if (now_ >= entries_[index].pausedUntil) {
@@ -262,7 +263,7 @@
 }
 
 // Something fails every second or so.
-void DispatchWorld::disturb()
+void DispatchSimulation::disturb()
 {
     if (now_.time_since_epoch() > kQuietFrom) {
         return;
@@ -313,7 +314,7 @@
     after(randomDelay(300, 1500), [this] { disturb(); });
 }
 
-void DispatchWorld::loseCalls(std::size_t agent)
+void DispatchSimulation::loseCalls(std::size_t agent)
 {
     for (const auto &[id, index] : agentOf_) {
         if (index != agent) {
@@ -339,7 +340,7 @@
     }
 }
 
-void DispatchWorld::beginOperation(int index)
+void DispatchSimulation::beginOperation(int index)
 {
     Operation &operation = operations_[static_cast<std::size_t>(index)];
     operation.kind = options_.onlyKind.value_or(static_cast<OperationKind>(pickIndex(4)));
@@ -352,7 +353,7 @@
     attempt(index);
 }
 
-void DispatchWorld::attempt(int index)
+void DispatchSimulation::attempt(int index)
 {
     Operation &operation = operations_[static_cast<std::size_t>(index)];
     if (operation.done || operation.attempts >= kMaxAttempts) {
@@ -378,7 +379,7 @@
     carryOut(entry, actions);
 }
 
-void DispatchWorld::carryOut(std::size_t entry, const EntryActions &actions)
+void DispatchSimulation::carryOut(std::size_t entry, const EntryActions &actions)
 {
     for (const EntryAction &action : actions) {
         if (const auto *call = std::get_if<SendCall>(&action)) {
@@ -394,14 +395,14 @@
     }
 }
 
-std::size_t DispatchWorld::agentIndex(const InstanceId &id) const
+std::size_t DispatchSimulation::agentIndex(const InstanceId &id) const
 {
     const auto found = std::find_if(agents_.begin(), agents_.end(),
                                     [&id](const Agent &agent) { return agent.id == id; });
     return static_cast<std::size_t>(found - agents_.begin());
 }
 
-std::size_t DispatchWorld::entryIndex(Incarnation incarnation) const
+std::size_t DispatchSimulation::entryIndex(Incarnation incarnation) const
 {
     const auto found =
         std::find_if(entries_.begin(), entries_.end(), [incarnation](const Entry &entry) {
@@ -410,7 +411,7 @@
     return static_cast<std::size_t>(found - entries_.begin());
 }
 
-void DispatchWorld::sendCall(std::size_t entry, const SendCall &call)
+void DispatchSimulation::sendCall(std::size_t entry, const SendCall &call)
 {
     const std::size_t agent = agentIndex(call.agent);
     const Agent &target = agents_[agent];
@@ -441,8 +442,8 @@
     }
 }
 
-void DispatchWorld::deliverCall(std::size_t entry, const SendCall &call, std::size_t agent,
-                                bool listened)
+void DispatchSimulation::deliverCall(std::size_t entry, const SendCall &call, std::size_t agent,
+                                     bool listened)
 {
     const int operation = operationOf_.at(call.id);
     const Operation &wanted = operations_[static_cast<std::size_t>(operation)];
@@ -489,7 +490,7 @@
     });
 }
 
-void DispatchWorld::sendCancel(std::size_t entry, const SendCancel &cancel)
+void DispatchSimulation::sendCancel(std::size_t entry, const SendCancel &cancel)
 {
     const std::size_t agent = agentIndex(cancel.agent);
     if (cut(entry, agent) || (random() && chance(0.1))) {
@@ -514,7 +515,7 @@
     });
 }
 
-void DispatchWorld::sendWithdraw(std::size_t entry, const SendWithdraw &withdrawal)
+void DispatchSimulation::sendWithdraw(std::size_t entry, const SendWithdraw &withdrawal)
 {
     const std::size_t agent = agentIndex(withdrawal.agent);
     if (random() && chance(0.1)) {
@@ -534,7 +535,7 @@
     });
 }
 
-void DispatchWorld::announceFree(std::size_t agent)
+void DispatchSimulation::announceFree(std::size_t agent)
 {
     const std::size_t entry = pickIndex(entries_.size());
     atEntry(entry, entries_[entry].incarnation, randomDelay(0.5, 100), [this, entry, agent] {
@@ -545,7 +546,7 @@
     });
 }
 
-void DispatchWorld::carryOut(std::size_t agent, const AgentActions &actions)
+void DispatchSimulation::carryOut(std::size_t agent, const AgentActions &actions)
 {
     for (const AgentAction &action : actions) {
         if (std::holds_alternative<AnnounceFreeSlot>(action)) {
@@ -574,7 +575,7 @@
     }
 }
 
-void DispatchWorld::runUpstream(std::size_t agent, RequestId id)
+void DispatchSimulation::runUpstream(std::size_t agent, RequestId id)
 {
     const Incarnation meant = agents_[agent].incarnation;
     if (random() && chance(0.03)) {
@@ -604,7 +605,7 @@
     });
 }
 
-void DispatchWorld::sendAnswer(std::size_t agent, RequestId id, int operation)
+void DispatchSimulation::sendAnswer(std::size_t agent, RequestId id, int operation)
 {
     RequestId to = id;
     if (options_.fault == PlantedFault::SwapAnswers && chance(0.1) && id.counter > 1) {
@@ -635,7 +636,7 @@
     }
 }
 
-void DispatchWorld::onFailed(const FailRequest &failure, int operation)
+void DispatchSimulation::onFailed(const FailRequest &failure, int operation)
 {
     agentOf_.erase(failure.id);
     if (failure.outcome == Outcome::NotRun) {
@@ -659,7 +660,7 @@
     }
 }
 
-std::vector<std::string> DispatchWorld::run()
+std::vector<std::string> DispatchSimulation::run()
 {
     operations_.resize(static_cast<std::size_t>(options_.operations));
     for (int index = 0; index < options_.operations; ++index) {
--- a/test/decision/dispatch/dispatchworld.h
+++ b/test/decision/dispatch/dispatchworld.h
@@ -37,7 +37,7 @@
 // How an operation is kept from running twice.
 enum class OperationKind { Repeatable, Plain, Ticketed, Keyed };
 
-class DispatchWorld
+class DispatchSimulation
 {
 public:
     struct Options
@@ -51,7 +51,7 @@
         int agents = 4;
     };
 
-    explicit DispatchWorld(const Options &options);
+    explicit DispatchSimulation(const Options &options);
 
     // Runs to the end of virtual time and returns what was violated.
     std::vector<std::string> run();
