--- a/bench/prooffigures.cpp
+++ b/bench/prooffigures.cpp
@@ -1,4 +1,4 @@
-#include "decision/dispatch/dispatchworld.h"
+#include "decision/dispatch/dispatchsimulation.h"
 #include "figures.h"
 
 #include <fmt/format.h>
--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -1,6 +1,6 @@
 // Seeded schedules over the real entry and agent decisions: the answer goes to its own caller, not
 // run means not run, at most once, and a leaving upstream gets no new work.
-#include "decision/dispatch/dispatchworld.h"
+#include "decision/dispatch/dispatchsimulation.h"
 
 #include <cstdlib>
 #include <fmt/format.h>
--- a/test/decision/dispatch/dispatchworld.cpp
+++ b/test/decision/dispatch/dispatchworld.cpp
@@ -1,4 +1,4 @@
-#include "decision/dispatch/dispatchworld.h"
+#include "decision/dispatch/dispatchsimulation.h"
 
 #include <algorithm>
 #include <fmt/format.h>
