--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -48,13 +48,13 @@
     int answered = 0;
     int moved = 0;
     for (std::uint64_t seed = 1; seed <= seedCount(); ++seed) {
-        DispatchSimulation world(optionsOf(seed));
-        const auto violations = world.run();
+        DispatchSimulation simulation(optionsOf(seed));
+        const auto violations = simulation.run();
         if (!violations.empty()) {
             FAIL(fmt::format("seed {}: {}", seed, violations.front()).c_str());
         }
-        answered += world.answered();
-        moved += world.moved();
+        answered += simulation.answered();
+        moved += simulation.moved();
     }
     // A world that refuses everything would hold every invariant.
     CHECK(answered > static_cast<int>(seedCount()) * 20);
@@ -65,14 +65,14 @@
 {
     DispatchSimulation::Options options = optionsOf(7);
     options.scenario = Scenario::Nothing;
-    DispatchSimulation world(options);
+    DispatchSimulation simulation(options);
 
-    const auto violations = world.run();
+    const auto violations = simulation.run();
 
     CHECK_EQUAL(0U, violations.size());
-    CHECK_EQUAL(options.operations, world.answered());
-    CHECK_EQUAL(0, world.notRun());
-    CHECK_EQUAL(0, world.unknown());
+    CHECK_EQUAL(options.operations, simulation.answered());
+    CHECK_EQUAL(0, simulation.notRun());
+    CHECK_EQUAL(0, simulation.unknown());
 }
 
 TEST(DispatchScheduleTest, MovedRequestsNeverComeBackToTheirTombstone)
@@ -84,9 +84,9 @@
         options.scenario = Scenario::Nothing;
         options.onlyKind = OperationKind::Plain;
         options.operations = 60;
-        DispatchSimulation world(options);
-        world.run();
-        CHECK_EQUAL(0, world.unknown());
+        DispatchSimulation simulation(options);
+        simulation.run();
+        CHECK_EQUAL(0, simulation.unknown());
     }
 }
 
