--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -18,7 +18,7 @@
     return text == nullptr ? 2000 : std::strtoull(text, nullptr, 10);
 }
 
-DispatchSimulation::Options optionsOf(std::uint64_t seed, PlantedFault fault = PlantedFault::None)
+DispatchSimulation::Options optionsOf(std::uint64_t seed, InjectedFault fault = InjectedFault::None)
 {
     DispatchSimulation::Options options;
     options.seed = seed;
@@ -28,7 +28,7 @@
 }
 
 // Returns the first violation that a planted fault leads to within some seeds.
-std::string firstViolation(PlantedFault fault, std::uint64_t seeds)
+std::string firstViolation(InjectedFault fault, std::uint64_t seeds)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         const auto violations = DispatchSimulation(optionsOf(seed, fault)).run();
@@ -92,35 +92,35 @@
 
 TEST(DispatchScheduleTest, CheckerCatchesTrustInAReplacedAgent)
 {
-    CHECK(!firstViolation(PlantedFault::TrustReplacedAgent, 500).empty());
+    CHECK(!firstViolation(InjectedFault::TrustReplacedAgent, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesAForgottenTombstone)
 {
-    CHECK(!firstViolation(PlantedFault::ForgetTombstone, 500).empty());
+    CHECK(!firstViolation(InjectedFault::ForgetTombstone, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesARetryOfAnUnknownOutcome)
 {
-    CHECK(!firstViolation(PlantedFault::RetryUnknown, 500).empty());
+    CHECK(!firstViolation(InjectedFault::RetryUnknown, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesALieAboutAWithdrawal)
 {
-    CHECK(!firstViolation(PlantedFault::LieAboutWithdrawal, 500).empty());
+    CHECK(!firstViolation(InjectedFault::LieAboutWithdrawal, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesADroppedTicket)
 {
-    CHECK(!firstViolation(PlantedFault::DropTicket, 500).empty());
+    CHECK(!firstViolation(InjectedFault::DropTicket, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesSwappedAnswers)
 {
-    CHECK(!firstViolation(PlantedFault::SwapAnswers, 500).empty());
+    CHECK(!firstViolation(InjectedFault::SwapAnswers, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesALeavingAgentThatTakesWork)
 {
-    CHECK(!firstViolation(PlantedFault::KeepServingLeaving, 500).empty());
+    CHECK(!firstViolation(InjectedFault::KeepServingLeaving, 500).empty());
 }
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -330,7 +330,7 @@
                 return;
             }
             EntryActions actions;
-            if (options_.fault == PlantedFault::RetryUnknown) {
+            if (options_.fault == InjectedFault::RetryUnknown) {
                 entries_[entry].core->onNotWritten(request, now_, actions);
             } else {
                 entries_[entry].core->onConnectionLost(request, now_, actions);
@@ -455,13 +455,13 @@
     message.deadline = call.deadline;
     message.agentIncarnation = call.agentIncarnation;
     message.callerKey = wanted.key;
-    if (options_.fault != PlantedFault::DropTicket) {
+    if (options_.fault != InjectedFault::DropTicket) {
         message.ticket = wanted.ticket;
     }
     Agent &target = agents_[agent];
     AgentActions actions;
     const AdmissionResult verdict = target.core->onCall(message, now_, wall(), actions);
-    const bool takesLeaving = options_.fault == PlantedFault::KeepServingLeaving && target.leftAt;
+    const bool takesLeaving = options_.fault == InjectedFault::KeepServingLeaving && target.leftAt;
     if (verdict.accepted && listened) {
         atEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict] {
             entries_[entry].core->onAccepted(call.id, verdict.started);
@@ -500,8 +500,8 @@
         Agent &target = agents_[agent];
         AgentActions actions;
         bool notRun = true;
-        if (options_.fault != PlantedFault::ForgetTombstone) {
-            const Incarnation meant = options_.fault == PlantedFault::TrustReplacedAgent
+        if (options_.fault != InjectedFault::ForgetTombstone) {
+            const Incarnation meant = options_.fault == InjectedFault::TrustReplacedAgent
                                           ? target.incarnation
                                           : cancel.agentIncarnation;
             notRun = target.core->onCancel(cancel.id, meant, now_, actions);
@@ -523,7 +523,7 @@
     }
     atAgent(agent, randomDelay(0.5, 200), [this, entry, withdrawal, agent] {
         bool notRun = agents_[agent].core->onWithdraw(withdrawal.id, withdrawal.agentIncarnation);
-        notRun = notRun || options_.fault == PlantedFault::LieAboutWithdrawal;
+        notRun = notRun || options_.fault == InjectedFault::LieAboutWithdrawal;
         moved_ += notRun ? 1 : 0;
         atEntry(entry, withdrawal.id.entry, randomDelay(0.5, 200),
                 [this, entry, withdrawal, notRun] {
@@ -608,7 +608,7 @@
 void DispatchSimulation::sendAnswer(std::size_t agent, RequestId id, int operation)
 {
     RequestId to = id;
-    if (options_.fault == PlantedFault::SwapAnswers && chance(0.1) && id.counter > 1) {
+    if (options_.fault == InjectedFault::SwapAnswers && chance(0.1) && id.counter > 1) {
         --to.counter;
     }
     const std::size_t entry = entryIndex(to.entry);
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -20,7 +20,7 @@
 
 namespace seamarch::test {
 
-enum class PlantedFault {
+enum class InjectedFault {
     None,
     TrustReplacedAgent, // A cancel is answered for whatever incarnation is there.
     ForgetTombstone,    // A cancel is answered 'not run' without being recorded.
@@ -43,7 +43,7 @@
     struct Options
     {
         std::uint64_t seed = 1;
-        PlantedFault fault = PlantedFault::None;
+        InjectedFault fault = InjectedFault::None;
         Scenario scenario = Scenario::Random;
         std::optional<OperationKind> onlyKind;
         int operations = 120;
