--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -92,7 +92,7 @@
 
 TEST(DispatchScheduleTest, CheckerCatchesTrustInAReplacedAgent)
 {
-    CHECK(!firstViolation(InjectedFault::TrustReplacedAgent, 500).empty());
+    CHECK(!firstViolation(InjectedFault::IgnoreIncarnation, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesAForgottenTombstone)
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -501,7 +501,7 @@
         AgentActions actions;
         bool notRun = true;
         if (options_.fault != InjectedFault::ForgetTombstone) {
-            const Incarnation meant = options_.fault == InjectedFault::TrustReplacedAgent
+            const Incarnation meant = options_.fault == InjectedFault::IgnoreIncarnation
                                           ? target.incarnation
                                           : cancel.agentIncarnation;
             notRun = target.core->onCancel(cancel.id, meant, now_, actions);
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -22,7 +22,7 @@
 
 enum class InjectedFault {
     None,
-    TrustReplacedAgent, // A cancel is answered for whatever incarnation is there.
+    IgnoreIncarnation,  // A cancel is answered for whatever incarnation is there.
     ForgetTombstone,    // A cancel is answered 'not run' without being recorded.
     RetryUnknown,       // A lost call counts as never written.
     DropTicket,         // The ticket is taken off on the way.
