--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -97,7 +97,7 @@
 
 TEST(DispatchScheduleTest, CheckerCatchesAForgottenTombstone)
 {
-    CHECK(!firstViolation(InjectedFault::ForgetTombstone, 500).empty());
+    CHECK(!firstViolation(InjectedFault::SkipTombstone, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesARetryOfAnUnknownOutcome)
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -500,7 +500,7 @@
         Agent &target = agents_[agent];
         AgentActions actions;
         bool notRun = true;
-        if (options_.fault != InjectedFault::ForgetTombstone) {
+        if (options_.fault != InjectedFault::SkipTombstone) {
             const Incarnation meant = options_.fault == InjectedFault::IgnoreIncarnation
                                           ? target.incarnation
                                           : cancel.agentIncarnation;
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -23,7 +23,7 @@
 enum class InjectedFault {
     None,
     IgnoreIncarnation,  // A cancel is answered for whatever incarnation is there.
-    ForgetTombstone,    // A cancel is answered 'not run' without being recorded.
+    SkipTombstone,      // A cancel is answered 'not run' without being recorded.
     RetryUnknown,       // A lost call counts as never written.
     DropTicket,         // The ticket is taken off on the way.
     SwapAnswers,        // Now and then an answer goes to another request.
