--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -102,7 +102,7 @@
 
 TEST(DispatchScheduleTest, CheckerCatchesARetryOfAnUnknownOutcome)
 {
-    CHECK(!firstViolation(InjectedFault::RetryUnknown, 500).empty());
+    CHECK(!firstViolation(InjectedFault::RetryUnknownOutcome, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesALieAboutAWithdrawal)
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -330,7 +330,7 @@
                 return;
             }
             EntryActions actions;
-            if (options_.fault == InjectedFault::RetryUnknown) {
+            if (options_.fault == InjectedFault::RetryUnknownOutcome) {
                 entries_[entry].core->onNotWritten(request, now_, actions);
             } else {
                 entries_[entry].core->onConnectionLost(request, now_, actions);
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -22,13 +22,13 @@
 
 enum class InjectedFault {
     None,
-    IgnoreIncarnation,  // A cancel is answered for whatever incarnation is there.
-    SkipTombstone,      // A cancel is answered 'not run' without being recorded.
-    RetryUnknown,       // A lost call counts as never written.
-    DropTicket,         // The ticket is taken off on the way.
-    SwapAnswers,        // Now and then an answer goes to another request.
-    LieAboutWithdrawal, // A request that has started is said to have been given back.
-    KeepServingLeaving, // A leaving agent goes on taking work.
+    IgnoreIncarnation,   // A cancel is answered for whatever incarnation is there.
+    SkipTombstone,       // A cancel is answered 'not run' without being recorded.
+    RetryUnknownOutcome, // A lost call counts as never written.
+    DropTicket,          // The ticket is taken off on the way.
+    SwapAnswers,         // Now and then an answer goes to another request.
+    LieAboutWithdrawal,  // A request that has started is said to have been given back.
+    KeepServingLeaving,  // A leaving agent goes on taking work.
 };
 
 // What goes wrong. Random brings everything about; the others one thing, for measurements.
