--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -107,7 +107,7 @@
 
 TEST(DispatchScheduleTest, CheckerCatchesALieAboutAWithdrawal)
 {
-    CHECK(!firstViolation(InjectedFault::LieAboutWithdrawal, 500).empty());
+    CHECK(!firstViolation(InjectedFault::MisreportWithdrawal, 500).empty());
 }
 
 TEST(DispatchScheduleTest, CheckerCatchesADroppedTicket)
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -523,7 +523,7 @@
     }
     atAgent(agent, randomDelay(0.5, 200), [this, entry, withdrawal, agent] {
         bool notRun = agents_[agent].core->onWithdraw(withdrawal.id, withdrawal.agentIncarnation);
-        notRun = notRun || options_.fault == InjectedFault::LieAboutWithdrawal;
+        notRun = notRun || options_.fault == InjectedFault::MisreportWithdrawal;
         moved_ += notRun ? 1 : 0;
         atEntry(entry, withdrawal.id.entry, randomDelay(0.5, 200),
                 [this, entry, withdrawal, notRun] {
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -27,7 +27,7 @@
     RetryUnknownOutcome, // A lost call counts as never written.
     DropTicket,          // The ticket is taken off on the way.
     SwapAnswers,         // Now and then an answer goes to another request.
-    LieAboutWithdrawal,  // A request that has started is said to have been given back.
+    MisreportWithdrawal, // A request that has started is said to have been given back.
     KeepServingLeaving,  // A leaving agent goes on taking work.
 };
 
