--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -122,5 +122,5 @@
 
 TEST(DispatchScheduleTest, CheckerCatchesALeavingAgentThatTakesWork)
 {
-    CHECK(!firstViolation(InjectedFault::KeepServingLeaving, 500).empty());
+    CHECK(!firstViolation(InjectedFault::AcceptWhileLeaving, 500).empty());
 }
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -461,7 +461,7 @@
     Agent &target = agents_[agent];
     AgentActions actions;
     const AdmissionResult verdict = target.core->onCall(message, now_, wall(), actions);
-    const bool takesLeaving = options_.fault == InjectedFault::KeepServingLeaving && target.leftAt;
+    const bool takesLeaving = options_.fault == InjectedFault::AcceptWhileLeaving && target.leftAt;
     if (verdict.accepted && listened) {
         atEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict] {
             entries_[entry].core->onAccepted(call.id, verdict.started);
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -28,7 +28,7 @@
     DropTicket,          // The ticket is taken off on the way.
     SwapAnswers,         // Now and then an answer goes to another request.
     MisreportWithdrawal, // A request that has started is said to have been given back.
-    KeepServingLeaving,  // A leaving agent goes on taking work.
+    AcceptWhileLeaving,  // A leaving agent goes on taking work.
 };
 
 // What goes wrong. Random brings everything about; the others one thing, for measurements.
