--- a/bench/prooffigures.cpp
+++ b/bench/prooffigures.cpp
@@ -52,9 +52,9 @@
 void addProofFigures(Figures &figures)
 {
     const Row rows[] = {
-        {"plain", OperationKind::Plain, "no_fault", Scenario::Nothing, 0.0},
-        {"ticket", OperationKind::Ticketed, "no_fault", Scenario::Nothing, 0.0},
-        {"key", OperationKind::Keyed, "no_fault", Scenario::Nothing, 0.0},
+        {"plain", OperationKind::Plain, "no_fault", Scenario::NoFaults, 0.0},
+        {"ticket", OperationKind::Ticketed, "no_fault", Scenario::NoFaults, 0.0},
+        {"key", OperationKind::Keyed, "no_fault", Scenario::NoFaults, 0.0},
         {"plain", OperationKind::Plain, "one_death", Scenario::OneDeath, 0.05},
         {"ticket", OperationKind::Ticketed, "one_death", Scenario::OneDeath, 0.5},
         {"key", OperationKind::Keyed, "one_death", Scenario::OneDeath, 2.0},
--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -64,7 +64,7 @@
 TEST(DispatchScheduleTest, AnswersEverythingWhenNothingFails)
 {
     DispatchSimulation::Options options = optionsOf(7);
-    options.scenario = Scenario::Nothing;
+    options.scenario = Scenario::NoFaults;
     DispatchSimulation simulation(options);
 
     const auto violations = simulation.run();
@@ -81,7 +81,7 @@
     // unknown, because a request was moved back to an agent that it had been withdrawn from.
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         DispatchSimulation::Options options = optionsOf(seed);
-        options.scenario = Scenario::Nothing;
+        options.scenario = Scenario::NoFaults;
         options.onlyKind = OperationKind::Plain;
         options.operations = 60;
         DispatchSimulation simulation(options);
