--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -672,7 +672,7 @@
     if (random()) {
         at(TimePoint(std::chrono::seconds(8)), [this] { disturb(); });
     }
-    if (options_.scenario == Scenario::OneDeath) {
+    if (options_.scenario == Scenario::AgentRestart) {
         at(TimePoint(kTroubleAt), [this] {
             startAgent(0);
             loseCalls(0);
