--- a/bench/prooffigures.cpp
+++ b/bench/prooffigures.cpp
@@ -58,9 +58,9 @@
         {"plain", OperationKind::Plain, "one_death", Scenario::AgentRestart, 0.05},
         {"ticket", OperationKind::Ticketed, "one_death", Scenario::AgentRestart, 0.5},
         {"key", OperationKind::Keyed, "one_death", Scenario::AgentRestart, 2.0},
-        {"plain", OperationKind::Plain, "cut", Scenario::Cut, 0.5},
-        {"ticket", OperationKind::Ticketed, "cut", Scenario::Cut, 0.5},
-        {"key", OperationKind::Keyed, "cut", Scenario::Cut, 2.0},
+        {"plain", OperationKind::Plain, "cut", Scenario::Partition, 0.5},
+        {"ticket", OperationKind::Ticketed, "cut", Scenario::Partition, 0.5},
+        {"key", OperationKind::Keyed, "cut", Scenario::Partition, 2.0},
     };
     int violations = 0;
     for (const Row &row : rows) {
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -64,7 +64,7 @@
 {
     const Duration time = now_.time_since_epoch();
     const bool during = time >= kTroubleAt && time < kTroubleAt + kCutLength;
-    return options_.scenario == Scenario::Cut && during && (left == 0) != (right == 0);
+    return options_.scenario == Scenario::Partition && during && (left == 0) != (right == 0);
 }
 
 std::size_t DispatchSimulation::pickIndex(std::size_t size)
@@ -678,7 +678,7 @@
             loseCalls(0);
         });
     }
-    if (options_.scenario == Scenario::Cut) {
+    if (options_.scenario == Scenario::Partition) {
         at(TimePoint(kTroubleAt), [this] { loseCalls(0); });
     }
     while (!events_.empty() && events_.top().at.time_since_epoch() < kEnd) {
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -32,7 +32,7 @@
 };
 
 // What goes wrong. Random brings everything about; the others one thing, for measurements.
-enum class Scenario { Random, NoFaults, AgentRestart, Cut };
+enum class Scenario { Random, NoFaults, AgentRestart, Partition };
 
 // How an operation is kept from running twice.
 enum class OperationKind { Repeatable, Plain, Ticketed, Keyed };
