--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -60,7 +60,7 @@
 }
 
 // The cut parts the first process of each kind from all others.
-bool DispatchSimulation::cut(std::size_t left, std::size_t right) const
+bool DispatchSimulation::isPartitioned(std::size_t left, std::size_t right) const
 {
     const Duration time = now_.time_since_epoch();
     const bool during = time >= kTroubleAt && time < kTroubleAt + kCutLength;
@@ -199,7 +199,7 @@
     const Incarnation meant = entries_[entry].incarnation;
     atEntry(entry, meant, kHeartbeat, [this, entry, agent, meant] {
         const TimePoint askedAt = now_;
-        if (!cut(entry, agent) && (!random() || !chance(0.05))) {
+        if (!isPartitioned(entry, agent) && (!random() || !chance(0.05))) {
             atAgent(agent, randomDelay(0.5, 20), [this, entry, agent, meant, askedAt] {
                 const AgentReport report = agents_[agent].core->report();
                 atEntry(entry, meant, randomDelay(0.5, 20), [this, entry, agent, report, askedAt] {
@@ -224,7 +224,7 @@
         const std::uint64_t set = agents_[index].core->keyMembers().hash;
         const TimePoint askedAt = now_;
         for (std::size_t other = 0; other < agents_.size(); ++other) {
-            if (cut(index, other)) {
+            if (isPartitioned(index, other)) {
                 continue;
             }
             atAgent(other, randomDelay(0.5, 30), [this, index, other, meant, set, askedAt] {
@@ -422,7 +422,7 @@
     }
     agentOf_[call.id] = agent;
     // begin() returns the id after its actions, so the operation is looked up on delivery.
-    const bool lost = cut(entry, agent) || (random() && chance(0.03));
+    const bool lost = isPartitioned(entry, agent) || (random() && chance(0.03));
     const bool doubled = random() && chance(0.05);
     if (!lost) {
         atAgent(agent, randomDelay(0.5, 30),
@@ -493,7 +493,7 @@
 void DispatchSimulation::sendCancel(std::size_t entry, const SendCancel &cancel)
 {
     const std::size_t agent = agentIndex(cancel.agent);
-    if (cut(entry, agent) || (random() && chance(0.1))) {
+    if (isPartitioned(entry, agent) || (random() && chance(0.1))) {
         return;
     }
     atAgent(agent, randomDelay(0.5, 60), [this, entry, cancel, agent] {
@@ -615,7 +615,7 @@
     if (entry == entries_.size()) {
         return;
     }
-    if (cut(entry, agent)) {
+    if (isPartitioned(entry, agent)) {
         return;
     }
     const int copies = random() && chance(0.05) ? 2 : 1;
