--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -199,7 +199,7 @@
     const Incarnation meant = entries_[entry].incarnation;
     atEntry(entry, meant, kHeartbeat, [this, entry, agent, meant] {
         const TimePoint askedAt = now_;
-        if (!isPartitioned(entry, agent) && (!random() || !chance(0.05))) {
+        if (!isPartitioned(entry, agent) && (!randomFaults() || !chance(0.05))) {
             atAgent(agent, randomDelay(0.5, 20), [this, entry, agent, meant, askedAt] {
                 const AgentReport report = agents_[agent].core->report();
                 atEntry(entry, meant, randomDelay(0.5, 20), [this, entry, agent, report, askedAt] {
@@ -422,8 +422,8 @@
     }
     agentOf_[call.id] = agent;
     // begin() returns the id after its actions, so the operation is looked up on delivery.
-    const bool lost = isPartitioned(entry, agent) || (random() && chance(0.03));
-    const bool doubled = random() && chance(0.05);
+    const bool lost = isPartitioned(entry, agent) || (randomFaults() && chance(0.03));
+    const bool doubled = randomFaults() && chance(0.05);
     if (!lost) {
         atAgent(agent, randomDelay(0.5, 30),
                 [this, entry, call, agent] { deliverCall(entry, call, agent, true); });
@@ -493,7 +493,7 @@
 void DispatchSimulation::sendCancel(std::size_t entry, const SendCancel &cancel)
 {
     const std::size_t agent = agentIndex(cancel.agent);
-    if (isPartitioned(entry, agent) || (random() && chance(0.1))) {
+    if (isPartitioned(entry, agent) || (randomFaults() && chance(0.1))) {
         return;
     }
     atAgent(agent, randomDelay(0.5, 60), [this, entry, cancel, agent] {
@@ -518,7 +518,7 @@
 void DispatchSimulation::sendWithdraw(std::size_t entry, const SendWithdraw &withdrawal)
 {
     const std::size_t agent = agentIndex(withdrawal.agent);
-    if (random() && chance(0.1)) {
+    if (randomFaults() && chance(0.1)) {
         return;
     }
     atAgent(agent, randomDelay(0.5, 200), [this, entry, withdrawal, agent] {
@@ -578,7 +578,7 @@
 void DispatchSimulation::runUpstream(std::size_t agent, RequestId id)
 {
     const Incarnation meant = agents_[agent].incarnation;
-    if (random() && chance(0.03)) {
+    if (randomFaults() && chance(0.03)) {
         atAgent(agent, randomDelay(0.1, 5), [this, agent, id, meant] {
             AgentActions actions;
             if (agents_[agent].incarnation == meant) {
@@ -618,7 +618,7 @@
     if (isPartitioned(entry, agent)) {
         return;
     }
-    const int copies = random() && chance(0.05) ? 2 : 1;
+    const int copies = randomFaults() && chance(0.05) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
         atEntry(entry, to.entry, randomDelay(0.5, 100), [this, entry, agent, to, operation] {
             EntryCore &core = *entries_[entry].core;
@@ -669,7 +669,7 @@
            [this, index] { beginOperation(index); });
     }
     tickLoop();
-    if (random()) {
+    if (randomFaults()) {
         at(TimePoint(std::chrono::seconds(8)), [this] { disturb(); });
     }
     if (options_.scenario == Scenario::AgentRestart) {
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -109,7 +109,7 @@
     }
     Duration randomDelay(double lowMs, double highMs);
     bool chance(double probability);
-    bool random() const { return options_.scenario == Scenario::Random; }
+    bool randomFaults() const { return options_.scenario == Scenario::Random; }
     bool isPartitioned(std::size_t left, std::size_t right) const;
     std::size_t pickIndex(std::size_t size);
     WallMillis wall() const;
