--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kEnd = std::chrono::seconds(60);
 constexpr Duration kQuietFrom = std::chrono::seconds(40); // Nothing fails from here on.
 constexpr int kMaxAttempts = 5;
-constexpr Duration kTroubleAt = std::chrono::seconds(14);
+constexpr Duration kFaultTime = std::chrono::seconds(14);
 constexpr Duration kCutLength = std::chrono::seconds(5);
 const TargetName kTarget("portal");
 const HallId kHall("north");
@@ -63,7 +63,7 @@
 bool DispatchSimulation::isPartitioned(std::size_t left, std::size_t right) const
 {
     const Duration time = now_.time_since_epoch();
-    const bool during = time >= kTroubleAt && time < kTroubleAt + kCutLength;
+    const bool during = time >= kFaultTime && time < kFaultTime + kCutLength;
     return options_.scenario == Scenario::Partition && during && (left == 0) != (right == 0);
 }
 
@@ -673,13 +673,13 @@
         at(TimePoint(std::chrono::seconds(8)), [this] { disturb(); });
     }
     if (options_.scenario == Scenario::AgentRestart) {
-        at(TimePoint(kTroubleAt), [this] {
+        at(TimePoint(kFaultTime), [this] {
             startAgent(0);
             loseCalls(0);
         });
     }
     if (options_.scenario == Scenario::Partition) {
-        at(TimePoint(kTroubleAt), [this] { loseCalls(0); });
+        at(TimePoint(kFaultTime), [this] { loseCalls(0); });
     }
     while (!events_.empty() && events_.top().at.time_since_epoch() < kEnd) {
         const Event event = events_.top();
