--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kQuietFrom = std::chrono::seconds(40); // Nothing fails from here on.
 constexpr int kMaxAttempts = 5;
 constexpr Duration kFaultTime = std::chrono::seconds(14);
-constexpr Duration kCutLength = std::chrono::seconds(5);
+constexpr Duration kPartitionLength = std::chrono::seconds(5);
 const TargetName kTarget("portal");
 const HallId kHall("north");
 const AccountId kAccount("bids");
@@ -63,7 +63,7 @@
 bool DispatchSimulation::isPartitioned(std::size_t left, std::size_t right) const
 {
     const Duration time = now_.time_since_epoch();
-    const bool during = time >= kFaultTime && time < kFaultTime + kCutLength;
+    const bool during = time >= kFaultTime && time < kFaultTime + kPartitionLength;
     return options_.scenario == Scenario::Partition && during && (left == 0) != (right == 0);
 }
 
