--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -9,7 +9,7 @@
 constexpr Duration kLease = std::chrono::seconds(3);
 constexpr Duration kHeartbeat = std::chrono::milliseconds(500);
 constexpr Duration kEnd = std::chrono::seconds(60);
-constexpr Duration kQuietFrom = std::chrono::seconds(40); // Nothing fails from here on.
+constexpr Duration kNoFaultsFrom = std::chrono::seconds(40); // Nothing fails from here on.
 constexpr int kMaxAttempts = 5;
 constexpr Duration kFaultTime = std::chrono::seconds(14);
 constexpr Duration kPartitionLength = std::chrono::seconds(5);
@@ -265,7 +265,7 @@
 // Something fails every second or so.
 void DispatchSimulation::disturb()
 {
-    if (now_.time_since_epoch() > kQuietFrom) {
+    if (now_.time_since_epoch() > kNoFaultsFrom) {
         return;
     }
     const std::size_t agent = pickIndex(agents_.size());
