--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -8,7 +8,7 @@
 
 constexpr Duration kLease = std::chrono::seconds(3);
 constexpr Duration kHeartbeat = std::chrono::milliseconds(500);
-constexpr Duration kEnd = std::chrono::seconds(60);
+constexpr Duration kSimulationEnd = std::chrono::seconds(60);
 constexpr Duration kNoFaultsFrom = std::chrono::seconds(40); // Nothing fails from here on.
 constexpr int kMaxAttempts = 5;
 constexpr Duration kFaultTime = std::chrono::seconds(14);
@@ -681,7 +681,7 @@
     if (options_.scenario == Scenario::Partition) {
         at(TimePoint(kFaultTime), [this] { loseCalls(0); });
     }
-    while (!events_.empty() && events_.top().at.time_since_epoch() < kEnd) {
+    while (!events_.empty() && events_.top().at.time_since_epoch() < kSimulationEnd) {
         const Event event = events_.top();
         events_.pop();
         now_ = event.at;
