--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -263,7 +263,7 @@
 }
 
 // Something fails every second or so.
-void DispatchSimulation::disturb()
+void DispatchSimulation::injectFault()
 {
     if (now_.time_since_epoch() > kNoFaultsFrom) {
         return;
@@ -311,7 +311,7 @@
     default:
         break;
     }
-    after(randomDelay(300, 1500), [this] { disturb(); });
+    after(randomDelay(300, 1500), [this] { injectFault(); });
 }
 
 void DispatchSimulation::loseCalls(std::size_t agent)
@@ -670,7 +670,7 @@
     }
     tickLoop();
     if (randomFaults()) {
-        at(TimePoint(std::chrono::seconds(8)), [this] { disturb(); });
+        at(TimePoint(std::chrono::seconds(8)), [this] { injectFault(); });
     }
     if (options_.scenario == Scenario::AgentRestart) {
         at(TimePoint(kFaultTime), [this] {
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -122,7 +122,7 @@
     void heartbeatLoop(std::size_t entry, std::size_t agent);
     void grantLoop(std::size_t agent);
     void tickLoop();
-    void disturb();
+    void injectFault();
 
     // Runs `action` at the process when it is not paused; drops it when the incarnation is gone.
     void atEntry(std::size_t entry, Incarnation meant, Duration delay,
