--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -105,7 +105,7 @@
 }
 
 // The list drops an agent that may well live, or takes it back; every process hears of it late.
-void DispatchSimulation::relist()
+void DispatchSimulation::changeList()
 {
     if (delisted_) {
         delisted_.reset();
@@ -306,7 +306,7 @@
         }
         break;
     case 6:
-        relist();
+        changeList();
         break;
     default:
         break;
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -117,7 +117,7 @@
     void startEntry(std::size_t entry);
     void startAgent(std::size_t agent);
     void publishList();
-    void relist();
+    void changeList();
     void applyMembers(std::size_t agent, const InstanceList &list);
     void heartbeatLoop(std::size_t entry, std::size_t agent);
     void grantLoop(std::size_t agent);
