--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -274,7 +274,7 @@
     case 0: // An agent is killed and replaced.
         agents_[agent].pausedUntil = {};
         startAgent(agent);
-        loseCalls(agent);
+        breakConnections(agent);
         break;
     case 1: // An agent is paused and wakes late.
         agents_[agent].pausedUntil = now_ + randomDelay(100, 8000);
@@ -291,7 +291,7 @@
         startEntry(entry);
         break;
     case 4: // The connections to an agent break while both sides live.
-        loseCalls(agent);
+        breakConnections(agent);
         break;
     case 5: // An agent is told to leave, and its replacement comes later.
         if (!agents_[agent].leftAt) {
@@ -301,7 +301,7 @@
             carryOut(agent, actions);
             after(randomDelay(6000, 9000), [this, agent] {
                 startAgent(agent);
-                loseCalls(agent);
+                breakConnections(agent);
             });
         }
         break;
@@ -314,7 +314,7 @@
     after(randomDelay(300, 1500), [this] { injectFault(); });
 }
 
-void DispatchSimulation::loseCalls(std::size_t agent)
+void DispatchSimulation::breakConnections(std::size_t agent)
 {
     for (const auto &[id, index] : agentOf_) {
         if (index != agent) {
@@ -675,11 +675,11 @@
     if (options_.scenario == Scenario::AgentRestart) {
         at(TimePoint(kFaultTime), [this] {
             startAgent(0);
-            loseCalls(0);
+            breakConnections(0);
         });
     }
     if (options_.scenario == Scenario::Partition) {
-        at(TimePoint(kFaultTime), [this] { loseCalls(0); });
+        at(TimePoint(kFaultTime), [this] { breakConnections(0); });
     }
     while (!events_.empty() && events_.top().at.time_since_epoch() < kSimulationEnd) {
         const Event event = events_.top();
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -141,7 +141,7 @@
     void runUpstream(std::size_t agent, RequestId id);
     void sendAnswer(std::size_t agent, RequestId id, int operation);
     void onFailed(const FailRequest &failure, int operation);
-    void loseCalls(std::size_t agent);
+    void breakConnections(std::size_t agent);
     std::size_t agentIndex(const InstanceId &id) const;
     std::size_t entryIndex(Incarnation incarnation) const;
     void violate(const std::string &what) { violations_.push_back(what); }
