--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -417,8 +417,8 @@
     const Agent &target = agents_[agent];
     const bool left = target.leftAt && target.incarnation == call.agentIncarnation;
     if (left && now_ > *target.leftAt + kLease + kHeartbeat) {
-        violate(fmt::format("request {} sent to an agent that left {} s ago", call.id.counter,
-                            toSeconds(now_ - *target.leftAt)));
+        addViolation(fmt::format("request {} sent to an agent that left {} s ago", call.id.counter,
+                                 toSeconds(now_ - *target.leftAt)));
     }
     agentOf_[call.id] = agent;
     // begin() returns the id after its actions, so the operation is looked up on delivery.
@@ -470,7 +470,7 @@
     if (verdict.accepted || takesLeaving) {
         target.jobs.emplace(call.id, operation);
         if (target.leftAt) {
-            violate(fmt::format("a leaving agent took request {}", call.id.counter));
+            addViolation(fmt::format("a leaving agent took request {}", call.id.counter));
         }
         carryOut(agent, actions);
         return;
@@ -592,7 +592,7 @@
     ++runsOf_[id];
     ++operations_[static_cast<std::size_t>(operation)].runs;
     if (toldNotRun_.contains(id)) {
-        violate(fmt::format("request {} ran after its caller was told 'not run'", id.counter));
+        addViolation(fmt::format("request {} ran after its caller was told 'not run'", id.counter));
     }
     atAgent(agent, randomDelay(50, 1200), [this, agent, id, meant, operation] {
         if (agents_[agent].incarnation != meant) {
@@ -626,7 +626,7 @@
                 return;
             }
             if (operationOf_.at(to) != operation) {
-                violate(fmt::format("request {} got another's answer", to.counter));
+                addViolation(fmt::format("request {} got another's answer", to.counter));
             }
             core.onComplete(to, agents_[agent].id, now_);
             agentOf_.erase(to);
@@ -643,8 +643,8 @@
         ++notRun_;
         toldNotRun_.insert(failure.id);
         if (runsOf_[failure.id] > 0) {
-            violate(fmt::format("request {} ran and its caller was told 'not run' ({})",
-                                failure.id.counter, toString(failure.failure)));
+            addViolation(fmt::format("request {} ran and its caller was told 'not run' ({})",
+                                     failure.id.counter, toString(failure.failure)));
         }
     } else {
         ++unknown_;
@@ -690,8 +690,8 @@
     for (std::size_t index = 0; index < operations_.size(); ++index) {
         const Operation &operation = operations_[index];
         if (operation.kind != OperationKind::Repeatable && operation.runs > 1) {
-            violate(fmt::format("operation {} of kind {} ran {} times", index,
-                                static_cast<int>(operation.kind), operation.runs));
+            addViolation(fmt::format("operation {} of kind {} ran {} times", index,
+                                     static_cast<int>(operation.kind), operation.runs));
         }
     }
     return violations_;
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -144,7 +144,7 @@
     void breakConnections(std::size_t agent);
     std::size_t agentIndex(const InstanceId &id) const;
     std::size_t entryIndex(Incarnation incarnation) const;
-    void violate(const std::string &what) { violations_.push_back(what); }
+    void addViolation(const std::string &what) { violations_.push_back(what); }
 
     Options options_;
     std::mt19937_64 random_;
