--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -284,7 +284,7 @@
         break;
     case 3: // An entry is killed and replaced; its callers see broken connections.
         for (const auto &[id, operation] : operationOf_) {
-            if (id.entry == entries_[entry].incarnation && !toldNotRun_.contains(id)) {
+            if (id.entry == entries_[entry].incarnation && !reportedNotRun_.contains(id)) {
                 onFailed({id, FailureCode::UpstreamUnreachable, Outcome::Unknown, {}}, operation);
             }
         }
@@ -591,7 +591,7 @@
     const int operation = operationOf_.at(id);
     ++runsOf_[id];
     ++operations_[static_cast<std::size_t>(operation)].runs;
-    if (toldNotRun_.contains(id)) {
+    if (reportedNotRun_.contains(id)) {
         addViolation(fmt::format("request {} ran after its caller was told 'not run'", id.counter));
     }
     atAgent(agent, randomDelay(50, 1200), [this, agent, id, meant, operation] {
@@ -641,7 +641,7 @@
     agentOf_.erase(failure.id);
     if (failure.outcome == Outcome::NotRun) {
         ++notRun_;
-        toldNotRun_.insert(failure.id);
+        reportedNotRun_.insert(failure.id);
         if (runsOf_[failure.id] > 0) {
             addViolation(fmt::format("request {} ran and its caller was told 'not run' ({})",
                                      failure.id.counter, toString(failure.failure)));
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -158,7 +158,7 @@
     std::map<RequestId, int> operationOf_;
     std::map<RequestId, int> runsOf_;
     std::map<RequestId, std::size_t> agentOf_;
-    std::set<RequestId> toldNotRun_;
+    std::set<RequestId> reportedNotRun_;
     std::vector<InstanceList> lists_; // Every list that was published.
     std::optional<std::size_t> delisted_;
     std::vector<std::string> violations_;
