--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -165,16 +165,16 @@
     grantLoop(index);
 }
 
-void DispatchSimulation::atEntry(std::size_t index, Incarnation meant, Duration delay,
+void DispatchSimulation::atEntry(std::size_t index, Incarnation targetIncarnation, Duration delay,
                                  const std::function<void()> &action)
 {
-    after(delay, [this, index, meant, action] {
+    after(delay, [this, index, targetIncarnation, action] {
         const Entry &entry = entries_[index];
-        if (entry.incarnation != meant) {
+        if (entry.incarnation != targetIncarnation) {
             return;
         }
         if (now_ < entry.pausedUntil) {
-            atEntry(index, meant, entry.pausedUntil - now_, action);
+            atEntry(index, targetIncarnation, entry.pausedUntil - now_, action);
             return;
         }
         action();
@@ -196,18 +196,19 @@
 
 void DispatchSimulation::heartbeatLoop(std::size_t entry, std::size_t agent)
 {
-    const Incarnation meant = entries_[entry].incarnation;
-    atEntry(entry, meant, kHeartbeat, [this, entry, agent, meant] {
+    const Incarnation targetIncarnation = entries_[entry].incarnation;
+    atEntry(entry, targetIncarnation, kHeartbeat, [this, entry, agent, targetIncarnation] {
         const TimePoint askedAt = now_;
         if (!isPartitioned(entry, agent) && (!randomFaults() || !chance(0.05))) {
-            atAgent(agent, randomDelay(0.5, 20), [this, entry, agent, meant, askedAt] {
+            atAgent(agent, randomDelay(0.5, 20), [this, entry, agent, targetIncarnation, askedAt] {
                 const AgentReport report = agents_[agent].core->report();
-                atEntry(entry, meant, randomDelay(0.5, 20), [this, entry, agent, report, askedAt] {
-                    EntryActions actions;
-                    entries_[entry].core->onReport(agents_[agent].id, report, askedAt, now_,
-                                                   actions);
-                    carryOut(entry, actions);
-                });
+                atEntry(entry, targetIncarnation, randomDelay(0.5, 20),
+                        [this, entry, agent, report, askedAt] {
+                            EntryActions actions;
+                            entries_[entry].core->onReport(agents_[agent].id, report, askedAt, now_,
+                                                           actions);
+                            carryOut(entry, actions);
+                        });
             });
         }
         heartbeatLoop(entry, agent);
@@ -216,9 +217,9 @@
 
 void DispatchSimulation::grantLoop(std::size_t index)
 {
-    const Incarnation meant = agents_[index].incarnation;
-    atAgent(index, kHeartbeat, [this, index, meant] {
-        if (agents_[index].incarnation != meant) {
+    const Incarnation targetIncarnation = agents_[index].incarnation;
+    atAgent(index, kHeartbeat, [this, index, targetIncarnation] {
+        if (agents_[index].incarnation != targetIncarnation) {
             return;
         }
         const std::uint64_t set = agents_[index].core->keyMembers().hash;
@@ -227,17 +228,20 @@
             if (isPartitioned(index, other)) {
                 continue;
             }
-            atAgent(other, randomDelay(0.5, 30), [this, index, other, meant, set, askedAt] {
-                if (!agents_[other].core->onGrantRequest(set, now_)) {
-                    return;
-                }
-                atAgent(index, randomDelay(0.5, 30), [this, index, other, meant, set, askedAt] {
-                    Agent &asker = agents_[index];
-                    if (asker.incarnation == meant) {
-                        asker.core->onGranted(agents_[other].id, set, askedAt, now_, wall());
-                    }
-                });
-            });
+            atAgent(other, randomDelay(0.5, 30),
+                    [this, index, other, targetIncarnation, set, askedAt] {
+                        if (!agents_[other].core->onGrantRequest(set, now_)) {
+                            return;
+                        }
+                        atAgent(index, randomDelay(0.5, 30),
+                                [this, index, other, targetIncarnation, set, askedAt] {
+                                    Agent &asker = agents_[index];
+                                    if (asker.incarnation == targetIncarnation) {
+                                        asker.core->onGranted(agents_[other].id, set, askedAt, now_,
+                                                              wall());
+                                    }
+                                });
+                    });
         }
         grantLoop(index);
     });
@@ -501,10 +505,10 @@
         AgentActions actions;
         bool notRun = true;
         if (options_.fault != InjectedFault::SkipTombstone) {
-            const Incarnation meant = options_.fault == InjectedFault::IgnoreIncarnation
-                                          ? target.incarnation
-                                          : cancel.agentIncarnation;
-            notRun = target.core->onCancel(cancel.id, meant, now_, actions);
+            const Incarnation targetIncarnation = options_.fault == InjectedFault::IgnoreIncarnation
+                                                      ? target.incarnation
+                                                      : cancel.agentIncarnation;
+            notRun = target.core->onCancel(cancel.id, targetIncarnation, now_, actions);
         }
         carryOut(agent, actions);
         atEntry(entry, cancel.id.entry, randomDelay(0.5, 60), [this, entry, cancel, notRun] {
@@ -577,11 +581,11 @@
 
 void DispatchSimulation::runUpstream(std::size_t agent, RequestId id)
 {
-    const Incarnation meant = agents_[agent].incarnation;
+    const Incarnation targetIncarnation = agents_[agent].incarnation;
     if (randomFaults() && chance(0.03)) {
-        atAgent(agent, randomDelay(0.1, 5), [this, agent, id, meant] {
+        atAgent(agent, randomDelay(0.1, 5), [this, agent, id, targetIncarnation] {
             AgentActions actions;
-            if (agents_[agent].incarnation == meant) {
+            if (agents_[agent].incarnation == targetIncarnation) {
                 agents_[agent].core->onNotStarted(id, now_, actions);
                 carryOut(agent, actions);
             }
@@ -594,8 +598,8 @@
     if (reportedNotRun_.contains(id)) {
         addViolation(fmt::format("request {} ran after its caller was told 'not run'", id.counter));
     }
-    atAgent(agent, randomDelay(50, 1200), [this, agent, id, meant, operation] {
-        if (agents_[agent].incarnation != meant) {
+    atAgent(agent, randomDelay(50, 1200), [this, agent, id, targetIncarnation, operation] {
+        if (agents_[agent].incarnation != targetIncarnation) {
             return;
         }
         AgentActions actions;
