--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -118,8 +118,8 @@
         atAgent(index, randomDelay(10, 9000), [this, index, list] { applyMembers(index, list); });
     }
     for (std::size_t index = 0; index < entries_.size(); ++index) {
-        atEntry(index, entries_[index].incarnation, randomDelay(10, 9000),
-                [this, index, list] { entries_[index].core->applyList(list); });
+        runAtEntry(index, entries_[index].incarnation, randomDelay(10, 9000),
+                   [this, index, list] { entries_[index].core->applyList(list); });
     }
 }
 
@@ -165,8 +165,8 @@
     grantLoop(index);
 }
 
-void DispatchSimulation::atEntry(std::size_t index, Incarnation targetIncarnation, Duration delay,
-                                 const std::function<void()> &action)
+void DispatchSimulation::runAtEntry(std::size_t index, Incarnation targetIncarnation,
+                                    Duration delay, const std::function<void()> &action)
 {
     after(delay, [this, index, targetIncarnation, action] {
         const Entry &entry = entries_[index];
@@ -174,7 +174,7 @@
             return;
         }
         if (now_ < entry.pausedUntil) {
-            atEntry(index, targetIncarnation, entry.pausedUntil - now_, action);
+            runAtEntry(index, targetIncarnation, entry.pausedUntil - now_, action);
             return;
         }
         action();
@@ -197,18 +197,18 @@
 void DispatchSimulation::heartbeatLoop(std::size_t entry, std::size_t agent)
 {
     const Incarnation targetIncarnation = entries_[entry].incarnation;
-    atEntry(entry, targetIncarnation, kHeartbeat, [this, entry, agent, targetIncarnation] {
+    runAtEntry(entry, targetIncarnation, kHeartbeat, [this, entry, agent, targetIncarnation] {
         const TimePoint askedAt = now_;
         if (!isPartitioned(entry, agent) && (!randomFaults() || !chance(0.05))) {
             atAgent(agent, randomDelay(0.5, 20), [this, entry, agent, targetIncarnation, askedAt] {
                 const AgentReport report = agents_[agent].core->report();
-                atEntry(entry, targetIncarnation, randomDelay(0.5, 20),
-                        [this, entry, agent, report, askedAt] {
-                            EntryActions actions;
-                            entries_[entry].core->onReport(agents_[agent].id, report, askedAt, now_,
-                                                           actions);
-                            carryOut(entry, actions);
-                        });
+                runAtEntry(entry, targetIncarnation, randomDelay(0.5, 20),
+                           [this, entry, agent, report, askedAt] {
+                               EntryActions actions;
+                               entries_[entry].core->onReport(agents_[agent].id, report, askedAt,
+                                                              now_, actions);
+                               carryOut(entry, actions);
+                           });
             });
         }
         heartbeatLoop(entry, agent);
@@ -328,7 +328,7 @@
         if (entry == entries_.size()) {
             continue;
         }
-        atEntry(entry, id.entry, randomDelay(0.1, 200), [this, entry, request = id, agent] {
+        runAtEntry(entry, id.entry, randomDelay(0.1, 200), [this, entry, request = id, agent] {
             const auto current = agentOf_.find(request);
             if (current == agentOf_.end() || current->second != agent) {
                 return;
@@ -438,7 +438,7 @@
                 [this, entry, call, agent] { deliverCall(entry, call, agent, false); });
     }
     if (lost) {
-        atEntry(entry, call.id.entry, randomDelay(10, 500), [this, entry, call] {
+        runAtEntry(entry, call.id.entry, randomDelay(10, 500), [this, entry, call] {
             EntryActions actions;
             entries_[entry].core->onConnectionLost(call.id, now_, actions);
             carryOut(entry, actions);
@@ -467,7 +467,7 @@
     const AdmissionResult verdict = target.core->onCall(message, now_, wall(), actions);
     const bool takesLeaving = options_.fault == InjectedFault::AcceptWhileLeaving && target.leftAt;
     if (verdict.accepted && listened) {
-        atEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict] {
+        runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict] {
             entries_[entry].core->onAccepted(call.id, verdict.started);
         });
     }
@@ -482,7 +482,7 @@
     if (!listened) {
         return;
     }
-    atEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict, agent] {
+    runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict, agent] {
         const auto current = agentOf_.find(call.id);
         if (current == agentOf_.end() || current->second != agent) {
             return;
@@ -511,7 +511,7 @@
             notRun = target.core->onCancel(cancel.id, targetIncarnation, now_, actions);
         }
         carryOut(agent, actions);
-        atEntry(entry, cancel.id.entry, randomDelay(0.5, 60), [this, entry, cancel, notRun] {
+        runAtEntry(entry, cancel.id.entry, randomDelay(0.5, 60), [this, entry, cancel, notRun] {
             EntryActions entryActions;
             entries_[entry].core->onCancelled(cancel.id, notRun, now_, entryActions);
             carryOut(entry, entryActions);
@@ -529,20 +529,20 @@
         bool notRun = agents_[agent].core->onWithdraw(withdrawal.id, withdrawal.agentIncarnation);
         notRun = notRun || options_.fault == InjectedFault::MisreportWithdrawal;
         moved_ += notRun ? 1 : 0;
-        atEntry(entry, withdrawal.id.entry, randomDelay(0.5, 200),
-                [this, entry, withdrawal, notRun] {
-                    EntryActions actions;
-                    entries_[entry].core->onWithdrawn(withdrawal.id, withdrawal.agent, notRun, now_,
-                                                      actions);
-                    carryOut(entry, actions);
-                });
+        runAtEntry(entry, withdrawal.id.entry, randomDelay(0.5, 200),
+                   [this, entry, withdrawal, notRun] {
+                       EntryActions actions;
+                       entries_[entry].core->onWithdrawn(withdrawal.id, withdrawal.agent, notRun,
+                                                         now_, actions);
+                       carryOut(entry, actions);
+                   });
     });
 }
 
 void DispatchSimulation::announceFree(std::size_t agent)
 {
     const std::size_t entry = pickIndex(entries_.size());
-    atEntry(entry, entries_[entry].incarnation, randomDelay(0.5, 100), [this, entry, agent] {
+    runAtEntry(entry, entries_[entry].incarnation, randomDelay(0.5, 100), [this, entry, agent] {
         EntryActions actions;
         entries_[entry].core->onFree(agents_[agent].id, agents_[agent].core->report(), now_,
                                      actions);
@@ -564,17 +564,17 @@
             if (entry == entries_.size()) {
                 continue;
             }
-            atEntry(entry, report->id.entry, randomDelay(0.5, 30),
-                    [this, entry, agent, told = *report] {
-                        const auto current = agentOf_.find(told.id);
-                        if (current == agentOf_.end() || current->second != agent) {
-                            return;
-                        }
-                        EntryActions entryActions;
-                        entries_[entry].core->onRefused(told.id, told.failure, Outcome::NotRun,
-                                                        told.retryAfter, now_, entryActions);
-                        carryOut(entry, entryActions);
-                    });
+            runAtEntry(entry, report->id.entry, randomDelay(0.5, 30),
+                       [this, entry, agent, told = *report] {
+                           const auto current = agentOf_.find(told.id);
+                           if (current == agentOf_.end() || current->second != agent) {
+                               return;
+                           }
+                           EntryActions entryActions;
+                           entries_[entry].core->onRefused(told.id, told.failure, Outcome::NotRun,
+                                                           told.retryAfter, now_, entryActions);
+                           carryOut(entry, entryActions);
+                       });
         }
     }
 }
@@ -624,7 +624,7 @@
     }
     const int copies = randomFaults() && chance(0.05) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
-        atEntry(entry, to.entry, randomDelay(0.5, 100), [this, entry, agent, to, operation] {
+        runAtEntry(entry, to.entry, randomDelay(0.5, 100), [this, entry, agent, to, operation] {
             EntryCore &core = *entries_[entry].core;
             if (!core.onAnswer(to, agents_[agent].id)) {
                 return;
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -125,8 +125,8 @@
     void injectFault();
 
     // Runs `action` at the process when it is not paused; drops it when the incarnation is gone.
-    void atEntry(std::size_t entry, Incarnation targetIncarnation, Duration delay,
-                 const std::function<void()> &action);
+    void runAtEntry(std::size_t entry, Incarnation targetIncarnation, Duration delay,
+                    const std::function<void()> &action);
     void atAgent(std::size_t agent, Duration delay, const std::function<void()> &action);
 
     void beginOperation(int operation);
