--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -115,7 +115,8 @@
     publishList();
     const InstanceList list = lists_.back();
     for (std::size_t index = 0; index < agents_.size(); ++index) {
-        atAgent(index, randomDelay(10, 9000), [this, index, list] { applyMembers(index, list); });
+        runAtAgent(index, randomDelay(10, 9000),
+                   [this, index, list] { applyMembers(index, list); });
     }
     for (std::size_t index = 0; index < entries_.size(); ++index) {
         runAtEntry(index, entries_[index].incarnation, randomDelay(10, 9000),
@@ -181,13 +182,13 @@
     });
 }
 
-void DispatchSimulation::atAgent(std::size_t index, Duration delay,
-                                 const std::function<void()> &action)
+void DispatchSimulation::runAtAgent(std::size_t index, Duration delay,
+                                    const std::function<void()> &action)
 {
     after(delay, [this, index, action] {
         const Agent &agent = agents_[index];
         if (now_ < agent.pausedUntil) {
-            atAgent(index, agent.pausedUntil - now_, action);
+            runAtAgent(index, agent.pausedUntil - now_, action);
             return;
         }
         action();
@@ -200,16 +201,17 @@
     runAtEntry(entry, targetIncarnation, kHeartbeat, [this, entry, agent, targetIncarnation] {
         const TimePoint askedAt = now_;
         if (!isPartitioned(entry, agent) && (!randomFaults() || !chance(0.05))) {
-            atAgent(agent, randomDelay(0.5, 20), [this, entry, agent, targetIncarnation, askedAt] {
-                const AgentReport report = agents_[agent].core->report();
-                runAtEntry(entry, targetIncarnation, randomDelay(0.5, 20),
-                           [this, entry, agent, report, askedAt] {
-                               EntryActions actions;
-                               entries_[entry].core->onReport(agents_[agent].id, report, askedAt,
-                                                              now_, actions);
-                               carryOut(entry, actions);
-                           });
-            });
+            runAtAgent(agent, randomDelay(0.5, 20),
+                       [this, entry, agent, targetIncarnation, askedAt] {
+                           const AgentReport report = agents_[agent].core->report();
+                           runAtEntry(entry, targetIncarnation, randomDelay(0.5, 20),
+                                      [this, entry, agent, report, askedAt] {
+                                          EntryActions actions;
+                                          entries_[entry].core->onReport(agents_[agent].id, report,
+                                                                         askedAt, now_, actions);
+                                          carryOut(entry, actions);
+                                      });
+                       });
         }
         heartbeatLoop(entry, agent);
     });
@@ -218,7 +220,7 @@
 void DispatchSimulation::grantLoop(std::size_t index)
 {
     const Incarnation targetIncarnation = agents_[index].incarnation;
-    atAgent(index, kHeartbeat, [this, index, targetIncarnation] {
+    runAtAgent(index, kHeartbeat, [this, index, targetIncarnation] {
         if (agents_[index].incarnation != targetIncarnation) {
             return;
         }
@@ -228,20 +230,20 @@
             if (isPartitioned(index, other)) {
                 continue;
             }
-            atAgent(other, randomDelay(0.5, 30),
-                    [this, index, other, targetIncarnation, set, askedAt] {
-                        if (!agents_[other].core->onGrantRequest(set, now_)) {
-                            return;
-                        }
-                        atAgent(index, randomDelay(0.5, 30),
-                                [this, index, other, targetIncarnation, set, askedAt] {
-                                    Agent &asker = agents_[index];
-                                    if (asker.incarnation == targetIncarnation) {
-                                        asker.core->onGranted(agents_[other].id, set, askedAt, now_,
-                                                              wall());
-                                    }
-                                });
-                    });
+            runAtAgent(other, randomDelay(0.5, 30),
+                       [this, index, other, targetIncarnation, set, askedAt] {
+                           if (!agents_[other].core->onGrantRequest(set, now_)) {
+                               return;
+                           }
+                           runAtAgent(index, randomDelay(0.5, 30),
+                                      [this, index, other, targetIncarnation, set, askedAt] {
+                                          Agent &asker = agents_[index];
+                                          if (asker.incarnation == targetIncarnation) {
+                                              asker.core->onGranted(agents_[other].id, set, askedAt,
+                                                                    now_, wall());
+                                          }
+                                      });
+                       });
         }
         grantLoop(index);
     });
@@ -429,13 +431,13 @@
     const bool lost = isPartitioned(entry, agent) || (randomFaults() && chance(0.03));
     const bool doubled = randomFaults() && chance(0.05);
     if (!lost) {
-        atAgent(agent, randomDelay(0.5, 30),
-                [this, entry, call, agent] { deliverCall(entry, call, agent, true); });
+        runAtAgent(agent, randomDelay(0.5, 30),
+                   [this, entry, call, agent] { deliverCall(entry, call, agent, true); });
     }
     if (doubled) {
         // The answer to a late copy comes on a connection that nobody listens to any more.
-        atAgent(agent, randomDelay(0.5, 4000),
-                [this, entry, call, agent] { deliverCall(entry, call, agent, false); });
+        runAtAgent(agent, randomDelay(0.5, 4000),
+                   [this, entry, call, agent] { deliverCall(entry, call, agent, false); });
     }
     if (lost) {
         runAtEntry(entry, call.id.entry, randomDelay(10, 500), [this, entry, call] {
@@ -500,7 +502,7 @@
     if (isPartitioned(entry, agent) || (randomFaults() && chance(0.1))) {
         return;
     }
-    atAgent(agent, randomDelay(0.5, 60), [this, entry, cancel, agent] {
+    runAtAgent(agent, randomDelay(0.5, 60), [this, entry, cancel, agent] {
         Agent &target = agents_[agent];
         AgentActions actions;
         bool notRun = true;
@@ -525,7 +527,7 @@
     if (randomFaults() && chance(0.1)) {
         return;
     }
-    atAgent(agent, randomDelay(0.5, 200), [this, entry, withdrawal, agent] {
+    runAtAgent(agent, randomDelay(0.5, 200), [this, entry, withdrawal, agent] {
         bool notRun = agents_[agent].core->onWithdraw(withdrawal.id, withdrawal.agentIncarnation);
         notRun = notRun || options_.fault == InjectedFault::MisreportWithdrawal;
         moved_ += notRun ? 1 : 0;
@@ -583,7 +585,7 @@
 {
     const Incarnation targetIncarnation = agents_[agent].incarnation;
     if (randomFaults() && chance(0.03)) {
-        atAgent(agent, randomDelay(0.1, 5), [this, agent, id, targetIncarnation] {
+        runAtAgent(agent, randomDelay(0.1, 5), [this, agent, id, targetIncarnation] {
             AgentActions actions;
             if (agents_[agent].incarnation == targetIncarnation) {
                 agents_[agent].core->onNotStarted(id, now_, actions);
@@ -598,7 +600,7 @@
     if (reportedNotRun_.contains(id)) {
         addViolation(fmt::format("request {} ran after its caller was told 'not run'", id.counter));
     }
-    atAgent(agent, randomDelay(50, 1200), [this, agent, id, targetIncarnation, operation] {
+    runAtAgent(agent, randomDelay(50, 1200), [this, agent, id, targetIncarnation, operation] {
         if (agents_[agent].incarnation != targetIncarnation) {
             return;
         }
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -127,7 +127,7 @@
     // Runs `action` at the process when it is not paused; drops it when the incarnation is gone.
     void runAtEntry(std::size_t entry, Incarnation targetIncarnation, Duration delay,
                     const std::function<void()> &action);
-    void atAgent(std::size_t agent, Duration delay, const std::function<void()> &action);
+    void runAtAgent(std::size_t agent, Duration delay, const std::function<void()> &action);
 
     void beginOperation(int operation);
     void attempt(int operation);
