--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -449,7 +449,7 @@
 }
 
 void DispatchSimulation::deliverCall(std::size_t entry, const SendCall &call, std::size_t agent,
-                                     bool listened)
+                                     bool connectionOpen)
 {
     const int operation = operationOf_.at(call.id);
     const Operation &wanted = operations_[static_cast<std::size_t>(operation)];
@@ -468,7 +468,7 @@
     AgentActions actions;
     const AdmissionResult verdict = target.core->onCall(message, now_, wall(), actions);
     const bool takesLeaving = options_.fault == InjectedFault::AcceptWhileLeaving && target.leftAt;
-    if (verdict.accepted && listened) {
+    if (verdict.accepted && connectionOpen) {
         runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict] {
             entries_[entry].core->onAccepted(call.id, verdict.started);
         });
@@ -481,7 +481,7 @@
         carryOut(agent, actions);
         return;
     }
-    if (!listened) {
+    if (!connectionOpen) {
         return;
     }
     runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict, agent] {
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -133,7 +133,8 @@
     void attempt(int operation);
     void carryOut(std::size_t entry, const EntryActions &actions);
     void sendCall(std::size_t entry, const SendCall &call);
-    void deliverCall(std::size_t entry, const SendCall &call, std::size_t agent, bool listened);
+    void deliverCall(std::size_t entry, const SendCall &call, std::size_t agent,
+                     bool connectionOpen);
     void sendCancel(std::size_t entry, const SendCancel &cancel);
     void sendWithdraw(std::size_t entry, const SendWithdraw &withdrawal);
     void announceFree(std::size_t agent);
