--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -467,13 +467,14 @@
     Agent &target = agents_[agent];
     AgentActions actions;
     const AdmissionResult verdict = target.core->onCall(message, now_, wall(), actions);
-    const bool takesLeaving = options_.fault == InjectedFault::AcceptWhileLeaving && target.leftAt;
+    const bool acceptWhileLeaving =
+        options_.fault == InjectedFault::AcceptWhileLeaving && target.leftAt;
     if (verdict.accepted && connectionOpen) {
         runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict] {
             entries_[entry].core->onAccepted(call.id, verdict.started);
         });
     }
-    if (verdict.accepted || takesLeaving) {
+    if (verdict.accepted || acceptWhileLeaving) {
         target.jobs.emplace(call.id, operation);
         if (target.leftAt) {
             addViolation(fmt::format("a leaving agent took request {}", call.id.counter));
