--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -172,7 +172,7 @@
         return {false, false, FailureCode::Cancelled, Outcome::Unknown, {}};
     }
     if (const auto refusal = checkAdmission(call, now)) {
-        return *verdict;
+        return *refusal;
     }
     QueuedRequest request;
     request.id = call.id;
@@ -189,7 +189,7 @@
     }
     if (const auto refusal = reserveTicketAndKey(call, now, wall)) {
         queue_.remove(call.id);
-        return *verdict;
+        return *refusal;
     }
     ledger_.enqueue(call.id);
     if (call.ticket || !call.callerKey.empty()) {
