--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -452,7 +452,7 @@
                                      bool connectionOpen)
 {
     const int operation = operationOf_.at(call.id);
-    const Operation &wanted = operations_[static_cast<std::size_t>(operation)];
+    const Operation &operationState = operations_[static_cast<std::size_t>(operation)];
     AgentCall message;
     message.id = call.id;
     message.account = kAccount;
@@ -460,9 +460,9 @@
     message.promptTokens = 100;
     message.deadline = call.deadline;
     message.agentIncarnation = call.agentIncarnation;
-    message.callerKey = wanted.key;
+    message.callerKey = operationState.key;
     if (options_.fault != InjectedFault::DropTicket) {
-        message.ticket = wanted.ticket;
+        message.ticket = operationState.ticket;
     }
     Agent &target = agents_[agent];
     AgentActions actions;
