--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -429,12 +429,12 @@
     agentOf_[call.id] = agent;
     // begin() returns the id after its actions, so the operation is looked up on delivery.
     const bool lost = isPartitioned(entry, agent) || (randomFaults() && chance(0.03));
-    const bool doubled = randomFaults() && chance(0.05);
+    const bool duplicated = randomFaults() && chance(0.05);
     if (!lost) {
         runAtAgent(agent, randomDelay(0.5, 30),
                    [this, entry, call, agent] { deliverCall(entry, call, agent, true); });
     }
-    if (doubled) {
+    if (duplicated) {
         // The answer to a late copy comes on a connection that nobody listens to any more.
         runAtAgent(agent, randomDelay(0.5, 4000),
                    [this, entry, call, agent] { deliverCall(entry, call, agent, false); });
