--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -30,7 +30,7 @@
     }
 };
 
-TEST(AgentCoreTest, FreshAgentTakesALongDeclaredAnswer)
+TEST(AgentCoreTest, NewAgentAcceptsLongDeclaredAnswer)
 {
     // Found by a test of slow callers: a new agent took the declared length for the true one and
     // refused what a caller that declares the most it would take sends every day.
