--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -40,7 +40,7 @@
     CHECK(core.onCall(generous, TimePoint{}, {}, actions).accepted);
 }
 
-TEST(AgentCoreTest, RefusesACallThatMeansAnotherLife)
+TEST(AgentCoreTest, RefusesCallForAnotherIncarnation)
 {
     AgentCall other = call(1, 10);
     other.agentIncarnation = Incarnation(6);
