--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -51,7 +51,7 @@
     CHECK(verdict.outcome == Outcome::NotRun);
 }
 
-TEST(AgentCoreTest, SecondCopyOfARequestDoesNotStart)
+TEST(AgentCoreTest, DuplicateRequestDoesNotStart)
 {
     core.onCall(call(1, 10), TimePoint{}, {}, actions);
 
