--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -59,7 +59,7 @@
     CHECK_EQUAL(1U, actions.size());
 }
 
-TEST(AgentCoreTest, ReloadingAgentReportsWhatWaitsAsNotRun)
+TEST(AgentCoreTest, ReloadingAgentReportsWaitingRequestsAsNotRun)
 {
     core.onCall(call(1, 10), TimePoint{}, {}, actions);
     core.onCall(call(2, 10), TimePoint{}, {}, actions);
