--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -74,7 +74,7 @@
     CHECK(core.onCall(call(4, 10), TimePoint{}, {}, actions).accepted);
 }
 
-TEST(AgentCoreTest, UpstreamThatAsksForRestGetsNothingUntilItIsOver)
+TEST(AgentCoreTest, RefusesRequestsUntilBackoffEnds)
 {
     const TimePoint start{};
     const TimePoint end = start + std::chrono::seconds(3);
