--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -99,7 +99,7 @@
     CHECK(core.onCall(call(4, 10), end, {}, actions).accepted);
 }
 
-TEST(AgentCoreTest, ShorterRestThatIsAskedForLaterDoesNotCutALongerOneShort)
+TEST(AgentCoreTest, LaterShorterBackoffDoesNotReplaceLongerOne)
 {
     const TimePoint end = TimePoint{} + std::chrono::seconds(3);
     core.backOffUntil(end, TimePoint{}, actions);
