--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -34,10 +34,10 @@
 {
     // Found by a test of slow callers: a new agent took the declared length for the true one and
     // refused what a caller that declares the most it would take sends every day.
-    AgentCall generous = call(1, 60'000);
-    generous.deadline = std::chrono::seconds(60);
+    AgentCall longCall = call(1, 60'000);
+    longCall.deadline = std::chrono::seconds(60);
 
-    CHECK(core.onCall(generous, TimePoint{}, {}, actions).accepted);
+    CHECK(core.onCall(longCall, TimePoint{}, {}, actions).accepted);
 }
 
 TEST(AgentCoreTest, RefusesCallForAnotherIncarnation)
