--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -42,10 +42,10 @@
 
 TEST(AgentCoreTest, RefusesCallForAnotherIncarnation)
 {
-    AgentCall other = call(1, 10);
-    other.agentIncarnation = Incarnation(6);
+    AgentCall wrongIncarnation = call(1, 10);
+    wrongIncarnation.agentIncarnation = Incarnation(6);
 
-    const AdmissionResult verdict = core.onCall(other, TimePoint{}, {}, actions);
+    const AdmissionResult verdict = core.onCall(wrongIncarnation, TimePoint{}, {}, actions);
 
     CHECK_FALSE(verdict.accepted);
     CHECK(verdict.outcome == Outcome::NotRun);
