--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -11,22 +11,22 @@
 
     static AgentCore::Settings settings()
     {
-        AgentCore::Settings made;
-        made.self = InstanceId("bid-1");
-        made.incarnation = Incarnation(7);
-        made.slots = 1;
-        return made;
+        AgentCore::Settings result;
+        result.self = InstanceId("bid-1");
+        result.incarnation = Incarnation(7);
+        result.slots = 1;
+        return result;
     }
 
     static AgentCall call(std::uint64_t number, Tokens answerTokens)
     {
-        AgentCall made;
-        made.id = {Incarnation(1), number};
-        made.account = AccountId("bids");
-        made.answerTokens = answerTokens;
-        made.deadline = std::chrono::seconds(10);
-        made.agentIncarnation = Incarnation(7);
-        return made;
+        AgentCall result;
+        result.id = {Incarnation(1), number};
+        result.account = AccountId("bids");
+        result.answerTokens = answerTokens;
+        result.deadline = std::chrono::seconds(10);
+        result.agentIncarnation = Incarnation(7);
+        return result;
     }
 };
 
