--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -43,7 +43,7 @@
 
 TEST_GROUP(DispatchScheduleTest){};
 
-TEST(DispatchScheduleTest, HoldsItsInvariantsOverManySchedules)
+TEST(DispatchScheduleTest, InvariantsHoldForAllSeeds)
 {
     int answered = 0;
     int moved = 0;
