--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -61,7 +61,7 @@
     CHECK(moved > static_cast<int>(seedCount()) / 2);
 }
 
-TEST(DispatchScheduleTest, AnswersEverythingWhenNothingFails)
+TEST(DispatchScheduleTest, AnswersEveryRequestWithoutFaults)
 {
     DispatchSimulation::Options options = optionsOf(7);
     options.scenario = Scenario::NoFaults;
