--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -75,7 +75,7 @@
     CHECK_EQUAL(0, simulation.unknown());
 }
 
-TEST(DispatchScheduleTest, MovedRequestsNeverComeBackToTheirTombstone)
+TEST(DispatchScheduleTest, MovedRequestDoesNotReturnToItsTombstone)
 {
     // Found by the figures of the proofs: under no fault at all 2% of the calls without a key ended
     // unknown, because a request was moved back to an agent that it had been withdrawn from.
