--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -90,7 +90,7 @@
     }
 }
 
-TEST(DispatchScheduleTest, CheckerCatchesTrustInAReplacedAgent)
+TEST(DispatchScheduleTest, DetectsCancelOfAnotherIncarnation)
 {
     CHECK(!firstViolation(InjectedFault::IgnoreIncarnation, 500).empty());
 }
