--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -95,7 +95,7 @@
     CHECK(!firstViolation(InjectedFault::IgnoreIncarnation, 500).empty());
 }
 
-TEST(DispatchScheduleTest, CheckerCatchesAForgottenTombstone)
+TEST(DispatchScheduleTest, DetectsSkippedTombstone)
 {
     CHECK(!firstViolation(InjectedFault::SkipTombstone, 500).empty());
 }
