--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -100,7 +100,7 @@
     CHECK(!firstViolation(InjectedFault::SkipTombstone, 500).empty());
 }
 
-TEST(DispatchScheduleTest, CheckerCatchesARetryOfAnUnknownOutcome)
+TEST(DispatchScheduleTest, DetectsRetryOfUnknownOutcome)
 {
     CHECK(!firstViolation(InjectedFault::RetryUnknownOutcome, 500).empty());
 }
