--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -105,7 +105,7 @@
     CHECK(!firstViolation(InjectedFault::RetryUnknownOutcome, 500).empty());
 }
 
-TEST(DispatchScheduleTest, CheckerCatchesALieAboutAWithdrawal)
+TEST(DispatchScheduleTest, DetectsMisreportedWithdrawal)
 {
     CHECK(!firstViolation(InjectedFault::MisreportWithdrawal, 500).empty());
 }
