--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -110,7 +110,7 @@
     CHECK(!firstViolation(InjectedFault::MisreportWithdrawal, 500).empty());
 }
 
-TEST(DispatchScheduleTest, CheckerCatchesADroppedTicket)
+TEST(DispatchScheduleTest, DetectsDroppedTicket)
 {
     CHECK(!firstViolation(InjectedFault::DropTicket, 500).empty());
 }
