--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -115,7 +115,7 @@
     CHECK(!firstViolation(InjectedFault::DropTicket, 500).empty());
 }
 
-TEST(DispatchScheduleTest, CheckerCatchesSwappedAnswers)
+TEST(DispatchScheduleTest, DetectsSwappedAnswers)
 {
     CHECK(!firstViolation(InjectedFault::SwapAnswers, 500).empty());
 }
