--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -120,7 +120,7 @@
     CHECK(!firstViolation(InjectedFault::SwapAnswers, 500).empty());
 }
 
-TEST(DispatchScheduleTest, CheckerCatchesALeavingAgentThatTakesWork)
+TEST(DispatchScheduleTest, DetectsLeavingAgentThatAcceptsRequests)
 {
     CHECK(!firstViolation(InjectedFault::AcceptWhileLeaving, 500).empty());
 }
