--- a/test/decision/dispatch/entrysuspect_test.cpp
+++ b/test/decision/dispatch/entrysuspect_test.cpp
@@ -13,7 +13,7 @@
     return TimePoint(std::chrono::milliseconds(millis));
 }
 
-const RequestDigest kPoison(7);
+const RequestDigest kCrashingRequest(7);
 const TargetName kTarget("portal");
 
 } // namespace
@@ -55,7 +55,7 @@
         request.target = kTarget;
         request.repeatable = repeatable;
         request.deadline = std::chrono::seconds(60);
-        request.digest = kPoison;
+        request.digest = kCrashingRequest;
         return core->begin(request, at(now), actions);
     }
 
@@ -101,13 +101,13 @@
 TEST(EntrySuspectTest, CallThatIsAnsweredIsCleared)
 {
     endUpstreamOf(begin(false, 0), 100);
-    LONGS_EQUAL(1, core->crashes().ends(kPoison));
+    LONGS_EQUAL(1, core->crashes().ends(kCrashingRequest));
     actions.clear();
     const RequestId id = begin(false, 200);
     const InstanceId agent = sentTo();
     CHECK_TRUE(core->onAnswer(id, agent));
     core->onComplete(id, agent, at(300));
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().ends(kCrashingRequest));
 }
 
 TEST(EntrySuspectTest, UpstreamThatWasLeavingIsNotHeldAgainstItsCalls)
@@ -119,12 +119,12 @@
     list.version = ListVersion(2);
     core->applyList(list);
     endUpstreamOf(id, 100);
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().ends(kCrashingRequest));
 }
 
 TEST(EntrySuspectTest, FailureOfAnAgentSaysNothingOfTheCall)
 {
     const RequestId id = begin(false, 0);
     core->onConnectionLost(id, at(100), actions);
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().ends(kCrashingRequest));
 }
