--- a/test/decision/dispatch/entrysuspect_test.cpp
+++ b/test/decision/dispatch/entrysuspect_test.cpp
@@ -83,7 +83,7 @@
     }
 };
 
-TEST(EntrySuspectTest, SecondEndIsTheLastAndTheNextCopyIsNotSent)
+TEST(EntrySuspectTest, RequestIsNotSentAgainAfterEndingTwoUpstreams)
 {
     const RequestId id = begin(true, 0);
     endUpstreamOf(id, 100);
