--- a/test/decision/dispatch/entrysuspect_test.cpp
+++ b/test/decision/dispatch/entrysuspect_test.cpp
@@ -98,7 +98,7 @@
     CHECK_TRUE(failure()->retryAfter == Duration{});
 }
 
-TEST(EntrySuspectTest, CallThatIsAnsweredIsCleared)
+TEST(EntrySuspectTest, CompleteAnswerClearsTheRecord)
 {
     endUpstreamOf(begin(false, 0), 100);
     LONGS_EQUAL(1, core->crashes().ends(kCrashingRequest));
