--- a/test/decision/dispatch/entrysuspect_test.cpp
+++ b/test/decision/dispatch/entrysuspect_test.cpp
@@ -110,7 +110,7 @@
     LONGS_EQUAL(0, core->crashes().ends(kCrashingRequest));
 }
 
-TEST(EntrySuspectTest, UpstreamThatWasLeavingIsNotHeldAgainstItsCalls)
+TEST(EntrySuspectTest, EndOfLeavingUpstreamIsNotCounted)
 {
     const RequestId id = begin(false, 0);
     for (InstanceRecord &record : list.instances) {
