--- a/test/decision/dispatch/entrysuspect_test.cpp
+++ b/test/decision/dispatch/entrysuspect_test.cpp
@@ -122,7 +122,7 @@
     LONGS_EQUAL(0, core->crashes().ends(kCrashingRequest));
 }
 
-TEST(EntrySuspectTest, FailureOfAnAgentSaysNothingOfTheCall)
+TEST(EntrySuspectTest, LostConnectionIsNotCounted)
 {
     const RequestId id = begin(false, 0);
     core->onConnectionLost(id, at(100), actions);
