--- a/test/decision/dispatch/entrysuspect_test.cpp
+++ b/test/decision/dispatch/entrysuspect_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_GROUP(EntrySuspectTest)
+TEST_GROUP(EntryCrashTest)
 {
     std::unique_ptr<EntryCore> core;
     EntryActions actions;
@@ -83,7 +83,7 @@
     }
 };
 
-TEST(EntrySuspectTest, RequestIsNotSentAgainAfterEndingTwoUpstreams)
+TEST(EntryCrashTest, RequestIsNotSentAgainAfterEndingTwoUpstreams)
 {
     const RequestId id = begin(true, 0);
     endUpstreamOf(id, 100);
@@ -98,7 +98,7 @@
     CHECK_TRUE(failure()->retryAfter == Duration{});
 }
 
-TEST(EntrySuspectTest, CompleteAnswerClearsTheRecord)
+TEST(EntryCrashTest, CompleteAnswerClearsTheRecord)
 {
     endUpstreamOf(begin(false, 0), 100);
     LONGS_EQUAL(1, core->crashes().ends(kCrashingRequest));
@@ -110,7 +110,7 @@
     LONGS_EQUAL(0, core->crashes().ends(kCrashingRequest));
 }
 
-TEST(EntrySuspectTest, EndOfLeavingUpstreamIsNotCounted)
+TEST(EntryCrashTest, EndOfLeavingUpstreamIsNotCounted)
 {
     const RequestId id = begin(false, 0);
     for (InstanceRecord &record : list.instances) {
@@ -122,7 +122,7 @@
     LONGS_EQUAL(0, core->crashes().ends(kCrashingRequest));
 }
 
-TEST(EntrySuspectTest, LostConnectionIsNotCounted)
+TEST(EntryCrashTest, LostConnectionIsNotCounted)
 {
     const RequestId id = begin(false, 0);
     core->onConnectionLost(id, at(100), actions);
