--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -12,11 +12,9 @@
 constexpr Duration kRateWindow = std::chrono::seconds(1);
 constexpr double kRateSmoothing = 0.3;
 constexpr double kMaxLengthRatio = 4.0;
-constexpr double kInitialLengthRatio =
-    0.25; // Of a declared length, for an account not seen here yet.
+constexpr double kInitialLengthRatio = 0.25; // For accounts whose answers were not measured yet.
 constexpr double kLengthRatioSmoothing = 0.05;
-constexpr int kServiceTimeMargin =
-    4; // Of answers that vary freely one in fifty is longer than this.
+constexpr int kServiceTimeMargin = 4; // 1 in 50 answers of freely varying length exceeds it.
 constexpr Duration kDefaultRetryAfter = std::chrono::milliseconds(250);
 
 AdmissionResult refused(FailureCode failure, Duration retryAfter = kDefaultRetryAfter)
@@ -66,7 +64,7 @@
     if (running_.size() < settings_.slots && queue_.size() == 0) {
         return {};
     }
-    // All slots are taken, so the first of the running requests must end before anything starts.
+    // All slots are in use, so one running request must end before the next one starts.
     const double tokensToFirstEnd =
         runningTokens_ / static_cast<double>(std::max<std::size_t>(1, running_.size()));
     return fromSeconds((queue_.tokensAhead(account) + tokensToFirstEnd) / tokensPerSecond_);
@@ -93,8 +91,9 @@
 Duration AgentCore::predictedServiceTime(const AccountId &account, Tokens promptTokens,
                                          Tokens answerTokens) const
 {
-    // Callers declare the most that they would take, so until an account's habit is known only a
-    // part of it is believed: a guess must not refuse what may well end in time.
+    // Callers tend to declare the maximum that they would accept, so only a part of the declared
+    // length is assumed until the account's ratio has been measured. Otherwise requests that can
+    // meet their deadline would be refused.
     const bool ratioKnown = lengthRatios_.contains(account);
     const double assumedTokens =
         (ratioKnown ? 1.0 : kInitialLengthRatio) * static_cast<double>(answerTokens);
@@ -115,13 +114,13 @@
     if (backoffUntil_) {
         return refused(FailureCode::NoUpstream, std::max(*backoffUntil_ - now, kDefaultRetryAfter));
     }
-    // An answer that comes after its deadline is work for nothing, so the request's own run counts.
+    // An answer after the deadline is wasted work, so the time needed includes the service time.
     const Duration wait = predictedWait(call.account);
     const Duration service =
         predictedServiceTime(call.account, call.promptTokens, call.answerTokens);
     const Duration needed = wait + kServiceTimeMargin * service;
-    // A free slot is never kept from work by a guess: refusing it all would leave the guess as it
-    // is.
+    // With a free slot the request is accepted whatever the prediction: if a wrong prediction could
+    // refuse all requests, nothing would ever correct it.
     if (wait > Duration{} && needed > call.deadline) {
         return refused(FailureCode::DeadlineUnreachable,
                        std::min(needed - call.deadline, wait + kDefaultRetryAfter));
@@ -137,7 +136,7 @@
         case TicketVerdict::Fresh:
             break;
         case TicketVerdict::Spent:
-            // This copy does not run; the one before it may have, so the caller learns 'unknown'.
+            // This copy does not run, but an earlier copy may have, so the outcome is unknown.
             return AdmissionResult{false, false, FailureCode::TicketSpent, Outcome::Unknown, {}};
         case TicketVerdict::Unknown:
             return AdmissionResult{false, false, FailureCode::TicketSpent, Outcome::Unknown, {}};
@@ -157,7 +156,7 @@
         return AdmissionResult{false, false, FailureCode::KeySeenBefore, Outcome::Unknown, {}};
     case KeyVerdict::NotHome:
     case KeyVerdict::Unsure:
-        // An earlier copy may have run at an earlier home, so no more than 'unknown' is true.
+        // An earlier copy may have run at a previous key home, so the outcome is unknown.
         return AdmissionResult{false, false, FailureCode::KeyHomeUnsure, Outcome::Unknown,
                                kDefaultRetryAfter};
     }
@@ -168,7 +167,7 @@
                                   AgentActions &actions)
 {
     if (ledger_.state(call.id) != RunState::Unknown) {
-        // A copy of a request that is known here. Its first copy speaks for itself.
+        // A duplicate. The first copy determines the outcome of the request.
         return {false, false, FailureCode::Cancelled, Outcome::Unknown, {}};
     }
     if (const auto refusal = checkAdmission(call, now)) {
@@ -283,7 +282,7 @@
     const auto added = static_cast<double>(count);
     running.producedTokens += added;
     servedInWindow_ += added;
-    // What goes beyond the declared length is charged as it is produced.
+    // Tokens beyond the expected cost are charged as they are produced.
     const double excess = running.promptCost + running.producedTokens - running.chargedCost;
     if (excess > 0.0) {
         queue_.charge(running.account, excess);
@@ -307,7 +306,7 @@
     const Running running = found->second;
     running_.erase(found);
     ledger_.finish(id);
-    // A plain service reports no tokens: the whole expected cost counts as served.
+    // An upstream that is not a model engine reports no tokens; its expected cost counts as served.
     const bool reportsTokens = running.producedTokens > 0.0;
     updateLengthRatio(running);
     servedInWindow_ += reportsTokens ? running.promptCost : running.chargedCost;
@@ -348,7 +347,8 @@
     if (elapsed < kRateWindow) {
         return;
     }
-    // A window counts only when work waited through it: an idle upstream says nothing of its speed.
+    // The rate of a window without full slots counts only if it raises the estimate: an upstream
+    // that is not saturated does not show its capacity.
     const bool saturated = running_.size() >= settings_.slots;
     const double rate = servedInWindow_ / toSeconds(elapsed);
     if (servedInWindow_ > 0.0 && (saturated || rate > tokensPerSecond_)) {
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -1,8 +1,7 @@
-// The decisions of an agent on the requests for its upstream: accept or refuse, whose turn it is,
-// start, cancel, leave.
+// AgentCore: admission control and scheduling of the requests for one agent's upstream.
 //
-// The class is a pure state machine: events and the time come in, actions go out, and the shell
-// around it (src/agent) carries them out. It runs unchanged under tests in virtual time.
+// The class is a pure state machine: it takes events and the current time and returns actions,
+// which the service around it (src/agent) carries out. Tests run it unchanged in virtual time.
 // Single-threaded.
 #pragma once
 
@@ -25,7 +24,7 @@
 
 namespace seamarch {
 
-// A request as it arrives at an agent.
+// A request that an entry sends to an agent.
 struct AgentCall
 {
     RequestId id;
@@ -34,25 +33,25 @@
     std::uint8_t priority = 0;
     Tokens promptTokens = 0;
     Tokens answerTokens = 0;
-    Duration deadline{};          // Time left when it arrives.
-    Incarnation agentIncarnation; // The life of the agent that the entry means.
+    Duration deadline{};          // Time left on arrival.
+    Incarnation agentIncarnation; // The agent incarnation that the entry addresses.
     std::optional<Ticket> ticket;
-    std::string callerKey; // Empty when the call has none.
+    std::string callerKey; // The caller's idempotency key; empty if it sent none.
 };
 
-// Start the request at the upstream.
+// Starts an accepted request at the upstream.
 struct StartUpstream
 {
     RequestId id;
 };
 
-// Break the request off at the upstream.
+// Aborts a running request at the upstream.
 struct AbortUpstream
 {
     RequestId id;
 };
 
-// Tell the entry that an accepted request has not run and will not.
+// Reports to the entry that an accepted request has not run and will not run.
 struct ReportNotRun
 {
     RequestId id;
@@ -60,13 +59,16 @@
     Duration retryAfter{};
 };
 
-// Tell an entry or two that a slot is free and nothing waits for it here.
+// Announces a free slot, with no request queued for it, to one or two entries.
 struct AnnounceFreeSlot
 {};
 
 using AgentAction = std::variant<StartUpstream, AbortUpstream, ReportNotRun, AnnounceFreeSlot>;
 using AgentActions = std::vector<AgentAction>;
 
+// Decides which requests an agent accepts, in which order they start at its upstream, and when they
+// are refused or cancelled. An accepted request starts unless it is withdrawn, cancelled
+// or reported as not run.
 class AgentCore
 {
 public:
@@ -75,63 +77,69 @@
         InstanceId self;
         Incarnation incarnation;
         std::uint64_t seed = 0;
-        std::uint32_t slots = 8;
-        double initialTokensPerSecond = 1000.0;
-        std::size_t ledgerCapacity = 20'000;
+        std::uint32_t slots = 8;                // Requests that run at the upstream at a time.
+        double initialTokensPerSecond = 1000.0; // Rate assumed until one has been measured.
+        std::size_t ledgerCapacity = 20'000;    // Requests.
         std::size_t ticketCapacity = 20'000;
         KeyHome::Settings keyHome;
     };
 
-    // `now` is the start of this incarnation. It grants nothing for a lease, because it cannot know
-    // what the incarnation before it promised.
+    // `now` is the start time of this incarnation. It makes no key-home grants for one lease,
+    // because it does not know which grants the previous incarnation made.
     AgentCore(const Settings &settings, TimePoint now);
 
-    // Takes the claims of the accounts and the upstream's slots from a configuration.
+    // Applies the shares and queue limits of the accounts and the slot count of the upstream.
     void applyConfig(const ConfigDocument &document);
 
-    // A request has arrived.
+    // Starts, queues or refuses an arriving request. `wall` is compared with the time in its key.
     AdmissionResult onCall(const AgentCall &call, TimePoint now, WallMillis wall,
                            AgentActions &actions);
-    // The entry gives a request up. Returns true when it is proved that it did not and will not
-    // run. A cancel that means another incarnation proves nothing: its request may have run there.
+    // Handles a cancel by the entry; a running request is aborted. Returns true if the request
+    // provably has not run and will not run. A cancel that addresses another incarnation returns
+    // false, because the request may have run there.
     bool onCancel(RequestId id, Incarnation targetIncarnation, TimePoint now,
                   AgentActions &actions);
-    // An entry takes a request back to send it elsewhere, unless it has started. Returns true when
-    // it is proved that it did not and will not run here.
+    // Handles a withdrawal by the entry, which wants to send the request to another agent. A
+    // started request goes on. Returns true if it provably has not run and will not run here.
     bool onWithdraw(RequestId id, Incarnation targetIncarnation);
-    // The upstream has generated answer tokens.
+    // Records `count` answer tokens that the upstream has generated since the last call.
     void onTokens(RequestId id, Tokens count);
-    // The upstream has ended a request, well or not.
+    // Handles the end of a request at the upstream, successful or not.
     void onEnded(RequestId id, TimePoint now, AgentActions &actions);
-    // The connection to the upstream could not be made, so the request did not start after all.
+    // Handles a failure to connect to the upstream: the request is reported as not run.
     void onNotStarted(RequestId id, TimePoint now, AgentActions &actions);
-    // Time has passed: expires waiting requests and refreshes the rate.
+    // Expires queued requests, ends a backoff and updates the token rate. Called periodically.
     void onTick(TimePoint now, AgentActions &actions);
 
-    // Takes no new work from now on; what waits is reported as not run, what runs goes on.
+    // Refuses new requests from now on and reports queued ones as not run. Running ones go on.
     void leave(AgentActions &actions);
     bool leaving() const { return leaving_; }
-    // The upstream wants nothing before `until`: nothing is started there, what waits is reported
-    // as not run, and entries hear that no work is taken. A rest is never cut short.
+    // Starts a backoff that the upstream asked for: until `until` no request starts, queued
+    // requests are reported as not run, and reports mark the agent as leaving so that entries send
+    // it none. A later call can extend a backoff but not shorten it.
     void backOffUntil(TimePoint until, TimePoint now, AgentActions &actions);
-    // Takes no new work while the upstream is being reloaded; what waits is reported as not run.
+    // `false` refuses new requests while the upstream reloads, and reports queued ones as not run.
     void setServing(bool serving, AgentActions &actions);
-    // Tells whether nothing waits and nothing runs.
+    // Returns true if no request is queued or running.
     bool idle() const { return running_.empty() && queue_.size() == 0; }
 
+    // Returns the load and state that heartbeats carry to entries.
     AgentReport report() const;
     Ticket issueTicket() { return tickets_.issue(); }
 
-    // The agents of this agent's service in this hall, as the newest list names them.
+    // Sets the agents that share the key homes of `target`: those of this agent's service in this
+    // hall, from the newest instance list.
     void setKeyMembers(TargetName target, MemberSet set);
     const MemberSet &keyMembers() const { return keyHome_.members(); }
-    // The platform was asked at `at` or later and confirmed that list.
+    // Records that the platform confirmed that list in answer to a query sent at `at` or later.
     void confirmKeyView(TimePoint at) { keyHome_.confirmView(at); }
-    // Another agent asks this one to promise a member set.
+    // Handles another agent's request for a grant of the member set with the hash `set`. Returns
+    // true if it is granted.
     bool onGrantRequest(std::uint64_t set, TimePoint now) { return grants_.grant(set, now); }
-    // Another agent has promised `set`; it was asked at `askedAt`.
+    // Records a grant of `set` by `member`, requested at `askedAt`; its lease counts from then.
     void onGranted(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
                    WallMillis wall);
+    // Returns true if every member's grant for the current set is valid.
     bool holdsAllGrants(TimePoint now) const { return keyHome_.holdsAll(now); }
     Incarnation incarnation() const { return settings_.incarnation; }
     const RunLedger &ledger() const { return ledger_; }
@@ -140,13 +148,13 @@
     struct Running
     {
         AccountId account;
-        double chargedCost = 0.0; // Cost that it was charged so far.
+        double chargedCost = 0.0; // Cost charged to the account so far.
         double promptCost = 0.0;
-        double declaredTokens = 0.0; // Answer tokens that the caller declared.
+        double declaredTokens = 0.0; // Answer length that the caller declared.
         double producedTokens = 0.0;
     };
 
-    // What an accepted request holds until it starts, to be given back when it does not.
+    // The ticket and key that a queued request holds; released if the request does not start.
     struct Reservation
     {
         std::optional<Ticket> ticket;
@@ -154,19 +162,25 @@
         std::string callerKey;
     };
 
+    // Empties the queue and reports each request as not run.
     void refuseAllWaiting(FailureCode failure, Duration retryAfter, AgentActions &actions);
+    // Returns a refusal if the agent's state or the deadline rules the call out.
     std::optional<AdmissionResult> checkAdmission(const AgentCall &call, TimePoint now) const;
+    // Redeems the call's ticket and registers its key. Returns a refusal if either is not accepted.
     std::optional<AdmissionResult> reserveTicketAndKey(const AgentCall &call, TimePoint now,
                                                        WallMillis wall);
     void releaseReservation(RequestId id);
+    // Returns the expected time in the queue; zero if a slot is free.
     Duration predictedWait(const AccountId &account) const;
     Duration predictedServiceTime(const AccountId &account, Tokens promptTokens,
                                   Tokens answerTokens) const;
+    // Scales a declared answer length by the account's length ratio.
     Tokens expectedAnswerTokens(const AccountId &account, Tokens declaredTokens) const;
     void updateLengthRatio(const Running &running);
     void startNext(TimePoint now, AgentActions &actions);
     void refuseWaiting(const QueuedRequest &request, FailureCode failure, Duration retryAfter,
                        AgentActions &actions);
+    // Corrects the account's charge to the actual cost.
     void settleCharge(const Running &running, double actual);
 
     Settings settings_;
@@ -175,19 +189,19 @@
     TicketBook tickets_;
     KeyHome keyHome_;
     GrantBook grants_;
-    TargetName keyTarget_; // Keys are honoured for requests to it only.
+    TargetName keyTarget_; // The only target whose caller keys are accepted.
     std::unordered_map<RequestId, Running> running_;
     std::unordered_map<RequestId, Reservation> reservations_;
     double tokensPerSecond_;
-    // What an account's answers turn out to be over what it declares. Accounts differ: some declare
-    // the most that they would take.
+    // Moving average of actual over declared answer length, for each account. Accounts differ: some
+    // declare the maximum that they would accept.
     std::unordered_map<AccountId, double> lengthRatios_;
-    double servedInWindow_ = 0.0;
-    double runningTokens_ = 0.0;
+    double servedInWindow_ = 0.0; // Cost served since windowStart_, in tokens.
+    double runningTokens_ = 0.0;  // Cost charged for the running requests, in tokens.
     TimePoint windowStart_{};
     bool leaving_ = false;
     bool serving_ = true;
-    std::optional<TimePoint> backoffUntil_; // While the upstream rests.
+    std::optional<TimePoint> backoffUntil_; // Set during a backoff.
 };
 
 } // namespace seamarch
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -1,14 +1,14 @@
-// The decisions of an entry on the requests of its callers: admit, choose an agent, retry within
-// proof, give up.
+// EntryCore: rate limiting, choice of an agent, retries and failure handling for the requests that
+// callers send to one entry.
 //
-// Every request is in one of four states: held until its agent has been heard, at an agent, being
-// resolved (the connection to its agent broke and a cancel may still prove that it did not run), or
-// over. A request is sent to a second agent with a proof that it did not run at the first, or when
-// the configuration says that it may be repeated. Once one attempt may have run, no later failure
-// of the request says 'not run'.
+// A request is in one of four states: held until its agent's first report arrives, sent to an
+// agent, resolving (the connection to its agent broke and a cancel may still prove that it did not
+// run), or finished. It is sent to a second agent only if it provably did not run at the first, or
+// if the configuration marks it as repeatable. Once an attempt may have run, no later failure of
+// the request reports the outcome 'not run'.
 //
-// The class is a pure state machine: events and the time come in, actions go out, and the shell
-// around it (src/entry) carries them out. Single-threaded.
+// The class is a pure state machine: it takes events and the current time and returns actions,
+// which the service around it (src/entry) carries out. Single-threaded.
 #pragma once
 
 #include "decision/admission/tokenbucket.h"
@@ -36,7 +36,7 @@
 
 namespace seamarch {
 
-// A request as a caller made it, classified.
+// A caller's request with the properties that routing and retries depend on.
 struct EntryRequest
 {
     AccountId account;
@@ -44,15 +44,15 @@
     std::uint8_t priority = 0;
     Tokens promptTokens = 0;
     Tokens answerTokens = 0;
-    std::uint64_t prefixHash = 0; // Zero: the request has no prefix to speak of.
-    bool repeatable = false;
-    Duration deadline{};
+    std::uint64_t prefixHash = 0; // Zero: the request has no reusable prefix.
+    bool repeatable = false;      // May run more than once.
+    Duration deadline{};          // Time left on arrival.
     std::optional<Ticket> ticket;
-    std::string callerKey;
-    RequestDigest digest; // Requests that are the same to an upstream have the same one.
+    std::string callerKey; // The caller's idempotency key; empty if it sent none.
+    RequestDigest digest;  // Equal for requests that are identical to an upstream.
 };
 
-// Send the request to the agent.
+// Sends the request to the agent.
 struct SendCall
 {
     RequestId id;
@@ -61,7 +61,7 @@
     Duration deadline{}; // Time left.
 };
 
-// Ask the agent to cancel, over whatever connection there is or can be made.
+// Asks the agent to cancel the request, over an existing or a new connection.
 struct SendCancel
 {
     RequestId id;
@@ -69,7 +69,7 @@
     Incarnation agentIncarnation;
 };
 
-// Ask the agent to give the request back unless it has started.
+// Asks the agent to remove the request from its queue unless it has started.
 struct SendWithdraw
 {
     RequestId id;
@@ -77,16 +77,16 @@
     Incarnation agentIncarnation;
 };
 
-// Tell the caller that the request failed. The request is over.
+// Reports to the caller that the request failed. The entry has no more state for it.
 struct FailRequest
 {
     RequestId id;
     FailureCode failure = FailureCode::NoUpstream;
     Outcome outcome = Outcome::NotRun;
-    Duration retryAfter{};
+    Duration retryAfter{}; // Suggested delay before a retry; zero: none is suggested.
 };
 
-// Connect to an agent and ask for its report: a request that is bound to it waits for that.
+// Connects to an agent and requests its report, for which a held request waits.
 struct ConnectAgent
 {
     InstanceId agent;
@@ -95,6 +95,8 @@
 using EntryAction = std::variant<SendCall, SendCancel, SendWithdraw, FailRequest, ConnectAgent>;
 using EntryActions = std::vector<EntryAction>;
 
+// Decides for each request of an entry whether it is admitted, to which agent it is sent, whether
+// it is retried or moved to another agent, and with which outcome it fails.
 class EntryCore
 {
 public:
@@ -103,65 +105,75 @@
         HallId hall;
         Incarnation incarnation;
         std::uint64_t seed = 0;
+        // An agent gets no new requests when its last report is older than this.
         Duration lease = std::chrono::seconds(3);
-        Duration holdTimeout = std::chrono::seconds(1);
-        Duration resolveTimeout = std::chrono::seconds(1);
-        Duration slowStart = std::chrono::seconds(5);
+        Duration holdTimeout = std::chrono::seconds(1);    // Limit for a held request.
+        Duration resolveTimeout = std::chrono::seconds(1); // Limit for the answer to a cancel.
+        Duration slowStart = std::chrono::seconds(5); // Ramp-up of a new agent's readiness to 1.
         std::uint32_t maxAttempts = 3;
-        std::uint32_t maxMoves = 3;
+        std::uint32_t maxMoves = 3; // From one agent's queue to another agent.
         RetryBudget::Settings retryBudget;
         OutlierDetector::Settings outliers;
         CrashRecord::Settings crashes;
     };
 
-    // `router` chooses among the candidates; the product passes an ExpectedWaitRouter.
+    // `router` chooses among the candidate agents; production code passes an ExpectedWaitRouter.
     EntryCore(const Settings &settings, std::unique_ptr<Router> router);
 
+    // Applies rate limits, home halls, hall distances and drained halls and upstreams.
     void applyConfig(const ConfigDocument &document);
-    // Takes an instance list. Requests at agents that are no longer listed go on undisturbed.
+    // Applies an instance list. Requests at agents that are no longer listed go on. An older list
+    // than the current one is ignored.
     void applyList(const InstanceList &list);
-    // A heartbeat that was asked for at `askedAt` has been answered.
+    // Handles an agent's answer to the heartbeat sent at `askedAt`.
     void onReport(const InstanceId &agent, const AgentReport &report, TimePoint askedAt,
                   TimePoint now, EntryActions &actions);
 
-    // Admits a request and sends it, or fails it.
+    // Admits a request and sends or holds it, or fails it. Returns the id of the request.
     RequestId begin(const EntryRequest &request, TimePoint now, EntryActions &actions);
-    // The agent has accepted the request and started it, or has it wait.
+    // Records that the agent accepted the request; `started` is false if it is queued there.
     void onAccepted(RequestId id, bool started);
-    // The agent says that it did not run, or that it may have; `outcome` tells which.
+    // Handles a refusal or failure reported by the agent. `outcome` is NotRun if the request
+    // provably did not run, else Unknown.
     void onRefused(RequestId id, FailureCode failure, Outcome outcome, Duration retryAfter,
                    TimePoint now, EntryActions &actions);
-    // The call could not be written to any connection: a proof that it did not run.
+    // Handles a call that could not be written to any connection, which proves that it did not run.
     void onNotWritten(RequestId id, TimePoint now, EntryActions &actions);
-    // The connection broke after the call was written and before its answer was whole.
+    // Handles a connection that broke after the call was written and before the answer was
+    // complete.
     void onConnectionLost(RequestId id, TimePoint now, EntryActions &actions);
-    // The agent has answered a cancel.
+    // Handles the agent's answer to a cancel. `notRun` means that the request provably did not run.
     void onCancelled(RequestId id, bool notRun, TimePoint now, EntryActions &actions);
-    // An agent has a free slot and nothing that waits for it: a request of this entry that waits
-    // elsewhere is taken back from there, to be sent to this agent.
+    // Handles an agent's announcement of a free slot with an empty queue: withdraws a request that
+    // this entry has queued at another agent, to send it to this one.
     void onFree(const InstanceId &agent, const AgentReport &report, TimePoint now,
                 EntryActions &actions);
-    // The agent has answered a withdrawal.
+    // Handles the answer of agent `from` to a withdrawal. `notRun` is as for onCancelled().
     void onWithdrawn(RequestId id, const InstanceId &from, bool notRun, TimePoint now,
                      EntryActions &actions);
-    // The first part of the answer is here. Returns false when the request is not this agent's
-    // any more; the part is then dropped.
+    // Handles the first part of an answer. Returns false if the request is no longer assigned to
+    // `agent`; the caller then drops the part.
     bool onAnswer(RequestId id, const InstanceId &agent);
-    // The whole answer is here. The request is over.
+    // Finishes a request whose answer is complete.
     void onComplete(RequestId id, const InstanceId &agent, TimePoint now);
-    // The caller has left. The request is over.
+    // Cancels and finishes a request whose caller has disconnected.
     void onCallerGone(RequestId id, EntryActions &actions);
-    // Time has passed: gives up requests whose time to resolve is over.
+    // Fails held and resolving requests that have timed out. Called periodically.
     void onTick(TimePoint now, EntryActions &actions);
 
     const MemberTable &members() const { return members_; }
-    // The requests that upstreams have ended under. Such a request gets no agent any more.
+    // Returns the record of requests during which upstream processes ended. A request that the
+    // record holds responsible is not sent to any agent.
     CrashRecord &crashes() { return crashes_; }
+    // Returns the number of unfinished requests, held ones included.
     std::size_t inFlight() const { return requests_.size(); }
     std::uint64_t retries() const { return retries_; }
+    // Returns how many queued requests were moved to another agent.
     std::uint64_t moves() const { return moves_; }
+    // Returns how many answers arrived for requests no longer assigned to the answering agent.
     std::uint64_t droppedAnswers() const { return droppedAnswers_; }
-    // Returns the time after which `agent` gets no more new work unless it answers again.
+    // Returns the time after which `agent` gets no new requests unless it answers another
+    // heartbeat.
     TimePoint leaseUntil(const InstanceId &agent) const;
 
 private:
@@ -175,21 +187,22 @@
         InstanceId agent;
         Incarnation agentIncarnation;
         std::uint32_t attempts = 0;
-        bool mayHaveRun = false; // An attempt ended without a proof that it did not run.
+        bool mayHaveRun = false; // An attempt ended and may have run.
         std::set<InstanceId> triedAgents;
         TimePoint sentAt{};
         std::uint32_t moves = 0;
-        bool queuedAtAgent = false;       // Waits at its agent, as far as is known.
-        std::optional<InstanceId> moveTo; // Set while a withdrawal is under way.
+        bool queuedAtAgent = false;       // Queued, not running, by the latest word of its agent.
+        std::optional<InstanceId> moveTo; // Target agent while a withdrawal is pending.
         TimePoint expiresAt{};
     };
 
+    // The chosen agent, or the failure to report if there is none.
     struct Choice
     {
         std::optional<InstanceId> agent;
         FailureCode failure = FailureCode::NoUpstream;
         Outcome outcome = Outcome::NotRun;
-        bool awaitsReport = false; // `agent` is listed, but has not been heard yet.
+        bool awaitsReport = false; // `agent` is listed, but has not reported yet.
     };
 
     void holdForReport(Request &request, const InstanceId &agent, TimePoint now,
