--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -153,7 +153,7 @@
         SendCall{id, request.agent, request.agentIncarnation, request.deadline - now});
 }
 
-// A request that ends upstreams is not invited to come back.
+// Suggests no retry for a request that is refused because upstreams ended while running it.
 Duration EntryCore::retryAfter(const Choice &choice)
 {
     return choice.failure == FailureCode::RequestEndsUpstreams ? Duration{} : kRetryAfterNoUpstream;
@@ -179,7 +179,7 @@
     const Member *member = members_.find(ticket.agent);
     const bool alive =
         member != nullptr && member->heard && member->report.incarnation == ticket.incarnation;
-    // An earlier attempt with this ticket may have run, through this entry or through another.
+    // An earlier attempt with this ticket may have run, through this entry or another one.
     if (!alive) {
         return {std::nullopt, FailureCode::TicketSpent, Outcome::Unknown};
     }
@@ -290,7 +290,7 @@
         return;
     }
     removeFromAgentLoad(id, *request);
-    // A ticket and a key bind the request to one agent, so there is no other to try.
+    // A ticket or a key binds the request to one agent, so it has no alternative agent.
     const bool bound = request->original.ticket || !request->original.callerKey.empty();
     const bool mayRetry =
         !bound && request->attempts < settings_.maxAttempts && now < request->deadline;
@@ -313,7 +313,7 @@
     if (failure == FailureCode::UpstreamUnreachable || failure == FailureCode::UpstreamEnded) {
         outliers_.onFailure(request->agent, now);
     }
-    // An upstream that is to leave ends because it was told to.
+    // The end of an upstream that is leaving is an intended stop, not a crash.
     if (failure == FailureCode::UpstreamEnded && members_.mayReceive(request->agent, now)) {
         crashes_.onEnded(request->original.digest, request->original.account, request->agent, now);
     }
@@ -354,7 +354,8 @@
         retryOrFail(id, FailureCode::UpstreamUnreachable, kRetryAfterNoUpstream, now, actions);
         return;
     }
-    // The agent may still be alive behind a broken connection; its word on a cancel is a proof.
+    // The agent may still run behind a broken connection; its answer to a cancel can prove that the
+    // request did not run.
     request->phase = RequestPhase::Resolving;
     request->expiresAt = std::min(now + settings_.resolveTimeout, request->deadline);
     actions.emplace_back(SendCancel{id, request->agent, request->agentIncarnation});
@@ -437,7 +438,7 @@
     const InstanceId to = *request->moveTo;
     request->moveTo.reset();
     if (!notRun || request->phase != RequestPhase::Sent) {
-        // It has started meanwhile; the free slot is offered to the next one that waits.
+        // The request has started meanwhile, so another queued one is moved to the free slot.
         request->queuedAtAgent = false;
         moveWaitingRequestTo(to, now, actions);
         return;
@@ -504,8 +505,8 @@
         }
     }
     for (const RequestId &id : overdue) {
-        // A held request was never sent; but it carries a ticket or a key, and an earlier request
-        // with the same one may have run.
+        // A held request was never sent, but an earlier request with the same ticket or key may
+        // have run.
         fail(id, FailureCode::UpstreamUnreachable, Outcome::Unknown, kRetryAfterNoUpstream,
              actions);
     }
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -107,8 +107,8 @@
         std::uint64_t seed = 0;
         // An agent gets no new requests when its last report is older than this.
         Duration lease = std::chrono::seconds(3);
-        Duration holdTimeout = std::chrono::seconds(1);    // Limit for a held request.
-        Duration resolveTimeout = std::chrono::seconds(1); // Limit for the answer to a cancel.
+        Duration holdTimeout = std::chrono::seconds(1);    // Wait for an agent's first report.
+        Duration resolveTimeout = std::chrono::seconds(1); // Wait for an answer to a cancel.
         Duration slowStart = std::chrono::seconds(5); // Ramp-up of a new agent's readiness to 1.
         std::uint32_t maxAttempts = 3;
         std::uint32_t maxMoves = 3; // From one agent's queue to another agent.
@@ -139,8 +139,7 @@
                    TimePoint now, EntryActions &actions);
     // Handles a call that could not be written to any connection, which proves that it did not run.
     void onNotWritten(RequestId id, TimePoint now, EntryActions &actions);
-    // Handles a connection that broke after the call was written and before the answer was
-    // complete.
+    // Handles a connection that broke between the write of the call and the end of the answer.
     void onConnectionLost(RequestId id, TimePoint now, EntryActions &actions);
     // Handles the agent's answer to a cancel. `notRun` means that the request provably did not run.
     void onCancelled(RequestId id, bool notRun, TimePoint now, EntryActions &actions);
@@ -172,8 +171,7 @@
     std::uint64_t moves() const { return moves_; }
     // Returns how many answers arrived for requests no longer assigned to the answering agent.
     std::uint64_t droppedAnswers() const { return droppedAnswers_; }
-    // Returns the time after which `agent` gets no new requests unless it answers another
-    // heartbeat.
+    // Returns the time when the lease of `agent` ends; it gets no new requests after that.
     TimePoint leaseUntil(const InstanceId &agent) const;
 
 private:
@@ -187,13 +185,13 @@
         InstanceId agent;
         Incarnation agentIncarnation;
         std::uint32_t attempts = 0;
-        bool mayHaveRun = false; // An attempt ended and may have run.
+        bool mayHaveRun = false; // An attempt ended without proof that it did not run.
         std::set<InstanceId> triedAgents;
         TimePoint sentAt{};
         std::uint32_t moves = 0;
-        bool queuedAtAgent = false;       // Queued, not running, by the latest word of its agent.
+        bool queuedAtAgent = false;       // Queued and not started, as last reported.
         std::optional<InstanceId> moveTo; // Target agent while a withdrawal is pending.
-        TimePoint expiresAt{};
+        TimePoint expiresAt{};            // Set while AwaitingReport or Resolving.
     };
 
     // The chosen agent, or the failure to report if there is none.
@@ -207,6 +205,7 @@
 
     void holdForReport(Request &request, const InstanceId &agent, TimePoint now,
                        EntryActions &actions);
+    // Dispatches or fails the requests held for the report of `agent`.
     void releaseHeld(const InstanceId &agent, TimePoint now, EntryActions &actions);
     void dispatch(RequestId id, Request &request, const InstanceId &agent, TimePoint now,
                   EntryActions &actions);
@@ -216,9 +215,12 @@
     Choice chooseKeyHome(const Request &request, TimePoint now) const;
     Choice chooseByRouter(const Request &request, TimePoint now);
     RouteCandidate candidateFor(const Member &member, const Request &request, TimePoint now);
+    // Returns the longest-sent request that is queued at another agent and may be sent to `to`.
     std::optional<RequestId> findMovableRequest(const InstanceId &to) const;
     void moveWaitingRequestTo(const InstanceId &agent, TimePoint now, EntryActions &actions);
+    // Returns 0.1 to 1, growing with the agent's age during slowStart.
     double readiness(const Member &member, TimePoint now) const;
+    // Sends the request to another agent if it may be retried, else fails it.
     void retryOrFail(RequestId id, FailureCode failure, Duration retryAfter, TimePoint now,
                      EntryActions &actions);
     void fail(RequestId id, FailureCode failure, Outcome outcome, Duration retryAfter,
