--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kRateWindow = std::chrono::seconds(1);
 constexpr double kRateSmoothing = 0.3;
 constexpr double kMaxLengthRatio = 4.0;
-constexpr double kInitialLengthRatio = 0.25; // For accounts whose answers were not measured yet.
+constexpr double kInitialLengthRatio = 0.25; // Of the declared length, until answers are measured.
 constexpr double kLengthRatioSmoothing = 0.05;
 constexpr int kServiceTimeMargin = 4; // 1 in 50 answers of freely varying length exceeds it.
 constexpr Duration kDefaultRetryAfter = std::chrono::milliseconds(250);
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -63,12 +63,13 @@
 struct AnnounceFreeSlot
 {};
 
+// An action that an event requires; the service around AgentCore carries actions out in order.
 using AgentAction = std::variant<StartUpstream, AbortUpstream, ReportNotRun, AnnounceFreeSlot>;
 using AgentActions = std::vector<AgentAction>;
 
 // Decides which requests an agent accepts, in which order they start at its upstream, and when they
-// are refused or cancelled. An accepted request starts unless it is withdrawn, cancelled
-// or reported as not run.
+// are refused or cancelled. An accepted request starts unless it is withdrawn, cancelled or
+// reported as not run.
 class AgentCore
 {
 public:
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -77,7 +77,7 @@
     Incarnation agentIncarnation;
 };
 
-// Reports to the caller that the request failed. The entry has no more state for it.
+// Reports to the caller that the request failed. EntryCore has removed it.
 struct FailRequest
 {
     RequestId id;
@@ -92,6 +92,7 @@
     InstanceId agent;
 };
 
+// An action that an event requires; the service around EntryCore carries actions out in order.
 using EntryAction = std::variant<SendCall, SendCancel, SendWithdraw, FailRequest, ConnectAgent>;
 using EntryActions = std::vector<EntryAction>;
 
@@ -105,7 +106,7 @@
         HallId hall;
         Incarnation incarnation;
         std::uint64_t seed = 0;
-        // An agent gets no new requests when its last report is older than this.
+        // An agent gets new requests only if it answered a heartbeat sent within this time.
         Duration lease = std::chrono::seconds(3);
         Duration holdTimeout = std::chrono::seconds(1);    // Wait for an agent's first report.
         Duration resolveTimeout = std::chrono::seconds(1); // Wait for an answer to a cancel.
@@ -215,7 +216,7 @@
     Choice chooseKeyHome(const Request &request, TimePoint now) const;
     Choice chooseByRouter(const Request &request, TimePoint now);
     RouteCandidate candidateFor(const Member &member, const Request &request, TimePoint now);
-    // Returns the longest-sent request that is queued at another agent and may be sent to `to`.
+    // Returns the earliest sent request that is queued at another agent and may run at `to`.
     std::optional<RequestId> findMovableRequest(const InstanceId &to) const;
     void moveWaitingRequestTo(const InstanceId &agent, TimePoint now, EntryActions &actions);
     // Returns 0.1 to 1, growing with the agent's age during slowStart.
--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -32,8 +32,8 @@
 
 TEST(AgentCoreTest, NewAgentAcceptsLongDeclaredAnswer)
 {
-    // Found by a test of slow callers: a new agent took the declared length for the true one and
-    // refused what a caller that declares the most it would take sends every day.
+    // Guards against a new agent that takes the declared length for the actual one. It would refuse
+    // the normal requests of callers that declare the maximum that they would accept.
     AgentCall longCall = call(1, 60'000);
     longCall.deadline = std::chrono::seconds(60);
 
--- a/test/decision/dispatch/dispatchschedule_test.cpp
+++ b/test/decision/dispatch/dispatchschedule_test.cpp
@@ -1,5 +1,6 @@
-// Seeded schedules over the real entry and agent decisions: the answer goes to its own caller, not
-// run means not run, at most once, and a leaving upstream gets no new work.
+// Runs the real EntryCore and AgentCore under seeded random schedules and checks that an answer
+// goes to its own caller, that a request reported as 'not run' never runs, that protected
+// operations run at most once, and that a leaving upstream gets no new requests.
 #include "decision/dispatch/dispatchsimulation.h"
 
 #include <cstdlib>
@@ -11,7 +12,7 @@
 
 namespace {
 
-// The number of seeds in CI; SEAMARCH_SEEDS sets another for a long search.
+// Returns the number of seeds: 2000 as in CI, or SEAMARCH_SEEDS for a longer search.
 std::uint64_t seedCount()
 {
     const char *text = std::getenv("SEAMARCH_SEEDS");
@@ -27,7 +28,7 @@
     return options;
 }
 
-// Returns the first violation that a planted fault leads to within some seeds.
+// Returns the first violation that an injected fault causes within `seeds` seeds; empty if none.
 std::string firstViolation(InjectedFault fault, std::uint64_t seeds)
 {
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -56,7 +57,7 @@
         answered += simulation.answered();
         moved += simulation.moved();
     }
-    // A world that refuses everything would hold every invariant.
+    // A simulation that refuses every request would also satisfy the invariants.
     CHECK(answered > static_cast<int>(seedCount()) * 20);
     CHECK(moved > static_cast<int>(seedCount()) / 2);
 }
@@ -77,8 +78,9 @@
 
 TEST(DispatchScheduleTest, MovedRequestDoesNotReturnToItsTombstone)
 {
-    // Found by the figures of the proofs: under no fault at all 2% of the calls without a key ended
-    // unknown, because a request was moved back to an agent that it had been withdrawn from.
+    // Guards against moving a request back to an agent from which it was withdrawn. That agent's
+    // tombstone refuses it with an unknown outcome. Without any fault, 2% of the calls without a
+    // key failed this way.
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         DispatchSimulation::Options options = optionsOf(seed);
         options.scenario = Scenario::NoFaults;
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -9,7 +9,7 @@
 constexpr Duration kLease = std::chrono::seconds(3);
 constexpr Duration kHeartbeat = std::chrono::milliseconds(500);
 constexpr Duration kSimulationEnd = std::chrono::seconds(60);
-constexpr Duration kNoFaultsFrom = std::chrono::seconds(40); // Nothing fails from here on.
+constexpr Duration kNoFaultsFrom = std::chrono::seconds(40); // No faults after this time.
 constexpr int kMaxAttempts = 5;
 constexpr Duration kFaultTime = std::chrono::seconds(14);
 constexpr Duration kPartitionLength = std::chrono::seconds(5);
@@ -59,7 +59,7 @@
     return std::bernoulli_distribution(probability)(random_);
 }
 
-// The cut parts the first process of each kind from all others.
+// The partition separates the first entry and the first agent from all other processes.
 bool DispatchSimulation::isPartitioned(std::size_t left, std::size_t right) const
 {
     const Duration time = now_.time_since_epoch();
@@ -104,7 +104,8 @@
     agents_[agent].core->setKeyMembers(kTarget, makeMemberSet(members));
 }
 
-// The list drops an agent that may well live, or takes it back; every process hears of it late.
+// Removes an agent from the list although it may be running, or lists it again. Each process gets
+// the new list with a delay of up to 9 s.
 void DispatchSimulation::changeList()
 {
     if (delisted_) {
@@ -160,7 +161,7 @@
     settings.ledgerCapacity = 40;
     settings.keyHome.lease = kLease;
     agent.core = std::make_unique<AgentCore>(settings, now_);
-    // A process that starts may see a list that is older than what others see.
+    // A restarted process may get an older list than the others have.
     applyMembers(index,
                  lists_[lists_.size() > 1 && chance(0.5) ? lists_.size() - 2 : lists_.size() - 1]);
     grantLoop(index);
@@ -268,7 +269,7 @@
     after(std::chrono::milliseconds(50), [this] { tickLoop(); });
 }
 
-// Something fails every second or so.
+// Injects a random fault about every second.
 void DispatchSimulation::injectFault()
 {
     if (now_.time_since_epoch() > kNoFaultsFrom) {
@@ -282,10 +283,10 @@
         startAgent(agent);
         breakConnections(agent);
         break;
-    case 1: // An agent is paused and wakes late.
+    case 1: // An agent is paused.
         agents_[agent].pausedUntil = now_ + randomDelay(100, 8000);
         break;
-    case 2: // An entry is paused and wakes late.
+    case 2: // An entry is paused.
         entries_[entry].pausedUntil = now_ + randomDelay(100, 8000);
         break;
     case 3: // An entry is killed and replaced; its callers see broken connections.
@@ -296,10 +297,10 @@
         }
         startEntry(entry);
         break;
-    case 4: // The connections to an agent break while both sides live.
+    case 4: // The connections to an agent break; both sides keep running.
         breakConnections(agent);
         break;
-    case 5: // An agent is told to leave, and its replacement comes later.
+    case 5: // An agent leaves and is replaced later.
         if (!agents_[agent].leftAt) {
             AgentActions actions;
             agents_[agent].core->leave(actions);
@@ -427,7 +428,7 @@
                                  toSeconds(now_ - *target.leftAt)));
     }
     agentOf_[call.id] = agent;
-    // begin() returns the id after its actions, so the operation is looked up on delivery.
+    // begin() returns the id after its actions, so operationOf_ can be read only on delivery.
     const bool lost = isPartitioned(entry, agent) || (randomFaults() && chance(0.03));
     const bool duplicated = randomFaults() && chance(0.05);
     if (!lost) {
@@ -435,7 +436,7 @@
                    [this, entry, call, agent] { deliverCall(entry, call, agent, true); });
     }
     if (duplicated) {
-        // The answer to a late copy comes on a connection that nobody listens to any more.
+        // The entry has closed the connection on which the answer to a late copy arrives.
         runAtAgent(agent, randomDelay(0.5, 4000),
                    [this, entry, call, agent] { deliverCall(entry, call, agent, false); });
     }
@@ -659,7 +660,7 @@
     if (operation < 0) {
         return;
     }
-    // A caller sends again what was not run, and what may be sent again.
+    // Callers retry a request that did not run, and one whose repetition is safe.
     const OperationKind kind = operations_[static_cast<std::size_t>(operation)].kind;
     const bool bound = kind == OperationKind::Ticketed || kind == OperationKind::Keyed;
     if (failure.outcome == Outcome::NotRun || bound || kind == OperationKind::Repeatable) {
@@ -671,7 +672,7 @@
 {
     operations_.resize(static_cast<std::size_t>(options_.operations));
     for (int index = 0; index < options_.operations; ++index) {
-        // The first leases and key-home grants are in place after a few seconds.
+        // Starts at 8 s, when the first leases and key-home grants are in place.
         at(TimePoint(std::chrono::seconds(8)) + randomDelay(0, 15'000),
            [this, index] { beginOperation(index); });
     }
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -1,9 +1,10 @@
-// A small fake of what lies between entries and agents, in virtual time with a fixed seed.
+// DispatchSimulation: a deterministic simulation of entries, agents and the network between them,
+// in virtual time with a fixed seed.
 //
-// The real EntryCore and AgentCore run in it unchanged. The fake network drops, delays, reorders
-// and doubles messages; processes are killed, paused and replaced; views lag. Callers retry as the
-// reference tells them to. Violations of the invariants are collected as sentences. A planted fault
-// breaks one rule on purpose, to show that the checker catches it.
+// It runs the real EntryCore and AgentCore. The simulated network drops, delays, reorders and
+// duplicates messages; processes are killed, paused and replaced; their instance lists are stale.
+// Callers retry as the API reference allows. Violated invariants are collected as messages. An
+// injected fault breaks one rule on purpose, to show that the checks detect it.
 #pragma once
 
 #include "decision/dispatch/agentcore.h"
@@ -20,23 +21,26 @@
 
 namespace seamarch::test {
 
+// A deliberate bug that the checks must detect.
 enum class InjectedFault {
     None,
-    IgnoreIncarnation,   // A cancel is answered for whatever incarnation is there.
-    SkipTombstone,       // A cancel is answered 'not run' without being recorded.
-    RetryUnknownOutcome, // A lost call counts as never written.
-    DropTicket,          // The ticket is taken off on the way.
-    SwapAnswers,         // Now and then an answer goes to another request.
-    MisreportWithdrawal, // A request that has started is said to have been given back.
-    AcceptWhileLeaving,  // A leaving agent goes on taking work.
+    IgnoreIncarnation,   // Agents answer cancels that address another incarnation.
+    SkipTombstone,       // Agents answer a cancel with 'not run' and do not record it.
+    RetryUnknownOutcome, // Entries treat a lost call as never written.
+    DropTicket,          // Calls lose their ticket on the way.
+    SwapAnswers,         // One in ten answers goes to another request.
+    MisreportWithdrawal, // Agents confirm withdrawals of started requests.
+    AcceptWhileLeaving,  // Leaving agents accept requests.
 };
 
-// What goes wrong. Random brings everything about; the others one thing, for measurements.
+// Environment faults. Random mixes all of them; the others have none or exactly one, for
+// measurements.
 enum class Scenario { Random, NoFaults, AgentRestart, Partition };
 
-// How an operation is kept from running twice.
+// The protection of an operation against running twice; Repeatable ones may run twice.
 enum class OperationKind { Repeatable, Plain, Ticketed, Keyed };
 
+// Simulates one run of operations by callers and checks the dispatch invariants.
 class DispatchSimulation
 {
 public:
@@ -45,7 +49,7 @@
         std::uint64_t seed = 1;
         InjectedFault fault = InjectedFault::None;
         Scenario scenario = Scenario::Random;
-        std::optional<OperationKind> onlyKind;
+        std::optional<OperationKind> onlyKind; // Unset: a random mix of all kinds.
         int operations = 120;
         int entries = 3;
         int agents = 4;
@@ -53,16 +57,18 @@
 
     explicit DispatchSimulation(const Options &options);
 
-    // Runs to the end of virtual time and returns what was violated.
+    // Runs the whole simulation and returns a message for each violated invariant.
     std::vector<std::string> run();
 
+    // Counts of request outcomes: answered, failed as not run, failed as unknown, and requests
+    // moved to another agent.
     int answered() const { return answered_; }
     int notRun() const { return notRun_; }
     int unknown() const { return unknown_; }
     int moved() const { return moved_; }
 
 private:
-    // What a caller wants done once.
+    // One piece of work of a caller, which makes one or more attempts.
     struct Operation
     {
         OperationKind kind = OperationKind::Plain;
@@ -87,7 +93,7 @@
         Incarnation incarnation;
         TimePoint pausedUntil{};
         std::optional<TimePoint> leftAt;
-        std::map<RequestId, int> jobs; // Request to operation.
+        std::map<RequestId, int> jobs; // Operation index by request.
     };
 
     struct Event
@@ -110,6 +116,7 @@
     Duration randomDelay(double lowMs, double highMs);
     bool chance(double probability);
     bool randomFaults() const { return options_.scenario == Scenario::Random; }
+    // Returns true while messages between processes `left` and `right` are lost.
     bool isPartitioned(std::size_t left, std::size_t right) const;
     std::size_t pickIndex(std::size_t size);
     WallMillis wall() const;
@@ -124,7 +131,8 @@
     void tickLoop();
     void injectFault();
 
-    // Runs `action` at the process when it is not paused; drops it when the incarnation is gone.
+    // Runs `action` at a process after `delay`, once it is not paused. runAtEntry() drops it if the
+    // entry is no longer `targetIncarnation`.
     void runAtEntry(std::size_t entry, Incarnation targetIncarnation, Duration delay,
                     const std::function<void()> &action);
     void runAtAgent(std::size_t agent, Duration delay, const std::function<void()> &action);
@@ -159,9 +167,9 @@
     std::map<RequestId, int> operationOf_;
     std::map<RequestId, int> runsOf_;
     std::map<RequestId, std::size_t> agentOf_;
-    std::set<RequestId> reportedNotRun_;
-    std::vector<InstanceList> lists_; // Every list that was published.
-    std::optional<std::size_t> delisted_;
+    std::set<RequestId> reportedNotRun_;  // Requests whose caller got the outcome 'not run'.
+    std::vector<InstanceList> lists_;     // All published lists, oldest first.
+    std::optional<std::size_t> delisted_; // The agent left out of the newest list.
     std::vector<std::string> violations_;
     int answered_ = 0;
     int notRun_ = 0;
--- a/test/decision/dispatch/entrycrash_test.cpp
+++ b/test/decision/dispatch/entrycrash_test.cpp
@@ -1,5 +1,5 @@
-// The load that this answers: a call that ends every upstream that runs it comes again and again at
-// an entry, and is sent on to the next agent by the entry itself.
+// Guards against a request that ends the process of every upstream that runs it: its caller repeats
+// it, and the entry itself retries it at the next agent.
 #include "decision/dispatch/entrycore.h"
 
 #include <CppUTest/TestHarness.h>
