--- a/test/decision/dispatch/agentcore_test.cpp
+++ b/test/decision/dispatch/agentcore_test.cpp
@@ -45,10 +45,10 @@
     AgentCall wrongIncarnation = call(1, 10);
     wrongIncarnation.agentIncarnation = Incarnation(6);
 
-    const AdmissionResult verdict = core.onCall(wrongIncarnation, TimePoint{}, {}, actions);
+    const AdmissionResult admission = core.onCall(wrongIncarnation, TimePoint{}, {}, actions);
 
-    CHECK_FALSE(verdict.accepted);
-    CHECK(verdict.outcome == Outcome::NotRun);
+    CHECK_FALSE(admission.accepted);
+    CHECK(admission.outcome == Outcome::NotRun);
 }
 
 TEST(AgentCoreTest, DuplicateRequestDoesNotStart)
@@ -88,11 +88,11 @@
     CHECK_EQUAL(1U, actions.size());
     CHECK(std::get<ReportNotRun>(actions.front()).id == call(2, 10).id);
     CHECK(std::get<ReportNotRun>(actions.front()).retryAfter == end - start);
-    const AdmissionResult verdict =
+    const AdmissionResult admission =
         core.onCall(call(3, 10), start + std::chrono::seconds(1), {}, actions);
-    CHECK_FALSE(verdict.accepted);
-    CHECK(verdict.outcome == Outcome::NotRun);
-    CHECK(verdict.retryAfter == Duration(std::chrono::seconds(2)));
+    CHECK_FALSE(admission.accepted);
+    CHECK(admission.outcome == Outcome::NotRun);
+    CHECK(admission.retryAfter == Duration(std::chrono::seconds(2)));
     CHECK(core.report().leaving);
     core.onTick(end, actions);
     CHECK_FALSE(core.report().leaving);
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -467,15 +467,15 @@
     }
     Agent &target = agents_[agent];
     AgentActions actions;
-    const AdmissionResult verdict = target.core->onCall(message, now_, wall(), actions);
+    const AdmissionResult admission = target.core->onCall(message, now_, wall(), actions);
     const bool acceptWhileLeaving =
         options_.fault == InjectedFault::AcceptWhileLeaving && target.leftAt;
-    if (verdict.accepted && connectionOpen) {
-        runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict] {
-            entries_[entry].core->onAccepted(call.id, verdict.started);
+    if (admission.accepted && connectionOpen) {
+        runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, admission] {
+            entries_[entry].core->onAccepted(call.id, admission.started);
         });
     }
-    if (verdict.accepted || acceptWhileLeaving) {
+    if (admission.accepted || acceptWhileLeaving) {
         target.jobs.emplace(call.id, operation);
         if (target.leftAt) {
             addViolation(fmt::format("a leaving agent took request {}", call.id.counter));
@@ -486,14 +486,14 @@
     if (!connectionOpen) {
         return;
     }
-    runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, verdict, agent] {
+    runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, admission, agent] {
         const auto current = agentOf_.find(call.id);
         if (current == agentOf_.end() || current->second != agent) {
             return;
         }
         EntryActions entryActions;
-        entries_[entry].core->onRefused(call.id, verdict.failure, verdict.outcome,
-                                        verdict.retryAfter, now_, entryActions);
+        entries_[entry].core->onRefused(call.id, admission.failure, admission.outcome,
+                                        admission.retryAfter, now_, entryActions);
         carryOut(entry, entryActions);
     });
 }
