--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -569,14 +569,15 @@
                 continue;
             }
             runAtEntry(entry, report->id.entry, randomDelay(0.5, 30),
-                       [this, entry, agent, told = *report] {
-                           const auto current = agentOf_.find(told.id);
+                       [this, entry, agent, notRunReport = *report] {
+                           const auto current = agentOf_.find(notRunReport.id);
                            if (current == agentOf_.end() || current->second != agent) {
                                return;
                            }
                            EntryActions entryActions;
-                           entries_[entry].core->onRefused(told.id, told.failure, Outcome::NotRun,
-                                                           told.retryAfter, now_, entryActions);
+                           entries_[entry].core->onRefused(notRunReport.id, notRunReport.failure,
+                                                           Outcome::NotRun, notRunReport.retryAfter,
+                                                           now_, entryActions);
                            carryOut(entry, entryActions);
                        });
         }
