--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -170,7 +170,7 @@
 void DispatchSimulation::runAtEntry(std::size_t index, Incarnation targetIncarnation,
                                     Duration delay, const std::function<void()> &action)
 {
-    after(delay, [this, index, targetIncarnation, action] {
+    scheduleAfter(delay, [this, index, targetIncarnation, action] {
         const Entry &entry = entries_[index];
         if (entry.incarnation != targetIncarnation) {
             return;
@@ -186,7 +186,7 @@
 void DispatchSimulation::runAtAgent(std::size_t index, Duration delay,
                                     const std::function<void()> &action)
 {
-    after(delay, [this, index, action] {
+    scheduleAfter(delay, [this, index, action] {
         const Agent &agent = agents_[index];
         if (now_ < agent.pausedUntil) {
             runAtAgent(index, agent.pausedUntil - now_, action);
@@ -266,7 +266,7 @@
             carryOut(index, actions);
         }
     }
-    after(std::chrono::milliseconds(50), [this] { tickLoop(); });
+    scheduleAfter(std::chrono::milliseconds(50), [this] { tickLoop(); });
 }
 
 // Injects a random fault about every second.
@@ -306,7 +306,7 @@
             agents_[agent].core->leave(actions);
             agents_[agent].leftAt = now_;
             carryOut(agent, actions);
-            after(randomDelay(6000, 9000), [this, agent] {
+            scheduleAfter(randomDelay(6000, 9000), [this, agent] {
                 startAgent(agent);
                 breakConnections(agent);
             });
@@ -318,7 +318,7 @@
     default:
         break;
     }
-    after(randomDelay(300, 1500), [this] { injectFault(); });
+    scheduleAfter(randomDelay(300, 1500), [this] { injectFault(); });
 }
 
 void DispatchSimulation::breakConnections(std::size_t agent)
@@ -368,7 +368,7 @@
     }
     const std::size_t entry = pickIndex(entries_.size());
     if (now_ < entries_[entry].pausedUntil) {
-        after(std::chrono::milliseconds(100), [this, index] { attempt(index); });
+        scheduleAfter(std::chrono::milliseconds(100), [this, index] { attempt(index); });
         return;
     }
     ++operation.attempts;
@@ -665,7 +665,7 @@
     const OperationKind kind = operations_[static_cast<std::size_t>(operation)].kind;
     const bool bound = kind == OperationKind::Ticketed || kind == OperationKind::Keyed;
     if (failure.outcome == Outcome::NotRun || bound || kind == OperationKind::Repeatable) {
-        after(randomDelay(50, 1500), [this, operation] { attempt(operation); });
+        scheduleAfter(randomDelay(50, 1500), [this, operation] { attempt(operation); });
     }
 }
 
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -109,7 +109,7 @@
     };
 
     void at(TimePoint time, std::function<void()> action);
-    void after(Duration delay, std::function<void()> action)
+    void scheduleAfter(Duration delay, std::function<void()> action)
     {
         at(now_ + delay, std::move(action));
     }
