--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -44,7 +44,7 @@
     }
 }
 
-void DispatchSimulation::at(TimePoint time, std::function<void()> action)
+void DispatchSimulation::scheduleAt(TimePoint time, std::function<void()> action)
 {
     events_.push({std::max(time, now_), nextSequence_++, std::move(action)});
 }
@@ -674,21 +674,21 @@
     operations_.resize(static_cast<std::size_t>(options_.operations));
     for (int index = 0; index < options_.operations; ++index) {
         // Starts at 8 s, when the first leases and key-home grants are in place.
-        at(TimePoint(std::chrono::seconds(8)) + randomDelay(0, 15'000),
-           [this, index] { beginOperation(index); });
+        scheduleAt(TimePoint(std::chrono::seconds(8)) + randomDelay(0, 15'000),
+                   [this, index] { beginOperation(index); });
     }
     tickLoop();
     if (randomFaults()) {
-        at(TimePoint(std::chrono::seconds(8)), [this] { injectFault(); });
+        scheduleAt(TimePoint(std::chrono::seconds(8)), [this] { injectFault(); });
     }
     if (options_.scenario == Scenario::AgentRestart) {
-        at(TimePoint(kFaultTime), [this] {
+        scheduleAt(TimePoint(kFaultTime), [this] {
             startAgent(0);
             breakConnections(0);
         });
     }
     if (options_.scenario == Scenario::Partition) {
-        at(TimePoint(kFaultTime), [this] { breakConnections(0); });
+        scheduleAt(TimePoint(kFaultTime), [this] { breakConnections(0); });
     }
     while (!events_.empty() && events_.top().at.time_since_epoch() < kSimulationEnd) {
         const Event event = events_.top();
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -108,10 +108,10 @@
         }
     };
 
-    void at(TimePoint time, std::function<void()> action);
+    void scheduleAt(TimePoint time, std::function<void()> action);
     void scheduleAfter(Duration delay, std::function<void()> action)
     {
-        at(now_ + delay, std::move(action));
+        scheduleAt(now_ + delay, std::move(action));
     }
     Duration randomDelay(double lowMs, double highMs);
     bool chance(double probability);
