--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -468,14 +468,14 @@
     Agent &target = agents_[agent];
     AgentActions actions;
     const AdmissionResult admission = target.core->onCall(message, now_, wall(), actions);
-    const bool acceptWhileLeaving =
+    const bool acceptsWhileLeaving =
         options_.fault == InjectedFault::AcceptWhileLeaving && target.leftAt;
     if (admission.accepted && connectionOpen) {
         runAtEntry(entry, call.id.entry, randomDelay(0.5, 30), [this, entry, call, admission] {
             entries_[entry].core->onAccepted(call.id, admission.started);
         });
     }
-    if (admission.accepted || acceptWhileLeaving) {
+    if (admission.accepted || acceptsWhileLeaving) {
         target.jobs.emplace(call.id, operation);
         if (target.leftAt) {
             addViolation(fmt::format("a leaving agent took request {}", call.id.counter));
