--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -14,7 +14,7 @@
 constexpr double kMaxLengthRatio = 4.0;
 constexpr double kInitialLengthRatio = 0.25; // Of the declared length, until answers are measured.
 constexpr double kLengthRatioSmoothing = 0.05;
-constexpr int kServiceTimeMargin = 4; // 1 in 50 answers of freely varying length exceeds it.
+constexpr int kServiceTimeMargin = 4; // 1 in 50 answers of freely varying length takes longer.
 constexpr Duration kDefaultRetryAfter = std::chrono::milliseconds(250);
 
 AdmissionResult refused(FailureCode failure, Duration retryAfter = kDefaultRetryAfter)
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -78,7 +78,7 @@
         InstanceId self;
         Incarnation incarnation;
         std::uint64_t seed = 0;
-        std::uint32_t slots = 8;                // Requests that run at the upstream at a time.
+        std::uint32_t slots = 8;                // Requests that run concurrently.
         double initialTokensPerSecond = 1000.0; // Rate assumed until one has been measured.
         std::size_t ledgerCapacity = 20'000;    // Requests.
         std::size_t ticketCapacity = 20'000;
@@ -119,7 +119,8 @@
     // requests are reported as not run, and reports mark the agent as leaving so that entries send
     // it none. A later call can extend a backoff but not shorten it.
     void backOffUntil(TimePoint until, TimePoint now, AgentActions &actions);
-    // `false` refuses new requests while the upstream reloads, and reports queued ones as not run.
+    // With `false`, refuses new requests while the upstream reloads and reports queued ones as not
+    // run, until a call with `true`.
     void setServing(bool serving, AgentActions &actions);
     // Returns true if no request is queued or running.
     bool idle() const { return running_.empty() && queue_.size() == 0; }
@@ -173,11 +174,14 @@
     void releaseReservation(RequestId id);
     // Returns the expected time in the queue; zero if a slot is free.
     Duration predictedWait(const AccountId &account) const;
+    // Returns the expected run time of a request while all slots are in use.
     Duration predictedServiceTime(const AccountId &account, Tokens promptTokens,
                                   Tokens answerTokens) const;
     // Scales a declared answer length by the account's length ratio.
     Tokens expectedAnswerTokens(const AccountId &account, Tokens declaredTokens) const;
+    // Adds a finished request to the length ratio of its account.
     void updateLengthRatio(const Running &running);
+    // Starts queued requests while slots are free; refuses those that cannot meet their deadline.
     void startNext(TimePoint now, AgentActions &actions);
     void refuseWaiting(const QueuedRequest &request, FailureCode failure, Duration retryAfter,
                        AgentActions &actions);
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -37,7 +37,8 @@
 // measurements.
 enum class Scenario { Random, NoFaults, AgentRestart, Partition };
 
-// The protection of an operation against running twice; Repeatable ones may run twice.
+// How an operation is protected against running twice: by a ticket, by an idempotency key, or, if
+// Plain, by retrying only after the outcome 'not run'. Repeatable ones may run twice.
 enum class OperationKind { Repeatable, Plain, Ticketed, Keyed };
 
 // Simulates one run of operations by callers and checks the dispatch invariants.
