--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -4,8 +4,8 @@
 // its listener and decides nothing.
 #pragma once
 
-#include "decision/dispatch/entrycore.h"
 #include "decision/dispatch/admissionresult.h"
+#include "decision/dispatch/entrycore.h"
 #include "knowledge/knowledge.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
