--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -35,12 +35,12 @@
 }
 
 // Returns all, this one included, in the order of their ids.
-std::vector<GatewayDirectory::Known> GatewayDirectory::sorted(TimePoint now) const
+std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::sorted(TimePoint now) const
 {
-    std::vector<Known> all = known();
+    std::vector<KnownPeer> all = known();
     const auto place = std::lower_bound(
         all.begin(), all.end(), self_.id,
-        [](const Known &known, const InstanceId &id) { return known.record.id < id; });
+        [](const KnownPeer &known, const InstanceId &id) { return known.record.id < id; });
     all.insert(place, {self_, now});
     return all;
 }
@@ -49,7 +49,7 @@
 {
     if (mark_ == 0) {
         std::string text;
-        for (const Known &known : sorted(TimePoint{})) {
+        for (const KnownPeer &known : sorted(TimePoint{})) {
             const GatewayRecord &record = known.record;
             text += record.id.value() + '|' + record.hall.value() + '|' + record.host + '|'
                     + std::to_string(record.port) + '\n';
@@ -68,7 +68,7 @@
         return news;
     }
     constexpr Duration::rep kOldest = 255;
-    for (const Known &known : sorted(now)) {
+    for (const KnownPeer &known : sorted(now)) {
         const Duration age = std::max(Duration{}, now - known.heardAt);
         const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Never too young.
         news.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kOldest)));
@@ -78,7 +78,7 @@
 
 bool GatewayDirectory::take(const News &news, TimePoint now)
 {
-    for (const Known &known : news.all) {
+    for (const KnownPeer &known : news.all) {
         hear(known.record, known.heardAt);
     }
     if (news.ages.empty()) {
@@ -87,7 +87,7 @@
     if (news.mark != mark() || news.ages.size() != size()) {
         return false;
     }
-    const std::vector<Known> all = sorted(now);
+    const std::vector<KnownPeer> all = sorted(now);
     for (std::size_t index = 0; index < all.size(); ++index) {
         hear(all[index].record, now - kAgeStep * static_cast<Duration::rep>(news.ages[index]));
     }
@@ -203,9 +203,9 @@
     return found == members_.end() ? nullptr : &found->second.record;
 }
 
-std::vector<GatewayDirectory::Known> GatewayDirectory::known() const
+std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::known() const
 {
-    std::vector<Known> all;
+    std::vector<KnownPeer> all;
     all.reserve(members_.size());
     for (const auto &[id, member] : members_) {
         all.push_back({member.record, member.heardAt});
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -48,7 +48,7 @@
     };
 
     // A gateway and when it was last heard of, by anyone.
-    struct Known
+    struct KnownPeer
     {
         GatewayRecord record;
         TimePoint heardAt{};
@@ -58,7 +58,7 @@
     struct News
     {
         std::uint64_t mark = 0; // Names the set of gateways that the teller knows, itself included.
-        std::vector<Known> all; // All but the teller, where the asker knows another set.
+        std::vector<KnownPeer> all; // All but the teller, where the asker knows another set.
         // Else how long ago each was heard of, in the order of their ids, the teller among them; in
         // steps of `kAgeStep`.
         std::vector<std::uint8_t> ages;
@@ -109,7 +109,7 @@
 
     const GatewayRecord *find(const InstanceId &id) const;
     // Returns all but this one, in the order of their ids.
-    std::vector<Known> known() const;
+    std::vector<KnownPeer> known() const;
     std::size_t size() const { return members_.size() + 1; }
 
 private:
@@ -120,7 +120,7 @@
         TimePoint avoidUntil{};
     };
 
-    std::vector<Known> sorted(TimePoint now) const;
+    std::vector<KnownPeer> sorted(TimePoint now) const;
 
     GatewayRecord self_;
     Settings settings_;
