--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -37,7 +37,7 @@
 // Returns all, this one included, in the order of their ids.
 std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::sorted(TimePoint now) const
 {
-    std::vector<KnownPeer> all = known();
+    std::vector<KnownPeer> all = knownPeers();
     const auto place = std::lower_bound(
         all.begin(), all.end(), self_.id,
         [](const KnownPeer &known, const InstanceId &id) { return known.record.id < id; });
@@ -64,7 +64,7 @@
     News news;
     news.mark = mark();
     if (askerMark != news.mark) {
-        news.all = known();
+        news.all = knownPeers();
         return news;
     }
     constexpr Duration::rep kOldest = 255;
@@ -203,7 +203,7 @@
     return found == members_.end() ? nullptr : &found->second.record;
 }
 
-std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::known() const
+std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::knownPeers() const
 {
     std::vector<KnownPeer> all;
     all.reserve(members_.size());
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -109,7 +109,7 @@
 
     const GatewayRecord *find(const InstanceId &id) const;
     // Returns all but this one, in the order of their ids.
-    std::vector<KnownPeer> known() const;
+    std::vector<KnownPeer> knownPeers() const;
     std::size_t size() const { return members_.size() + 1; }
 
 private:
