--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -59,9 +59,10 @@
     return mark_;
 }
 
-GatewayDirectory::News GatewayDirectory::newsFor(std::uint64_t askerMark, TimePoint now) const
+GatewayDirectory::GossipUpdate GatewayDirectory::newsFor(std::uint64_t askerMark,
+                                                         TimePoint now) const
 {
-    News news;
+    GossipUpdate news;
     news.mark = mark();
     if (askerMark != news.mark) {
         news.all = knownPeers();
@@ -76,7 +77,7 @@
     return news;
 }
 
-bool GatewayDirectory::take(const News &news, TimePoint now)
+bool GatewayDirectory::take(const GossipUpdate &news, TimePoint now)
 {
     for (const KnownPeer &known : news.all) {
         hear(known.record, known.heardAt);
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -55,7 +55,7 @@
     };
 
     // What one gateway tells another of those that it knows.
-    struct News
+    struct GossipUpdate
     {
         std::uint64_t mark = 0; // Names the set of gateways that the teller knows, itself included.
         std::vector<KnownPeer> all; // All but the teller, where the asker knows another set.
@@ -85,10 +85,10 @@
     // they listen; not zero.
     std::uint64_t mark() const;
     // Returns what to tell one that knows the set named `askerMark`.
-    News newsFor(std::uint64_t askerMark, TimePoint now) const;
+    GossipUpdate newsFor(std::uint64_t askerMark, TimePoint now) const;
     // Takes what another gateway tells at `now`. Returns false when ages came for another set than
     // the one that is known by now.
-    bool take(const News &news, TimePoint now);
+    bool take(const GossipUpdate &news, TimePoint now);
 
     // Returns the gateway of the own hall that follows the store: the first in the hall's order
     // that is not passed over. That may be this one.
