--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -252,7 +252,7 @@
 
 void GatewayPeers::takeGateways(wire::GatewayNews::Reader reader, TimePoint now)
 {
-    GatewayDirectory::News news;
+    GatewayDirectory::GossipUpdate news;
     news.mark = reader.getGatewaysMark();
     const auto told = reader.getGateways();
     directory_.hear(readGateway(told[0]), now);
@@ -268,7 +268,7 @@
 void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t askerMark) const
 {
     const TimePoint now = loop_.now();
-    const GatewayDirectory::News news = directory_.newsFor(askerMark, now);
+    const GatewayDirectory::GossipUpdate news = directory_.newsFor(askerMark, now);
     to.setGatewaysMark(news.mark);
     auto list = to.initGateways(static_cast<std::uint32_t>(news.all.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -148,7 +148,8 @@
         if (!list) {
             return;
         }
-        const GatewayDirectory::News news = directories_[teller].newsFor(directory.mark(), now());
+        const GatewayDirectory::GossipUpdate news =
+            directories_[teller].newsFor(directory.mark(), now());
         told_[teller] += kNewsBytes + news.all.size() * kRecordBytes + news.ages.size();
         directory.hear(records_[teller], now());
         directory.take(news, now());
