--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -59,8 +59,8 @@
     return mark_;
 }
 
-GatewayDirectory::GossipUpdate GatewayDirectory::newsFor(std::uint64_t askerMark,
-                                                         TimePoint now) const
+GatewayDirectory::GossipUpdate GatewayDirectory::gossipFor(std::uint64_t askerMark,
+                                                           TimePoint now) const
 {
     GossipUpdate news;
     news.mark = mark();
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -85,7 +85,7 @@
     // they listen; not zero.
     std::uint64_t mark() const;
     // Returns what to tell one that knows the set named `askerMark`.
-    GossipUpdate newsFor(std::uint64_t askerMark, TimePoint now) const;
+    GossipUpdate gossipFor(std::uint64_t askerMark, TimePoint now) const;
     // Takes what another gateway tells at `now`. Returns false when ages came for another set than
     // the one that is known by now.
     bool take(const GossipUpdate &news, TimePoint now);
