--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -268,7 +268,7 @@
 void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t askerMark) const
 {
     const TimePoint now = loop_.now();
-    const GatewayDirectory::GossipUpdate news = directory_.newsFor(askerMark, now);
+    const GatewayDirectory::GossipUpdate news = directory_.gossipFor(askerMark, now);
     to.setGatewaysMark(news.mark);
     auto list = to.initGateways(static_cast<std::uint32_t>(news.all.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
