--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -77,7 +77,7 @@
     return news;
 }
 
-bool GatewayDirectory::take(const GossipUpdate &news, TimePoint now)
+bool GatewayDirectory::applyGossip(const GossipUpdate &news, TimePoint now)
 {
     for (const KnownPeer &known : news.all) {
         hear(known.record, known.heardAt);
--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -152,7 +152,7 @@
             directories_[teller].gossipFor(directory.mark(), now());
         told_[teller] += kNewsBytes + news.all.size() * kRecordBytes + news.ages.size();
         directory.hear(records_[teller], now());
-        directory.take(news, now());
+        directory.applyGossip(news, now());
     }
 
     void look(Spread &spread, bool late)
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -144,7 +144,7 @@
     teller.hear(kSite[4], at(6000));
     const auto news = teller.gossipFor(asker.mark(), at(7000));
     CHECK_TRUE(news.all.empty());
-    CHECK_TRUE(asker.take(news, at(7000)));
+    CHECK_TRUE(asker.applyGossip(news, at(7000)));
     asker.expire(at(10050)); // Ages are told in steps, and never too young.
     CHECK_TRUE(asker.find(kSite[4].id) != nullptr);
     CHECK_TRUE(asker.find(kSite[3].id) == nullptr);
@@ -159,7 +159,7 @@
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
     const auto news = teller.gossipFor(asker.mark(), at(7000));
     asker.hear(gateway("c-1", "c"), at(7000));
-    CHECK_FALSE(asker.take(news, at(7001)));
+    CHECK_FALSE(asker.applyGossip(news, at(7001)));
 }
 
 TEST(GatewayDirectoryTest, AllAreToldToOneThatKnowsOthers)
@@ -167,7 +167,7 @@
     GatewayDirectory teller = directoryOf(kSite[0], kSite);
     GatewayDirectory asker(kSite[1], {});
     asker.hear(kSite[0], at(1));
-    CHECK_TRUE(asker.take(teller.gossipFor(asker.mark(), at(2)), at(2)));
+    CHECK_TRUE(asker.applyGossip(teller.gossipFor(asker.mark(), at(2)), at(2)));
     UNSIGNED_LONGS_EQUAL(kSite.size(), asker.size());
 }
 
