--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -262,7 +262,7 @@
     }
     const auto ages = reader.getGatewayAges();
     news.ages.assign(ages.begin(), ages.end());
-    directory_.take(news, now);
+    directory_.applyGossip(news, now);
 }
 
 void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t askerMark) const
