--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -29,7 +29,7 @@
     }
     if (member.record != record) {
         member.record = record;
-        mark_ = 0;
+        digest_ = 0;
     }
     member.heardAt = heardAt;
 }
@@ -47,16 +47,16 @@
 
 std::uint64_t GatewayDirectory::mark() const
 {
-    if (mark_ == 0) {
+    if (digest_ == 0) {
         std::string text;
         for (const KnownPeer &known : sorted(TimePoint{})) {
             const GatewayRecord &record = known.record;
             text += record.id.value() + '|' + record.hall.value() + '|' + record.host + '|'
                     + std::to_string(record.port) + '\n';
         }
-        mark_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
+        digest_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
     }
-    return mark_;
+    return digest_;
 }
 
 GatewayDirectory::GossipUpdate GatewayDirectory::gossipFor(std::uint64_t askerMark,
@@ -116,7 +116,7 @@
 {
     const std::size_t forgotten = std::erase_if(
         members_, [&](const auto &entry) { return now - entry.second.heardAt > settings_.life; });
-    mark_ = forgotten > 0 ? 0 : mark_;
+    digest_ = forgotten > 0 ? 0 : digest_;
 }
 
 InstanceId GatewayDirectory::follower(TimePoint now) const
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -125,7 +125,7 @@
     GatewayRecord self_;
     Settings settings_;
     std::map<InstanceId, Member> members_; // Without this one.
-    mutable std::uint64_t mark_ = 0;       // Zero: to be computed.
+    mutable std::uint64_t digest_ = 0;     // Zero: to be computed.
     InstanceId lastTurn_;                  // That `another` returned last.
 };
 
