--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -59,12 +59,12 @@
     return digest_;
 }
 
-GatewayDirectory::GossipUpdate GatewayDirectory::gossipFor(std::uint64_t askerMark,
+GatewayDirectory::GossipUpdate GatewayDirectory::gossipFor(std::uint64_t askerDigest,
                                                            TimePoint now) const
 {
     GossipUpdate news;
     news.mark = mark();
-    if (askerMark != news.mark) {
+    if (askerDigest != news.mark) {
         news.all = knownPeers();
         return news;
     }
