--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -45,7 +45,7 @@
     return all;
 }
 
-std::uint64_t GatewayDirectory::mark() const
+std::uint64_t GatewayDirectory::digest() const
 {
     if (digest_ == 0) {
         std::string text;
@@ -63,8 +63,8 @@
                                                            TimePoint now) const
 {
     GossipUpdate news;
-    news.mark = mark();
-    if (askerDigest != news.mark) {
+    news.digest = digest();
+    if (askerDigest != news.digest) {
         news.all = knownPeers();
         return news;
     }
@@ -85,7 +85,7 @@
     if (news.ages.empty()) {
         return true;
     }
-    if (news.mark != mark() || news.ages.size() != size()) {
+    if (news.digest != digest() || news.ages.size() != size()) {
         return false;
     }
     const std::vector<KnownPeer> all = sorted(now);
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -57,7 +57,8 @@
     // What one gateway tells another of those that it knows.
     struct GossipUpdate
     {
-        std::uint64_t mark = 0; // Names the set of gateways that the teller knows, itself included.
+        std::uint64_t digest =
+            0; // Names the set of gateways that the teller knows, itself included.
         std::vector<KnownPeer> all; // All but the teller, where the asker knows another set.
         // Else how long ago each was heard of, in the order of their ids, the teller among them; in
         // steps of `kAgeStep`.
@@ -83,7 +84,7 @@
 
     // Returns a number that names the set of gateways that are known, this one included, and where
     // they listen; not zero.
-    std::uint64_t mark() const;
+    std::uint64_t digest() const;
     // Returns what to tell one that knows the set named `askerDigest`.
     GossipUpdate gossipFor(std::uint64_t askerDigest, TimePoint now) const;
     // Takes what another gateway tells at `now`. Returns false when ages came for another set than
--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -149,7 +149,7 @@
             return;
         }
         const GatewayDirectory::GossipUpdate news =
-            directories_[teller].gossipFor(directory.mark(), now());
+            directories_[teller].gossipFor(directory.digest(), now());
         told_[teller] += kNewsBytes + news.all.size() * kRecordBytes + news.ages.size();
         directory.hear(records_[teller], now());
         directory.applyGossip(news, now());
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -127,14 +127,14 @@
 {
     std::set<std::uint64_t> marks;
     for (const GatewayRecord &self : kSite) {
-        marks.insert(directoryOf(self, kSite).mark());
+        marks.insert(directoryOf(self, kSite).digest());
     }
     UNSIGNED_LONGS_EQUAL(1, marks.size());
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     GatewayRecord moved = kSite[1];
     moved.port = 7001;
     directory.hear(moved, at(2));
-    CHECK_FALSE(marks.contains(directory.mark()));
+    CHECK_FALSE(marks.contains(directory.digest()));
 }
 
 TEST(GatewayDirectoryTest, AgesAreToldToOneThatKnowsTheSameGateways)
@@ -142,7 +142,7 @@
     GatewayDirectory teller = directoryOf(kSite[0], kSite);
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
     teller.hear(kSite[4], at(6000));
-    const auto news = teller.gossipFor(asker.mark(), at(7000));
+    const auto news = teller.gossipFor(asker.digest(), at(7000));
     CHECK_TRUE(news.all.empty());
     CHECK_TRUE(asker.applyGossip(news, at(7000)));
     asker.expire(at(10050)); // Ages are told in steps, and never too young.
@@ -157,7 +157,7 @@
 {
     GatewayDirectory teller = directoryOf(kSite[0], kSite);
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
-    const auto news = teller.gossipFor(asker.mark(), at(7000));
+    const auto news = teller.gossipFor(asker.digest(), at(7000));
     asker.hear(gateway("c-1", "c"), at(7000));
     CHECK_FALSE(asker.applyGossip(news, at(7001)));
 }
@@ -167,7 +167,7 @@
     GatewayDirectory teller = directoryOf(kSite[0], kSite);
     GatewayDirectory asker(kSite[1], {});
     asker.hear(kSite[0], at(1));
-    CHECK_TRUE(asker.applyGossip(teller.gossipFor(asker.mark(), at(2)), at(2)));
+    CHECK_TRUE(asker.applyGossip(teller.gossipFor(asker.digest(), at(2)), at(2)));
     UNSIGNED_LONGS_EQUAL(kSite.size(), asker.size());
 }
 
