--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -125,16 +125,16 @@
 
 TEST(GatewayDirectoryTest, GatewaysThatKnowTheSameOnesNameThemAlike)
 {
-    std::set<std::uint64_t> marks;
+    std::set<std::uint64_t> digests;
     for (const GatewayRecord &self : kSite) {
-        marks.insert(directoryOf(self, kSite).digest());
+        digests.insert(directoryOf(self, kSite).digest());
     }
-    UNSIGNED_LONGS_EQUAL(1, marks.size());
+    UNSIGNED_LONGS_EQUAL(1, digests.size());
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     GatewayRecord moved = kSite[1];
     moved.port = 7001;
     directory.hear(moved, at(2));
-    CHECK_FALSE(marks.contains(directory.digest()));
+    CHECK_FALSE(digests.contains(directory.digest()));
 }
 
 TEST(GatewayDirectoryTest, AgesAreToldToOneThatKnowsTheSameGateways)
