--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -182,7 +182,7 @@
     request.setUpstreamsMark(knowledge_.namedMark());
     request.setTakesChanges(true);
     request.setWantsGateways(gateways);
-    request.setGatewaysMark(directory_.mark());
+    request.setGatewaysMark(directory_.digest());
     request.setWaitMicros(longest.count());
     link.groupsMark = link.groupsMark == 0 ? groups_.mark() : link.groupsMark;
     request.setGroupsMark(link.groupsMark);
