--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -37,7 +37,7 @@
 // Returns all, this one included, in the order of their ids.
 std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::sorted(TimePoint now) const
 {
-    std::vector<KnownPeer> all = knownPeers();
+    std::vector<KnownPeer> peers = knownPeers();
     const auto place = std::lower_bound(
         all.begin(), all.end(), self_.id,
         [](const KnownPeer &known, const InstanceId &id) { return known.record.id < id; });
@@ -65,7 +65,7 @@
     GossipUpdate news;
     news.digest = digest();
     if (askerDigest != news.digest) {
-        news.all = knownPeers();
+        news.peers = knownPeers();
         return news;
     }
     constexpr Duration::rep kOldest = 255;
@@ -79,7 +79,7 @@
 
 bool GatewayDirectory::applyGossip(const GossipUpdate &news, TimePoint now)
 {
-    for (const KnownPeer &known : news.all) {
+    for (const KnownPeer &known : news.peers) {
         hear(known.record, known.heardAt);
     }
     if (news.ages.empty()) {
@@ -88,7 +88,7 @@
     if (news.digest != digest() || news.ages.size() != size()) {
         return false;
     }
-    const std::vector<KnownPeer> all = sorted(now);
+    const std::vector<KnownPeer> peers = sorted(now);
     for (std::size_t index = 0; index < all.size(); ++index) {
         hear(all[index].record, now - kAgeStep * static_cast<Duration::rep>(news.ages[index]));
     }
@@ -206,7 +206,7 @@
 
 std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::knownPeers() const
 {
-    std::vector<KnownPeer> all;
+    std::vector<KnownPeer> peers;
     all.reserve(members_.size());
     for (const auto &[id, member] : members_) {
         all.push_back({member.record, member.heardAt});
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -59,7 +59,7 @@
     {
         std::uint64_t digest =
             0; // Names the set of gateways that the teller knows, itself included.
-        std::vector<KnownPeer> all; // All but the teller, where the asker knows another set.
+        std::vector<KnownPeer> peers; // All but the teller, where the asker knows another set.
         // Else how long ago each was heard of, in the order of their ids, the teller among them; in
         // steps of `kAgeStep`.
         std::vector<std::uint8_t> ages;
--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -150,7 +150,7 @@
         }
         const GatewayDirectory::GossipUpdate news =
             directories_[teller].gossipFor(directory.digest(), now());
-        told_[teller] += kNewsBytes + news.all.size() * kRecordBytes + news.ages.size();
+        told_[teller] += kNewsBytes + news.peers.size() * kRecordBytes + news.ages.size();
         directory.hear(records_[teller], now());
         directory.applyGossip(news, now());
     }
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -143,7 +143,7 @@
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
     teller.hear(kSite[4], at(6000));
     const auto news = teller.gossipFor(asker.digest(), at(7000));
-    CHECK_TRUE(news.all.empty());
+    CHECK_TRUE(news.peers.empty());
     CHECK_TRUE(asker.applyGossip(news, at(7000)));
     asker.expire(at(10050)); // Ages are told in steps, and never too young.
     CHECK_TRUE(asker.find(kSite[4].id) != nullptr);
