--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -273,7 +273,7 @@
     auto list = to.initGateways(static_cast<std::uint32_t>(news.all.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
     for (std::uint32_t index = 0; index < news.all.size(); ++index) {
-        writeGateway(news.all[index].record, now - news.all[index].heardAt, list[index + 1]);
+        writeGateway(news.all[index].record, now - news.all[index].lastSeen, list[index + 1]);
     }
     to.setGatewayAges(kj::arrayPtr(news.ages.data(), news.ages.size()));
 }
