--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -18,20 +18,20 @@
 
 } // namespace
 
-void GatewayDirectory::hear(const GatewayRecord &record, TimePoint heardAt)
+void GatewayDirectory::hear(const GatewayRecord &record, TimePoint lastSeen)
 {
     if (record.id == self_.id || record.id == InstanceId()) {
         return;
     }
     Member &member = members_[record.id];
-    if (member.heardAt != TimePoint{} && heardAt <= member.heardAt) {
+    if (member.lastSeen != TimePoint{} && lastSeen <= member.lastSeen) {
         return;
     }
     if (member.record != record) {
         member.record = record;
         digest_ = 0;
     }
-    member.heardAt = heardAt;
+    member.lastSeen = lastSeen;
 }
 
 // Returns all, this one included, in the order of their ids.
@@ -70,7 +70,7 @@
     }
     constexpr Duration::rep kOldest = 255;
     for (const KnownPeer &known : sorted(now)) {
-        const Duration age = std::max(Duration{}, now - known.heardAt);
+        const Duration age = std::max(Duration{}, now - known.lastSeen);
         const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Never too young.
         news.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kOldest)));
     }
@@ -80,7 +80,7 @@
 bool GatewayDirectory::applyGossip(const GossipUpdate &news, TimePoint now)
 {
     for (const KnownPeer &known : news.peers) {
-        hear(known.record, known.heardAt);
+        hear(known.record, known.lastSeen);
     }
     if (news.ages.empty()) {
         return true;
@@ -99,7 +99,7 @@
 {
     const auto found = members_.find(id);
     if (found != members_.end()) {
-        found->second.heardAt = std::max(found->second.heardAt, now);
+        found->second.lastSeen = std::max(found->second.lastSeen, now);
         found->second.avoidUntil = {};
     }
 }
@@ -115,7 +115,7 @@
 void GatewayDirectory::expire(TimePoint now)
 {
     const std::size_t forgotten = std::erase_if(
-        members_, [&](const auto &entry) { return now - entry.second.heardAt > settings_.life; });
+        members_, [&](const auto &entry) { return now - entry.second.lastSeen > settings_.life; });
     digest_ = forgotten > 0 ? 0 : digest_;
 }
 
@@ -209,7 +209,7 @@
     std::vector<KnownPeer> peers;
     all.reserve(members_.size());
     for (const auto &[id, member] : members_) {
-        all.push_back({member.record, member.heardAt});
+        all.push_back({member.record, member.lastSeen});
     }
     return all;
 }
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -51,7 +51,7 @@
     struct KnownPeer
     {
         GatewayRecord record;
-        TimePoint heardAt{};
+        TimePoint lastSeen{};
     };
 
     // What one gateway tells another of those that it knows.
@@ -74,8 +74,8 @@
 
     const GatewayRecord &self() const { return self_; }
 
-    // Hears of a gateway, as of `heardAt`.
-    void hear(const GatewayRecord &record, TimePoint heardAt);
+    // Hears of a gateway, as of `lastSeen`.
+    void hear(const GatewayRecord &record, TimePoint lastSeen);
     // The gateway has answered, or has failed to.
     void onAnswered(const InstanceId &id, TimePoint now);
     void onFailed(const InstanceId &id, TimePoint now);
@@ -117,7 +117,7 @@
     struct Member
     {
         GatewayRecord record;
-        TimePoint heardAt{};
+        TimePoint lastSeen{};
         TimePoint avoidUntil{};
     };
 
