--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void GatewayDirectory::hear(const GatewayRecord &record, TimePoint lastSeen)
+void GatewayDirectory::recordSeen(const GatewayRecord &record, TimePoint lastSeen)
 {
     if (record.id == self_.id || record.id == InstanceId()) {
         return;
@@ -80,7 +80,7 @@
 bool GatewayDirectory::applyGossip(const GossipUpdate &news, TimePoint now)
 {
     for (const KnownPeer &known : news.peers) {
-        hear(known.record, known.lastSeen);
+        recordSeen(known.record, known.lastSeen);
     }
     if (news.ages.empty()) {
         return true;
@@ -90,7 +90,8 @@
     }
     const std::vector<KnownPeer> peers = sorted(now);
     for (std::size_t index = 0; index < all.size(); ++index) {
-        hear(all[index].record, now - kAgeStep * static_cast<Duration::rep>(news.ages[index]));
+        recordSeen(all[index].record,
+                   now - kAgeStep * static_cast<Duration::rep>(news.ages[index]));
     }
     return true;
 }
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -75,7 +75,7 @@
     const GatewayRecord &self() const { return self_; }
 
     // Hears of a gateway, as of `lastSeen`.
-    void hear(const GatewayRecord &record, TimePoint lastSeen);
+    void recordSeen(const GatewayRecord &record, TimePoint lastSeen);
     // The gateway has answered, or has failed to.
     void onAnswered(const InstanceId &id, TimePoint now);
     void onFailed(const InstanceId &id, TimePoint now);
--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -143,7 +143,7 @@
             directory.onFailed(records_[teller].id, now());
             return;
         }
-        directories_[teller].hear(records_[asker], now());
+        directories_[teller].recordSeen(records_[asker], now());
         directory.onAnswered(records_[teller].id, now());
         if (!list) {
             return;
@@ -151,7 +151,7 @@
         const GatewayDirectory::GossipUpdate news =
             directories_[teller].gossipFor(directory.digest(), now());
         told_[teller] += kNewsBytes + news.peers.size() * kRecordBytes + news.ages.size();
-        directory.hear(records_[teller], now());
+        directory.recordSeen(records_[teller], now());
         directory.applyGossip(news, now());
     }
 
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -23,7 +23,7 @@
 {
     GatewayDirectory directory(self, {});
     for (const GatewayRecord &other : others) {
-        directory.hear(other, at(1));
+        directory.recordSeen(other, at(1));
     }
     return directory;
 }
@@ -78,7 +78,7 @@
 TEST(GatewayDirectoryTest, ForgetsThoseThatNobodyHears)
 {
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    directory.hear(kSite[1], at(9000));
+    directory.recordSeen(kSite[1], at(9000));
     directory.expire(at(11'000));
     LONGS_EQUAL(2, directory.size());
     CHECK_TRUE(directory.find(kSite[1].id) != nullptr);
@@ -90,8 +90,8 @@
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     GatewayRecord moved = kSite[1];
     moved.port = 7001;
-    directory.hear(moved, at(5));
-    directory.hear(kSite[1], at(4));
+    directory.recordSeen(moved, at(5));
+    directory.recordSeen(kSite[1], at(4));
     LONGS_EQUAL(7001, directory.find(moved.id)->port);
 }
 
@@ -133,7 +133,7 @@
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     GatewayRecord moved = kSite[1];
     moved.port = 7001;
-    directory.hear(moved, at(2));
+    directory.recordSeen(moved, at(2));
     CHECK_FALSE(digests.contains(directory.digest()));
 }
 
@@ -141,7 +141,7 @@
 {
     GatewayDirectory teller = directoryOf(kSite[0], kSite);
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
-    teller.hear(kSite[4], at(6000));
+    teller.recordSeen(kSite[4], at(6000));
     const auto news = teller.gossipFor(asker.digest(), at(7000));
     CHECK_TRUE(news.peers.empty());
     CHECK_TRUE(asker.applyGossip(news, at(7000)));
@@ -158,7 +158,7 @@
     GatewayDirectory teller = directoryOf(kSite[0], kSite);
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
     const auto news = teller.gossipFor(asker.digest(), at(7000));
-    asker.hear(gateway("c-1", "c"), at(7000));
+    asker.recordSeen(gateway("c-1", "c"), at(7000));
     CHECK_FALSE(asker.applyGossip(news, at(7001)));
 }
 
@@ -166,7 +166,7 @@
 {
     GatewayDirectory teller = directoryOf(kSite[0], kSite);
     GatewayDirectory asker(kSite[1], {});
-    asker.hear(kSite[0], at(1));
+    asker.recordSeen(kSite[0], at(1));
     CHECK_TRUE(asker.applyGossip(teller.gossipFor(asker.digest(), at(2)), at(2)));
     UNSIGNED_LONGS_EQUAL(kSite.size(), asker.size());
 }
