--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -61,7 +61,7 @@
 
 void GatewayPeers::onHasNews(const GatewayRecord &from)
 {
-    directory_.hear(from, loop_.now());
+    directory_.recordSeen(from, loop_.now());
     const SocketAddress address{from.host, from.port};
     Link &link = linkTo(address);
     link.askAgain = link.asking;
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -42,7 +42,7 @@
     {
         const auto params = context.getParams();
         const TimePoint askedAt = peers_.loop_.now();
-        peers_.directory_.hear(readGateway(params.getSelf()), askedAt);
+        peers_.directory_.recordSeen(readGateway(params.getSelf()), askedAt);
         const Asker asker{ConfigVersion(params.getConfigVersion()),
                           params.getUpstreamsMark(),
                           params.getTakesChanges(),
@@ -255,7 +255,7 @@
     GatewayDirectory::GossipUpdate news;
     news.mark = reader.getGatewaysMark();
     const auto told = reader.getGateways();
-    directory_.hear(readGateway(told[0]), now);
+    directory_.recordSeen(readGateway(told[0]), now);
     for (std::uint32_t index = 1; index < told.size(); ++index) {
         const TimePoint heardAt = now - Duration(told[index].getHeardMicrosAgo());
         news.all.push_back({readGateway(told[index]), heardAt});
--- a/src/gateway/gatewaypermits.cpp
+++ b/src/gateway/gatewaypermits.cpp
@@ -27,7 +27,7 @@
 {
     const TimePoint now = loop_.now();
     const GatewayRecord from = readGateway(question.getSelf());
-    directory_.hear(from, now);
+    directory_.recordSeen(from, now);
     const LimitWord word = readLimit(question.getLimit(), now);
     if (word.rate) {
         limits_.learn(word, now);
