--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -109,7 +109,7 @@
 {
     const auto found = members_.find(id);
     if (found != members_.end()) {
-        found->second.avoidUntil = now + settings_.avoidance;
+        found->second.avoidUntil = now + settings_.failureCooldown;
     }
 }
 
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -42,7 +42,7 @@
     struct Settings
     {
         // How long a gateway that did not answer is passed over.
-        Duration avoidance = std::chrono::seconds(2);
+        Duration failureCooldown = std::chrono::seconds(2);
         // How long a gateway is known after it was last heard of: it asks several times a second.
         Duration life = std::chrono::seconds(10);
     };
