--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -101,7 +101,7 @@
     const auto found = members_.find(id);
     if (found != members_.end()) {
         found->second.lastSeen = std::max(found->second.lastSeen, now);
-        found->second.avoidUntil = {};
+        found->second.cooldownUntil = {};
     }
 }
 
@@ -109,7 +109,7 @@
 {
     const auto found = members_.find(id);
     if (found != members_.end()) {
-        found->second.avoidUntil = now + settings_.failureCooldown;
+        found->second.cooldownUntil = now + settings_.failureCooldown;
     }
 }
 
@@ -124,7 +124,7 @@
 {
     Place best = placeOf(self_.id);
     for (const auto &[id, member] : members_) {
-        if (member.record.hall == self_.hall && member.avoidUntil <= now) {
+        if (member.record.hall == self_.hall && member.cooldownUntil <= now) {
             best = std::min(best, placeOf(id));
         }
     }
@@ -135,7 +135,7 @@
 {
     std::optional<Place> best;
     for (const auto &[id, member] : members_) {
-        const bool fits = member.record.hall == hall && member.avoidUntil <= now;
+        const bool fits = member.record.hall == hall && member.cooldownUntil <= now;
         if (fits && (!best || placeOf(id) < *best)) {
             best = placeOf(id);
         }
@@ -152,7 +152,7 @@
     };
     auto best = rankOf(self_);
     for (const auto &[id, member] : members_) {
-        if (member.avoidUntil <= now) {
+        if (member.cooldownUntil <= now) {
             best = std::min(best, rankOf(member.record));
         }
     }
@@ -187,7 +187,7 @@
     std::pair<bool, bool> bestRank{true, true};
     for (const auto &[id, member] : members_) {
         // Those after the last turn come before those up to it.
-        const std::pair<bool, bool> rank{member.avoidUntil > now, id <= lastTurn_};
+        const std::pair<bool, bool> rank{member.cooldownUntil > now, id <= lastTurn_};
         if (id != besides && (!best || rank < bestRank)) {
             best = id;
             bestRank = rank;
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -118,7 +118,7 @@
     {
         GatewayRecord record;
         TimePoint lastSeen{};
-        TimePoint avoidUntil{};
+        TimePoint cooldownUntil{};
     };
 
     std::vector<KnownPeer> sorted(TimePoint now) const;
