--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -115,8 +115,9 @@
 
 void GatewayDirectory::expire(TimePoint now)
 {
-    const std::size_t forgotten = std::erase_if(
-        members_, [&](const auto &entry) { return now - entry.second.lastSeen > settings_.life; });
+    const std::size_t forgotten = std::erase_if(members_, [&](const auto &entry) {
+        return now - entry.second.lastSeen > settings_.timeToLive;
+    });
     digest_ = forgotten > 0 ? 0 : digest_;
 }
 
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -44,7 +44,7 @@
         // How long a gateway that did not answer is passed over.
         Duration failureCooldown = std::chrono::seconds(2);
         // How long a gateway is known after it was last heard of: it asks several times a second.
-        Duration life = std::chrono::seconds(10);
+        Duration timeToLive = std::chrono::seconds(10);
     };
 
     // A gateway and when it was last heard of, by anyone.
