--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -121,7 +121,7 @@
     digest_ = forgotten > 0 ? 0 : digest_;
 }
 
-InstanceId GatewayDirectory::follower(TimePoint now) const
+InstanceId GatewayDirectory::localStoreFollower(TimePoint now) const
 {
     Place best = placeOf(self_.id);
     for (const auto &[id, member] : members_) {
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -93,7 +93,7 @@
 
     // Returns the gateway of the own hall that follows the store: the first in the hall's order
     // that is not passed over. That may be this one.
-    InstanceId follower(TimePoint now) const;
+    InstanceId localStoreFollower(TimePoint now) const;
     // Returns the first in the order of another hall that is not passed over; nothing when all are.
     std::optional<InstanceId> firstOf(const HallId &hall, TimePoint now) const;
     // Returns the gateway that hands out permits for an upstream in `hall`: all compute it alike.
--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -91,7 +91,7 @@
     {
         GatewayDirectory &directory = directories_[index];
         directory.expire(now());
-        const InstanceId followed = directory.follower(now());
+        const InstanceId followed = directory.localStoreFollower(now());
         const int gap = now_ < kYoungMs ? kYoungGapMs : site_.gapMs(directory.size());
         const bool due = now_ - askedAt_[index] >= gap;
         if (followed != records_[index].id) {
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -41,7 +41,7 @@
     std::set<InstanceId> followed;
     for (const GatewayRecord &self : kSite) {
         if (self.hall == HallId("a")) {
-            followed.insert(directoryOf(self, kSite).follower(at(2)));
+            followed.insert(directoryOf(self, kSite).localStoreFollower(at(2)));
         }
     }
     LONGS_EQUAL(1, followed.size());
@@ -51,28 +51,28 @@
 TEST(GatewayDirectoryTest, FollowsTheStoreItselfWhenAlone)
 {
     GatewayDirectory directory(gateway("a-1", "a"), {});
-    CHECK_TRUE(directory.follower(at(0)) == InstanceId("a-1"));
+    CHECK_TRUE(directory.localStoreFollower(at(0)) == InstanceId("a-1"));
     CHECK_FALSE(directory.another(InstanceId(), at(0)).has_value());
 }
 
 TEST(GatewayDirectoryTest, PassesOverOneThatFailsUntilItMayBeBack)
 {
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    const InstanceId first = directory.follower(at(2));
+    const InstanceId first = directory.localStoreFollower(at(2));
     GatewayDirectory other = directoryOf(kSite[first == kSite[0].id ? 1 : 0], kSite);
     other.onFailed(first, at(2));
-    CHECK_FALSE(other.follower(at(3)) == first);
-    CHECK_TRUE(other.follower(at(2002)) == first);
+    CHECK_FALSE(other.localStoreFollower(at(3)) == first);
+    CHECK_TRUE(other.localStoreFollower(at(2002)) == first);
 }
 
 TEST(GatewayDirectoryTest, OneThatAnswersAgainIsFollowedAgain)
 {
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    const InstanceId first = directory.follower(at(2));
+    const InstanceId first = directory.localStoreFollower(at(2));
     GatewayDirectory other = directoryOf(kSite[first == kSite[0].id ? 1 : 0], kSite);
     other.onFailed(first, at(2));
     other.onAnswered(first, at(10));
-    CHECK_TRUE(other.follower(at(11)) == first);
+    CHECK_TRUE(other.localStoreFollower(at(11)) == first);
 }
 
 TEST(GatewayDirectoryTest, ForgetsThoseThatNobodyHears)
