--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -214,7 +214,7 @@
         return;
     }
     directory_.expire(now);
-    const InstanceId followed = directory_.follower(now);
+    const InstanceId followed = directory_.localStoreFollower(now);
     const bool own = followed == settings_.instance;
     // While a site starts nobody knows yet who is first of its hall, and seeds are heard by all.
     watchGroups(isSeed() && now - startedAt_ < kYoung ? true : own && !isYoung(now), now);
