--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -132,7 +132,7 @@
     return best.second;
 }
 
-std::optional<InstanceId> GatewayDirectory::firstOf(const HallId &hall, TimePoint now) const
+std::optional<InstanceId> GatewayDirectory::storeFollowerOf(const HallId &hall, TimePoint now) const
 {
     std::optional<Place> best;
     for (const auto &[id, member] : members_) {
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -95,7 +95,7 @@
     // that is not passed over. That may be this one.
     InstanceId localStoreFollower(TimePoint now) const;
     // Returns the first in the order of another hall that is not passed over; nothing when all are.
-    std::optional<InstanceId> firstOf(const HallId &hall, TimePoint now) const;
+    std::optional<InstanceId> storeFollowerOf(const HallId &hall, TimePoint now) const;
     // Returns the gateway that hands out permits for an upstream in `hall`: all compute it alike.
     // One of that hall is taken, if there is any: its gateways send most of what goes there, and
     // they still reach each other when their hall is cut off.
--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -102,7 +102,7 @@
             askedAt_[index] = now_;
             for (const HallId &hall : directory.halls()) {
                 if (hall != records_[index].hall) {
-                    askSome(index, directory.firstOf(hall, now()));
+                    askSome(index, directory.storeFollowerOf(hall, now()));
                 }
             }
             askSome(index, directory.another(records_[index].id, now()));
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -118,7 +118,7 @@
 {
     const GatewayDirectory directory = directoryOf(kSite[0], kSite);
     for (const HallId &hall : directory.halls()) {
-        CHECK_TRUE(directory.find(*directory.firstOf(hall, at(2)))->hall == hall);
+        CHECK_TRUE(directory.find(*directory.storeFollowerOf(hall, at(2)))->hall == hall);
     }
     CHECK_TRUE(directory.halls().contains(HallId("b")));
 }
@@ -175,13 +175,13 @@
 {
     std::set<InstanceId> firsts;
     for (const GatewayRecord &self : {kSite[0], kSite[1], kSite[2]}) {
-        firsts.insert(*directoryOf(self, kSite).firstOf(HallId("b"), at(2)));
+        firsts.insert(*directoryOf(self, kSite).storeFollowerOf(HallId("b"), at(2)));
     }
     LONGS_EQUAL(1, firsts.size());
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     directory.onFailed(*firsts.begin(), at(2));
-    CHECK_TRUE(*directory.firstOf(HallId("b"), at(3)) != *firsts.begin());
-    CHECK_FALSE(directory.firstOf(HallId("nowhere"), at(3)).has_value());
+    CHECK_TRUE(*directory.storeFollowerOf(HallId("b"), at(3)) != *firsts.begin());
+    CHECK_FALSE(directory.storeFollowerOf(HallId("nowhere"), at(3)).has_value());
 }
 
 TEST(GatewayDirectoryTest, NamesTheHallsOfTheOthers)
