--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -92,7 +92,7 @@
 
 void GatewayPeers::announceTo(const HallId &hall, TimePoint now)
 {
-    const std::optional<InstanceId> first = directory_.firstOf(hall, now);
+    const std::optional<InstanceId> first = directory_.storeFollowerOf(hall, now);
     const GatewayRecord *record = first ? directory_.find(*first) : nullptr;
     if (record == nullptr) {
         return;
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -292,7 +292,8 @@
 {
     std::vector<InstanceId> firsts;
     for (const HallId &hall : directory_.halls()) {
-        const auto first = hall == settings_.hall ? std::nullopt : directory_.firstOf(hall, now);
+        const auto first =
+            hall == settings_.hall ? std::nullopt : directory_.storeFollowerOf(hall, now);
         if (first) {
             firsts.push_back(*first);
         }
@@ -307,7 +308,8 @@
 {
     for (const HallId &hall : directory_.halls()) {
         if (hall != settings_.hall) {
-            askGateway(directory_.firstOf(hall, now), Duration{}, GatewayPeers::AskList::Always);
+            askGateway(directory_.storeFollowerOf(hall, now), Duration{},
+                       GatewayPeers::AskList::Always);
         }
     }
 }
