--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -144,8 +144,8 @@
     return best ? std::optional(best->second) : std::nullopt;
 }
 
-InstanceId GatewayDirectory::issuerOf(const InstanceId &upstream, const HallId &hall,
-                                      TimePoint now) const
+InstanceId GatewayDirectory::permitIssuerFor(const InstanceId &upstream, const HallId &hall,
+                                             TimePoint now) const
 {
     const auto rankOf = [&](const GatewayRecord &record) {
         const std::string both = upstream.value() + '/' + record.id.value();
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -99,7 +99,7 @@
     // Returns the gateway that hands out permits for an upstream in `hall`: all compute it alike.
     // One of that hall is taken, if there is any: its gateways send most of what goes there, and
     // they still reach each other when their hall is cut off.
-    InstanceId issuerOf(const InstanceId &upstream, const HallId &hall, TimePoint now) const;
+    InstanceId permitIssuerFor(const InstanceId &upstream, const HallId &hall, TimePoint now) const;
     // Returns the halls that other gateways are in.
     std::set<HallId> halls() const;
     // Returns how many gateways of the own hall come before this one, and how many there are.
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -113,7 +113,7 @@
         answered({}); // It names none any more, and is warm.
         return;
     }
-    const InstanceId issuer = directory_.issuerOf(ask.upstream, upstream->hall, now);
+    const InstanceId issuer = directory_.permitIssuerFor(ask.upstream, upstream->hall, now);
     const GatewayRecord *record = directory_.find(issuer);
     if (peers_ == nullptr || record == nullptr) {
         const InstanceId &self = settings_.instance;
