--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -160,13 +160,13 @@
     return std::get<InstanceId>(best);
 }
 
-std::set<HallId> GatewayDirectory::halls() const
+std::set<HallId> GatewayDirectory::peerHalls() const
 {
-    std::set<HallId> halls;
+    std::set<HallId> peerHalls;
     for (const auto &[id, member] : members_) {
-        halls.insert(member.record.hall);
+        peerHalls.insert(member.record.hall);
     }
-    return halls;
+    return peerHalls;
 }
 
 HallPlace GatewayDirectory::place() const
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -101,7 +101,7 @@
     // they still reach each other when their hall is cut off.
     InstanceId permitIssuerFor(const InstanceId &upstream, const HallId &hall, TimePoint now) const;
     // Returns the halls that other gateways are in.
-    std::set<HallId> halls() const;
+    std::set<HallId> peerHalls() const;
     // Returns how many gateways of the own hall come before this one, and how many there are.
     HallPlace place() const;
     // Returns another gateway than this one and `besides`, a different one with each call, those
