--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -100,7 +100,7 @@
             askedAt_[index] = due ? now_ : askedAt_[index];
         } else if (due) {
             askedAt_[index] = now_;
-            for (const HallId &hall : directory.halls()) {
+            for (const HallId &hall : directory.peerHalls()) {
                 if (hall != records_[index].hall) {
                     askSome(index, directory.storeFollowerOf(hall, now()));
                 }
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -117,10 +117,10 @@
 TEST(GatewayDirectoryTest, FirstOfEachOtherHallStandsThere)
 {
     const GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    for (const HallId &hall : directory.halls()) {
+    for (const HallId &hall : directory.peerHalls()) {
         CHECK_TRUE(directory.find(*directory.storeFollowerOf(hall, at(2)))->hall == hall);
     }
-    CHECK_TRUE(directory.halls().contains(HallId("b")));
+    CHECK_TRUE(directory.peerHalls().contains(HallId("b")));
 }
 
 TEST(GatewayDirectoryTest, GatewaysThatKnowTheSameOnesNameThemAlike)
@@ -186,6 +186,6 @@
 
 TEST(GatewayDirectoryTest, NamesTheHallsOfTheOthers)
 {
-    LONGS_EQUAL(2, directoryOf(kSite[0], kSite).halls().size());
-    LONGS_EQUAL(0, directoryOf(kSite[0], {}).halls().size());
+    LONGS_EQUAL(2, directoryOf(kSite[0], kSite).peerHalls().size());
+    LONGS_EQUAL(0, directoryOf(kSite[0], {}).peerHalls().size());
 }
