--- a/src/gateway/gatewayannouncements.cpp
+++ b/src/gateway/gatewayannouncements.cpp
@@ -78,7 +78,7 @@
         return;
     }
     bool allTold = true;
-    for (const HallId &hall : directory_.halls()) {
+    for (const HallId &hall : directory_.peerHalls()) {
         Announcement &announcement =
             announcements_.try_emplace(hall, Announcement{firstOwnNews_}).first->second;
         allTold = allTold && announcement.told == ownNews();
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -291,7 +291,7 @@
 std::optional<InstanceId> KnowledgeSources::firstElsewhere(TimePoint now)
 {
     std::vector<InstanceId> firsts;
-    for (const HallId &hall : directory_.halls()) {
+    for (const HallId &hall : directory_.peerHalls()) {
         const auto first =
             hall == settings_.hall ? std::nullopt : directory_.storeFollowerOf(hall, now);
         if (first) {
@@ -306,7 +306,7 @@
 
 void KnowledgeSources::askOtherHalls(TimePoint now)
 {
-    for (const HallId &hall : directory_.halls()) {
+    for (const HallId &hall : directory_.peerHalls()) {
         if (hall != settings_.hall) {
             askGateway(directory_.storeFollowerOf(hall, now), Duration{},
                        GatewayPeers::AskList::Always);
