--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -169,10 +169,10 @@
     return peerHalls;
 }
 
-HallPlace GatewayDirectory::place() const
+HallPlace GatewayDirectory::hallPlace() const
 {
     const Place own = placeOf(self_.id);
-    HallPlace place;
+    HallPlace hallPlace;
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall) {
             ++place.gateways;
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -103,7 +103,7 @@
     // Returns the halls that other gateways are in.
     std::set<HallId> peerHalls() const;
     // Returns how many gateways of the own hall come before this one, and how many there are.
-    HallPlace place() const;
+    HallPlace hallPlace() const;
     // Returns another gateway than this one and `besides`, a different one with each call, those
     // that are passed over last.
     std::optional<InstanceId> another(const InstanceId &besides, TimePoint now);
