--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -181,7 +181,7 @@
 bool KnowledgeSources::leavesStoreToOthers(TimePoint now) const
 {
     const bool hearsOthers = peers_ != nullptr && now - peers_->answeredAt() < kHeard;
-    return hearsOthers && !hasStoreTurn(directory_.place().index);
+    return hearsOthers && !hasStoreTurn(directory_.hallPlace().index);
 }
 
 // Tells whether it is this gateway's turn to ask the store, although it follows another one.
@@ -193,7 +193,7 @@
     if (!knowledge_.confirmed()) {
         return !hearsFirst(now);
     }
-    return knowledge_.age() > storeTurnAge(times(), directory_.place().index);
+    return knowledge_.age() > storeTurnAge(times(), directory_.hallPlace().index);
 }
 
 void KnowledgeSources::stop()
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -58,7 +58,7 @@
     bool followsStore() const { return watcher_ != nullptr; }
     std::size_t gateways() const { return directory_.size(); }
     // Returns where this gateway stands among those of its hall.
-    HallPlace place() const { return directory_.place(); }
+    HallPlace place() const { return directory_.hallPlace(); }
 
 private:
     KnowledgeSources(EventLoop &loop, HttpClient &client, const MetadataStore &store,
