--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -182,7 +182,7 @@
     return place;
 }
 
-std::optional<InstanceId> GatewayDirectory::another(const InstanceId &besides, TimePoint now)
+std::optional<InstanceId> GatewayDirectory::nextPeer(const InstanceId &besides, TimePoint now)
 {
     std::optional<InstanceId> best;
     std::pair<bool, bool> bestRank{true, true};
--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -105,7 +105,7 @@
                     askSome(index, directory.storeFollowerOf(hall, now()));
                 }
             }
-            askSome(index, directory.another(records_[index].id, now()));
+            askSome(index, directory.nextPeer(records_[index].id, now()));
             ask(index, seed(), true);
         }
         if (directory.size() <= 3) {
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -52,7 +52,7 @@
 {
     GatewayDirectory directory(gateway("a-1", "a"), {});
     CHECK_TRUE(directory.localStoreFollower(at(0)) == InstanceId("a-1"));
-    CHECK_FALSE(directory.another(InstanceId(), at(0)).has_value());
+    CHECK_FALSE(directory.nextPeer(InstanceId(), at(0)).has_value());
 }
 
 TEST(GatewayDirectoryTest, PassesOverOneThatFailsUntilItMayBeBack)
@@ -100,7 +100,7 @@
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     std::set<InstanceId> asked;
     for (std::size_t turn = 0; turn < kSite.size() - 1; ++turn) {
-        asked.insert(*directory.another(InstanceId(), at(2)));
+        asked.insert(*directory.nextPeer(InstanceId(), at(2)));
     }
     LONGS_EQUAL(kSite.size() - 1, asked.size());
 }
@@ -109,9 +109,9 @@
 {
     GatewayDirectory directory = directoryOf(kSite[0], {kSite[1], kSite[2]});
     directory.onFailed(kSite[1].id, at(2));
-    CHECK_TRUE(*directory.another(InstanceId(), at(3)) == kSite[2].id);
-    CHECK_TRUE(*directory.another(InstanceId(), at(3)) == kSite[2].id);
-    CHECK_TRUE(*directory.another(kSite[2].id, at(3)) == kSite[1].id);
+    CHECK_TRUE(*directory.nextPeer(InstanceId(), at(3)) == kSite[2].id);
+    CHECK_TRUE(*directory.nextPeer(InstanceId(), at(3)) == kSite[2].id);
+    CHECK_TRUE(*directory.nextPeer(kSite[2].id, at(3)) == kSite[1].id);
 }
 
 TEST(GatewayDirectoryTest, FirstOfEachOtherHallStandsThere)
