--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -254,13 +254,13 @@
         // once: what it has forgotten must be known within the time in which it counts as in touch.
         listsAskedAt_ = now;
         askOtherHalls(now);
-        askGateway(directory_.another(settings_.instance, now), Duration{},
+        askGateway(directory_.nextPeer(settings_.instance, now), Duration{},
                    GatewayPeers::AskList::Always);
         askSeedInTurn();
     }
     if (old && now - anyAskedAt_ >= kAnyGap) {
         anyAskedAt_ = now;
-        askGateway(own ? firstElsewhere(now) : directory_.another(followed, now), Duration{});
+        askGateway(own ? firstElsewhere(now) : directory_.nextPeer(followed, now), Duration{});
     }
     if (now - seedsAskedAt_ >= kSeedsGap) {
         askSeeds(own && isYoung(now), now);
@@ -299,7 +299,7 @@
         }
     }
     if (firsts.empty()) {
-        return directory_.another(settings_.instance, now);
+        return directory_.nextPeer(settings_.instance, now);
     }
     return firsts[hallTurn_++ % firsts.size()];
 }
