--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -182,14 +182,14 @@
     return place;
 }
 
-std::optional<InstanceId> GatewayDirectory::nextPeer(const InstanceId &besides, TimePoint now)
+std::optional<InstanceId> GatewayDirectory::nextPeer(const InstanceId &excluded, TimePoint now)
 {
     std::optional<InstanceId> best;
     std::pair<bool, bool> bestRank{true, true};
     for (const auto &[id, member] : members_) {
         // Those after the last turn come before those up to it.
         const std::pair<bool, bool> rank{member.cooldownUntil > now, id <= lastTurn_};
-        if (id != besides && (!best || rank < bestRank)) {
+        if (id != excluded && (!best || rank < bestRank)) {
             best = id;
             bestRank = rank;
         }
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -106,7 +106,7 @@
     HallPlace hallPlace() const;
     // Returns another gateway than this one and `besides`, a different one with each call, those
     // that are passed over last.
-    std::optional<InstanceId> nextPeer(const InstanceId &besides, TimePoint now);
+    std::optional<InstanceId> nextPeer(const InstanceId &excluded, TimePoint now);
 
     const GatewayRecord *find(const InstanceId &id) const;
     // Returns all but this one, in the order of their ids.
