--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -188,14 +188,14 @@
     std::pair<bool, bool> bestRank{true, true};
     for (const auto &[id, member] : members_) {
         // Those after the last turn come before those up to it.
-        const std::pair<bool, bool> rank{member.cooldownUntil > now, id <= lastTurn_};
+        const std::pair<bool, bool> rank{member.cooldownUntil > now, id <= lastNextPeer_};
         if (id != excluded && (!best || rank < bestRank)) {
             best = id;
             bestRank = rank;
         }
     }
     if (best) {
-        lastTurn_ = *best;
+        lastNextPeer_ = *best;
     }
     return best;
 }
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -127,7 +127,7 @@
     Settings settings_;
     std::map<InstanceId, Member> members_; // Without this one.
     mutable std::uint64_t digest_ = 0;     // Zero: to be computed.
-    InstanceId lastTurn_;                  // That `another` returned last.
+    InstanceId lastNextPeer_;              // That `another` returned last.
 };
 
 } // namespace seamarch
