--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -35,7 +35,7 @@
 }
 
 // Returns all, this one included, in the order of their ids.
-std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::sorted(TimePoint now) const
+std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::sortedWithSelf(TimePoint now) const
 {
     std::vector<KnownPeer> peers = knownPeers();
     const auto place = std::lower_bound(
@@ -49,7 +49,7 @@
 {
     if (digest_ == 0) {
         std::string text;
-        for (const KnownPeer &known : sorted(TimePoint{})) {
+        for (const KnownPeer &known : sortedWithSelf(TimePoint{})) {
             const GatewayRecord &record = known.record;
             text += record.id.value() + '|' + record.hall.value() + '|' + record.host + '|'
                     + std::to_string(record.port) + '\n';
@@ -69,7 +69,7 @@
         return news;
     }
     constexpr Duration::rep kOldest = 255;
-    for (const KnownPeer &known : sorted(now)) {
+    for (const KnownPeer &known : sortedWithSelf(now)) {
         const Duration age = std::max(Duration{}, now - known.lastSeen);
         const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Never too young.
         news.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kOldest)));
@@ -88,7 +88,7 @@
     if (news.digest != digest() || news.ages.size() != size()) {
         return false;
     }
-    const std::vector<KnownPeer> peers = sorted(now);
+    const std::vector<KnownPeer> peers = sortedWithSelf(now);
     for (std::size_t index = 0; index < all.size(); ++index) {
         recordSeen(all[index].record,
                    now - kAgeStep * static_cast<Duration::rep>(news.ages[index]));
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -121,7 +121,7 @@
         TimePoint cooldownUntil{};
     };
 
-    std::vector<KnownPeer> sorted(TimePoint now) const;
+    std::vector<KnownPeer> sortedWithSelf(TimePoint now) const;
 
     GatewayRecord self_;
     Settings settings_;
