--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -8,10 +8,10 @@
 namespace seamarch {
 namespace {
 
-using Place = std::pair<std::uint64_t, InstanceId>;
+using OrderKey = std::pair<std::uint64_t, InstanceId>;
 
 // The place in the order of a hall, which all gateways compute alike.
-Place placeOf(const InstanceId &id)
+OrderKey placeOf(const InstanceId &id)
 {
     return {XXH3_64bits(id.value().data(), id.value().size()), id};
 }
@@ -123,7 +123,7 @@
 
 InstanceId GatewayDirectory::localStoreFollower(TimePoint now) const
 {
-    Place best = placeOf(self_.id);
+    OrderKey best = placeOf(self_.id);
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall && member.cooldownUntil <= now) {
             best = std::min(best, placeOf(id));
@@ -134,7 +134,7 @@
 
 std::optional<InstanceId> GatewayDirectory::storeFollowerOf(const HallId &hall, TimePoint now) const
 {
-    std::optional<Place> best;
+    std::optional<OrderKey> best;
     for (const auto &[id, member] : members_) {
         const bool fits = member.record.hall == hall && member.cooldownUntil <= now;
         if (fits && (!best || placeOf(id) < *best)) {
@@ -171,7 +171,7 @@
 
 HallPlace GatewayDirectory::hallPlace() const
 {
-    const Place own = placeOf(self_.id);
+    const OrderKey own = placeOf(self_.id);
     HallPlace hallPlace;
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall) {
