--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -11,7 +11,7 @@
 using OrderKey = std::pair<std::uint64_t, InstanceId>;
 
 // The place in the order of a hall, which all gateways compute alike.
-OrderKey placeOf(const InstanceId &id)
+OrderKey orderKeyOf(const InstanceId &id)
 {
     return {XXH3_64bits(id.value().data(), id.value().size()), id};
 }
@@ -123,10 +123,10 @@
 
 InstanceId GatewayDirectory::localStoreFollower(TimePoint now) const
 {
-    OrderKey best = placeOf(self_.id);
+    OrderKey best = orderKeyOf(self_.id);
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall && member.cooldownUntil <= now) {
-            best = std::min(best, placeOf(id));
+            best = std::min(best, orderKeyOf(id));
         }
     }
     return best.second;
@@ -137,8 +137,8 @@
     std::optional<OrderKey> best;
     for (const auto &[id, member] : members_) {
         const bool fits = member.record.hall == hall && member.cooldownUntil <= now;
-        if (fits && (!best || placeOf(id) < *best)) {
-            best = placeOf(id);
+        if (fits && (!best || orderKeyOf(id) < *best)) {
+            best = orderKeyOf(id);
         }
     }
     return best ? std::optional(best->second) : std::nullopt;
@@ -171,12 +171,12 @@
 
 HallPlace GatewayDirectory::hallPlace() const
 {
-    const OrderKey own = placeOf(self_.id);
+    const OrderKey own = orderKeyOf(self_.id);
     HallPlace hallPlace;
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall) {
             ++place.gateways;
-            place.index += placeOf(id) < own ? 1 : 0;
+            place.index += orderKeyOf(id) < own ? 1 : 0;
         }
     }
     return place;
