--- a/src/decision/membership/groupsurvey.cpp
+++ b/src/decision/membership/groupsurvey.cpp
@@ -5,7 +5,7 @@
 
 namespace seamarch {
 
-bool GroupSurvey::mayAsk(const std::string &host, TimePoint now) const
+bool GroupPollPlanner::mayAsk(const std::string &host, TimePoint now) const
 {
     const auto found = agents_.find(host);
     return found == agents_.end() || (!found->second.asked && now >= found->second.notBefore);
@@ -13,7 +13,7 @@
 
 // Returns the host to ask about a known group: the agent that decided last, else the first of its
 // members that may be asked, because the lowest rank that lives decides.
-std::string GroupSurvey::sourceOf(const GroupTable::Known &known, TimePoint now) const
+std::string GroupPollPlanner::sourceOf(const GroupTable::Known &known, TimePoint now) const
 {
     const auto decider = deciders_.find(known.facts.group);
     if (decider != deciders_.end()) {
@@ -27,8 +27,8 @@
     return {};
 }
 
-std::vector<std::string> GroupSurvey::next(const std::vector<Engine> &engines,
-                                           const GroupTable &groups, TimePoint now)
+std::vector<std::string> GroupPollPlanner::next(const std::vector<Engine> &engines,
+                                                const GroupTable &groups, TimePoint now)
 {
     std::vector<std::string> hosts;
     const auto ask = [&](const std::string &host) {
@@ -58,13 +58,14 @@
     return hosts;
 }
 
-void GroupSurvey::onDecider(const std::string &host, const GroupId &group)
+void GroupPollPlanner::onDecider(const std::string &host, const GroupId &group)
 {
     agents_[host] = {};
     deciders_[group] = host;
 }
 
-void GroupSurvey::onReferred(const std::string &host, const std::string &deciderHost, TimePoint now)
+void GroupPollPlanner::onReferred(const std::string &host, const std::string &deciderHost,
+                                  TimePoint now)
 {
     agents_[host] = {false, now + settings_.pause};
     std::erase_if(deciders_, [&host](const auto &entry) { return entry.second == host; });
@@ -73,7 +74,7 @@
     }
 }
 
-void GroupSurvey::onFailed(const std::string &host, TimePoint now)
+void GroupPollPlanner::onFailed(const std::string &host, TimePoint now)
 {
     agents_[host] = {false, now + settings_.pause};
     std::erase_if(deciders_, [&host](const auto &entry) { return entry.second == host; });
--- a/src/decision/membership/groupsurvey.h
+++ b/src/decision/membership/groupsurvey.h
@@ -20,7 +20,7 @@
 
 namespace seamarch {
 
-class GroupSurvey
+class GroupPollPlanner
 {
 public:
     struct Settings
@@ -41,8 +41,8 @@
         bool operator==(const Engine &) const = default;
     };
 
-    GroupSurvey() = default;
-    explicit GroupSurvey(const Settings &settings)
+    GroupPollPlanner() = default;
+    explicit GroupPollPlanner(const Settings &settings)
         : settings_(settings)
     {}
 
--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -6,8 +6,8 @@
 // something changes, so news comes within a connection's delay. Without any agent nothing is known
 // of groups, and all upstreams of a service count as one.
 //
-// Whom to ask is decided elsewhere: see GroupSurvey. Single-threaded; what the constructor is given
-// outlives the object.
+// Whom to ask is decided elsewhere: see GroupPollPlanner. Single-threaded; what the constructor is
+// given outlives the object.
 #pragma once
 
 #include "decision/gateway/grouptable.h"
@@ -62,8 +62,8 @@
     GroupTable &groups_;
     int agentPort_;
     std::unique_ptr<RawTransport> transport_;
-    GroupSurvey survey_;
-    std::vector<GroupSurvey::Engine> engines_; // As of the list and the configuration below.
+    GroupPollPlanner survey_;
+    std::vector<GroupPollPlanner::Engine> engines_; // As of the list and the configuration below.
     std::uint64_t listedChanges_ = 0;
     ConfigVersion listedVersion_;
     std::map<std::string, Link> links_; // By host.
--- a/test/decision/membership/groupsurvey_test.cpp
+++ b/test/decision/membership/groupsurvey_test.cpp
@@ -12,9 +12,9 @@
     return TimePoint(std::chrono::milliseconds(millis));
 }
 
-std::vector<GroupSurvey::Engine> engines(int count)
+std::vector<GroupPollPlanner::Engine> engines(int count)
 {
-    std::vector<GroupSurvey::Engine> list;
+    std::vector<GroupPollPlanner::Engine> list;
     for (int number = 0; number < count; ++number) {
         list.push_back({"host" + std::to_string(number), 80});
     }
@@ -35,7 +35,7 @@
 
 TEST_GROUP(GroupSurveyTest)
 {
-    GroupSurvey survey;
+    GroupPollPlanner survey;
     GroupTable table;
 };
 
