--- a/test/decision/membership/groupsurvey_test.cpp
+++ b/test/decision/membership/groupsurvey_test.cpp
@@ -33,19 +33,19 @@
 
 } // namespace
 
-TEST_GROUP(GroupSurveyTest)
+TEST_GROUP(GroupPollPlannerTest)
 {
     GroupPollPlanner survey;
     GroupTable table;
 };
 
-TEST(GroupSurveyTest, FewAgentsAreAskedAtATimeWhileNothingIsKnown)
+TEST(GroupPollPlannerTest, FewAgentsAreAskedAtATimeWhileNothingIsKnown)
 {
     LONGS_EQUAL(3, survey.next(engines(72), table, at(0)).size());
     LONGS_EQUAL(0, survey.next(engines(72), table, at(50)).size());
 }
 
-TEST(GroupSurveyTest, AgentThatDecidesElsewhereIsAskedNext)
+TEST(GroupPollPlannerTest, AgentThatDecidesElsewhereIsAskedNext)
 {
     const auto asked = survey.next(engines(24), table, at(0));
     survey.onReferred(asked.front(), "host20", at(5));
@@ -54,7 +54,7 @@
 }
 
 // Nine groups of 32 ranks: connections grow with the groups and not with the ranks.
-TEST(GroupSurveyTest, OneAgentAGroupIsAskedOnceAllAreKnown)
+TEST(GroupPollPlannerTest, OneAgentAGroupIsAskedOnceAllAreKnown)
 {
     for (int number = 0; number < 9; ++number) {
         const std::string name = "g" + std::to_string(number);
@@ -65,7 +65,7 @@
     LONGS_EQUAL(0, survey.next(engines(288), table, at(100)).size());
 }
 
-TEST(GroupSurveyTest, OtherMembersAreAskedWhenTheAgentThatDecidesFails)
+TEST(GroupPollPlannerTest, OtherMembersAreAskedWhenTheAgentThatDecidesFails)
 {
     table.learn(facts("one", 0, 4), at(0));
     survey.onDecider("host0", GroupId("one"));
@@ -76,7 +76,7 @@
     STRCMP_EQUAL("host1", next.front().c_str());
 }
 
-TEST(GroupSurveyTest, AgentThatNamesNobodyIsLeftAloneForAWhile)
+TEST(GroupPollPlannerTest, AgentThatNamesNobodyIsLeftAloneForAWhile)
 {
     const auto asked = survey.next(engines(1), table, at(0));
     survey.onReferred(asked.front(), "", at(10));
