--- a/src/gateway/groupwatch.h
+++ b/src/gateway/groupwatch.h
@@ -11,7 +11,7 @@
 #pragma once
 
 #include "decision/gateway/grouptable.h"
-#include "decision/membership/groupsurvey.h"
+#include "decision/membership/grouppollplanner.h"
 #include "gateway/gatewayknowledge.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
--- a/test/decision/membership/groupsurvey_test.cpp
+++ b/test/decision/membership/groupsurvey_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/membership/groupsurvey.h"
+#include "decision/membership/grouppollplanner.h"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
