--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -27,8 +27,8 @@
     return {};
 }
 
-std::vector<std::string> GroupPollPlanner::next(const std::vector<Engine> &engines,
-                                                const GroupTable &groups, TimePoint now)
+std::vector<std::string> GroupPollPlanner::nextHosts(const std::vector<Engine> &engines,
+                                                     const GroupTable &groups, TimePoint now)
 {
     std::vector<std::string> hosts;
     const auto ask = [&](const std::string &host) {
--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -47,8 +47,8 @@
     {}
 
     // Returns the hosts to ask now. Each counts as asked until its answer or failure is noted.
-    std::vector<std::string> next(const std::vector<Engine> &engines, const GroupTable &groups,
-                                  TimePoint now);
+    std::vector<std::string> nextHosts(const std::vector<Engine> &engines, const GroupTable &groups,
+                                       TimePoint now);
 
     // The agent at `host` has answered that it decides for `group`.
     void onDecider(const std::string &host, const GroupId &group);
