--- a/test/decision/membership/grouppollplanner_test.cpp
+++ b/test/decision/membership/grouppollplanner_test.cpp
@@ -41,15 +41,15 @@
 
 TEST(GroupPollPlannerTest, FewAgentsAreAskedAtATimeWhileNothingIsKnown)
 {
-    LONGS_EQUAL(3, survey.next(engines(72), table, at(0)).size());
-    LONGS_EQUAL(0, survey.next(engines(72), table, at(50)).size());
+    LONGS_EQUAL(3, survey.nextHosts(engines(72), table, at(0)).size());
+    LONGS_EQUAL(0, survey.nextHosts(engines(72), table, at(50)).size());
 }
 
 TEST(GroupPollPlannerTest, AgentThatDecidesElsewhereIsAskedNext)
 {
-    const auto asked = survey.next(engines(24), table, at(0));
+    const auto asked = survey.nextHosts(engines(24), table, at(0));
     survey.onReferred(asked.front(), "host20", at(5));
-    const auto next = survey.next(engines(24), table, at(10));
+    const auto next = survey.nextHosts(engines(24), table, at(10));
     CHECK_TRUE(std::find(next.begin(), next.end(), "host20") != next.end());
 }
 
@@ -61,25 +61,25 @@
         table.learn(facts(name.c_str(), number * 32, 32), at(0));
         survey.onDecider("host" + std::to_string(number * 32), GroupId(name));
     }
-    LONGS_EQUAL(9, survey.next(engines(288), table, at(50)).size());
-    LONGS_EQUAL(0, survey.next(engines(288), table, at(100)).size());
+    LONGS_EQUAL(9, survey.nextHosts(engines(288), table, at(50)).size());
+    LONGS_EQUAL(0, survey.nextHosts(engines(288), table, at(100)).size());
 }
 
 TEST(GroupPollPlannerTest, OtherMembersAreAskedWhenTheAgentThatDecidesFails)
 {
     table.learn(facts("one", 0, 4), at(0));
     survey.onDecider("host0", GroupId("one"));
-    survey.next(engines(4), table, at(0));
+    survey.nextHosts(engines(4), table, at(0));
     survey.onFailed("host0", at(700));
-    const auto next = survey.next(engines(4), table, at(750));
+    const auto next = survey.nextHosts(engines(4), table, at(750));
     LONGS_EQUAL(1, next.size());
     STRCMP_EQUAL("host1", next.front().c_str());
 }
 
 TEST(GroupPollPlannerTest, AgentThatNamesNobodyIsLeftAloneForAWhile)
 {
-    const auto asked = survey.next(engines(1), table, at(0));
+    const auto asked = survey.nextHosts(engines(1), table, at(0));
     survey.onReferred(asked.front(), "", at(10));
-    LONGS_EQUAL(0, survey.next(engines(1), table, at(100)).size());
-    LONGS_EQUAL(1, survey.next(engines(1), table, at(600)).size());
+    LONGS_EQUAL(0, survey.nextHosts(engines(1), table, at(100)).size());
+    LONGS_EQUAL(1, survey.nextHosts(engines(1), table, at(600)).size());
 }
