--- a/src/gateway/groupwatch.cpp
+++ b/src/gateway/groupwatch.cpp
@@ -73,7 +73,7 @@
     const TimePoint now = loop_.now();
     if (watches) {
         listEngines();
-        for (const std::string &host : survey_.next(engines_, groups_, now)) {
+        for (const std::string &host : survey_.nextHosts(engines_, groups_, now)) {
             ask(host);
         }
     }
