--- a/test/decision/membership/grouppollplanner_test.cpp
+++ b/test/decision/membership/grouppollplanner_test.cpp
@@ -35,21 +35,21 @@
 
 TEST_GROUP(GroupPollPlannerTest)
 {
-    GroupPollPlanner survey;
+    GroupPollPlanner planner;
     GroupTable table;
 };
 
 TEST(GroupPollPlannerTest, FewAgentsAreAskedAtATimeWhileNothingIsKnown)
 {
-    LONGS_EQUAL(3, survey.nextHosts(engines(72), table, at(0)).size());
-    LONGS_EQUAL(0, survey.nextHosts(engines(72), table, at(50)).size());
+    LONGS_EQUAL(3, planner.nextHosts(engines(72), table, at(0)).size());
+    LONGS_EQUAL(0, planner.nextHosts(engines(72), table, at(50)).size());
 }
 
 TEST(GroupPollPlannerTest, AgentThatDecidesElsewhereIsAskedNext)
 {
-    const auto asked = survey.nextHosts(engines(24), table, at(0));
-    survey.onReferred(asked.front(), "host20", at(5));
-    const auto next = survey.nextHosts(engines(24), table, at(10));
+    const auto asked = planner.nextHosts(engines(24), table, at(0));
+    planner.onReferred(asked.front(), "host20", at(5));
+    const auto next = planner.nextHosts(engines(24), table, at(10));
     CHECK_TRUE(std::find(next.begin(), next.end(), "host20") != next.end());
 }
 
@@ -59,27 +59,27 @@
     for (int number = 0; number < 9; ++number) {
         const std::string name = "g" + std::to_string(number);
         table.learn(facts(name.c_str(), number * 32, 32), at(0));
-        survey.onDecider("host" + std::to_string(number * 32), GroupId(name));
+        planner.onDecider("host" + std::to_string(number * 32), GroupId(name));
     }
-    LONGS_EQUAL(9, survey.nextHosts(engines(288), table, at(50)).size());
-    LONGS_EQUAL(0, survey.nextHosts(engines(288), table, at(100)).size());
+    LONGS_EQUAL(9, planner.nextHosts(engines(288), table, at(50)).size());
+    LONGS_EQUAL(0, planner.nextHosts(engines(288), table, at(100)).size());
 }
 
 TEST(GroupPollPlannerTest, OtherMembersAreAskedWhenTheAgentThatDecidesFails)
 {
     table.learn(facts("one", 0, 4), at(0));
-    survey.onDecider("host0", GroupId("one"));
-    survey.nextHosts(engines(4), table, at(0));
-    survey.onFailed("host0", at(700));
-    const auto next = survey.nextHosts(engines(4), table, at(750));
+    planner.onDecider("host0", GroupId("one"));
+    planner.nextHosts(engines(4), table, at(0));
+    planner.onFailed("host0", at(700));
+    const auto next = planner.nextHosts(engines(4), table, at(750));
     LONGS_EQUAL(1, next.size());
     STRCMP_EQUAL("host1", next.front().c_str());
 }
 
 TEST(GroupPollPlannerTest, AgentThatNamesNobodyIsLeftAloneForAWhile)
 {
-    const auto asked = survey.nextHosts(engines(1), table, at(0));
-    survey.onReferred(asked.front(), "", at(10));
-    LONGS_EQUAL(0, survey.nextHosts(engines(1), table, at(100)).size());
-    LONGS_EQUAL(1, survey.nextHosts(engines(1), table, at(600)).size());
+    const auto asked = planner.nextHosts(engines(1), table, at(0));
+    planner.onReferred(asked.front(), "", at(10));
+    LONGS_EQUAL(0, planner.nextHosts(engines(1), table, at(100)).size());
+    LONGS_EQUAL(1, planner.nextHosts(engines(1), table, at(600)).size());
 }
