--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -26,7 +26,7 @@
     struct Settings
     {
         // Agents that are asked at a time although no group is known to have their engines.
-        std::size_t scouts = 3;
+        std::size_t maxDiscoveryPolls = 3;
         // How long an agent that failed, or that does not decide and names nobody, is not asked
         // again: an agent takes the role within a second after another is gone.
         Duration pause = std::chrono::milliseconds(500);
