--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -50,7 +50,7 @@
         }
         const auto agent = agents_.find(engine.host);
         const bool asked = agent != agents_.end() && agent->second.asked;
-        if (asked || (scouts < settings_.scouts && mayAsk(engine.host, now))) {
+        if (asked || (scouts < settings_.maxDiscoveryPolls && mayAsk(engine.host, now))) {
             ++scouts;
             ask(engine.host);
         }
