--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -43,15 +43,15 @@
     for (const std::string &host : std::exchange(referred_, {})) {
         ask(host);
     }
-    std::size_t scouts = 0;
+    std::size_t discoveryPolls = 0;
     for (const Engine &engine : engines) {
         if (groups.hasMember(engine.host, engine.port)) {
             continue;
         }
         const auto agent = agents_.find(engine.host);
         const bool asked = agent != agents_.end() && agent->second.asked;
-        if (asked || (scouts < settings_.maxDiscoveryPolls && mayAsk(engine.host, now))) {
-            ++scouts;
+        if (asked || (discoveryPolls < settings_.maxDiscoveryPolls && mayAsk(engine.host, now))) {
+            ++discoveryPolls;
             ask(engine.host);
         }
     }
