--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -67,7 +67,7 @@
 void GroupPollPlanner::onReferred(const std::string &host, const std::string &deciderHost,
                                   TimePoint now)
 {
-    agents_[host] = {false, now + settings_.pause};
+    agents_[host] = {false, now + settings_.retryDelay};
     std::erase_if(deciders_, [&host](const auto &entry) { return entry.second == host; });
     if (!deciderHost.empty() && deciderHost != host) {
         referred_.push_back(deciderHost);
@@ -76,7 +76,7 @@
 
 void GroupPollPlanner::onFailed(const std::string &host, TimePoint now)
 {
-    agents_[host] = {false, now + settings_.pause};
+    agents_[host] = {false, now + settings_.retryDelay};
     std::erase_if(deciders_, [&host](const auto &entry) { return entry.second == host; });
 }
 
--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -29,7 +29,7 @@
         std::size_t maxDiscoveryPolls = 3;
         // How long an agent that failed, or that does not decide and names nobody, is not asked
         // again: an agent takes the role within a second after another is gone.
-        Duration pause = std::chrono::milliseconds(500);
+        Duration retryDelay = std::chrono::milliseconds(500);
     };
 
     // An engine, with the agent at its host.
