--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -8,7 +8,7 @@
 bool GroupPollPlanner::mayAsk(const std::string &host, TimePoint now) const
 {
     const auto found = agents_.find(host);
-    return found == agents_.end() || (!found->second.asked && now >= found->second.notBefore);
+    return found == agents_.end() || (!found->second.pending && now >= found->second.notBefore);
 }
 
 // Returns the host to ask about a known group: the agent that decided last, else the first of its
@@ -33,7 +33,7 @@
     std::vector<std::string> hosts;
     const auto ask = [&](const std::string &host) {
         if (!host.empty() && mayAsk(host, now)) {
-            agents_[host].asked = true;
+            agents_[host].pending = true;
             hosts.push_back(host);
         }
     };
@@ -49,8 +49,8 @@
             continue;
         }
         const auto agent = agents_.find(engine.host);
-        const bool asked = agent != agents_.end() && agent->second.asked;
-        if (asked || (discoveryPolls < settings_.maxDiscoveryPolls && mayAsk(engine.host, now))) {
+        const bool pending = agent != agents_.end() && agent->second.pending;
+        if (pending || (discoveryPolls < settings_.maxDiscoveryPolls && mayAsk(engine.host, now))) {
             ++discoveryPolls;
             ask(engine.host);
         }
--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -59,7 +59,7 @@
 private:
     struct Agent
     {
-        bool asked = false;
+        bool pending = false;
         TimePoint notBefore{};
     };
 
