--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -8,7 +8,7 @@
 bool GroupPollPlanner::mayAsk(const std::string &host, TimePoint now) const
 {
     const auto found = agents_.find(host);
-    return found == agents_.end() || (!found->second.pending && now >= found->second.notBefore);
+    return found == agents_.end() || (!found->second.pending && now >= found->second.retryAt);
 }
 
 // Returns the host to ask about a known group: the agent that decided last, else the first of its
--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -60,7 +60,7 @@
     struct Agent
     {
         bool pending = false;
-        TimePoint notBefore{};
+        TimePoint retryAt{};
     };
 
     bool mayAsk(const std::string &host, TimePoint now) const;
