--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -5,7 +5,7 @@
 
 namespace seamarch {
 
-bool GroupPollPlanner::mayAsk(const std::string &host, TimePoint now) const
+bool GroupPollPlanner::mayPoll(const std::string &host, TimePoint now) const
 {
     const auto found = agents_.find(host);
     return found == agents_.end() || (!found->second.pending && now >= found->second.retryAt);
@@ -20,7 +20,7 @@
         return decider->second;
     }
     for (const GroupMember &member : known.facts.members) {
-        if (mayAsk(member.host, now)) {
+        if (mayPoll(member.host, now)) {
             return member.host;
         }
     }
@@ -32,7 +32,7 @@
 {
     std::vector<std::string> hosts;
     const auto ask = [&](const std::string &host) {
-        if (!host.empty() && mayAsk(host, now)) {
+        if (!host.empty() && mayPoll(host, now)) {
             agents_[host].pending = true;
             hosts.push_back(host);
         }
@@ -50,7 +50,8 @@
         }
         const auto agent = agents_.find(engine.host);
         const bool pending = agent != agents_.end() && agent->second.pending;
-        if (pending || (discoveryPolls < settings_.maxDiscoveryPolls && mayAsk(engine.host, now))) {
+        if (pending
+            || (discoveryPolls < settings_.maxDiscoveryPolls && mayPoll(engine.host, now))) {
             ++discoveryPolls;
             ask(engine.host);
         }
--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -63,7 +63,7 @@
         TimePoint retryAt{};
     };
 
-    bool mayAsk(const std::string &host, TimePoint now) const;
+    bool mayPoll(const std::string &host, TimePoint now) const;
     std::string sourceOf(const GroupTable::Known &known, TimePoint now) const;
 
     Settings settings_;
