--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -31,17 +31,17 @@
                                                      const GroupTable &groups, TimePoint now)
 {
     std::vector<std::string> hosts;
-    const auto ask = [&](const std::string &host) {
+    const auto poll = [&](const std::string &host) {
         if (!host.empty() && mayPoll(host, now)) {
             agents_[host].pending = true;
             hosts.push_back(host);
         }
     };
     for (const auto &[group, known] : groups.known()) {
-        ask(sourceOf(known, now));
+        poll(sourceOf(known, now));
     }
     for (const std::string &host : std::exchange(referred_, {})) {
-        ask(host);
+        poll(host);
     }
     std::size_t discoveryPolls = 0;
     for (const Engine &engine : engines) {
@@ -53,7 +53,7 @@
         if (pending
             || (discoveryPolls < settings_.maxDiscoveryPolls && mayPoll(engine.host, now))) {
             ++discoveryPolls;
-            ask(engine.host);
+            poll(engine.host);
         }
     }
     return hosts;
