--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -13,7 +13,7 @@
 
 // Returns the host to ask about a known group: the agent that decided last, else the first of its
 // members that may be asked, because the lowest rank that lives decides.
-std::string GroupPollPlanner::sourceOf(const GroupTable::Known &known, TimePoint now) const
+std::string GroupPollPlanner::hostToPoll(const GroupTable::Known &known, TimePoint now) const
 {
     const auto decider = deciders_.find(known.facts.group);
     if (decider != deciders_.end()) {
@@ -38,7 +38,7 @@
         }
     };
     for (const auto &[group, known] : groups.known()) {
-        poll(sourceOf(known, now));
+        poll(hostToPoll(known, now));
     }
     for (const std::string &host : std::exchange(referred_, {})) {
         poll(host);
--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -64,7 +64,7 @@
     };
 
     bool mayPoll(const std::string &host, TimePoint now) const;
-    std::string sourceOf(const GroupTable::Known &known, TimePoint now) const;
+    std::string hostToPoll(const GroupTable::Known &known, TimePoint now) const;
 
     Settings settings_;
     std::map<std::string, Agent> agents_;
