--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -40,7 +40,7 @@
     for (const auto &[group, known] : groups.known()) {
         poll(hostToPoll(known, now));
     }
-    for (const std::string &host : std::exchange(referred_, {})) {
+    for (const std::string &host : std::exchange(referredHosts_, {})) {
         poll(host);
     }
     std::size_t discoveryPolls = 0;
@@ -71,7 +71,7 @@
     agents_[host] = {false, now + settings_.retryDelay};
     std::erase_if(deciders_, [&host](const auto &entry) { return entry.second == host; });
     if (!deciderHost.empty() && deciderHost != host) {
-        referred_.push_back(deciderHost);
+        referredHosts_.push_back(deciderHost);
     }
 }
 
--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -69,7 +69,7 @@
     Settings settings_;
     std::map<std::string, Agent> agents_;
     std::map<GroupId, std::string> deciders_; // By group, the host that answered last.
-    std::vector<std::string> referred_;       // Named by agents, and not asked yet.
+    std::vector<std::string> referredHosts_;  // Named by agents, and not asked yet.
 };
 
 } // namespace seamarch
