--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -11,7 +11,7 @@
 // The agents of one target, near or far.
 struct Pool
 {
-    std::vector<InstanceId> near;
+    std::vector<InstanceId> local;
     std::vector<InstanceId> far;
 };
 
@@ -47,7 +47,7 @@
         all.insert(record.id);
         for (const TargetName &target : record.serves) {
             Pool &pool = pools[target];
-            (record.hall == hall ? pool.near : pool.far).push_back(record.id);
+            (record.hall == hall ? pool.local : pool.far).push_back(record.id);
         }
     }
     if (all.size() <= budget.links) {
@@ -58,9 +58,9 @@
     const std::size_t nearEach = std::max<std::size_t>(1, nearTotal / pools.size());
     std::set<InstanceId> chosen;
     for (auto &[target, pool] : pools) {
-        sortByRendezvous(pool.near, entry);
+        sortByRendezvous(pool.local, entry);
         sortByRendezvous(pool.far, entry);
-        takeFirst(pool.near, nearEach, chosen);
+        takeFirst(pool.local, nearEach, chosen);
         takeFirst(pool.far, budget.farPerTarget, chosen);
     }
     return chosen;
