--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -12,7 +12,7 @@
 struct Pool
 {
     std::vector<InstanceId> local;
-    std::vector<InstanceId> far;
+    std::vector<InstanceId> remote;
 };
 
 void sortByRendezvous(std::vector<InstanceId> &agents, const InstanceId &entry)
@@ -47,7 +47,7 @@
         all.insert(record.id);
         for (const TargetName &target : record.serves) {
             Pool &pool = pools[target];
-            (record.hall == hall ? pool.local : pool.far).push_back(record.id);
+            (record.hall == hall ? pool.local : pool.remote).push_back(record.id);
         }
     }
     if (all.size() <= budget.links) {
@@ -59,9 +59,9 @@
     std::set<InstanceId> chosen;
     for (auto &[target, pool] : pools) {
         sortByRendezvous(pool.local, entry);
-        sortByRendezvous(pool.far, entry);
+        sortByRendezvous(pool.remote, entry);
         takeFirst(pool.local, nearEach, chosen);
-        takeFirst(pool.far, budget.farPerTarget, chosen);
+        takeFirst(pool.remote, budget.farPerTarget, chosen);
     }
     return chosen;
 }
