--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -50,11 +50,11 @@
             (record.hall == hall ? pool.local : pool.remote).push_back(record.id);
         }
     }
-    if (all.size() <= budget.links) {
+    if (all.size() <= budget.maxLinks) {
         return all;
     }
     const std::size_t farTotal = budget.farPerTarget * pools.size();
-    const std::size_t nearTotal = budget.links > farTotal ? budget.links - farTotal : 0;
+    const std::size_t nearTotal = budget.maxLinks > farTotal ? budget.maxLinks - farTotal : 0;
     const std::size_t nearEach = std::max<std::size_t>(1, nearTotal / pools.size());
     std::set<InstanceId> chosen;
     for (auto &[target, pool] : pools) {
