--- a/src/decision/membership/linkplan.h
+++ b/src/decision/membership/linkplan.h
@@ -20,7 +20,7 @@
 
 struct LinkBudget
 {
-    std::size_t links = 40;          // Connections to agents that an entry keeps.
+    std::size_t maxLinks = 40;       // Connections to agents that an entry keeps.
     std::size_t farPerTarget = 3;    // Of them, in other halls, for each target.
     double heartbeatsPerSecond = 18; // Over all of them.
 };
@@ -30,6 +30,6 @@
                                  const HallId &hall, const LinkBudget &budget);
 
 // Returns the pause between two heartbeats to one agent: `shortest`, or longer for many links.
-Duration heartbeatPeriod(std::size_t links, Duration shortest, const LinkBudget &budget);
+Duration heartbeatPeriod(std::size_t maxLinks, Duration shortest, const LinkBudget &budget);
 
 } // namespace seamarch
