--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -53,7 +53,7 @@
     if (all.size() <= budget.maxLinks) {
         return all;
     }
-    const std::size_t farTotal = budget.farPerTarget * pools.size();
+    const std::size_t farTotal = budget.remotePerTarget * pools.size();
     const std::size_t nearTotal = budget.maxLinks > farTotal ? budget.maxLinks - farTotal : 0;
     const std::size_t nearEach = std::max<std::size_t>(1, nearTotal / pools.size());
     std::set<InstanceId> chosen;
@@ -61,7 +61,7 @@
         sortByRendezvous(pool.local, entry);
         sortByRendezvous(pool.remote, entry);
         takeFirst(pool.local, nearEach, chosen);
-        takeFirst(pool.remote, budget.farPerTarget, chosen);
+        takeFirst(pool.remote, budget.remotePerTarget, chosen);
     }
     return chosen;
 }
--- a/src/decision/membership/linkplan.h
+++ b/src/decision/membership/linkplan.h
@@ -21,7 +21,7 @@
 struct LinkBudget
 {
     std::size_t maxLinks = 40;       // Connections to agents that an entry keeps.
-    std::size_t farPerTarget = 3;    // Of them, in other halls, for each target.
+    std::size_t remotePerTarget = 3; // Of them, in other halls, for each target.
     double heartbeatsPerSecond = 18; // Over all of them.
 };
 
