--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -53,8 +53,8 @@
     if (all.size() <= budget.maxLinks) {
         return all;
     }
-    const std::size_t farTotal = budget.remotePerTarget * pools.size();
-    const std::size_t nearTotal = budget.maxLinks > farTotal ? budget.maxLinks - farTotal : 0;
+    const std::size_t remoteTotal = budget.remotePerTarget * pools.size();
+    const std::size_t nearTotal = budget.maxLinks > remoteTotal ? budget.maxLinks - remoteTotal : 0;
     const std::size_t nearEach = std::max<std::size_t>(1, nearTotal / pools.size());
     std::set<InstanceId> chosen;
     for (auto &[target, pool] : pools) {
