--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -54,8 +54,9 @@
         return all;
     }
     const std::size_t remoteTotal = budget.remotePerTarget * pools.size();
-    const std::size_t nearTotal = budget.maxLinks > remoteTotal ? budget.maxLinks - remoteTotal : 0;
-    const std::size_t nearEach = std::max<std::size_t>(1, nearTotal / pools.size());
+    const std::size_t localTotal =
+        budget.maxLinks > remoteTotal ? budget.maxLinks - remoteTotal : 0;
+    const std::size_t nearEach = std::max<std::size_t>(1, localTotal / pools.size());
     std::set<InstanceId> chosen;
     for (auto &[target, pool] : pools) {
         sortByRendezvous(pool.local, entry);
