--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -56,12 +56,12 @@
     const std::size_t remoteTotal = budget.remotePerTarget * pools.size();
     const std::size_t localTotal =
         budget.maxLinks > remoteTotal ? budget.maxLinks - remoteTotal : 0;
-    const std::size_t nearEach = std::max<std::size_t>(1, localTotal / pools.size());
+    const std::size_t localPerTarget = std::max<std::size_t>(1, localTotal / pools.size());
     std::set<InstanceId> chosen;
     for (auto &[target, pool] : pools) {
         sortByRendezvous(pool.local, entry);
         sortByRendezvous(pool.remote, entry);
-        takeFirst(pool.local, nearEach, chosen);
+        takeFirst(pool.local, localPerTarget, chosen);
         takeFirst(pool.remote, budget.remotePerTarget, chosen);
     }
     return chosen;
