--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -26,8 +26,8 @@
     });
 }
 
-void takeFirst(const std::vector<InstanceId> &agents, std::size_t count,
-               std::set<InstanceId> &chosen)
+void insertFirst(const std::vector<InstanceId> &agents, std::size_t count,
+                 std::set<InstanceId> &chosen)
 {
     const std::size_t taken = std::min(count, agents.size());
     chosen.insert(agents.begin(), agents.begin() + static_cast<std::ptrdiff_t>(taken));
@@ -61,8 +61,8 @@
     for (auto &[target, pool] : pools) {
         sortByRendezvous(pool.local, entry);
         sortByRendezvous(pool.remote, entry);
-        takeFirst(pool.local, localPerTarget, chosen);
-        takeFirst(pool.remote, budget.remotePerTarget, chosen);
+        insertFirst(pool.local, localPerTarget, chosen);
+        insertFirst(pool.remote, budget.remotePerTarget, chosen);
     }
     return chosen;
 }
