--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -29,8 +29,8 @@
 void insertFirst(const std::vector<InstanceId> &agents, std::size_t count,
                  std::set<InstanceId> &chosen)
 {
-    const std::size_t taken = std::min(count, agents.size());
-    chosen.insert(agents.begin(), agents.begin() + static_cast<std::ptrdiff_t>(taken));
+    const std::size_t inserted = std::min(count, agents.size());
+    chosen.insert(agents.begin(), agents.begin() + static_cast<std::ptrdiff_t>(inserted));
 }
 
 } // namespace
