--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -67,10 +67,10 @@
     return chosen;
 }
 
-Duration heartbeatPeriod(std::size_t links, Duration shortest, const LinkBudget &budget)
+Duration heartbeatPeriod(std::size_t links, Duration minPeriod, const LinkBudget &budget)
 {
     const Duration needed = fromSeconds(static_cast<double>(links) / budget.heartbeatsPerSecond);
-    return std::max(shortest, needed);
+    return std::max(minPeriod, needed);
 }
 
 } // namespace seamarch
--- a/src/decision/membership/linkplan.h
+++ b/src/decision/membership/linkplan.h
@@ -30,6 +30,6 @@
                                  const HallId &hall, const LinkBudget &budget);
 
 // Returns the pause between two heartbeats to one agent: `shortest`, or longer for many links.
-Duration heartbeatPeriod(std::size_t links, Duration shortest, const LinkBudget &budget);
+Duration heartbeatPeriod(std::size_t links, Duration minPeriod, const LinkBudget &budget);
 
 } // namespace seamarch
