--- a/src/decision/membership/membertable.cpp
+++ b/src/decision/membership/membertable.cpp
@@ -30,14 +30,14 @@
         return false;
     }
     Member &member = found->second;
-    if (member.heard && askedAt < member.reportAskedAt) {
+    if (member.hasReported && askedAt < member.reportAskedAt) {
         return false;
     }
-    const bool reborn = !member.heard || member.report.incarnation != report.incarnation;
+    const bool reborn = !member.hasReported || member.report.incarnation != report.incarnation;
     if (reborn) {
         member.firstSeen = now;
     }
-    member.heard = true;
+    member.hasReported = true;
     member.report = report;
     member.reportAskedAt = askedAt;
     member.leaseUntil = askedAt + lease_;
@@ -47,8 +47,8 @@
 bool MemberTable::mayReceive(const InstanceId &agent, TimePoint now) const
 {
     const Member *member = find(agent);
-    return member != nullptr && member->heard && now < member->leaseUntil && !member->report.leaving
-           && member->record.state == InstanceState::Live;
+    return member != nullptr && member->hasReported && now < member->leaseUntil
+           && !member->report.leaving && member->record.state == InstanceState::Live;
 }
 
 std::vector<const Member *> MemberTable::candidates(const TargetName &target, TimePoint now) const
--- a/src/decision/membership/membertable.h
+++ b/src/decision/membership/membertable.h
@@ -40,7 +40,7 @@
     TimePoint reportAskedAt{};
     TimePoint leaseUntil{};
     TimePoint firstSeen{}; // When this incarnation first answered; for the slow start.
-    bool heard = false;
+    bool hasReported = false;
 };
 
 class MemberTable
