--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -177,8 +177,8 @@
 {
     const Ticket &ticket = *request.request.ticket;
     const Member *member = members_.find(ticket.agent);
-    const bool alive =
-        member != nullptr && member->heard && member->report.incarnation == ticket.incarnation;
+    const bool alive = member != nullptr && member->hasReported
+                       && member->report.incarnation == ticket.incarnation;
     // An earlier attempt with this ticket may have run, through this entry or through another.
     if (!alive) {
         return {std::nullopt, FailureCode::TicketSpent, Outcome::Unknown};
@@ -197,7 +197,7 @@
     const auto agent =
         rendezvousHome(set, scopedKey(request.request.account, request.request.callerKey));
     const Member *member = agent ? members_.find(*agent) : nullptr;
-    if (member != nullptr && !member->heard) {
+    if (member != nullptr && !member->hasReported) {
         return {*agent, FailureCode::KeyHomeUnsure, Outcome::Unknown, true};
     }
     if (!agent || !members_.mayReceive(*agent, now)) {
