--- a/src/decision/membership/membertable.cpp
+++ b/src/decision/membership/membertable.cpp
@@ -30,7 +30,7 @@
         return false;
     }
     Member &member = found->second;
-    if (member.hasReported && askedAt < member.reportAskedAt) {
+    if (member.hasReported && askedAt < member.reportRequestedAt) {
         return false;
     }
     const bool reborn = !member.hasReported || member.report.incarnation != report.incarnation;
@@ -39,7 +39,7 @@
     }
     member.hasReported = true;
     member.report = report;
-    member.reportAskedAt = askedAt;
+    member.reportRequestedAt = askedAt;
     member.leaseUntil = askedAt + lease_;
     return reborn;
 }
--- a/src/decision/membership/membertable.h
+++ b/src/decision/membership/membertable.h
@@ -37,7 +37,7 @@
 {
     InstanceRecord record;
     AgentReport report;
-    TimePoint reportAskedAt{};
+    TimePoint reportRequestedAt{};
     TimePoint leaseUntil{};
     TimePoint firstSeen{}; // When this incarnation first answered; for the slow start.
     bool hasReported = false;
