--- a/src/decision/membership/membertable.cpp
+++ b/src/decision/membership/membertable.cpp
@@ -22,15 +22,15 @@
     return true;
 }
 
-bool MemberTable::onReport(const InstanceId &agent, const AgentReport &report, TimePoint askedAt,
-                           TimePoint now)
+bool MemberTable::onReport(const InstanceId &agent, const AgentReport &report,
+                           TimePoint requestedAt, TimePoint now)
 {
     const auto found = members_.find(agent);
     if (found == members_.end()) {
         return false;
     }
     Member &member = found->second;
-    if (member.hasReported && askedAt < member.reportRequestedAt) {
+    if (member.hasReported && requestedAt < member.reportRequestedAt) {
         return false;
     }
     const bool reborn = !member.hasReported || member.report.incarnation != report.incarnation;
@@ -39,8 +39,8 @@
     }
     member.hasReported = true;
     member.report = report;
-    member.reportRequestedAt = askedAt;
-    member.leaseUntil = askedAt + lease_;
+    member.reportRequestedAt = requestedAt;
+    member.leaseUntil = requestedAt + lease_;
     return reborn;
 }
 
--- a/src/decision/membership/membertable.h
+++ b/src/decision/membership/membertable.h
@@ -54,7 +54,7 @@
     bool applyList(const InstanceList &list);
     // Takes a heartbeat's answer. Answers that arrive out of order are dropped.
     // Returns true when the agent's incarnation is a new one.
-    bool onReport(const InstanceId &agent, const AgentReport &report, TimePoint askedAt,
+    bool onReport(const InstanceId &agent, const AgentReport &report, TimePoint requestedAt,
                   TimePoint now);
 
     // Tells whether `agent` may get new work now.
