--- a/src/decision/membership/membertable.cpp
+++ b/src/decision/membership/membertable.cpp
@@ -40,14 +40,14 @@
     member.hasReported = true;
     member.report = report;
     member.reportRequestedAt = requestedAt;
-    member.leaseUntil = requestedAt + lease_;
+    member.leaseExpiresAt = requestedAt + lease_;
     return reborn;
 }
 
 bool MemberTable::mayReceive(const InstanceId &agent, TimePoint now) const
 {
     const Member *member = find(agent);
-    return member != nullptr && member->hasReported && now < member->leaseUntil
+    return member != nullptr && member->hasReported && now < member->leaseExpiresAt
            && !member->report.leaving && member->record.state == InstanceState::Live;
 }
 
--- a/src/decision/membership/membertable.h
+++ b/src/decision/membership/membertable.h
@@ -38,7 +38,7 @@
     InstanceRecord record;
     AgentReport report;
     TimePoint reportRequestedAt{};
-    TimePoint leaseUntil{};
+    TimePoint leaseExpiresAt{};
     TimePoint firstSeen{}; // When this incarnation first answered; for the slow start.
     bool hasReported = false;
 };
