--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -511,7 +511,7 @@
 TimePoint EntryCore::leaseUntil(const InstanceId &agent) const
 {
     const Member *member = members_.find(agent);
-    return member == nullptr ? TimePoint{} : member->leaseUntil;
+    return member == nullptr ? TimePoint{} : member->leaseExpiresAt;
 }
 
 } // namespace seamarch
