--- a/src/decision/membership/membertable.cpp
+++ b/src/decision/membership/membertable.cpp
@@ -35,7 +35,7 @@
     }
     const bool reborn = !member.hasReported || member.report.incarnation != report.incarnation;
     if (reborn) {
-        member.firstSeen = now;
+        member.firstReportAt = now;
     }
     member.hasReported = true;
     member.report = report;
--- a/src/decision/membership/membertable.h
+++ b/src/decision/membership/membertable.h
@@ -39,7 +39,7 @@
     AgentReport report;
     TimePoint reportRequestedAt{};
     TimePoint leaseExpiresAt{};
-    TimePoint firstSeen{}; // When this incarnation first answered; for the slow start.
+    TimePoint firstReportAt{}; // When this incarnation first answered; for the slow start.
     bool hasReported = false;
 };
 
