--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -251,7 +251,7 @@
 
 double EntryCore::readiness(const Member &member, TimePoint now) const
 {
-    const double age = toSeconds(now - member.firstSeen);
+    const double age = toSeconds(now - member.firstReportAt);
     return std::clamp(age / toSeconds(settings_.slowStart), 0.1, 1.0);
 }
 
