--- a/src/decision/membership/membertable.cpp
+++ b/src/decision/membership/membertable.cpp
@@ -33,15 +33,15 @@
     if (member.hasReported && requestedAt < member.reportRequestedAt) {
         return false;
     }
-    const bool reborn = !member.hasReported || member.report.incarnation != report.incarnation;
-    if (reborn) {
+    const bool restarted = !member.hasReported || member.report.incarnation != report.incarnation;
+    if (restarted) {
         member.firstReportAt = now;
     }
     member.hasReported = true;
     member.report = report;
     member.reportRequestedAt = requestedAt;
     member.leaseExpiresAt = requestedAt + lease_;
-    return reborn;
+    return restarted;
 }
 
 bool MemberTable::mayReceive(const InstanceId &agent, TimePoint now) const
