--- a/src/decision/membership/membertable.cpp
+++ b/src/decision/membership/membertable.cpp
@@ -64,7 +64,8 @@
     return found;
 }
 
-std::vector<InstanceId> MemberTable::listed(const TargetName &target, const HallId &hall) const
+std::vector<InstanceId> MemberTable::listedAgents(const TargetName &target,
+                                                  const HallId &hall) const
 {
     std::vector<InstanceId> found;
     for (const auto &[id, member] : members_) {
--- a/src/decision/membership/membertable.h
+++ b/src/decision/membership/membertable.h
@@ -62,7 +62,7 @@
     // Returns the agents that serve `target` and may get new work now.
     std::vector<const Member *> candidates(const TargetName &target, TimePoint now) const;
     // Returns all agents that are listed for `target`, whatever their state.
-    std::vector<InstanceId> listed(const TargetName &target, const HallId &hall) const;
+    std::vector<InstanceId> listedAgents(const TargetName &target, const HallId &hall) const;
 
     const Member *find(const InstanceId &agent) const;
     const std::map<InstanceId, Member> &members() const { return members_; }
