--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -193,7 +193,7 @@
 {
     const auto hall = homes_.find(request.request.account);
     const HallId home = hall == homes_.end() ? HallId() : hall->second;
-    const MemberSet set = makeMemberSet(members_.listed(request.request.target, home));
+    const MemberSet set = makeMemberSet(members_.listedAgents(request.request.target, home));
     const auto agent =
         rendezvousHome(set, scopedKey(request.request.account, request.request.callerKey));
     const Member *member = agent ? members_.find(*agent) : nullptr;
