--- a/src/decision/membership/storeturn.cpp
+++ b/src/decision/membership/storeturn.cpp
@@ -1,4 +1,4 @@
-#include "decision/membership/storeturn.h"
+#include "decision/membership/storepollschedule.h"
 
 #include <algorithm>
 
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -10,7 +10,7 @@
 
 #include "decision/gateway/sendpermits.h"
 #include "decision/membership/gatewaydirectory.h"
-#include "decision/membership/storeturn.h"
+#include "decision/membership/storepollschedule.h"
 #include "gateway/gatewayknowledge.h"
 #include "gateway/gatewaypeers.h"
 #include "gateway/groupwatch.h"
--- a/test/decision/membership/storeturn_test.cpp
+++ b/test/decision/membership/storeturn_test.cpp
@@ -1,6 +1,6 @@
 // The pattern: the store turns away the gateway that a whole hall follows, and the knowledge of all
 // the others grows old at once. Thirty a hall, and the bounds, are those of the users' deployments.
-#include "decision/membership/storeturn.h"
+#include "decision/membership/storepollschedule.h"
 
 #include <CppUTest/TestHarness.h>
 
