--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -18,9 +18,9 @@
 
 } // namespace
 
-TEST_GROUP(StoreTurnTest){};
+TEST_GROUP(StorePollScheduleTest){};
 
-TEST(StoreTurnTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
+TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
 {
     for (const KnowledgeBounds &bounds : {kSmall, kLarge, kShort}) {
         const KnowledgeTimes times = knowledgeTimes(bounds);
@@ -28,7 +28,7 @@
     }
 }
 
-TEST(StoreTurnTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
+TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
 {
     for (const KnowledgeBounds &bounds : {kSmall, kLarge, kShort}) {
         const Duration last = storeTurnAge(knowledgeTimes(bounds), kHall);
@@ -37,7 +37,7 @@
     }
 }
 
-TEST(StoreTurnTest, FewOfALargeHallAskTheStoreBeforeTheFirstIsHeardOf)
+TEST(StorePollScheduleTest, FewOfALargeHallAskTheStoreBeforeTheFirstIsHeardOf)
 {
     const KnowledgeTimes times = knowledgeTimes(kLarge);
     const Duration first = storeTurnAge(times, 0);
@@ -50,7 +50,7 @@
     CHECK_TRUE(asking <= 3);
 }
 
-TEST(StoreTurnTest, TurnsOfAHallComeOneAfterTheOtherWhereThereIsTime)
+TEST(StorePollScheduleTest, TurnsOfAHallComeOneAfterTheOtherWhereThereIsTime)
 {
     const KnowledgeTimes times = knowledgeTimes(kLarge);
     for (std::size_t place = 1; hasStoreTurn(place); ++place) {
@@ -58,7 +58,7 @@
     }
 }
 
-TEST(StoreTurnTest, NoMoreThanTwelveOfAHallAskTheStoreHoweverManyItHas)
+TEST(StorePollScheduleTest, NoMoreThanTwelveOfAHallAskTheStoreHoweverManyItHas)
 {
     for (const std::size_t gateways : {30U, 107U, 222U, 667U}) {
         std::size_t askers = 0;
@@ -69,7 +69,7 @@
     }
 }
 
-TEST(StoreTurnTest, WhereTimeIsShortAllAskWithinATenthOfASecond)
+TEST(StorePollScheduleTest, WhereTimeIsShortAllAskWithinATenthOfASecond)
 {
     const KnowledgeTimes times = knowledgeTimes(kSmall);
     CHECK_TRUE(storeTurnAge(times, 0) >= times.old);
