--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-KnowledgeTimes knowledgeTimes(const KnowledgeBounds &bounds)
+KnowledgeTimes knowledgeTimes(const StalenessLimits &bounds)
 {
     const Duration time = std::min(part(bounds.keys, kKeysPart), bounds.deny);
     KnowledgeTimes times;
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -20,7 +20,7 @@
 
 namespace seamarch {
 
-struct KnowledgeBounds
+struct StalenessLimits
 {
     Duration keys{}; // A key is judged by knowledge no older than this.
     Duration deny{}; // A route is refused by knowledge no older than this.
@@ -37,7 +37,7 @@
     Duration latest{};
 };
 
-KnowledgeTimes knowledgeTimes(const KnowledgeBounds &bounds);
+KnowledgeTimes knowledgeTimes(const StalenessLimits &bounds);
 
 // Tells whether a gateway at `place` among those of its hall that answer asks the store at all
 // while others do; zero is the first.
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -10,9 +10,9 @@
 
 constexpr std::size_t kHall = 30;
 // A configuration is in force everywhere within two or four seconds, a key is gone within five.
-constexpr KnowledgeBounds kSmall{std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)};
-constexpr KnowledgeBounds kLarge{std::chrono::milliseconds(4700), std::chrono::milliseconds(3900)};
-constexpr KnowledgeBounds kShort{std::chrono::milliseconds(2200), std::chrono::milliseconds(1400)};
+constexpr StalenessLimits kSmall{std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)};
+constexpr StalenessLimits kLarge{std::chrono::milliseconds(4700), std::chrono::milliseconds(3900)};
+constexpr StalenessLimits kShort{std::chrono::milliseconds(2200), std::chrono::milliseconds(1400)};
 // What is followed may be as old as a watch, a question that waits, and the way.
 constexpr Duration kFollowed = std::chrono::milliseconds(450);
 
@@ -22,7 +22,7 @@
 
 TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
 {
-    for (const KnowledgeBounds &bounds : {kSmall, kLarge, kShort}) {
+    for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
         const KnowledgeTimes times = knowledgeTimes(bounds);
         CHECK_TRUE(times.watchWait + kFollowed < times.old);
     }
@@ -30,7 +30,7 @@
 
 TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
 {
-    for (const KnowledgeBounds &bounds : {kSmall, kLarge, kShort}) {
+    for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
         const Duration last = storeTurnAge(knowledgeTimes(bounds), kHall);
         CHECK_TRUE(last <= bounds.keys - std::chrono::milliseconds(900));
         CHECK_TRUE(last < bounds.deny);
