--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -33,10 +33,10 @@
 
 } // namespace
 
-KnowledgeTimes knowledgeTimes(const StalenessLimits &bounds)
+StorePollSchedule knowledgeTimes(const StalenessLimits &bounds)
 {
     const Duration time = std::min(part(bounds.keys, kKeysPart), bounds.deny);
-    KnowledgeTimes times;
+    StorePollSchedule times;
     times.watchWait = std::min(part(time, kWatchPart), kLongestWatch);
     times.old = std::min(part(time, kOldPart), kLongestOld);
     times.latest = std::max(part(time, kLatestPart),
@@ -49,7 +49,7 @@
     return place < kMostAskers;
 }
 
-Duration storeTurnAge(const KnowledgeTimes &times, std::size_t place)
+Duration storeTurnAge(const StorePollSchedule &times, std::size_t place)
 {
     const Duration wanted =
         times.old + kPeersFirst + kPlaceStep * static_cast<Duration::rep>(place);
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -26,7 +26,7 @@
     Duration deny{}; // A route is refused by knowledge no older than this.
 };
 
-struct KnowledgeTimes
+struct StorePollSchedule
 {
     // A watch on the store waits this long. Each answer is a call, which has a price.
     Duration watchWait{};
@@ -37,12 +37,12 @@
     Duration latest{};
 };
 
-KnowledgeTimes knowledgeTimes(const StalenessLimits &bounds);
+StorePollSchedule knowledgeTimes(const StalenessLimits &bounds);
 
 // Tells whether a gateway at `place` among those of its hall that answer asks the store at all
 // while others do; zero is the first.
 bool hasStoreTurn(std::size_t place);
 // Returns from which age of its knowledge on a gateway at `place` asks the store.
-Duration storeTurnAge(const KnowledgeTimes &times, std::size_t place);
+Duration storeTurnAge(const StorePollSchedule &times, std::size_t place);
 
 } // namespace seamarch
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -171,7 +171,7 @@
     return now - startedAt_ < (othersWait ? kHearFirstAtMost : kHearFirst);
 }
 
-KnowledgeTimes KnowledgeSources::times() const
+StorePollSchedule KnowledgeSources::times() const
 {
     const FreshnessBounds &bounds = knowledge_.freshness();
     return knowledgeTimes({bounds.keys, bounds.deny});
--- a/src/gateway/knowledgesources.h
+++ b/src/gateway/knowledgesources.h
@@ -70,7 +70,7 @@
     bool isSeed() const;
     bool isYoung(TimePoint now) const;
     bool hearsFirst(TimePoint now) const;
-    KnowledgeTimes times() const;
+    StorePollSchedule times() const;
     bool asksStore(TimePoint now) const;
     bool leavesStoreToOthers(TimePoint now) const;
     void watchGroups(bool watches, TimePoint now);
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -23,7 +23,7 @@
 TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
 {
     for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
-        const KnowledgeTimes times = knowledgeTimes(bounds);
+        const StorePollSchedule times = knowledgeTimes(bounds);
         CHECK_TRUE(times.watchWait + kFollowed < times.old);
     }
 }
@@ -39,7 +39,7 @@
 
 TEST(StorePollScheduleTest, FewOfALargeHallAskTheStoreBeforeTheFirstIsHeardOf)
 {
-    const KnowledgeTimes times = knowledgeTimes(kLarge);
+    const StorePollSchedule times = knowledgeTimes(kLarge);
     const Duration first = storeTurnAge(times, 0);
     CHECK_TRUE(first >= times.old + std::chrono::milliseconds(500));
     const Duration heard = first + std::chrono::milliseconds(250);
@@ -52,7 +52,7 @@
 
 TEST(StorePollScheduleTest, TurnsOfAHallComeOneAfterTheOtherWhereThereIsTime)
 {
-    const KnowledgeTimes times = knowledgeTimes(kLarge);
+    const StorePollSchedule times = knowledgeTimes(kLarge);
     for (std::size_t place = 1; hasStoreTurn(place); ++place) {
         CHECK_TRUE(storeTurnAge(times, place) > storeTurnAge(times, place - 1));
     }
@@ -71,7 +71,7 @@
 
 TEST(StorePollScheduleTest, WhereTimeIsShortAllAskWithinATenthOfASecond)
 {
-    const KnowledgeTimes times = knowledgeTimes(kSmall);
+    const StorePollSchedule times = knowledgeTimes(kSmall);
     CHECK_TRUE(storeTurnAge(times, 0) >= times.old);
     CHECK_TRUE(storeTurnAge(times, kHall) - times.old <= std::chrono::milliseconds(150));
 }
