--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-StorePollSchedule knowledgeTimes(const StalenessLimits &bounds)
+StorePollSchedule makeStorePollSchedule(const StalenessLimits &bounds)
 {
     const Duration time = std::min(part(bounds.keys, kKeysPart), bounds.deny);
     StorePollSchedule times;
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -174,7 +174,7 @@
 StorePollSchedule KnowledgeSources::times() const
 {
     const FreshnessBounds &bounds = knowledge_.freshness();
-    return knowledgeTimes({bounds.keys, bounds.deny});
+    return makeStorePollSchedule({bounds.keys, bounds.deny});
 }
 
 // Tells whether others of the hall ask the store in place of this gateway, and it hears them.
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -23,7 +23,7 @@
 TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
 {
     for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
-        const StorePollSchedule times = knowledgeTimes(bounds);
+        const StorePollSchedule times = makeStorePollSchedule(bounds);
         CHECK_TRUE(times.watchWait + kFollowed < times.old);
     }
 }
@@ -31,7 +31,7 @@
 TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
 {
     for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
-        const Duration last = storeTurnAge(knowledgeTimes(bounds), kHall);
+        const Duration last = storeTurnAge(makeStorePollSchedule(bounds), kHall);
         CHECK_TRUE(last <= bounds.keys - std::chrono::milliseconds(900));
         CHECK_TRUE(last < bounds.deny);
     }
@@ -39,7 +39,7 @@
 
 TEST(StorePollScheduleTest, FewOfALargeHallAskTheStoreBeforeTheFirstIsHeardOf)
 {
-    const StorePollSchedule times = knowledgeTimes(kLarge);
+    const StorePollSchedule times = makeStorePollSchedule(kLarge);
     const Duration first = storeTurnAge(times, 0);
     CHECK_TRUE(first >= times.old + std::chrono::milliseconds(500));
     const Duration heard = first + std::chrono::milliseconds(250);
@@ -52,7 +52,7 @@
 
 TEST(StorePollScheduleTest, TurnsOfAHallComeOneAfterTheOtherWhereThereIsTime)
 {
-    const StorePollSchedule times = knowledgeTimes(kLarge);
+    const StorePollSchedule times = makeStorePollSchedule(kLarge);
     for (std::size_t place = 1; hasStoreTurn(place); ++place) {
         CHECK_TRUE(storeTurnAge(times, place) > storeTurnAge(times, place - 1));
     }
@@ -71,7 +71,7 @@
 
 TEST(StorePollScheduleTest, WhereTimeIsShortAllAskWithinATenthOfASecond)
 {
-    const StorePollSchedule times = knowledgeTimes(kSmall);
+    const StorePollSchedule times = makeStorePollSchedule(kSmall);
     CHECK_TRUE(storeTurnAge(times, 0) >= times.old);
     CHECK_TRUE(storeTurnAge(times, kHall) - times.old <= std::chrono::milliseconds(150));
 }
