--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -44,7 +44,7 @@
     return times;
 }
 
-bool hasStoreTurn(std::size_t place)
+bool mayPollStore(std::size_t place)
 {
     return place < kMostAskers;
 }
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -41,7 +41,7 @@
 
 // Tells whether a gateway at `place` among those of its hall that answer asks the store at all
 // while others do; zero is the first.
-bool hasStoreTurn(std::size_t place);
+bool mayPollStore(std::size_t place);
 // Returns from which age of its knowledge on a gateway at `place` asks the store.
 Duration storeTurnAge(const StorePollSchedule &times, std::size_t place);
 
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -181,7 +181,7 @@
 bool KnowledgeSources::leavesStoreToOthers(TimePoint now) const
 {
     const bool hearsOthers = peers_ != nullptr && now - peers_->answeredAt() < kHeard;
-    return hearsOthers && !hasStoreTurn(directory_.hallPlace().index);
+    return hearsOthers && !mayPollStore(directory_.hallPlace().index);
 }
 
 // Tells whether it is this gateway's turn to ask the store, although it follows another one.
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -53,7 +53,7 @@
 TEST(StorePollScheduleTest, TurnsOfAHallComeOneAfterTheOtherWhereThereIsTime)
 {
     const StorePollSchedule times = makeStorePollSchedule(kLarge);
-    for (std::size_t place = 1; hasStoreTurn(place); ++place) {
+    for (std::size_t place = 1; mayPollStore(place); ++place) {
         CHECK_TRUE(storeTurnAge(times, place) > storeTurnAge(times, place - 1));
     }
 }
@@ -63,7 +63,7 @@
     for (const std::size_t gateways : {30U, 107U, 222U, 667U}) {
         std::size_t askers = 0;
         for (std::size_t place = 0; place < gateways; ++place) {
-            askers += hasStoreTurn(place) ? 1 : 0;
+            askers += mayPollStore(place) ? 1 : 0;
         }
         UNSIGNED_LONGS_EQUAL(12, askers);
     }
