--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -49,7 +49,7 @@
     return place < kMostAskers;
 }
 
-Duration storeTurnAge(const StorePollSchedule &times, std::size_t place)
+Duration storePollAge(const StorePollSchedule &times, std::size_t place)
 {
     const Duration wanted =
         times.old + kPeersFirst + kPlaceStep * static_cast<Duration::rep>(place);
--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -193,7 +193,7 @@
     if (!knowledge_.confirmed()) {
         return !hearsFirst(now);
     }
-    return knowledge_.age() > storeTurnAge(times(), directory_.hallPlace().index);
+    return knowledge_.age() > storePollAge(times(), directory_.hallPlace().index);
 }
 
 void KnowledgeSources::stop()
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -31,7 +31,7 @@
 TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
 {
     for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
-        const Duration last = storeTurnAge(makeStorePollSchedule(bounds), kHall);
+        const Duration last = storePollAge(makeStorePollSchedule(bounds), kHall);
         CHECK_TRUE(last <= bounds.keys - std::chrono::milliseconds(900));
         CHECK_TRUE(last < bounds.deny);
     }
@@ -40,12 +40,12 @@
 TEST(StorePollScheduleTest, FewOfALargeHallAskTheStoreBeforeTheFirstIsHeardOf)
 {
     const StorePollSchedule times = makeStorePollSchedule(kLarge);
-    const Duration first = storeTurnAge(times, 0);
+    const Duration first = storePollAge(times, 0);
     CHECK_TRUE(first >= times.old + std::chrono::milliseconds(500));
     const Duration heard = first + std::chrono::milliseconds(250);
     std::size_t asking = 0;
     for (std::size_t place = 0; place < kHall; ++place) {
-        asking += storeTurnAge(times, place) <= heard ? 1 : 0;
+        asking += storePollAge(times, place) <= heard ? 1 : 0;
     }
     CHECK_TRUE(asking <= 3);
 }
@@ -54,7 +54,7 @@
 {
     const StorePollSchedule times = makeStorePollSchedule(kLarge);
     for (std::size_t place = 1; mayPollStore(place); ++place) {
-        CHECK_TRUE(storeTurnAge(times, place) > storeTurnAge(times, place - 1));
+        CHECK_TRUE(storePollAge(times, place) > storePollAge(times, place - 1));
     }
 }
 
@@ -72,6 +72,6 @@
 TEST(StorePollScheduleTest, WhereTimeIsShortAllAskWithinATenthOfASecond)
 {
     const StorePollSchedule times = makeStorePollSchedule(kSmall);
-    CHECK_TRUE(storeTurnAge(times, 0) >= times.old);
-    CHECK_TRUE(storeTurnAge(times, kHall) - times.old <= std::chrono::milliseconds(150));
+    CHECK_TRUE(storePollAge(times, 0) >= times.old);
+    CHECK_TRUE(storePollAge(times, kHall) - times.old <= std::chrono::milliseconds(150));
 }
