--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -37,7 +37,7 @@
 {
     const Duration time = std::min(part(bounds.keys, kKeysPart), bounds.deny);
     StorePollSchedule times;
-    times.watchWait = std::min(part(time, kWatchPart), kLongestWatch);
+    times.watchTimeout = std::min(part(time, kWatchPart), kLongestWatch);
     times.old = std::min(part(time, kOldPart), kLongestOld);
     times.latest = std::max(part(time, kLatestPart),
                             std::min(bounds.keys - kListTime, part(bounds.deny, kLatestPart)));
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -29,7 +29,7 @@
 struct StorePollSchedule
 {
     // A watch on the store waits this long. Each answer is a call, which has a price.
-    Duration watchWait{};
+    Duration watchTimeout{};
     // Knowledge older than this is sought from any gateway: while all is well, what is followed is
     // at most as old as a watch, a follower's question and the way take.
     Duration old{};
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -24,7 +24,7 @@
 {
     for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
         const StorePollSchedule times = makeStorePollSchedule(bounds);
-        CHECK_TRUE(times.watchWait + kFollowed < times.old);
+        CHECK_TRUE(times.watchTimeout + kFollowed < times.old);
     }
 }
 
