--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -351,7 +351,7 @@
         return;
     }
     StoreWatcher::Settings watch;
-    watch.wait = peers_ == nullptr ? watch.wait : times().watchWait;
+    watch.wait = peers_ == nullptr ? watch.wait : times().watchTimeout;
     watch.rest = settings_.storeRest;
     watch.seed = randomIdentity();
     watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, knowledge_, watch);
