--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -38,7 +38,7 @@
     const Duration time = std::min(part(bounds.keys, kKeysPart), bounds.deny);
     StorePollSchedule times;
     times.watchTimeout = std::min(part(time, kWatchPart), kLongestWatch);
-    times.old = std::min(part(time, kOldPart), kLongestOld);
+    times.staleAge = std::min(part(time, kOldPart), kLongestOld);
     times.latest = std::max(part(time, kLatestPart),
                             std::min(bounds.keys - kListTime, part(bounds.deny, kLatestPart)));
     return times;
@@ -52,7 +52,7 @@
 Duration storePollAge(const StorePollSchedule &times, std::size_t place)
 {
     const Duration wanted =
-        times.old + kPeersFirst + kPlaceStep * static_cast<Duration::rep>(place);
+        times.staleAge + kPeersFirst + kPlaceStep * static_cast<Duration::rep>(place);
     return std::min(wanted, times.latest);
 }
 
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -32,7 +32,7 @@
     Duration watchTimeout{};
     // Knowledge older than this is sought from any gateway: while all is well, what is followed is
     // at most as old as a watch, a follower's question and the way take.
-    Duration old{};
+    Duration staleAge{};
     // At this age at the latest the store is asked, also by one that hears no other gateway.
     Duration latest{};
 };
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -24,7 +24,7 @@
 {
     for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
         const StorePollSchedule times = makeStorePollSchedule(bounds);
-        CHECK_TRUE(times.watchTimeout + kFollowed < times.old);
+        CHECK_TRUE(times.watchTimeout + kFollowed < times.staleAge);
     }
 }
 
@@ -41,7 +41,7 @@
 {
     const StorePollSchedule times = makeStorePollSchedule(kLarge);
     const Duration first = storePollAge(times, 0);
-    CHECK_TRUE(first >= times.old + std::chrono::milliseconds(500));
+    CHECK_TRUE(first >= times.staleAge + std::chrono::milliseconds(500));
     const Duration heard = first + std::chrono::milliseconds(250);
     std::size_t asking = 0;
     for (std::size_t place = 0; place < kHall; ++place) {
@@ -72,6 +72,6 @@
 TEST(StorePollScheduleTest, WhereTimeIsShortAllAskWithinATenthOfASecond)
 {
     const StorePollSchedule times = makeStorePollSchedule(kSmall);
-    CHECK_TRUE(storePollAge(times, 0) >= times.old);
-    CHECK_TRUE(storePollAge(times, kHall) - times.old <= std::chrono::milliseconds(150));
+    CHECK_TRUE(storePollAge(times, 0) >= times.staleAge);
+    CHECK_TRUE(storePollAge(times, kHall) - times.staleAge <= std::chrono::milliseconds(150));
 }
