--- a/src/gateway/knowledgesources.cpp
+++ b/src/gateway/knowledgesources.cpp
@@ -246,7 +246,8 @@
 {
     const bool own = followed == settings_.instance;
     // Knowledge that is followed is older than that of the gateway that follows the store.
-    const bool old = !knowledge_.confirmed() || knowledge_.age() > (own ? kOwnOld : times().old);
+    const bool old =
+        !knowledge_.confirmed() || knowledge_.age() > (own ? kOwnOld : times().staleAge);
     if (!own) {
         askGateway(followed, kFollowWait);
     } else if (directory_.size() > 1 && now - listsAskedAt_ >= kListsGap) {
