--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -39,8 +39,8 @@
     StorePollSchedule times;
     times.watchTimeout = std::min(part(time, kWatchPart), kLongestWatch);
     times.staleAge = std::min(part(time, kOldPart), kLongestOld);
-    times.latest = std::max(part(time, kLatestPart),
-                            std::min(bounds.keys - kListTime, part(bounds.deny, kLatestPart)));
+    times.maxStorePollAge = std::max(
+        part(time, kLatestPart), std::min(bounds.keys - kListTime, part(bounds.deny, kLatestPart)));
     return times;
 }
 
@@ -53,7 +53,7 @@
 {
     const Duration wanted =
         times.staleAge + kPeersFirst + kPlaceStep * static_cast<Duration::rep>(place);
-    return std::min(wanted, times.latest);
+    return std::min(wanted, times.maxStorePollAge);
 }
 
 } // namespace seamarch
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -34,7 +34,7 @@
     // at most as old as a watch, a follower's question and the way take.
     Duration staleAge{};
     // At this age at the latest the store is asked, also by one that hears no other gateway.
-    Duration latest{};
+    Duration maxStorePollAge{};
 };
 
 StorePollSchedule makeStorePollSchedule(const StalenessLimits &bounds);
