--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -35,12 +35,13 @@
 
 StorePollSchedule makeStorePollSchedule(const StalenessLimits &bounds)
 {
-    const Duration time = std::min(part(bounds.keys, kKeysPart), bounds.deny);
+    const Duration time = std::min(part(bounds.keyMaxAge, kKeysPart), bounds.deny);
     StorePollSchedule times;
     times.watchTimeout = std::min(part(time, kWatchPart), kLongestWatch);
     times.staleAge = std::min(part(time, kOldPart), kLongestOld);
-    times.maxStorePollAge = std::max(
-        part(time, kLatestPart), std::min(bounds.keys - kListTime, part(bounds.deny, kLatestPart)));
+    times.maxStorePollAge =
+        std::max(part(time, kLatestPart),
+                 std::min(bounds.keyMaxAge - kListTime, part(bounds.deny, kLatestPart)));
     return times;
 }
 
