--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -35,13 +35,13 @@
 
 StorePollSchedule makeStorePollSchedule(const StalenessLimits &bounds)
 {
-    const Duration time = std::min(part(bounds.keyMaxAge, kKeysPart), bounds.deny);
+    const Duration time = std::min(part(bounds.keyMaxAge, kKeysPart), bounds.denyMaxAge);
     StorePollSchedule times;
     times.watchTimeout = std::min(part(time, kWatchPart), kLongestWatch);
     times.staleAge = std::min(part(time, kOldPart), kLongestOld);
     times.maxStorePollAge =
         std::max(part(time, kLatestPart),
-                 std::min(bounds.keyMaxAge - kListTime, part(bounds.deny, kLatestPart)));
+                 std::min(bounds.keyMaxAge - kListTime, part(bounds.denyMaxAge, kLatestPart)));
     return times;
 }
 
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -22,8 +22,8 @@
 
 struct StalenessLimits
 {
-    Duration keyMaxAge{}; // A key is judged by knowledge no older than this.
-    Duration deny{};      // A route is refused by knowledge no older than this.
+    Duration keyMaxAge{};  // A key is judged by knowledge no older than this.
+    Duration denyMaxAge{}; // A route is refused by knowledge no older than this.
 };
 
 struct StorePollSchedule
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -33,7 +33,7 @@
     for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
         const Duration last = storePollAge(makeStorePollSchedule(bounds), kHall);
         CHECK_TRUE(last <= bounds.keyMaxAge - std::chrono::milliseconds(900));
-        CHECK_TRUE(last < bounds.deny);
+        CHECK_TRUE(last < bounds.denyMaxAge);
     }
 }
 
