--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -33,15 +33,15 @@
 
 } // namespace
 
-StorePollSchedule makeStorePollSchedule(const StalenessLimits &bounds)
+StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits)
 {
-    const Duration time = std::min(part(bounds.keyMaxAge, kKeysPart), bounds.denyMaxAge);
+    const Duration time = std::min(part(limits.keyMaxAge, kKeysPart), limits.denyMaxAge);
     StorePollSchedule times;
     times.watchTimeout = std::min(part(time, kWatchPart), kLongestWatch);
     times.staleAge = std::min(part(time, kOldPart), kLongestOld);
     times.maxStorePollAge =
         std::max(part(time, kLatestPart),
-                 std::min(bounds.keyMaxAge - kListTime, part(bounds.denyMaxAge, kLatestPart)));
+                 std::min(limits.keyMaxAge - kListTime, part(limits.denyMaxAge, kLatestPart)));
     return times;
 }
 
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -37,7 +37,7 @@
     Duration maxStorePollAge{};
 };
 
-StorePollSchedule makeStorePollSchedule(const StalenessLimits &bounds);
+StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits);
 
 // Tells whether a gateway at `place` among those of its hall that answer asks the store at all
 // while others do; zero is the first.
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -22,18 +22,18 @@
 
 TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
 {
-    for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
-        const StorePollSchedule times = makeStorePollSchedule(bounds);
+    for (const StalenessLimits &limits : {kSmall, kLarge, kShort}) {
+        const StorePollSchedule times = makeStorePollSchedule(limits);
         CHECK_TRUE(times.watchTimeout + kFollowed < times.staleAge);
     }
 }
 
 TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
 {
-    for (const StalenessLimits &bounds : {kSmall, kLarge, kShort}) {
-        const Duration last = storePollAge(makeStorePollSchedule(bounds), kHall);
-        CHECK_TRUE(last <= bounds.keyMaxAge - std::chrono::milliseconds(900));
-        CHECK_TRUE(last < bounds.denyMaxAge);
+    for (const StalenessLimits &limits : {kSmall, kLarge, kShort}) {
+        const Duration last = storePollAge(makeStorePollSchedule(limits), kHall);
+        CHECK_TRUE(last <= limits.keyMaxAge - std::chrono::milliseconds(900));
+        CHECK_TRUE(last < limits.denyMaxAge);
     }
 }
 
