--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -36,13 +36,13 @@
 StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits)
 {
     const Duration time = std::min(part(limits.keyMaxAge, kKeysPart), limits.denyMaxAge);
-    StorePollSchedule times;
-    times.watchTimeout = std::min(part(time, kWatchPart), kLongestWatch);
-    times.staleAge = std::min(part(time, kOldPart), kLongestOld);
-    times.maxStorePollAge =
+    StorePollSchedule schedule;
+    schedule.watchTimeout = std::min(part(time, kWatchPart), kLongestWatch);
+    schedule.staleAge = std::min(part(time, kOldPart), kLongestOld);
+    schedule.maxStorePollAge =
         std::max(part(time, kLatestPart),
                  std::min(limits.keyMaxAge - kListTime, part(limits.denyMaxAge, kLatestPart)));
-    return times;
+    return schedule;
 }
 
 bool mayPollStore(std::size_t place)
@@ -50,11 +50,11 @@
     return place < kMostAskers;
 }
 
-Duration storePollAge(const StorePollSchedule &times, std::size_t place)
+Duration storePollAge(const StorePollSchedule &schedule, std::size_t place)
 {
     const Duration wanted =
-        times.staleAge + kPeersFirst + kPlaceStep * static_cast<Duration::rep>(place);
-    return std::min(wanted, times.maxStorePollAge);
+        schedule.staleAge + kPeersFirst + kPlaceStep * static_cast<Duration::rep>(place);
+    return std::min(wanted, schedule.maxStorePollAge);
 }
 
 } // namespace seamarch
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -43,6 +43,6 @@
 // while others do; zero is the first.
 bool mayPollStore(std::size_t place);
 // Returns from which age of its knowledge on a gateway at `place` asks the store.
-Duration storePollAge(const StorePollSchedule &times, std::size_t place);
+Duration storePollAge(const StorePollSchedule &schedule, std::size_t place);
 
 } // namespace seamarch
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -23,8 +23,8 @@
 TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
 {
     for (const StalenessLimits &limits : {kSmall, kLarge, kShort}) {
-        const StorePollSchedule times = makeStorePollSchedule(limits);
-        CHECK_TRUE(times.watchTimeout + kFollowed < times.staleAge);
+        const StorePollSchedule schedule = makeStorePollSchedule(limits);
+        CHECK_TRUE(schedule.watchTimeout + kFollowed < schedule.staleAge);
     }
 }
 
@@ -39,22 +39,22 @@
 
 TEST(StorePollScheduleTest, FewOfALargeHallAskTheStoreBeforeTheFirstIsHeardOf)
 {
-    const StorePollSchedule times = makeStorePollSchedule(kLarge);
-    const Duration first = storePollAge(times, 0);
-    CHECK_TRUE(first >= times.staleAge + std::chrono::milliseconds(500));
+    const StorePollSchedule schedule = makeStorePollSchedule(kLarge);
+    const Duration first = storePollAge(schedule, 0);
+    CHECK_TRUE(first >= schedule.staleAge + std::chrono::milliseconds(500));
     const Duration heard = first + std::chrono::milliseconds(250);
     std::size_t asking = 0;
     for (std::size_t place = 0; place < kHall; ++place) {
-        asking += storePollAge(times, place) <= heard ? 1 : 0;
+        asking += storePollAge(schedule, place) <= heard ? 1 : 0;
     }
     CHECK_TRUE(asking <= 3);
 }
 
 TEST(StorePollScheduleTest, TurnsOfAHallComeOneAfterTheOtherWhereThereIsTime)
 {
-    const StorePollSchedule times = makeStorePollSchedule(kLarge);
+    const StorePollSchedule schedule = makeStorePollSchedule(kLarge);
     for (std::size_t place = 1; mayPollStore(place); ++place) {
-        CHECK_TRUE(storePollAge(times, place) > storePollAge(times, place - 1));
+        CHECK_TRUE(storePollAge(schedule, place) > storePollAge(schedule, place - 1));
     }
 }
 
@@ -71,7 +71,7 @@
 
 TEST(StorePollScheduleTest, WhereTimeIsShortAllAskWithinATenthOfASecond)
 {
-    const StorePollSchedule times = makeStorePollSchedule(kSmall);
-    CHECK_TRUE(storePollAge(times, 0) >= times.staleAge);
-    CHECK_TRUE(storePollAge(times, kHall) - times.staleAge <= std::chrono::milliseconds(150));
+    const StorePollSchedule schedule = makeStorePollSchedule(kSmall);
+    CHECK_TRUE(storePollAge(schedule, 0) >= schedule.staleAge);
+    CHECK_TRUE(storePollAge(schedule, kHall) - schedule.staleAge <= std::chrono::milliseconds(150));
 }
