--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -26,7 +26,7 @@
 // What is followed is at most some 1.4 s old while all is well.
 constexpr Duration kLongestOld = std::chrono::milliseconds(1600);
 
-Duration part(Duration time, double part)
+Duration scale(Duration time, double part)
 {
     return fromSeconds(toSeconds(time) * part);
 }
@@ -35,13 +35,13 @@
 
 StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits)
 {
-    const Duration time = std::min(part(limits.keyMaxAge, kKeysPart), limits.denyMaxAge);
+    const Duration time = std::min(scale(limits.keyMaxAge, kKeysPart), limits.denyMaxAge);
     StorePollSchedule schedule;
-    schedule.watchTimeout = std::min(part(time, kWatchPart), kLongestWatch);
-    schedule.staleAge = std::min(part(time, kOldPart), kLongestOld);
+    schedule.watchTimeout = std::min(scale(time, kWatchPart), kLongestWatch);
+    schedule.staleAge = std::min(scale(time, kOldPart), kLongestOld);
     schedule.maxStorePollAge =
-        std::max(part(time, kLatestPart),
-                 std::min(limits.keyMaxAge - kListTime, part(limits.denyMaxAge, kLatestPart)));
+        std::max(scale(time, kLatestPart),
+                 std::min(limits.keyMaxAge - kListTime, scale(limits.denyMaxAge, kLatestPart)));
     return schedule;
 }
 
