--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -26,9 +26,9 @@
 // What is followed is at most some 1.4 s old while all is well.
 constexpr Duration kLongestOld = std::chrono::milliseconds(1600);
 
-Duration scale(Duration time, double part)
+Duration scale(Duration time, double fraction)
 {
-    return fromSeconds(toSeconds(time) * part);
+    return fromSeconds(toSeconds(time) * fraction);
 }
 
 } // namespace
