--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -26,21 +26,21 @@
 // What is followed is at most some 1.4 s old while all is well.
 constexpr Duration kLongestOld = std::chrono::milliseconds(1600);
 
-Duration scale(Duration time, double fraction)
+Duration scale(Duration budget, double fraction)
 {
-    return fromSeconds(toSeconds(time) * fraction);
+    return fromSeconds(toSeconds(budget) * fraction);
 }
 
 } // namespace
 
 StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits)
 {
-    const Duration time = std::min(scale(limits.keyMaxAge, kKeysPart), limits.denyMaxAge);
+    const Duration budget = std::min(scale(limits.keyMaxAge, kKeysPart), limits.denyMaxAge);
     StorePollSchedule schedule;
-    schedule.watchTimeout = std::min(scale(time, kWatchPart), kLongestWatch);
-    schedule.staleAge = std::min(scale(time, kOldPart), kLongestOld);
+    schedule.watchTimeout = std::min(scale(budget, kWatchPart), kLongestWatch);
+    schedule.staleAge = std::min(scale(budget, kOldPart), kLongestOld);
     schedule.maxStorePollAge =
-        std::max(scale(time, kLatestPart),
+        std::max(scale(budget, kLatestPart),
                  std::min(limits.keyMaxAge - kListTime, scale(limits.denyMaxAge, kLatestPart)));
     return schedule;
 }
