--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -8,7 +8,7 @@
 // A few questions to gateways elsewhere, which are asked seven times a second.
 constexpr Duration kPeerPollTime = std::chrono::milliseconds(500);
 // The store answers within some milliseconds, and its news passes on with the next question.
-constexpr Duration kPlaceStep = std::chrono::milliseconds(100);
+constexpr Duration kPlaceDelay = std::chrono::milliseconds(100);
 // Of a hall; a store that turns a third of the machines away turns all of these away once in half a
 // million times.
 constexpr std::size_t kMostAskers = 12;
@@ -53,7 +53,7 @@
 Duration storePollAge(const StorePollSchedule &schedule, std::size_t place)
 {
     const Duration wanted =
-        schedule.staleAge + kPeerPollTime + kPlaceStep * static_cast<Duration::rep>(place);
+        schedule.staleAge + kPeerPollTime + kPlaceDelay * static_cast<Duration::rep>(place);
     return std::min(wanted, schedule.maxStorePollAge);
 }
 
