--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -11,7 +11,7 @@
 constexpr Duration kPlaceDelay = std::chrono::milliseconds(100);
 // Of a hall; a store that turns a third of the machines away turns all of these away once in half a
 // million times.
-constexpr std::size_t kMostAskers = 12;
+constexpr std::size_t kMaxPollersPerHall = 12;
 // Keys that were judged late are refused, routes are not: they may spend less of their time.
 constexpr double kKeysPart = 0.6;
 // The parts of the shorter time that a watch, a follower's patience and the last turn may take. A
@@ -47,7 +47,7 @@
 
 bool mayPollStore(std::size_t place)
 {
-    return place < kMostAskers;
+    return place < kMaxPollersPerHall;
 }
 
 Duration storePollAge(const StorePollSchedule &schedule, std::size_t place)
