--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -13,7 +13,7 @@
 // million times.
 constexpr std::size_t kMaxPollersPerHall = 12;
 // Keys that were judged late are refused, routes are not: they may spend less of their time.
-constexpr double kKeysPart = 0.6;
+constexpr double kKeyFraction = 0.6;
 // The parts of the shorter time that a watch, a follower's patience and the last turn may take. A
 // list of a slow store takes some 200 ms more.
 constexpr double kWatchPart = 0.26;
@@ -35,7 +35,7 @@
 
 StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits)
 {
-    const Duration budget = std::min(scale(limits.keyMaxAge, kKeysPart), limits.denyMaxAge);
+    const Duration budget = std::min(scale(limits.keyMaxAge, kKeyFraction), limits.denyMaxAge);
     StorePollSchedule schedule;
     schedule.watchTimeout = std::min(scale(budget, kWatchPart), kLongestWatch);
     schedule.staleAge = std::min(scale(budget, kOldPart), kLongestOld);
