--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -17,7 +17,7 @@
 // The parts of the shorter time that a watch, a follower's patience and the last turn may take. A
 // list of a slow store takes some 200 ms more.
 constexpr double kWatchFraction = 0.26;
-constexpr double kOldPart = 0.84;
+constexpr double kStaleFraction = 0.84;
 constexpr double kLatestPart = 0.9;
 // A list that is asked for last must come before keys can be judged no more.
 constexpr Duration kListTime = std::chrono::milliseconds(900);
@@ -38,7 +38,7 @@
     const Duration budget = std::min(scale(limits.keyMaxAge, kKeyFraction), limits.denyMaxAge);
     StorePollSchedule schedule;
     schedule.watchTimeout = std::min(scale(budget, kWatchFraction), kLongestWatch);
-    schedule.staleAge = std::min(scale(budget, kOldPart), kLongestOld);
+    schedule.staleAge = std::min(scale(budget, kStaleFraction), kLongestOld);
     schedule.maxStorePollAge =
         std::max(scale(budget, kLatestPart),
                  std::min(limits.keyMaxAge - kListTime, scale(limits.denyMaxAge, kLatestPart)));
