--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -18,7 +18,7 @@
 // list of a slow store takes some 200 ms more.
 constexpr double kWatchFraction = 0.26;
 constexpr double kStaleFraction = 0.84;
-constexpr double kLatestPart = 0.9;
+constexpr double kMaxPollFraction = 0.9;
 // A list that is asked for last must come before keys can be judged no more.
 constexpr Duration kListTime = std::chrono::milliseconds(900);
 // No watch waits longer: it may have gone silent, and only its end shows that.
@@ -39,9 +39,9 @@
     StorePollSchedule schedule;
     schedule.watchTimeout = std::min(scale(budget, kWatchFraction), kLongestWatch);
     schedule.staleAge = std::min(scale(budget, kStaleFraction), kLongestOld);
-    schedule.maxStorePollAge =
-        std::max(scale(budget, kLatestPart),
-                 std::min(limits.keyMaxAge - kListTime, scale(limits.denyMaxAge, kLatestPart)));
+    schedule.maxStorePollAge = std::max(
+        scale(budget, kMaxPollFraction),
+        std::min(limits.keyMaxAge - kListTime, scale(limits.denyMaxAge, kMaxPollFraction)));
     return schedule;
 }
 
