--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -22,7 +22,7 @@
 // A list that is asked for last must come before keys can be judged no more.
 constexpr Duration kListTime = std::chrono::milliseconds(900);
 // No watch waits longer: it may have gone silent, and only its end shows that.
-constexpr Duration kLongestWatch = std::chrono::milliseconds(1000);
+constexpr Duration kMaxWatchTimeout = std::chrono::milliseconds(1000);
 // What is followed is at most some 1.4 s old while all is well.
 constexpr Duration kLongestOld = std::chrono::milliseconds(1600);
 
@@ -37,7 +37,7 @@
 {
     const Duration budget = std::min(scale(limits.keyMaxAge, kKeyFraction), limits.denyMaxAge);
     StorePollSchedule schedule;
-    schedule.watchTimeout = std::min(scale(budget, kWatchFraction), kLongestWatch);
+    schedule.watchTimeout = std::min(scale(budget, kWatchFraction), kMaxWatchTimeout);
     schedule.staleAge = std::min(scale(budget, kStaleFraction), kLongestOld);
     schedule.maxStorePollAge = std::max(
         scale(budget, kMaxPollFraction),
