--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -24,7 +24,7 @@
 // No watch waits longer: it may have gone silent, and only its end shows that.
 constexpr Duration kMaxWatchTimeout = std::chrono::milliseconds(1000);
 // What is followed is at most some 1.4 s old while all is well.
-constexpr Duration kLongestOld = std::chrono::milliseconds(1600);
+constexpr Duration kMaxStaleAge = std::chrono::milliseconds(1600);
 
 Duration scale(Duration budget, double fraction)
 {
@@ -38,7 +38,7 @@
     const Duration budget = std::min(scale(limits.keyMaxAge, kKeyFraction), limits.denyMaxAge);
     StorePollSchedule schedule;
     schedule.watchTimeout = std::min(scale(budget, kWatchFraction), kMaxWatchTimeout);
-    schedule.staleAge = std::min(scale(budget, kStaleFraction), kLongestOld);
+    schedule.staleAge = std::min(scale(budget, kStaleFraction), kMaxStaleAge);
     schedule.maxStorePollAge = std::max(
         scale(budget, kMaxPollFraction),
         std::min(limits.keyMaxAge - kListTime, scale(limits.denyMaxAge, kMaxPollFraction)));
