--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kHall = 30;
+constexpr std::size_t kHallSize = 30;
 // A configuration is in force everywhere within two or four seconds, a key is gone within five.
 constexpr StalenessLimits kSmall{std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)};
 constexpr StalenessLimits kLarge{std::chrono::milliseconds(4700), std::chrono::milliseconds(3900)};
@@ -31,7 +31,7 @@
 TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
 {
     for (const StalenessLimits &limits : {kSmall, kLarge, kShort}) {
-        const Duration last = storePollAge(makeStorePollSchedule(limits), kHall);
+        const Duration last = storePollAge(makeStorePollSchedule(limits), kHallSize);
         CHECK_TRUE(last <= limits.keyMaxAge - std::chrono::milliseconds(900));
         CHECK_TRUE(last < limits.denyMaxAge);
     }
@@ -44,7 +44,7 @@
     CHECK_TRUE(first >= schedule.staleAge + std::chrono::milliseconds(500));
     const Duration heard = first + std::chrono::milliseconds(250);
     std::size_t asking = 0;
-    for (std::size_t place = 0; place < kHall; ++place) {
+    for (std::size_t place = 0; place < kHallSize; ++place) {
         asking += storePollAge(schedule, place) <= heard ? 1 : 0;
     }
     CHECK_TRUE(asking <= 3);
@@ -73,5 +73,6 @@
 {
     const StorePollSchedule schedule = makeStorePollSchedule(kSmall);
     CHECK_TRUE(storePollAge(schedule, 0) >= schedule.staleAge);
-    CHECK_TRUE(storePollAge(schedule, kHall) - schedule.staleAge <= std::chrono::milliseconds(150));
+    CHECK_TRUE(storePollAge(schedule, kHallSize) - schedule.staleAge
+               <= std::chrono::milliseconds(150));
 }
