--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -14,7 +14,7 @@
 constexpr StalenessLimits kLarge{std::chrono::milliseconds(4700), std::chrono::milliseconds(3900)};
 constexpr StalenessLimits kShort{std::chrono::milliseconds(2200), std::chrono::milliseconds(1400)};
 // What is followed may be as old as a watch, a question that waits, and the way.
-constexpr Duration kFollowed = std::chrono::milliseconds(450);
+constexpr Duration kFollowerDelay = std::chrono::milliseconds(450);
 
 } // namespace
 
@@ -24,7 +24,7 @@
 {
     for (const StalenessLimits &limits : {kSmall, kLarge, kShort}) {
         const StorePollSchedule schedule = makeStorePollSchedule(limits);
-        CHECK_TRUE(schedule.watchTimeout + kFollowed < schedule.staleAge);
+        CHECK_TRUE(schedule.watchTimeout + kFollowerDelay < schedule.staleAge);
     }
 }
 
