--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::size_t kHallSize = 30;
 // A configuration is in force everywhere within two or four seconds, a key is gone within five.
-constexpr StalenessLimits kSmall{std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)};
+constexpr StalenessLimits kSmallFleet{std::chrono::milliseconds(4700),
+                                      std::chrono::milliseconds(1900)};
 constexpr StalenessLimits kLarge{std::chrono::milliseconds(4700), std::chrono::milliseconds(3900)};
 constexpr StalenessLimits kShort{std::chrono::milliseconds(2200), std::chrono::milliseconds(1400)};
 // What is followed may be as old as a watch, a question that waits, and the way.
@@ -22,7 +23,7 @@
 
 TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
 {
-    for (const StalenessLimits &limits : {kSmall, kLarge, kShort}) {
+    for (const StalenessLimits &limits : {kSmallFleet, kLarge, kShort}) {
         const StorePollSchedule schedule = makeStorePollSchedule(limits);
         CHECK_TRUE(schedule.watchTimeout + kFollowerDelay < schedule.staleAge);
     }
@@ -30,7 +31,7 @@
 
 TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
 {
-    for (const StalenessLimits &limits : {kSmall, kLarge, kShort}) {
+    for (const StalenessLimits &limits : {kSmallFleet, kLarge, kShort}) {
         const Duration last = storePollAge(makeStorePollSchedule(limits), kHallSize);
         CHECK_TRUE(last <= limits.keyMaxAge - std::chrono::milliseconds(900));
         CHECK_TRUE(last < limits.denyMaxAge);
@@ -71,7 +72,7 @@
 
 TEST(StorePollScheduleTest, WhereTimeIsShortAllAskWithinATenthOfASecond)
 {
-    const StorePollSchedule schedule = makeStorePollSchedule(kSmall);
+    const StorePollSchedule schedule = makeStorePollSchedule(kSmallFleet);
     CHECK_TRUE(storePollAge(schedule, 0) >= schedule.staleAge);
     CHECK_TRUE(storePollAge(schedule, kHallSize) - schedule.staleAge
                <= std::chrono::milliseconds(150));
