--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -12,7 +12,8 @@
 // A configuration is in force everywhere within two or four seconds, a key is gone within five.
 constexpr StalenessLimits kSmallFleet{std::chrono::milliseconds(4700),
                                       std::chrono::milliseconds(1900)};
-constexpr StalenessLimits kLarge{std::chrono::milliseconds(4700), std::chrono::milliseconds(3900)};
+constexpr StalenessLimits kLargeFleet{std::chrono::milliseconds(4700),
+                                      std::chrono::milliseconds(3900)};
 constexpr StalenessLimits kShort{std::chrono::milliseconds(2200), std::chrono::milliseconds(1400)};
 // What is followed may be as old as a watch, a question that waits, and the way.
 constexpr Duration kFollowerDelay = std::chrono::milliseconds(450);
@@ -23,7 +24,7 @@
 
 TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
 {
-    for (const StalenessLimits &limits : {kSmallFleet, kLarge, kShort}) {
+    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShort}) {
         const StorePollSchedule schedule = makeStorePollSchedule(limits);
         CHECK_TRUE(schedule.watchTimeout + kFollowerDelay < schedule.staleAge);
     }
@@ -31,7 +32,7 @@
 
 TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
 {
-    for (const StalenessLimits &limits : {kSmallFleet, kLarge, kShort}) {
+    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShort}) {
         const Duration last = storePollAge(makeStorePollSchedule(limits), kHallSize);
         CHECK_TRUE(last <= limits.keyMaxAge - std::chrono::milliseconds(900));
         CHECK_TRUE(last < limits.denyMaxAge);
@@ -40,7 +41,7 @@
 
 TEST(StorePollScheduleTest, FewOfALargeHallAskTheStoreBeforeTheFirstIsHeardOf)
 {
-    const StorePollSchedule schedule = makeStorePollSchedule(kLarge);
+    const StorePollSchedule schedule = makeStorePollSchedule(kLargeFleet);
     const Duration first = storePollAge(schedule, 0);
     CHECK_TRUE(first >= schedule.staleAge + std::chrono::milliseconds(500));
     const Duration heard = first + std::chrono::milliseconds(250);
@@ -53,7 +54,7 @@
 
 TEST(StorePollScheduleTest, TurnsOfAHallComeOneAfterTheOtherWhereThereIsTime)
 {
-    const StorePollSchedule schedule = makeStorePollSchedule(kLarge);
+    const StorePollSchedule schedule = makeStorePollSchedule(kLargeFleet);
     for (std::size_t place = 1; mayPollStore(place); ++place) {
         CHECK_TRUE(storePollAge(schedule, place) > storePollAge(schedule, place - 1));
     }
