--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -14,7 +14,8 @@
                                       std::chrono::milliseconds(1900)};
 constexpr StalenessLimits kLargeFleet{std::chrono::milliseconds(4700),
                                       std::chrono::milliseconds(3900)};
-constexpr StalenessLimits kShort{std::chrono::milliseconds(2200), std::chrono::milliseconds(1400)};
+constexpr StalenessLimits kShortLimits{std::chrono::milliseconds(2200),
+                                       std::chrono::milliseconds(1400)};
 // What is followed may be as old as a watch, a question that waits, and the way.
 constexpr Duration kFollowerDelay = std::chrono::milliseconds(450);
 
@@ -24,7 +25,7 @@
 
 TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
 {
-    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShort}) {
+    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const StorePollSchedule schedule = makeStorePollSchedule(limits);
         CHECK_TRUE(schedule.watchTimeout + kFollowerDelay < schedule.staleAge);
     }
@@ -32,7 +33,7 @@
 
 TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
 {
-    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShort}) {
+    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const Duration last = storePollAge(makeStorePollSchedule(limits), kHallSize);
         CHECK_TRUE(last <= limits.keyMaxAge - std::chrono::milliseconds(900));
         CHECK_TRUE(last < limits.denyMaxAge);
