--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -253,7 +253,7 @@
 void GatewayPeers::takeGateways(wire::GatewayNews::Reader reader, TimePoint now)
 {
     GatewayDirectory::GossipUpdate news;
-    news.mark = reader.getGatewaysMark();
+    news.digest = reader.getGatewaysMark();
     const auto told = reader.getGateways();
     directory_.recordSeen(readGateway(told[0]), now);
     for (std::uint32_t index = 1; index < told.size(); ++index) {
@@ -269,7 +269,7 @@
 {
     const TimePoint now = loop_.now();
     const GatewayDirectory::GossipUpdate news = directory_.gossipFor(askerMark, now);
-    to.setGatewaysMark(news.mark);
+    to.setGatewaysMark(news.digest);
     auto list = to.initGateways(static_cast<std::uint32_t>(news.all.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
     for (std::uint32_t index = 0; index < news.all.size(); ++index) {
