--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -258,7 +258,7 @@
     directory_.recordSeen(readGateway(told[0]), now);
     for (std::uint32_t index = 1; index < told.size(); ++index) {
         const TimePoint heardAt = now - Duration(told[index].getHeardMicrosAgo());
-        news.all.push_back({readGateway(told[index]), heardAt});
+        news.peers.push_back({readGateway(told[index]), heardAt});
     }
     const auto ages = reader.getGatewayAges();
     news.ages.assign(ages.begin(), ages.end());
@@ -270,10 +270,10 @@
     const TimePoint now = loop_.now();
     const GatewayDirectory::GossipUpdate news = directory_.gossipFor(askerMark, now);
     to.setGatewaysMark(news.digest);
-    auto list = to.initGateways(static_cast<std::uint32_t>(news.all.size() + 1));
+    auto list = to.initGateways(static_cast<std::uint32_t>(news.peers.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
-    for (std::uint32_t index = 0; index < news.all.size(); ++index) {
-        writeGateway(news.all[index].record, now - news.all[index].lastSeen, list[index + 1]);
+    for (std::uint32_t index = 0; index < news.peers.size(); ++index) {
+        writeGateway(news.peers[index].record, now - news.peers[index].lastSeen, list[index + 1]);
     }
     to.setGatewayAges(kj::arrayPtr(news.ages.data(), news.ages.size()));
 }
