--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -35,27 +35,28 @@
     }
 }
 
-bool CrashRecord::isSameEnd(const UpstreamEnd &left, const UpstreamEnd &right) const
+bool CrashRecord::isSameEnd(const UpstreamCrash &left, const UpstreamCrash &right) const
 {
     const Duration apart = left.at < right.at ? right.at - left.at : left.at - right.at;
     return left.upstream == right.upstream && apart <= settings_.sameEnd;
 }
 
 // Returns false when the end is known or makes no difference.
-bool CrashRecord::addEnd(CrashSuspect &suspect, const UpstreamEnd &end) const
+bool CrashRecord::addEnd(CrashSuspect &suspect, const UpstreamCrash &end) const
 {
     if (suspect.survivedAt && end.at <= *suspect.survivedAt) {
         return false;
     }
-    std::vector<UpstreamEnd> &ends = suspect.ends;
-    const bool known = std::any_of(ends.begin(), ends.end(),
-                                   [&](const UpstreamEnd &other) { return isSameEnd(other, end); });
+    std::vector<UpstreamCrash> &ends = suspect.ends;
+    const bool known = std::any_of(ends.begin(), ends.end(), [&](const UpstreamCrash &other) {
+        return isSameEnd(other, end);
+    });
     const bool tooOld = ends.size() >= kMostEnds && end.at <= ends.front().at;
     if (known || tooOld) {
         return false;
     }
     const auto after = std::find_if(ends.begin(), ends.end(),
-                                    [&](const UpstreamEnd &other) { return other.at > end.at; });
+                                    [&](const UpstreamCrash &other) { return other.at > end.at; });
     ends.insert(after, end);
     if (ends.size() > kMostEnds) {
         ends.erase(ends.begin());
@@ -70,7 +71,7 @@
         return false;
     }
     suspect.survivedAt = survivedAt;
-    std::erase_if(suspect.ends, [&](const UpstreamEnd &end) { return end.at <= survivedAt; });
+    std::erase_if(suspect.ends, [&](const UpstreamCrash &end) { return end.at <= survivedAt; });
     return true;
 }
 
@@ -117,7 +118,7 @@
     if (suspect.survivedAt && clear(entry.suspect, *suspect.survivedAt)) {
         news = true;
     }
-    for (const UpstreamEnd &end : suspect.ends) {
+    for (const UpstreamCrash &end : suspect.ends) {
         news = addEnd(entry.suspect, end) || news;
     }
     if (news) {
@@ -163,7 +164,7 @@
     for (auto next = suspects_.begin(); next != suspects_.end();) {
         CrashSuspect &suspect = next->second.suspect;
         std::erase_if(suspect.ends,
-                      [&](const UpstreamEnd &end) { return now - end.at > settings_.life; });
+                      [&](const UpstreamCrash &end) { return now - end.at > settings_.life; });
         const bool cleared =
             suspect.survivedAt && now - *suspect.survivedAt <= settings_.clearingLife;
         if (suspect.ends.empty() && !cleared) {
@@ -180,9 +181,9 @@
 {
     return std::any_of(suspects_.begin(), suspects_.end(), [&](const auto &other) {
         const CrashSuspect &candidate = other.second.suspect;
-        const auto wasAt = [&](const UpstreamEnd &end) {
+        const auto wasAt = [&](const UpstreamCrash &end) {
             return std::any_of(candidate.ends.begin(), candidate.ends.end(),
-                               [&](const UpstreamEnd &its) { return isSameEnd(its, end); });
+                               [&](const UpstreamCrash &its) { return isSameEnd(its, end); });
         };
         return candidate.digest != suspect.digest
                && std::all_of(suspect.ends.begin(), suspect.ends.end(), wasAt);
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -34,7 +34,7 @@
 namespace seamarch {
 
 // The end of an upstream's process. Upstreams are compared and never shown, so a digest does.
-struct UpstreamEnd
+struct UpstreamCrash
 {
     std::uint64_t upstream = 0; // Of its id.
     TimePoint at{};
@@ -45,7 +45,7 @@
 {
     RequestDigest digest;
     std::uint64_t account = 0;           // A digest of the client account's id.
-    std::vector<UpstreamEnd> ends;       // Since it last ran to its end, in the order of time.
+    std::vector<UpstreamCrash> ends;     // Since it last ran to its end, in the order of time.
     std::optional<TimePoint> survivedAt; // When an upstream last ran it to its end.
 };
 
@@ -120,8 +120,8 @@
     };
 
     bool isKnownCursor(std::uint64_t cursor) const;
-    bool isSameEnd(const UpstreamEnd &left, const UpstreamEnd &right) const;
-    bool addEnd(CrashSuspect &suspect, const UpstreamEnd &end) const;
+    bool isSameEnd(const UpstreamCrash &left, const UpstreamCrash &right) const;
+    bool addEnd(CrashSuspect &suspect, const UpstreamCrash &end) const;
     bool clear(CrashSuspect &suspect, TimePoint survivedAt) const;
     bool sharesAllEnds(const CrashSuspect &suspect) const;
     void change(Entry &entry);
