--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -82,8 +82,8 @@
     byChange_.emplace(entry.changedAt, entry.suspect.digest);
 }
 
-void CrashRecord::onEnded(const RequestDigest &digest, const AccountId &account,
-                          const InstanceId &upstream, TimePoint at)
+void CrashRecord::onUpstreamCrashed(const RequestDigest &digest, const AccountId &account,
+                                    const InstanceId &upstream, TimePoint at)
 {
     CrashSuspect seen;
     seen.digest = digest;
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -82,8 +82,8 @@
     void setLife(Duration life);
 
     // An upstream has ended while it had the request.
-    void onEnded(const RequestDigest &digest, const AccountId &account, const InstanceId &upstream,
-                 TimePoint at);
+    void onUpstreamCrashed(const RequestDigest &digest, const AccountId &account,
+                           const InstanceId &upstream, TimePoint at);
     // An upstream has run the request to its end and lives.
     void onSurvived(const RequestDigest &digest, TimePoint now);
     // Takes what another gateway knows of a request.
--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -47,7 +47,7 @@
 
     void end(std::uint64_t digest, std::uint64_t which, double seconds)
     {
-        record.onEnded(request(digest), kAccount, upstream(which), at(seconds));
+        record.onUpstreamCrashed(request(digest), kAccount, upstream(which), at(seconds));
     }
 
     bool sent(std::uint64_t digest, double seconds)
@@ -143,8 +143,8 @@
     do {
         std::vector<CrashRecord> gateways(4, CrashRecord(settings));
         for (std::uint64_t index = 0; index < 3; ++index) {
-            gateways.at(index).onEnded(request(1), kAccount, upstream(index),
-                                       at(static_cast<double>(index)));
+            gateways.at(index).onUpstreamCrashed(request(1), kAccount, upstream(index),
+                                                 at(static_cast<double>(index)));
         }
         for (const int teller : order) {
             tell(gateways.at(static_cast<std::size_t>(teller)), gateways.at(3));
@@ -165,7 +165,7 @@
     tell(other, record);
     CHECK_TRUE(sent(1, 2.1));
     CrashRecord third(settings);
-    third.onEnded(request(1), kAccount, upstream(1), at(0));
+    third.onUpstreamCrashed(request(1), kAccount, upstream(1), at(0));
     tell(third, record);
     LONGS_EQUAL(0, record.ends(request(1)));
 }
@@ -200,7 +200,7 @@
     CrashRecord::Settings earlier = settings;
     earlier.seed = 0x7000'0000'0000'0000;
     CrashRecord before(earlier);
-    before.onEnded(request(9), kAccount, upstream(9), at(0));
+    before.onUpstreamCrashed(request(9), kAccount, upstream(9), at(0));
     end(1, 1, 0);
     LONGS_EQUAL(1, record.changedSince(before.cursor(), 10).suspects.size());
 }
@@ -211,7 +211,8 @@
     record = CrashRecord(settings);
     end(1, 1, 0);
     for (std::uint64_t number = 0; number < 1000; ++number) {
-        record.onEnded(request(1000 + number), AccountId("flood"), upstream(number), at(1));
+        record.onUpstreamCrashed(request(1000 + number), AccountId("flood"), upstream(number),
+                                 at(1));
     }
     LONGS_EQUAL(100, record.size());
     LONGS_EQUAL(1, record.ends(request(1)));
@@ -310,11 +311,11 @@
         }
         const std::uint64_t ended = ++lastUpstream_;
         for (std::size_t slot = 0; slot < kSlots - 1; ++slot) {
-            record_.onEnded(request(running[slot]), kAccount, upstream(ended), at(now_));
+            record_.onUpstreamCrashed(request(running[slot]), kAccount, upstream(ended), at(now_));
         }
         if (hit) {
             ++poisonEnds_;
-            record_.onEnded(request(kPoison), kAccount, upstream(ended), at(now_));
+            record_.onUpstreamCrashed(request(kPoison), kAccount, upstream(ended), at(now_));
         }
         // All that the group had is cut off with the engine.
         std::map<std::uint64_t, int> failed;
