--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -315,7 +315,8 @@
     }
     // An upstream that is to leave ends because it was told to.
     if (failure == FailureCode::UpstreamEnded && members_.mayReceive(request->agent, now)) {
-        crashes_.onEnded(request->request.digest, request->request.account, request->agent, now);
+        crashes_.onUpstreamCrashed(request->request.digest, request->request.account,
+                                   request->agent, now);
     }
     if (outcome == Outcome::Unknown) {
         request->mayHaveRun = true;
--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -424,7 +424,7 @@
 {
     // One that is leaving, or that the store lists no longer, ends because it was told to.
     if (upstreams_.stays(upstream)) {
-        crashes_.onEnded(digest, account, upstream, at);
+        crashes_.onUpstreamCrashed(digest, account, upstream, at);
         giveUpSuspects(now, actions);
     }
 }
--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -100,9 +100,9 @@
     void learnEnds(int count)
     {
         for (int index = 0; index < count; ++index) {
-            core->crashes().onEnded(kPoison, kAccount,
-                                    InstanceId("elsewhere-" + std::to_string(index)),
-                                    at(-1000 + index));
+            core->crashes().onUpstreamCrashed(kPoison, kAccount,
+                                              InstanceId("elsewhere-" + std::to_string(index)),
+                                              at(-1000 + index));
         }
     }
 
@@ -274,8 +274,8 @@
 TEST(SuspectRequestTest, SuspectIsNotMovedOffASilentUpstream)
 {
     begin(Kind::Repeatable);
-    core->crashes().onEnded(kPoison, kAccount, InstanceId("a"), at(100));
-    core->crashes().onEnded(kPoison, kAccount, InstanceId("b"), at(200));
+    core->crashes().onUpstreamCrashed(kPoison, kAccount, InstanceId("a"), at(100));
+    core->crashes().onUpstreamCrashed(kPoison, kAccount, InstanceId("b"), at(200));
     actions.clear();
     core->onTick(at(300), actions);
     core->onTick(at(7900), actions);
