--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -92,7 +92,7 @@
     learn(seen);
 }
 
-void CrashRecord::onSurvived(const RequestDigest &digest, TimePoint now)
+void CrashRecord::onRequestCompleted(const RequestDigest &digest, TimePoint now)
 {
     const auto found = suspects_.find(digest);
     if (found == suspects_.end() || found->second.suspect.ends.empty()) {
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -85,7 +85,7 @@
     void onUpstreamCrashed(const RequestDigest &digest, const AccountId &account,
                            const InstanceId &upstream, TimePoint at);
     // An upstream has run the request to its end and lives.
-    void onSurvived(const RequestDigest &digest, TimePoint now);
+    void onRequestCompleted(const RequestDigest &digest, TimePoint now);
     // Takes what another gateway knows of a request.
     void learn(const CrashSuspect &suspect);
     // Forgets what is too old.
--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -106,7 +106,7 @@
 {
     end(1, 1, 0);
     end(1, 2, 1);
-    record.onSurvived(request(1), at(2));
+    record.onRequestCompleted(request(1), at(2));
     CHECK_TRUE(sent(1, 2.1));
     end(1, 3, 3);
     CHECK_TRUE(sent(1, 3.1));
@@ -115,7 +115,7 @@
 TEST(CrashRecordTest, LateWordOfAnEndBeforeTheClearingChangesNothing)
 {
     end(1, 1, 0);
-    record.onSurvived(request(1), at(2));
+    record.onRequestCompleted(request(1), at(2));
     end(1, 2, 1);
     end(1, 3, 1.5);
     LONGS_EQUAL(0, record.ends(request(1)));
@@ -161,7 +161,7 @@
     end(1, 1, 0);
     end(1, 2, 1);
     tell(record, other);
-    other.onSurvived(request(1), at(2));
+    other.onRequestCompleted(request(1), at(2));
     tell(other, record);
     CHECK_TRUE(sent(1, 2.1));
     CrashRecord third(settings);
@@ -304,7 +304,7 @@
         const bool hit = poison_ && record_.mayBeSent(request(kPoison), at(now_));
         if (poison_ && !hit) {
             for (const std::uint64_t number : running) {
-                record_.onSurvived(request(number), at(now_ + 1));
+                record_.onRequestCompleted(request(number), at(now_ + 1));
             }
             comesAgain_.clear();
             return;
