--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -470,7 +470,7 @@
         return;
     }
     outliers_.onSuccess(agent);
-    crashes_.onSurvived(request->request.digest, now);
+    crashes_.onRequestCompleted(request->request.digest, now);
     if (request->attempts == 1) {
         budget_.onSuccess();
     }
--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -274,7 +274,7 @@
         return true;
     }
     if (kind == AnswerKind::Failure) {
-        crashes_.onSurvived(request->request.digest, now);
+        crashes_.onRequestCompleted(request->request.digest, now);
     }
     if (kind == AnswerKind::Failure || kind == AnswerKind::Invalid) {
         chooser_.onFailure(upstream, now);
@@ -318,7 +318,7 @@
     const GroupId group = request->group;
     leaveUpstream(*request);
     if (end == AttemptEnd::Complete && answering) {
-        crashes_.onSurvived(request->request.digest, now);
+        crashes_.onRequestCompleted(request->request.digest, now);
         endRequest(number);
         return;
     }
