--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -89,7 +89,7 @@
     seen.digest = digest;
     seen.account = digestOf(account.value());
     seen.ends.push_back({digestOf(upstream.value()), at});
-    learn(seen);
+    merge(seen);
 }
 
 void CrashRecord::onRequestCompleted(const RequestDigest &digest, TimePoint now)
@@ -103,7 +103,7 @@
     }
 }
 
-void CrashRecord::learn(const CrashSuspect &suspect)
+void CrashRecord::merge(const CrashSuspect &suspect)
 {
     if (settings_.life <= Duration{} || (suspect.ends.empty() && !suspect.survivedAt)) {
         return;
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -87,7 +87,7 @@
     // An upstream has run the request to its end and lives.
     void onRequestCompleted(const RequestDigest &digest, TimePoint now);
     // Takes what another gateway knows of a request.
-    void learn(const CrashSuspect &suspect);
+    void merge(const CrashSuspect &suspect);
     // Forgets what is too old.
     void expire(TimePoint now);
 
--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -34,7 +34,7 @@
 void tell(const CrashRecord &from, CrashRecord &to)
 {
     for (const CrashSuspect &suspect : from.all()) {
-        to.learn(suspect);
+        to.merge(suspect);
     }
 }
 
