--- a/src/net/crashwire.cpp
+++ b/src/net/crashwire.cpp
@@ -36,7 +36,7 @@
 {
     const std::uint64_t before = record.cursor();
     for (const auto &suspect : from) {
-        record.learn(readSuspect(suspect, toldAt));
+        record.merge(readSuspect(suspect, toldAt));
     }
     return record.cursor() - before;
 }
