--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -94,7 +94,7 @@
     // Tells whether the request may be sent to an upstream.
     bool mayBeSent(const RequestDigest &digest, TimePoint now) const;
     // Returns the ends under the request since it last ran to its end.
-    std::size_t ends(const RequestDigest &digest) const;
+    std::size_t crashCount(const RequestDigest &digest) const;
     std::size_t size() const { return suspects_.size(); }
 
     // Names the present state: what changed after it is what `changedSince` returns.
