--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -205,7 +205,7 @@
     return !suspected || sharesAllEnds(suspect);
 }
 
-std::size_t CrashRecord::ends(const RequestDigest &digest) const
+std::size_t CrashRecord::crashCount(const RequestDigest &digest) const
 {
     const auto found = suspects_.find(digest);
     return found == suspects_.end() ? 0 : found->second.suspect.ends.size();
