--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -118,7 +118,7 @@
     record.onRequestCompleted(request(1), at(2));
     end(1, 2, 1);
     end(1, 3, 1.5);
-    LONGS_EQUAL(0, record.ends(request(1)));
+    LONGS_EQUAL(0, record.crashCount(request(1)));
 }
 
 // Two copies of a request may be at one upstream when it ends, sent by two gateways.
@@ -126,7 +126,7 @@
 {
     end(1, 1, 0);
     end(1, 1, 0.2);
-    LONGS_EQUAL(1, record.ends(request(1)));
+    LONGS_EQUAL(1, record.crashCount(request(1)));
 }
 
 TEST(CrashRecordTest, UpstreamThatStartedAgainUnderItsIdEndsAgain)
@@ -134,7 +134,7 @@
     end(1, 1, 0);
     end(1, 1, 4);
     end(1, 1, 8);
-    LONGS_EQUAL(3, record.ends(request(1)));
+    LONGS_EQUAL(3, record.crashCount(request(1)));
 }
 
 TEST(CrashRecordTest, EndsSeenByThreeGatewaysAddUpInAnyOrder)
@@ -150,7 +150,7 @@
             tell(gateways.at(static_cast<std::size_t>(teller)), gateways.at(3));
             tell(gateways.at(3), gateways.at(static_cast<std::size_t>(teller)));
         }
-        LONGS_EQUAL(3, gateways.at(3).ends(request(1)));
+        LONGS_EQUAL(3, gateways.at(3).crashCount(request(1)));
         CHECK_FALSE(gateways.at(3).mayBeSent(request(1), at(3)));
     } while (std::next_permutation(order.begin(), order.end()));
 }
@@ -167,7 +167,7 @@
     CrashRecord third(settings);
     third.onUpstreamCrashed(request(1), kAccount, upstream(1), at(0));
     tell(third, record);
-    LONGS_EQUAL(0, record.ends(request(1)));
+    LONGS_EQUAL(0, record.crashCount(request(1)));
 }
 
 TEST(CrashRecordTest, WhatIsKnownAlreadyIsNoNews)
@@ -215,7 +215,7 @@
                                  at(1));
     }
     LONGS_EQUAL(100, record.size());
-    LONGS_EQUAL(1, record.ends(request(1)));
+    LONGS_EQUAL(1, record.crashCount(request(1)));
 }
 
 TEST(CrashRecordTest, ProofIsForgottenAfterSingleEnds)
