--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -247,7 +247,7 @@
                 {{"id", flight.facts.requestId},
                  {"digest", toText(digest)},
                  {"account", flight.admitted.account.value()},
-                 {"ends", core_.crashes().ends(digest)}});
+                 {"ends", core_.crashes().crashCount(digest)}});
     }
     refuse(flight.exchange, flight.facts, action.failure, action.outcome, action.retryAfter);
     endFlight(action.request, toString(action.failure));
--- a/test/decision/dispatch/entrysuspect_test.cpp
+++ b/test/decision/dispatch/entrysuspect_test.cpp
@@ -101,13 +101,13 @@
 TEST(EntrySuspectTest, CallThatIsAnsweredIsCleared)
 {
     endUpstreamOf(begin(false, 0), 100);
-    LONGS_EQUAL(1, core->crashes().ends(kPoison));
+    LONGS_EQUAL(1, core->crashes().crashCount(kPoison));
     actions.clear();
     const RequestId id = begin(false, 200);
     const InstanceId agent = sentTo();
     CHECK_TRUE(core->onAnswer(id, agent));
     core->onComplete(id, agent, at(300));
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().crashCount(kPoison));
 }
 
 TEST(EntrySuspectTest, UpstreamThatWasLeavingIsNotHeldAgainstItsCalls)
@@ -119,12 +119,12 @@
     list.version = ListVersion(2);
     core->applyList(list);
     endUpstreamOf(id, 100);
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().crashCount(kPoison));
 }
 
 TEST(EntrySuspectTest, FailureOfAnAgentSaysNothingOfTheCall)
 {
     const RequestId id = begin(false, 0);
     core->onLost(id, at(100), actions);
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().crashCount(kPoison));
 }
--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -189,7 +189,7 @@
     const RequestNumber number = begin(Kind::AtMostOnce);
     core->onHead(number, AnswerKind::Failure, at(20), actions);
     core->onEnd(number, AttemptEnd::Complete, at(20), actions);
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().crashCount(kPoison));
 }
 
 TEST(SuspectRequestTest, RefusalOfAnUpstreamSaysNothingOfTheRequest)
@@ -197,7 +197,7 @@
     learnEnds(1);
     const RequestNumber number = begin(Kind::AtMostOnce);
     core->onHead(number, AnswerKind::Full, at(20), actions);
-    LONGS_EQUAL(1, core->crashes().ends(kPoison));
+    LONGS_EQUAL(1, core->crashes().crashCount(kPoison));
 }
 
 // A planned end: nobody is to blame for it.
@@ -208,7 +208,7 @@
     leaving.leaving = true;
     core->upstreams().put(leaving);
     endUnder(number, 50);
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().crashCount(kPoison));
 }
 
 // The gateway hears of the end when the caller has left already.
@@ -218,7 +218,7 @@
     const InstanceId upstream = last<StartAttempt>()->upstream.id;
     core->onCallerGone(number, actions);
     core->onUpstreamEnded(kPoison, kAccount, upstream, at(50), at(52), actions);
-    LONGS_EQUAL(1, core->crashes().ends(kPoison));
+    LONGS_EQUAL(1, core->crashes().crashCount(kPoison));
 }
 
 TEST(SuspectRequestTest, WaitingCopyIsRefusedWhenTheProofComes)
