--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -47,19 +47,19 @@
     if (suspect.survivedAt && end.at <= *suspect.survivedAt) {
         return false;
     }
-    std::vector<UpstreamCrash> &ends = suspect.ends;
-    const bool known = std::any_of(ends.begin(), ends.end(), [&](const UpstreamCrash &other) {
+    std::vector<UpstreamCrash> &crashes = suspect.crashes;
+    const bool known = std::any_of(crashes.begin(), crashes.end(), [&](const UpstreamCrash &other) {
         return isSameEnd(other, end);
     });
-    const bool tooOld = ends.size() >= kMostEnds && end.at <= ends.front().at;
+    const bool tooOld = crashes.size() >= kMostEnds && end.at <= crashes.front().at;
     if (known || tooOld) {
         return false;
     }
-    const auto after = std::find_if(ends.begin(), ends.end(),
+    const auto after = std::find_if(crashes.begin(), crashes.end(),
                                     [&](const UpstreamCrash &other) { return other.at > end.at; });
-    ends.insert(after, end);
-    if (ends.size() > kMostEnds) {
-        ends.erase(ends.begin());
+    crashes.insert(after, end);
+    if (crashes.size() > kMostEnds) {
+        crashes.erase(crashes.begin());
     }
     return true;
 }
@@ -71,7 +71,7 @@
         return false;
     }
     suspect.survivedAt = survivedAt;
-    std::erase_if(suspect.ends, [&](const UpstreamCrash &end) { return end.at <= survivedAt; });
+    std::erase_if(suspect.crashes, [&](const UpstreamCrash &end) { return end.at <= survivedAt; });
     return true;
 }
 
@@ -88,14 +88,14 @@
     CrashSuspect seen;
     seen.digest = digest;
     seen.account = digestOf(account.value());
-    seen.ends.push_back({digestOf(upstream.value()), at});
+    seen.crashes.push_back({digestOf(upstream.value()), at});
     merge(seen);
 }
 
 void CrashRecord::onRequestCompleted(const RequestDigest &digest, TimePoint now)
 {
     const auto found = suspects_.find(digest);
-    if (found == suspects_.end() || found->second.suspect.ends.empty()) {
+    if (found == suspects_.end() || found->second.suspect.crashes.empty()) {
         return;
     }
     if (clear(found->second.suspect, now)) {
@@ -105,7 +105,7 @@
 
 void CrashRecord::merge(const CrashSuspect &suspect)
 {
-    if (settings_.life <= Duration{} || (suspect.ends.empty() && !suspect.survivedAt)) {
+    if (settings_.life <= Duration{} || (suspect.crashes.empty() && !suspect.survivedAt)) {
         return;
     }
     const auto [found, isNew] = suspects_.try_emplace(suspect.digest);
@@ -118,7 +118,7 @@
     if (suspect.survivedAt && clear(entry.suspect, *suspect.survivedAt)) {
         news = true;
     }
-    for (const UpstreamCrash &end : suspect.ends) {
+    for (const UpstreamCrash &end : suspect.crashes) {
         news = addEnd(entry.suspect, end) || news;
     }
     if (news) {
@@ -145,7 +145,7 @@
     }
     const Entry *least = nullptr;
     const auto rank = [](const Entry &entry) {
-        return std::pair(entry.suspect.ends.size(), entry.changedAt);
+        return std::pair(entry.suspect.crashes.size(), entry.changedAt);
     };
     for (const auto &[digest, entry] : suspects_) {
         const bool fits = entry.suspect.account == account;
@@ -163,11 +163,11 @@
 {
     for (auto next = suspects_.begin(); next != suspects_.end();) {
         CrashSuspect &suspect = next->second.suspect;
-        std::erase_if(suspect.ends,
+        std::erase_if(suspect.crashes,
                       [&](const UpstreamCrash &end) { return now - end.at > settings_.life; });
         const bool cleared =
             suspect.survivedAt && now - *suspect.survivedAt <= settings_.clearingLife;
-        if (suspect.ends.empty() && !cleared) {
+        if (suspect.crashes.empty() && !cleared) {
             byChange_.erase(next->second.changedAt);
             next = suspects_.erase(next);
         } else {
@@ -182,11 +182,11 @@
     return std::any_of(suspects_.begin(), suspects_.end(), [&](const auto &other) {
         const CrashSuspect &candidate = other.second.suspect;
         const auto wasAt = [&](const UpstreamCrash &end) {
-            return std::any_of(candidate.ends.begin(), candidate.ends.end(),
+            return std::any_of(candidate.crashes.begin(), candidate.crashes.end(),
                                [&](const UpstreamCrash &its) { return isSameEnd(its, end); });
         };
         return candidate.digest != suspect.digest
-               && std::all_of(suspect.ends.begin(), suspect.ends.end(), wasAt);
+               && std::all_of(suspect.crashes.begin(), suspect.crashes.end(), wasAt);
     });
 }
 
@@ -197,18 +197,18 @@
         return true;
     }
     const CrashSuspect &suspect = found->second.suspect;
-    if (suspect.ends.size() >= settings_.proof) {
+    if (suspect.crashes.size() >= settings_.proof) {
         return false;
     }
-    const bool suspected = suspect.ends.size() >= settings_.suspicion
-                           && now - suspect.ends.back().at <= settings_.suspicionLife;
+    const bool suspected = suspect.crashes.size() >= settings_.suspicion
+                           && now - suspect.crashes.back().at <= settings_.suspicionLife;
     return !suspected || sharesAllEnds(suspect);
 }
 
 std::size_t CrashRecord::crashCount(const RequestDigest &digest) const
 {
     const auto found = suspects_.find(digest);
-    return found == suspects_.end() ? 0 : found->second.suspect.ends.size();
+    return found == suspects_.end() ? 0 : found->second.suspect.crashes.size();
 }
 
 bool CrashRecord::isKnownCursor(std::uint64_t cursor) const
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -45,7 +45,7 @@
 {
     RequestDigest digest;
     std::uint64_t account = 0;           // A digest of the client account's id.
-    std::vector<UpstreamCrash> ends;     // Since it last ran to its end, in the order of time.
+    std::vector<UpstreamCrash> crashes;  // Since it last ran to its end, in the order of time.
     std::optional<TimePoint> survivedAt; // When an upstream last ran it to its end.
 };
 
--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -342,7 +342,7 @@
 
 struct Toll
 {
-    int ends = 0;     // Under the poison request.
+    int crashes = 0;  // Under the poison request.
     int refusals = 0; // Of harmless ones.
 };
 
@@ -354,7 +354,7 @@
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         CrashingGroup group(seed, poison, suspicion);
         group.play(12, 4.5);
-        toll.ends += static_cast<int>(group.poisonEnds());
+        toll.crashes += static_cast<int>(group.poisonEnds());
         toll.refusals += static_cast<int>(group.harmlessRefusals());
     }
     return toll;
@@ -368,8 +368,8 @@
 {
     const Toll third = tollOf(true, 3);
     const Toll second = tollOf(true, 2);
-    LONGS_EQUAL(600, third.ends);
-    CHECK_TRUE(second.ends <= 540);
+    LONGS_EQUAL(600, third.crashes);
+    CHECK_TRUE(second.crashes <= 540);
     CHECK_TRUE(second.refusals <= third.refusals);
 }
 
