--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -44,7 +44,7 @@
 // Returns false when the end is known or makes no difference.
 bool CrashRecord::addEnd(CrashSuspect &suspect, const UpstreamCrash &end) const
 {
-    if (suspect.survivedAt && end.at <= *suspect.survivedAt) {
+    if (suspect.lastCompletedAt && end.at <= *suspect.lastCompletedAt) {
         return false;
     }
     std::vector<UpstreamCrash> &crashes = suspect.crashes;
@@ -65,13 +65,14 @@
 }
 
 // Returns false when a later clearing is known.
-bool CrashRecord::clear(CrashSuspect &suspect, TimePoint survivedAt) const
+bool CrashRecord::clear(CrashSuspect &suspect, TimePoint lastCompletedAt) const
 {
-    if (suspect.survivedAt && survivedAt <= *suspect.survivedAt) {
+    if (suspect.lastCompletedAt && lastCompletedAt <= *suspect.lastCompletedAt) {
         return false;
     }
-    suspect.survivedAt = survivedAt;
-    std::erase_if(suspect.crashes, [&](const UpstreamCrash &end) { return end.at <= survivedAt; });
+    suspect.lastCompletedAt = lastCompletedAt;
+    std::erase_if(suspect.crashes,
+                  [&](const UpstreamCrash &end) { return end.at <= lastCompletedAt; });
     return true;
 }
 
@@ -105,7 +106,7 @@
 
 void CrashRecord::merge(const CrashSuspect &suspect)
 {
-    if (settings_.life <= Duration{} || (suspect.crashes.empty() && !suspect.survivedAt)) {
+    if (settings_.life <= Duration{} || (suspect.crashes.empty() && !suspect.lastCompletedAt)) {
         return;
     }
     const auto [found, isNew] = suspects_.try_emplace(suspect.digest);
@@ -115,7 +116,7 @@
         entry.suspect.account = suspect.account;
     }
     bool news = isNew;
-    if (suspect.survivedAt && clear(entry.suspect, *suspect.survivedAt)) {
+    if (suspect.lastCompletedAt && clear(entry.suspect, *suspect.lastCompletedAt)) {
         news = true;
     }
     for (const UpstreamCrash &end : suspect.crashes) {
@@ -166,7 +167,7 @@
         std::erase_if(suspect.crashes,
                       [&](const UpstreamCrash &end) { return now - end.at > settings_.life; });
         const bool cleared =
-            suspect.survivedAt && now - *suspect.survivedAt <= settings_.clearingLife;
+            suspect.lastCompletedAt && now - *suspect.lastCompletedAt <= settings_.clearingLife;
         if (suspect.crashes.empty() && !cleared) {
             byChange_.erase(next->second.changedAt);
             next = suspects_.erase(next);
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -44,9 +44,9 @@
 struct CrashSuspect
 {
     RequestDigest digest;
-    std::uint64_t account = 0;           // A digest of the client account's id.
-    std::vector<UpstreamCrash> crashes;  // Since it last ran to its end, in the order of time.
-    std::optional<TimePoint> survivedAt; // When an upstream last ran it to its end.
+    std::uint64_t account = 0;                // A digest of the client account's id.
+    std::vector<UpstreamCrash> crashes;       // Since it last ran to its end, in the order of time.
+    std::optional<TimePoint> lastCompletedAt; // When an upstream last ran it to its end.
 };
 
 class CrashRecord
@@ -122,7 +122,7 @@
     bool isKnownCursor(std::uint64_t cursor) const;
     bool isSameEnd(const UpstreamCrash &left, const UpstreamCrash &right) const;
     bool addEnd(CrashSuspect &suspect, const UpstreamCrash &end) const;
-    bool clear(CrashSuspect &suspect, TimePoint survivedAt) const;
+    bool clear(CrashSuspect &suspect, TimePoint lastCompletedAt) const;
     bool sharesAllEnds(const CrashSuspect &suspect) const;
     void change(Entry &entry);
     void makeRoom();
--- a/src/net/crashwire.cpp
+++ b/src/net/crashwire.cpp
@@ -11,9 +11,9 @@
         ends[index].setUpstream(suspect.ends[index].upstream);
         ends[index].setMicrosAgo((now - suspect.ends[index].at).count());
     }
-    if (suspect.survivedAt) {
+    if (suspect.lastCompletedAt) {
         to.setSurvived(true);
-        to.setSurvivedMicrosAgo((now - *suspect.survivedAt).count());
+        to.setSurvivedMicrosAgo((now - *suspect.lastCompletedAt).count());
     }
 }
 
@@ -26,7 +26,7 @@
         suspect.ends.push_back({end.getUpstream(), toldAt - Duration(end.getMicrosAgo())});
     }
     if (from.getSurvived()) {
-        suspect.survivedAt = toldAt - Duration(from.getSurvivedMicrosAgo());
+        suspect.lastCompletedAt = toldAt - Duration(from.getSurvivedMicrosAgo());
     }
     return suspect;
 }
--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -97,7 +97,7 @@
     suspect.account = 12;
     suspect.ends = {{1, TimePoint(std::chrono::seconds(3))},
                     {2, TimePoint(std::chrono::seconds(7))}};
-    suspect.survivedAt = TimePoint(std::chrono::seconds(2));
+    suspect.lastCompletedAt = TimePoint(std::chrono::seconds(2));
     capnp::MallocMessageBuilder message;
     auto to = message.initRoot<wire::CrashSuspect>();
     writeSuspect(suspect, TimePoint(std::chrono::seconds(10)), to);
@@ -106,5 +106,5 @@
     LONGS_EQUAL(12, read.account);
     LONGS_EQUAL(2, read.ends.size());
     CHECK_TRUE(read.ends[1].at == TimePoint(std::chrono::seconds(107)));
-    CHECK_TRUE(read.survivedAt == TimePoint(std::chrono::seconds(102)));
+    CHECK_TRUE(read.lastCompletedAt == TimePoint(std::chrono::seconds(102)));
 }
