--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -198,7 +198,7 @@
         return true;
     }
     const CrashSuspect &suspect = found->second.suspect;
-    if (suspect.crashes.size() >= settings_.proof) {
+    if (suspect.crashes.size() >= settings_.blockThreshold) {
         return false;
     }
     const bool suspected = suspect.crashes.size() >= settings_.suspicion
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -56,7 +56,7 @@
     {
         // Ends that prove that a request ends upstreams: the third by chance comes to one request
         // in some thousand of those that were at a first.
-        std::size_t proof = 3;
+        std::size_t blockThreshold = 3;
         // Ends that keep a request back for a while, counted from the last, when no other request
         // was at all of them. A third end would stop a group of engines for four seconds more.
         std::size_t suspicion = 2;
