--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -201,7 +201,7 @@
     if (suspect.crashes.size() >= settings_.blockThreshold) {
         return false;
     }
-    const bool suspected = suspect.crashes.size() >= settings_.suspicion
+    const bool suspected = suspect.crashes.size() >= settings_.suspectThreshold
                            && now - suspect.crashes.back().at <= settings_.suspicionLife;
     return !suspected || sharesAllEnds(suspect);
 }
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -59,7 +59,7 @@
         std::size_t blockThreshold = 3;
         // Ends that keep a request back for a while, counted from the last, when no other request
         // was at all of them. A third end would stop a group of engines for four seconds more.
-        std::size_t suspicion = 2;
+        std::size_t suspectThreshold = 2;
         Duration suspicionLife = std::chrono::seconds(60);
         // How long an end is remembered; zero: nothing is. A poison request costs an upstream, or a
         // whole group for four seconds, each time that it is forgotten, so this is long; whoever
--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -255,8 +255,8 @@
 
     static constexpr int kRepeats = 3;
 
-    CrashingGroup(std::uint64_t seed, bool poison, std::size_t suspicion)
-        : record_(settingsWith(suspicion))
+    CrashingGroup(std::uint64_t seed, bool poison, std::size_t suspectThreshold)
+        : record_(settingsWith(suspectThreshold))
         , random_(seed)
         , poison_(poison)
     {}
@@ -274,10 +274,10 @@
     std::uint64_t harmlessRefusals() const { return harmlessRefusals_; }
 
 private:
-    static CrashRecord::Settings settingsWith(std::size_t suspicion)
+    static CrashRecord::Settings settingsWith(std::size_t suspectThreshold)
     {
         CrashRecord::Settings settings;
-        settings.suspicion = suspicion;
+        settings.suspectThreshold = suspectThreshold;
         return settings;
     }
 
@@ -348,11 +348,11 @@
 
 // Plays 200 groups in which engines end at twelve openings, 4.5 s apart, for as long as the poison
 // request is sent, or all the time by themselves.
-Toll tollOf(bool poison, std::size_t suspicion)
+Toll tollOf(bool poison, std::size_t suspectThreshold)
 {
     Toll toll;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
-        CrashingGroup group(seed, poison, suspicion);
+        CrashingGroup group(seed, poison, suspectThreshold);
         group.play(12, 4.5);
         toll.crashes += static_cast<int>(group.poisonEnds());
         toll.refusals += static_cast<int>(group.harmlessRefusals());
