--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -202,7 +202,7 @@
         return false;
     }
     const bool suspected = suspect.crashes.size() >= settings_.suspectThreshold
-                           && now - suspect.crashes.back().at <= settings_.suspicionLife;
+                           && now - suspect.crashes.back().at <= settings_.suspicionDuration;
     return !suspected || sharesAllEnds(suspect);
 }
 
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -60,7 +60,7 @@
         // Ends that keep a request back for a while, counted from the last, when no other request
         // was at all of them. A third end would stop a group of engines for four seconds more.
         std::size_t suspectThreshold = 2;
-        Duration suspicionLife = std::chrono::seconds(60);
+        Duration suspicionDuration = std::chrono::seconds(60);
         // How long an end is remembered; zero: nothing is. A poison request costs an upstream, or a
         // whole group for four seconds, each time that it is forgotten, so this is long; whoever
         // mends the software says so (see docs/OPERATIONS.md).
