--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -26,10 +26,10 @@
     , cursor_(firstCursor_)
 {}
 
-void CrashRecord::setLife(Duration life)
+void CrashRecord::setLife(Duration retention)
 {
-    settings_.life = life;
-    if (life <= Duration{}) {
+    settings_.retention = retention;
+    if (retention <= Duration{}) {
         suspects_.clear();
         byChange_.clear();
     }
@@ -106,7 +106,8 @@
 
 void CrashRecord::merge(const CrashSuspect &suspect)
 {
-    if (settings_.life <= Duration{} || (suspect.crashes.empty() && !suspect.lastCompletedAt)) {
+    if (settings_.retention <= Duration{}
+        || (suspect.crashes.empty() && !suspect.lastCompletedAt)) {
         return;
     }
     const auto [found, isNew] = suspects_.try_emplace(suspect.digest);
@@ -165,7 +166,7 @@
     for (auto next = suspects_.begin(); next != suspects_.end();) {
         CrashSuspect &suspect = next->second.suspect;
         std::erase_if(suspect.crashes,
-                      [&](const UpstreamCrash &end) { return now - end.at > settings_.life; });
+                      [&](const UpstreamCrash &end) { return now - end.at > settings_.retention; });
         const bool cleared =
             suspect.lastCompletedAt && now - *suspect.lastCompletedAt <= settings_.clearingLife;
         if (suspect.crashes.empty() && !cleared) {
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -64,7 +64,7 @@
         // How long an end is remembered; zero: nothing is. A poison request costs an upstream, or a
         // whole group for four seconds, each time that it is forgotten, so this is long; whoever
         // mends the software says so (see docs/OPERATIONS.md).
-        Duration life = std::chrono::hours(1);
+        Duration retention = std::chrono::hours(1);
         // An upstream that ended is back after some seconds, perhaps under the id that it had; word
         // of one end from two gateways differs by some milliseconds.
         Duration sameEnd = std::chrono::seconds(2);
@@ -79,7 +79,7 @@
     explicit CrashRecord(const Settings &settings);
 
     // Changes how long ends are remembered. Zero forgets all of them.
-    void setLife(Duration life);
+    void setLife(Duration retention);
 
     // An upstream has ended while it had the request.
     void onUpstreamCrashed(const RequestDigest &digest, const AccountId &account,
