--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -25,7 +25,7 @@
     core.regions = settings.regions;
     core.seed = randomIdentity();
     core.retries = retryLimits(settings.bounds);
-    core.crashes.life = settings.crashMemory;
+    core.crashes.retention = settings.crashMemory;
     core.crashes.seed = randomIdentity();
     core.limits.firstMark = randomIdentity() | 1U;
     return core;
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -43,7 +43,7 @@
     std::optional<int> agentPort; // Of the agents beside engines, at the engines' addresses.
     std::size_t maxAccountSeries = 300;
     // How long it is remembered that an upstream ended under a request; zero: not at all.
-    Duration crashMemory = CrashRecord::Settings().life;
+    Duration crashMemory = CrashRecord::Settings().retention;
     // What the platform asks of every gateway, as its settings tell.
     GatewayBounds bounds;
     GatewayTimes times = timesWithin(GatewayBounds());
