--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -38,7 +38,7 @@
 bool CrashRecord::isSameEnd(const UpstreamCrash &left, const UpstreamCrash &right) const
 {
     const Duration apart = left.at < right.at ? right.at - left.at : left.at - right.at;
-    return left.upstream == right.upstream && apart <= settings_.sameEnd;
+    return left.upstream == right.upstream && apart <= settings_.duplicateWindow;
 }
 
 // Returns false when the end is known or makes no difference.
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -67,7 +67,7 @@
         Duration retention = std::chrono::hours(1);
         // An upstream that ended is back after some seconds, perhaps under the id that it had; word
         // of one end from two gateways differs by some milliseconds.
-        Duration sameEnd = std::chrono::seconds(2);
+        Duration duplicateWindow = std::chrono::seconds(2);
         // How long a clearing is remembered: word of earlier ends is on its way no longer.
         Duration clearingLife = std::chrono::seconds(60);
         // Requests; some 150 bytes each.
