--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -167,8 +167,8 @@
         CrashSuspect &suspect = next->second.suspect;
         std::erase_if(suspect.crashes,
                       [&](const UpstreamCrash &end) { return now - end.at > settings_.retention; });
-        const bool cleared =
-            suspect.lastCompletedAt && now - *suspect.lastCompletedAt <= settings_.clearingLife;
+        const bool cleared = suspect.lastCompletedAt
+                             && now - *suspect.lastCompletedAt <= settings_.clearanceRetention;
         if (suspect.crashes.empty() && !cleared) {
             byChange_.erase(next->second.changedAt);
             next = suspects_.erase(next);
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -69,7 +69,7 @@
         // of one end from two gateways differs by some milliseconds.
         Duration duplicateWindow = std::chrono::seconds(2);
         // How long a clearing is remembered: word of earlier ends is on its way no longer.
-        Duration clearingLife = std::chrono::seconds(60);
+        Duration clearanceRetention = std::chrono::seconds(60);
         // Requests; some 150 bytes each.
         std::size_t most = 4096;
         // Drawn at random, so that a process that starts anew is not taken for the one before.
