--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -126,7 +126,7 @@
     if (news) {
         change(entry);
     }
-    if (suspects_.size() > settings_.most) {
+    if (suspects_.size() > settings_.maxEntries) {
         makeRoom();
     }
 }
--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -207,7 +207,7 @@
 
 TEST(CrashRecordTest, AccountThatFillsTheRecordPushesOutItsOwn)
 {
-    settings.most = 100;
+    settings.maxEntries = 100;
     record = CrashRecord(settings);
     end(1, 1, 0);
     for (std::uint64_t number = 0; number < 1000; ++number) {
@@ -220,7 +220,7 @@
 
 TEST(CrashRecordTest, ProofIsForgottenAfterSingleEnds)
 {
-    settings.most = 10;
+    settings.maxEntries = 10;
     record = CrashRecord(settings);
     for (const std::uint64_t which : {1, 2, 3}) {
         end(1, which, static_cast<double>(which) * 3);
