--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -71,7 +71,7 @@
         // How long a clearing is remembered: word of earlier ends is on its way no longer.
         Duration clearanceRetention = std::chrono::seconds(60);
         // Requests; some 150 bytes each.
-        std::size_t most = 4096;
+        std::size_t maxEntries = 4096;
         // Drawn at random, so that a process that starts anew is not taken for the one before.
         std::uint64_t seed = 1;
     };
@@ -107,7 +107,7 @@
     };
     // Returns up to `most` requests whose entries changed since `cursor`, the earliest first; from
     // the beginning when that is not a cursor of this record.
-    Changes changedSince(std::uint64_t cursor, std::size_t most) const;
+    Changes changedSince(std::uint64_t cursor, std::size_t maxEntries) const;
     bool hasChangedSince(std::uint64_t cursor) const;
     // Returns all of them.
     std::vector<CrashSuspect> all() const;
