--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -224,13 +224,13 @@
     return byChange_.upper_bound(from) != byChange_.end();
 }
 
-CrashRecord::Changes CrashRecord::changedSince(std::uint64_t cursor, std::size_t most) const
+CrashRecord::Changes CrashRecord::changedSince(std::uint64_t cursor, std::size_t maxSuspects) const
 {
     const std::uint64_t from = isKnownCursor(cursor) ? cursor : 0;
     Changes changes;
     changes.cursor = cursor_;
     for (auto next = byChange_.upper_bound(from); next != byChange_.end(); ++next) {
-        if (changes.suspects.size() == most) {
+        if (changes.suspects.size() == maxSuspects) {
             return changes;
         }
         changes.suspects.push_back(suspects_.at(next->second).suspect);
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -107,7 +107,7 @@
     };
     // Returns up to `most` requests whose entries changed since `cursor`, the earliest first; from
     // the beginning when that is not a cursor of this record.
-    Changes changedSince(std::uint64_t cursor, std::size_t most) const;
+    Changes changedSince(std::uint64_t cursor, std::size_t maxSuspects) const;
     bool hasChangedSince(std::uint64_t cursor) const;
     // Returns all of them.
     std::vector<CrashSuspect> all() const;
