--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -26,7 +26,7 @@
     , cursor_(firstCursor_)
 {}
 
-void CrashRecord::setLife(Duration retention)
+void CrashRecord::setRetention(Duration retention)
 {
     settings_.retention = retention;
     if (retention <= Duration{}) {
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -79,7 +79,7 @@
     explicit CrashRecord(const Settings &settings);
 
     // Changes how long ends are remembered. Zero forgets all of them.
-    void setLife(Duration retention);
+    void setRetention(Duration retention);
 
     // An upstream has ended while it had the request.
     void onUpstreamCrashed(const RequestDigest &digest, const AccountId &account,
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -413,7 +413,7 @@
     core_.setRetryLimits(retryLimits(settings_.bounds));
     core_.warmUps().setBounds(settings_.bounds.warmUp);
     settings_.crashMemory = settings.crashMemory;
-    core_.crashes().setLife(settings_.crashMemory);
+    core_.crashes().setRetention(settings_.crashMemory);
     core_.upstreams().setLapseGrace(settings_.times.lapseGrace);
 }
 
--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -235,7 +235,7 @@
 {
     end(1, 1, 0);
     end(1, 2, 4);
-    record.setLife({});
+    record.setRetention({});
     CHECK_TRUE(sent(1, 4.1));
     end(1, 3, 8);
     LONGS_EQUAL(0, record.size());
