--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -240,7 +240,7 @@
     return changes;
 }
 
-std::vector<CrashSuspect> CrashRecord::all() const
+std::vector<CrashSuspect> CrashRecord::allSuspects() const
 {
     return changedSince(0, suspects_.size()).suspects;
 }
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -110,7 +110,7 @@
     Changes changedSince(std::uint64_t cursor, std::size_t maxSuspects) const;
     bool hasChangedSince(std::uint64_t cursor) const;
     // Returns all of them.
-    std::vector<CrashSuspect> all() const;
+    std::vector<CrashSuspect> allSuspects() const;
 
 private:
     struct Entry
--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -33,7 +33,7 @@
 // Hands on everything that `from` knows.
 void tell(const CrashRecord &from, CrashRecord &to)
 {
-    for (const CrashSuspect &suspect : from.all()) {
+    for (const CrashSuspect &suspect : from.allSuspects()) {
         to.merge(suspect);
     }
 }
