--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -328,7 +328,7 @@
 json GatewayService::suspects() const
 {
     constexpr std::size_t kMostShown = 20;
-    std::vector<CrashSuspect> all = core_.crashes().all();
+    std::vector<CrashSuspect> all = core_.crashes().allSuspects();
     std::erase_if(all, [](const CrashSuspect &suspect) { return suspect.ends.empty(); });
     std::stable_sort(all.begin(), all.end(), [](const auto &left, const auto &right) {
         return left.ends.size() > right.ends.size();
