--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -35,7 +35,7 @@
     }
 }
 
-bool CrashRecord::isSameEnd(const UpstreamCrash &left, const UpstreamCrash &right) const
+bool CrashRecord::isSameCrash(const UpstreamCrash &left, const UpstreamCrash &right) const
 {
     const Duration apart = left.at < right.at ? right.at - left.at : left.at - right.at;
     return left.upstream == right.upstream && apart <= settings_.duplicateWindow;
@@ -49,7 +49,7 @@
     }
     std::vector<UpstreamCrash> &crashes = suspect.crashes;
     const bool known = std::any_of(crashes.begin(), crashes.end(), [&](const UpstreamCrash &other) {
-        return isSameEnd(other, end);
+        return isSameCrash(other, end);
     });
     const bool tooOld = crashes.size() >= kMostEnds && end.at <= crashes.front().at;
     if (known || tooOld) {
@@ -185,7 +185,7 @@
         const CrashSuspect &candidate = other.second.suspect;
         const auto wasAt = [&](const UpstreamCrash &end) {
             return std::any_of(candidate.crashes.begin(), candidate.crashes.end(),
-                               [&](const UpstreamCrash &its) { return isSameEnd(its, end); });
+                               [&](const UpstreamCrash &its) { return isSameCrash(its, end); });
         };
         return candidate.digest != suspect.digest
                && std::all_of(suspect.crashes.begin(), suspect.crashes.end(), wasAt);
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -120,7 +120,7 @@
     };
 
     bool isKnownCursor(std::uint64_t cursor) const;
-    bool isSameEnd(const UpstreamCrash &left, const UpstreamCrash &right) const;
+    bool isSameCrash(const UpstreamCrash &left, const UpstreamCrash &right) const;
     bool addEnd(CrashSuspect &suspect, const UpstreamCrash &end) const;
     bool clear(CrashSuspect &suspect, TimePoint lastCompletedAt) const;
     bool sharesAllEnds(const CrashSuspect &suspect) const;
