--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -42,7 +42,7 @@
 }
 
 // Returns false when the end is known or makes no difference.
-bool CrashRecord::addEnd(CrashSuspect &suspect, const UpstreamCrash &end) const
+bool CrashRecord::addCrash(CrashSuspect &suspect, const UpstreamCrash &end) const
 {
     if (suspect.lastCompletedAt && end.at <= *suspect.lastCompletedAt) {
         return false;
@@ -121,7 +121,7 @@
         news = true;
     }
     for (const UpstreamCrash &end : suspect.crashes) {
-        news = addEnd(entry.suspect, end) || news;
+        news = addCrash(entry.suspect, end) || news;
     }
     if (news) {
         change(entry);
