--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -65,7 +65,7 @@
 }
 
 // Returns false when a later clearing is known.
-bool CrashRecord::clear(CrashSuspect &suspect, TimePoint lastCompletedAt) const
+bool CrashRecord::clearCrashes(CrashSuspect &suspect, TimePoint lastCompletedAt) const
 {
     if (suspect.lastCompletedAt && lastCompletedAt <= *suspect.lastCompletedAt) {
         return false;
@@ -99,7 +99,7 @@
     if (found == suspects_.end() || found->second.suspect.crashes.empty()) {
         return;
     }
-    if (clear(found->second.suspect, now)) {
+    if (clearCrashes(found->second.suspect, now)) {
         change(found->second);
     }
 }
@@ -117,7 +117,7 @@
         entry.suspect.account = suspect.account;
     }
     bool news = isNew;
-    if (suspect.lastCompletedAt && clear(entry.suspect, *suspect.lastCompletedAt)) {
+    if (suspect.lastCompletedAt && clearCrashes(entry.suspect, *suspect.lastCompletedAt)) {
         news = true;
     }
     for (const UpstreamCrash &end : suspect.crashes) {
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -122,7 +122,7 @@
     bool isKnownCursor(std::uint64_t cursor) const;
     bool isSameCrash(const UpstreamCrash &left, const UpstreamCrash &right) const;
     bool addCrash(CrashSuspect &suspect, const UpstreamCrash &end) const;
-    bool clear(CrashSuspect &suspect, TimePoint lastCompletedAt) const;
+    bool clearCrashes(CrashSuspect &suspect, TimePoint lastCompletedAt) const;
     bool sharesAllEnds(const CrashSuspect &suspect) const;
     void change(Entry &entry);
     void makeRoom();
