--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -179,7 +179,7 @@
 }
 
 // Tells whether another request was at all ends of this one.
-bool CrashRecord::sharesAllEnds(const CrashSuspect &suspect) const
+bool CrashRecord::sharesAllCrashes(const CrashSuspect &suspect) const
 {
     return std::any_of(suspects_.begin(), suspects_.end(), [&](const auto &other) {
         const CrashSuspect &candidate = other.second.suspect;
@@ -204,7 +204,7 @@
     }
     const bool suspected = suspect.crashes.size() >= settings_.suspectThreshold
                            && now - suspect.crashes.back().at <= settings_.suspicionDuration;
-    return !suspected || sharesAllEnds(suspect);
+    return !suspected || sharesAllCrashes(suspect);
 }
 
 std::size_t CrashRecord::crashCount(const RequestDigest &digest) const
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -123,7 +123,7 @@
     bool isSameCrash(const UpstreamCrash &left, const UpstreamCrash &right) const;
     bool addCrash(CrashSuspect &suspect, const UpstreamCrash &end) const;
     bool clearCrashes(CrashSuspect &suspect, TimePoint lastCompletedAt) const;
-    bool sharesAllEnds(const CrashSuspect &suspect) const;
+    bool sharesAllCrashes(const CrashSuspect &suspect) const;
     void change(Entry &entry);
     void makeRoom();
 
