--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -76,7 +76,7 @@
     return true;
 }
 
-void CrashRecord::change(Entry &entry)
+void CrashRecord::markChanged(Entry &entry)
 {
     byChange_.erase(entry.changedAt);
     entry.changedAt = ++cursor_;
@@ -100,7 +100,7 @@
         return;
     }
     if (clearCrashes(found->second.suspect, now)) {
-        change(found->second);
+        markChanged(found->second);
     }
 }
 
@@ -124,7 +124,7 @@
         news = addCrash(entry.suspect, end) || news;
     }
     if (news) {
-        change(entry);
+        markChanged(entry);
     }
     if (suspects_.size() > settings_.maxEntries) {
         makeRoom();
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -124,7 +124,7 @@
     bool addCrash(CrashSuspect &suspect, const UpstreamCrash &end) const;
     bool clearCrashes(CrashSuspect &suspect, TimePoint lastCompletedAt) const;
     bool sharesAllCrashes(const CrashSuspect &suspect) const;
-    void change(Entry &entry);
+    void markChanged(Entry &entry);
     void makeRoom();
 
     Settings settings_;
