--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -127,13 +127,13 @@
         markChanged(entry);
     }
     if (suspects_.size() > settings_.maxEntries) {
-        makeRoom();
+        evictOne();
     }
 }
 
 // Forgets a request of the account that has the most, the one with the fewest ends, and of those
 // the one that changed first.
-void CrashRecord::makeRoom()
+void CrashRecord::evictOne()
 {
     std::unordered_map<std::uint64_t, std::size_t> counts;
     std::uint64_t account = 0;
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -125,7 +125,7 @@
     bool clearCrashes(CrashSuspect &suspect, TimePoint lastCompletedAt) const;
     bool sharesAllCrashes(const CrashSuspect &suspect) const;
     void markChanged(Entry &entry);
-    void makeRoom();
+    void evictOne();
 
     Settings settings_;
     std::uint64_t firstCursor_;
