--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -11,7 +11,7 @@
 // Cursors rise by one with each change; those of another life of the process lie elsewhere.
 constexpr unsigned kCursorSpareBits = 16;
 // More ends than these prove nothing more.
-constexpr std::size_t kMostEnds = 4;
+constexpr std::size_t kMaxCrashes = 4;
 
 std::uint64_t digestOf(std::string_view text)
 {
@@ -51,14 +51,14 @@
     const bool known = std::any_of(crashes.begin(), crashes.end(), [&](const UpstreamCrash &other) {
         return isSameCrash(other, end);
     });
-    const bool tooOld = crashes.size() >= kMostEnds && end.at <= crashes.front().at;
+    const bool tooOld = crashes.size() >= kMaxCrashes && end.at <= crashes.front().at;
     if (known || tooOld) {
         return false;
     }
     const auto after = std::find_if(crashes.begin(), crashes.end(),
                                     [&](const UpstreamCrash &other) { return other.at > end.at; });
     crashes.insert(after, end);
-    if (crashes.size() > kMostEnds) {
+    if (crashes.size() > kMaxCrashes) {
         crashes.erase(crashes.begin());
     }
     return true;
