--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -13,7 +13,7 @@
 // More ends than these prove nothing more.
 constexpr std::size_t kMaxCrashes = 4;
 
-std::uint64_t digestOf(std::string_view text)
+std::uint64_t hashOf(std::string_view text)
 {
     return XXH3_64bits(text.data(), text.size());
 }
@@ -88,8 +88,8 @@
 {
     CrashSuspect seen;
     seen.digest = digest;
-    seen.account = digestOf(account.value());
-    seen.crashes.push_back({digestOf(upstream.value()), at});
+    seen.account = hashOf(account.value());
+    seen.crashes.push_back({hashOf(upstream.value()), at});
     merge(seen);
 }
 
