--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -116,14 +116,14 @@
         entry.suspect.digest = suspect.digest;
         entry.suspect.account = suspect.account;
     }
-    bool news = isNew;
+    bool changed = isNew;
     if (suspect.lastCompletedAt && clearCrashes(entry.suspect, *suspect.lastCompletedAt)) {
-        news = true;
+        changed = true;
     }
     for (const UpstreamCrash &end : suspect.crashes) {
-        news = addCrash(entry.suspect, end) || news;
+        changed = addCrash(entry.suspect, end) || changed;
     }
-    if (news) {
+    if (changed) {
         markChanged(entry);
     }
     if (suspects_.size() > settings_.maxEntries) {
