--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -31,7 +31,7 @@
 const AccountId kAccount("bids");
 
 // Hands on everything that `from` knows.
-void tell(const CrashRecord &from, CrashRecord &to)
+void mergeInto(const CrashRecord &from, CrashRecord &to)
 {
     for (const CrashSuspect &suspect : from.allSuspects()) {
         to.merge(suspect);
@@ -147,8 +147,8 @@
                                                  at(static_cast<double>(index)));
         }
         for (const int teller : order) {
-            tell(gateways.at(static_cast<std::size_t>(teller)), gateways.at(3));
-            tell(gateways.at(3), gateways.at(static_cast<std::size_t>(teller)));
+            mergeInto(gateways.at(static_cast<std::size_t>(teller)), gateways.at(3));
+            mergeInto(gateways.at(3), gateways.at(static_cast<std::size_t>(teller)));
         }
         LONGS_EQUAL(3, gateways.at(3).crashCount(request(1)));
         CHECK_FALSE(gateways.at(3).mayBeSent(request(1), at(3)));
@@ -160,13 +160,13 @@
     CrashRecord other(settings);
     end(1, 1, 0);
     end(1, 2, 1);
-    tell(record, other);
+    mergeInto(record, other);
     other.onRequestCompleted(request(1), at(2));
-    tell(other, record);
+    mergeInto(other, record);
     CHECK_TRUE(sent(1, 2.1));
     CrashRecord third(settings);
     third.onUpstreamCrashed(request(1), kAccount, upstream(1), at(0));
-    tell(third, record);
+    mergeInto(third, record);
     LONGS_EQUAL(0, record.crashCount(request(1)));
 }
 
@@ -174,9 +174,9 @@
 {
     CrashRecord other(settings);
     end(1, 1, 0);
-    tell(record, other);
+    mergeInto(record, other);
     const std::uint64_t before = record.cursor();
-    tell(other, record);
+    mergeInto(other, record);
     LONGS_EQUAL(before, record.cursor());
 }
 
