--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -284,7 +284,7 @@
     std::vector<std::uint64_t> admit()
     {
         std::vector<std::uint64_t> running;
-        for (const auto &[number, times] : comesAgain_) {
+        for (const auto &[number, times] : retries_) {
             if (record_.mayBeSent(request(number), at(now_))) {
                 running.push_back(number);
             } else {
@@ -306,7 +306,7 @@
             for (const std::uint64_t number : running) {
                 record_.onRequestCompleted(request(number), at(now_ + 1));
             }
-            comesAgain_.clear();
+            retries_.clear();
             return;
         }
         const std::uint64_t ended = ++lastUpstream_;
@@ -320,20 +320,20 @@
         // All that the group had is cut off with the engine.
         std::map<std::uint64_t, int> failed;
         for (const std::uint64_t number : running) {
-            const auto before = comesAgain_.find(number);
-            const int times = before == comesAgain_.end() ? 1 : before->second + 1;
+            const auto before = retries_.find(number);
+            const int times = before == retries_.end() ? 1 : before->second + 1;
             if (times <= kRepeats) {
                 failed.emplace(number, times);
             }
         }
-        comesAgain_ = std::move(failed);
+        retries_ = std::move(failed);
     }
 
     CrashRecord record_;
     std::mt19937_64 random_;
     bool poison_;
     double now_ = 0.0;
-    std::map<std::uint64_t, int> comesAgain_; // And how often.
+    std::map<std::uint64_t, int> retries_; // And how often.
     std::uint64_t lastRequest_ = 1000;
     std::uint64_t lastUpstream_ = 0;
     std::uint64_t poisonEnds_ = 0;
