--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -262,7 +262,7 @@
     {}
 
     // Plays `rounds` openings of the group, `gap` seconds apart; at each an engine ends.
-    void play(int rounds, double gap)
+    void run(int rounds, double gap)
     {
         for (int round = 0; round < rounds; ++round) {
             now_ += gap;
@@ -353,7 +353,7 @@
     Toll toll;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         CrashingGroup group(seed, poison, suspectThreshold);
-        group.play(12, 4.5);
+        group.run(12, 4.5);
         toll.crashes += static_cast<int>(group.poisonEnds());
         toll.refusals += static_cast<int>(group.harmlessRefusals());
     }
