--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -270,7 +270,7 @@
         }
     }
 
-    std::uint64_t poisonEnds() const { return poisonEnds_; }
+    std::uint64_t poisonCrashes() const { return poisonEnds_; }
     std::uint64_t harmlessRefusals() const { return harmlessRefusals_; }
 
 private:
@@ -354,7 +354,7 @@
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         CrashingGroup group(seed, poison, suspectThreshold);
         group.run(12, 4.5);
-        toll.crashes += static_cast<int>(group.poisonEnds());
+        toll.crashes += static_cast<int>(group.poisonCrashes());
         toll.refusals += static_cast<int>(group.harmlessRefusals());
     }
     return toll;
