--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -270,7 +270,7 @@
         }
     }
 
-    std::uint64_t poisonCrashes() const { return poisonEnds_; }
+    std::uint64_t poisonCrashes() const { return poisonCrashes_; }
     std::uint64_t harmlessRefusals() const { return harmlessRefusals_; }
 
 private:
@@ -314,7 +314,7 @@
             record_.onUpstreamCrashed(request(running[slot]), kAccount, upstream(ended), at(now_));
         }
         if (hit) {
-            ++poisonEnds_;
+            ++poisonCrashes_;
             record_.onUpstreamCrashed(request(kPoison), kAccount, upstream(ended), at(now_));
         }
         // All that the group had is cut off with the engine.
@@ -336,7 +336,7 @@
     std::map<std::uint64_t, int> retries_; // And how often.
     std::uint64_t lastRequest_ = 1000;
     std::uint64_t lastUpstream_ = 0;
-    std::uint64_t poisonEnds_ = 0;
+    std::uint64_t poisonCrashes_ = 0;
     std::uint64_t harmlessRefusals_ = 0;
 };
 
