--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -340,7 +340,7 @@
     std::uint64_t harmlessRefusals_ = 0;
 };
 
-struct Toll
+struct Losses
 {
     int crashes = 0;  // Under the poison request.
     int refusals = 0; // Of harmless ones.
@@ -348,9 +348,9 @@
 
 // Plays 200 groups in which engines end at twelve openings, 4.5 s apart, for as long as the poison
 // request is sent, or all the time by themselves.
-Toll tollOf(bool poison, std::size_t suspectThreshold)
+Losses tollOf(bool poison, std::size_t suspectThreshold)
 {
-    Toll toll;
+    Losses toll;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         CrashingGroup group(seed, poison, suspectThreshold);
         group.run(12, 4.5);
@@ -366,8 +366,8 @@
 // Over 200 groups: 600 engines and 8 harmless requests, or 524 engines and 8.
 TEST(CrashRecordTest, SecondEndSparesEnginesAndCostsNoHarmlessRequestMore)
 {
-    const Toll third = tollOf(true, 3);
-    const Toll second = tollOf(true, 2);
+    const Losses third = tollOf(true, 3);
+    const Losses second = tollOf(true, 2);
     LONGS_EQUAL(600, third.crashes);
     CHECK_TRUE(second.crashes <= 540);
     CHECK_TRUE(second.refusals <= third.refusals);
