--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -348,7 +348,7 @@
 
 // Plays 200 groups in which engines end at twelve openings, 4.5 s apart, for as long as the poison
 // request is sent, or all the time by themselves.
-Losses tollOf(bool poison, std::size_t suspectThreshold)
+Losses lossesOf(bool poison, std::size_t suspectThreshold)
 {
     Losses toll;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
@@ -366,8 +366,8 @@
 // Over 200 groups: 600 engines and 8 harmless requests, or 524 engines and 8.
 TEST(CrashRecordTest, SecondEndSparesEnginesAndCostsNoHarmlessRequestMore)
 {
-    const Losses third = tollOf(true, 3);
-    const Losses second = tollOf(true, 2);
+    const Losses third = lossesOf(true, 3);
+    const Losses second = lossesOf(true, 2);
     LONGS_EQUAL(600, third.crashes);
     CHECK_TRUE(second.crashes <= 540);
     CHECK_TRUE(second.refusals <= third.refusals);
@@ -378,6 +378,6 @@
 // alone 32.
 TEST(CrashRecordTest, EnginesThatEndByThemselvesMakeFewRequestsSuspect)
 {
-    CHECK_TRUE(tollOf(false, 3).refusals <= 40);
-    CHECK_TRUE(tollOf(false, 2).refusals <= 800);
+    CHECK_TRUE(lossesOf(false, 3).refusals <= 40);
+    CHECK_TRUE(lossesOf(false, 2).refusals <= 800);
 }
