--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -350,14 +350,14 @@
 // request is sent, or all the time by themselves.
 Losses lossesOf(bool poison, std::size_t suspectThreshold)
 {
-    Losses toll;
+    Losses losses;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         CrashingGroup group(seed, poison, suspectThreshold);
         group.run(12, 4.5);
-        toll.crashes += static_cast<int>(group.poisonCrashes());
-        toll.refusals += static_cast<int>(group.harmlessRefusals());
+        losses.crashes += static_cast<int>(group.poisonCrashes());
+        losses.refusals += static_cast<int>(group.harmlessRefusals());
     }
-    return toll;
+    return losses;
 }
 
 } // namespace
