--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -45,7 +45,7 @@
     CrashRecord::Settings settings;
     CrashRecord record{settings};
 
-    void end(std::uint64_t digest, std::uint64_t which, double seconds)
+    void crash(std::uint64_t digest, std::uint64_t which, double seconds)
     {
         record.onUpstreamCrashed(request(digest), kAccount, upstream(which), at(seconds));
     }
@@ -63,15 +63,15 @@
 
 TEST(CrashRecordTest, OneEndProvesNothing)
 {
-    end(1, 1, 0);
+    crash(1, 1, 0);
     CHECK_TRUE(sent(1, 0.1));
 }
 
 TEST(CrashRecordTest, TwoEndsThatNoOtherSharesKeepARequestBackForAWhile)
 {
-    end(1, 1, 0);
-    end(2, 1, 0);
-    end(1, 2, 4);
+    crash(1, 1, 0);
+    crash(2, 1, 0);
+    crash(1, 2, 4);
     CHECK_FALSE(sent(1, 4.1));
     CHECK_TRUE(sent(2, 4.1));
     CHECK_TRUE(sent(1, 65));
@@ -80,12 +80,12 @@
 TEST(CrashRecordTest, OfTwoThatShareBothEndsTheThirdTellsWhichItWas)
 {
     for (const std::uint64_t digest : {1, 2}) {
-        end(digest, 1, 0);
-        end(digest, 2, 4);
+        crash(digest, 1, 0);
+        crash(digest, 2, 4);
     }
     CHECK_TRUE(sent(1, 4.1));
     CHECK_TRUE(sent(2, 4.1));
-    end(1, 3, 8);
+    crash(1, 3, 8);
     CHECK_FALSE(sent(1, 8.1));
     CHECK_TRUE(sent(2, 8.1));
 }
@@ -93,7 +93,7 @@
 TEST(CrashRecordTest, ThirdEndIsRememberedLongAndNotForEver)
 {
     for (const std::uint64_t which : {1, 2, 3}) {
-        end(1, which, 4.0 * static_cast<double>(which));
+        crash(1, which, 4.0 * static_cast<double>(which));
     }
     record.expire(at(3600));
     CHECK_FALSE(sent(1, 3600));
@@ -104,36 +104,36 @@
 
 TEST(CrashRecordTest, RunThatEndsWellOrBadlyClearsARequest)
 {
-    end(1, 1, 0);
-    end(1, 2, 1);
+    crash(1, 1, 0);
+    crash(1, 2, 1);
     record.onRequestCompleted(request(1), at(2));
     CHECK_TRUE(sent(1, 2.1));
-    end(1, 3, 3);
+    crash(1, 3, 3);
     CHECK_TRUE(sent(1, 3.1));
 }
 
 TEST(CrashRecordTest, LateWordOfAnEndBeforeTheClearingChangesNothing)
 {
-    end(1, 1, 0);
+    crash(1, 1, 0);
     record.onRequestCompleted(request(1), at(2));
-    end(1, 2, 1);
-    end(1, 3, 1.5);
+    crash(1, 2, 1);
+    crash(1, 3, 1.5);
     LONGS_EQUAL(0, record.crashCount(request(1)));
 }
 
 // Two copies of a request may be at one upstream when it ends, sent by two gateways.
 TEST(CrashRecordTest, OneEndSeenByTwoGatewaysCountsOnce)
 {
-    end(1, 1, 0);
-    end(1, 1, 0.2);
+    crash(1, 1, 0);
+    crash(1, 1, 0.2);
     LONGS_EQUAL(1, record.crashCount(request(1)));
 }
 
 TEST(CrashRecordTest, UpstreamThatStartedAgainUnderItsIdEndsAgain)
 {
-    end(1, 1, 0);
-    end(1, 1, 4);
-    end(1, 1, 8);
+    crash(1, 1, 0);
+    crash(1, 1, 4);
+    crash(1, 1, 8);
     LONGS_EQUAL(3, record.crashCount(request(1)));
 }
 
@@ -152,14 +152,14 @@
         }
         LONGS_EQUAL(3, gateways.at(3).crashCount(request(1)));
         CHECK_FALSE(gateways.at(3).mayBeSent(request(1), at(3)));
-    } while (std::next_permutation(order.begin(), order.end()));
+    } while (std::next_permutation(order.begin(), order.crash()));
 }
 
 TEST(CrashRecordTest, ClearingReachesThoseThatHeardOfTheEndsBefore)
 {
     CrashRecord other(settings);
-    end(1, 1, 0);
-    end(1, 2, 1);
+    crash(1, 1, 0);
+    crash(1, 2, 1);
     mergeInto(record, other);
     other.onRequestCompleted(request(1), at(2));
     mergeInto(other, record);
@@ -173,7 +173,7 @@
 TEST(CrashRecordTest, WhatIsKnownAlreadyIsNoNews)
 {
     CrashRecord other(settings);
-    end(1, 1, 0);
+    crash(1, 1, 0);
     mergeInto(record, other);
     const std::uint64_t before = record.cursor();
     mergeInto(other, record);
@@ -183,7 +183,7 @@
 TEST(CrashRecordTest, HandsOnWhatChangedSinceInPieces)
 {
     for (std::uint64_t digest = 1; digest <= 5; ++digest) {
-        end(digest, digest, 0);
+        crash(digest, digest, 0);
     }
     const auto first = record.changedSince(0, 3);
     LONGS_EQUAL(3, first.suspects.size());
@@ -191,7 +191,7 @@
     const auto rest = record.changedSince(first.cursor, 3);
     LONGS_EQUAL(2, rest.suspects.size());
     CHECK_FALSE(record.hasChangedSince(rest.cursor));
-    end(1, 9, 5);
+    crash(1, 9, 5);
     LONGS_EQUAL(1, record.changedSince(rest.cursor, 3).suspects.size());
 }
 
@@ -201,7 +201,7 @@
     earlier.seed = 0x7000'0000'0000'0000;
     CrashRecord before(earlier);
     before.onUpstreamCrashed(request(9), kAccount, upstream(9), at(0));
-    end(1, 1, 0);
+    crash(1, 1, 0);
     LONGS_EQUAL(1, record.changedSince(before.cursor(), 10).suspects.size());
 }
 
@@ -209,7 +209,7 @@
 {
     settings.maxEntries = 100;
     record = CrashRecord(settings);
-    end(1, 1, 0);
+    crash(1, 1, 0);
     for (std::uint64_t number = 0; number < 1000; ++number) {
         record.onUpstreamCrashed(request(1000 + number), AccountId("flood"), upstream(number),
                                  at(1));
@@ -223,21 +223,21 @@
     settings.maxEntries = 10;
     record = CrashRecord(settings);
     for (const std::uint64_t which : {1, 2, 3}) {
-        end(1, which, static_cast<double>(which) * 3);
+        crash(1, which, static_cast<double>(which) * 3);
     }
     for (std::uint64_t number = 0; number < 100; ++number) {
-        end(1000 + number, number, 20);
+        crash(1000 + number, number, 20);
     }
     CHECK_FALSE(sent(1, 21));
 }
 
 TEST(CrashRecordTest, MemoryThatIsTurnedOffKeepsNothing)
 {
-    end(1, 1, 0);
-    end(1, 2, 4);
+    crash(1, 1, 0);
+    crash(1, 2, 4);
     record.setRetention({});
     CHECK_TRUE(sent(1, 4.1));
-    end(1, 3, 8);
+    crash(1, 3, 8);
     LONGS_EQUAL(0, record.size());
 }
 
@@ -294,7 +294,7 @@
         while (running.size() < kUpstreams * kSlots - 1) {
             running.push_back(++lastRequest_);
         }
-        std::shuffle(running.begin(), running.end(), random_);
+        std::shuffle(running.begin(), running.crash(), random_);
         return running;
     }
 
@@ -321,7 +321,7 @@
         std::map<std::uint64_t, int> failed;
         for (const std::uint64_t number : running) {
             const auto before = retries_.find(number);
-            const int times = before == retries_.end() ? 1 : before->second + 1;
+            const int times = before == retries_.crash() ? 1 : before->second + 1;
             if (times <= kMaxRepeats) {
                 failed.emplace(number, times);
             }
