--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -50,7 +50,7 @@
         record.onUpstreamCrashed(request(digest), kAccount, upstream(which), at(seconds));
     }
 
-    bool sent(std::uint64_t digest, double seconds)
+    bool allowed(std::uint64_t digest, double seconds)
     {
         return record.mayBeSent(request(digest), at(seconds));
     }
@@ -58,13 +58,13 @@
 
 TEST(CrashRecordTest, RequestThatNothingIsKnownOfIsSent)
 {
-    CHECK_TRUE(sent(1, 0));
+    CHECK_TRUE(allowed(1, 0));
 }
 
 TEST(CrashRecordTest, OneEndProvesNothing)
 {
     crash(1, 1, 0);
-    CHECK_TRUE(sent(1, 0.1));
+    CHECK_TRUE(allowed(1, 0.1));
 }
 
 TEST(CrashRecordTest, TwoEndsThatNoOtherSharesKeepARequestBackForAWhile)
@@ -72,9 +72,9 @@
     crash(1, 1, 0);
     crash(2, 1, 0);
     crash(1, 2, 4);
-    CHECK_FALSE(sent(1, 4.1));
-    CHECK_TRUE(sent(2, 4.1));
-    CHECK_TRUE(sent(1, 65));
+    CHECK_FALSE(allowed(1, 4.1));
+    CHECK_TRUE(allowed(2, 4.1));
+    CHECK_TRUE(allowed(1, 65));
 }
 
 TEST(CrashRecordTest, OfTwoThatShareBothEndsTheThirdTellsWhichItWas)
@@ -83,11 +83,11 @@
         crash(digest, 1, 0);
         crash(digest, 2, 4);
     }
-    CHECK_TRUE(sent(1, 4.1));
-    CHECK_TRUE(sent(2, 4.1));
+    CHECK_TRUE(allowed(1, 4.1));
+    CHECK_TRUE(allowed(2, 4.1));
     crash(1, 3, 8);
-    CHECK_FALSE(sent(1, 8.1));
-    CHECK_TRUE(sent(2, 8.1));
+    CHECK_FALSE(allowed(1, 8.1));
+    CHECK_TRUE(allowed(2, 8.1));
 }
 
 TEST(CrashRecordTest, ThirdEndIsRememberedLongAndNotForEver)
@@ -96,9 +96,9 @@
         crash(1, which, 4.0 * static_cast<double>(which));
     }
     record.expire(at(3600));
-    CHECK_FALSE(sent(1, 3600));
+    CHECK_FALSE(allowed(1, 3600));
     record.expire(at(3700));
-    CHECK_TRUE(sent(1, 3700));
+    CHECK_TRUE(allowed(1, 3700));
     LONGS_EQUAL(0, record.size());
 }
 
@@ -107,9 +107,9 @@
     crash(1, 1, 0);
     crash(1, 2, 1);
     record.onRequestCompleted(request(1), at(2));
-    CHECK_TRUE(sent(1, 2.1));
+    CHECK_TRUE(allowed(1, 2.1));
     crash(1, 3, 3);
-    CHECK_TRUE(sent(1, 3.1));
+    CHECK_TRUE(allowed(1, 3.1));
 }
 
 TEST(CrashRecordTest, LateWordOfAnEndBeforeTheClearingChangesNothing)
@@ -163,7 +163,7 @@
     mergeInto(record, other);
     other.onRequestCompleted(request(1), at(2));
     mergeInto(other, record);
-    CHECK_TRUE(sent(1, 2.1));
+    CHECK_TRUE(allowed(1, 2.1));
     CrashRecord third(settings);
     third.onUpstreamCrashed(request(1), kAccount, upstream(1), at(0));
     mergeInto(third, record);
@@ -228,7 +228,7 @@
     for (std::uint64_t number = 0; number < 100; ++number) {
         crash(1000 + number, number, 20);
     }
-    CHECK_FALSE(sent(1, 21));
+    CHECK_FALSE(allowed(1, 21));
 }
 
 TEST(CrashRecordTest, MemoryThatIsTurnedOffKeepsNothing)
@@ -236,7 +236,7 @@
     crash(1, 1, 0);
     crash(1, 2, 4);
     record.setRetention({});
-    CHECK_TRUE(sent(1, 4.1));
+    CHECK_TRUE(allowed(1, 4.1));
     crash(1, 3, 8);
     LONGS_EQUAL(0, record.size());
 }
