--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -146,9 +146,9 @@
             gateways.at(index).onUpstreamCrashed(request(1), kAccount, upstream(index),
                                                  at(static_cast<double>(index)));
         }
-        for (const int teller : order) {
-            mergeInto(gateways.at(static_cast<std::size_t>(teller)), gateways.at(3));
-            mergeInto(gateways.at(3), gateways.at(static_cast<std::size_t>(teller)));
+        for (const int source : order) {
+            mergeInto(gateways.at(static_cast<std::size_t>(source)), gateways.at(3));
+            mergeInto(gateways.at(3), gateways.at(static_cast<std::size_t>(source)));
         }
         LONGS_EQUAL(3, gateways.at(3).crashCount(request(1)));
         CHECK_FALSE(gateways.at(3).mayBeSent(request(1), at(3)));
