--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -20,7 +20,7 @@
     constexpr std::uint32_t kMaxDoublings = 10;
     State &state = states_[agent];
     ++state.failures;
-    const std::uint32_t allowed = state.ejections == 0 ? settings_.failuresInARow : 1;
+    const std::uint32_t allowed = state.ejections == 0 ? settings_.consecutiveFailures : 1;
     if (state.failures < allowed || now < state.ejectedUntil) {
         return;
     }
--- a/src/decision/retry/outlierdetector.h
+++ b/src/decision/retry/outlierdetector.h
@@ -22,7 +22,7 @@
 public:
     struct Settings
     {
-        std::uint32_t failuresInARow = 3;
+        std::uint32_t consecutiveFailures = 3;
         Duration baseEjection = std::chrono::seconds(2);
         Duration maxEjection = std::chrono::seconds(60);
         double maxEjectedPart = 0.5;
