--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -47,7 +47,7 @@
     }
     const auto count = static_cast<double>(candidates.size());
     const auto floor =
-        static_cast<std::size_t>(std::ceil(count * (1.0 - settings_.maxEjectedPart)));
+        static_cast<std::size_t>(std::ceil(count * (1.0 - settings_.maxEjectedFraction)));
     std::sort(out.begin(), out.end(), [this](const InstanceId &left, const InstanceId &right) {
         return states_.at(left).ejectedUntil < states_.at(right).ejectedUntil;
     });
--- a/src/decision/retry/outlierdetector.h
+++ b/src/decision/retry/outlierdetector.h
@@ -25,7 +25,7 @@
         std::uint32_t consecutiveFailures = 3;
         Duration baseEjection = std::chrono::seconds(2);
         Duration maxEjection = std::chrono::seconds(60);
-        double maxEjectedPart = 0.5;
+        double maxEjectedFraction = 0.5;
     };
 
     OutlierDetector() = default;
@@ -39,7 +39,7 @@
     void forget(const InstanceId &agent);
 
     bool ejected(const InstanceId &agent, TimePoint now) const;
-    // Returns the candidates that remain; at least (1 - maxEjectedPart) of them, rounded up.
+    // Returns the candidates that remain; at least (1 - maxEjectedFraction) of them, rounded up.
     std::vector<InstanceId> remaining(const std::vector<InstanceId> &candidates,
                                       TimePoint now) const;
 
