--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -25,7 +25,7 @@
         return;
     }
     const auto doublings = std::min(state.ejections, kMaxDoublings);
-    const Duration length = settings_.baseEjection * (1LL << doublings);
+    const Duration length = settings_.baseEjectionTime * (1LL << doublings);
     state.ejectedUntil = now + std::min(length, settings_.maxEjection);
     ++state.ejections;
     state.failures = 0;
--- a/src/decision/retry/outlierdetector.h
+++ b/src/decision/retry/outlierdetector.h
@@ -23,7 +23,7 @@
     struct Settings
     {
         std::uint32_t consecutiveFailures = 3;
-        Duration baseEjection = std::chrono::seconds(2);
+        Duration baseEjectionTime = std::chrono::seconds(2);
         Duration maxEjection = std::chrono::seconds(60);
         double maxEjectedFraction = 0.5;
     };
