--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -26,7 +26,7 @@
     }
     const auto doublings = std::min(state.ejections, kMaxDoublings);
     const Duration length = settings_.baseEjectionTime * (1LL << doublings);
-    state.ejectedUntil = now + std::min(length, settings_.maxEjection);
+    state.ejectedUntil = now + std::min(length, settings_.maxEjectionTime);
     ++state.ejections;
     state.failures = 0;
 }
--- a/src/decision/retry/outlierdetector.h
+++ b/src/decision/retry/outlierdetector.h
@@ -24,7 +24,7 @@
     {
         std::uint32_t consecutiveFailures = 3;
         Duration baseEjectionTime = std::chrono::seconds(2);
-        Duration maxEjection = std::chrono::seconds(60);
+        Duration maxEjectionTime = std::chrono::seconds(60);
         double maxEjectedFraction = 0.5;
     };
 
