--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -10,7 +10,7 @@
     states_.erase(agent);
 }
 
-void OutlierDetector::forget(const InstanceId &agent)
+void OutlierDetector::reset(const InstanceId &agent)
 {
     states_.erase(agent);
 }
--- a/src/decision/retry/outlierdetector.h
+++ b/src/decision/retry/outlierdetector.h
@@ -36,7 +36,7 @@
     void onSuccess(const InstanceId &agent);
     void onFailure(const InstanceId &agent, TimePoint now);
     // The agent is a new incarnation: what the old one did does not count.
-    void forget(const InstanceId &agent);
+    void reset(const InstanceId &agent);
 
     bool ejected(const InstanceId &agent, TimePoint now) const;
     // Returns the candidates that remain; at least (1 - maxEjectedFraction) of them, rounded up.
