--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -31,7 +31,7 @@
     state.failures = 0;
 }
 
-bool OutlierDetector::ejected(const InstanceId &agent, TimePoint now) const
+bool OutlierDetector::isEjected(const InstanceId &agent, TimePoint now) const
 {
     const auto found = states_.find(agent);
     return found != states_.end() && now < found->second.ejectedUntil;
@@ -43,7 +43,7 @@
     std::vector<InstanceId> kept;
     std::vector<InstanceId> out;
     for (const InstanceId &agent : candidates) {
-        (ejected(agent, now) ? out : kept).push_back(agent);
+        (isEjected(agent, now) ? out : kept).push_back(agent);
     }
     const auto count = static_cast<double>(candidates.size());
     const auto floor =
--- a/src/decision/retry/outlierdetector.h
+++ b/src/decision/retry/outlierdetector.h
@@ -38,7 +38,7 @@
     // The agent is a new incarnation: what the old one did does not count.
     void reset(const InstanceId &agent);
 
-    bool ejected(const InstanceId &agent, TimePoint now) const;
+    bool isEjected(const InstanceId &agent, TimePoint now) const;
     // Returns the candidates that remain; at least (1 - maxEjectedFraction) of them, rounded up.
     std::vector<InstanceId> remaining(const std::vector<InstanceId> &candidates,
                                       TimePoint now) const;
