--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -405,7 +405,7 @@
 void EntryCore::onFree(const InstanceId &agent, const AgentReport &report, TimePoint now,
                        EntryActions &actions)
 {
-    if (!members_.mayReceive(agent, now) || outliers_.ejected(agent, now)) {
+    if (!members_.mayReceive(agent, now) || outliers_.isEjected(agent, now)) {
         return;
     }
     const Member &member = *members_.find(agent);
