--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -37,8 +37,8 @@
     return found != states_.end() && now < found->second.ejectedUntil;
 }
 
-std::vector<InstanceId> OutlierDetector::remaining(const std::vector<InstanceId> &candidates,
-                                                   TimePoint now) const
+std::vector<InstanceId> OutlierDetector::filterCandidates(const std::vector<InstanceId> &candidates,
+                                                          TimePoint now) const
 {
     std::vector<InstanceId> kept;
     std::vector<InstanceId> out;
--- a/src/decision/retry/outlierdetector.h
+++ b/src/decision/retry/outlierdetector.h
@@ -40,8 +40,8 @@
 
     bool isEjected(const InstanceId &agent, TimePoint now) const;
     // Returns the candidates that remain; at least (1 - maxEjectedFraction) of them, rounded up.
-    std::vector<InstanceId> remaining(const std::vector<InstanceId> &candidates,
-                                      TimePoint now) const;
+    std::vector<InstanceId> filterCandidates(const std::vector<InstanceId> &candidates,
+                                             TimePoint now) const;
 
 private:
     struct State
