--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -219,7 +219,7 @@
         ids.push_back(member->record.id);
     }
     std::vector<RouteCandidate> candidates;
-    for (const InstanceId &id : outliers_.remaining(ids, now)) {
+    for (const InstanceId &id : outliers_.filterCandidates(ids, now)) {
         candidates.push_back(candidateFor(*members_.find(id), request, now));
     }
     const RouteRequest traits{request.request.promptTokens, request.request.answerTokens};
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -141,7 +141,7 @@
     for (const UpstreamRecord *record : candidates) {
         ids.push_back(record->id);
     }
-    const std::vector<InstanceId> trusted = outliers_.remaining(ids, now);
+    const std::vector<InstanceId> trusted = outliers_.filterCandidates(ids, now);
     const auto isDoubtful = [&](const UpstreamRecord *record) {
         const auto state = states_.find(record->id);
         const bool avoided = state != states_.end() && state->second.avoidUntil > now;
