--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -41,17 +41,18 @@
                                                           TimePoint now) const
 {
     std::vector<InstanceId> kept;
-    std::vector<InstanceId> out;
+    std::vector<InstanceId> ejected;
     for (const InstanceId &agent : candidates) {
-        (isEjected(agent, now) ? out : kept).push_back(agent);
+        (isEjected(agent, now) ? ejected : kept).push_back(agent);
     }
     const auto count = static_cast<double>(candidates.size());
     const auto floor =
         static_cast<std::size_t>(std::ceil(count * (1.0 - settings_.maxEjectedFraction)));
-    std::sort(out.begin(), out.end(), [this](const InstanceId &left, const InstanceId &right) {
-        return states_.at(left).ejectedUntil < states_.at(right).ejectedUntil;
-    });
-    for (const InstanceId &agent : out) {
+    std::sort(ejected.begin(), ejected.end(),
+              [this](const InstanceId &left, const InstanceId &right) {
+                  return states_.at(left).ejectedUntil < states_.at(right).ejectedUntil;
+              });
+    for (const InstanceId &agent : ejected) {
         if (kept.size() >= floor) {
             break;
         }
