--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -25,8 +25,8 @@
         return;
     }
     const auto doublings = std::min(state.ejections, kMaxDoublings);
-    const Duration length = settings_.baseEjectionTime * (1LL << doublings);
-    state.ejectedUntil = now + std::min(length, settings_.maxEjectionTime);
+    const Duration duration = settings_.baseEjectionTime * (1LL << doublings);
+    state.ejectedUntil = now + std::min(duration, settings_.maxEjectionTime);
     ++state.ejections;
     state.failures = 0;
 }
