--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -46,14 +46,14 @@
         (isEjected(agent, now) ? ejected : kept).push_back(agent);
     }
     const auto count = static_cast<double>(candidates.size());
-    const auto floor =
+    const auto minKept =
         static_cast<std::size_t>(std::ceil(count * (1.0 - settings_.maxEjectedFraction)));
     std::sort(ejected.begin(), ejected.end(),
               [this](const InstanceId &left, const InstanceId &right) {
                   return states_.at(left).ejectedUntil < states_.at(right).ejectedUntil;
               });
     for (const InstanceId &agent : ejected) {
-        if (kept.size() >= floor) {
+        if (kept.size() >= minKept) {
             break;
         }
         kept.push_back(agent);
