--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -20,8 +20,8 @@
     constexpr std::uint32_t kMaxDoublings = 10;
     State &state = states_[agent];
     ++state.failures;
-    const std::uint32_t allowed = state.ejections == 0 ? settings_.consecutiveFailures : 1;
-    if (state.failures < allowed || now < state.ejectedUntil) {
+    const std::uint32_t threshold = state.ejections == 0 ? settings_.consecutiveFailures : 1;
+    if (state.failures < threshold || now < state.ejectedUntil) {
         return;
     }
     const auto doublings = std::min(state.ejections, kMaxDoublings);
