--- a/src/decision/retry/retrybudget.cpp
+++ b/src/decision/retry/retrybudget.cpp
@@ -6,7 +6,7 @@
 
 void RetryBudget::onSuccess()
 {
-    permits_ = std::min(settings_.maxPermits, permits_ + settings_.perSuccess);
+    permits_ = std::min(settings_.maxPermits, permits_ + settings_.permitsPerSuccess);
 }
 
 bool RetryBudget::take()
--- a/src/decision/retry/retrybudget.h
+++ b/src/decision/retry/retrybudget.h
@@ -14,7 +14,7 @@
 public:
     struct Settings
     {
-        double perSuccess = 0.1; // Permits that each first attempt that succeeds earns.
+        double permitsPerSuccess = 0.1; // Permits that each first attempt that succeeds earns.
         double maxPermits = 20.0;
         double initialPermits = 5.0;
     };
