--- a/src/decision/retry/retrybudget.h
+++ b/src/decision/retry/retrybudget.h
@@ -26,7 +26,7 @@
     {}
 
     // Changes what is earned from now on; permits over the new most are lost.
-    void change(const Settings &settings)
+    void reconfigure(const Settings &settings)
     {
         settings_ = settings;
         permits_ = std::min(permits_, settings_.maxPermits);
