--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -72,7 +72,7 @@
 {
     settings_.retries = limits;
     for (auto &[service, budget] : budgets_) {
-        budget.change(ownBudget());
+        budget.reconfigure(ownBudget());
     }
 }
 
