--- a/src/decision/retry/retrybudget.h
+++ b/src/decision/retry/retrybudget.h
@@ -32,7 +32,7 @@
         permits_ = std::min(permits_, settings_.maxPermits);
     }
     void onSuccess();
-    bool available() const { return permits_ >= 1.0; }
+    bool hasPermit() const { return permits_ >= 1.0; }
     // Takes a permit. Returns false when none is left.
     bool take();
 
