--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -157,7 +157,7 @@
 {
     return mayRepeat(request) && mayBeSent(request, now)
            && request.attempts < request.request.route->maxAttempts
-           && budgets_.at(request.service).available()
+           && budgets_.at(request.service).hasPermit()
            && chooseFor(request, std::nullopt, now).has_value();
 }
 
