--- a/src/decision/retry/retrybudget.cpp
+++ b/src/decision/retry/retrybudget.cpp
@@ -9,7 +9,7 @@
     permits_ = std::min(settings_.maxPermits, permits_ + settings_.permitsPerSuccess);
 }
 
-bool RetryBudget::take()
+bool RetryBudget::tryAcquire()
 {
     if (permits_ < 1.0) {
         return false;
--- a/src/decision/retry/retrybudget.h
+++ b/src/decision/retry/retrybudget.h
@@ -34,7 +34,7 @@
     void onSuccess();
     bool hasPermit() const { return permits_ >= 1.0; }
     // Takes a permit. Returns false when none is left.
-    bool take();
+    bool tryAcquire();
 
 private:
     Settings settings_;
