--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -295,7 +295,7 @@
     const bool mayRetry =
         !bound && request->attempts < settings_.maxAttempts && now < request->deadline;
     const Choice choice = mayRetry ? choose(*request, now) : Choice();
-    if (!choice.agent || !budget_.take()) {
+    if (!choice.agent || !budget_.tryAcquire()) {
         fail(id, failure, Outcome::NotRun, retryAfter, actions);
         return;
     }
--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -352,7 +352,7 @@
     Request &request = requests_.at(number);
     const bool allowed =
         request.attempts < request.request.route->maxAttempts && mayBeSent(request, now);
-    if (allowed && budgets_.at(request.service).take()
+    if (allowed && budgets_.at(request.service).tryAcquire()
         && startAgain(number, request, now, actions)) {
         ++secondAttempts_;
         return;
@@ -488,7 +488,7 @@
             return;
         }
     }
-    if (!budgets_.at(request.service).take()) {
+    if (!budgets_.at(request.service).tryAcquire()) {
         return;
     }
     chooser_.onFailure(request.upstream, now);
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -129,7 +129,7 @@
         Request &request = requests_.at(number);
         request.waits = false;
         service.started.push_back(now);
-        const bool allowed = !request.sentBefore || budgets_.at(request.service).take();
+        const bool allowed = !request.sentBefore || budgets_.at(request.service).tryAcquire();
         if (allowed) {
             startOrWait(number, request, group, now, actions);
         } else {
