--- a/src/decision/admission/tokenbucket.cpp
+++ b/src/decision/admission/tokenbucket.cpp
@@ -38,7 +38,7 @@
     permits_ = std::min(permits_, burst);
 }
 
-std::optional<Duration> TokenBucket::take(TimePoint now)
+std::optional<Duration> TokenBucket::tryAcquire(TimePoint now)
 {
     refill(now);
     if (permits_ >= 1.0) {
@@ -69,7 +69,7 @@
     if (!added) {
         bucket->second.setRate(rate, burstFor(rate), now);
     }
-    return bucket->second.take(now);
+    return bucket->second.tryAcquire(now);
 }
 
 } // namespace seamarch
--- a/src/decision/admission/tokenbucket.h
+++ b/src/decision/admission/tokenbucket.h
@@ -26,7 +26,7 @@
     // Changes the rate and the burst; what has been saved up to now is kept.
     void setRate(double permitsPerSecond, double burst, TimePoint now);
     // Takes one permit. Returns how long to wait when there is none.
-    std::optional<Duration> take(TimePoint now);
+    std::optional<Duration> tryAcquire(TimePoint now);
 
 private:
     void refill(TimePoint now);
