--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -30,7 +30,7 @@
     book.askers[asker] = now;
     PermitAnswer answer;
     while (answer.granted < wanted) {
-        if (const auto wait = book.bucket.take(now)) {
+        if (const auto wait = book.bucket.tryAcquire(now)) {
             const auto askers = static_cast<Duration::rep>(book.askers.size());
             answer.askAgain = std::max(*wait, settings_.pausePerAsker * askers);
             return answer;
