--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -60,7 +60,7 @@
     const auto entries =
         std::count_if(list.instances.begin(), list.instances.end(),
                       [](const InstanceRecord &each) { return each.role == InstanceRole::Entry; });
-    limiter_.setPart(1.0 / static_cast<double>(std::max<std::ptrdiff_t>(1, entries)));
+    limiter_.setShare(1.0 / static_cast<double>(std::max<std::ptrdiff_t>(1, entries)));
 }
 
 void EntryCore::onReport(const InstanceId &agent, const AgentReport &report, TimePoint askedAt,
