--- a/src/decision/admission/tokenbucket.cpp
+++ b/src/decision/admission/tokenbucket.cpp
@@ -64,7 +64,7 @@
     if (limit == limits_.end()) {
         return std::nullopt;
     }
-    const double rate = limit->second * part_;
+    const double rate = limit->second * share_;
     const auto [bucket, added] = buckets_.try_emplace(account, rate, burstFor(rate), now);
     if (!added) {
         bucket->second.setRate(rate, burstFor(rate), now);
--- a/src/decision/admission/tokenbucket.h
+++ b/src/decision/admission/tokenbucket.h
@@ -44,14 +44,14 @@
     // Sets an account's limit over all entries; zero removes it.
     void setLimit(const AccountId &account, double requestsPerSecond);
     // Sets the part of each limit that this entry holds, from 0 to 1.
-    void setShare(double part) { part_ = part; }
+    void setShare(double part) { share_ = part; }
     // Admits a request. Returns how long to wait when the account is over its limit.
     std::optional<Duration> admit(const AccountId &account, TimePoint now);
 
 private:
     std::unordered_map<AccountId, double> limits_;
     std::unordered_map<AccountId, TokenBucket> buckets_;
-    double part_ = 1.0;
+    double share_ = 1.0;
 };
 
 } // namespace seamarch
