--- a/src/decision/admission/tokenbucket.h
+++ b/src/decision/admission/tokenbucket.h
@@ -44,7 +44,7 @@
     // Sets an account's limit over all entries; zero removes it.
     void setLimit(const AccountId &account, double requestsPerSecond);
     // Sets the part of each limit that this entry holds, from 0 to 1.
-    void setShare(double part) { share_ = part; }
+    void setShare(double share) { share_ = share; }
     // Admits a request. Returns how long to wait when the account is over its limit.
     std::optional<Duration> admit(const AccountId &account, TimePoint now);
 
