--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "decision/dispatch/agentcore.h"
-#include "decision/rollout/turns.h"
+#include "decision/rollout/reloadgrants.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
--- a/src/decision/rollout/turns.cpp
+++ b/src/decision/rollout/turns.cpp
@@ -1,4 +1,4 @@
-#include "decision/rollout/turns.h"
+#include "decision/rollout/reloadgrants.h"
 
 #include <algorithm>
 
