--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -26,7 +26,7 @@
         EventLoop &loop;
         RawTransport &transport;
         AgentCore &core;
-        TurnBook &book;
+        ReloadGranter &book;
         TurnTaker &taker;
         InstanceId self;
         Incarnation incarnation;
--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -4,7 +4,7 @@
 
 namespace seamarch {
 
-void TurnBook::setPool(const MemberSet &members, std::uint32_t atOnce)
+void ReloadGranter::setPool(const MemberSet &members, std::uint32_t atOnce)
 {
     members_ = members;
     atOnce_ = atOnce;
@@ -15,7 +15,7 @@
     std::erase_if(given_, unlisted);
 }
 
-void TurnBook::learn(const InstanceId &member, const TurnState &state)
+void ReloadGranter::learn(const InstanceId &member, const TurnState &state)
 {
     heard_[member] = state.incarnation;
     const auto given = given_.find(member);
@@ -31,14 +31,14 @@
     }
 }
 
-bool TurnBook::ready() const
+bool ReloadGranter::ready() const
 {
     return std::all_of(
         members_.members.begin(), members_.members.end(),
         [this](const InstanceId &member) { return member == self_ || heard_.contains(member); });
 }
 
-bool TurnBook::give(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
+bool ReloadGranter::give(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
 {
     const auto held = given_.find(asker);
     const bool same = held != given_.end() && held->second.incarnation == incarnation
@@ -59,7 +59,7 @@
     return true;
 }
 
-void TurnBook::release(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
+void ReloadGranter::release(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
 {
     const auto held = given_.find(asker);
     if (held != given_.end() && held->second.incarnation == incarnation
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -37,10 +37,10 @@
 };
 
 // The granter's side.
-class TurnBook
+class ReloadGranter
 {
 public:
-    explicit TurnBook(InstanceId self)
+    explicit ReloadGranter(InstanceId self)
         : self_(std::move(self))
     {}
 
--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -70,7 +70,7 @@
 
     struct Agent
     {
-        std::unique_ptr<TurnBook> book;
+        std::unique_ptr<ReloadGranter> book;
         std::unique_ptr<TurnTaker> taker;
         Incarnation life;
         bool down = false;     // Of the upstream; outlives the agent.
@@ -98,7 +98,7 @@
     {
         Agent &agent = agents_[index];
         agent.life = Incarnation(++lives_);
-        agent.book = std::make_unique<TurnBook>(name(index));
+        agent.book = std::make_unique<ReloadGranter>(name(index));
         agent.book->setPool(members_, kAtOnce);
         agent.taker = std::make_unique<TurnTaker>();
         agent.taker->setPool(members_);
@@ -273,7 +273,7 @@
 {
     // Found by seed 457: two replaced members each heard of three askers with a part of the turns,
     // and gave all three what they seemed to have already.
-    TurnBook book(InstanceId("a"));
+    ReloadGranter book(InstanceId("a"));
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
     book.learn(InstanceId("b"), {Incarnation(1), 0, true});
     book.learn(InstanceId("c"), {Incarnation(2), 0, true});
@@ -299,7 +299,7 @@
 
 TEST(TurnsTest, NewLifeGivesNothingUntilAllAreHeard)
 {
-    TurnBook book(InstanceId("a"));
+    ReloadGranter book(InstanceId("a"));
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
     book.learn(InstanceId("b"), {Incarnation(1), 0, true});
 
@@ -312,7 +312,7 @@
 
 TEST(TurnsTest, LateWordOfAnOlderTurnDoesNotEndANewerOne)
 {
-    TurnBook book(InstanceId("a"));
+    ReloadGranter book(InstanceId("a"));
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
     book.learn(InstanceId("b"), {Incarnation(1), 1, false});
     book.give(InstanceId("b"), Incarnation(1), 2);
