--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -27,7 +27,7 @@
         RawTransport &transport;
         AgentCore &core;
         ReloadGranter &book;
-        TurnTaker &taker;
+        ReloadRequester &taker;
         InstanceId self;
         Incarnation incarnation;
         HallId hall;
--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -68,13 +68,13 @@
     }
 }
 
-void TurnTaker::setPool(const MemberSet &members)
+void ReloadRequester::setPool(const MemberSet &members)
 {
     // Turns of members that are no longer listed do no harm; those of new ones are still to be got.
     members_ = members;
 }
 
-std::optional<InstanceId> TurnTaker::next() const
+std::optional<InstanceId> ReloadRequester::next() const
 {
     if (!wanted_) {
         return std::nullopt;
@@ -87,19 +87,19 @@
     return std::nullopt;
 }
 
-void TurnTaker::onGiven(const InstanceId &member)
+void ReloadRequester::onGiven(const InstanceId &member)
 {
     if (wanted_) {
         held_.insert(member);
     }
 }
 
-bool TurnTaker::holdsAll() const
+bool ReloadRequester::holdsAll() const
 {
     return wanted_ && !members_.members.empty() && !next();
 }
 
-std::set<InstanceId> TurnTaker::done()
+std::set<InstanceId> ReloadRequester::done()
 {
     wanted_ = false;
     ++released_;
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -74,7 +74,7 @@
 };
 
 // The asker's side: collects turns in order and knows when all are held.
-class TurnTaker
+class ReloadRequester
 {
 public:
     void setPool(const MemberSet &members);
--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -71,7 +71,7 @@
     struct Agent
     {
         std::unique_ptr<ReloadGranter> book;
-        std::unique_ptr<TurnTaker> taker;
+        std::unique_ptr<ReloadRequester> taker;
         Incarnation life;
         bool down = false;     // Of the upstream; outlives the agent.
         bool reloaded = false; // Of the upstream.
@@ -100,7 +100,7 @@
         agent.life = Incarnation(++lives_);
         agent.book = std::make_unique<ReloadGranter>(name(index));
         agent.book->setPool(members_, kAtOnce);
-        agent.taker = std::make_unique<TurnTaker>();
+        agent.taker = std::make_unique<ReloadRequester>();
         agent.taker->setPool(members_);
         if (fault_ == PlantedFault::ForgetBook) {
             for (std::size_t other = 0; other < kAgents; ++other) {
