--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -15,7 +15,7 @@
     std::erase_if(given_, unlisted);
 }
 
-void ReloadGranter::learn(const InstanceId &member, const TurnState &state)
+void ReloadGranter::learn(const InstanceId &member, const ReloadGrantState &state)
 {
     heard_[member] = state.incarnation;
     const auto given = given_.find(member);
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -29,7 +29,7 @@
 namespace seamarch {
 
 // How an asker stands.
-struct TurnState
+struct ReloadGrantState
 {
     Incarnation incarnation;
     std::uint64_t released = 0; // All its turns up to this number are given back.
@@ -47,7 +47,7 @@
     // Takes the members of the pool and how many may hold a turn at once.
     void setPool(const MemberSet &members, std::uint32_t atOnce);
     // A member has told how it stands.
-    void learn(const InstanceId &member, const TurnState &state);
+    void learn(const InstanceId &member, const ReloadGrantState &state);
     // Asks for a turn. Giving it again to its holder is not a second turn.
     bool give(const InstanceId &asker, Incarnation incarnation, std::uint64_t number);
     // The holder gives all turns up to `number` back. A late message about an older turn does not
@@ -81,7 +81,10 @@
     // Starts to collect turns; nothing changes when it has started already.
     void want() { wanted_ = true; }
     // Returns how this agent stands, for the other members.
-    TurnState state(Incarnation incarnation) const { return {incarnation, released_, holdsAny()}; }
+    ReloadGrantState state(Incarnation incarnation) const
+    {
+        return {incarnation, released_, holdsAny()};
+    }
     // Returns the number of the turn that is wanted.
     std::uint64_t number() const { return released_ + 1; }
     // Returns the member to ask next; nothing when no turn is wanted or all are held.
--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -148,7 +148,7 @@
     {
         const Agent &agent = agents_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
-            TurnState state = agent.taker->state(agent.life);
+            ReloadGrantState state = agent.taker->state(agent.life);
             // With either of these faults nobody tells the turns that it holds.
             state.holds = state.holds && fault_ != PlantedFault::ForgetBook
                           && fault_ != PlantedFault::ExpireTurns;
@@ -225,7 +225,7 @@
 
     void releaseAt(std::size_t to, std::size_t index)
     {
-        const TurnState state = agents_[index].taker->state(agents_[index].life);
+        const ReloadGrantState state = agents_[index].taker->state(agents_[index].life);
         send(to, agents_[to].life, [this, to, index, state] {
             agents_[to].book->release(name(index), state.incarnation, state.released);
         });
