--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -253,9 +253,9 @@
 
 } // namespace
 
-TEST_GROUP(TurnsTest){};
+TEST_GROUP(ReloadGrantsTest){};
 
-TEST(TurnsTest, KeepsTheFloorOverManySchedules)
+TEST(ReloadGrantsTest, KeepsTheFloorOverManySchedules)
 {
     int through = 0;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
@@ -269,7 +269,7 @@
     CHECK_EQUAL(500, through);
 }
 
-TEST(TurnsTest, TurnsThatWereOnlyHeardOfAreNoRoomForMore)
+TEST(ReloadGrantsTest, TurnsThatWereOnlyHeardOfAreNoRoomForMore)
 {
     // Found by seed 457: two replaced members each heard of three askers with a part of the turns,
     // and gave all three what they seemed to have already.
@@ -282,22 +282,22 @@
     CHECK_FALSE(book.give(InstanceId("c"), Incarnation(2), 1));
 }
 
-TEST(TurnsTest, CheckerCatchesABookThatIsForgotten)
+TEST(ReloadGrantsTest, CheckerCatchesABookThatIsForgotten)
 {
     CHECK(caught(PlantedFault::ForgetBook));
 }
 
-TEST(TurnsTest, CheckerCatchesTurnsOfSomeMembersOnly)
+TEST(ReloadGrantsTest, CheckerCatchesTurnsOfSomeMembersOnly)
 {
     CHECK(caught(PlantedFault::AskNotAll));
 }
 
-TEST(TurnsTest, CheckerCatchesTurnsThatExpire)
+TEST(ReloadGrantsTest, CheckerCatchesTurnsThatExpire)
 {
     CHECK(caught(PlantedFault::ExpireTurns));
 }
 
-TEST(TurnsTest, NewLifeGivesNothingUntilAllAreHeard)
+TEST(ReloadGrantsTest, NewLifeGivesNothingUntilAllAreHeard)
 {
     ReloadGranter book(InstanceId("a"));
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
@@ -310,7 +310,7 @@
     CHECK(book.give(InstanceId("c"), Incarnation(2), 1));
 }
 
-TEST(TurnsTest, LateWordOfAnOlderTurnDoesNotEndANewerOne)
+TEST(ReloadGrantsTest, LateWordOfAnOlderTurnDoesNotEndANewerOne)
 {
     ReloadGranter book(InstanceId("a"));
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
