--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -27,7 +27,7 @@
     }
     // An earlier life of this agent may have given the turn.
     if (state.holds) {
-        given_.try_emplace(member, Given{state.incarnation, state.released + 1, true});
+        given_.try_emplace(member, Grant{state.incarnation, state.released + 1, true});
     }
 }
 
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -63,14 +63,14 @@
     MemberSet members_;
     std::uint32_t atOnce_ = 1;
     std::map<InstanceId, Incarnation> heard_;
-    struct Given
+    struct Grant
     {
         Incarnation incarnation;
         std::uint64_t number = 0;
         bool heardOf = false; // Told by its holder; this life has not given it.
     };
 
-    std::map<InstanceId, Given> given_;
+    std::map<InstanceId, Grant> given_;
 };
 
 // The asker's side: collects turns in order and knows when all are held.
