--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -56,7 +56,7 @@
 
     // Tells whether every other member has been heard, so that turns may be given.
     bool ready() const;
-    std::size_t given() const { return given_.size(); }
+    std::size_t grantCount() const { return given_.size(); }
 
 private:
     InstanceId self_;
