--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -320,5 +320,5 @@
     book.release(InstanceId("b"), Incarnation(1), 1);
     book.learn(InstanceId("b"), {Incarnation(1), 1, false});
 
-    CHECK_EQUAL(1U, book.given());
+    CHECK_EQUAL(1U, book.grantCount());
 }
