--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -18,12 +18,12 @@
 void ReloadGranter::learn(const InstanceId &member, const ReloadGrantState &state)
 {
     heard_[member] = state.incarnation;
-    const auto given = given_.find(member);
-    const bool over = given != given_.end()
-                      && (given->second.incarnation != state.incarnation
-                          || given->second.number <= state.released);
+    const auto grant = given_.find(member);
+    const bool over = grant != given_.end()
+                      && (grant->second.incarnation != state.incarnation
+                          || grant->second.number <= state.released);
     if (over) {
-        given_.erase(given);
+        given_.erase(grant);
     }
     // An earlier life of this agent may have given the turn.
     if (state.holds) {
