--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -38,7 +38,7 @@
         [this](const InstanceId &member) { return member == self_ || heard_.contains(member); });
 }
 
-bool ReloadGranter::give(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
+bool ReloadGranter::tryGrant(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
 {
     const auto held = given_.find(asker);
     const bool same = held != given_.end() && held->second.incarnation == incarnation
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -49,7 +49,7 @@
     // A member has told how it stands.
     void learn(const InstanceId &member, const ReloadGrantState &state);
     // Asks for a turn. Giving it again to its holder is not a second turn.
-    bool give(const InstanceId &asker, Incarnation incarnation, std::uint64_t number);
+    bool tryGrant(const InstanceId &asker, Incarnation incarnation, std::uint64_t number);
     // The holder gives all turns up to `number` back. A late message about an older turn does not
     // end a newer one.
     void release(const InstanceId &asker, Incarnation incarnation, std::uint64_t number);
--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -172,7 +172,7 @@
         const Incarnation granter = agents_[to].life;
         const std::uint64_t number = agent.taker->number();
         send(to, granter, [this, index, to, life, granter, number] {
-            if (!agents_[to].book->give(name(index), life, number)) {
+            if (!agents_[to].book->tryGrant(name(index), life, number)) {
                 return;
             }
             send(index, life, [this, index, to, granter] {
@@ -278,8 +278,8 @@
     book.learn(InstanceId("b"), {Incarnation(1), 0, true});
     book.learn(InstanceId("c"), {Incarnation(2), 0, true});
 
-    CHECK_FALSE(book.give(InstanceId("b"), Incarnation(1), 1));
-    CHECK_FALSE(book.give(InstanceId("c"), Incarnation(2), 1));
+    CHECK_FALSE(book.tryGrant(InstanceId("b"), Incarnation(1), 1));
+    CHECK_FALSE(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
 }
 
 TEST(ReloadGrantsTest, CheckerCatchesABookThatIsForgotten)
@@ -303,11 +303,11 @@
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
     book.learn(InstanceId("b"), {Incarnation(1), 0, true});
 
-    CHECK_FALSE(book.give(InstanceId("c"), Incarnation(2), 1));
+    CHECK_FALSE(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
     book.learn(InstanceId("c"), {Incarnation(2), 0, false});
-    CHECK_FALSE(book.give(InstanceId("c"), Incarnation(2), 1));
+    CHECK_FALSE(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
     book.release(InstanceId("b"), Incarnation(1), 1);
-    CHECK(book.give(InstanceId("c"), Incarnation(2), 1));
+    CHECK(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
 }
 
 TEST(ReloadGrantsTest, LateWordOfAnOlderTurnDoesNotEndANewerOne)
@@ -315,7 +315,7 @@
     ReloadGranter book(InstanceId("a"));
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
     book.learn(InstanceId("b"), {Incarnation(1), 1, false});
-    book.give(InstanceId("b"), Incarnation(1), 2);
+    book.tryGrant(InstanceId("b"), Incarnation(1), 2);
 
     book.release(InstanceId("b"), Incarnation(1), 1);
     book.learn(InstanceId("b"), {Incarnation(1), 1, false});
