--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -108,8 +108,8 @@
     {
         const auto params = context.getParams();
         context.getResults().setGiven(
-            service_.turnBook_.give(InstanceId(toString(params.getInstance())),
-                                    Incarnation(params.getIncarnation()), params.getNumber()));
+            service_.turnBook_.tryGrant(InstanceId(toString(params.getInstance())),
+                                        Incarnation(params.getIncarnation()), params.getNumber()));
         return kj::READY_NOW;
     }
 
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -75,7 +75,7 @@
         return;
     }
     if (*member == context_.self) {
-        if (context_.book.give(context_.self, context_.incarnation, context_.taker.number())) {
+        if (context_.book.tryGrant(context_.self, context_.incarnation, context_.taker.number())) {
             context_.taker.onGiven(context_.self);
             askTurn();
         }
