--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -12,22 +12,22 @@
         return !std::binary_search(members_.members.begin(), members_.members.end(), entry.first);
     };
     std::erase_if(heard_, unlisted);
-    std::erase_if(given_, unlisted);
+    std::erase_if(grants_, unlisted);
 }
 
 void ReloadGranter::learn(const InstanceId &member, const ReloadGrantState &state)
 {
     heard_[member] = state.incarnation;
-    const auto grant = given_.find(member);
-    const bool over = grant != given_.end()
+    const auto grant = grants_.find(member);
+    const bool over = grant != grants_.end()
                       && (grant->second.incarnation != state.incarnation
                           || grant->second.number <= state.released);
     if (over) {
-        given_.erase(grant);
+        grants_.erase(grant);
     }
     // An earlier life of this agent may have given the turn.
     if (state.holds) {
-        given_.try_emplace(member, Grant{state.incarnation, state.released + 1, true});
+        grants_.try_emplace(member, Grant{state.incarnation, state.released + 1, true});
     }
 }
 
@@ -40,8 +40,8 @@
 
 bool ReloadGranter::tryGrant(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
 {
-    const auto held = given_.find(asker);
-    const bool same = held != given_.end() && held->second.incarnation == incarnation
+    const auto held = grants_.find(asker);
+    const bool same = held != grants_.end() && held->second.incarnation == incarnation
                       && held->second.number == number;
     if (same && !held->second.heardOf) {
         return true;
@@ -51,20 +51,20 @@
     }
     // What was only heard of counts as a turn of its holder, and is given only if there is room:
     // each of several askers may have a part of the turns from earlier lives.
-    const std::size_t others = given_.size() - (held == given_.end() ? 0 : 1);
+    const std::size_t others = grants_.size() - (held == grants_.end() ? 0 : 1);
     if (others >= atOnce_) {
         return false;
     }
-    given_[asker] = {incarnation, number, false};
+    grants_[asker] = {incarnation, number, false};
     return true;
 }
 
 void ReloadGranter::release(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
 {
-    const auto held = given_.find(asker);
-    if (held != given_.end() && held->second.incarnation == incarnation
+    const auto held = grants_.find(asker);
+    if (held != grants_.end() && held->second.incarnation == incarnation
         && held->second.number <= number) {
-        given_.erase(held);
+        grants_.erase(held);
     }
 }
 
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -56,7 +56,7 @@
 
     // Tells whether every other member has been heard, so that turns may be given.
     bool ready() const;
-    std::size_t grantCount() const { return given_.size(); }
+    std::size_t grantCount() const { return grants_.size(); }
 
 private:
     InstanceId self_;
@@ -70,7 +70,7 @@
         bool heardOf = false; // Told by its holder; this life has not given it.
     };
 
-    std::map<InstanceId, Grant> given_;
+    std::map<InstanceId, Grant> grants_;
 };
 
 // The asker's side: collects turns in order and knows when all are held.
