--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -11,13 +11,13 @@
     const auto unlisted = [this](const auto &entry) {
         return !std::binary_search(members_.members.begin(), members_.members.end(), entry.first);
     };
-    std::erase_if(heard_, unlisted);
+    std::erase_if(reported_, unlisted);
     std::erase_if(grants_, unlisted);
 }
 
 void ReloadGranter::learn(const InstanceId &member, const ReloadGrantState &state)
 {
-    heard_[member] = state.incarnation;
+    reported_[member] = state.incarnation;
     const auto grant = grants_.find(member);
     const bool over = grant != grants_.end()
                       && (grant->second.incarnation != state.incarnation
@@ -35,7 +35,7 @@
 {
     return std::all_of(
         members_.members.begin(), members_.members.end(),
-        [this](const InstanceId &member) { return member == self_ || heard_.contains(member); });
+        [this](const InstanceId &member) { return member == self_ || reported_.contains(member); });
 }
 
 bool ReloadGranter::tryGrant(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -62,7 +62,7 @@
     InstanceId self_;
     MemberSet members_;
     std::uint32_t atOnce_ = 1;
-    std::map<InstanceId, Incarnation> heard_;
+    std::map<InstanceId, Incarnation> reported_;
     struct Grant
     {
         Incarnation incarnation;
