--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -43,7 +43,7 @@
     const auto held = grants_.find(asker);
     const bool same = held != grants_.end() && held->second.incarnation == incarnation
                       && held->second.number == number;
-    if (same && !held->second.heardOf) {
+    if (same && !held->second.fromReport) {
         return true;
     }
     if (!ready()) {
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -67,7 +67,7 @@
     {
         Incarnation incarnation;
         std::uint64_t number = 0;
-        bool heardOf = false; // Told by its holder; this life has not given it.
+        bool fromReport = false; // Told by its holder; this life has not given it.
     };
 
     std::map<InstanceId, Grant> grants_;
