--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -15,7 +15,7 @@
     std::erase_if(grants_, unlisted);
 }
 
-void ReloadGranter::learn(const InstanceId &member, const ReloadGrantState &state)
+void ReloadGranter::onMemberState(const InstanceId &member, const ReloadGrantState &state)
 {
     reported_[member] = state.incarnation;
     const auto grant = grants_.find(member);
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -47,7 +47,7 @@
     // Takes the members of the pool and how many may hold a turn at once.
     void setPool(const MemberSet &members, std::uint32_t atOnce);
     // A member has told how it stands.
-    void learn(const InstanceId &member, const ReloadGrantState &state);
+    void onMemberState(const InstanceId &member, const ReloadGrantState &state);
     // Asks for a turn. Giving it again to its holder is not a second turn.
     bool tryGrant(const InstanceId &asker, Incarnation incarnation, std::uint64_t number);
     // The holder gives all turns up to `number` back. A late message about an older turn does not
--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -104,7 +104,7 @@
         agent.taker->setPool(members_);
         if (fault_ == PlantedFault::ForgetBook) {
             for (std::size_t other = 0; other < kAgents; ++other) {
-                agent.book->learn(name(other), {agents_[other].life, 0, false});
+                agent.book->onMemberState(name(other), {agents_[other].life, 0, false});
             }
         }
         if (agent.down) {
@@ -154,7 +154,7 @@
                           && fault_ != PlantedFault::ExpireTurns;
             send(other, agents_[other].life, [this, index, other, life = agent.life, state] {
                 if (agents_[index].life == life) {
-                    agents_[other].book->learn(name(index), state);
+                    agents_[other].book->onMemberState(name(index), state);
                 }
             });
         }
@@ -275,8 +275,8 @@
     // and gave all three what they seemed to have already.
     ReloadGranter book(InstanceId("a"));
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
-    book.learn(InstanceId("b"), {Incarnation(1), 0, true});
-    book.learn(InstanceId("c"), {Incarnation(2), 0, true});
+    book.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
+    book.onMemberState(InstanceId("c"), {Incarnation(2), 0, true});
 
     CHECK_FALSE(book.tryGrant(InstanceId("b"), Incarnation(1), 1));
     CHECK_FALSE(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
@@ -301,10 +301,10 @@
 {
     ReloadGranter book(InstanceId("a"));
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
-    book.learn(InstanceId("b"), {Incarnation(1), 0, true});
+    book.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
 
     CHECK_FALSE(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
-    book.learn(InstanceId("c"), {Incarnation(2), 0, false});
+    book.onMemberState(InstanceId("c"), {Incarnation(2), 0, false});
     CHECK_FALSE(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
     book.release(InstanceId("b"), Incarnation(1), 1);
     CHECK(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
@@ -314,11 +314,11 @@
 {
     ReloadGranter book(InstanceId("a"));
     book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
-    book.learn(InstanceId("b"), {Incarnation(1), 1, false});
+    book.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
     book.tryGrant(InstanceId("b"), Incarnation(1), 2);
 
     book.release(InstanceId("b"), Incarnation(1), 1);
-    book.learn(InstanceId("b"), {Incarnation(1), 1, false});
+    book.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
 
     CHECK_EQUAL(1U, book.grantCount());
 }
