--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -125,9 +125,9 @@
     {
         const auto params = context.getParams();
         const std::uint64_t set = params.getMemberSet();
-        service_.turnBook_.learn(InstanceId(toString(params.getInstance())),
-                                 {Incarnation(params.getIncarnation()), params.getTurnsReleased(),
-                                  params.getHoldsTurn()});
+        service_.turnBook_.onMemberState(InstanceId(toString(params.getInstance())),
+                                         {Incarnation(params.getIncarnation()),
+                                          params.getTurnsReleased(), params.getHoldsTurn()});
         context.getResults().setGranted(service_.core_.onGrantAsked(set, service_.loop_.now()));
         return kj::READY_NOW;
     }
