--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -7,7 +7,7 @@
 void ReloadGranter::setPool(const MemberSet &members, std::uint32_t atOnce)
 {
     members_ = members;
-    atOnce_ = atOnce;
+    maxConcurrent_ = atOnce;
     const auto unlisted = [this](const auto &entry) {
         return !std::binary_search(members_.members.begin(), members_.members.end(), entry.first);
     };
@@ -52,7 +52,7 @@
     // What was only heard of counts as a turn of its holder, and is given only if there is room:
     // each of several askers may have a part of the turns from earlier lives.
     const std::size_t others = grants_.size() - (held == grants_.end() ? 0 : 1);
-    if (others >= atOnce_) {
+    if (others >= maxConcurrent_) {
         return false;
     }
     grants_[asker] = {incarnation, number, false};
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -61,7 +61,7 @@
 private:
     InstanceId self_;
     MemberSet members_;
-    std::uint32_t atOnce_ = 1;
+    std::uint32_t maxConcurrent_ = 1;
     std::map<InstanceId, Incarnation> reported_;
     struct Grant
     {
