--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -4,10 +4,10 @@
 
 namespace seamarch {
 
-void ReloadGranter::setPool(const MemberSet &members, std::uint32_t atOnce)
+void ReloadGranter::setPool(const MemberSet &members, std::uint32_t maxConcurrent)
 {
     members_ = members;
-    maxConcurrent_ = atOnce;
+    maxConcurrent_ = maxConcurrent;
     const auto unlisted = [this](const auto &entry) {
         return !std::binary_search(members_.members.begin(), members_.members.end(), entry.first);
     };
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -1,17 +1,17 @@
 // Turns for taking an upstream out of service, without anybody in charge.
 //
 // An agent that must reload its upstream first gets a turn from every member of its pool (the
-// agents of its service in its hall). A member gives at most `atOnce` turns at a time. Members are
-// asked one after the other in the order of their names, so two askers meet at the first member
-// that they share and neither waits for the other in a circle.
+// agents of its service in its hall). A member gives at most `maxConcurrent` turns at a time.
+// Members are asked one after the other in the order of their names, so two askers meet at the
+// first member that they share and neither waits for the other in a circle.
 //
 // No clock is involved: a turn ends when its holder gives it back, is replaced by a new life, or is
 // no longer listed. Answers of an earlier life of a member must not come after the first word to
 // its new life, which one connection for each pair of agents sees to. A holder that dies holds the
 // others up until then; they wait rather than overrun the floor. A new life has forgotten which
 // turns it gave, so it gives none until every other member has told it whether it holds one. As
-// long as two lists share a member, no more than `atOnce` upstreams of the pool are out of service
-// at any time.
+// long as two lists share a member, no more than `maxConcurrent` upstreams of the pool are out of
+// service at any time.
 //
 // Askers that hold some turns and do not get the others give all back after a while and start anew.
 //
@@ -45,7 +45,7 @@
     {}
 
     // Takes the members of the pool and how many may hold a turn at once.
-    void setPool(const MemberSet &members, std::uint32_t atOnce);
+    void setPool(const MemberSet &members, std::uint32_t maxConcurrent);
     // A member has told how it stands.
     void onMemberState(const InstanceId &member, const ReloadGrantState &state);
     // Asks for a turn. Giving it again to its holder is not a second turn.
