--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -79,7 +79,7 @@
 public:
     void setPool(const MemberSet &members);
     // Starts to collect turns; nothing changes when it has started already.
-    void want() { wanted_ = true; }
+    void requestGrants() { wanted_ = true; }
     // Returns how this agent stands, for the other members.
     ReloadGrantState state(Incarnation incarnation) const
     {
--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -109,7 +109,7 @@
         }
         if (agent.down) {
             // The engine tells the new life that it is being reloaded: it counts itself.
-            agent.taker->want();
+            agent.taker->requestGrants();
             agent.taker->onGiven(name(index));
         }
     }
@@ -191,7 +191,7 @@
             tellStatus(index);
         }
         if (!agent.reloaded) {
-            agent.taker->want();
+            agent.taker->requestGrants();
         }
         if (now_ % 3 == 0) {
             askNext(index);
