--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -76,7 +76,7 @@
 
 std::optional<InstanceId> ReloadRequester::next() const
 {
-    if (!wanted_) {
+    if (!requesting_) {
         return std::nullopt;
     }
     for (const InstanceId &member : members_.members) {
@@ -89,19 +89,19 @@
 
 void ReloadRequester::onGiven(const InstanceId &member)
 {
-    if (wanted_) {
+    if (requesting_) {
         held_.insert(member);
     }
 }
 
 bool ReloadRequester::holdsAll() const
 {
-    return wanted_ && !members_.members.empty() && !next();
+    return requesting_ && !members_.members.empty() && !next();
 }
 
 std::set<InstanceId> ReloadRequester::done()
 {
-    wanted_ = false;
+    requesting_ = false;
     ++released_;
     std::set<InstanceId> held;
     held.swap(held_);
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -79,7 +79,7 @@
 public:
     void setPool(const MemberSet &members);
     // Starts to collect turns; nothing changes when it has started already.
-    void requestGrants() { wanted_ = true; }
+    void requestGrants() { requesting_ = true; }
     // Returns how this agent stands, for the other members.
     ReloadGrantState state(Incarnation incarnation) const
     {
@@ -92,7 +92,7 @@
     void onGiven(const InstanceId &member);
     // Tells whether the upstream may be taken out of service.
     bool holdsAll() const;
-    bool holdsAny() const { return wanted_ && !held_.empty(); }
+    bool holdsAny() const { return requesting_ && !held_.empty(); }
     // The upstream is back in service, or this agent gives up for now. Returns the members to give
     // the turns back to.
     std::set<InstanceId> done();
@@ -101,7 +101,7 @@
     MemberSet members_;
     std::set<InstanceId> held_;
     std::uint64_t released_ = 0;
-    bool wanted_ = false;
+    bool requesting_ = false;
 };
 
 } // namespace seamarch
