--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -74,7 +74,7 @@
     members_ = members;
 }
 
-std::optional<InstanceId> ReloadRequester::next() const
+std::optional<InstanceId> ReloadRequester::nextMember() const
 {
     if (!requesting_) {
         return std::nullopt;
@@ -96,7 +96,7 @@
 
 bool ReloadRequester::holdsAll() const
 {
-    return requesting_ && !members_.members.empty() && !next();
+    return requesting_ && !members_.members.empty() && !nextMember();
 }
 
 std::set<InstanceId> ReloadRequester::done()
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -88,7 +88,7 @@
     // Returns the number of the turn that is wanted.
     std::uint64_t number() const { return released_ + 1; }
     // Returns the member to ask next; nothing when no turn is wanted or all are held.
-    std::optional<InstanceId> next() const;
+    std::optional<InstanceId> nextMember() const;
     void onGiven(const InstanceId &member);
     // Tells whether the upstream may be taken out of service.
     bool holdsAll() const;
