--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -163,7 +163,7 @@
     void askNext(std::size_t index)
     {
         Agent &agent = agents_[index];
-        const auto member = agent.taker->next();
+        const auto member = agent.taker->nextMember();
         if (!member) {
             return;
         }
