--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -70,7 +70,7 @@
 
 void GrantNetwork::askTurn()
 {
-    const auto member = context_.taker.next();
+    const auto member = context_.taker.nextMember();
     if (!member) {
         return;
     }
