--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -87,7 +87,7 @@
     return std::nullopt;
 }
 
-void ReloadRequester::onGiven(const InstanceId &member)
+void ReloadRequester::onGranted(const InstanceId &member)
 {
     if (requesting_) {
         held_.insert(member);
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -89,7 +89,7 @@
     std::uint64_t number() const { return released_ + 1; }
     // Returns the member to ask next; nothing when no turn is wanted or all are held.
     std::optional<InstanceId> nextMember() const;
-    void onGiven(const InstanceId &member);
+    void onGranted(const InstanceId &member);
     // Tells whether the upstream may be taken out of service.
     bool holdsAll() const;
     bool holdsAny() const { return requesting_ && !held_.empty(); }
--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -110,7 +110,7 @@
         if (agent.down) {
             // The engine tells the new life that it is being reloaded: it counts itself.
             agent.taker->requestGrants();
-            agent.taker->onGiven(name(index));
+            agent.taker->onGranted(name(index));
         }
     }
 
@@ -178,7 +178,7 @@
             send(index, life, [this, index, to, granter] {
                 // One connection for each pair: nothing comes from a life that was replaced.
                 if (agents_[to].life == granter) {
-                    agents_[index].taker->onGiven(name(to));
+                    agents_[index].taker->onGranted(name(to));
                 }
             });
         });
