--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -99,7 +99,7 @@
     return requesting_ && !members_.members.empty() && !nextMember();
 }
 
-std::set<InstanceId> ReloadRequester::done()
+std::set<InstanceId> ReloadRequester::releaseAll()
 {
     requesting_ = false;
     ++released_;
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -95,7 +95,7 @@
     bool holdsAny() const { return requesting_ && !held_.empty(); }
     // The upstream is back in service, or this agent gives up for now. Returns the members to give
     // the turns back to.
-    std::set<InstanceId> done();
+    std::set<InstanceId> releaseAll();
 
 private:
     MemberSet members_;
--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -210,14 +210,14 @@
         if (!agent.down && agent.taker->holdsAny() && !agent.taker->holdsAll()
             && now_ >= agent.giveUpAt) {
             agent.giveUpAt = now_ + std::uniform_int_distribution<int>(150, 400)(random_);
-            for (const InstanceId &member : agent.taker->done()) {
+            for (const InstanceId &member : agent.taker->releaseAll()) {
                 releaseAt(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
         }
         if (agent.down && now_ >= agent.backAt) {
             agent.down = false;
             agent.reloaded = true;
-            for (const InstanceId &member : agent.taker->done()) {
+            for (const InstanceId &member : agent.taker->releaseAll()) {
                 releaseAt(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
         }
