--- a/src/agent/orderdriver.cpp
+++ b/src/agent/orderdriver.cpp
@@ -176,7 +176,7 @@
 
 void OrderDriver::giveTurnsBack()
 {
-    for (const InstanceId &member : turns_.done()) {
+    for (const InstanceId &member : turns_.releaseAll()) {
         host_.releaseTurn(member);
     }
 }
