--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -38,7 +38,8 @@
         [this](const InstanceId &member) { return member == self_ || reported_.contains(member); });
 }
 
-bool ReloadGranter::tryGrant(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
+bool ReloadGranter::tryGrant(const InstanceId &asker, Incarnation incarnation,
+                             std::uint64_t grantNumber)
 {
     const auto held = grants_.find(asker);
     const bool same = held != grants_.end() && held->second.incarnation == incarnation
@@ -59,7 +60,8 @@
     return true;
 }
 
-void ReloadGranter::release(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
+void ReloadGranter::release(const InstanceId &asker, Incarnation incarnation,
+                            std::uint64_t grantNumber)
 {
     const auto held = grants_.find(asker);
     if (held != grants_.end() && held->second.incarnation == incarnation
