--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -170,7 +170,7 @@
         const auto to = static_cast<std::size_t>(member->value().back() - '0');
         const Incarnation life = agent.life;
         const Incarnation granter = agents_[to].life;
-        const std::uint64_t grantNumber = agent.taker->grantNumber();
+        const std::uint64_t number = agent.taker->grantNumber();
         send(to, granter, [this, index, to, life, granter, number] {
             if (!agents_[to].book->tryGrant(name(index), life, number)) {
                 return;
