--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -75,7 +75,8 @@
         return;
     }
     if (*member == context_.self) {
-        if (context_.book.tryGrant(context_.self, context_.incarnation, context_.taker.number())) {
+        if (context_.book.tryGrant(context_.self, context_.incarnation,
+                                   context_.taker.grantNumber())) {
             context_.taker.onGiven(context_.self);
             askTurn();
         }
@@ -88,11 +89,11 @@
     auto request = link->second->capability().castAs<wire::Agent>().turnRequest();
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    request.setNumber(context_.taker.number());
+    request.setNumber(context_.taker.grantNumber());
     tasks_.add(request.send().then(
-        [this, asked = *member,
-         number = context_.taker.number()](capnp::Response<wire::Agent::TurnResults> &&answer) {
-            if (answer.getGiven() && number == context_.taker.number()) {
+        [this, asked = *member, number = context_.taker.grantNumber()](
+            capnp::Response<wire::Agent::TurnResults> &&answer) {
+            if (answer.getGiven() && number == context_.taker.grantNumber()) {
                 context_.taker.onGiven(asked);
                 askTurn();
             }
