--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -71,7 +71,7 @@
     struct Agent
     {
         std::unique_ptr<ReloadGranter> book;
-        std::unique_ptr<ReloadRequester> taker;
+        std::unique_ptr<ReloadRequester> requester;
         Incarnation life;
         bool down = false;     // Of the upstream; outlives the agent.
         bool reloaded = false; // Of the upstream.
@@ -100,8 +100,8 @@
         agent.life = Incarnation(++lives_);
         agent.book = std::make_unique<ReloadGranter>(name(index));
         agent.book->setPool(members_, kAtOnce);
-        agent.taker = std::make_unique<ReloadRequester>();
-        agent.taker->setPool(members_);
+        agent.requester = std::make_unique<ReloadRequester>();
+        agent.requester->setPool(members_);
         if (fault_ == PlantedFault::ForgetBook) {
             for (std::size_t other = 0; other < kAgents; ++other) {
                 agent.book->onMemberState(name(other), {agents_[other].life, 0, false});
@@ -109,8 +109,8 @@
         }
         if (agent.down) {
             // The engine tells the new life that it is being reloaded: it counts itself.
-            agent.taker->requestGrants();
-            agent.taker->onGranted(name(index));
+            agent.requester->requestGrants();
+            agent.requester->onGranted(name(index));
         }
     }
 
@@ -148,7 +148,7 @@
     {
         const Agent &agent = agents_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
-            ReloadGrantState state = agent.taker->state(agent.life);
+            ReloadGrantState state = agent.requester->state(agent.life);
             // With either of these faults nobody tells the turns that it holds.
             state.holds = state.holds && fault_ != PlantedFault::ForgetBook
                           && fault_ != PlantedFault::ExpireTurns;
@@ -163,14 +163,14 @@
     void askNext(std::size_t index)
     {
         Agent &agent = agents_[index];
-        const auto member = agent.taker->nextMember();
+        const auto member = agent.requester->nextMember();
         if (!member) {
             return;
         }
         const auto to = static_cast<std::size_t>(member->value().back() - '0');
         const Incarnation life = agent.life;
         const Incarnation granter = agents_[to].life;
-        const std::uint64_t number = agent.taker->grantNumber();
+        const std::uint64_t number = agent.requester->grantNumber();
         send(to, granter, [this, index, to, life, granter, number] {
             if (!agents_[to].book->tryGrant(name(index), life, number)) {
                 return;
@@ -178,7 +178,7 @@
             send(index, life, [this, index, to, granter] {
                 // One connection for each pair: nothing comes from a life that was replaced.
                 if (agents_[to].life == granter) {
-                    agents_[index].taker->onGranted(name(to));
+                    agents_[index].requester->onGranted(name(to));
                 }
             });
         });
@@ -191,7 +191,7 @@
             tellStatus(index);
         }
         if (!agent.reloaded) {
-            agent.taker->requestGrants();
+            agent.requester->requestGrants();
         }
         if (now_ % 3 == 0) {
             askNext(index);
@@ -201,23 +201,23 @@
                 agent.book->release(name(other), agents_[other].life, 99);
             }
         }
-        const bool enough = agent.taker->holdsAll()
-                            || (fault_ == PlantedFault::AskNotAll && agent.taker->holdsAny());
+        const bool enough = agent.requester->holdsAll()
+                            || (fault_ == PlantedFault::AskNotAll && agent.requester->holdsAny());
         if (enough && !agent.down && !agent.reloaded) {
             agent.down = true;
             agent.backAt = now_ + 50;
         }
-        if (!agent.down && agent.taker->holdsAny() && !agent.taker->holdsAll()
+        if (!agent.down && agent.requester->holdsAny() && !agent.requester->holdsAll()
             && now_ >= agent.giveUpAt) {
             agent.giveUpAt = now_ + std::uniform_int_distribution<int>(150, 400)(random_);
-            for (const InstanceId &member : agent.taker->releaseAll()) {
+            for (const InstanceId &member : agent.requester->releaseAll()) {
                 releaseAt(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
         }
         if (agent.down && now_ >= agent.backAt) {
             agent.down = false;
             agent.reloaded = true;
-            for (const InstanceId &member : agent.taker->releaseAll()) {
+            for (const InstanceId &member : agent.requester->releaseAll()) {
                 releaseAt(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
         }
@@ -225,7 +225,7 @@
 
     void releaseAt(std::size_t to, std::size_t index)
     {
-        const ReloadGrantState state = agents_[index].taker->state(agents_[index].life);
+        const ReloadGrantState state = agents_[index].requester->state(agents_[index].life);
         send(to, agents_[to].life, [this, to, index, state] {
             agents_[to].book->release(name(index), state.incarnation, state.released);
         });
