--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -65,7 +65,7 @@
 
 private:
     static constexpr std::size_t kAgents = 5;
-    static constexpr std::uint32_t kAtOnce = 2;
+    static constexpr std::uint32_t kMaxConcurrent = 2;
     static constexpr int kSteps = 4000;
 
     struct Agent
@@ -99,7 +99,7 @@
         Agent &agent = agents_[index];
         agent.life = Incarnation(++lives_);
         agent.book = std::make_unique<ReloadGranter>(name(index));
-        agent.book->setPool(members_, kAtOnce);
+        agent.book->setPool(members_, kMaxConcurrent);
         agent.requester = std::make_unique<ReloadRequester>();
         agent.requester->setPool(members_);
         if (fault_ == PlantedFault::ForgetBook) {
