--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-enum class PlantedFault { None, ForgetBook, AskNotAll, ExpireTurns };
+enum class PlantedFault { None, ForgetGrants, AskNotAll, ExpireTurns };
 
 // A pool that reloads all its upstreams. Agents are replaced, messages are lost, late and doubled.
 class PoolWorld
@@ -102,7 +102,7 @@
         agent.book->setPool(members_, kMaxConcurrent);
         agent.requester = std::make_unique<ReloadRequester>();
         agent.requester->setPool(members_);
-        if (fault_ == PlantedFault::ForgetBook) {
+        if (fault_ == PlantedFault::ForgetGrants) {
             for (std::size_t other = 0; other < kAgents; ++other) {
                 agent.book->onMemberState(name(other), {agents_[other].life, 0, false});
             }
@@ -150,7 +150,7 @@
         for (std::size_t other = 0; other < kAgents; ++other) {
             ReloadGrantState state = agent.requester->state(agent.life);
             // With either of these faults nobody tells the turns that it holds.
-            state.holds = state.holds && fault_ != PlantedFault::ForgetBook
+            state.holds = state.holds && fault_ != PlantedFault::ForgetGrants
                           && fault_ != PlantedFault::ExpireTurns;
             send(other, agents_[other].life, [this, index, other, life = agent.life, state] {
                 if (agents_[index].life == life) {
@@ -284,7 +284,7 @@
 
 TEST(ReloadGrantsTest, CheckerCatchesABookThatIsForgotten)
 {
-    CHECK(caught(PlantedFault::ForgetBook));
+    CHECK(caught(PlantedFault::ForgetGrants));
 }
 
 TEST(ReloadGrantsTest, CheckerCatchesTurnsOfSomeMembersOnly)
