--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-enum class PlantedFault { None, ForgetGrants, AskNotAll, ExpireTurns };
+enum class PlantedFault { None, ForgetGrants, AskSomeMembers, ExpireTurns };
 
 // A pool that reloads all its upstreams. Agents are replaced, messages are lost, late and doubled.
 class PoolWorld
@@ -201,8 +201,9 @@
                 agent.book->release(name(other), agents_[other].life, 99);
             }
         }
-        const bool enough = agent.requester->holdsAll()
-                            || (fault_ == PlantedFault::AskNotAll && agent.requester->holdsAny());
+        const bool enough =
+            agent.requester->holdsAll()
+            || (fault_ == PlantedFault::AskSomeMembers && agent.requester->holdsAny());
         if (enough && !agent.down && !agent.reloaded) {
             agent.down = true;
             agent.backAt = now_ + 50;
@@ -289,7 +290,7 @@
 
 TEST(ReloadGrantsTest, CheckerCatchesTurnsOfSomeMembersOnly)
 {
-    CHECK(caught(PlantedFault::AskNotAll));
+    CHECK(caught(PlantedFault::AskSomeMembers));
 }
 
 TEST(ReloadGrantsTest, CheckerCatchesTurnsThatExpire)
