--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-enum class PlantedFault { None, ForgetGrants, AskSomeMembers, ExpireTurns };
+enum class PlantedFault { None, ForgetGrants, AskSomeMembers, ExpireGrants };
 
 // A pool that reloads all its upstreams. Agents are replaced, messages are lost, late and doubled.
 class PoolWorld
@@ -151,7 +151,7 @@
             ReloadGrantState state = agent.requester->state(agent.life);
             // With either of these faults nobody tells the turns that it holds.
             state.holds = state.holds && fault_ != PlantedFault::ForgetGrants
-                          && fault_ != PlantedFault::ExpireTurns;
+                          && fault_ != PlantedFault::ExpireGrants;
             send(other, agents_[other].life, [this, index, other, life = agent.life, state] {
                 if (agents_[index].life == life) {
                     agents_[other].book->onMemberState(name(index), state);
@@ -196,7 +196,7 @@
         if (now_ % 3 == 0) {
             askNext(index);
         }
-        if (fault_ == PlantedFault::ExpireTurns && chance(0.05)) {
+        if (fault_ == PlantedFault::ExpireGrants && chance(0.05)) {
             for (std::size_t other = 0; other < kAgents; ++other) {
                 agent.book->release(name(other), agents_[other].life, 99);
             }
@@ -295,7 +295,7 @@
 
 TEST(ReloadGrantsTest, CheckerCatchesTurnsThatExpire)
 {
-    CHECK(caught(PlantedFault::ExpireTurns));
+    CHECK(caught(PlantedFault::ExpireGrants));
 }
 
 TEST(ReloadGrantsTest, NewLifeGivesNothingUntilAllAreHeard)
