--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -97,7 +97,7 @@
     void start(std::size_t index)
     {
         Agent &agent = agents_[index];
-        agent.life = Incarnation(++lives_);
+        agent.life = Incarnation(++lastIncarnation_);
         agent.book = std::make_unique<ReloadGranter>(name(index));
         agent.book->setPool(members_, kMaxConcurrent);
         agent.requester = std::make_unique<ReloadRequester>();
@@ -237,7 +237,7 @@
     MemberSet members_;
     Agent agents_[kAgents];
     std::vector<Message> messages_;
-    std::uint64_t lives_ = 0;
+    std::uint64_t lastIncarnation_ = 0;
     int now_ = 0;
     int worst_ = 0;
 };
