--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -144,7 +144,7 @@
         }
     }
 
-    void tellStatus(std::size_t index)
+    void sendState(std::size_t index)
     {
         const Agent &agent = agents_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
@@ -188,7 +188,7 @@
     {
         Agent &agent = agents_[index];
         if (now_ % 5 == static_cast<int>(index)) {
-            tellStatus(index);
+            sendState(index);
         }
         if (!agent.reloaded) {
             agent.requester->requestGrants();
