--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -160,7 +160,7 @@
         }
     }
 
-    void askNext(std::size_t index)
+    void requestNext(std::size_t index)
     {
         Agent &agent = agents_[index];
         const auto member = agent.requester->nextMember();
@@ -194,7 +194,7 @@
             agent.requester->requestGrants();
         }
         if (now_ % 3 == 0) {
-            askNext(index);
+            requestNext(index);
         }
         if (fault_ == PlantedFault::ExpireGrants && chance(0.05)) {
             for (std::size_t other = 0; other < kAgents; ++other) {
