--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -242,7 +242,7 @@
     int worst_ = 0;
 };
 
-bool caught(PlantedFault fault)
+bool isCaught(PlantedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         if (PoolWorld(seed, fault).run() > 2) {
@@ -285,17 +285,17 @@
 
 TEST(ReloadGrantsTest, CheckerCatchesABookThatIsForgotten)
 {
-    CHECK(caught(PlantedFault::ForgetGrants));
+    CHECK(isCaught(PlantedFault::ForgetGrants));
 }
 
 TEST(ReloadGrantsTest, CheckerCatchesTurnsOfSomeMembersOnly)
 {
-    CHECK(caught(PlantedFault::AskSomeMembers));
+    CHECK(isCaught(PlantedFault::AskSomeMembers));
 }
 
 TEST(ReloadGrantsTest, CheckerCatchesTurnsThatExpire)
 {
-    CHECK(caught(PlantedFault::ExpireGrants));
+    CHECK(isCaught(PlantedFault::ExpireGrants));
 }
 
 TEST(ReloadGrantsTest, NewLifeGivesNothingUntilAllAreHeard)
