--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -258,16 +258,16 @@
 
 TEST(ReloadGrantsTest, KeepsTheFloorOverManySchedules)
 {
-    int through = 0;
+    int completed = 0;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
         PoolWorld world(seed, PlantedFault::None);
         const int worst = world.run();
         if (worst > 2) {
             FAIL(fmt::format("seed {}: {} upstreams were out at once", seed, worst).c_str());
         }
-        through += world.allReloaded() ? 1 : 0;
+        completed += world.allReloaded() ? 1 : 0;
     }
-    CHECK_EQUAL(500, through);
+    CHECK_EQUAL(500, completed);
 }
 
 TEST(ReloadGrantsTest, TurnsThatWereOnlyHeardOfAreNoRoomForMore)
