--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -212,19 +212,19 @@
             && now_ >= agent.giveUpAt) {
             agent.giveUpAt = now_ + std::uniform_int_distribution<int>(150, 400)(random_);
             for (const InstanceId &member : agent.requester->releaseAll()) {
-                releaseAt(static_cast<std::size_t>(member.value().back() - '0'), index);
+                sendRelease(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
         }
         if (agent.down && now_ >= agent.backAt) {
             agent.down = false;
             agent.reloaded = true;
             for (const InstanceId &member : agent.requester->releaseAll()) {
-                releaseAt(static_cast<std::size_t>(member.value().back() - '0'), index);
+                sendRelease(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
         }
     }
 
-    void releaseAt(std::size_t to, std::size_t index)
+    void sendRelease(std::size_t to, std::size_t index)
     {
         const ReloadGrantState state = agents_[index].requester->state(agents_[index].life);
         send(to, agents_[to].life, [this, to, index, state] {
