--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -83,7 +83,7 @@
     {
         int at = 0;
         std::size_t to = 0;
-        Incarnation meant;
+        Incarnation recipient;
         std::function<void()> action;
     };
 
@@ -114,7 +114,7 @@
         }
     }
 
-    void send(std::size_t to, Incarnation meant, const std::function<void()> &action)
+    void send(std::size_t to, Incarnation recipient, const std::function<void()> &action)
     {
         if (chance(0.05)) {
             return;
@@ -123,7 +123,7 @@
         for (int copy = 0; copy < copies; ++copy) {
             const int late = chance(0.05) ? 60 : 4;
             const int wait = std::uniform_int_distribution<int>(1, late)(random_);
-            messages_.push_back({now_ + wait, to, meant, action});
+            messages_.push_back({now_ + wait, to, recipient, action});
         }
     }
 
@@ -138,7 +138,7 @@
         });
         for (const Message &message : due) {
             // Messages of a connection to an earlier life are gone with it.
-            if (agents_[message.to].life == message.meant) {
+            if (agents_[message.to].life == message.recipient) {
                 message.action();
             }
         }
