--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -122,8 +122,8 @@
         const int copies = chance(0.05) ? 2 : 1;
         for (int copy = 0; copy < copies; ++copy) {
             const int maxDelay = chance(0.05) ? 60 : 4;
-            const int wait = std::uniform_int_distribution<int>(1, maxDelay)(random_);
-            messages_.push_back({now_ + wait, to, recipient, action});
+            const int delay = std::uniform_int_distribution<int>(1, maxDelay)(random_);
+            messages_.push_back({now_ + delay, to, recipient, action});
         }
     }
 
