--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -15,10 +15,10 @@
 enum class PlantedFault { None, ForgetGrants, AskSomeMembers, ExpireGrants };
 
 // A pool that reloads all its upstreams. Agents are replaced, messages are lost, late and doubled.
-class PoolWorld
+class PoolSimulation
 {
 public:
-    PoolWorld(std::uint64_t seed, PlantedFault fault)
+    PoolSimulation(std::uint64_t seed, PlantedFault fault)
         : random_(seed)
         , fault_(fault)
     {
@@ -245,7 +245,7 @@
 bool isCaught(PlantedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        if (PoolWorld(seed, fault).run() > 2) {
+        if (PoolSimulation(seed, fault).run() > 2) {
             return true;
         }
     }
@@ -260,7 +260,7 @@
 {
     int completed = 0;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
-        PoolWorld world(seed, PlantedFault::None);
+        PoolSimulation world(seed, PlantedFault::None);
         const int worst = world.run();
         if (worst > 2) {
             FAIL(fmt::format("seed {}: {} upstreams were out at once", seed, worst).c_str());
