--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-enum class PlantedFault { None, ForgetGrants, AskSomeMembers, ExpireGrants };
+enum class InjectedFault { None, ForgetGrants, AskSomeMembers, ExpireGrants };
 
 // A pool that reloads all its upstreams. Agents are replaced, messages are lost, late and doubled.
 class PoolSimulation
 {
 public:
-    PoolSimulation(std::uint64_t seed, PlantedFault fault)
+    PoolSimulation(std::uint64_t seed, InjectedFault fault)
         : random_(seed)
         , fault_(fault)
     {
@@ -102,7 +102,7 @@
         agent.book->setPool(members_, kMaxConcurrent);
         agent.requester = std::make_unique<ReloadRequester>();
         agent.requester->setPool(members_);
-        if (fault_ == PlantedFault::ForgetGrants) {
+        if (fault_ == InjectedFault::ForgetGrants) {
             for (std::size_t other = 0; other < kAgents; ++other) {
                 agent.book->onMemberState(name(other), {agents_[other].life, 0, false});
             }
@@ -150,8 +150,8 @@
         for (std::size_t other = 0; other < kAgents; ++other) {
             ReloadGrantState state = agent.requester->state(agent.life);
             // With either of these faults nobody tells the turns that it holds.
-            state.holds = state.holds && fault_ != PlantedFault::ForgetGrants
-                          && fault_ != PlantedFault::ExpireGrants;
+            state.holds = state.holds && fault_ != InjectedFault::ForgetGrants
+                          && fault_ != InjectedFault::ExpireGrants;
             send(other, agents_[other].life, [this, index, other, life = agent.life, state] {
                 if (agents_[index].life == life) {
                     agents_[other].book->onMemberState(name(index), state);
@@ -196,14 +196,14 @@
         if (now_ % 3 == 0) {
             requestNext(index);
         }
-        if (fault_ == PlantedFault::ExpireGrants && chance(0.05)) {
+        if (fault_ == InjectedFault::ExpireGrants && chance(0.05)) {
             for (std::size_t other = 0; other < kAgents; ++other) {
                 agent.book->release(name(other), agents_[other].life, 99);
             }
         }
         const bool enough =
             agent.requester->holdsAll()
-            || (fault_ == PlantedFault::AskSomeMembers && agent.requester->holdsAny());
+            || (fault_ == InjectedFault::AskSomeMembers && agent.requester->holdsAny());
         if (enough && !agent.down && !agent.reloaded) {
             agent.down = true;
             agent.backAt = now_ + 50;
@@ -233,7 +233,7 @@
     }
 
     std::mt19937_64 random_;
-    PlantedFault fault_;
+    InjectedFault fault_;
     MemberSet members_;
     Agent agents_[kAgents];
     std::vector<Message> messages_;
@@ -242,7 +242,7 @@
     int worst_ = 0;
 };
 
-bool isCaught(PlantedFault fault)
+bool isCaught(InjectedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         if (PoolSimulation(seed, fault).run() > 2) {
@@ -260,7 +260,7 @@
 {
     int completed = 0;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
-        PoolSimulation world(seed, PlantedFault::None);
+        PoolSimulation world(seed, InjectedFault::None);
         const int worst = world.run();
         if (worst > 2) {
             FAIL(fmt::format("seed {}: {} upstreams were out at once", seed, worst).c_str());
@@ -285,17 +285,17 @@
 
 TEST(ReloadGrantsTest, CheckerCatchesABookThatIsForgotten)
 {
-    CHECK(isCaught(PlantedFault::ForgetGrants));
+    CHECK(isCaught(InjectedFault::ForgetGrants));
 }
 
 TEST(ReloadGrantsTest, CheckerCatchesTurnsOfSomeMembersOnly)
 {
-    CHECK(isCaught(PlantedFault::AskSomeMembers));
+    CHECK(isCaught(InjectedFault::AskSomeMembers));
 }
 
 TEST(ReloadGrantsTest, CheckerCatchesTurnsThatExpire)
 {
-    CHECK(isCaught(PlantedFault::ExpireGrants));
+    CHECK(isCaught(InjectedFault::ExpireGrants));
 }
 
 TEST(ReloadGrantsTest, NewLifeGivesNothingUntilAllAreHeard)
