--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -39,10 +39,10 @@
 {
     std::vector<KnownPeer> peers = knownPeers();
     const auto place = std::lower_bound(
-        all.begin(), all.end(), self_.id,
+        peers.begin(), peers.end(), self_.id,
         [](const KnownPeer &known, const InstanceId &id) { return known.record.id < id; });
-    all.insert(place, {self_, now});
-    return all;
+    peers.insert(place, {self_, now});
+    return peers;
 }
 
 std::uint64_t GatewayDirectory::digest() const
@@ -89,8 +89,8 @@
         return false;
     }
     const std::vector<KnownPeer> peers = sortedWithSelf(now);
-    for (std::size_t index = 0; index < all.size(); ++index) {
-        recordSeen(all[index].record,
+    for (std::size_t index = 0; index < peers.size(); ++index) {
+        recordSeen(peers[index].record,
                    now - kAgeStep * static_cast<Duration::rep>(news.ages[index]));
     }
     return true;
@@ -209,11 +209,11 @@
 std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::knownPeers() const
 {
     std::vector<KnownPeer> peers;
-    all.reserve(members_.size());
+    peers.reserve(members_.size());
     for (const auto &[id, member] : members_) {
-        all.push_back({member.record, member.lastSeen});
+        peers.push_back({member.record, member.lastSeen});
     }
-    return all;
+    return peers;
 }
 
 } // namespace seamarch
