--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -172,7 +172,7 @@
 HallPlace GatewayDirectory::hallPlace() const
 {
     const OrderKey own = orderKeyOf(self_.id);
-    HallPlace hallPlace;
+    HallPlace place;
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall) {
             ++place.gateways;
