--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -162,11 +162,11 @@
 
 std::set<HallId> GatewayDirectory::peerHalls() const
 {
-    std::set<HallId> peerHalls;
+    std::set<HallId> halls;
     for (const auto &[id, member] : members_) {
-        peerHalls.insert(member.record.hall);
+        halls.insert(member.record.hall);
     }
-    return peerHalls;
+    return halls;
 }
 
 HallPlace GatewayDirectory::hallPlace() const
