--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -62,36 +62,36 @@
 GatewayDirectory::GossipUpdate GatewayDirectory::gossipFor(std::uint64_t askerDigest,
                                                            TimePoint now) const
 {
-    GossipUpdate news;
-    news.digest = digest();
-    if (askerDigest != news.digest) {
-        news.peers = knownPeers();
-        return news;
+    GossipUpdate gossip;
+    gossip.digest = digest();
+    if (askerDigest != gossip.digest) {
+        gossip.peers = knownPeers();
+        return gossip;
     }
     constexpr Duration::rep kOldest = 255;
     for (const KnownPeer &known : sortedWithSelf(now)) {
         const Duration age = std::max(Duration{}, now - known.lastSeen);
         const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Never too young.
-        news.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kOldest)));
+        gossip.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kOldest)));
     }
-    return news;
+    return gossip;
 }
 
-bool GatewayDirectory::applyGossip(const GossipUpdate &news, TimePoint now)
+bool GatewayDirectory::applyGossip(const GossipUpdate &gossip, TimePoint now)
 {
-    for (const KnownPeer &known : news.peers) {
+    for (const KnownPeer &known : gossip.peers) {
         recordSeen(known.record, known.lastSeen);
     }
-    if (news.ages.empty()) {
+    if (gossip.ages.empty()) {
         return true;
     }
-    if (news.digest != digest() || news.ages.size() != size()) {
+    if (gossip.digest != digest() || gossip.ages.size() != size()) {
         return false;
     }
     const std::vector<KnownPeer> peers = sortedWithSelf(now);
     for (std::size_t index = 0; index < peers.size(); ++index) {
         recordSeen(peers[index].record,
-                   now - kAgeStep * static_cast<Duration::rep>(news.ages[index]));
+                   now - kAgeStep * static_cast<Duration::rep>(gossip.ages[index]));
     }
     return true;
 }
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -89,7 +89,7 @@
     GossipUpdate gossipFor(std::uint64_t askerDigest, TimePoint now) const;
     // Takes what another gateway tells at `now`. Returns false when ages came for another set than
     // the one that is known by now.
-    bool applyGossip(const GossipUpdate &news, TimePoint now);
+    bool applyGossip(const GossipUpdate &gossip, TimePoint now);
 
     // Returns the gateway of the own hall that follows the store: the first in the hall's order
     // that is not passed over. That may be this one.
--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -148,11 +148,11 @@
         if (!list) {
             return;
         }
-        const GatewayDirectory::GossipUpdate news =
+        const GatewayDirectory::GossipUpdate gossip =
             directories_[teller].gossipFor(directory.digest(), now());
-        told_[teller] += kNewsBytes + news.peers.size() * kRecordBytes + news.ages.size();
+        told_[teller] += kNewsBytes + gossip.peers.size() * kRecordBytes + gossip.ages.size();
         directory.recordSeen(records_[teller], now());
-        directory.applyGossip(news, now());
+        directory.applyGossip(gossip, now());
     }
 
     void look(Spread &spread, bool late)
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -142,9 +142,9 @@
     GatewayDirectory teller = directoryOf(kSite[0], kSite);
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
     teller.recordSeen(kSite[4], at(6000));
-    const auto news = teller.gossipFor(asker.digest(), at(7000));
-    CHECK_TRUE(news.peers.empty());
-    CHECK_TRUE(asker.applyGossip(news, at(7000)));
+    const auto gossip = teller.gossipFor(asker.digest(), at(7000));
+    CHECK_TRUE(gossip.peers.empty());
+    CHECK_TRUE(asker.applyGossip(gossip, at(7000)));
     asker.expire(at(10050)); // Ages are told in steps, and never too young.
     CHECK_TRUE(asker.find(kSite[4].id) != nullptr);
     CHECK_TRUE(asker.find(kSite[3].id) == nullptr);
@@ -157,9 +157,9 @@
 {
     GatewayDirectory teller = directoryOf(kSite[0], kSite);
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
-    const auto news = teller.gossipFor(asker.digest(), at(7000));
+    const auto gossip = teller.gossipFor(asker.digest(), at(7000));
     asker.recordSeen(gateway("c-1", "c"), at(7000));
-    CHECK_FALSE(asker.applyGossip(news, at(7001)));
+    CHECK_FALSE(asker.applyGossip(gossip, at(7001)));
 }
 
 TEST(GatewayDirectoryTest, AllAreToldToOneThatKnowsOthers)
