--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -147,14 +147,14 @@
 InstanceId GatewayDirectory::permitIssuerFor(const InstanceId &upstream, const HallId &hall,
                                              TimePoint now) const
 {
-    const auto rankOf = [&](const GatewayRecord &record) {
+    const auto preferenceOf = [&](const GatewayRecord &record) {
         const std::string both = upstream.value() + '/' + record.id.value();
         return std::tuple(record.hall != hall, XXH3_64bits(both.data(), both.size()), record.id);
     };
-    auto best = rankOf(self_);
+    auto best = preferenceOf(self_);
     for (const auto &[id, member] : members_) {
         if (member.cooldownUntil <= now) {
-            best = std::min(best, rankOf(member.record));
+            best = std::min(best, preferenceOf(member.record));
         }
     }
     return std::get<InstanceId>(best);
