--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -148,8 +148,9 @@
                                              TimePoint now) const
 {
     const auto preferenceOf = [&](const GatewayRecord &record) {
-        const std::string both = upstream.value() + '/' + record.id.value();
-        return std::tuple(record.hall != hall, XXH3_64bits(both.data(), both.size()), record.id);
+        const std::string combined = upstream.value() + '/' + record.id.value();
+        return std::tuple(record.hall != hall, XXH3_64bits(combined.data(), combined.size()),
+                          record.id);
     };
     auto best = preferenceOf(self_);
     for (const auto &[id, member] : members_) {
