--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -115,10 +115,10 @@
 
 void GatewayDirectory::expire(TimePoint now)
 {
-    const std::size_t forgotten = std::erase_if(members_, [&](const auto &entry) {
+    const std::size_t expired = std::erase_if(members_, [&](const auto &entry) {
         return now - entry.second.lastSeen > settings_.timeToLive;
     });
-    digest_ = forgotten > 0 ? 0 : digest_;
+    digest_ = expired > 0 ? 0 : digest_;
 }
 
 InstanceId GatewayDirectory::localStoreFollower(TimePoint now) const
