--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -68,11 +68,11 @@
         gossip.peers = knownPeers();
         return gossip;
     }
-    constexpr Duration::rep kOldest = 255;
+    constexpr Duration::rep kMaxAgeSteps = 255;
     for (const KnownPeer &known : sortedWithSelf(now)) {
         const Duration age = std::max(Duration{}, now - known.lastSeen);
         const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Never too young.
-        gossip.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kOldest)));
+        gossip.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kMaxAgeSteps)));
     }
     return gossip;
 }
