--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -133,25 +133,25 @@
             - records_.begin());
     }
 
-    void ask(std::size_t asker, std::size_t teller, bool list)
+    void ask(std::size_t asker, std::size_t sender, bool list)
     {
-        if (asker == teller) {
+        if (asker == sender) {
             return;
         }
         GatewayDirectory &directory = directories_[asker];
-        if (teller >= living()) {
-            directory.onFailed(records_[teller].id, now());
+        if (sender >= living()) {
+            directory.onFailed(records_[sender].id, now());
             return;
         }
-        directories_[teller].recordSeen(records_[asker], now());
-        directory.onAnswered(records_[teller].id, now());
+        directories_[sender].recordSeen(records_[asker], now());
+        directory.onAnswered(records_[sender].id, now());
         if (!list) {
             return;
         }
         const GatewayDirectory::GossipUpdate gossip =
-            directories_[teller].gossipFor(directory.digest(), now());
-        told_[teller] += kNewsBytes + gossip.peers.size() * kRecordBytes + gossip.ages.size();
-        directory.recordSeen(records_[teller], now());
+            directories_[sender].gossipFor(directory.digest(), now());
+        told_[sender] += kNewsBytes + gossip.peers.size() * kRecordBytes + gossip.ages.size();
+        directory.recordSeen(records_[sender], now());
         directory.applyGossip(gossip, now());
     }
 
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -139,10 +139,10 @@
 
 TEST(GatewayDirectoryTest, AgesAreToldToOneThatKnowsTheSameGateways)
 {
-    GatewayDirectory teller = directoryOf(kSite[0], kSite);
+    GatewayDirectory sender = directoryOf(kSite[0], kSite);
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
-    teller.recordSeen(kSite[4], at(6000));
-    const auto gossip = teller.gossipFor(asker.digest(), at(7000));
+    sender.recordSeen(kSite[4], at(6000));
+    const auto gossip = sender.gossipFor(asker.digest(), at(7000));
     CHECK_TRUE(gossip.peers.empty());
     CHECK_TRUE(asker.applyGossip(gossip, at(7000)));
     asker.expire(at(10050)); // Ages are told in steps, and never too young.
@@ -155,19 +155,19 @@
 
 TEST(GatewayDirectoryTest, AgesOfAnotherSetAreNotTaken)
 {
-    GatewayDirectory teller = directoryOf(kSite[0], kSite);
+    GatewayDirectory sender = directoryOf(kSite[0], kSite);
     GatewayDirectory asker = directoryOf(kSite[1], kSite);
-    const auto gossip = teller.gossipFor(asker.digest(), at(7000));
+    const auto gossip = sender.gossipFor(asker.digest(), at(7000));
     asker.recordSeen(gateway("c-1", "c"), at(7000));
     CHECK_FALSE(asker.applyGossip(gossip, at(7001)));
 }
 
 TEST(GatewayDirectoryTest, AllAreToldToOneThatKnowsOthers)
 {
-    GatewayDirectory teller = directoryOf(kSite[0], kSite);
+    GatewayDirectory sender = directoryOf(kSite[0], kSite);
     GatewayDirectory asker(kSite[1], {});
     asker.recordSeen(kSite[0], at(1));
-    CHECK_TRUE(asker.applyGossip(teller.gossipFor(asker.digest(), at(2)), at(2)));
+    CHECK_TRUE(asker.applyGossip(sender.gossipFor(asker.digest(), at(2)), at(2)));
     UNSIGNED_LONGS_EQUAL(kSite.size(), asker.size());
 }
 
