--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -116,10 +116,10 @@
     // One of three, each in another hall.
     std::size_t seed() { return random_() % 3 * site_.gateways / 3; }
 
-    void askSome(std::size_t asker, const std::optional<InstanceId> &id)
+    void askSome(std::size_t receiver, const std::optional<InstanceId> &id)
     {
         if (id) {
-            ask(asker, indexOf(*id), true);
+            ask(receiver, indexOf(*id), true);
         }
     }
 
@@ -133,17 +133,17 @@
             - records_.begin());
     }
 
-    void ask(std::size_t asker, std::size_t sender, bool list)
+    void ask(std::size_t receiver, std::size_t sender, bool list)
     {
-        if (asker == sender) {
+        if (receiver == sender) {
             return;
         }
-        GatewayDirectory &directory = directories_[asker];
+        GatewayDirectory &directory = directories_[receiver];
         if (sender >= living()) {
             directory.onFailed(records_[sender].id, now());
             return;
         }
-        directories_[sender].recordSeen(records_[asker], now());
+        directories_[sender].recordSeen(records_[receiver], now());
         directory.onAnswered(records_[sender].id, now());
         if (!list) {
             return;
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -140,35 +140,35 @@
 TEST(GatewayDirectoryTest, AgesAreToldToOneThatKnowsTheSameGateways)
 {
     GatewayDirectory sender = directoryOf(kSite[0], kSite);
-    GatewayDirectory asker = directoryOf(kSite[1], kSite);
+    GatewayDirectory receiver = directoryOf(kSite[1], kSite);
     sender.recordSeen(kSite[4], at(6000));
-    const auto gossip = sender.gossipFor(asker.digest(), at(7000));
+    const auto gossip = sender.gossipFor(receiver.digest(), at(7000));
     CHECK_TRUE(gossip.peers.empty());
-    CHECK_TRUE(asker.applyGossip(gossip, at(7000)));
-    asker.expire(at(10050)); // Ages are told in steps, and never too young.
-    CHECK_TRUE(asker.find(kSite[4].id) != nullptr);
-    CHECK_TRUE(asker.find(kSite[3].id) == nullptr);
-    CHECK_TRUE(asker.find(kSite[0].id) != nullptr);
-    asker.expire(at(16050));
-    CHECK_TRUE(asker.find(kSite[4].id) == nullptr);
+    CHECK_TRUE(receiver.applyGossip(gossip, at(7000)));
+    receiver.expire(at(10050)); // Ages are told in steps, and never too young.
+    CHECK_TRUE(receiver.find(kSite[4].id) != nullptr);
+    CHECK_TRUE(receiver.find(kSite[3].id) == nullptr);
+    CHECK_TRUE(receiver.find(kSite[0].id) != nullptr);
+    receiver.expire(at(16050));
+    CHECK_TRUE(receiver.find(kSite[4].id) == nullptr);
 }
 
 TEST(GatewayDirectoryTest, AgesOfAnotherSetAreNotTaken)
 {
     GatewayDirectory sender = directoryOf(kSite[0], kSite);
-    GatewayDirectory asker = directoryOf(kSite[1], kSite);
-    const auto gossip = sender.gossipFor(asker.digest(), at(7000));
-    asker.recordSeen(gateway("c-1", "c"), at(7000));
-    CHECK_FALSE(asker.applyGossip(gossip, at(7001)));
+    GatewayDirectory receiver = directoryOf(kSite[1], kSite);
+    const auto gossip = sender.gossipFor(receiver.digest(), at(7000));
+    receiver.recordSeen(gateway("c-1", "c"), at(7000));
+    CHECK_FALSE(receiver.applyGossip(gossip, at(7001)));
 }
 
 TEST(GatewayDirectoryTest, AllAreToldToOneThatKnowsOthers)
 {
     GatewayDirectory sender = directoryOf(kSite[0], kSite);
-    GatewayDirectory asker(kSite[1], {});
-    asker.recordSeen(kSite[0], at(1));
-    CHECK_TRUE(asker.applyGossip(sender.gossipFor(asker.digest(), at(2)), at(2)));
-    UNSIGNED_LONGS_EQUAL(kSite.size(), asker.size());
+    GatewayDirectory receiver(kSite[1], {});
+    receiver.recordSeen(kSite[0], at(1));
+    CHECK_TRUE(receiver.applyGossip(sender.gossipFor(receiver.digest(), at(2)), at(2)));
+    UNSIGNED_LONGS_EQUAL(kSite.size(), receiver.size());
 }
 
 TEST(GatewayDirectoryTest, AllAgreeOnTheFirstOfAnotherHallAndPassOverOneThatFails)
