--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -59,12 +59,12 @@
     return digest_;
 }
 
-GatewayDirectory::GossipUpdate GatewayDirectory::gossipFor(std::uint64_t askerDigest,
+GatewayDirectory::GossipUpdate GatewayDirectory::gossipFor(std::uint64_t receiverDigest,
                                                            TimePoint now) const
 {
     GossipUpdate gossip;
     gossip.digest = digest();
-    if (askerDigest != gossip.digest) {
+    if (receiverDigest != gossip.digest) {
         gossip.peers = knownPeers();
         return gossip;
     }
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -85,8 +85,8 @@
     // Returns a number that names the set of gateways that are known, this one included, and where
     // they listen; not zero.
     std::uint64_t digest() const;
-    // Returns what to tell one that knows the set named `askerDigest`.
-    GossipUpdate gossipFor(std::uint64_t askerDigest, TimePoint now) const;
+    // Returns what to tell one that knows the set named `receiverDigest`.
+    GossipUpdate gossipFor(std::uint64_t receiverDigest, TimePoint now) const;
     // Takes what another gateway tells at `now`. Returns false when ages came for another set than
     // the one that is known by now.
     bool applyGossip(const GossipUpdate &gossip, TimePoint now);
