--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -329,17 +329,17 @@
 {
     constexpr std::size_t kMostShown = 20;
     std::vector<CrashSuspect> all = core_.crashes().allSuspects();
-    std::erase_if(all, [](const CrashSuspect &suspect) { return suspect.ends.empty(); });
+    std::erase_if(all, [](const CrashSuspect &suspect) { return suspect.crashes.empty(); });
     std::stable_sort(all.begin(), all.end(), [](const auto &left, const auto &right) {
-        return left.ends.size() > right.ends.size();
+        return left.crashes.size() > right.crashes.size();
     });
     all.resize(std::min(all.size(), kMostShown));
     const TimePoint now = loop_.now();
     json shown = json::array();
     for (const CrashSuspect &suspect : all) {
         shown.push_back({{"digest", toText(suspect.digest)},
-                         {"ends", suspect.ends.size()},
-                         {"lastMsAgo", toMillis(now - suspect.ends.back().at)},
+                         {"ends", suspect.crashes.size()},
+                         {"lastMsAgo", toMillis(now - suspect.crashes.back().at)},
                          {"stopped", !core_.crashes().mayBeSent(suspect.digest, now)}});
     }
     return shown;
--- a/src/net/crashwire.cpp
+++ b/src/net/crashwire.cpp
@@ -6,10 +6,10 @@
 {
     to.setDigest(suspect.digest.value());
     to.setAccount(suspect.account);
-    auto ends = to.initEnds(static_cast<std::uint32_t>(suspect.ends.size()));
+    auto ends = to.initEnds(static_cast<std::uint32_t>(suspect.crashes.size()));
     for (std::uint32_t index = 0; index < ends.size(); ++index) {
-        ends[index].setUpstream(suspect.ends[index].upstream);
-        ends[index].setMicrosAgo((now - suspect.ends[index].at).count());
+        ends[index].setUpstream(suspect.crashes[index].upstream);
+        ends[index].setMicrosAgo((now - suspect.crashes[index].at).count());
     }
     if (suspect.lastCompletedAt) {
         to.setSurvived(true);
@@ -23,7 +23,7 @@
     suspect.digest = RequestDigest(from.getDigest());
     suspect.account = from.getAccount();
     for (const auto &end : from.getEnds()) {
-        suspect.ends.push_back({end.getUpstream(), toldAt - Duration(end.getMicrosAgo())});
+        suspect.crashes.push_back({end.getUpstream(), toldAt - Duration(end.getMicrosAgo())});
     }
     if (from.getSurvived()) {
         suspect.lastCompletedAt = toldAt - Duration(from.getSurvivedMicrosAgo());
--- a/test/gateway/gatewaywire_test.cpp
+++ b/test/gateway/gatewaywire_test.cpp
@@ -95,8 +95,8 @@
     CrashSuspect suspect;
     suspect.digest = RequestDigest(0xfeed);
     suspect.account = 12;
-    suspect.ends = {{1, TimePoint(std::chrono::seconds(3))},
-                    {2, TimePoint(std::chrono::seconds(7))}};
+    suspect.crashes = {{1, TimePoint(std::chrono::seconds(3))},
+                       {2, TimePoint(std::chrono::seconds(7))}};
     suspect.lastCompletedAt = TimePoint(std::chrono::seconds(2));
     capnp::MallocMessageBuilder message;
     auto to = message.initRoot<wire::CrashSuspect>();
@@ -104,7 +104,7 @@
     const auto read = readSuspect(to.asReader(), TimePoint(std::chrono::seconds(110)));
     CHECK_TRUE(read.digest == suspect.digest);
     LONGS_EQUAL(12, read.account);
-    LONGS_EQUAL(2, read.ends.size());
-    CHECK_TRUE(read.ends[1].at == TimePoint(std::chrono::seconds(107)));
+    LONGS_EQUAL(2, read.crashes.size());
+    CHECK_TRUE(read.crashes[1].at == TimePoint(std::chrono::seconds(107)));
     CHECK_TRUE(read.lastCompletedAt == TimePoint(std::chrono::seconds(102)));
 }
