--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -86,11 +86,11 @@
 void CrashRecord::onUpstreamCrashed(const RequestDigest &digest, const AccountId &account,
                                     const InstanceId &upstream, TimePoint at)
 {
-    CrashSuspect seen;
-    seen.digest = digest;
-    seen.account = hashOf(account.value());
-    seen.crashes.push_back({hashOf(upstream.value()), at});
-    merge(seen);
+    CrashSuspect observed;
+    observed.digest = digest;
+    observed.account = hashOf(account.value());
+    observed.crashes.push_back({hashOf(upstream.value()), at});
+    merge(observed);
 }
 
 void CrashRecord::onRequestCompleted(const RequestDigest &digest, TimePoint now)
