--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -70,7 +70,7 @@
     LoadEstimate &load = loads_[agent];
     if (reborn) {
         load.reset();
-        outliers_.forget(agent);
+        outliers_.reset(agent);
         prefixes_.forget(agent);
     }
     load.onReport(report, askedAt);
