--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -169,15 +169,15 @@
         }
         const auto to = static_cast<std::size_t>(member->value().back() - '0');
         const Incarnation life = agent.life;
-        const Incarnation granter = agents_[to].life;
+        const Incarnation granterIncarnation = agents_[to].life;
         const std::uint64_t number = agent.requester->grantNumber();
-        send(to, granter, [this, index, to, life, granter, number] {
+        send(to, granterIncarnation, [this, index, to, life, granterIncarnation, number] {
             if (!agents_[to].book->tryGrant(name(index), life, number)) {
                 return;
             }
-            send(index, life, [this, index, to, granter] {
+            send(index, life, [this, index, to, granterIncarnation] {
                 // One connection for each pair: nothing comes from a life that was replaced.
-                if (agents_[to].life == granter) {
+                if (agents_[to].life == granterIncarnation) {
                     agents_[index].requester->onGranted(name(to));
                 }
             });
