--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -70,7 +70,7 @@
 
     struct Agent
     {
-        std::unique_ptr<ReloadGranter> book;
+        std::unique_ptr<ReloadGranter> granter;
         std::unique_ptr<ReloadRequester> requester;
         Incarnation life;
         bool down = false;     // Of the upstream; outlives the agent.
@@ -98,13 +98,13 @@
     {
         Agent &agent = agents_[index];
         agent.life = Incarnation(++lastIncarnation_);
-        agent.book = std::make_unique<ReloadGranter>(name(index));
-        agent.book->setPool(members_, kMaxConcurrent);
+        agent.granter = std::make_unique<ReloadGranter>(name(index));
+        agent.granter->setPool(members_, kMaxConcurrent);
         agent.requester = std::make_unique<ReloadRequester>();
         agent.requester->setPool(members_);
         if (fault_ == InjectedFault::ForgetGrants) {
             for (std::size_t other = 0; other < kAgents; ++other) {
-                agent.book->onMemberState(name(other), {agents_[other].life, 0, false});
+                agent.granter->onMemberState(name(other), {agents_[other].life, 0, false});
             }
         }
         if (agent.down) {
@@ -154,7 +154,7 @@
                           && fault_ != InjectedFault::ExpireGrants;
             send(other, agents_[other].life, [this, index, other, life = agent.life, state] {
                 if (agents_[index].life == life) {
-                    agents_[other].book->onMemberState(name(index), state);
+                    agents_[other].granter->onMemberState(name(index), state);
                 }
             });
         }
@@ -172,7 +172,7 @@
         const Incarnation granterIncarnation = agents_[to].life;
         const std::uint64_t number = agent.requester->grantNumber();
         send(to, granterIncarnation, [this, index, to, life, granterIncarnation, number] {
-            if (!agents_[to].book->tryGrant(name(index), life, number)) {
+            if (!agents_[to].granter->tryGrant(name(index), life, number)) {
                 return;
             }
             send(index, life, [this, index, to, granterIncarnation] {
@@ -198,7 +198,7 @@
         }
         if (fault_ == InjectedFault::ExpireGrants && chance(0.05)) {
             for (std::size_t other = 0; other < kAgents; ++other) {
-                agent.book->release(name(other), agents_[other].life, 99);
+                agent.granter->release(name(other), agents_[other].life, 99);
             }
         }
         const bool enough =
@@ -228,7 +228,7 @@
     {
         const ReloadGrantState state = agents_[index].requester->state(agents_[index].life);
         send(to, agents_[to].life, [this, to, index, state] {
-            agents_[to].book->release(name(index), state.incarnation, state.released);
+            agents_[to].granter->release(name(index), state.incarnation, state.released);
         });
     }
 
@@ -274,13 +274,13 @@
 {
     // Found by seed 457: two replaced members each heard of three askers with a part of the turns,
     // and gave all three what they seemed to have already.
-    ReloadGranter book(InstanceId("a"));
-    book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
-    book.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
-    book.onMemberState(InstanceId("c"), {Incarnation(2), 0, true});
+    ReloadGranter granter(InstanceId("a"));
+    granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
+    granter.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
+    granter.onMemberState(InstanceId("c"), {Incarnation(2), 0, true});
 
-    CHECK_FALSE(book.tryGrant(InstanceId("b"), Incarnation(1), 1));
-    CHECK_FALSE(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
+    CHECK_FALSE(granter.tryGrant(InstanceId("b"), Incarnation(1), 1));
+    CHECK_FALSE(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
 }
 
 TEST(ReloadGrantsTest, CheckerCatchesABookThatIsForgotten)
@@ -300,26 +300,26 @@
 
 TEST(ReloadGrantsTest, NewLifeGivesNothingUntilAllAreHeard)
 {
-    ReloadGranter book(InstanceId("a"));
-    book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
-    book.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
-
-    CHECK_FALSE(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
-    book.onMemberState(InstanceId("c"), {Incarnation(2), 0, false});
-    CHECK_FALSE(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
-    book.release(InstanceId("b"), Incarnation(1), 1);
-    CHECK(book.tryGrant(InstanceId("c"), Incarnation(2), 1));
+    ReloadGranter granter(InstanceId("a"));
+    granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
+    granter.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
+
+    CHECK_FALSE(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
+    granter.onMemberState(InstanceId("c"), {Incarnation(2), 0, false});
+    CHECK_FALSE(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
+    granter.release(InstanceId("b"), Incarnation(1), 1);
+    CHECK(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
 }
 
 TEST(ReloadGrantsTest, LateWordOfAnOlderTurnDoesNotEndANewerOne)
 {
-    ReloadGranter book(InstanceId("a"));
-    book.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
-    book.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
-    book.tryGrant(InstanceId("b"), Incarnation(1), 2);
+    ReloadGranter granter(InstanceId("a"));
+    granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
+    granter.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
+    granter.tryGrant(InstanceId("b"), Incarnation(1), 2);
 
-    book.release(InstanceId("b"), Incarnation(1), 1);
-    book.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
+    granter.release(InstanceId("b"), Incarnation(1), 1);
+    granter.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
 
-    CHECK_EQUAL(1U, book.grantCount());
+    CHECK_EQUAL(1U, granter.grantCount());
 }
