--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -72,7 +72,7 @@
     {
         std::unique_ptr<ReloadGranter> granter;
         std::unique_ptr<ReloadRequester> requester;
-        Incarnation life;
+        Incarnation incarnation;
         bool down = false;     // Of the upstream; outlives the agent.
         bool reloaded = false; // Of the upstream.
         int backAt = 0;
@@ -97,14 +97,14 @@
     void start(std::size_t index)
     {
         Agent &agent = agents_[index];
-        agent.life = Incarnation(++lastIncarnation_);
+        agent.incarnation = Incarnation(++lastIncarnation_);
         agent.granter = std::make_unique<ReloadGranter>(name(index));
         agent.granter->setPool(members_, kMaxConcurrent);
         agent.requester = std::make_unique<ReloadRequester>();
         agent.requester->setPool(members_);
         if (fault_ == InjectedFault::ForgetGrants) {
             for (std::size_t other = 0; other < kAgents; ++other) {
-                agent.granter->onMemberState(name(other), {agents_[other].life, 0, false});
+                agent.granter->onMemberState(name(other), {agents_[other].incarnation, 0, false});
             }
         }
         if (agent.down) {
@@ -138,7 +138,7 @@
         });
         for (const Message &message : due) {
             // Messages of a connection to an earlier life are gone with it.
-            if (agents_[message.to].life == message.recipient) {
+            if (agents_[message.to].incarnation == message.recipient) {
                 message.action();
             }
         }
@@ -148,15 +148,16 @@
     {
         const Agent &agent = agents_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
-            ReloadGrantState state = agent.requester->state(agent.life);
+            ReloadGrantState state = agent.requester->state(agent.incarnation);
             // With either of these faults nobody tells the turns that it holds.
             state.holds = state.holds && fault_ != InjectedFault::ForgetGrants
                           && fault_ != InjectedFault::ExpireGrants;
-            send(other, agents_[other].life, [this, index, other, life = agent.life, state] {
-                if (agents_[index].life == life) {
-                    agents_[other].granter->onMemberState(name(index), state);
-                }
-            });
+            send(other, agents_[other].incarnation,
+                 [this, index, other, incarnation = agent.incarnation, state] {
+                     if (agents_[index].incarnation == incarnation) {
+                         agents_[other].granter->onMemberState(name(index), state);
+                     }
+                 });
         }
     }
 
@@ -168,16 +169,16 @@
             return;
         }
         const auto to = static_cast<std::size_t>(member->value().back() - '0');
-        const Incarnation life = agent.life;
-        const Incarnation granterIncarnation = agents_[to].life;
+        const Incarnation incarnation = agent.incarnation;
+        const Incarnation granterIncarnation = agents_[to].incarnation;
         const std::uint64_t number = agent.requester->grantNumber();
-        send(to, granterIncarnation, [this, index, to, life, granterIncarnation, number] {
-            if (!agents_[to].granter->tryGrant(name(index), life, number)) {
+        send(to, granterIncarnation, [this, index, to, incarnation, granterIncarnation, number] {
+            if (!agents_[to].granter->tryGrant(name(index), incarnation, number)) {
                 return;
             }
-            send(index, life, [this, index, to, granterIncarnation] {
+            send(index, incarnation, [this, index, to, granterIncarnation] {
                 // One connection for each pair: nothing comes from a life that was replaced.
-                if (agents_[to].life == granterIncarnation) {
+                if (agents_[to].incarnation == granterIncarnation) {
                     agents_[index].requester->onGranted(name(to));
                 }
             });
@@ -198,7 +199,7 @@
         }
         if (fault_ == InjectedFault::ExpireGrants && chance(0.05)) {
             for (std::size_t other = 0; other < kAgents; ++other) {
-                agent.granter->release(name(other), agents_[other].life, 99);
+                agent.granter->release(name(other), agents_[other].incarnation, 99);
             }
         }
         const bool enough =
@@ -226,8 +227,8 @@
 
     void sendRelease(std::size_t to, std::size_t index)
     {
-        const ReloadGrantState state = agents_[index].requester->state(agents_[index].life);
-        send(to, agents_[to].life, [this, to, index, state] {
+        const ReloadGrantState state = agents_[index].requester->state(agents_[index].incarnation);
+        send(to, agents_[to].incarnation, [this, to, index, state] {
             agents_[to].granter->release(name(index), state.incarnation, state.released);
         });
     }
