--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -37,7 +37,7 @@
     std::uint64_t seed = 1;
 };
 
-struct Spread
+struct Result
 {
     int allKnownAtMs = -1;       // Since then all know all.
     std::size_t fewestAfter = 0; // That any gateway knew in the last 10 s.
@@ -62,10 +62,10 @@
         }
     }
 
-    Spread run()
+    Result run()
     {
         constexpr int kLast = 10000;
-        Spread spread;
+        Result spread;
         spread.fewestAfter = site_.gateways;
         for (now_ = kStepMs; now_ <= site_.millis; now_ += kStepMs) {
             if (now_ == site_.millis - kLast) {
@@ -155,7 +155,7 @@
         directory.applyGossip(gossip, now());
     }
 
-    void look(Spread &spread, bool late)
+    void look(Result &spread, bool late)
     {
         std::size_t fewest = site_.gateways;
         bool forgotten = true;
@@ -198,7 +198,7 @@
 {
     for (const auto &[gateways, halls] :
          std::vector<std::pair<std::size_t, std::size_t>>{{30, 3}, {149, 3}, {531, 5}, {1062, 9}}) {
-        const Spread spread = World(siteOf(gateways, halls)).run();
+        const Result spread = World(siteOf(gateways, halls)).run();
         const std::string text =
             fmt::format("{} gateways: all known since {} ms, fewest known later {}, busiest tells "
                         "{:.0f} bytes a second",
@@ -226,7 +226,7 @@
         Site site = siteOf(gateways, 5);
         site.stopAtMs = 6000;
         site.millis = 36000;
-        const Spread spread = World(site).run();
+        const Result spread = World(site).run();
         CHECK_TEXT(spread.forgottenAtMs >= 0,
                    fmt::format("{} gateways still know one that is gone", gateways).c_str());
     }
