--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -65,8 +65,8 @@
     Result run()
     {
         constexpr int kLast = 10000;
-        Result spread;
-        spread.fewestAfter = site_.gateways;
+        Result result;
+        result.fewestAfter = site_.gateways;
         for (now_ = kStepMs; now_ <= site_.millis; now_ += kStepMs) {
             if (now_ == site_.millis - kLast) {
                 std::fill(told_.begin(), told_.end(), 0);
@@ -74,12 +74,12 @@
             for (std::size_t index = 0; index < living(); ++index) {
                 step(index);
             }
-            look(spread, now_ > site_.millis - kLast);
+            look(result, now_ > site_.millis - kLast);
         }
         const double seconds = std::min(kLast, site_.millis) / 1000.0;
-        spread.busiestBytes =
+        result.busiestBytes =
             static_cast<double>(*std::max_element(told_.begin(), told_.end())) / seconds;
-        return spread;
+        return result;
     }
 
 private:
@@ -155,7 +155,7 @@
         directory.applyGossip(gossip, now());
     }
 
-    void look(Result &spread, bool late)
+    void look(Result &result, bool late)
     {
         std::size_t fewest = site_.gateways;
         bool forgotten = true;
@@ -164,12 +164,12 @@
             forgotten = forgotten && directories_[index].find(records_.back().id) == nullptr;
         }
         const bool all = fewest == site_.gateways;
-        spread.allKnownAtMs = !all ? -1 : spread.allKnownAtMs < 0 ? now_ : spread.allKnownAtMs;
-        spread.fewestAfter = late ? std::min(spread.fewestAfter, fewest) : spread.fewestAfter;
+        result.allKnownAtMs = !all ? -1 : result.allKnownAtMs < 0 ? now_ : result.allKnownAtMs;
+        result.fewestAfter = late ? std::min(result.fewestAfter, fewest) : result.fewestAfter;
         if (stopped()) {
-            spread.forgottenAtMs = !forgotten                 ? -1
-                                   : spread.forgottenAtMs < 0 ? now_
-                                                              : spread.forgottenAtMs;
+            result.forgottenAtMs = !forgotten                 ? -1
+                                   : result.forgottenAtMs < 0 ? now_
+                                                              : result.forgottenAtMs;
         }
     }
 
@@ -198,18 +198,18 @@
 {
     for (const auto &[gateways, halls] :
          std::vector<std::pair<std::size_t, std::size_t>>{{30, 3}, {149, 3}, {531, 5}, {1062, 9}}) {
-        const Result spread = World(siteOf(gateways, halls)).run();
+        const Result result = World(siteOf(gateways, halls)).run();
         const std::string text =
             fmt::format("{} gateways: all known since {} ms, fewest known later {}, busiest tells "
                         "{:.0f} bytes a second",
-                        gateways, spread.allKnownAtMs, spread.fewestAfter, spread.busiestBytes);
+                        gateways, result.allKnownAtMs, result.fewestAfter, result.busiestBytes);
         if (std::getenv("SEAMARCH_PRINT") != nullptr) {
             fmt::print("{}\n", text);
         }
-        CHECK_TEXT(spread.allKnownAtMs >= 0 && spread.allKnownAtMs <= 6000, text.c_str());
-        UNSIGNED_LONGS_EQUAL_TEXT(gateways, spread.fewestAfter, text.c_str());
+        CHECK_TEXT(result.allKnownAtMs >= 0 && result.allKnownAtMs <= 6000, text.c_str());
+        UNSIGNED_LONGS_EQUAL_TEXT(gateways, result.fewestAfter, text.c_str());
         // A fortieth of a link of 40 Mbit/s, at every size.
-        CHECK_TEXT(spread.busiestBytes <= 125'000, text.c_str());
+        CHECK_TEXT(result.busiestBytes <= 125'000, text.c_str());
     }
 }
 
@@ -226,8 +226,8 @@
         Site site = siteOf(gateways, 5);
         site.stopAtMs = 6000;
         site.millis = 36000;
-        const Result spread = World(site).run();
-        CHECK_TEXT(spread.forgottenAtMs >= 0,
+        const Result result = World(site).run();
+        CHECK_TEXT(result.forgottenAtMs >= 0,
                    fmt::format("{} gateways still know one that is gone", gateways).c_str());
     }
 }
