--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -45,10 +45,10 @@
     int forgottenAtMs = -1;      // Nobody knows the one that is gone.
 };
 
-class World
+class Simulation
 {
 public:
-    explicit World(const Site &site)
+    explicit Simulation(const Site &site)
         : site_(site)
         , random_(site.seed)
         , askedAt_(site.gateways, -site.millis)
@@ -198,7 +198,7 @@
 {
     for (const auto &[gateways, halls] :
          std::vector<std::pair<std::size_t, std::size_t>>{{30, 3}, {149, 3}, {531, 5}, {1062, 9}}) {
-        const Result result = World(siteOf(gateways, halls)).run();
+        const Result result = Simulation(siteOf(gateways, halls)).run();
         const std::string text =
             fmt::format("{} gateways: all known since {} ms, fewest known later {}, busiest tells "
                         "{:.0f} bytes a second",
@@ -217,7 +217,7 @@
 {
     Site site = siteOf(531, 5);
     site.gapMs = [](std::size_t known) { return std::max(2000, 50 * static_cast<int>(known)); };
-    CHECK_TRUE(World(site).run().fewestAfter < site.gateways);
+    CHECK_TRUE(Simulation(site).run().fewestAfter < site.gateways);
 }
 
 TEST(DirectorySpreadTest, OneThatIsGoneIsForgottenByAll)
@@ -226,7 +226,7 @@
         Site site = siteOf(gateways, 5);
         site.stopAtMs = 6000;
         site.millis = 36000;
-        const Result result = World(site).run();
+        const Result result = Simulation(site).run();
         CHECK_TEXT(result.forgottenAtMs >= 0,
                    fmt::format("{} gateways still know one that is gone", gateways).c_str());
     }
