--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -52,7 +52,7 @@
         : site_(site)
         , random_(site.seed)
         , askedAt_(site.gateways, -site.millis)
-        , told_(site.gateways, 0)
+        , bytesSent_(site.gateways, 0)
     {
         for (std::size_t index = 0; index < site.gateways; ++index) {
             records_.push_back({InstanceId(fmt::format("g-{:04}", index)),
@@ -69,7 +69,7 @@
         result.fewestAfter = site_.gateways;
         for (now_ = kStepMs; now_ <= site_.millis; now_ += kStepMs) {
             if (now_ == site_.millis - kLast) {
-                std::fill(told_.begin(), told_.end(), 0);
+                std::fill(bytesSent_.begin(), bytesSent_.end(), 0);
             }
             for (std::size_t index = 0; index < living(); ++index) {
                 step(index);
@@ -78,7 +78,7 @@
         }
         const double seconds = std::min(kLast, site_.millis) / 1000.0;
         result.busiestBytes =
-            static_cast<double>(*std::max_element(told_.begin(), told_.end())) / seconds;
+            static_cast<double>(*std::max_element(bytesSent_.begin(), bytesSent_.end())) / seconds;
         return result;
     }
 
@@ -150,7 +150,7 @@
         }
         const GatewayDirectory::GossipUpdate gossip =
             directories_[sender].gossipFor(directory.digest(), now());
-        told_[sender] += kNewsBytes + gossip.peers.size() * kRecordBytes + gossip.ages.size();
+        bytesSent_[sender] += kNewsBytes + gossip.peers.size() * kRecordBytes + gossip.ages.size();
         directory.recordSeen(records_[sender], now());
         directory.applyGossip(gossip, now());
     }
@@ -177,8 +177,8 @@
     std::mt19937_64 random_;
     std::vector<GatewayRecord> records_;
     std::vector<GatewayDirectory> directories_;
-    std::vector<int> askedAt_;      // For whom others know.
-    std::vector<std::size_t> told_; // Bytes.
+    std::vector<int> askedAt_;           // For whom others know.
+    std::vector<std::size_t> bytesSent_; // Bytes.
     int now_ = 0;
 };
 
