--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -51,7 +51,7 @@
     explicit Simulation(const Site &site)
         : site_(site)
         , random_(site.seed)
-        , askedAt_(site.gateways, -site.millis)
+        , listRequestedAt_(site.gateways, -site.millis)
         , bytesSent_(site.gateways, 0)
     {
         for (std::size_t index = 0; index < site.gateways; ++index) {
@@ -93,13 +93,13 @@
         directory.expire(now());
         const InstanceId followed = directory.localStoreFollower(now());
         const int gap = now_ < kYoungMs ? kYoungGapMs : site_.gapMs(directory.size());
-        const bool due = now_ - askedAt_[index] >= gap;
+        const bool due = now_ - listRequestedAt_[index] >= gap;
         if (followed != records_[index].id) {
             // It asks the one that it follows all the time, which so hears of it.
             ask(index, indexOf(followed), due);
-            askedAt_[index] = due ? now_ : askedAt_[index];
+            listRequestedAt_[index] = due ? now_ : listRequestedAt_[index];
         } else if (due) {
-            askedAt_[index] = now_;
+            listRequestedAt_[index] = now_;
             for (const HallId &hall : directory.peerHalls()) {
                 if (hall != records_[index].hall) {
                     askSome(index, directory.storeFollowerOf(hall, now()));
@@ -177,7 +177,7 @@
     std::mt19937_64 random_;
     std::vector<GatewayRecord> records_;
     std::vector<GatewayDirectory> directories_;
-    std::vector<int> askedAt_;           // For whom others know.
+    std::vector<int> listRequestedAt_;   // For whom others know.
     std::vector<std::size_t> bytesSent_; // Bytes.
     int now_ = 0;
 };
