--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -74,7 +74,7 @@
             for (std::size_t index = 0; index < living(); ++index) {
                 step(index);
             }
-            look(result, now_ > site_.millis - kLast);
+            measure(result, now_ > site_.millis - kLast);
         }
         const double seconds = std::min(kLast, site_.millis) / 1000.0;
         result.busiestBytes =
@@ -155,7 +155,7 @@
         directory.applyGossip(gossip, now());
     }
 
-    void look(Result &result, bool late)
+    void measure(Result &result, bool late)
     {
         std::size_t fewest = site_.gateways;
         bool forgotten = true;
