--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -96,7 +96,7 @@
         const bool due = now_ - listRequestedAt_[index] >= gap;
         if (followed != records_[index].id) {
             // It asks the one that it follows all the time, which so hears of it.
-            ask(index, indexOf(followed), due);
+            exchange(index, indexOf(followed), due);
             listRequestedAt_[index] = due ? now_ : listRequestedAt_[index];
         } else if (due) {
             listRequestedAt_[index] = now_;
@@ -106,10 +106,10 @@
                 }
             }
             askSome(index, directory.nextPeer(records_[index].id, now()));
-            ask(index, seed(), true);
+            exchange(index, seed(), true);
         }
         if (directory.size() <= 3) {
-            ask(index, seed(), true);
+            exchange(index, seed(), true);
         }
     }
 
@@ -119,7 +119,7 @@
     void askSome(std::size_t receiver, const std::optional<InstanceId> &id)
     {
         if (id) {
-            ask(receiver, indexOf(*id), true);
+            exchange(receiver, indexOf(*id), true);
         }
     }
 
@@ -133,7 +133,7 @@
             - records_.begin());
     }
 
-    void ask(std::size_t receiver, std::size_t sender, bool list)
+    void exchange(std::size_t receiver, std::size_t sender, bool list)
     {
         if (receiver == sender) {
             return;
