--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -102,10 +102,10 @@
             listRequestedAt_[index] = now_;
             for (const HallId &hall : directory.peerHalls()) {
                 if (hall != records_[index].hall) {
-                    askSome(index, directory.storeFollowerOf(hall, now()));
+                    exchangeWith(index, directory.storeFollowerOf(hall, now()));
                 }
             }
-            askSome(index, directory.nextPeer(records_[index].id, now()));
+            exchangeWith(index, directory.nextPeer(records_[index].id, now()));
             exchange(index, seed(), true);
         }
         if (directory.size() <= 3) {
@@ -116,7 +116,7 @@
     // One of three, each in another hall.
     std::size_t seed() { return random_() % 3 * site_.gateways / 3; }
 
-    void askSome(std::size_t receiver, const std::optional<InstanceId> &id)
+    void exchangeWith(std::size_t receiver, const std::optional<InstanceId> &id)
     {
         if (id) {
             exchange(receiver, indexOf(*id), true);
