--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -71,7 +71,7 @@
             if (now_ == site_.millis - kLast) {
                 std::fill(bytesSent_.begin(), bytesSent_.end(), 0);
             }
-            for (std::size_t index = 0; index < living(); ++index) {
+            for (std::size_t index = 0; index < runningCount(); ++index) {
                 step(index);
             }
             measure(result, now_ > site_.millis - kLast);
@@ -85,7 +85,7 @@
 private:
     TimePoint now() const { return TimePoint(std::chrono::milliseconds(now_)); }
     bool stopped() const { return site_.stopAtMs >= 0 && now_ >= site_.stopAtMs; }
-    std::size_t living() const { return site_.gateways - (stopped() ? 1 : 0); }
+    std::size_t runningCount() const { return site_.gateways - (stopped() ? 1 : 0); }
 
     void step(std::size_t index)
     {
@@ -139,7 +139,7 @@
             return;
         }
         GatewayDirectory &directory = directories_[receiver];
-        if (sender >= living()) {
+        if (sender >= runningCount()) {
             directory.onFailed(records_[sender].id, now());
             return;
         }
@@ -159,7 +159,7 @@
     {
         std::size_t fewest = site_.gateways;
         bool forgotten = true;
-        for (std::size_t index = 0; index < living(); ++index) {
+        for (std::size_t index = 0; index < runningCount(); ++index) {
             fewest = std::min(fewest, directories_[index].size());
             forgotten = forgotten && directories_[index].find(records_.back().id) == nullptr;
         }
