--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -39,10 +39,10 @@
 
 struct Result
 {
-    int allKnownAtMs = -1;       // Since then all know all.
-    std::size_t fewestAfter = 0; // That any gateway knew in the last 10 s.
-    double busiestBytes = 0.0;   // Told by one gateway a second, in the last 10 s.
-    int forgottenAtMs = -1;      // Nobody knows the one that is gone.
+    int allKnownAtMs = -1;        // Since then all know all.
+    std::size_t minKnownLate = 0; // That any gateway knew in the last 10 s.
+    double busiestBytes = 0.0;    // Told by one gateway a second, in the last 10 s.
+    int forgottenAtMs = -1;       // Nobody knows the one that is gone.
 };
 
 class Simulation
@@ -66,7 +66,7 @@
     {
         constexpr int kLast = 10000;
         Result result;
-        result.fewestAfter = site_.gateways;
+        result.minKnownLate = site_.gateways;
         for (now_ = kStepMs; now_ <= site_.millis; now_ += kStepMs) {
             if (now_ == site_.millis - kLast) {
                 std::fill(bytesSent_.begin(), bytesSent_.end(), 0);
@@ -165,7 +165,7 @@
         }
         const bool all = fewest == site_.gateways;
         result.allKnownAtMs = !all ? -1 : result.allKnownAtMs < 0 ? now_ : result.allKnownAtMs;
-        result.fewestAfter = late ? std::min(result.fewestAfter, fewest) : result.fewestAfter;
+        result.minKnownLate = late ? std::min(result.minKnownLate, fewest) : result.minKnownLate;
         if (stopped()) {
             result.forgottenAtMs = !forgotten                 ? -1
                                    : result.forgottenAtMs < 0 ? now_
@@ -202,12 +202,12 @@
         const std::string text =
             fmt::format("{} gateways: all known since {} ms, fewest known later {}, busiest tells "
                         "{:.0f} bytes a second",
-                        gateways, result.allKnownAtMs, result.fewestAfter, result.busiestBytes);
+                        gateways, result.allKnownAtMs, result.minKnownLate, result.busiestBytes);
         if (std::getenv("SEAMARCH_PRINT") != nullptr) {
             fmt::print("{}\n", text);
         }
         CHECK_TEXT(result.allKnownAtMs >= 0 && result.allKnownAtMs <= 6000, text.c_str());
-        UNSIGNED_LONGS_EQUAL_TEXT(gateways, result.fewestAfter, text.c_str());
+        UNSIGNED_LONGS_EQUAL_TEXT(gateways, result.minKnownLate, text.c_str());
         // A fortieth of a link of 40 Mbit/s, at every size.
         CHECK_TEXT(result.busiestBytes <= 125'000, text.c_str());
     }
@@ -217,7 +217,7 @@
 {
     Site site = siteOf(531, 5);
     site.gapMs = [](std::size_t known) { return std::max(2000, 50 * static_cast<int>(known)); };
-    CHECK_TRUE(Simulation(site).run().fewestAfter < site.gateways);
+    CHECK_TRUE(Simulation(site).run().minKnownLate < site.gateways);
 }
 
 TEST(DirectorySpreadTest, OneThatIsGoneIsForgottenByAll)
