--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -42,7 +42,7 @@
     int allKnownAtMs = -1;          // Since then all know all.
     std::size_t minKnownLate = 0;   // That any gateway knew in the last 10 s.
     double maxBytesPerSecond = 0.0; // Told by one gateway a second, in the last 10 s.
-    int forgottenAtMs = -1;         // Nobody knows the one that is gone.
+    int evictedAtMs = -1;           // Nobody knows the one that is gone.
 };
 
 class Simulation
@@ -167,9 +167,9 @@
         result.allKnownAtMs = !all ? -1 : result.allKnownAtMs < 0 ? now_ : result.allKnownAtMs;
         result.minKnownLate = late ? std::min(result.minKnownLate, fewest) : result.minKnownLate;
         if (stopped()) {
-            result.forgottenAtMs = !forgotten                 ? -1
-                                   : result.forgottenAtMs < 0 ? now_
-                                                              : result.forgottenAtMs;
+            result.evictedAtMs = !forgotten               ? -1
+                                 : result.evictedAtMs < 0 ? now_
+                                                          : result.evictedAtMs;
         }
     }
 
@@ -227,7 +227,7 @@
         site.stopAtMs = 6000;
         site.millis = 36000;
         const Result result = Simulation(site).run();
-        CHECK_TEXT(result.forgottenAtMs >= 0,
+        CHECK_TEXT(result.evictedAtMs >= 0,
                    fmt::format("{} gateways still know one that is gone", gateways).c_str());
     }
 }
