--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -158,18 +158,16 @@
     void measure(Result &result, bool late)
     {
         std::size_t fewest = site_.gateways;
-        bool forgotten = true;
+        bool evicted = true;
         for (std::size_t index = 0; index < runningCount(); ++index) {
             fewest = std::min(fewest, directories_[index].size());
-            forgotten = forgotten && directories_[index].find(records_.back().id) == nullptr;
+            evicted = evicted && directories_[index].find(records_.back().id) == nullptr;
         }
         const bool all = fewest == site_.gateways;
         result.allKnownAtMs = !all ? -1 : result.allKnownAtMs < 0 ? now_ : result.allKnownAtMs;
         result.minKnownLate = late ? std::min(result.minKnownLate, fewest) : result.minKnownLate;
         if (stopped()) {
-            result.evictedAtMs = !forgotten               ? -1
-                                 : result.evictedAtMs < 0 ? now_
-                                                          : result.evictedAtMs;
+            result.evictedAtMs = !evicted ? -1 : result.evictedAtMs < 0 ? now_ : result.evictedAtMs;
         }
     }
 
