--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -39,7 +39,7 @@
 
 struct Result
 {
-    int allKnownAtMs = -1;          // Since then all know all.
+    int convergedAtMs = -1;         // Since then all know all.
     std::size_t minKnownLate = 0;   // That any gateway knew in the last 10 s.
     double maxBytesPerSecond = 0.0; // Told by one gateway a second, in the last 10 s.
     int evictedAtMs = -1;           // Nobody knows the one that is gone.
@@ -164,7 +164,7 @@
             evicted = evicted && directories_[index].find(records_.back().id) == nullptr;
         }
         const bool all = fewest == site_.gateways;
-        result.allKnownAtMs = !all ? -1 : result.allKnownAtMs < 0 ? now_ : result.allKnownAtMs;
+        result.convergedAtMs = !all ? -1 : result.convergedAtMs < 0 ? now_ : result.convergedAtMs;
         result.minKnownLate = late ? std::min(result.minKnownLate, fewest) : result.minKnownLate;
         if (stopped()) {
             result.evictedAtMs = !evicted ? -1 : result.evictedAtMs < 0 ? now_ : result.evictedAtMs;
@@ -200,11 +200,11 @@
         const std::string text = fmt::format(
             "{} gateways: all known since {} ms, fewest known later {}, busiest tells "
             "{:.0f} bytes a second",
-            gateways, result.allKnownAtMs, result.minKnownLate, result.maxBytesPerSecond);
+            gateways, result.convergedAtMs, result.minKnownLate, result.maxBytesPerSecond);
         if (std::getenv("SEAMARCH_PRINT") != nullptr) {
             fmt::print("{}\n", text);
         }
-        CHECK_TEXT(result.allKnownAtMs >= 0 && result.allKnownAtMs <= 6000, text.c_str());
+        CHECK_TEXT(result.convergedAtMs >= 0 && result.convergedAtMs <= 6000, text.c_str());
         UNSIGNED_LONGS_EQUAL_TEXT(gateways, result.minKnownLate, text.c_str());
         // A fortieth of a link of 40 Mbit/s, at every size.
         CHECK_TEXT(result.maxBytesPerSecond <= 125'000, text.c_str());
