--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -33,7 +33,7 @@
     std::size_t halls = 3;
     int millis = 22000;
     std::function<int(std::size_t)> gapMs = [](std::size_t) { return 2000; }; // By gateways known.
-    int stopAtMs = -1; // The last gateway is gone from then on.
+    int stopLastAtMs = -1; // The last gateway is gone from then on.
     std::uint64_t seed = 1;
 };
 
@@ -84,7 +84,7 @@
 
 private:
     TimePoint now() const { return TimePoint(std::chrono::milliseconds(now_)); }
-    bool stopped() const { return site_.stopAtMs >= 0 && now_ >= site_.stopAtMs; }
+    bool stopped() const { return site_.stopLastAtMs >= 0 && now_ >= site_.stopLastAtMs; }
     std::size_t runningCount() const { return site_.gateways - (stopped() ? 1 : 0); }
 
     void step(std::size_t index)
@@ -222,7 +222,7 @@
 {
     for (const std::size_t gateways : {30U, 149U, 265U}) {
         Site site = siteOf(gateways, 5);
-        site.stopAtMs = 6000;
+        site.stopLastAtMs = 6000;
         site.millis = 36000;
         const Result result = Simulation(site).run();
         CHECK_TEXT(result.evictedAtMs >= 0,
