--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -22,7 +22,7 @@
 
 constexpr int kStepMs = 400;     // A question to the gateway that is followed waits so long.
 constexpr int kStartupMs = 3000; // New gateways ask more often.
-constexpr int kYoungGapMs = 800;
+constexpr int kStartupIntervalMs = 800;
 // A record on the wire: an id, a hall and an address.
 constexpr std::size_t kRecordBytes = 64;
 constexpr std::size_t kNewsBytes = 48;
@@ -92,7 +92,7 @@
         GatewayDirectory &directory = directories_[index];
         directory.expire(now());
         const InstanceId followed = directory.localStoreFollower(now());
-        const int gap = now_ < kStartupMs ? kYoungGapMs : site_.gapMs(directory.size());
+        const int gap = now_ < kStartupMs ? kStartupIntervalMs : site_.gapMs(directory.size());
         const bool due = now_ - listRequestedAt_[index] >= gap;
         if (followed != records_[index].id) {
             // It asks the one that it follows all the time, which so hears of it.
