--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -32,7 +32,9 @@
     std::size_t gateways = 30;
     std::size_t halls = 3;
     int millis = 22000;
-    std::function<int(std::size_t)> gapMs = [](std::size_t) { return 2000; }; // By gateways known.
+    std::function<int(std::size_t)> intervalMs = [](std::size_t) {
+        return 2000;
+    };                     // By gateways known.
     int stopLastAtMs = -1; // The last gateway is gone from then on.
     std::uint64_t seed = 1;
 };
@@ -92,7 +94,7 @@
         GatewayDirectory &directory = directories_[index];
         directory.expire(now());
         const InstanceId followed = directory.localStoreFollower(now());
-        const int gap = now_ < kStartupMs ? kStartupIntervalMs : site_.gapMs(directory.size());
+        const int gap = now_ < kStartupMs ? kStartupIntervalMs : site_.intervalMs(directory.size());
         const bool due = now_ - listRequestedAt_[index] >= gap;
         if (followed != records_[index].id) {
             // It asks the one that it follows all the time, which so hears of it.
@@ -214,7 +216,9 @@
 TEST(DirectorySpreadTest, QuestionsThatGetRarerWithTheFleetAreCaught)
 {
     Site site = siteOf(531, 5);
-    site.gapMs = [](std::size_t known) { return std::max(2000, 50 * static_cast<int>(known)); };
+    site.intervalMs = [](std::size_t known) {
+        return std::max(2000, 50 * static_cast<int>(known));
+    };
     CHECK_TRUE(Simulation(site).run().minKnownLate < site.gateways);
 }
 
