--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -94,8 +94,9 @@
         GatewayDirectory &directory = directories_[index];
         directory.expire(now());
         const InstanceId followed = directory.localStoreFollower(now());
-        const int gap = now_ < kStartupMs ? kStartupIntervalMs : site_.intervalMs(directory.size());
-        const bool due = now_ - listRequestedAt_[index] >= gap;
+        const int interval =
+            now_ < kStartupMs ? kStartupIntervalMs : site_.intervalMs(directory.size());
+        const bool due = now_ - listRequestedAt_[index] >= interval;
         if (followed != records_[index].id) {
             // It asks the one that it follows all the time, which so hears of it.
             exchange(index, indexOf(followed), due);
