--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -25,7 +25,7 @@
 constexpr int kStartupIntervalMs = 800;
 // A record on the wire: an id, a hall and an address.
 constexpr std::size_t kRecordBytes = 64;
-constexpr std::size_t kNewsBytes = 48;
+constexpr std::size_t kGossipHeaderBytes = 48;
 
 struct Site
 {
@@ -153,7 +153,8 @@
         }
         const GatewayDirectory::GossipUpdate gossip =
             directories_[sender].gossipFor(directory.digest(), now());
-        bytesSent_[sender] += kNewsBytes + gossip.peers.size() * kRecordBytes + gossip.ages.size();
+        bytesSent_[sender] +=
+            kGossipHeaderBytes + gossip.peers.size() * kRecordBytes + gossip.ages.size();
         directory.recordSeen(records_[sender], now());
         directory.applyGossip(gossip, now());
     }
