--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -27,7 +27,7 @@
 constexpr std::size_t kRecordBytes = 64;
 constexpr std::size_t kGossipHeaderBytes = 48;
 
-struct Site
+struct SimulationConfig
 {
     std::size_t gateways = 30;
     std::size_t halls = 3;
@@ -50,7 +50,7 @@
 class Simulation
 {
 public:
-    explicit Simulation(const Site &site)
+    explicit Simulation(const SimulationConfig &site)
         : site_(site)
         , random_(site.seed)
         , listRequestedAt_(site.gateways, -site.millis)
@@ -175,7 +175,7 @@
         }
     }
 
-    Site site_;
+    SimulationConfig site_;
     std::mt19937_64 random_;
     std::vector<GatewayRecord> records_;
     std::vector<GatewayDirectory> directories_;
@@ -184,9 +184,9 @@
     int now_ = 0;
 };
 
-Site siteOf(std::size_t gateways, std::size_t halls)
+SimulationConfig siteOf(std::size_t gateways, std::size_t halls)
 {
-    Site site;
+    SimulationConfig site;
     site.gateways = gateways;
     site.halls = halls;
     return site;
@@ -217,7 +217,7 @@
 
 TEST(DirectorySpreadTest, QuestionsThatGetRarerWithTheFleetAreCaught)
 {
-    Site site = siteOf(531, 5);
+    SimulationConfig site = siteOf(531, 5);
     site.intervalMs = [](std::size_t known) {
         return std::max(2000, 50 * static_cast<int>(known));
     };
@@ -227,7 +227,7 @@
 TEST(DirectorySpreadTest, OneThatIsGoneIsForgottenByAll)
 {
     for (const std::size_t gateways : {30U, 149U, 265U}) {
-        Site site = siteOf(gateways, 5);
+        SimulationConfig site = siteOf(gateways, 5);
         site.stopLastAtMs = 6000;
         site.millis = 36000;
         const Result result = Simulation(site).run();
