--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -51,7 +51,7 @@
 {
 public:
     explicit Simulation(const SimulationConfig &site)
-        : site_(site)
+        : config_(site)
         , random_(site.seed)
         , listRequestedAt_(site.gateways, -site.millis)
         , bytesSent_(site.gateways, 0)
@@ -68,17 +68,17 @@
     {
         constexpr int kLast = 10000;
         Result result;
-        result.minKnownLate = site_.gateways;
-        for (now_ = kStepMs; now_ <= site_.millis; now_ += kStepMs) {
-            if (now_ == site_.millis - kLast) {
+        result.minKnownLate = config_.gateways;
+        for (now_ = kStepMs; now_ <= config_.millis; now_ += kStepMs) {
+            if (now_ == config_.millis - kLast) {
                 std::fill(bytesSent_.begin(), bytesSent_.end(), 0);
             }
             for (std::size_t index = 0; index < runningCount(); ++index) {
                 step(index);
             }
-            measure(result, now_ > site_.millis - kLast);
+            measure(result, now_ > config_.millis - kLast);
         }
-        const double seconds = std::min(kLast, site_.millis) / 1000.0;
+        const double seconds = std::min(kLast, config_.millis) / 1000.0;
         result.maxBytesPerSecond =
             static_cast<double>(*std::max_element(bytesSent_.begin(), bytesSent_.end())) / seconds;
         return result;
@@ -86,8 +86,8 @@
 
 private:
     TimePoint now() const { return TimePoint(std::chrono::milliseconds(now_)); }
-    bool stopped() const { return site_.stopLastAtMs >= 0 && now_ >= site_.stopLastAtMs; }
-    std::size_t runningCount() const { return site_.gateways - (stopped() ? 1 : 0); }
+    bool stopped() const { return config_.stopLastAtMs >= 0 && now_ >= config_.stopLastAtMs; }
+    std::size_t runningCount() const { return config_.gateways - (stopped() ? 1 : 0); }
 
     void step(std::size_t index)
     {
@@ -95,7 +95,7 @@
         directory.expire(now());
         const InstanceId followed = directory.localStoreFollower(now());
         const int interval =
-            now_ < kStartupMs ? kStartupIntervalMs : site_.intervalMs(directory.size());
+            now_ < kStartupMs ? kStartupIntervalMs : config_.intervalMs(directory.size());
         const bool due = now_ - listRequestedAt_[index] >= interval;
         if (followed != records_[index].id) {
             // It asks the one that it follows all the time, which so hears of it.
@@ -117,7 +117,7 @@
     }
 
     // One of three, each in another hall.
-    std::size_t seed() { return random_() % 3 * site_.gateways / 3; }
+    std::size_t seed() { return random_() % 3 * config_.gateways / 3; }
 
     void exchangeWith(std::size_t receiver, const std::optional<InstanceId> &id)
     {
@@ -161,13 +161,13 @@
 
     void measure(Result &result, bool late)
     {
-        std::size_t fewest = site_.gateways;
+        std::size_t fewest = config_.gateways;
         bool evicted = true;
         for (std::size_t index = 0; index < runningCount(); ++index) {
             fewest = std::min(fewest, directories_[index].size());
             evicted = evicted && directories_[index].find(records_.back().id) == nullptr;
         }
-        const bool all = fewest == site_.gateways;
+        const bool all = fewest == config_.gateways;
         result.convergedAtMs = !all ? -1 : result.convergedAtMs < 0 ? now_ : result.convergedAtMs;
         result.minKnownLate = late ? std::min(result.minKnownLate, fewest) : result.minKnownLate;
         if (stopped()) {
@@ -175,7 +175,7 @@
         }
     }
 
-    SimulationConfig site_;
+    SimulationConfig config_;
     std::mt19937_64 random_;
     std::vector<GatewayRecord> records_;
     std::vector<GatewayDirectory> directories_;
