--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -184,7 +184,7 @@
     int now_ = 0;
 };
 
-SimulationConfig siteOf(std::size_t gateways, std::size_t halls)
+SimulationConfig configOf(std::size_t gateways, std::size_t halls)
 {
     SimulationConfig site;
     site.gateways = gateways;
@@ -200,7 +200,7 @@
 {
     for (const auto &[gateways, halls] :
          std::vector<std::pair<std::size_t, std::size_t>>{{30, 3}, {149, 3}, {531, 5}, {1062, 9}}) {
-        const Result result = Simulation(siteOf(gateways, halls)).run();
+        const Result result = Simulation(configOf(gateways, halls)).run();
         const std::string text = fmt::format(
             "{} gateways: all known since {} ms, fewest known later {}, busiest tells "
             "{:.0f} bytes a second",
@@ -217,7 +217,7 @@
 
 TEST(DirectorySpreadTest, QuestionsThatGetRarerWithTheFleetAreCaught)
 {
-    SimulationConfig site = siteOf(531, 5);
+    SimulationConfig site = configOf(531, 5);
     site.intervalMs = [](std::size_t known) {
         return std::max(2000, 50 * static_cast<int>(known));
     };
@@ -227,7 +227,7 @@
 TEST(DirectorySpreadTest, OneThatIsGoneIsForgottenByAll)
 {
     for (const std::size_t gateways : {30U, 149U, 265U}) {
-        SimulationConfig site = siteOf(gateways, 5);
+        SimulationConfig site = configOf(gateways, 5);
         site.stopLastAtMs = 6000;
         site.millis = 36000;
         const Result result = Simulation(site).run();
