--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -50,16 +50,17 @@
 class Simulation
 {
 public:
-    explicit Simulation(const SimulationConfig &site)
-        : config_(site)
-        , random_(site.seed)
-        , listRequestedAt_(site.gateways, -site.millis)
-        , bytesSent_(site.gateways, 0)
+    explicit Simulation(const SimulationConfig &config)
+        : config_(config)
+        , random_(config.seed)
+        , listRequestedAt_(config.gateways, -config.millis)
+        , bytesSent_(config.gateways, 0)
     {
-        for (std::size_t index = 0; index < site.gateways; ++index) {
-            records_.push_back({InstanceId(fmt::format("g-{:04}", index)),
-                                HallId(fmt::format("hall-{}", index * site.halls / site.gateways)),
-                                "10.0.0.1", static_cast<int>(index)});
+        for (std::size_t index = 0; index < config.gateways; ++index) {
+            records_.push_back(
+                {InstanceId(fmt::format("g-{:04}", index)),
+                 HallId(fmt::format("hall-{}", index * config.halls / config.gateways)), "10.0.0.1",
+                 static_cast<int>(index)});
             directories_.emplace_back(records_.back(), GatewayDirectory::Settings());
         }
     }
@@ -186,10 +187,10 @@
 
 SimulationConfig configOf(std::size_t gateways, std::size_t halls)
 {
-    SimulationConfig site;
-    site.gateways = gateways;
-    site.halls = halls;
-    return site;
+    SimulationConfig config;
+    config.gateways = gateways;
+    config.halls = halls;
+    return config;
 }
 
 } // namespace
@@ -217,20 +218,20 @@
 
 TEST(DirectorySpreadTest, QuestionsThatGetRarerWithTheFleetAreCaught)
 {
-    SimulationConfig site = configOf(531, 5);
-    site.intervalMs = [](std::size_t known) {
+    SimulationConfig config = configOf(531, 5);
+    config.intervalMs = [](std::size_t known) {
         return std::max(2000, 50 * static_cast<int>(known));
     };
-    CHECK_TRUE(Simulation(site).run().minKnownLate < site.gateways);
+    CHECK_TRUE(Simulation(config).run().minKnownLate < config.gateways);
 }
 
 TEST(DirectorySpreadTest, OneThatIsGoneIsForgottenByAll)
 {
     for (const std::size_t gateways : {30U, 149U, 265U}) {
-        SimulationConfig site = configOf(gateways, 5);
-        site.stopLastAtMs = 6000;
-        site.millis = 36000;
-        const Result result = Simulation(site).run();
+        SimulationConfig config = configOf(gateways, 5);
+        config.stopLastAtMs = 6000;
+        config.millis = 36000;
+        const Result result = Simulation(config).run();
         CHECK_TEXT(result.evictedAtMs >= 0,
                    fmt::format("{} gateways still know one that is gone", gateways).c_str());
     }
