--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -162,15 +162,15 @@
 
     void measure(Result &result, bool late)
     {
-        std::size_t fewest = config_.gateways;
+        std::size_t minKnown = config_.gateways;
         bool evicted = true;
         for (std::size_t index = 0; index < runningCount(); ++index) {
-            fewest = std::min(fewest, directories_[index].size());
+            minKnown = std::min(minKnown, directories_[index].size());
             evicted = evicted && directories_[index].find(records_.back().id) == nullptr;
         }
-        const bool all = fewest == config_.gateways;
+        const bool all = minKnown == config_.gateways;
         result.convergedAtMs = !all ? -1 : result.convergedAtMs < 0 ? now_ : result.convergedAtMs;
-        result.minKnownLate = late ? std::min(result.minKnownLate, fewest) : result.minKnownLate;
+        result.minKnownLate = late ? std::min(result.minKnownLate, minKnown) : result.minKnownLate;
         if (stopped()) {
             result.evictedAtMs = !evicted ? -1 : result.evictedAtMs < 0 ? now_ : result.evictedAtMs;
         }
