--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -160,7 +160,7 @@
         directory.applyGossip(gossip, now());
     }
 
-    void measure(Result &result, bool late)
+    void measure(Result &result, bool lastPhase)
     {
         std::size_t minKnown = config_.gateways;
         bool evicted = true;
@@ -170,7 +170,8 @@
         }
         const bool all = minKnown == config_.gateways;
         result.convergedAtMs = !all ? -1 : result.convergedAtMs < 0 ? now_ : result.convergedAtMs;
-        result.minKnownLate = late ? std::min(result.minKnownLate, minKnown) : result.minKnownLate;
+        result.minKnownLate =
+            lastPhase ? std::min(result.minKnownLate, minKnown) : result.minKnownLate;
         if (stopped()) {
             result.evictedAtMs = !evicted ? -1 : result.evictedAtMs < 0 ? now_ : result.evictedAtMs;
         }
