--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -67,19 +67,19 @@
 
     Result run()
     {
-        constexpr int kLast = 10000;
+        constexpr int kLastPhaseMs = 10000;
         Result result;
         result.minKnownLate = config_.gateways;
         for (now_ = kStepMs; now_ <= config_.millis; now_ += kStepMs) {
-            if (now_ == config_.millis - kLast) {
+            if (now_ == config_.millis - kLastPhaseMs) {
                 std::fill(bytesSent_.begin(), bytesSent_.end(), 0);
             }
             for (std::size_t index = 0; index < runningCount(); ++index) {
                 step(index);
             }
-            measure(result, now_ > config_.millis - kLast);
+            measure(result, now_ > config_.millis - kLastPhaseMs);
         }
-        const double seconds = std::min(kLast, config_.millis) / 1000.0;
+        const double seconds = std::min(kLastPhaseMs, config_.millis) / 1000.0;
         result.maxBytesPerSecond =
             static_cast<double>(*std::max_element(bytesSent_.begin(), bytesSent_.end())) / seconds;
         return result;
