--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -137,7 +137,7 @@
             - records_.begin());
     }
 
-    void exchange(std::size_t receiver, std::size_t sender, bool list)
+    void exchange(std::size_t receiver, std::size_t sender, bool withList)
     {
         if (receiver == sender) {
             return;
@@ -149,7 +149,7 @@
         }
         directories_[sender].recordSeen(records_[receiver], now());
         directory.onAnswered(records_[sender].id, now());
-        if (!list) {
+        if (!withList) {
             return;
         }
         const GatewayDirectory::GossipUpdate gossip =
