--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -48,7 +48,7 @@
     CHECK_TRUE(followed.begin()->value().starts_with("a-"));
 }
 
-TEST(GatewayDirectoryTest, FollowsTheStoreItselfWhenAlone)
+TEST(GatewayDirectoryTest, FollowsStoreItselfWhenAlone)
 {
     GatewayDirectory directory(gateway("a-1", "a"), {});
     CHECK_TRUE(directory.localStoreFollower(at(0)) == InstanceId("a-1"));
