--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -36,7 +36,7 @@
 
 TEST_GROUP(GatewayDirectoryTest){};
 
-TEST(GatewayDirectoryTest, AllGatewaysOfAHallFollowTheSameOne)
+TEST(GatewayDirectoryTest, GatewaysOfAHallChooseSameStoreFollower)
 {
     std::set<InstanceId> followed;
     for (const GatewayRecord &self : kSite) {
