--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -55,7 +55,7 @@
     CHECK_FALSE(directory.nextPeer(InstanceId(), at(0)).has_value());
 }
 
-TEST(GatewayDirectoryTest, PassesOverOneThatFailsUntilItMayBeBack)
+TEST(GatewayDirectoryTest, SkipsFailedGatewayUntilCooldownEnds)
 {
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     const InstanceId first = directory.localStoreFollower(at(2));
