--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -65,7 +65,7 @@
     CHECK_TRUE(other.localStoreFollower(at(2002)) == first);
 }
 
-TEST(GatewayDirectoryTest, OneThatAnswersAgainIsFollowedAgain)
+TEST(GatewayDirectoryTest, FollowsGatewayAgainOnceItAnswers)
 {
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     const InstanceId first = directory.localStoreFollower(at(2));
