--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -75,7 +75,7 @@
     CHECK_TRUE(other.localStoreFollower(at(11)) == first);
 }
 
-TEST(GatewayDirectoryTest, ForgetsThoseThatNobodyHears)
+TEST(GatewayDirectoryTest, EvictsGatewaysNotSeenWithinTimeToLive)
 {
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     directory.recordSeen(kSite[1], at(9000));
