--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -85,7 +85,7 @@
     CHECK_TRUE(directory.find(kSite[2].id) == nullptr);
 }
 
-TEST(GatewayDirectoryTest, TakesTheLatestThatWasHeardOfOne)
+TEST(GatewayDirectoryTest, KeepsLatestRecordOfAGateway)
 {
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     GatewayRecord moved = kSite[1];
