--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -95,7 +95,7 @@
     LONGS_EQUAL(7001, directory.find(moved.id)->port);
 }
 
-TEST(GatewayDirectoryTest, AsksTheOthersInTurn)
+TEST(GatewayDirectoryTest, NextPeerRotatesOverAllPeers)
 {
     GatewayDirectory directory = directoryOf(kSite[0], kSite);
     std::set<InstanceId> asked;
