--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -105,7 +105,7 @@
     LONGS_EQUAL(kSite.size() - 1, asked.size());
 }
 
-TEST(GatewayDirectoryTest, AsksOneThatFailedOnlyWhenNoOtherIsLeft)
+TEST(GatewayDirectoryTest, NextPeerReturnsFailedPeersLast)
 {
     GatewayDirectory directory = directoryOf(kSite[0], {kSite[1], kSite[2]});
     directory.onFailed(kSite[1].id, at(2));
