--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -114,7 +114,7 @@
     CHECK_TRUE(*directory.nextPeer(kSite[2].id, at(3)) == kSite[1].id);
 }
 
-TEST(GatewayDirectoryTest, FirstOfEachOtherHallStandsThere)
+TEST(GatewayDirectoryTest, StoreFollowerOfHallIsInThatHall)
 {
     const GatewayDirectory directory = directoryOf(kSite[0], kSite);
     for (const HallId &hall : directory.peerHalls()) {
