--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -123,7 +123,7 @@
     CHECK_TRUE(directory.peerHalls().contains(HallId("b")));
 }
 
-TEST(GatewayDirectoryTest, GatewaysThatKnowTheSameOnesNameThemAlike)
+TEST(GatewayDirectoryTest, DigestDependsOnlyOnKnownGateways)
 {
     std::set<std::uint64_t> digests;
     for (const GatewayRecord &self : kSite) {
