--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -137,7 +137,7 @@
     CHECK_FALSE(digests.contains(directory.digest()));
 }
 
-TEST(GatewayDirectoryTest, AgesAreToldToOneThatKnowsTheSameGateways)
+TEST(GatewayDirectoryTest, SendsAgesWhenDigestsMatch)
 {
     GatewayDirectory sender = directoryOf(kSite[0], kSite);
     GatewayDirectory receiver = directoryOf(kSite[1], kSite);
