--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -153,7 +153,7 @@
     CHECK_TRUE(receiver.find(kSite[4].id) == nullptr);
 }
 
-TEST(GatewayDirectoryTest, AgesOfAnotherSetAreNotTaken)
+TEST(GatewayDirectoryTest, RejectsAgesForDifferentDigest)
 {
     GatewayDirectory sender = directoryOf(kSite[0], kSite);
     GatewayDirectory receiver = directoryOf(kSite[1], kSite);
