--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -162,7 +162,7 @@
     CHECK_FALSE(receiver.applyGossip(gossip, at(7001)));
 }
 
-TEST(GatewayDirectoryTest, AllAreToldToOneThatKnowsOthers)
+TEST(GatewayDirectoryTest, SendsFullRecordsWhenDigestsDiffer)
 {
     GatewayDirectory sender = directoryOf(kSite[0], kSite);
     GatewayDirectory receiver(kSite[1], {});
