--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -171,7 +171,7 @@
     UNSIGNED_LONGS_EQUAL(kSite.size(), receiver.size());
 }
 
-TEST(GatewayDirectoryTest, AllAgreeOnTheFirstOfAnotherHallAndPassOverOneThatFails)
+TEST(GatewayDirectoryTest, GatewaysAgreeOnStoreFollowerOfAnotherHall)
 {
     std::set<InstanceId> firsts;
     for (const GatewayRecord &self : {kSite[0], kSite[1], kSite[2]}) {
