--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -184,7 +184,7 @@
     CHECK_FALSE(directory.storeFollowerOf(HallId("nowhere"), at(3)).has_value());
 }
 
-TEST(GatewayDirectoryTest, NamesTheHallsOfTheOthers)
+TEST(GatewayDirectoryTest, ReturnsHallsOfPeers)
 {
     LONGS_EQUAL(2, directoryOf(kSite[0], kSite).peerHalls().size());
     LONGS_EQUAL(0, directoryOf(kSite[0], {}).peerHalls().size());
