--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -198,7 +198,7 @@
 
 TEST_GROUP(DirectorySpreadTest){};
 
-TEST(DirectorySpreadTest, AllKnowAllAtEverySizeAndGoOnKnowing)
+TEST(DirectorySpreadTest, GossipConvergesAndStaysComplete)
 {
     for (const auto &[gateways, halls] :
          std::vector<std::pair<std::size_t, std::size_t>>{{30, 3}, {149, 3}, {531, 5}, {1062, 9}}) {
