--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -217,7 +217,7 @@
     }
 }
 
-TEST(DirectorySpreadTest, QuestionsThatGetRarerWithTheFleetAreCaught)
+TEST(DirectorySpreadTest, DetectsIntervalsThatGrowWithFleetSize)
 {
     SimulationConfig config = configOf(531, 5);
     config.intervalMs = [](std::size_t known) {
