--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -226,7 +226,7 @@
     CHECK_TRUE(Simulation(config).run().minKnownLate < config.gateways);
 }
 
-TEST(DirectorySpreadTest, OneThatIsGoneIsForgottenByAll)
+TEST(DirectorySpreadTest, StoppedGatewayIsEvictedEverywhere)
 {
     for (const std::size_t gateways : {30U, 149U, 265U}) {
         SimulationConfig config = configOf(gateways, 5);
