--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -28,9 +28,9 @@
     return directory;
 }
 
-const std::vector<GatewayRecord> kSite = {gateway("a-1", "a"), gateway("a-2", "a"),
-                                          gateway("a-3", "a"), gateway("b-1", "b"),
-                                          gateway("b-2", "b")};
+const std::vector<GatewayRecord> kGateways = {gateway("a-1", "a"), gateway("a-2", "a"),
+                                              gateway("a-3", "a"), gateway("b-1", "b"),
+                                              gateway("b-2", "b")};
 
 } // namespace
 
@@ -39,9 +39,9 @@
 TEST(GatewayDirectoryTest, GatewaysOfAHallChooseSameStoreFollower)
 {
     std::set<InstanceId> followed;
-    for (const GatewayRecord &self : kSite) {
+    for (const GatewayRecord &self : kGateways) {
         if (self.hall == HallId("a")) {
-            followed.insert(directoryOf(self, kSite).localStoreFollower(at(2)));
+            followed.insert(directoryOf(self, kGateways).localStoreFollower(at(2)));
         }
     }
     LONGS_EQUAL(1, followed.size());
@@ -57,9 +57,9 @@
 
 TEST(GatewayDirectoryTest, SkipsFailedGatewayUntilCooldownEnds)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
     const InstanceId first = directory.localStoreFollower(at(2));
-    GatewayDirectory other = directoryOf(kSite[first == kSite[0].id ? 1 : 0], kSite);
+    GatewayDirectory other = directoryOf(kGateways[first == kGateways[0].id ? 1 : 0], kGateways);
     other.onFailed(first, at(2));
     CHECK_FALSE(other.localStoreFollower(at(3)) == first);
     CHECK_TRUE(other.localStoreFollower(at(2002)) == first);
@@ -67,9 +67,9 @@
 
 TEST(GatewayDirectoryTest, FollowsGatewayAgainOnceItAnswers)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
     const InstanceId first = directory.localStoreFollower(at(2));
-    GatewayDirectory other = directoryOf(kSite[first == kSite[0].id ? 1 : 0], kSite);
+    GatewayDirectory other = directoryOf(kGateways[first == kGateways[0].id ? 1 : 0], kGateways);
     other.onFailed(first, at(2));
     other.onAnswered(first, at(10));
     CHECK_TRUE(other.localStoreFollower(at(11)) == first);
@@ -77,46 +77,46 @@
 
 TEST(GatewayDirectoryTest, EvictsGatewaysNotSeenWithinTimeToLive)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    directory.recordSeen(kSite[1], at(9000));
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    directory.recordSeen(kGateways[1], at(9000));
     directory.expire(at(11'000));
     LONGS_EQUAL(2, directory.size());
-    CHECK_TRUE(directory.find(kSite[1].id) != nullptr);
-    CHECK_TRUE(directory.find(kSite[2].id) == nullptr);
+    CHECK_TRUE(directory.find(kGateways[1].id) != nullptr);
+    CHECK_TRUE(directory.find(kGateways[2].id) == nullptr);
 }
 
 TEST(GatewayDirectoryTest, KeepsLatestRecordOfAGateway)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    GatewayRecord moved = kSite[1];
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    GatewayRecord moved = kGateways[1];
     moved.port = 7001;
     directory.recordSeen(moved, at(5));
-    directory.recordSeen(kSite[1], at(4));
+    directory.recordSeen(kGateways[1], at(4));
     LONGS_EQUAL(7001, directory.find(moved.id)->port);
 }
 
 TEST(GatewayDirectoryTest, NextPeerRotatesOverAllPeers)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
     std::set<InstanceId> asked;
-    for (std::size_t turn = 0; turn < kSite.size() - 1; ++turn) {
+    for (std::size_t turn = 0; turn < kGateways.size() - 1; ++turn) {
         asked.insert(*directory.nextPeer(InstanceId(), at(2)));
     }
-    LONGS_EQUAL(kSite.size() - 1, asked.size());
+    LONGS_EQUAL(kGateways.size() - 1, asked.size());
 }
 
 TEST(GatewayDirectoryTest, NextPeerReturnsFailedPeersLast)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], {kSite[1], kSite[2]});
-    directory.onFailed(kSite[1].id, at(2));
-    CHECK_TRUE(*directory.nextPeer(InstanceId(), at(3)) == kSite[2].id);
-    CHECK_TRUE(*directory.nextPeer(InstanceId(), at(3)) == kSite[2].id);
-    CHECK_TRUE(*directory.nextPeer(kSite[2].id, at(3)) == kSite[1].id);
+    GatewayDirectory directory = directoryOf(kGateways[0], {kGateways[1], kGateways[2]});
+    directory.onFailed(kGateways[1].id, at(2));
+    CHECK_TRUE(*directory.nextPeer(InstanceId(), at(3)) == kGateways[2].id);
+    CHECK_TRUE(*directory.nextPeer(InstanceId(), at(3)) == kGateways[2].id);
+    CHECK_TRUE(*directory.nextPeer(kGateways[2].id, at(3)) == kGateways[1].id);
 }
 
 TEST(GatewayDirectoryTest, StoreFollowerOfHallIsInThatHall)
 {
-    const GatewayDirectory directory = directoryOf(kSite[0], kSite);
+    const GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
     for (const HallId &hall : directory.peerHalls()) {
         CHECK_TRUE(directory.find(*directory.storeFollowerOf(hall, at(2)))->hall == hall);
     }
@@ -126,12 +126,12 @@
 TEST(GatewayDirectoryTest, DigestDependsOnlyOnKnownGateways)
 {
     std::set<std::uint64_t> digests;
-    for (const GatewayRecord &self : kSite) {
-        digests.insert(directoryOf(self, kSite).digest());
+    for (const GatewayRecord &self : kGateways) {
+        digests.insert(directoryOf(self, kGateways).digest());
     }
     UNSIGNED_LONGS_EQUAL(1, digests.size());
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    GatewayRecord moved = kSite[1];
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    GatewayRecord moved = kGateways[1];
     moved.port = 7001;
     directory.recordSeen(moved, at(2));
     CHECK_FALSE(digests.contains(directory.digest()));
@@ -139,24 +139,24 @@
 
 TEST(GatewayDirectoryTest, SendsAgesWhenDigestsMatch)
 {
-    GatewayDirectory sender = directoryOf(kSite[0], kSite);
-    GatewayDirectory receiver = directoryOf(kSite[1], kSite);
-    sender.recordSeen(kSite[4], at(6000));
+    GatewayDirectory sender = directoryOf(kGateways[0], kGateways);
+    GatewayDirectory receiver = directoryOf(kGateways[1], kGateways);
+    sender.recordSeen(kGateways[4], at(6000));
     const auto gossip = sender.gossipFor(receiver.digest(), at(7000));
     CHECK_TRUE(gossip.peers.empty());
     CHECK_TRUE(receiver.applyGossip(gossip, at(7000)));
     receiver.expire(at(10050)); // Ages are told in steps, and never too young.
-    CHECK_TRUE(receiver.find(kSite[4].id) != nullptr);
-    CHECK_TRUE(receiver.find(kSite[3].id) == nullptr);
-    CHECK_TRUE(receiver.find(kSite[0].id) != nullptr);
+    CHECK_TRUE(receiver.find(kGateways[4].id) != nullptr);
+    CHECK_TRUE(receiver.find(kGateways[3].id) == nullptr);
+    CHECK_TRUE(receiver.find(kGateways[0].id) != nullptr);
     receiver.expire(at(16050));
-    CHECK_TRUE(receiver.find(kSite[4].id) == nullptr);
+    CHECK_TRUE(receiver.find(kGateways[4].id) == nullptr);
 }
 
 TEST(GatewayDirectoryTest, RejectsAgesForDifferentDigest)
 {
-    GatewayDirectory sender = directoryOf(kSite[0], kSite);
-    GatewayDirectory receiver = directoryOf(kSite[1], kSite);
+    GatewayDirectory sender = directoryOf(kGateways[0], kGateways);
+    GatewayDirectory receiver = directoryOf(kGateways[1], kGateways);
     const auto gossip = sender.gossipFor(receiver.digest(), at(7000));
     receiver.recordSeen(gateway("c-1", "c"), at(7000));
     CHECK_FALSE(receiver.applyGossip(gossip, at(7001)));
@@ -164,21 +164,21 @@
 
 TEST(GatewayDirectoryTest, SendsFullRecordsWhenDigestsDiffer)
 {
-    GatewayDirectory sender = directoryOf(kSite[0], kSite);
-    GatewayDirectory receiver(kSite[1], {});
-    receiver.recordSeen(kSite[0], at(1));
+    GatewayDirectory sender = directoryOf(kGateways[0], kGateways);
+    GatewayDirectory receiver(kGateways[1], {});
+    receiver.recordSeen(kGateways[0], at(1));
     CHECK_TRUE(receiver.applyGossip(sender.gossipFor(receiver.digest(), at(2)), at(2)));
-    UNSIGNED_LONGS_EQUAL(kSite.size(), receiver.size());
+    UNSIGNED_LONGS_EQUAL(kGateways.size(), receiver.size());
 }
 
 TEST(GatewayDirectoryTest, GatewaysAgreeOnStoreFollowerOfAnotherHall)
 {
     std::set<InstanceId> firsts;
-    for (const GatewayRecord &self : {kSite[0], kSite[1], kSite[2]}) {
-        firsts.insert(*directoryOf(self, kSite).storeFollowerOf(HallId("b"), at(2)));
+    for (const GatewayRecord &self : {kGateways[0], kGateways[1], kGateways[2]}) {
+        firsts.insert(*directoryOf(self, kGateways).storeFollowerOf(HallId("b"), at(2)));
     }
     LONGS_EQUAL(1, firsts.size());
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
     directory.onFailed(*firsts.begin(), at(2));
     CHECK_TRUE(*directory.storeFollowerOf(HallId("b"), at(3)) != *firsts.begin());
     CHECK_FALSE(directory.storeFollowerOf(HallId("nowhere"), at(3)).has_value());
@@ -186,6 +186,6 @@
 
 TEST(GatewayDirectoryTest, ReturnsHallsOfPeers)
 {
-    LONGS_EQUAL(2, directoryOf(kSite[0], kSite).peerHalls().size());
-    LONGS_EQUAL(0, directoryOf(kSite[0], {}).peerHalls().size());
+    LONGS_EQUAL(2, directoryOf(kGateways[0], kGateways).peerHalls().size());
+    LONGS_EQUAL(0, directoryOf(kGateways[0], {}).peerHalls().size());
 }
