--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -38,14 +38,14 @@
 
 TEST(GatewayDirectoryTest, GatewaysOfAHallChooseSameStoreFollower)
 {
-    std::set<InstanceId> followed;
+    std::set<InstanceId> followers;
     for (const GatewayRecord &self : kGateways) {
         if (self.hall == HallId("a")) {
-            followed.insert(directoryOf(self, kGateways).localStoreFollower(at(2)));
+            followers.insert(directoryOf(self, kGateways).localStoreFollower(at(2)));
         }
     }
-    LONGS_EQUAL(1, followed.size());
-    CHECK_TRUE(followed.begin()->value().starts_with("a-"));
+    LONGS_EQUAL(1, followers.size());
+    CHECK_TRUE(followers.begin()->value().starts_with("a-"));
 }
 
 TEST(GatewayDirectoryTest, FollowsStoreItselfWhenAlone)
