--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -173,14 +173,14 @@
 
 TEST(GatewayDirectoryTest, GatewaysAgreeOnStoreFollowerOfAnotherHall)
 {
-    std::set<InstanceId> firsts;
+    std::set<InstanceId> followers;
     for (const GatewayRecord &self : {kGateways[0], kGateways[1], kGateways[2]}) {
-        firsts.insert(*directoryOf(self, kGateways).storeFollowerOf(HallId("b"), at(2)));
+        followers.insert(*directoryOf(self, kGateways).storeFollowerOf(HallId("b"), at(2)));
     }
-    LONGS_EQUAL(1, firsts.size());
+    LONGS_EQUAL(1, followers.size());
     GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
-    directory.onFailed(*firsts.begin(), at(2));
-    CHECK_TRUE(*directory.storeFollowerOf(HallId("b"), at(3)) != *firsts.begin());
+    directory.onFailed(*followers.begin(), at(2));
+    CHECK_TRUE(*directory.storeFollowerOf(HallId("b"), at(3)) != *followers.begin());
     CHECK_FALSE(directory.storeFollowerOf(HallId("nowhere"), at(3)).has_value());
 }
 
