--- a/test/decision/membership/grouppollplanner_test.cpp
+++ b/test/decision/membership/grouppollplanner_test.cpp
@@ -39,7 +39,7 @@
     GroupTable table;
 };
 
-TEST(GroupPollPlannerTest, FewAgentsAreAskedAtATimeWhileNothingIsKnown)
+TEST(GroupPollPlannerTest, LimitsDiscoveryPollsWhileNoGroupIsKnown)
 {
     LONGS_EQUAL(3, planner.nextHosts(engines(72), table, at(0)).size());
     LONGS_EQUAL(0, planner.nextHosts(engines(72), table, at(50)).size());
