--- a/test/decision/membership/grouppollplanner_test.cpp
+++ b/test/decision/membership/grouppollplanner_test.cpp
@@ -45,7 +45,7 @@
     LONGS_EQUAL(0, planner.nextHosts(engines(72), table, at(50)).size());
 }
 
-TEST(GroupPollPlannerTest, AgentThatDecidesElsewhereIsAskedNext)
+TEST(GroupPollPlannerTest, PollsReferredDeciderNext)
 {
     const auto asked = planner.nextHosts(engines(24), table, at(0));
     planner.onReferred(asked.front(), "host20", at(5));
