--- a/test/decision/membership/grouppollplanner_test.cpp
+++ b/test/decision/membership/grouppollplanner_test.cpp
@@ -54,7 +54,7 @@
 }
 
 // Nine groups of 32 ranks: connections grow with the groups and not with the ranks.
-TEST(GroupPollPlannerTest, OneAgentAGroupIsAskedOnceAllAreKnown)
+TEST(GroupPollPlannerTest, PollsOneAgentPerKnownGroup)
 {
     for (int number = 0; number < 9; ++number) {
         const std::string name = "g" + std::to_string(number);
