--- a/test/decision/membership/grouppollplanner_test.cpp
+++ b/test/decision/membership/grouppollplanner_test.cpp
@@ -65,7 +65,7 @@
     LONGS_EQUAL(0, planner.nextHosts(engines(288), table, at(100)).size());
 }
 
-TEST(GroupPollPlannerTest, OtherMembersAreAskedWhenTheAgentThatDecidesFails)
+TEST(GroupPollPlannerTest, PollsAnotherMemberWhenDeciderFails)
 {
     table.learn(facts("one", 0, 4), at(0));
     planner.onDecider("host0", GroupId("one"));
