--- a/test/decision/membership/grouppollplanner_test.cpp
+++ b/test/decision/membership/grouppollplanner_test.cpp
@@ -76,7 +76,7 @@
     STRCMP_EQUAL("host1", next.front().c_str());
 }
 
-TEST(GroupPollPlannerTest, AgentThatNamesNobodyIsLeftAloneForAWhile)
+TEST(GroupPollPlannerTest, DelaysRetryOfAgentWithoutReferral)
 {
     const auto asked = planner.nextHosts(engines(1), table, at(0));
     planner.onReferred(asked.front(), "", at(10));
