--- a/test/decision/membership/grouppollplanner_test.cpp
+++ b/test/decision/membership/grouppollplanner_test.cpp
@@ -47,8 +47,8 @@
 
 TEST(GroupPollPlannerTest, PollsReferredDeciderNext)
 {
-    const auto asked = planner.nextHosts(engines(24), table, at(0));
-    planner.onReferred(asked.front(), "host20", at(5));
+    const auto polled = planner.nextHosts(engines(24), table, at(0));
+    planner.onReferred(polled.front(), "host20", at(5));
     const auto next = planner.nextHosts(engines(24), table, at(10));
     CHECK_TRUE(std::find(next.begin(), next.end(), "host20") != next.end());
 }
@@ -78,8 +78,8 @@
 
 TEST(GroupPollPlannerTest, DelaysRetryOfAgentWithoutReferral)
 {
-    const auto asked = planner.nextHosts(engines(1), table, at(0));
-    planner.onReferred(asked.front(), "", at(10));
+    const auto polled = planner.nextHosts(engines(1), table, at(0));
+    planner.onReferred(polled.front(), "", at(10));
     LONGS_EQUAL(0, planner.nextHosts(engines(1), table, at(100)).size());
     LONGS_EQUAL(1, planner.nextHosts(engines(1), table, at(600)).size());
 }
