--- a/test/decision/membership/linkplan_test.cpp
+++ b/test/decision/membership/linkplan_test.cpp
@@ -25,7 +25,7 @@
 }
 ;
 
-TEST(LinkPlanTest, SmallSiteLinksEverything)
+TEST(LinkPlanTest, SmallSiteLinksAllAgents)
 {
     CHECK_EQUAL(27U, chooseLinks(listOf(1), InstanceId("e"), HallId("h0"), {}).size());
 }
