--- a/test/decision/membership/linkplan_test.cpp
+++ b/test/decision/membership/linkplan_test.cpp
@@ -30,7 +30,7 @@
     CHECK_EQUAL(27U, chooseLinks(listOf(1), InstanceId("e"), HallId("h0"), {}).size());
 }
 
-TEST(LinkPlanTest, LargeSiteStaysInItsBudget)
+TEST(LinkPlanTest, LargeSiteStaysWithinLinkBudget)
 {
     const auto links = chooseLinks(listOf(28), InstanceId("e"), HallId("h0"), {});
 
