--- a/test/decision/membership/linkplan_test.cpp
+++ b/test/decision/membership/linkplan_test.cpp
@@ -38,7 +38,7 @@
     CHECK(links.size() >= 36);
 }
 
-TEST(LinkPlanTest, EveryAgentIsReachedBySeveralEntriesOfItsHall)
+TEST(LinkPlanTest, EveryAgentIsLinkedBySeveralLocalEntries)
 {
     const InstanceList list = listOf(28);
     std::map<InstanceId, int> reached;
