--- a/test/decision/membership/linkplan_test.cpp
+++ b/test/decision/membership/linkplan_test.cpp
@@ -55,7 +55,7 @@
     }
 }
 
-TEST(LinkPlanTest, OneReplacedAgentChangesFewLinks)
+TEST(LinkPlanTest, RemovedAgentChangesFewLinks)
 {
     InstanceList list = listOf(28);
     const auto before = chooseLinks(list, InstanceId("e"), HallId("h0"), {});
