--- a/test/decision/membership/linkplan_test.cpp
+++ b/test/decision/membership/linkplan_test.cpp
@@ -70,7 +70,7 @@
     CHECK(kept + 1 >= after.size());
 }
 
-TEST(LinkPlanTest, ManyLinksAreAskedLessOften)
+TEST(LinkPlanTest, HeartbeatPeriodGrowsWithLinkCount)
 {
     CHECK(heartbeatPeriod(9, std::chrono::milliseconds(500), {}) == std::chrono::milliseconds(500));
     CHECK(heartbeatPeriod(36, std::chrono::milliseconds(500), {}) == std::chrono::seconds(2));
