--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -23,7 +23,7 @@
 
 TEST_GROUP(StorePollScheduleTest){};
 
-TEST(StorePollScheduleTest, NobodySeeksKnowledgeElsewhereWhileAllIsWell)
+TEST(StorePollScheduleTest, StaleAgeExceedsNormalStaleness)
 {
     for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const StorePollSchedule schedule = makeStorePollSchedule(limits);
