--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -31,7 +31,7 @@
     }
 }
 
-TEST(StorePollScheduleTest, EveryTurnComesWhileRoutesAndKeysMayBeJudged)
+TEST(StorePollScheduleTest, LastPollPrecedesStalenessLimits)
 {
     for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const Duration last = storePollAge(makeStorePollSchedule(limits), kHallSize);
