--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-TEST(StorePollScheduleTest, FewOfALargeHallAskTheStoreBeforeTheFirstIsHeardOf)
+TEST(StorePollScheduleTest, FewGatewaysPollBeforeFirstResultSpreads)
 {
     const StorePollSchedule schedule = makeStorePollSchedule(kLargeFleet);
     const Duration first = storePollAge(schedule, 0);
