--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -53,7 +53,7 @@
     CHECK_TRUE(asking <= 3);
 }
 
-TEST(StorePollScheduleTest, TurnsOfAHallComeOneAfterTheOtherWhereThereIsTime)
+TEST(StorePollScheduleTest, PollAgesIncreaseWithPlaceWhenTimeAllows)
 {
     const StorePollSchedule schedule = makeStorePollSchedule(kLargeFleet);
     for (std::size_t place = 1; mayPollStore(place); ++place) {
