--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -61,7 +61,7 @@
     }
 }
 
-TEST(StorePollScheduleTest, NoMoreThanTwelveOfAHallAskTheStoreHoweverManyItHas)
+TEST(StorePollScheduleTest, AtMostTwelveGatewaysOfAHallPollTheStore)
 {
     for (const std::size_t gateways : {30U, 107U, 222U, 667U}) {
         std::size_t askers = 0;
