--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -45,10 +45,10 @@
     const StorePollSchedule schedule = makeStorePollSchedule(kLargeFleet);
     const Duration first = storePollAge(schedule, 0);
     CHECK_TRUE(first >= schedule.staleAge + std::chrono::milliseconds(500));
-    const Duration heard = first + std::chrono::milliseconds(250);
+    const Duration spreadAge = first + std::chrono::milliseconds(250);
     std::size_t asking = 0;
     for (std::size_t place = 0; place < kHallSize; ++place) {
-        asking += storePollAge(schedule, place) <= heard ? 1 : 0;
+        asking += storePollAge(schedule, place) <= spreadAge ? 1 : 0;
     }
     CHECK_TRUE(asking <= 3);
 }
