--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -46,11 +46,11 @@
     const Duration first = storePollAge(schedule, 0);
     CHECK_TRUE(first >= schedule.staleAge + std::chrono::milliseconds(500));
     const Duration spreadAge = first + std::chrono::milliseconds(250);
-    std::size_t asking = 0;
+    std::size_t polling = 0;
     for (std::size_t place = 0; place < kHallSize; ++place) {
-        asking += storePollAge(schedule, place) <= spreadAge ? 1 : 0;
+        polling += storePollAge(schedule, place) <= spreadAge ? 1 : 0;
     }
-    CHECK_TRUE(asking <= 3);
+    CHECK_TRUE(polling <= 3);
 }
 
 TEST(StorePollScheduleTest, PollAgesIncreaseWithPlaceWhenTimeAllows)
