--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -64,11 +64,11 @@
 TEST(StorePollScheduleTest, AtMostTwelveGatewaysOfAHallPollTheStore)
 {
     for (const std::size_t gateways : {30U, 107U, 222U, 667U}) {
-        std::size_t askers = 0;
+        std::size_t pollers = 0;
         for (std::size_t place = 0; place < gateways; ++place) {
-            askers += mayPollStore(place) ? 1 : 0;
+            pollers += mayPollStore(place) ? 1 : 0;
         }
-        UNSIGNED_LONGS_EQUAL(12, askers);
+        UNSIGNED_LONGS_EQUAL(12, pollers);
     }
 }
 
