--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -34,9 +34,9 @@
 TEST(StorePollScheduleTest, LastPollPrecedesStalenessLimits)
 {
     for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
-        const Duration last = storePollAge(makeStorePollSchedule(limits), kHallSize);
-        CHECK_TRUE(last <= limits.keyMaxAge - std::chrono::milliseconds(900));
-        CHECK_TRUE(last < limits.denyMaxAge);
+        const Duration lastPollAge = storePollAge(makeStorePollSchedule(limits), kHallSize);
+        CHECK_TRUE(lastPollAge <= limits.keyMaxAge - std::chrono::milliseconds(900));
+        CHECK_TRUE(lastPollAge < limits.denyMaxAge);
     }
 }
 
