--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -43,9 +43,9 @@
 TEST(StorePollScheduleTest, FewGatewaysPollBeforeFirstResultSpreads)
 {
     const StorePollSchedule schedule = makeStorePollSchedule(kLargeFleet);
-    const Duration first = storePollAge(schedule, 0);
-    CHECK_TRUE(first >= schedule.staleAge + std::chrono::milliseconds(500));
-    const Duration spreadAge = first + std::chrono::milliseconds(250);
+    const Duration firstPollAge = storePollAge(schedule, 0);
+    CHECK_TRUE(firstPollAge >= schedule.staleAge + std::chrono::milliseconds(500));
+    const Duration spreadAge = firstPollAge + std::chrono::milliseconds(250);
     std::size_t polling = 0;
     for (std::size_t place = 0; place < kHallSize; ++place) {
         polling += storePollAge(schedule, place) <= spreadAge ? 1 : 0;
