--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -56,7 +56,7 @@
     }
 };
 
-TEST(CrashRecordTest, RequestThatNothingIsKnownOfIsSent)
+TEST(CrashRecordTest, AllowsUnknownRequest)
 {
     CHECK_TRUE(allowed(1, 0));
 }
