--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -61,7 +61,7 @@
     CHECK_TRUE(allowed(1, 0));
 }
 
-TEST(CrashRecordTest, OneEndProvesNothing)
+TEST(CrashRecordTest, AllowsRequestAfterOneCrash)
 {
     crash(1, 1, 0);
     CHECK_TRUE(allowed(1, 0.1));
