--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -67,7 +67,7 @@
     CHECK_TRUE(allowed(1, 0.1));
 }
 
-TEST(CrashRecordTest, TwoEndsThatNoOtherSharesKeepARequestBackForAWhile)
+TEST(CrashRecordTest, BlocksTemporarilyAfterTwoUnsharedCrashes)
 {
     crash(1, 1, 0);
     crash(2, 1, 0);
