--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -77,7 +77,7 @@
     CHECK_TRUE(allowed(1, 65));
 }
 
-TEST(CrashRecordTest, OfTwoThatShareBothEndsTheThirdTellsWhichItWas)
+TEST(CrashRecordTest, ThirdCrashDistinguishesRequestsThatShareTwo)
 {
     for (const std::uint64_t digest : {1, 2}) {
         crash(digest, 1, 0);
