--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -90,7 +90,7 @@
     CHECK_TRUE(allowed(2, 8.1));
 }
 
-TEST(CrashRecordTest, ThirdEndIsRememberedLongAndNotForEver)
+TEST(CrashRecordTest, BlockAfterThirdCrashEndsWithRetention)
 {
     for (const std::uint64_t which : {1, 2, 3}) {
         crash(1, which, 4.0 * static_cast<double>(which));
