--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -102,7 +102,7 @@
     LONGS_EQUAL(0, record.size());
 }
 
-TEST(CrashRecordTest, RunThatEndsWellOrBadlyClearsARequest)
+TEST(CrashRecordTest, CompletedRunClearsEarlierCrashes)
 {
     crash(1, 1, 0);
     crash(1, 2, 1);
