--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -112,7 +112,7 @@
     CHECK_TRUE(allowed(1, 3.1));
 }
 
-TEST(CrashRecordTest, LateWordOfAnEndBeforeTheClearingChangesNothing)
+TEST(CrashRecordTest, IgnoresCrashesBeforeCompletedRun)
 {
     crash(1, 1, 0);
     record.onRequestCompleted(request(1), at(2));
