--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -122,7 +122,7 @@
 }
 
 // Two copies of a request may be at one upstream when it ends, sent by two gateways.
-TEST(CrashRecordTest, OneEndSeenByTwoGatewaysCountsOnce)
+TEST(CrashRecordTest, CountsCrashReportedTwiceOnce)
 {
     crash(1, 1, 0);
     crash(1, 1, 0.2);
