--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -129,7 +129,7 @@
     LONGS_EQUAL(1, record.crashCount(request(1)));
 }
 
-TEST(CrashRecordTest, UpstreamThatStartedAgainUnderItsIdEndsAgain)
+TEST(CrashRecordTest, CountsCrashesOfRestartedUpstreamSeparately)
 {
     crash(1, 1, 0);
     crash(1, 1, 4);
