--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -137,7 +137,7 @@
     LONGS_EQUAL(3, record.crashCount(request(1)));
 }
 
-TEST(CrashRecordTest, EndsSeenByThreeGatewaysAddUpInAnyOrder)
+TEST(CrashRecordTest, MergesCrashesOfThreeGatewaysInAnyOrder)
 {
     std::vector<int> order{0, 1, 2};
     do {
