--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -155,7 +155,7 @@
     } while (std::next_permutation(order.begin(), order.crash()));
 }
 
-TEST(CrashRecordTest, ClearingReachesThoseThatHeardOfTheEndsBefore)
+TEST(CrashRecordTest, MergesCompletedRunAfterCrashes)
 {
     CrashRecord other(settings);
     crash(1, 1, 0);
