--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -170,7 +170,7 @@
     LONGS_EQUAL(0, record.crashCount(request(1)));
 }
 
-TEST(CrashRecordTest, WhatIsKnownAlreadyIsNoNews)
+TEST(CrashRecordTest, MergingKnownCrashesKeepsCursor)
 {
     CrashRecord other(settings);
     crash(1, 1, 0);
