--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -180,7 +180,7 @@
     LONGS_EQUAL(before, record.cursor());
 }
 
-TEST(CrashRecordTest, HandsOnWhatChangedSinceInPieces)
+TEST(CrashRecordTest, ReturnsChangesInBatches)
 {
     for (std::uint64_t digest = 1; digest <= 5; ++digest) {
         crash(digest, digest, 0);
