--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -195,7 +195,7 @@
     LONGS_EQUAL(1, record.changedSince(rest.cursor, 3).suspects.size());
 }
 
-TEST(CrashRecordTest, CursorOfAnEarlierLifeMeansFromTheBeginning)
+TEST(CrashRecordTest, CursorOfAnotherProcessReturnsAllChanges)
 {
     CrashRecord::Settings earlier = settings;
     earlier.seed = 0x7000'0000'0000'0000;
