--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -205,7 +205,7 @@
     LONGS_EQUAL(1, record.changedSince(before.cursor(), 10).suspects.size());
 }
 
-TEST(CrashRecordTest, AccountThatFillsTheRecordPushesOutItsOwn)
+TEST(CrashRecordTest, EvictsFromAccountWithMostEntries)
 {
     settings.maxEntries = 100;
     record = CrashRecord(settings);
