--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -218,7 +218,7 @@
     LONGS_EQUAL(1, record.crashCount(request(1)));
 }
 
-TEST(CrashRecordTest, ProofIsForgottenAfterSingleEnds)
+TEST(CrashRecordTest, EvictsEntriesWithFewestCrashesFirst)
 {
     settings.maxEntries = 10;
     record = CrashRecord(settings);
