--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -231,7 +231,7 @@
     CHECK_FALSE(allowed(1, 21));
 }
 
-TEST(CrashRecordTest, MemoryThatIsTurnedOffKeepsNothing)
+TEST(CrashRecordTest, ZeroRetentionKeepsNothing)
 {
     crash(1, 1, 0);
     crash(1, 2, 4);
