--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -364,7 +364,7 @@
 
 // Two ways: to refuse at the third end alone, or at the second where no other request shares both.
 // Over 200 groups: 600 engines and 8 harmless requests, or 524 engines and 8.
-TEST(CrashRecordTest, SecondEndSparesEnginesAndCostsNoHarmlessRequestMore)
+TEST(CrashRecordTest, BlockingAtSecondCrashSparesEngines)
 {
     const Losses third = lossesOf(true, 3);
     const Losses second = lossesOf(true, 2);
