--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -376,7 +376,7 @@
 // Engines that end by themselves, twelve one after the other, as fast as their group can open: of
 // 345,600 requests 712 are refused, each after two engines had ended under it; at the third end
 // alone 32.
-TEST(CrashRecordTest, EnginesThatEndByThemselvesMakeFewRequestsSuspect)
+TEST(CrashRecordTest, UnrelatedCrashesBlockFewRequests)
 {
     CHECK_TRUE(lossesOf(false, 3).refusals <= 40);
     CHECK_TRUE(lossesOf(false, 2).refusals <= 800);
