--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -257,7 +257,7 @@
 
 TEST_GROUP(ReloadGrantsTest){};
 
-TEST(ReloadGrantsTest, KeepsTheFloorOverManySchedules)
+TEST(ReloadGrantsTest, NeverExceedsLimitOverManySchedules)
 {
     int completed = 0;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
