--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -271,7 +271,7 @@
     CHECK_EQUAL(500, completed);
 }
 
-TEST(ReloadGrantsTest, TurnsThatWereOnlyHeardOfAreNoRoomForMore)
+TEST(ReloadGrantsTest, ReportedGrantsCountTowardsLimit)
 {
     // Found by seed 457: two replaced members each heard of three askers with a part of the turns,
     // and gave all three what they seemed to have already.
