--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -284,7 +284,7 @@
     CHECK_FALSE(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
 }
 
-TEST(ReloadGrantsTest, CheckerCatchesABookThatIsForgotten)
+TEST(ReloadGrantsTest, CheckerDetectsForgottenGrants)
 {
     CHECK(isCaught(InjectedFault::ForgetGrants));
 }
