--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -289,7 +289,7 @@
     CHECK(isCaught(InjectedFault::ForgetGrants));
 }
 
-TEST(ReloadGrantsTest, CheckerCatchesTurnsOfSomeMembersOnly)
+TEST(ReloadGrantsTest, CheckerDetectsGrantsOfSomeMembersOnly)
 {
     CHECK(isCaught(InjectedFault::AskSomeMembers));
 }
