--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -294,7 +294,7 @@
     CHECK(isCaught(InjectedFault::AskSomeMembers));
 }
 
-TEST(ReloadGrantsTest, CheckerCatchesTurnsThatExpire)
+TEST(ReloadGrantsTest, CheckerDetectsExpiringGrants)
 {
     CHECK(isCaught(InjectedFault::ExpireGrants));
 }
