--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -299,7 +299,7 @@
     CHECK(isCaught(InjectedFault::ExpireGrants));
 }
 
-TEST(ReloadGrantsTest, NewLifeGivesNothingUntilAllAreHeard)
+TEST(ReloadGrantsTest, NewIncarnationGrantsNothingUntilAllHaveReported)
 {
     ReloadGranter granter(InstanceId("a"));
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
