--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -312,7 +312,7 @@
     CHECK(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
 }
 
-TEST(ReloadGrantsTest, LateWordOfAnOlderTurnDoesNotEndANewerOne)
+TEST(ReloadGrantsTest, LateReleaseOfOlderGrantKeepsNewerGrant)
 {
     ReloadGranter granter(InstanceId("a"));
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
