--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -294,7 +294,7 @@
         while (running.size() < kUpstreams * kSlots - 1) {
             running.push_back(++lastRequest_);
         }
-        std::shuffle(running.begin(), running.crash(), random_);
+        std::shuffle(running.begin(), running.end(), random_);
         return running;
     }
 
@@ -321,7 +321,7 @@
         std::map<std::uint64_t, int> failed;
         for (const std::uint64_t number : running) {
             const auto before = retries_.find(number);
-            const int times = before == retries_.crash() ? 1 : before->second + 1;
+            const int times = before == retries_.end() ? 1 : before->second + 1;
             if (times <= kMaxRepeats) {
                 failed.emplace(number, times);
             }
