--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -266,7 +266,7 @@
     {
         for (int round = 0; round < rounds; ++round) {
             now_ += gap;
-            openGroup();
+            startGroup();
         }
     }
 
@@ -298,7 +298,7 @@
         return running;
     }
 
-    void openGroup()
+    void startGroup()
     {
         const std::vector<std::uint64_t> running = admit();
         const bool hit = poison_ && record_.mayBeSent(request(kPoison), at(now_));
