--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -38,8 +38,7 @@
         [this](const InstanceId &member) { return member == self_ || reported_.contains(member); });
 }
 
-bool ReloadGranter::tryGrant(const InstanceId &asker, Incarnation incarnation,
-                             std::uint64_t grantNumber)
+bool ReloadGranter::tryGrant(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
 {
     const auto held = grants_.find(asker);
     const bool same = held != grants_.end() && held->second.incarnation == incarnation
@@ -60,8 +59,7 @@
     return true;
 }
 
-void ReloadGranter::release(const InstanceId &asker, Incarnation incarnation,
-                            std::uint64_t grantNumber)
+void ReloadGranter::release(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
 {
     const auto held = grants_.find(asker);
     if (held != grants_.end() && held->second.incarnation == incarnation
