--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -42,22 +42,23 @@
 }
 
 // Returns false when the end is known or makes no difference.
-bool CrashRecord::addCrash(CrashSuspect &suspect, const UpstreamCrash &end) const
+bool CrashRecord::addCrash(CrashSuspect &suspect, const UpstreamCrash &crash) const
 {
-    if (suspect.lastCompletedAt && end.at <= *suspect.lastCompletedAt) {
+    if (suspect.lastCompletedAt && crash.at <= *suspect.lastCompletedAt) {
         return false;
     }
     std::vector<UpstreamCrash> &crashes = suspect.crashes;
     const bool known = std::any_of(crashes.begin(), crashes.end(), [&](const UpstreamCrash &other) {
-        return isSameCrash(other, end);
+        return isSameCrash(other, crash);
     });
-    const bool tooOld = crashes.size() >= kMaxCrashes && end.at <= crashes.front().at;
+    const bool tooOld = crashes.size() >= kMaxCrashes && crash.at <= crashes.front().at;
     if (known || tooOld) {
         return false;
     }
-    const auto after = std::find_if(crashes.begin(), crashes.end(),
-                                    [&](const UpstreamCrash &other) { return other.at > end.at; });
-    crashes.insert(after, end);
+    const auto after =
+        std::find_if(crashes.begin(), crashes.end(),
+                     [&](const UpstreamCrash &other) { return other.at > crash.at; });
+    crashes.insert(after, crash);
     if (crashes.size() > kMaxCrashes) {
         crashes.erase(crashes.begin());
     }
@@ -72,7 +73,7 @@
     }
     suspect.lastCompletedAt = lastCompletedAt;
     std::erase_if(suspect.crashes,
-                  [&](const UpstreamCrash &end) { return end.at <= lastCompletedAt; });
+                  [&](const UpstreamCrash &crash) { return crash.at <= lastCompletedAt; });
     return true;
 }
 
@@ -120,8 +121,8 @@
     if (suspect.lastCompletedAt && clearCrashes(entry.suspect, *suspect.lastCompletedAt)) {
         changed = true;
     }
-    for (const UpstreamCrash &end : suspect.crashes) {
-        changed = addCrash(entry.suspect, end) || changed;
+    for (const UpstreamCrash &crash : suspect.crashes) {
+        changed = addCrash(entry.suspect, crash) || changed;
     }
     if (changed) {
         markChanged(entry);
@@ -165,8 +166,9 @@
 {
     for (auto next = suspects_.begin(); next != suspects_.end();) {
         CrashSuspect &suspect = next->second.suspect;
-        std::erase_if(suspect.crashes,
-                      [&](const UpstreamCrash &end) { return now - end.at > settings_.retention; });
+        std::erase_if(suspect.crashes, [&](const UpstreamCrash &crash) {
+            return now - crash.at > settings_.retention;
+        });
         const bool cleared = suspect.lastCompletedAt
                              && now - *suspect.lastCompletedAt <= settings_.clearanceRetention;
         if (suspect.crashes.empty() && !cleared) {
@@ -183,9 +185,9 @@
 {
     return std::any_of(suspects_.begin(), suspects_.end(), [&](const auto &other) {
         const CrashSuspect &candidate = other.second.suspect;
-        const auto wasAt = [&](const UpstreamCrash &end) {
+        const auto wasAt = [&](const UpstreamCrash &crash) {
             return std::any_of(candidate.crashes.begin(), candidate.crashes.end(),
-                               [&](const UpstreamCrash &its) { return isSameCrash(its, end); });
+                               [&](const UpstreamCrash &its) { return isSameCrash(its, crash); });
         };
         return candidate.digest != suspect.digest
                && std::all_of(suspect.crashes.begin(), suspect.crashes.end(), wasAt);
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -121,7 +121,7 @@
 
     bool isKnownCursor(std::uint64_t cursor) const;
     bool isSameCrash(const UpstreamCrash &left, const UpstreamCrash &right) const;
-    bool addCrash(CrashSuspect &suspect, const UpstreamCrash &end) const;
+    bool addCrash(CrashSuspect &suspect, const UpstreamCrash &crash) const;
     bool clearCrashes(CrashSuspect &suspect, TimePoint lastCompletedAt) const;
     bool sharesAllCrashes(const CrashSuspect &suspect) const;
     void markChanged(Entry &entry);
