--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -261,12 +261,12 @@
 {
     int completed = 0;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
-        PoolSimulation world(seed, InjectedFault::None);
-        const int worst = world.run();
+        PoolSimulation simulation(seed, InjectedFault::None);
+        const int worst = simulation.run();
         if (worst > 2) {
             FAIL(fmt::format("seed {}: {} upstreams were out at once", seed, worst).c_str());
         }
-        completed += world.allReloaded() ? 1 : 0;
+        completed += simulation.allReloaded() ? 1 : 0;
     }
     CHECK_EQUAL(500, completed);
 }
