--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -38,9 +38,10 @@
         [this](const InstanceId &member) { return member == self_ || reported_.contains(member); });
 }
 
-bool ReloadGranter::tryGrant(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
+bool ReloadGranter::tryGrant(const InstanceId &requester, Incarnation incarnation,
+                             std::uint64_t number)
 {
-    const auto held = grants_.find(asker);
+    const auto held = grants_.find(requester);
     const bool same = held != grants_.end() && held->second.incarnation == incarnation
                       && held->second.number == number;
     if (same && !held->second.fromReport) {
@@ -55,13 +56,14 @@
     if (others >= maxConcurrent_) {
         return false;
     }
-    grants_[asker] = {incarnation, number, false};
+    grants_[requester] = {incarnation, number, false};
     return true;
 }
 
-void ReloadGranter::release(const InstanceId &asker, Incarnation incarnation, std::uint64_t number)
+void ReloadGranter::release(const InstanceId &requester, Incarnation incarnation,
+                            std::uint64_t number)
 {
-    const auto held = grants_.find(asker);
+    const auto held = grants_.find(requester);
     if (held != grants_.end() && held->second.incarnation == incarnation
         && held->second.number <= number) {
         grants_.erase(held);
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -49,10 +49,10 @@
     // A member has told how it stands.
     void onMemberState(const InstanceId &member, const ReloadGrantState &state);
     // Asks for a turn. Giving it again to its holder is not a second turn.
-    bool tryGrant(const InstanceId &asker, Incarnation incarnation, std::uint64_t number);
+    bool tryGrant(const InstanceId &requester, Incarnation incarnation, std::uint64_t number);
     // The holder gives all turns up to `number` back. A late message about an older turn does not
     // end a newer one.
-    void release(const InstanceId &asker, Incarnation incarnation, std::uint64_t number);
+    void release(const InstanceId &requester, Incarnation incarnation, std::uint64_t number);
 
     // Tells whether every other member has been heard, so that turns may be given.
     bool ready() const;
