--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -19,10 +19,10 @@
 {
     reported_[member] = state.incarnation;
     const auto grant = grants_.find(member);
-    const bool over = grant != grants_.end()
-                      && (grant->second.incarnation != state.incarnation
-                          || grant->second.number <= state.released);
-    if (over) {
+    const bool ended = grant != grants_.end()
+                       && (grant->second.incarnation != state.incarnation
+                           || grant->second.number <= state.released);
+    if (ended) {
         grants_.erase(grant);
     }
     // An earlier life of this agent may have given the turn.
