--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -75,7 +75,7 @@
         Incarnation incarnation;
         bool down = false;     // Of the upstream; outlives the agent.
         bool reloaded = false; // Of the upstream.
-        int backAt = 0;
+        int reloadEndsAt = 0;
         int giveUpAt = 0;
     };
 
@@ -207,7 +207,7 @@
             || (fault_ == InjectedFault::AskSomeMembers && agent.requester->holdsAny());
         if (enough && !agent.down && !agent.reloaded) {
             agent.down = true;
-            agent.backAt = now_ + 50;
+            agent.reloadEndsAt = now_ + 50;
         }
         if (!agent.down && agent.requester->holdsAny() && !agent.requester->holdsAll()
             && now_ >= agent.giveUpAt) {
@@ -216,7 +216,7 @@
                 sendRelease(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
         }
-        if (agent.down && now_ >= agent.backAt) {
+        if (agent.down && now_ >= agent.reloadEndsAt) {
             agent.down = false;
             agent.reloaded = true;
             for (const InstanceId &member : agent.requester->releaseAll()) {
