--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -76,7 +76,7 @@
         bool down = false;     // Of the upstream; outlives the agent.
         bool reloaded = false; // Of the upstream.
         int reloadEndsAt = 0;
-        int giveUpAt = 0;
+        int nextReleaseAt = 0;
     };
 
     struct Message
@@ -210,8 +210,8 @@
             agent.reloadEndsAt = now_ + 50;
         }
         if (!agent.down && agent.requester->holdsAny() && !agent.requester->holdsAll()
-            && now_ >= agent.giveUpAt) {
-            agent.giveUpAt = now_ + std::uniform_int_distribution<int>(150, 400)(random_);
+            && now_ >= agent.nextReleaseAt) {
+            agent.nextReleaseAt = now_ + std::uniform_int_distribution<int>(150, 400)(random_);
             for (const InstanceId &member : agent.requester->releaseAll()) {
                 sendRelease(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
