--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -48,9 +48,9 @@
             for (const Agent &agent : agents_) {
                 down += agent.down ? 1 : 0;
             }
-            worst_ = std::max(worst_, down);
+            maxDown_ = std::max(maxDown_, down);
         }
-        return worst_;
+        return maxDown_;
     }
 
     bool allReloaded() const
@@ -240,7 +240,7 @@
     std::vector<Message> messages_;
     std::uint64_t lastIncarnation_ = 0;
     int now_ = 0;
-    int worst_ = 0;
+    int maxDown_ = 0;
 };
 
 bool isCaught(InjectedFault fault)
