--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -262,9 +262,9 @@
     int completed = 0;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
         PoolSimulation simulation(seed, InjectedFault::None);
-        const int worst = simulation.run();
-        if (worst > 2) {
-            FAIL(fmt::format("seed {}: {} upstreams were out at once", seed, worst).c_str());
+        const int maxDown = simulation.run();
+        if (maxDown > 2) {
+            FAIL(fmt::format("seed {}: {} upstreams were out at once", seed, maxDown).c_str());
         }
         completed += simulation.allReloaded() ? 1 : 0;
     }
