--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -152,7 +152,7 @@
         }
         LONGS_EQUAL(3, gateways.at(3).crashCount(request(1)));
         CHECK_FALSE(gateways.at(3).mayBeSent(request(1), at(3)));
-    } while (std::next_permutation(order.begin(), order.crash()));
+    } while (std::next_permutation(order.begin(), order.end()));
 }
 
 TEST(CrashRecordTest, MergesCompletedRunAfterCrashes)
