--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -10,7 +10,7 @@
 
 using OrderKey = std::pair<std::uint64_t, InstanceId>;
 
-// The place in the order of a hall, which all gateways compute alike.
+// Returns the sort key of a gateway in its hall's order, which is the same at all gateways.
 OrderKey orderKeyOf(const InstanceId &id)
 {
     return {XXH3_64bits(id.value().data(), id.value().size()), id};
@@ -34,7 +34,7 @@
     member.lastSeen = lastSeen;
 }
 
-// Returns all, this one included, in the order of their ids.
+// Returns all gateways, this one included, ordered by id.
 std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::sortedWithSelf(TimePoint now) const
 {
     std::vector<KnownPeer> peers = knownPeers();
@@ -71,7 +71,7 @@
     constexpr Duration::rep kMaxAgeSteps = 255;
     for (const KnownPeer &known : sortedWithSelf(now)) {
         const Duration age = std::max(Duration{}, now - known.lastSeen);
-        const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Never too young.
+        const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Rounded up.
         gossip.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kMaxAgeSteps)));
     }
     return gossip;
@@ -188,7 +188,7 @@
     std::optional<InstanceId> best;
     std::pair<bool, bool> bestRank{true, true};
     for (const auto &[id, member] : members_) {
-        // Those after the last turn come before those up to it.
+        // Ids after the last one returned come first.
         const std::pair<bool, bool> rank{member.cooldownUntil > now, id <= lastNextPeer_};
         if (id != excluded && (!best || rank < bestRank)) {
             best = id;
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -1,16 +1,17 @@
-// The gateways of a site, as one of them knows them, and which of them asks the platform's store.
+// One gateway's view of the gateways of its site, maintained by gossip, and the election of the
+// gateway that follows the platform's store.
 //
-// Every call to the store has a price, and a change of the store wakes every call that waits there.
-// So one gateway of each hall follows the store, and the others of the hall follow that one: within
-// a hall, bytes cost nothing. The gateways of a hall stand in an order that all compute alike, a
-// hash of their ids; the first that answers is the one to follow. Two gateways with different views
-// may both follow the store, which only costs calls.
+// Calls to the store are billed, and a change of the store completes every call that waits there.
+// Therefore one gateway per hall follows the store, and the other gateways of the hall follow that
+// gateway, because traffic within a hall is free. Gateways are ordered by a hash of their ids, so
+// all compute the same order; the first that answers is the store follower. Gateways with different
+// views may elect two store followers, which only costs additional calls.
 //
-// A gateway that was not heard of for a while, by any of those it hears from, is forgotten. So the
-// gateways tell each other again and again whom they have heard of. Where asker and teller know the
-// same gateways, which is nearly always, ages are all that is told: a byte for each.
+// A gateway that neither this gateway nor its peers have seen within the time to live is evicted.
+// Gateways therefore repeatedly exchange when they last saw each other. If both sides know the same
+// set of gateways, which is the usual case, a message carries only one byte of age per gateway.
 //
-// Pure and single-threaded.
+// Performs no I/O, reads no clock, and is not thread-safe.
 #pragma once
 
 #include "decision/gateway/upstreamturn.h"
@@ -30,8 +31,8 @@
 {
     InstanceId id;
     HallId hall;
-    std::string host; // An IP number.
-    int port = 0;     // Where it listens for other gateways.
+    std::string host; // An IP address.
+    int port = 0;     // The port on which it listens for other gateways.
 
     bool operator==(const GatewayRecord &) const = default;
 };
@@ -41,27 +42,27 @@
 public:
     struct Settings
     {
-        // How long a gateway that did not answer is passed over.
+        // How long a gateway that did not answer is skipped.
         Duration failureCooldown = std::chrono::seconds(2);
-        // How long a gateway is known after it was last heard of: it asks several times a second.
+        // How long a gateway is kept after it was last seen. A running gateway sends requests
+        // several times a second.
         Duration timeToLive = std::chrono::seconds(10);
     };
 
-    // A gateway and when it was last heard of, by anyone.
+    // A gateway and when it was last seen by any gateway.
     struct KnownPeer
     {
         GatewayRecord record;
         TimePoint lastSeen{};
     };
 
-    // What one gateway tells another of those that it knows.
+    // A gossip message: the sender's knowledge of gateways, in full or as ages only.
     struct GossipUpdate
     {
-        std::uint64_t digest =
-            0; // Names the set of gateways that the teller knows, itself included.
-        std::vector<KnownPeer> peers; // All but the teller, where the asker knows another set.
-        // Else how long ago each was heard of, in the order of their ids, the teller among them; in
-        // steps of `kAgeStep`.
+        std::uint64_t digest = 0; // Digest of all gateways that the sender knows, itself included.
+        std::vector<KnownPeer> peers; // All but the sender; empty if the digests match.
+        // If the digests match: the time since each gateway was last seen, the sender included, in
+        // units of `kAgeStep` and ordered by id.
         std::vector<std::uint8_t> ages;
     };
 
@@ -74,43 +75,45 @@
 
     const GatewayRecord &self() const { return self_; }
 
-    // Hears of a gateway, as of `lastSeen`.
+    // Records that a gateway was seen at `lastSeen`. Ignored if it was seen later already.
     void recordSeen(const GatewayRecord &record, TimePoint lastSeen);
-    // The gateway has answered, or has failed to.
+    // Records that the gateway answered, which ends its cooldown, or that it failed to answer,
+    // which starts one. Ignored for unknown gateways.
     void onAnswered(const InstanceId &id, TimePoint now);
     void onFailed(const InstanceId &id, TimePoint now);
-    // Forgets those that were not heard of for too long.
+    // Evicts gateways that were not seen within the time to live.
     void expire(TimePoint now);
 
-    // Returns a number that names the set of gateways that are known, this one included, and where
-    // they listen; not zero.
+    // Returns a nonzero digest of the ids, halls and addresses of all known gateways, this one
+    // included.
     std::uint64_t digest() const;
-    // Returns what to tell one that knows the set named `receiverDigest`.
+    // Returns the message for a gateway whose directory has the digest `receiverDigest`.
     GossipUpdate gossipFor(std::uint64_t receiverDigest, TimePoint now) const;
-    // Takes what another gateway tells at `now`. Returns false when ages came for another set than
-    // the one that is known by now.
+    // Merges a message that was received at `now`. Returns false if it carries ages for a set of
+    // gateways that differs from the one known at present.
     bool applyGossip(const GossipUpdate &gossip, TimePoint now);
 
-    // Returns the gateway of the own hall that follows the store: the first in the hall's order
-    // that is not passed over. That may be this one.
+    // Returns the gateway of this hall that follows the store: the first in hash order that is not
+    // in cooldown. May be this gateway.
     InstanceId localStoreFollower(TimePoint now) const;
-    // Returns the first in the order of another hall that is not passed over; nothing when all are.
+    // Returns the store follower of another hall; nullopt if all its gateways are in cooldown.
     std::optional<InstanceId> storeFollowerOf(const HallId &hall, TimePoint now) const;
-    // Returns the gateway that hands out permits for an upstream in `hall`: all compute it alike.
-    // One of that hall is taken, if there is any: its gateways send most of what goes there, and
-    // they still reach each other when their hall is cut off.
+    // Returns the gateway that issues send permits for an upstream in `hall`. All gateways with the
+    // same view compute the same one. A gateway of that hall is preferred, because its gateways
+    // send most of the requests and still reach each other when the hall is partitioned.
     InstanceId permitIssuerFor(const InstanceId &upstream, const HallId &hall, TimePoint now) const;
-    // Returns the halls that other gateways are in.
+    // Returns the halls of the other gateways, which may include this gateway's own.
     std::set<HallId> peerHalls() const;
-    // Returns how many gateways of the own hall come before this one, and how many there are.
+    // Returns this gateway's position in the hash order of its hall, and the hall's gateway count.
     HallPlace hallPlace() const;
-    // Returns another gateway than this one and `besides`, a different one with each call, those
-    // that are passed over last.
+    // Returns the next of the other gateways except `excluded`, in round-robin order; gateways in
+    // cooldown come last. Returns nullopt if there is no other gateway.
     std::optional<InstanceId> nextPeer(const InstanceId &excluded, TimePoint now);
 
     const GatewayRecord *find(const InstanceId &id) const;
-    // Returns all but this one, in the order of their ids.
+    // Returns all gateways but this one, ordered by id.
     std::vector<KnownPeer> knownPeers() const;
+    // Returns the number of known gateways, this one included.
     std::size_t size() const { return members_.size() + 1; }
 
 private:
@@ -125,8 +128,8 @@
 
     GatewayRecord self_;
     Settings settings_;
-    std::map<InstanceId, Member> members_; // Without this one.
-    mutable std::uint64_t digest_ = 0;     // Zero: to be computed.
+    std::map<InstanceId, Member> members_; // Excludes this gateway.
+    mutable std::uint64_t digest_ = 0;     // Zero if it has to be recomputed.
     InstanceId lastNextPeer_;              // That `another` returned last.
 };
 
