--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -11,8 +11,8 @@
     return found == agents_.end() || (!found->second.pending && now >= found->second.retryAt);
 }
 
-// Returns the host to ask about a known group: the agent that decided last, else the first of its
-// members that may be asked, because the lowest rank that lives decides.
+// Returns the host to poll for a known group: that of the last known decider, else the first member
+// that may be polled, because the lowest live rank is the decider. Returns "" if there is none.
 std::string GroupPollPlanner::hostToPoll(const GroupTable::Known &known, TimePoint now) const
 {
     const auto decider = deciders_.find(known.facts.group);
--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -1,12 +1,12 @@
-// Which agents a gateway asks about the groups of engines.
+// Selects the agents that a gateway polls for the state of the engine groups.
 //
-// Of each group one agent knows all: the one that decides on the group's map. The list of engines
-// names neither groups nor deciders, so a gateway begins with any agent, which names the one that
-// decides. From then on one question at a time waits at each decider, and a few go to agents of
-// engines that no group is known to have. So a gateway has about one connection a group, whatever
-// the groups' sizes.
+// In each group one agent, the decider of the group's expert map, holds the state of the whole
+// group. The list of engines names neither groups nor deciders, so a gateway starts with any agent,
+// which refers it to the decider. After that one long poll is pending at each decider, and a few
+// discovery polls at agents of engines that belong to no known group. A gateway thus needs about
+// one connection per group, whatever the sizes of the groups.
 //
-// Pure and single-threaded.
+// Performs no I/O, reads no clock, and is not thread-safe.
 #pragma once
 
 #include "decision/gateway/grouptable.h"
@@ -25,14 +25,14 @@
 public:
     struct Settings
     {
-        // Agents that are asked at a time although no group is known to have their engines.
+        // The maximum number of concurrent polls of agents whose engines belong to no known group.
         std::size_t maxDiscoveryPolls = 3;
-        // How long an agent that failed, or that does not decide and names nobody, is not asked
-        // again: an agent takes the role within a second after another is gone.
+        // The delay before an agent that failed, or that is not the decider, is polled again.
+        // Another agent becomes the decider within a second after the previous one is gone.
         Duration retryDelay = std::chrono::milliseconds(500);
     };
 
-    // An engine, with the agent at its host.
+    // The address of an engine. Its agent runs on the same host.
     struct Engine
     {
         std::string host;
@@ -46,13 +46,15 @@
         : settings_(settings)
     {}
 
-    // Returns the hosts to ask now. Each counts as asked until its answer or failure is noted.
+    // Returns the hosts to poll now. Each counts as pending until `onDecider`, `onReferred` or
+    // `onFailed` is called for it.
     std::vector<std::string> nextHosts(const std::vector<Engine> &engines, const GroupTable &groups,
                                        TimePoint now);
 
-    // The agent at `host` has answered that it decides for `group`.
+    // Records that the agent at `host` answered as the decider of `group`.
     void onDecider(const std::string &host, const GroupId &group);
-    // It does not decide; it named the host of the one that does, or nobody.
+    // Records that the agent at `host` is not the decider. It referred to the decider at
+    // `deciderHost`, which is empty if the agent knows none.
     void onReferred(const std::string &host, const std::string &deciderHost, TimePoint now);
     void onFailed(const std::string &host, TimePoint now);
 
@@ -68,8 +70,8 @@
 
     Settings settings_;
     std::map<std::string, Agent> agents_;
-    std::map<GroupId, std::string> deciders_; // By group, the host that answered last.
-    std::vector<std::string> referredHosts_;  // Named by agents, and not asked yet.
+    std::map<GroupId, std::string> deciders_; // The host of the last known decider, by group.
+    std::vector<std::string> referredHosts_;  // Hosts of deciders to poll, as named by agents.
 };
 
 } // namespace seamarch
