--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -8,7 +8,7 @@
 namespace seamarch {
 namespace {
 
-// The agents of one target, near or far.
+// The agents of one target, in the entry's own hall and in other halls.
 struct Pool
 {
     std::vector<InstanceId> local;
--- a/src/decision/membership/linkplan.h
+++ b/src/decision/membership/linkplan.h
@@ -1,10 +1,10 @@
-// Which agents an entry keeps a connection and heartbeats to.
+// Selects the agents to which an entry keeps connections and sends heartbeats.
 //
-// On a small site that is all of them. On a large one an entry that heartbeats every agent would
-// spend its whole budget on it, so it keeps to a subset: some agents of each target in its own hall
-// and one of each target in other halls. Subsets are chosen by rendezvous hash of the entry and the
-// agent, so they spread evenly and change little when the list changes. Requests that are bound to
-// an agent outside the subset make a connection when they come.
+// On a small site an entry links to all agents. On a large site heartbeats to every agent would use
+// up the entry's whole budget, so it links to a subset: some agents per target in its own hall and
+// a few per target in other halls. Subsets are selected by rendezvous hashing of entry and agent,
+// so they are evenly distributed and change little when the instance list changes. A request bound
+// to an agent outside the subset opens a connection on demand.
 //
 // Pure functions.
 #pragma once
@@ -20,16 +20,18 @@
 
 struct LinkBudget
 {
-    std::size_t maxLinks = 40;       // Connections to agents that an entry keeps.
-    std::size_t remotePerTarget = 3; // Of them, in other halls, for each target.
-    double heartbeatsPerSecond = 18; // Over all of them.
+    std::size_t maxLinks = 40;       // Connections to agents per entry.
+    std::size_t remotePerTarget = 3; // Of these, connections to other halls, per target.
+    double heartbeatsPerSecond = 18; // The total over all links.
 };
 
-// Returns the agents that the entry keeps connections to.
+// Returns the agents to which the entry keeps connections. If there are more agents than
+// `maxLinks`, each target gets at least one agent of `hall`, so many targets can exceed the budget.
 std::set<InstanceId> chooseLinks(const InstanceList &list, const InstanceId &entry,
                                  const HallId &hall, const LinkBudget &budget);
 
-// Returns the pause between two heartbeats to one agent: `shortest`, or longer for many links.
+// Returns the interval between heartbeats to one agent: at least `minPeriod`, and as long as
+// `links` links need to stay within `heartbeatsPerSecond`.
 Duration heartbeatPeriod(std::size_t links, Duration minPeriod, const LinkBudget &budget);
 
 } // namespace seamarch
