--- a/src/decision/membership/membertable.h
+++ b/src/decision/membership/membertable.h
@@ -1,11 +1,12 @@
-// What an entry knows of the agents it may send work to.
+// The table of agents to which an entry may send requests.
 //
-// Two sources are joined: the platform's list, which says who should exist and lags, and
-// heartbeats, which say who answers now. An agent gets new work only while its lease holds: the
-// lease runs from the moment the heartbeat was *asked for*, on this process's monotonic clock, so a
-// process that was paused wakes with every lease run out and sends nothing until it has asked anew.
+// Combines two sources: the platform's instance list, which names the agents that should exist and
+// lags behind, and heartbeats, which show which agents respond. An agent gets new requests only
+// while its lease is valid. A lease starts when the heartbeat request was *sent*, on the monotonic
+// clock of this process. A process that was suspended therefore resumes with all leases expired and
+// sends nothing until new heartbeats have been answered.
 //
-// The class is pure and single-threaded.
+// The class performs no I/O, reads no clock, and is not thread-safe.
 #pragma once
 
 #include "seamarch/configdocument.h"
@@ -18,7 +19,7 @@
 
 namespace seamarch {
 
-// What an agent reports of itself.
+// The state that an agent reports in its answer to a heartbeat.
 struct AgentReport
 {
     Incarnation incarnation;
@@ -28,18 +29,18 @@
     Tokens runningTokens = 0;
     std::uint32_t queuedRequests = 0;
     std::uint32_t runningRequests = 0;
-    std::uint32_t slots = 1; // Requests that the upstream runs at once.
+    std::uint32_t slots = 1; // The maximum number of requests that the upstream runs concurrently.
     double tokensPerSecond = 0.0;
 };
 
-// An agent as the entry knows it.
+// A listed agent with its latest report.
 struct Member
 {
     InstanceRecord record;
     AgentReport report;
     TimePoint reportRequestedAt{};
     TimePoint leaseExpiresAt{};
-    TimePoint firstReportAt{}; // When this incarnation first answered; for the slow start.
+    TimePoint firstReportAt{}; // When this incarnation first reported; starts its slow start.
     bool hasReported = false;
 };
 
@@ -50,18 +51,21 @@
         : lease_(lease)
     {}
 
-    // Takes the platform's list. An older list than the held one is dropped.
+    // Replaces the list of agents. Returns false if `list` is not newer than the current one, which
+    // then stays.
     bool applyList(const InstanceList &list);
-    // Takes a heartbeat's answer. Answers that arrive out of order are dropped.
-    // Returns true when the agent's incarnation is a new one.
+    // Stores the answer to a heartbeat that was sent at `requestedAt`. Ignores unlisted agents and
+    // answers that arrive out of order. Returns true if the agent's incarnation is new.
     bool onReport(const InstanceId &agent, const AgentReport &report, TimePoint requestedAt,
                   TimePoint now);
 
-    // Tells whether `agent` may get new work now.
+    // Returns whether `agent` may get new requests: its lease is valid, it is not leaving, and the
+    // list shows it as live.
     bool mayReceive(const InstanceId &agent, TimePoint now) const;
-    // Returns the agents that serve `target` and may get new work now.
+    // Returns the agents that serve `target` and may get new requests. The pointers are valid until
+    // the next `applyList`.
     std::vector<const Member *> candidates(const TargetName &target, TimePoint now) const;
-    // Returns all agents that are listed for `target`, whatever their state.
+    // Returns all agents in `hall` that are listed for `target`, regardless of their state.
     std::vector<InstanceId> listedAgents(const TargetName &target, const HallId &hall) const;
 
     const Member *find(const InstanceId &agent) const;
