--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -5,25 +5,26 @@
 namespace seamarch {
 namespace {
 
-// A few questions to gateways elsewhere, which are asked seven times a second.
+// Enough for a few polls of gateways in other halls, at seven polls a second.
 constexpr Duration kPeerPollTime = std::chrono::milliseconds(500);
-// The store answers within some milliseconds, and its news passes on with the next question.
+// The store answers within a few milliseconds, and the next poll by a peer passes the answer on.
 constexpr Duration kPlaceDelay = std::chrono::milliseconds(100);
-// Of a hall; a store that turns a third of the machines away turns all of these away once in half a
-// million times.
+// A store that rejects a third of all machines rejects all twelve gateways of a hall with a
+// probability of one in half a million.
 constexpr std::size_t kMaxPollersPerHall = 12;
-// Keys that were judged late are refused, routes are not: they may spend less of their time.
+// The usable fraction of the key limit. It is below 1 because a key that is checked too late is
+// rejected, whereas a route is not.
 constexpr double kKeyFraction = 0.6;
-// The parts of the shorter time that a watch, a follower's patience and the last turn may take. A
-// list of a slow store takes some 200 ms more.
+// The fractions of the shorter limit for a watch, for the age from which a follower polls its
+// peers, and for the last store poll. A list call to a slow store takes about 200 ms more.
 constexpr double kWatchFraction = 0.26;
 constexpr double kStaleFraction = 0.84;
 constexpr double kMaxPollFraction = 0.9;
-// A list that is asked for last must come before keys can be judged no more.
+// The time that the last list call may take; it must return before the key limit is reached.
 constexpr Duration kListTime = std::chrono::milliseconds(900);
-// No watch waits longer: it may have gone silent, and only its end shows that.
+// Bounds every watch, because a connection that was lost silently is detected only by the timeout.
 constexpr Duration kMaxWatchTimeout = std::chrono::milliseconds(1000);
-// What is followed is at most some 1.4 s old while all is well.
+// Above the age of a follower's data in normal operation, which is at most about 1.4 s.
 constexpr Duration kMaxStaleAge = std::chrono::milliseconds(1600);
 
 Duration scale(Duration budget, double fraction)
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -1,17 +1,17 @@
-// When a gateway seeks knowledge of the platform's store elsewhere, and when it asks the store
-// itself.
+// Schedules when a gateway with stale data refreshes it from its peers, and when from the
+// platform's store.
 //
-// The gateways of a hall follow the one that follows the store. When the store turns that one away,
-// or it dies, the knowledge of all the others grows old in the same moment, and if each asked the
-// store then, a hall of thirty would make thirty lists and as many watches. So the others first ask
-// gateways elsewhere, most of which are not concerned, and only then the store: in the hall's
-// order, one after the other, since one that succeeds tells the rest. How long all that may take
-// follows from how old knowledge may be for keys and for routes that are refused; where those are
-// short, all ask at once. Only some of a hall have a turn at all, however many it has: the store
-// hardly turns away so many and serves others, and while it is down for everybody each call is in
-// vain.
+// The gateways of a hall follow one of them, the store follower. When the store rejects that
+// gateway or it fails, the data of all others goes stale at the same moment. If each then polled
+// the store, a hall of thirty gateways would make thirty list calls and as many watches. So the
+// others first poll gateways of other halls, most of which are unaffected, and then the store, one
+// after the other in the hall's order, because the first to succeed passes the data on. The time
+// available follows from the staleness limits for keys and for denied routes; with short limits,
+// all poll at nearly the same time. Only the first few gateways of a hall poll the store at all: it
+// is unlikely to reject all of these and still serve others, and while it is down for everybody
+// each call is wasted.
 //
-// Pure.
+// Pure functions.
 #pragma once
 
 #include "seamarch/units.h"
@@ -22,27 +22,29 @@
 
 struct StalenessLimits
 {
-    Duration keyMaxAge{};  // A key is judged by knowledge no older than this.
-    Duration denyMaxAge{}; // A route is refused by knowledge no older than this.
+    Duration keyMaxAge{};  // The maximum age of data that keys are checked against.
+    Duration denyMaxAge{}; // The maximum age of data on which a route is denied.
 };
 
 struct StorePollSchedule
 {
-    // A watch on the store waits this long. Each answer is a call, which has a price.
+    // The timeout of a watch on the store. Each answer is a call, and calls are billed.
     Duration watchTimeout{};
-    // Knowledge older than this is sought from any gateway: while all is well, what is followed is
-    // at most as old as a watch, a follower's question and the way take.
+    // The age from which data is requested from any gateway. In normal operation the age of a
+    // follower's data is at most the time of a watch, of a follower's long poll and of
+    // transmission.
     Duration staleAge{};
-    // At this age at the latest the store is asked, also by one that hears no other gateway.
+    // The maximum age at which the store is polled, also by a gateway that reaches no peer.
     Duration maxStorePollAge{};
 };
 
+// Derives the schedule from the staleness limits.
 StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits);
 
-// Tells whether a gateway at `place` among those of its hall that answer asks the store at all
-// while others do; zero is the first.
+// Returns whether a gateway polls the store in addition to the others of its hall. `place` is its
+// zero-based position in the order of the hall's gateways.
 bool mayPollStore(std::size_t place);
-// Returns from which age of its knowledge on a gateway at `place` asks the store.
+// Returns the age of its data from which a gateway at `place` polls the store.
 Duration storePollAge(const StorePollSchedule &schedule, std::size_t place);
 
 } // namespace seamarch
