--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -8,9 +8,10 @@
 namespace seamarch {
 namespace {
 
-// Cursors rise by one with each change; those of another life of the process lie elsewhere.
+// Cursors increase by one with each change. Shifting the seed leaves room for that without
+// overflow, and different seeds keep the cursors of two processes apart.
 constexpr unsigned kCursorSpareBits = 16;
-// More ends than these prove nothing more.
+// The maximum number of crashes kept per request; more do not change the decision.
 constexpr std::size_t kMaxCrashes = 4;
 
 std::uint64_t hashOf(std::string_view text)
@@ -41,7 +42,8 @@
     return left.upstream == right.upstream && apart <= settings_.duplicateWindow;
 }
 
-// Returns false when the end is known or makes no difference.
+// Returns false if the crash is already recorded, precedes the latest completion, or is older than
+// all of `kMaxCrashes` recorded ones.
 bool CrashRecord::addCrash(CrashSuspect &suspect, const UpstreamCrash &crash) const
 {
     if (suspect.lastCompletedAt && crash.at <= *suspect.lastCompletedAt) {
@@ -65,7 +67,7 @@
     return true;
 }
 
-// Returns false when a later clearing is known.
+// Removes the crashes up to `lastCompletedAt`. Returns false if a later completion is known.
 bool CrashRecord::clearCrashes(CrashSuspect &suspect, TimePoint lastCompletedAt) const
 {
     if (suspect.lastCompletedAt && lastCompletedAt <= *suspect.lastCompletedAt) {
@@ -132,8 +134,8 @@
     }
 }
 
-// Forgets a request of the account that has the most, the one with the fewest ends, and of those
-// the one that changed first.
+// Evicts an entry of the account that has the most: the one with the fewest crashes, and among
+// those the least recently changed.
 void CrashRecord::evictOne()
 {
     std::unordered_map<std::uint64_t, std::size_t> counts;
@@ -180,7 +182,7 @@
     }
 }
 
-// Tells whether another request was at all ends of this one.
+// Returns whether another request was present at all crashes of this one.
 bool CrashRecord::sharesAllCrashes(const CrashSuspect &suspect) const
 {
     return std::any_of(suspects_.begin(), suspects_.end(), [&](const auto &other) {
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -1,24 +1,25 @@
-// Which requests upstreams have ended under, and which of them are not sent any more.
+// Detects poison requests: records which requests were running when upstreams crashed, and decides
+// which of them may still be sent.
 //
-// A poison request ends the process of each upstream that runs it. Its caller repeats it, under a
-// new id and at any gateway, and each repetition takes another upstream and its whole group down.
-// An upstream that ends takes some ten requests with it, all but one of them harmless, or all of
-// them when it was killed; nobody can tell them apart at that moment. What tells them apart is what
-// follows:
-//   - a request that later runs to its end, well or badly, on an upstream that goes on living is
-//     cleared of every end before;
-//   - the same request at one end after the other is hardly there by chance. Three ends prove it.
-//     Two do for a while, unless another request was at both of them: then the third end tells
-//     which of the two it was. Of 200 poison requests that come again as fast as a group of twelve
-//     engines opens, each takes 2.6 engines with it instead of 3, for no harmless request more.
-// What is proved is kept for long after the last end, and then tried again: the software may have
-// been mended.
+// A poison request crashes every upstream that runs it. Its caller retries it under a new id and at
+// any gateway, and each retry takes down another upstream and its whole group. A crash interrupts
+// about ten requests, of which all but one are harmless, or all if the process was killed. They
+// cannot be told apart at that moment, only by what happens afterwards:
+//   - A request that later completes, successfully or not, on an upstream that keeps running is
+//     cleared of all earlier crashes.
+//   - A request is unlikely to be present at several crashes by chance. Three crashes block it. Two
+//     block it temporarily, unless another request was present at both; the third crash then shows
+//     which of the two is the cause. In a simulation of 200 poison requests, retried as soon as
+//     their group of twelve engines was up, each crashed 2.6 engines instead of 3 because of the
+//     temporary block, and no additional harmless request was refused.
+// A blocked request stays blocked for long after its last crash and is then allowed again, since
+// the engine software may have been fixed.
 //
-// Gateways tell each other what they saw, and records that have heard the same agree: ends are a
-// set, and the latest clearing wins. The record is bounded; an account that has the most requests
-// in it loses one first, so nobody can push out what others' requests have done.
+// Gateways exchange their records, and records that received the same facts agree: crashes form a
+// set, and the latest completion wins. The record is bounded. When it is full, it evicts a request
+// of the account with the most entries, so no account can displace the entries of others.
 //
-// Pure and single-threaded.
+// Performs no I/O, reads no clock, and is not thread-safe.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -33,20 +34,20 @@
 
 namespace seamarch {
 
-// The end of an upstream's process. Upstreams are compared and never shown, so a digest does.
+// The end of an upstream's process. Upstreams are only compared here, so a hash identifies them.
 struct UpstreamCrash
 {
-    std::uint64_t upstream = 0; // Of its id.
+    std::uint64_t upstream = 0; // A hash of the upstream's id.
     TimePoint at{};
 };
 
-// A request that upstreams have ended under.
+// A request that was running on upstreams when they crashed.
 struct CrashSuspect
 {
     RequestDigest digest;
-    std::uint64_t account = 0;                // A digest of the client account's id.
-    std::vector<UpstreamCrash> crashes;       // Since it last ran to its end, in the order of time.
-    std::optional<TimePoint> lastCompletedAt; // When an upstream last ran it to its end.
+    std::uint64_t account = 0;                // A hash of the client account's id.
+    std::vector<UpstreamCrash> crashes;       // Since it last completed, by time.
+    std::optional<TimePoint> lastCompletedAt; // Successfully or not.
 };
 
 class CrashRecord
@@ -54,69 +55,71 @@
 public:
     struct Settings
     {
-        // Ends that prove that a request ends upstreams: the third by chance comes to one request
-        // in some thousand of those that were at a first.
+        // The number of crashes that block a request. Of the harmless requests that are present at
+        // one crash, about one in some thousand reaches three by chance.
         std::size_t blockThreshold = 3;
-        // Ends that keep a request back for a while, counted from the last, when no other request
-        // was at all of them. A third end would stop a group of engines for four seconds more.
+        // The number of crashes that block a request for `suspicionDuration` after the last one,
+        // unless another request was present at all of them. Saves a third crash, which would stop
+        // a group of engines for four more seconds.
         std::size_t suspectThreshold = 2;
         Duration suspicionDuration = std::chrono::seconds(60);
-        // How long an end is remembered; zero: nothing is. A poison request costs an upstream, or a
-        // whole group for four seconds, each time that it is forgotten, so this is long; whoever
-        // mends the software says so (see docs/OPERATIONS.md).
+        // How long a crash is kept; zero disables the record. Each time a poison request expires it
+        // costs an upstream, or a whole group for four seconds, so this is long. Operators can
+        // clear the record after a fix of the engine software (see docs/OPERATIONS.md).
         Duration retention = std::chrono::hours(1);
-        // An upstream that ended is back after some seconds, perhaps under the id that it had; word
-        // of one end from two gateways differs by some milliseconds.
+        // Crashes of one upstream within this time count as one. Two gateways report the same crash
+        // some milliseconds apart, and a crashed upstream is back only after some seconds, possibly
+        // under the same id.
         Duration duplicateWindow = std::chrono::seconds(2);
-        // How long a clearing is remembered: word of earlier ends is on its way no longer.
+        // How long a completion is kept. Reports of earlier crashes are not delayed for longer.
         Duration clearanceRetention = std::chrono::seconds(60);
-        // Requests; some 150 bytes each.
+        // The maximum number of requests, about 150 bytes each.
         std::size_t maxEntries = 4096;
-        // Drawn at random, so that a process that starts anew is not taken for the one before.
+        // A random number from which cursors start, so that peers do not apply the cursors of an
+        // earlier process to this one.
         std::uint64_t seed = 1;
     };
 
     explicit CrashRecord(const Settings &settings);
 
-    // Changes how long ends are remembered. Zero forgets all of them.
+    // Changes how long crashes are kept. Zero clears the record.
     void setRetention(Duration retention);
 
-    // An upstream has ended while it had the request.
+    // Records that an upstream crashed while it was running the request.
     void onUpstreamCrashed(const RequestDigest &digest, const AccountId &account,
                            const InstanceId &upstream, TimePoint at);
-    // An upstream has run the request to its end and lives.
+    // Records that an upstream completed the request, successfully or not, and kept running.
     void onRequestCompleted(const RequestDigest &digest, TimePoint now);
-    // Takes what another gateway knows of a request.
+    // Merges another gateway's record of a request.
     void merge(const CrashSuspect &suspect);
-    // Forgets what is too old.
+    // Removes crashes and completions that are past their retention.
     void expire(TimePoint now);
 
-    // Tells whether the request may be sent to an upstream.
+    // Returns whether the request may be sent to an upstream.
     bool mayBeSent(const RequestDigest &digest, TimePoint now) const;
-    // Returns the ends under the request since it last ran to its end.
+    // Returns the number of crashes recorded for the request since it last completed; at most 4.
     std::size_t crashCount(const RequestDigest &digest) const;
     std::size_t size() const { return suspects_.size(); }
 
-    // Names the present state: what changed after it is what `changedSince` returns.
+    // Returns the number of the latest change, to be passed to `changedSince` later.
     std::uint64_t cursor() const { return cursor_; }
-    // A part of the record, and the cursor that stands for having it.
+    // A batch of changed entries, and the cursor from which to request the next batch.
     struct Changes
     {
         std::vector<CrashSuspect> suspects;
         std::uint64_t cursor = 0;
     };
-    // Returns up to `most` requests whose entries changed since `cursor`, the earliest first; from
-    // the beginning when that is not a cursor of this record.
+    // Returns up to `maxSuspects` requests whose entries changed after `cursor`, oldest change
+    // first. Starts from the beginning if `cursor` does not belong to this record.
     Changes changedSince(std::uint64_t cursor, std::size_t maxSuspects) const;
     bool hasChangedSince(std::uint64_t cursor) const;
-    // Returns all of them.
     std::vector<CrashSuspect> allSuspects() const;
 
 private:
     struct Entry
     {
         CrashSuspect suspect;
-        std::uint64_t changedAt = 0; // A cursor.
+        std::uint64_t changedAt = 0; // The cursor of the latest change.
     };
 
     bool isKnownCursor(std::uint64_t cursor) const;
@@ -131,7 +134,7 @@
     std::uint64_t firstCursor_;
     std::uint64_t cursor_;
     std::unordered_map<RequestDigest, Entry> suspects_;
-    std::map<std::uint64_t, RequestDigest> byChange_; // The last change of each entry.
+    std::map<std::uint64_t, RequestDigest> byChange_; // By the cursor of their latest change.
 };
 
 } // namespace seamarch
