--- a/src/decision/retry/outlierdetector.h
+++ b/src/decision/retry/outlierdetector.h
@@ -1,11 +1,11 @@
-// Takes upstreams that keep failing out of the choice for a while, and never too many.
+// Temporarily ejects upstreams that keep failing from the candidates for new requests.
 //
-// An upstream is ejected after a number of failures in a row, for a time that doubles with each
-// ejection. When it returns it has one trial: one more failure ejects it again. At most a part of
-// the candidates is ejected at any time; beyond that, those whose ejection ends first are let back
-// in, because a fleet in which everything fails is served best by trying everything.
+// An upstream is ejected after a number of consecutive failures, for a time that doubles with each
+// ejection. After it returns, a single failure ejects it again; a success resets its state. At most
+// a fraction of the candidates is ejected at any time. Beyond that, those whose ejection ends first
+// are readmitted, because when the whole fleet fails, trying every upstream serves best.
 //
-// The class is pure and single-threaded.
+// The class performs no I/O, reads no clock, and is not thread-safe.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -22,7 +22,7 @@
 public:
     struct Settings
     {
-        std::uint32_t consecutiveFailures = 3;
+        std::uint32_t consecutiveFailures = 3; // That cause the first ejection.
         Duration baseEjectionTime = std::chrono::seconds(2);
         Duration maxEjectionTime = std::chrono::seconds(60);
         double maxEjectedFraction = 0.5;
@@ -35,11 +35,12 @@
 
     void onSuccess(const InstanceId &agent);
     void onFailure(const InstanceId &agent, TimePoint now);
-    // The agent is a new incarnation: what the old one did does not count.
+    // Discards the state of an agent that has a new incarnation.
     void reset(const InstanceId &agent);
 
     bool isEjected(const InstanceId &agent, TimePoint now) const;
-    // Returns the candidates that remain; at least (1 - maxEjectedFraction) of them, rounded up.
+    // Returns the candidates that are not ejected, but at least (1 - maxEjectedFraction) of all
+    // candidates, rounded up.
     std::vector<InstanceId> filterCandidates(const std::vector<InstanceId> &candidates,
                                              TimePoint now) const;
 
