--- a/src/decision/retry/retrybudget.h
+++ b/src/decision/retry/retrybudget.h
@@ -1,6 +1,7 @@
-// Limits retries to a part of recent successes, so that a failing fleet is not asked twice as much.
+// Limits retries to a fraction of recent successes, so that retries do not double the load on a
+// fleet that is failing.
 //
-// The class is pure and single-threaded.
+// The class is not thread-safe.
 #pragma once
 
 #include "seamarch/units.h"
@@ -14,7 +15,7 @@
 public:
     struct Settings
     {
-        double permitsPerSuccess = 0.1; // Permits that each first attempt that succeeds earns.
+        double permitsPerSuccess = 0.1; // Retry permits earned per successful first attempt.
         double maxPermits = 20.0;
         double initialPermits = 5.0;
     };
@@ -25,15 +26,16 @@
         , permits_(settings.initialPermits)
     {}
 
-    // Changes what is earned from now on; permits over the new most are lost.
+    // Replaces the settings. Permits beyond the new maximum are dropped.
     void reconfigure(const Settings &settings)
     {
         settings_ = settings;
         permits_ = std::min(permits_, settings_.maxPermits);
     }
+    // Records that a first attempt succeeded.
     void onSuccess();
     bool hasPermit() const { return permits_ >= 1.0; }
-    // Takes a permit. Returns false when none is left.
+    // Consumes one permit. Returns false if none is available.
     bool tryAcquire();
 
 private:
