--- a/src/decision/rollout/reloadgrants.cpp
+++ b/src/decision/rollout/reloadgrants.cpp
@@ -25,7 +25,7 @@
     if (ended) {
         grants_.erase(grant);
     }
-    // An earlier life of this agent may have given the turn.
+    // The grant may have been given by an earlier incarnation of this agent.
     if (state.holds) {
         grants_.try_emplace(member, Grant{state.incarnation, state.released + 1, true});
     }
@@ -50,8 +50,8 @@
     if (!ready()) {
         return false;
     }
-    // What was only heard of counts as a turn of its holder, and is given only if there is room:
-    // each of several askers may have a part of the turns from earlier lives.
+    // A grant known only from a report counts as one of its holder, but is confirmed only within
+    // the limit: several requesters may each hold some of the grants given by earlier incarnations.
     const std::size_t others = grants_.size() - (held == grants_.end() ? 0 : 1);
     if (others >= maxConcurrent_) {
         return false;
@@ -72,7 +72,8 @@
 
 void ReloadRequester::setPool(const MemberSet &members)
 {
-    // Turns of members that are no longer listed do no harm; those of new ones are still to be got.
+    // Grants of members that are no longer listed are harmless. Those of new members are still
+    // required.
     members_ = members;
 }
 
--- a/src/decision/rollout/reloadgrants.h
+++ b/src/decision/rollout/reloadgrants.h
@@ -1,21 +1,23 @@
-// Turns for taking an upstream out of service, without anybody in charge.
+// Decentralized mutual exclusion that limits how many upstreams of a pool are out of service for a
+// reload at the same time.
 //
-// An agent that must reload its upstream first gets a turn from every member of its pool (the
-// agents of its service in its hall). A member gives at most `maxConcurrent` turns at a time.
-// Members are asked one after the other in the order of their names, so two askers meet at the
-// first member that they share and neither waits for the other in a circle.
+// Before an agent reloads its upstream, it obtains a grant from every member of its pool, the
+// agents of its service in its hall. Each member has at most `maxConcurrent` grants outstanding.
+// Requesters ask the members one after the other in the order of their names, so two requesters
+// compete at the first member they share and cannot deadlock.
 //
-// No clock is involved: a turn ends when its holder gives it back, is replaced by a new life, or is
-// no longer listed. Answers of an earlier life of a member must not come after the first word to
-// its new life, which one connection for each pair of agents sees to. A holder that dies holds the
-// others up until then; they wait rather than overrun the floor. A new life has forgotten which
-// turns it gave, so it gives none until every other member has told it whether it holds one. As
-// long as two lists share a member, no more than `maxConcurrent` upstreams of the pool are out of
+// Grants have no timeout: a grant ends when its holder releases it, is replaced by a new
+// incarnation, or is no longer listed. A holder that dies blocks the others until then, because
+// waiting is better than leaving too few upstreams in service. Answers from an earlier incarnation
+// of a member must not arrive after the first message to its new incarnation; a single connection
+// per pair of agents ensures this. A new incarnation does not know the grants of the previous one,
+// so it grants nothing until every other member has reported whether it holds a grant. As long as
+// any two lists have a member in common, at most `maxConcurrent` upstreams of the pool are out of
 // service at any time.
 //
-// Askers that hold some turns and do not get the others give all back after a while and start anew.
+// A requester that obtains only some of the grants releases all of them after a while and restarts.
 //
-// The classes are pure and single-threaded.
+// The classes perform no I/O, read no clock, and are not thread-safe.
 #pragma once
 
 #include "decision/once/keyhome.h"
@@ -28,15 +30,15 @@
 
 namespace seamarch {
 
-// How an asker stands.
+// The state of a requester, as reported to the other members.
 struct ReloadGrantState
 {
     Incarnation incarnation;
-    std::uint64_t released = 0; // All its turns up to this number are given back.
-    bool holds = false;         // Some member has given it the turn with the next number.
+    std::uint64_t released = 0; // It has released all its grants up to this number.
+    bool holds = false;         // It holds the grant with the next number from some member.
 };
 
-// The granter's side.
+// The granting side: tracks the grants that one member has given to requesters.
 class ReloadGranter
 {
 public:
@@ -44,17 +46,20 @@
         : self_(std::move(self))
     {}
 
-    // Takes the members of the pool and how many may hold a turn at once.
+    // Sets the members of the pool and the maximum number of simultaneous grants. Drops the grants
+    // of agents that are no longer members.
     void setPool(const MemberSet &members, std::uint32_t maxConcurrent);
-    // A member has told how it stands.
+    // Processes a state report from a member: ends a grant that the member no longer holds, and
+    // adopts one given by an earlier incarnation of this agent.
     void onMemberState(const InstanceId &member, const ReloadGrantState &state);
-    // Asks for a turn. Giving it again to its holder is not a second turn.
+    // Grants the request numbered `number`, or returns false. Idempotent: repeating the grant to
+    // its holder does not count as a second one.
     bool tryGrant(const InstanceId &requester, Incarnation incarnation, std::uint64_t number);
-    // The holder gives all turns up to `number` back. A late message about an older turn does not
-    // end a newer one.
+    // Ends the requester's grant if its number is at most `number`. A late message about an older
+    // grant does not end a newer one.
     void release(const InstanceId &requester, Incarnation incarnation, std::uint64_t number);
 
-    // Tells whether every other member has been heard, so that turns may be given.
+    // Returns whether every other member has reported its state, so that grants may be given.
     bool ready() const;
     std::size_t grantCount() const { return grants_.size(); }
 
@@ -67,34 +72,34 @@
     {
         Incarnation incarnation;
         std::uint64_t number = 0;
-        bool fromReport = false; // Told by its holder; this life has not given it.
+        bool fromReport = false; // Reported by its holder; not given by this incarnation.
     };
 
     std::map<InstanceId, Grant> grants_;
 };
 
-// The asker's side: collects turns in order and knows when all are held.
+// The requesting side: collects the grants of all members, in order.
 class ReloadRequester
 {
 public:
     void setPool(const MemberSet &members);
-    // Starts to collect turns; nothing changes when it has started already.
+    // Starts to collect grants. Has no effect if started already.
     void requestGrants() { requesting_ = true; }
-    // Returns how this agent stands, for the other members.
+    // Returns the state to report to the other members.
     ReloadGrantState state(Incarnation incarnation) const
     {
         return {incarnation, released_, holdsAny()};
     }
-    // Returns the number of the turn that is wanted.
+    // Returns the number of the current or next request.
     std::uint64_t grantNumber() const { return released_ + 1; }
-    // Returns the member to ask next; nothing when no turn is wanted or all are held.
+    // Returns the member to ask next; nullopt if nothing is requested or all grants are held.
     std::optional<InstanceId> nextMember() const;
     void onGranted(const InstanceId &member);
-    // Tells whether the upstream may be taken out of service.
+    // Returns whether all members have granted, so that the upstream may be taken out of service.
     bool holdsAll() const;
     bool holdsAny() const { return requesting_ && !held_.empty(); }
-    // The upstream is back in service, or this agent gives up for now. Returns the members to give
-    // the turns back to.
+    // Ends the request, because the upstream is back in service or the agent gives up for now.
+    // Returns the members whose grants must be released.
     std::set<InstanceId> releaseAll();
 
 private:
