--- a/src/decision/admission/tokenbucket.h
+++ b/src/decision/admission/tokenbucket.h
@@ -1,12 +1,12 @@
-// Rate limits of client accounts at one entry.
+// Rate limits for client accounts at one entry.
 //
-// The limit of an account is over all entries. Each entry holds a part of it: an equal part among
-// the entries of its hall that its list shows, of the hall's fixed part. The parts of all entries
-// with the same list sum to the limit. While lists differ or a hall is cut off, the sum can exceed
-// the limit by at most the ratio of the entries that run to the entries that the stalest list
-// shows; docs/design/limits.md works the bound out.
+// The limit of an account applies to all entries together. Each hall has a fixed share of it, which
+// is divided equally among the entries of the hall that the entry's list shows. The shares of all
+// entries with the same list add up to the limit. While lists differ or a hall is partitioned, the
+// sum can exceed the limit, at most by the ratio of the running entries to the entries in the
+// stalest list; docs/design/limits.md derives this bound.
 //
-// The classes are pure and single-threaded.
+// The classes perform no I/O, read no clock, and are not thread-safe.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -17,15 +17,15 @@
 
 namespace seamarch {
 
-// A bucket of permits that refills at a steady rate.
+// A token bucket whose permits refill at a constant rate. Starts full.
 class TokenBucket
 {
 public:
     TokenBucket(double permitsPerSecond, double burst, TimePoint now);
 
-    // Changes the rate and the burst; what has been saved up to now is kept.
+    // Changes the rate and the burst size. Keeps the accumulated permits, up to the new burst size.
     void setRate(double permitsPerSecond, double burst, TimePoint now);
-    // Takes one permit. Returns how long to wait when there is none.
+    // Consumes one permit. If none is available, returns the time until the next one instead.
     std::optional<Duration> tryAcquire(TimePoint now);
 
 private:
@@ -37,15 +37,15 @@
     TimePoint refilledAt_;
 };
 
-// This entry's part of the rate limits of all accounts.
+// Enforces this entry's share of the rate limits of all accounts.
 class RateLimiter
 {
 public:
-    // Sets an account's limit over all entries; zero removes it.
+    // Sets an account's limit over all entries, in requests per second. Zero removes the limit.
     void setLimit(const AccountId &account, double requestsPerSecond);
-    // Sets the part of each limit that this entry holds, from 0 to 1.
+    // Sets this entry's share of every limit, from 0 to 1.
     void setShare(double share) { share_ = share; }
-    // Admits a request. Returns how long to wait when the account is over its limit.
+    // Admits a request. If the account is over its limit, returns the time to wait instead.
     std::optional<Duration> admit(const AccountId &account, TimePoint now);
 
 private:
