--- a/test/decision/membership/directoryspread_test.cpp
+++ b/test/decision/membership/directoryspread_test.cpp
@@ -1,8 +1,10 @@
-// The load that this answers: hundreds of gateways in some halls must all know of each other,
-// though each asks few others, and a gateway that is gone must be forgotten by all.
+// Simulates gossip between the directories of hundreds of gateways in several halls. Every gateway
+// must learn of all others although it contacts only a few, and a gateway that has stopped must be
+// evicted everywhere.
 //
-// In virtual time, with the real directories: in each hall all follow the same gateway and ask it
-// whom it knows, and that one asks the first of each other hall, any one, and a seed by turns.
+// Runs the real GatewayDirectory in virtual time. All gateways of a hall exchange gossip with the
+// hall's store follower, which in turn contacts the store follower of every other hall, one peer in
+// round-robin order, and a seed.
 #include "decision/membership/gatewaydirectory.h"
 
 #include <algorithm>
@@ -20,10 +22,10 @@
 
 namespace {
 
-constexpr int kStepMs = 400;     // A question to the gateway that is followed waits so long.
-constexpr int kStartupMs = 3000; // New gateways ask more often.
+constexpr int kStepMs = 400;     // The duration of a long poll at the store follower.
+constexpr int kStartupMs = 3000; // Gateways exchange gossip more often while they start.
 constexpr int kStartupIntervalMs = 800;
-// A record on the wire: an id, a hall and an address.
+// The size of a gateway record on the wire: an id, a hall and an address.
 constexpr std::size_t kRecordBytes = 64;
 constexpr std::size_t kGossipHeaderBytes = 48;
 
@@ -32,19 +34,18 @@
     std::size_t gateways = 30;
     std::size_t halls = 3;
     int millis = 22000;
-    std::function<int(std::size_t)> intervalMs = [](std::size_t) {
-        return 2000;
-    };                     // By gateways known.
-    int stopLastAtMs = -1; // The last gateway is gone from then on.
+    // The interval between exchanges, by the number of known gateways.
+    std::function<int(std::size_t)> intervalMs = [](std::size_t) { return 2000; };
+    int stopLastAtMs = -1; // When the last gateway stops; never if negative.
     std::uint64_t seed = 1;
 };
 
 struct Result
 {
-    int convergedAtMs = -1;         // Since then all know all.
-    std::size_t minKnownLate = 0;   // That any gateway knew in the last 10 s.
-    double maxBytesPerSecond = 0.0; // Told by one gateway a second, in the last 10 s.
-    int evictedAtMs = -1;           // Nobody knows the one that is gone.
+    int convergedAtMs = -1;         // Since when every gateway knows all others.
+    std::size_t minKnownLate = 0;   // The fewest known by any gateway in the last 10 s.
+    double maxBytesPerSecond = 0.0; // Sent by the busiest gateway in the last 10 s.
+    int evictedAtMs = -1;           // Since when no gateway knows the stopped one.
 };
 
 class Simulation
@@ -99,7 +100,7 @@
             now_ < kStartupMs ? kStartupIntervalMs : config_.intervalMs(directory.size());
         const bool due = now_ - listRequestedAt_[index] >= interval;
         if (followed != records_[index].id) {
-            // It asks the one that it follows all the time, which so hears of it.
+            // Polls the store follower continuously, which thereby sees this gateway.
             exchange(index, indexOf(followed), due);
             listRequestedAt_[index] = due ? now_ : listRequestedAt_[index];
         } else if (due) {
@@ -117,7 +118,7 @@
         }
     }
 
-    // One of three, each in another hall.
+    // Returns one of three seeds at random, each in a different hall.
     std::size_t seed() { return random_() % 3 * config_.gateways / 3; }
 
     void exchangeWith(std::size_t receiver, const std::optional<InstanceId> &id)
@@ -181,8 +182,8 @@
     std::mt19937_64 random_;
     std::vector<GatewayRecord> records_;
     std::vector<GatewayDirectory> directories_;
-    std::vector<int> listRequestedAt_;   // For whom others know.
-    std::vector<std::size_t> bytesSent_; // Bytes.
+    std::vector<int> listRequestedAt_;   // When each gateway last requested gossip.
+    std::vector<std::size_t> bytesSent_; // By each gateway.
     int now_ = 0;
 };
 
@@ -204,15 +205,15 @@
          std::vector<std::pair<std::size_t, std::size_t>>{{30, 3}, {149, 3}, {531, 5}, {1062, 9}}) {
         const Result result = Simulation(configOf(gateways, halls)).run();
         const std::string text = fmt::format(
-            "{} gateways: all known since {} ms, fewest known later {}, busiest tells "
-            "{:.0f} bytes a second",
+            "{} gateways: converged at {} ms, fewest known later {}, busiest sends "
+            "{:.0f} bytes/s",
             gateways, result.convergedAtMs, result.minKnownLate, result.maxBytesPerSecond);
         if (std::getenv("SEAMARCH_PRINT") != nullptr) {
             fmt::print("{}\n", text);
         }
         CHECK_TEXT(result.convergedAtMs >= 0 && result.convergedAtMs <= 6000, text.c_str());
         UNSIGNED_LONGS_EQUAL_TEXT(gateways, result.minKnownLate, text.c_str());
-        // A fortieth of a link of 40 Mbit/s, at every size.
+        // 125 kB/s is a fortieth of a 40 Mbit/s link.
         CHECK_TEXT(result.maxBytesPerSecond <= 125'000, text.c_str());
     }
 }
@@ -234,6 +235,7 @@
         config.millis = 36000;
         const Result result = Simulation(config).run();
         CHECK_TEXT(result.evictedAtMs >= 0,
-                   fmt::format("{} gateways still know one that is gone", gateways).c_str());
+                   fmt::format("{} gateways: the stopped one was not evicted everywhere", gateways)
+                       .c_str());
     }
 }
