--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -18,7 +18,7 @@
     return {InstanceId(id), HallId(hall), "10.0.0.1", 7000};
 }
 
-// Returns a directory of `self` that has heard of all of `others` at the start.
+// Returns the directory of `self`, which saw all of `others` at 1 ms.
 GatewayDirectory directoryOf(const GatewayRecord &self, const std::vector<GatewayRecord> &others)
 {
     GatewayDirectory directory(self, {});
@@ -145,7 +145,7 @@
     const auto gossip = sender.gossipFor(receiver.digest(), at(7000));
     CHECK_TRUE(gossip.peers.empty());
     CHECK_TRUE(receiver.applyGossip(gossip, at(7000)));
-    receiver.expire(at(10050)); // Ages are told in steps, and never too young.
+    receiver.expire(at(10050)); // Ages are rounded up to whole steps of 50 ms.
     CHECK_TRUE(receiver.find(kGateways[4].id) != nullptr);
     CHECK_TRUE(receiver.find(kGateways[3].id) == nullptr);
     CHECK_TRUE(receiver.find(kGateways[0].id) != nullptr);
