--- a/test/decision/membership/grouppollplanner_test.cpp
+++ b/test/decision/membership/grouppollplanner_test.cpp
@@ -53,7 +53,7 @@
     CHECK_TRUE(std::find(next.begin(), next.end(), "host20") != next.end());
 }
 
-// Nine groups of 32 ranks: connections grow with the groups and not with the ranks.
+// With nine groups of 32 ranks, the number of polls equals the number of groups, not of ranks.
 TEST(GroupPollPlannerTest, PollsOneAgentPerKnownGroup)
 {
     for (int number = 0; number < 9; ++number) {
