--- a/test/decision/membership/linkplan_test.cpp
+++ b/test/decision/membership/linkplan_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace seamarch;
 
-TEST_GROUP(LinkPlanTest){// `agents` for each of three models in each of nine halls.
+TEST_GROUP(LinkPlanTest){// Lists `agents` agents of each of three models in each of nine halls.
                          static InstanceList listOf(int agents){InstanceList list;
 for (int hall = 0; hall < 9; ++hall) {
     for (int model = 0; model < 3; ++model) {
