--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -1,5 +1,6 @@
-// The pattern: the store turns away the gateway that a whole hall follows, and the knowledge of all
-// the others grows old at once. Thirty a hall, and the bounds, are those of the users' deployments.
+// Tests the schedule for the case that the store rejects the store follower of a hall, so that the
+// data of all other gateways of the hall goes stale at the same time. The hall size of thirty and
+// the limits are those of production deployments.
 #include "decision/membership/storepollschedule.h"
 
 #include <CppUTest/TestHarness.h>
@@ -9,14 +10,15 @@
 namespace {
 
 constexpr std::size_t kHallSize = 30;
-// A configuration is in force everywhere within two or four seconds, a key is gone within five.
+// A configuration must be in force everywhere within two seconds (small fleet) or four seconds
+// (large fleet), and a removed key must be rejected within five.
 constexpr StalenessLimits kSmallFleet{std::chrono::milliseconds(4700),
                                       std::chrono::milliseconds(1900)};
 constexpr StalenessLimits kLargeFleet{std::chrono::milliseconds(4700),
                                       std::chrono::milliseconds(3900)};
 constexpr StalenessLimits kShortLimits{std::chrono::milliseconds(2200),
                                        std::chrono::milliseconds(1400)};
-// What is followed may be as old as a watch, a question that waits, and the way.
+// The time that a follower's long poll and the transmission add to the age of a watch's data.
 constexpr Duration kFollowerDelay = std::chrono::milliseconds(450);
 
 } // namespace
