--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: one caller repeats a request that ends each upstream that runs it, at
-// every gateway, while upstreams also end for reasons of their own and take harmless requests
-// along.
+// Tests the detection of poison requests: a caller retries, at every gateway, a request that
+// crashes each upstream that runs it, while upstreams also crash for unrelated reasons and
+// interrupt harmless requests.
 #include "decision/retry/crashrecord.h"
 
 #include <CppUTest/TestHarness.h>
@@ -30,7 +30,7 @@
 
 const AccountId kAccount("bids");
 
-// Hands on everything that `from` knows.
+// Merges all entries of `from` into `to`.
 void mergeInto(const CrashRecord &from, CrashRecord &to)
 {
     for (const CrashSuspect &suspect : from.allSuspects()) {
@@ -121,7 +121,7 @@
     LONGS_EQUAL(0, record.crashCount(request(1)));
 }
 
-// Two copies of a request may be at one upstream when it ends, sent by two gateways.
+// Two gateways may each have sent a copy of the request to the upstream that crashes.
 TEST(CrashRecordTest, CountsCrashReportedTwiceOnce)
 {
     crash(1, 1, 0);
@@ -243,9 +243,9 @@
 
 namespace {
 
-// A group of engines under load while some of them end. A request that fails comes again at the
-// next opening, up to three times, as a gateway and its caller may repeat it; the poison one comes
-// again after every end.
+// Simulates a group of engines under load in which engines crash. A request that fails is retried
+// when the group has started again, up to three times, as a gateway and its caller may do. The
+// poison request is retried after every crash.
 class CrashingGroup
 {
 public:
@@ -261,7 +261,8 @@
         , poison_(poison)
     {}
 
-    // Plays `rounds` openings of the group, `gap` seconds apart; at each an engine ends.
+    // Simulates `rounds` starts of the group, `gap` seconds apart. An engine crashes after each
+    // start, unless the poison request is enabled but blocked.
     void run(int rounds, double gap)
     {
         for (int round = 0; round < rounds; ++round) {
@@ -317,7 +318,7 @@
             ++poisonCrashes_;
             record_.onUpstreamCrashed(request(kPoison), kAccount, upstream(ended), at(now_));
         }
-        // All that the group had is cut off with the engine.
+        // The crash of one engine interrupts all requests of the group.
         std::map<std::uint64_t, int> failed;
         for (const std::uint64_t number : running) {
             const auto before = retries_.find(number);
@@ -333,7 +334,7 @@
     std::mt19937_64 random_;
     bool poison_;
     double now_ = 0.0;
-    std::map<std::uint64_t, int> retries_; // And how often.
+    std::map<std::uint64_t, int> retries_; // By request, the number of its failures.
     std::uint64_t lastRequest_ = 1000;
     std::uint64_t lastUpstream_ = 0;
     std::uint64_t poisonCrashes_ = 0;
@@ -342,12 +343,12 @@
 
 struct Losses
 {
-    int crashes = 0;  // Under the poison request.
-    int refusals = 0; // Of harmless ones.
+    int crashes = 0;  // Caused by the poison request.
+    int refusals = 0; // Of harmless requests.
 };
 
-// Plays 200 groups in which engines end at twelve openings, 4.5 s apart, for as long as the poison
-// request is sent, or all the time by themselves.
+// Simulates 200 groups with twelve starts each, 4.5 s apart. Engines crash for as long as the
+// poison request is sent or, if `poison` is false, at every start for unrelated reasons.
 Losses lossesOf(bool poison, std::size_t suspectThreshold)
 {
     Losses losses;
@@ -362,8 +363,9 @@
 
 } // namespace
 
-// Two ways: to refuse at the third end alone, or at the second where no other request shares both.
-// Over 200 groups: 600 engines and 8 harmless requests, or 524 engines and 8.
+// Compares blocking at the third crash only with blocking also at the second crash if no other
+// request shares both. Over 200 groups, the former costs 600 engines and 8 refused harmless
+// requests, the latter 524 engines and 8 requests.
 TEST(CrashRecordTest, BlockingAtSecondCrashSparesEngines)
 {
     const Losses third = lossesOf(true, 3);
@@ -373,9 +375,8 @@
     CHECK_TRUE(second.refusals <= third.refusals);
 }
 
-// Engines that end by themselves, twelve one after the other, as fast as their group can open: of
-// 345,600 requests 712 are refused, each after two engines had ended under it; at the third end
-// alone 32.
+// With twelve unrelated crashes in a row, as fast as the group can start, 712 of 345,600 requests
+// are refused, each after two crashes, and 32 if requests are blocked at the third crash only.
 TEST(CrashRecordTest, UnrelatedCrashesBlockFewRequests)
 {
     CHECK_TRUE(lossesOf(false, 3).refusals <= 40);
