--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -14,7 +14,8 @@
 
 enum class InjectedFault { None, ForgetGrants, AskSomeMembers, ExpireGrants };
 
-// A pool that reloads all its upstreams. Agents are replaced, messages are lost, late and doubled.
+// Simulates a pool that reloads all its upstreams, while agents are replaced and messages are lost,
+// delayed and duplicated.
 class PoolSimulation
 {
 public:
@@ -40,7 +41,7 @@
             for (std::size_t index = 0; index < kAgents; ++index) {
                 act(index);
             }
-            // An agent is replaced; its upstream stays as it was.
+            // Replaces an agent. The state of its upstream is kept.
             if (now_ < kSteps / 2 && chance(0.02)) {
                 start(pick());
             }
@@ -73,8 +74,8 @@
         std::unique_ptr<ReloadGranter> granter;
         std::unique_ptr<ReloadRequester> requester;
         Incarnation incarnation;
-        bool down = false;     // Of the upstream; outlives the agent.
-        bool reloaded = false; // Of the upstream.
+        bool down = false;     // The upstream's state, kept when the agent is replaced.
+        bool reloaded = false; // Likewise.
         int reloadEndsAt = 0;
         int nextReleaseAt = 0;
     };
@@ -108,7 +109,8 @@
             }
         }
         if (agent.down) {
-            // The engine tells the new life that it is being reloaded: it counts itself.
+            // The engine reports to the new incarnation that it is being reloaded, so the
+            // incarnation counts its own grant as held.
             agent.requester->requestGrants();
             agent.requester->onGranted(name(index));
         }
@@ -137,7 +139,7 @@
             return message.at <= now_;
         });
         for (const Message &message : due) {
-            // Messages of a connection to an earlier life are gone with it.
+            // Messages to an earlier incarnation are lost with its connection.
             if (agents_[message.to].incarnation == message.recipient) {
                 message.action();
             }
@@ -149,7 +151,7 @@
         const Agent &agent = agents_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
             ReloadGrantState state = agent.requester->state(agent.incarnation);
-            // With either of these faults nobody tells the turns that it holds.
+            // With either of these faults no agent reports the grants that it holds.
             state.holds = state.holds && fault_ != InjectedFault::ForgetGrants
                           && fault_ != InjectedFault::ExpireGrants;
             send(other, agents_[other].incarnation,
@@ -177,7 +179,7 @@
                 return;
             }
             send(index, incarnation, [this, index, to, granterIncarnation] {
-                // One connection for each pair: nothing comes from a life that was replaced.
+                // There is one connection per pair, so nothing arrives from an earlier incarnation.
                 if (agents_[to].incarnation == granterIncarnation) {
                     agents_[index].requester->onGranted(name(to));
                 }
@@ -264,7 +266,8 @@
         PoolSimulation simulation(seed, InjectedFault::None);
         const int maxDown = simulation.run();
         if (maxDown > 2) {
-            FAIL(fmt::format("seed {}: {} upstreams were out at once", seed, maxDown).c_str());
+            FAIL(fmt::format("seed {}: {} upstreams were out of service at once", seed, maxDown)
+                     .c_str());
         }
         completed += simulation.allReloaded() ? 1 : 0;
     }
@@ -273,8 +276,9 @@
 
 TEST(ReloadGrantsTest, ReportedGrantsCountTowardsLimit)
 {
-    // Found by seed 457: two replaced members each heard of three askers with a part of the turns,
-    // and gave all three what they seemed to have already.
+    // Guards against a failure of the simulation with seed 457: two replaced members each received
+    // reports from three requesters that held some of the grants, and confirmed all three although
+    // that exceeded the limit.
     ReloadGranter granter(InstanceId("a"));
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
     granter.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
