--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "decision/dispatch/agentcore.h"
-#include "decision/rollout/reloadgrants.h"
+#include "decision/rollout/reloadpermits.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
--- a/src/agent/orderdriver.h
+++ b/src/agent/orderdriver.h
@@ -9,7 +9,7 @@
 // order, wait until the engine serves the version, take work again, give the turns back.
 #pragma once
 
-#include "decision/rollout/reloadgrants.h"
+#include "decision/rollout/reloadpermits.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
 #include "seamarch/configdocument.h"
--- a/test/decision/rollout/reloadgrants_test.cpp
+++ b/test/decision/rollout/reloadgrants_test.cpp
@@ -1,4 +1,4 @@
-#include "decision/rollout/reloadgrants.h"
+#include "decision/rollout/reloadpermits.h"
 
 #include <fmt/format.h>
 #include <functional>
