--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -143,7 +143,7 @@
     std::unique_ptr<OperatorServer> operators_;
     std::map<ConnectionId, Connection> connections_;
     std::unordered_map<RequestId, Job> jobs_;
-    ReloadGranter turnBook_;
+    ReloadPermitIssuer turnBook_;
     std::unique_ptr<OrderDriver> orders_;
     std::unique_ptr<GrantNetwork> grants_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -26,7 +26,7 @@
         EventLoop &loop;
         RawTransport &transport;
         AgentCore &core;
-        ReloadGranter &book;
+        ReloadPermitIssuer &book;
         ReloadRequester &taker;
         InstanceId self;
         Incarnation incarnation;
--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -4,7 +4,7 @@
 
 namespace seamarch {
 
-void ReloadGranter::setPool(const MemberSet &members, std::uint32_t maxConcurrent)
+void ReloadPermitIssuer::setPool(const MemberSet &members, std::uint32_t maxConcurrent)
 {
     members_ = members;
     maxConcurrent_ = maxConcurrent;
@@ -15,7 +15,7 @@
     std::erase_if(grants_, unlisted);
 }
 
-void ReloadGranter::onMemberState(const InstanceId &member, const ReloadGrantState &state)
+void ReloadPermitIssuer::onMemberState(const InstanceId &member, const ReloadGrantState &state)
 {
     reported_[member] = state.incarnation;
     const auto grant = grants_.find(member);
@@ -31,15 +31,15 @@
     }
 }
 
-bool ReloadGranter::ready() const
+bool ReloadPermitIssuer::ready() const
 {
     return std::all_of(
         members_.members.begin(), members_.members.end(),
         [this](const InstanceId &member) { return member == self_ || reported_.contains(member); });
 }
 
-bool ReloadGranter::tryGrant(const InstanceId &requester, Incarnation incarnation,
-                             std::uint64_t number)
+bool ReloadPermitIssuer::tryGrant(const InstanceId &requester, Incarnation incarnation,
+                                  std::uint64_t number)
 {
     const auto held = grants_.find(requester);
     const bool same = held != grants_.end() && held->second.incarnation == incarnation
@@ -60,8 +60,8 @@
     return true;
 }
 
-void ReloadGranter::release(const InstanceId &requester, Incarnation incarnation,
-                            std::uint64_t number)
+void ReloadPermitIssuer::release(const InstanceId &requester, Incarnation incarnation,
+                                 std::uint64_t number)
 {
     const auto held = grants_.find(requester);
     if (held != grants_.end() && held->second.incarnation == incarnation
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -39,10 +39,10 @@
 };
 
 // The granting side: tracks the grants that one member has given to requesters.
-class ReloadGranter
+class ReloadPermitIssuer
 {
 public:
-    explicit ReloadGranter(InstanceId self)
+    explicit ReloadPermitIssuer(InstanceId self)
         : self_(std::move(self))
     {}
 
--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -71,7 +71,7 @@
 
     struct Agent
     {
-        std::unique_ptr<ReloadGranter> granter;
+        std::unique_ptr<ReloadPermitIssuer> granter;
         std::unique_ptr<ReloadRequester> requester;
         Incarnation incarnation;
         bool down = false;     // The upstream's state, kept when the agent is replaced.
@@ -99,7 +99,7 @@
     {
         Agent &agent = agents_[index];
         agent.incarnation = Incarnation(++lastIncarnation_);
-        agent.granter = std::make_unique<ReloadGranter>(name(index));
+        agent.granter = std::make_unique<ReloadPermitIssuer>(name(index));
         agent.granter->setPool(members_, kMaxConcurrent);
         agent.requester = std::make_unique<ReloadRequester>();
         agent.requester->setPool(members_);
@@ -279,7 +279,7 @@
     // Guards against a failure of the simulation with seed 457: two replaced members each received
     // reports from three requesters that held some of the grants, and confirmed all three although
     // that exceeded the limit.
-    ReloadGranter granter(InstanceId("a"));
+    ReloadPermitIssuer granter(InstanceId("a"));
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
     granter.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
     granter.onMemberState(InstanceId("c"), {Incarnation(2), 0, true});
@@ -305,7 +305,7 @@
 
 TEST(ReloadGrantsTest, NewIncarnationGrantsNothingUntilAllHaveReported)
 {
-    ReloadGranter granter(InstanceId("a"));
+    ReloadPermitIssuer granter(InstanceId("a"));
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
     granter.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
 
@@ -318,7 +318,7 @@
 
 TEST(ReloadGrantsTest, LateReleaseOfOlderGrantKeepsNewerGrant)
 {
-    ReloadGranter granter(InstanceId("a"));
+    ReloadPermitIssuer granter(InstanceId("a"));
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
     granter.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
     granter.tryGrant(InstanceId("b"), Incarnation(1), 2);
