--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -27,7 +27,7 @@
         RawTransport &transport;
         AgentCore &core;
         ReloadPermitIssuer &book;
-        ReloadRequester &taker;
+        ReloadPermitCollector &taker;
         InstanceId self;
         Incarnation incarnation;
         HallId hall;
--- a/src/agent/orderdriver.h
+++ b/src/agent/orderdriver.h
@@ -53,7 +53,7 @@
 
     // Takes the version that the engine should have, from a configuration.
     void setTarget(std::string version, ConfigVersion config);
-    ReloadRequester &turns() { return turns_; }
+    ReloadPermitCollector &turns() { return turns_; }
     // Time has passed: takes the next step.
     void tick();
 
@@ -78,7 +78,7 @@
     OrderHost &host_;
     InstanceId self_;
     SocketAddress address_;
-    ReloadRequester turns_;
+    ReloadPermitCollector turns_;
     Step step_ = Step::Resting;
     EngineState engine_;
     std::string target_;
--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -70,14 +70,14 @@
     }
 }
 
-void ReloadRequester::setPool(const MemberSet &members)
+void ReloadPermitCollector::setPool(const MemberSet &members)
 {
     // Grants of members that are no longer listed are harmless. Those of new members are still
     // required.
     members_ = members;
 }
 
-std::optional<InstanceId> ReloadRequester::nextMember() const
+std::optional<InstanceId> ReloadPermitCollector::nextMember() const
 {
     if (!requesting_) {
         return std::nullopt;
@@ -90,19 +90,19 @@
     return std::nullopt;
 }
 
-void ReloadRequester::onGranted(const InstanceId &member)
+void ReloadPermitCollector::onGranted(const InstanceId &member)
 {
     if (requesting_) {
         held_.insert(member);
     }
 }
 
-bool ReloadRequester::holdsAll() const
+bool ReloadPermitCollector::holdsAll() const
 {
     return requesting_ && !members_.members.empty() && !nextMember();
 }
 
-std::set<InstanceId> ReloadRequester::releaseAll()
+std::set<InstanceId> ReloadPermitCollector::releaseAll()
 {
     requesting_ = false;
     ++released_;
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -79,7 +79,7 @@
 };
 
 // The requesting side: collects the grants of all members, in order.
-class ReloadRequester
+class ReloadPermitCollector
 {
 public:
     void setPool(const MemberSet &members);
--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -72,7 +72,7 @@
     struct Agent
     {
         std::unique_ptr<ReloadPermitIssuer> granter;
-        std::unique_ptr<ReloadRequester> requester;
+        std::unique_ptr<ReloadPermitCollector> requester;
         Incarnation incarnation;
         bool down = false;     // The upstream's state, kept when the agent is replaced.
         bool reloaded = false; // Likewise.
@@ -101,7 +101,7 @@
         agent.incarnation = Incarnation(++lastIncarnation_);
         agent.granter = std::make_unique<ReloadPermitIssuer>(name(index));
         agent.granter->setPool(members_, kMaxConcurrent);
-        agent.requester = std::make_unique<ReloadRequester>();
+        agent.requester = std::make_unique<ReloadPermitCollector>();
         agent.requester->setPool(members_);
         if (fault_ == InjectedFault::ForgetGrants) {
             for (std::size_t other = 0; other < kAgents; ++other) {
