--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -139,7 +139,7 @@
     request.setMemberSet(set);
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    const ReloadGrantState turns = context_.taker.state(context_.incarnation);
+    const ReloadPermitState turns = context_.taker.state(context_.incarnation);
     request.setTurnsReleased(turns.released);
     request.setHoldsTurn(turns.holds);
     tasks_.add(request.send().then(
--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -15,7 +15,7 @@
     std::erase_if(grants_, unlisted);
 }
 
-void ReloadPermitIssuer::onMemberState(const InstanceId &member, const ReloadGrantState &state)
+void ReloadPermitIssuer::onMemberState(const InstanceId &member, const ReloadPermitState &state)
 {
     reported_[member] = state.incarnation;
     const auto grant = grants_.find(member);
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -31,7 +31,7 @@
 namespace seamarch {
 
 // The state of a requester, as reported to the other members.
-struct ReloadGrantState
+struct ReloadPermitState
 {
     Incarnation incarnation;
     std::uint64_t released = 0; // It has released all its grants up to this number.
@@ -51,7 +51,7 @@
     void setPool(const MemberSet &members, std::uint32_t maxConcurrent);
     // Processes a state report from a member: ends a grant that the member no longer holds, and
     // adopts one given by an earlier incarnation of this agent.
-    void onMemberState(const InstanceId &member, const ReloadGrantState &state);
+    void onMemberState(const InstanceId &member, const ReloadPermitState &state);
     // Grants the request numbered `number`, or returns false. Idempotent: repeating the grant to
     // its holder does not count as a second one.
     bool tryGrant(const InstanceId &requester, Incarnation incarnation, std::uint64_t number);
@@ -86,7 +86,7 @@
     // Starts to collect grants. Has no effect if started already.
     void requestGrants() { requesting_ = true; }
     // Returns the state to report to the other members.
-    ReloadGrantState state(Incarnation incarnation) const
+    ReloadPermitState state(Incarnation incarnation) const
     {
         return {incarnation, released_, holdsAny()};
     }
--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -150,7 +150,7 @@
     {
         const Agent &agent = agents_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
-            ReloadGrantState state = agent.requester->state(agent.incarnation);
+            ReloadPermitState state = agent.requester->state(agent.incarnation);
             // With either of these faults no agent reports the grants that it holds.
             state.holds = state.holds && fault_ != InjectedFault::ForgetGrants
                           && fault_ != InjectedFault::ExpireGrants;
@@ -229,7 +229,7 @@
 
     void sendRelease(std::size_t to, std::size_t index)
     {
-        const ReloadGrantState state = agents_[index].requester->state(agents_[index].incarnation);
+        const ReloadPermitState state = agents_[index].requester->state(agents_[index].incarnation);
         send(to, agents_[to].incarnation, [this, to, index, state] {
             agents_[to].granter->release(name(index), state.incarnation, state.released);
         });
