--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -257,9 +257,9 @@
 
 } // namespace
 
-TEST_GROUP(ReloadGrantsTest){};
+TEST_GROUP(ReloadPermitsTest){};
 
-TEST(ReloadGrantsTest, NeverExceedsLimitOverManySchedules)
+TEST(ReloadPermitsTest, NeverExceedsLimitOverManySchedules)
 {
     int completed = 0;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
@@ -274,7 +274,7 @@
     CHECK_EQUAL(500, completed);
 }
 
-TEST(ReloadGrantsTest, ReportedGrantsCountTowardsLimit)
+TEST(ReloadPermitsTest, ReportedGrantsCountTowardsLimit)
 {
     // Guards against a failure of the simulation with seed 457: two replaced members each received
     // reports from three requesters that held some of the grants, and confirmed all three although
@@ -288,22 +288,22 @@
     CHECK_FALSE(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
 }
 
-TEST(ReloadGrantsTest, CheckerDetectsForgottenGrants)
+TEST(ReloadPermitsTest, CheckerDetectsForgottenGrants)
 {
     CHECK(isCaught(InjectedFault::ForgetGrants));
 }
 
-TEST(ReloadGrantsTest, CheckerDetectsGrantsOfSomeMembersOnly)
+TEST(ReloadPermitsTest, CheckerDetectsGrantsOfSomeMembersOnly)
 {
     CHECK(isCaught(InjectedFault::AskSomeMembers));
 }
 
-TEST(ReloadGrantsTest, CheckerDetectsExpiringGrants)
+TEST(ReloadPermitsTest, CheckerDetectsExpiringGrants)
 {
     CHECK(isCaught(InjectedFault::ExpireGrants));
 }
 
-TEST(ReloadGrantsTest, NewIncarnationGrantsNothingUntilAllHaveReported)
+TEST(ReloadPermitsTest, NewIncarnationGrantsNothingUntilAllHaveReported)
 {
     ReloadPermitIssuer granter(InstanceId("a"));
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
@@ -316,7 +316,7 @@
     CHECK(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
 }
 
-TEST(ReloadGrantsTest, LateReleaseOfOlderGrantKeepsNewerGrant)
+TEST(ReloadPermitsTest, LateReleaseOfOlderGrantKeepsNewerGrant)
 {
     ReloadPermitIssuer granter(InstanceId("a"));
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
