--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -27,7 +27,7 @@
     }
     // The grant may have been given by an earlier incarnation of this agent.
     if (state.holds) {
-        grants_.try_emplace(member, Grant{state.incarnation, state.released + 1, true});
+        grants_.try_emplace(member, Permit{state.incarnation, state.released + 1, true});
     }
 }
 
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -68,14 +68,14 @@
     MemberSet members_;
     std::uint32_t maxConcurrent_ = 1;
     std::map<InstanceId, Incarnation> reported_;
-    struct Grant
+    struct Permit
     {
         Incarnation incarnation;
         std::uint64_t number = 0;
         bool fromReport = false; // Reported by its holder; not given by this incarnation.
     };
 
-    std::map<InstanceId, Grant> grants_;
+    std::map<InstanceId, Permit> grants_;
 };
 
 // The requesting side: collects the grants of all members, in order.
