--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -18,12 +18,12 @@
 void ReloadPermitIssuer::onMemberState(const InstanceId &member, const ReloadPermitState &state)
 {
     reported_[member] = state.incarnation;
-    const auto grant = grants_.find(member);
-    const bool ended = grant != grants_.end()
-                       && (grant->second.incarnation != state.incarnation
-                           || grant->second.number <= state.released);
+    const auto permit = grants_.find(member);
+    const bool ended = permit != grants_.end()
+                       && (permit->second.incarnation != state.incarnation
+                           || permit->second.number <= state.released);
     if (ended) {
-        grants_.erase(grant);
+        grants_.erase(permit);
     }
     // The grant may have been given by an earlier incarnation of this agent.
     if (state.holds) {
