--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -12,22 +12,22 @@
         return !std::binary_search(members_.members.begin(), members_.members.end(), entry.first);
     };
     std::erase_if(reported_, unlisted);
-    std::erase_if(grants_, unlisted);
+    std::erase_if(permits_, unlisted);
 }
 
 void ReloadPermitIssuer::onMemberState(const InstanceId &member, const ReloadPermitState &state)
 {
     reported_[member] = state.incarnation;
-    const auto permit = grants_.find(member);
-    const bool ended = permit != grants_.end()
+    const auto permit = permits_.find(member);
+    const bool ended = permit != permits_.end()
                        && (permit->second.incarnation != state.incarnation
                            || permit->second.number <= state.released);
     if (ended) {
-        grants_.erase(permit);
+        permits_.erase(permit);
     }
     // The grant may have been given by an earlier incarnation of this agent.
     if (state.holds) {
-        grants_.try_emplace(member, Permit{state.incarnation, state.released + 1, true});
+        permits_.try_emplace(member, Permit{state.incarnation, state.released + 1, true});
     }
 }
 
@@ -41,8 +41,8 @@
 bool ReloadPermitIssuer::tryGrant(const InstanceId &requester, Incarnation incarnation,
                                   std::uint64_t number)
 {
-    const auto held = grants_.find(requester);
-    const bool same = held != grants_.end() && held->second.incarnation == incarnation
+    const auto held = permits_.find(requester);
+    const bool same = held != permits_.end() && held->second.incarnation == incarnation
                       && held->second.number == number;
     if (same && !held->second.fromReport) {
         return true;
@@ -52,21 +52,21 @@
     }
     // A grant known only from a report counts as one of its holder, but is confirmed only within
     // the limit: several requesters may each hold some of the grants given by earlier incarnations.
-    const std::size_t others = grants_.size() - (held == grants_.end() ? 0 : 1);
+    const std::size_t others = permits_.size() - (held == permits_.end() ? 0 : 1);
     if (others >= maxConcurrent_) {
         return false;
     }
-    grants_[requester] = {incarnation, number, false};
+    permits_[requester] = {incarnation, number, false};
     return true;
 }
 
 void ReloadPermitIssuer::release(const InstanceId &requester, Incarnation incarnation,
                                  std::uint64_t number)
 {
-    const auto held = grants_.find(requester);
-    if (held != grants_.end() && held->second.incarnation == incarnation
+    const auto held = permits_.find(requester);
+    if (held != permits_.end() && held->second.incarnation == incarnation
         && held->second.number <= number) {
-        grants_.erase(held);
+        permits_.erase(held);
     }
 }
 
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -61,7 +61,7 @@
 
     // Returns whether every other member has reported its state, so that grants may be given.
     bool ready() const;
-    std::size_t grantCount() const { return grants_.size(); }
+    std::size_t grantCount() const { return permits_.size(); }
 
 private:
     InstanceId self_;
@@ -75,7 +75,7 @@
         bool fromReport = false; // Reported by its holder; not given by this incarnation.
     };
 
-    std::map<InstanceId, Permit> grants_;
+    std::map<InstanceId, Permit> permits_;
 };
 
 // The requesting side: collects the grants of all members, in order.
