--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -108,7 +108,7 @@
     {
         const auto params = context.getParams();
         context.getResults().setGiven(
-            service_.turnBook_.tryGrant(InstanceId(toString(params.getInstance())),
+            service_.turnBook_.tryIssue(InstanceId(toString(params.getInstance())),
                                         Incarnation(params.getIncarnation()), params.getNumber()));
         return kj::READY_NOW;
     }
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -75,7 +75,7 @@
         return;
     }
     if (*member == context_.self) {
-        if (context_.book.tryGrant(context_.self, context_.incarnation,
+        if (context_.book.tryIssue(context_.self, context_.incarnation,
                                    context_.taker.grantNumber())) {
             context_.taker.onGranted(context_.self);
             askTurn();
--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -38,7 +38,7 @@
         [this](const InstanceId &member) { return member == self_ || reported_.contains(member); });
 }
 
-bool ReloadPermitIssuer::tryGrant(const InstanceId &requester, Incarnation incarnation,
+bool ReloadPermitIssuer::tryIssue(const InstanceId &requester, Incarnation incarnation,
                                   std::uint64_t number)
 {
     const auto held = permits_.find(requester);
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -54,7 +54,7 @@
     void onMemberState(const InstanceId &member, const ReloadPermitState &state);
     // Grants the request numbered `number`, or returns false. Idempotent: repeating the grant to
     // its holder does not count as a second one.
-    bool tryGrant(const InstanceId &requester, Incarnation incarnation, std::uint64_t number);
+    bool tryIssue(const InstanceId &requester, Incarnation incarnation, std::uint64_t number);
     // Ends the requester's grant if its number is at most `number`. A late message about an older
     // grant does not end a newer one.
     void release(const InstanceId &requester, Incarnation incarnation, std::uint64_t number);
--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -175,7 +175,7 @@
         const Incarnation granterIncarnation = agents_[to].incarnation;
         const std::uint64_t number = agent.requester->grantNumber();
         send(to, granterIncarnation, [this, index, to, incarnation, granterIncarnation, number] {
-            if (!agents_[to].granter->tryGrant(name(index), incarnation, number)) {
+            if (!agents_[to].granter->tryIssue(name(index), incarnation, number)) {
                 return;
             }
             send(index, incarnation, [this, index, to, granterIncarnation] {
@@ -284,8 +284,8 @@
     granter.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
     granter.onMemberState(InstanceId("c"), {Incarnation(2), 0, true});
 
-    CHECK_FALSE(granter.tryGrant(InstanceId("b"), Incarnation(1), 1));
-    CHECK_FALSE(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
+    CHECK_FALSE(granter.tryIssue(InstanceId("b"), Incarnation(1), 1));
+    CHECK_FALSE(granter.tryIssue(InstanceId("c"), Incarnation(2), 1));
 }
 
 TEST(ReloadPermitsTest, CheckerDetectsForgottenGrants)
@@ -309,11 +309,11 @@
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
     granter.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
 
-    CHECK_FALSE(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
+    CHECK_FALSE(granter.tryIssue(InstanceId("c"), Incarnation(2), 1));
     granter.onMemberState(InstanceId("c"), {Incarnation(2), 0, false});
-    CHECK_FALSE(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
+    CHECK_FALSE(granter.tryIssue(InstanceId("c"), Incarnation(2), 1));
     granter.release(InstanceId("b"), Incarnation(1), 1);
-    CHECK(granter.tryGrant(InstanceId("c"), Incarnation(2), 1));
+    CHECK(granter.tryIssue(InstanceId("c"), Incarnation(2), 1));
 }
 
 TEST(ReloadPermitsTest, LateReleaseOfOlderGrantKeepsNewerGrant)
@@ -321,7 +321,7 @@
     ReloadPermitIssuer granter(InstanceId("a"));
     granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
     granter.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
-    granter.tryGrant(InstanceId("b"), Incarnation(1), 2);
+    granter.tryIssue(InstanceId("b"), Incarnation(1), 2);
 
     granter.release(InstanceId("b"), Incarnation(1), 1);
     granter.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
