--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -61,7 +61,7 @@
 
     // Returns whether every other member has reported its state, so that grants may be given.
     bool ready() const;
-    std::size_t grantCount() const { return permits_.size(); }
+    std::size_t issuedCount() const { return permits_.size(); }
 
 private:
     InstanceId self_;
--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -326,5 +326,5 @@
     granter.release(InstanceId("b"), Incarnation(1), 1);
     granter.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
 
-    CHECK_EQUAL(1U, granter.grantCount());
+    CHECK_EQUAL(1U, granter.issuedCount());
 }
