--- a/src/agent/orderdriver.cpp
+++ b/src/agent/orderdriver.cpp
@@ -101,7 +101,7 @@
     engine_ = *state;
     if (first && engine_.loading) {
         // The life of this agent before this one ordered it and died: its turn is this one's.
-        turns_.requestGrants();
+        turns_.startCollecting();
         turns_.onGranted(self_);
         host_.setServing(false);
         step_ = Step::Loading;
@@ -169,7 +169,7 @@
 
 void OrderDriver::collect()
 {
-    turns_.requestGrants();
+    turns_.startCollecting();
     collectingSince_ = loop_.now();
     step_ = Step::Collecting;
 }
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -84,7 +84,7 @@
 public:
     void setPool(const MemberSet &members);
     // Starts to collect grants. Has no effect if started already.
-    void requestGrants() { requesting_ = true; }
+    void startCollecting() { requesting_ = true; }
     // Returns the state to report to the other members.
     ReloadPermitState state(Incarnation incarnation) const
     {
--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -111,7 +111,7 @@
         if (agent.down) {
             // The engine reports to the new incarnation that it is being reloaded, so the
             // incarnation counts its own grant as held.
-            agent.requester->requestGrants();
+            agent.requester->startCollecting();
             agent.requester->onGranted(name(index));
         }
     }
@@ -194,7 +194,7 @@
             sendState(index);
         }
         if (!agent.reloaded) {
-            agent.requester->requestGrants();
+            agent.requester->startCollecting();
         }
         if (now_ % 3 == 0) {
             requestNext(index);
