--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -79,7 +79,7 @@
 
 std::optional<InstanceId> ReloadPermitCollector::nextMember() const
 {
-    if (!requesting_) {
+    if (!collecting_) {
         return std::nullopt;
     }
     for (const InstanceId &member : members_.members) {
@@ -92,19 +92,19 @@
 
 void ReloadPermitCollector::onGranted(const InstanceId &member)
 {
-    if (requesting_) {
+    if (collecting_) {
         held_.insert(member);
     }
 }
 
 bool ReloadPermitCollector::holdsAll() const
 {
-    return requesting_ && !members_.members.empty() && !nextMember();
+    return collecting_ && !members_.members.empty() && !nextMember();
 }
 
 std::set<InstanceId> ReloadPermitCollector::releaseAll()
 {
-    requesting_ = false;
+    collecting_ = false;
     ++released_;
     std::set<InstanceId> held;
     held.swap(held_);
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -84,7 +84,7 @@
 public:
     void setPool(const MemberSet &members);
     // Starts to collect grants. Has no effect if started already.
-    void startCollecting() { requesting_ = true; }
+    void startCollecting() { collecting_ = true; }
     // Returns the state to report to the other members.
     ReloadPermitState state(Incarnation incarnation) const
     {
@@ -97,7 +97,7 @@
     void onGranted(const InstanceId &member);
     // Returns whether all members have granted, so that the upstream may be taken out of service.
     bool holdsAll() const;
-    bool holdsAny() const { return requesting_ && !held_.empty(); }
+    bool holdsAny() const { return collecting_ && !held_.empty(); }
     // Ends the request, because the upstream is back in service or the agent gives up for now.
     // Returns the members whose grants must be released.
     std::set<InstanceId> releaseAll();
@@ -106,7 +106,7 @@
     MemberSet members_;
     std::set<InstanceId> held_;
     std::uint64_t released_ = 0;
-    bool requesting_ = false;
+    bool collecting_ = false;
 };
 
 } // namespace seamarch
