--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -90,7 +90,7 @@
     return std::nullopt;
 }
 
-void ReloadPermitCollector::onGranted(const InstanceId &member)
+void ReloadPermitCollector::onIssued(const InstanceId &member)
 {
     if (collecting_) {
         held_.insert(member);
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -94,7 +94,7 @@
     std::uint64_t grantNumber() const { return released_ + 1; }
     // Returns the member to ask next; nullopt if nothing is requested or all grants are held.
     std::optional<InstanceId> nextMember() const;
-    void onGranted(const InstanceId &member);
+    void onIssued(const InstanceId &member);
     // Returns whether all members have granted, so that the upstream may be taken out of service.
     bool holdsAll() const;
     bool holdsAny() const { return collecting_ && !held_.empty(); }
--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -112,7 +112,7 @@
             // The engine reports to the new incarnation that it is being reloaded, so the
             // incarnation counts its own grant as held.
             agent.requester->startCollecting();
-            agent.requester->onGranted(name(index));
+            agent.requester->onIssued(name(index));
         }
     }
 
@@ -181,7 +181,7 @@
             send(index, incarnation, [this, index, to, granterIncarnation] {
                 // There is one connection per pair, so nothing arrives from an earlier incarnation.
                 if (agents_[to].incarnation == granterIncarnation) {
-                    agents_[index].requester->onGranted(name(to));
+                    agents_[index].requester->onIssued(name(to));
                 }
             });
         });
