--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -77,7 +77,7 @@
     if (*member == context_.self) {
         if (context_.book.tryIssue(context_.self, context_.incarnation,
                                    context_.taker.grantNumber())) {
-            context_.taker.onGranted(context_.self);
+            context_.taker.onIssued(context_.self);
             askTurn();
         }
         return;
@@ -94,7 +94,7 @@
         [this, asked = *member, number = context_.taker.grantNumber()](
             capnp::Response<wire::Agent::TurnResults> &&answer) {
             if (answer.getGiven() && number == context_.taker.grantNumber()) {
-                context_.taker.onGranted(asked);
+                context_.taker.onIssued(asked);
                 askTurn();
             }
         },
--- a/src/agent/orderdriver.cpp
+++ b/src/agent/orderdriver.cpp
@@ -102,7 +102,7 @@
     if (first && engine_.loading) {
         // The life of this agent before this one ordered it and died: its turn is this one's.
         turns_.startCollecting();
-        turns_.onGranted(self_);
+        turns_.onIssued(self_);
         host_.setServing(false);
         step_ = Step::Loading;
     }
