--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -76,7 +76,7 @@
     }
     if (*member == context_.self) {
         if (context_.book.tryIssue(context_.self, context_.incarnation,
-                                   context_.taker.grantNumber())) {
+                                   context_.taker.permitNumber())) {
             context_.taker.onIssued(context_.self);
             askTurn();
         }
@@ -89,11 +89,11 @@
     auto request = link->second->capability().castAs<wire::Agent>().turnRequest();
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    request.setNumber(context_.taker.grantNumber());
+    request.setNumber(context_.taker.permitNumber());
     tasks_.add(request.send().then(
-        [this, asked = *member, number = context_.taker.grantNumber()](
+        [this, asked = *member, number = context_.taker.permitNumber()](
             capnp::Response<wire::Agent::TurnResults> &&answer) {
-            if (answer.getGiven() && number == context_.taker.grantNumber()) {
+            if (answer.getGiven() && number == context_.taker.permitNumber()) {
                 context_.taker.onIssued(asked);
                 askTurn();
             }
--- a/src/decision/rollout/reloadpermits.h
+++ b/src/decision/rollout/reloadpermits.h
@@ -91,7 +91,7 @@
         return {incarnation, released_, holdsAny()};
     }
     // Returns the number of the current or next request.
-    std::uint64_t grantNumber() const { return released_ + 1; }
+    std::uint64_t permitNumber() const { return released_ + 1; }
     // Returns the member to ask next; nullopt if nothing is requested or all grants are held.
     std::optional<InstanceId> nextMember() const;
     void onIssued(const InstanceId &member);
--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -173,7 +173,7 @@
         const auto to = static_cast<std::size_t>(member->value().back() - '0');
         const Incarnation incarnation = agent.incarnation;
         const Incarnation granterIncarnation = agents_[to].incarnation;
-        const std::uint64_t number = agent.requester->grantNumber();
+        const std::uint64_t number = agent.requester->permitNumber();
         send(to, granterIncarnation, [this, index, to, incarnation, granterIncarnation, number] {
             if (!agents_[to].granter->tryIssue(name(index), incarnation, number)) {
                 return;
