--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -172,15 +172,15 @@
         }
         const auto to = static_cast<std::size_t>(member->value().back() - '0');
         const Incarnation incarnation = agent.incarnation;
-        const Incarnation granterIncarnation = agents_[to].incarnation;
+        const Incarnation issuerIncarnation = agents_[to].incarnation;
         const std::uint64_t number = agent.requester->permitNumber();
-        send(to, granterIncarnation, [this, index, to, incarnation, granterIncarnation, number] {
+        send(to, issuerIncarnation, [this, index, to, incarnation, issuerIncarnation, number] {
             if (!agents_[to].granter->tryIssue(name(index), incarnation, number)) {
                 return;
             }
-            send(index, incarnation, [this, index, to, granterIncarnation] {
+            send(index, incarnation, [this, index, to, issuerIncarnation] {
                 // There is one connection per pair, so nothing arrives from an earlier incarnation.
-                if (agents_[to].incarnation == granterIncarnation) {
+                if (agents_[to].incarnation == issuerIncarnation) {
                     agents_[index].requester->onIssued(name(to));
                 }
             });
