--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -71,7 +71,7 @@
 
     struct Agent
     {
-        std::unique_ptr<ReloadPermitIssuer> granter;
+        std::unique_ptr<ReloadPermitIssuer> issuer;
         std::unique_ptr<ReloadPermitCollector> requester;
         Incarnation incarnation;
         bool down = false;     // The upstream's state, kept when the agent is replaced.
@@ -99,13 +99,13 @@
     {
         Agent &agent = agents_[index];
         agent.incarnation = Incarnation(++lastIncarnation_);
-        agent.granter = std::make_unique<ReloadPermitIssuer>(name(index));
-        agent.granter->setPool(members_, kMaxConcurrent);
+        agent.issuer = std::make_unique<ReloadPermitIssuer>(name(index));
+        agent.issuer->setPool(members_, kMaxConcurrent);
         agent.requester = std::make_unique<ReloadPermitCollector>();
         agent.requester->setPool(members_);
         if (fault_ == InjectedFault::ForgetGrants) {
             for (std::size_t other = 0; other < kAgents; ++other) {
-                agent.granter->onMemberState(name(other), {agents_[other].incarnation, 0, false});
+                agent.issuer->onMemberState(name(other), {agents_[other].incarnation, 0, false});
             }
         }
         if (agent.down) {
@@ -157,7 +157,7 @@
             send(other, agents_[other].incarnation,
                  [this, index, other, incarnation = agent.incarnation, state] {
                      if (agents_[index].incarnation == incarnation) {
-                         agents_[other].granter->onMemberState(name(index), state);
+                         agents_[other].issuer->onMemberState(name(index), state);
                      }
                  });
         }
@@ -175,7 +175,7 @@
         const Incarnation issuerIncarnation = agents_[to].incarnation;
         const std::uint64_t number = agent.requester->permitNumber();
         send(to, issuerIncarnation, [this, index, to, incarnation, issuerIncarnation, number] {
-            if (!agents_[to].granter->tryIssue(name(index), incarnation, number)) {
+            if (!agents_[to].issuer->tryIssue(name(index), incarnation, number)) {
                 return;
             }
             send(index, incarnation, [this, index, to, issuerIncarnation] {
@@ -201,7 +201,7 @@
         }
         if (fault_ == InjectedFault::ExpireGrants && chance(0.05)) {
             for (std::size_t other = 0; other < kAgents; ++other) {
-                agent.granter->release(name(other), agents_[other].incarnation, 99);
+                agent.issuer->release(name(other), agents_[other].incarnation, 99);
             }
         }
         const bool enough =
@@ -231,7 +231,7 @@
     {
         const ReloadPermitState state = agents_[index].requester->state(agents_[index].incarnation);
         send(to, agents_[to].incarnation, [this, to, index, state] {
-            agents_[to].granter->release(name(index), state.incarnation, state.released);
+            agents_[to].issuer->release(name(index), state.incarnation, state.released);
         });
     }
 
@@ -279,13 +279,13 @@
     // Guards against a failure of the simulation with seed 457: two replaced members each received
     // reports from three requesters that held some of the grants, and confirmed all three although
     // that exceeded the limit.
-    ReloadPermitIssuer granter(InstanceId("a"));
-    granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
-    granter.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
-    granter.onMemberState(InstanceId("c"), {Incarnation(2), 0, true});
+    ReloadPermitIssuer issuer(InstanceId("a"));
+    issuer.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
+    issuer.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
+    issuer.onMemberState(InstanceId("c"), {Incarnation(2), 0, true});
 
-    CHECK_FALSE(granter.tryIssue(InstanceId("b"), Incarnation(1), 1));
-    CHECK_FALSE(granter.tryIssue(InstanceId("c"), Incarnation(2), 1));
+    CHECK_FALSE(issuer.tryIssue(InstanceId("b"), Incarnation(1), 1));
+    CHECK_FALSE(issuer.tryIssue(InstanceId("c"), Incarnation(2), 1));
 }
 
 TEST(ReloadPermitsTest, CheckerDetectsForgottenGrants)
@@ -305,26 +305,26 @@
 
 TEST(ReloadPermitsTest, NewIncarnationGrantsNothingUntilAllHaveReported)
 {
-    ReloadPermitIssuer granter(InstanceId("a"));
-    granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
-    granter.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
-
-    CHECK_FALSE(granter.tryIssue(InstanceId("c"), Incarnation(2), 1));
-    granter.onMemberState(InstanceId("c"), {Incarnation(2), 0, false});
-    CHECK_FALSE(granter.tryIssue(InstanceId("c"), Incarnation(2), 1));
-    granter.release(InstanceId("b"), Incarnation(1), 1);
-    CHECK(granter.tryIssue(InstanceId("c"), Incarnation(2), 1));
+    ReloadPermitIssuer issuer(InstanceId("a"));
+    issuer.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
+    issuer.onMemberState(InstanceId("b"), {Incarnation(1), 0, true});
+
+    CHECK_FALSE(issuer.tryIssue(InstanceId("c"), Incarnation(2), 1));
+    issuer.onMemberState(InstanceId("c"), {Incarnation(2), 0, false});
+    CHECK_FALSE(issuer.tryIssue(InstanceId("c"), Incarnation(2), 1));
+    issuer.release(InstanceId("b"), Incarnation(1), 1);
+    CHECK(issuer.tryIssue(InstanceId("c"), Incarnation(2), 1));
 }
 
 TEST(ReloadPermitsTest, LateReleaseOfOlderGrantKeepsNewerGrant)
 {
-    ReloadPermitIssuer granter(InstanceId("a"));
-    granter.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
-    granter.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
-    granter.tryIssue(InstanceId("b"), Incarnation(1), 2);
+    ReloadPermitIssuer issuer(InstanceId("a"));
+    issuer.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
+    issuer.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
+    issuer.tryIssue(InstanceId("b"), Incarnation(1), 2);
 
-    granter.release(InstanceId("b"), Incarnation(1), 1);
-    granter.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
+    issuer.release(InstanceId("b"), Incarnation(1), 1);
+    issuer.onMemberState(InstanceId("b"), {Incarnation(1), 1, false});
 
-    CHECK_EQUAL(1U, granter.issuedCount());
+    CHECK_EQUAL(1U, issuer.issuedCount());
 }
