--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -72,7 +72,7 @@
     struct Agent
     {
         std::unique_ptr<ReloadPermitIssuer> issuer;
-        std::unique_ptr<ReloadPermitCollector> requester;
+        std::unique_ptr<ReloadPermitCollector> collector;
         Incarnation incarnation;
         bool down = false;     // The upstream's state, kept when the agent is replaced.
         bool reloaded = false; // Likewise.
@@ -101,8 +101,8 @@
         agent.incarnation = Incarnation(++lastIncarnation_);
         agent.issuer = std::make_unique<ReloadPermitIssuer>(name(index));
         agent.issuer->setPool(members_, kMaxConcurrent);
-        agent.requester = std::make_unique<ReloadPermitCollector>();
-        agent.requester->setPool(members_);
+        agent.collector = std::make_unique<ReloadPermitCollector>();
+        agent.collector->setPool(members_);
         if (fault_ == InjectedFault::ForgetGrants) {
             for (std::size_t other = 0; other < kAgents; ++other) {
                 agent.issuer->onMemberState(name(other), {agents_[other].incarnation, 0, false});
@@ -111,8 +111,8 @@
         if (agent.down) {
             // The engine reports to the new incarnation that it is being reloaded, so the
             // incarnation counts its own grant as held.
-            agent.requester->startCollecting();
-            agent.requester->onIssued(name(index));
+            agent.collector->startCollecting();
+            agent.collector->onIssued(name(index));
         }
     }
 
@@ -150,7 +150,7 @@
     {
         const Agent &agent = agents_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
-            ReloadPermitState state = agent.requester->state(agent.incarnation);
+            ReloadPermitState state = agent.collector->state(agent.incarnation);
             // With either of these faults no agent reports the grants that it holds.
             state.holds = state.holds && fault_ != InjectedFault::ForgetGrants
                           && fault_ != InjectedFault::ExpireGrants;
@@ -166,14 +166,14 @@
     void requestNext(std::size_t index)
     {
         Agent &agent = agents_[index];
-        const auto member = agent.requester->nextMember();
+        const auto member = agent.collector->nextMember();
         if (!member) {
             return;
         }
         const auto to = static_cast<std::size_t>(member->value().back() - '0');
         const Incarnation incarnation = agent.incarnation;
         const Incarnation issuerIncarnation = agents_[to].incarnation;
-        const std::uint64_t number = agent.requester->permitNumber();
+        const std::uint64_t number = agent.collector->permitNumber();
         send(to, issuerIncarnation, [this, index, to, incarnation, issuerIncarnation, number] {
             if (!agents_[to].issuer->tryIssue(name(index), incarnation, number)) {
                 return;
@@ -181,7 +181,7 @@
             send(index, incarnation, [this, index, to, issuerIncarnation] {
                 // There is one connection per pair, so nothing arrives from an earlier incarnation.
                 if (agents_[to].incarnation == issuerIncarnation) {
-                    agents_[index].requester->onIssued(name(to));
+                    agents_[index].collector->onIssued(name(to));
                 }
             });
         });
@@ -194,7 +194,7 @@
             sendState(index);
         }
         if (!agent.reloaded) {
-            agent.requester->startCollecting();
+            agent.collector->startCollecting();
         }
         if (now_ % 3 == 0) {
             requestNext(index);
@@ -205,23 +205,23 @@
             }
         }
         const bool enough =
-            agent.requester->holdsAll()
-            || (fault_ == InjectedFault::AskSomeMembers && agent.requester->holdsAny());
+            agent.collector->holdsAll()
+            || (fault_ == InjectedFault::AskSomeMembers && agent.collector->holdsAny());
         if (enough && !agent.down && !agent.reloaded) {
             agent.down = true;
             agent.reloadEndsAt = now_ + 50;
         }
-        if (!agent.down && agent.requester->holdsAny() && !agent.requester->holdsAll()
+        if (!agent.down && agent.collector->holdsAny() && !agent.collector->holdsAll()
             && now_ >= agent.nextReleaseAt) {
             agent.nextReleaseAt = now_ + std::uniform_int_distribution<int>(150, 400)(random_);
-            for (const InstanceId &member : agent.requester->releaseAll()) {
+            for (const InstanceId &member : agent.collector->releaseAll()) {
                 sendRelease(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
         }
         if (agent.down && now_ >= agent.reloadEndsAt) {
             agent.down = false;
             agent.reloaded = true;
-            for (const InstanceId &member : agent.requester->releaseAll()) {
+            for (const InstanceId &member : agent.collector->releaseAll()) {
                 sendRelease(static_cast<std::size_t>(member.value().back() - '0'), index);
             }
         }
@@ -229,7 +229,7 @@
 
     void sendRelease(std::size_t to, std::size_t index)
     {
-        const ReloadPermitState state = agents_[index].requester->state(agents_[index].incarnation);
+        const ReloadPermitState state = agents_[index].collector->state(agents_[index].incarnation);
         send(to, agents_[to].incarnation, [this, to, index, state] {
             agents_[to].issuer->release(name(index), state.incarnation, state.released);
         });
