--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-enum class InjectedFault { None, ForgetGrants, AskSomeMembers, ExpireGrants };
+enum class InjectedFault { None, ForgetPermits, AskSomeMembers, ExpireGrants };
 
 // Simulates a pool that reloads all its upstreams, while agents are replaced and messages are lost,
 // delayed and duplicated.
@@ -103,7 +103,7 @@
         agent.issuer->setPool(members_, kMaxConcurrent);
         agent.collector = std::make_unique<ReloadPermitCollector>();
         agent.collector->setPool(members_);
-        if (fault_ == InjectedFault::ForgetGrants) {
+        if (fault_ == InjectedFault::ForgetPermits) {
             for (std::size_t other = 0; other < kAgents; ++other) {
                 agent.issuer->onMemberState(name(other), {agents_[other].incarnation, 0, false});
             }
@@ -152,7 +152,7 @@
         for (std::size_t other = 0; other < kAgents; ++other) {
             ReloadPermitState state = agent.collector->state(agent.incarnation);
             // With either of these faults no agent reports the grants that it holds.
-            state.holds = state.holds && fault_ != InjectedFault::ForgetGrants
+            state.holds = state.holds && fault_ != InjectedFault::ForgetPermits
                           && fault_ != InjectedFault::ExpireGrants;
             send(other, agents_[other].incarnation,
                  [this, index, other, incarnation = agent.incarnation, state] {
@@ -290,7 +290,7 @@
 
 TEST(ReloadPermitsTest, CheckerDetectsForgottenGrants)
 {
-    CHECK(isCaught(InjectedFault::ForgetGrants));
+    CHECK(isCaught(InjectedFault::ForgetPermits));
 }
 
 TEST(ReloadPermitsTest, CheckerDetectsGrantsOfSomeMembersOnly)
