--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-enum class InjectedFault { None, ForgetPermits, AskSomeMembers, ExpireGrants };
+enum class InjectedFault { None, ForgetPermits, AskSomeMembers, ExpirePermits };
 
 // Simulates a pool that reloads all its upstreams, while agents are replaced and messages are lost,
 // delayed and duplicated.
@@ -153,7 +153,7 @@
             ReloadPermitState state = agent.collector->state(agent.incarnation);
             // With either of these faults no agent reports the grants that it holds.
             state.holds = state.holds && fault_ != InjectedFault::ForgetPermits
-                          && fault_ != InjectedFault::ExpireGrants;
+                          && fault_ != InjectedFault::ExpirePermits;
             send(other, agents_[other].incarnation,
                  [this, index, other, incarnation = agent.incarnation, state] {
                      if (agents_[index].incarnation == incarnation) {
@@ -199,7 +199,7 @@
         if (now_ % 3 == 0) {
             requestNext(index);
         }
-        if (fault_ == InjectedFault::ExpireGrants && chance(0.05)) {
+        if (fault_ == InjectedFault::ExpirePermits && chance(0.05)) {
             for (std::size_t other = 0; other < kAgents; ++other) {
                 agent.issuer->release(name(other), agents_[other].incarnation, 99);
             }
@@ -300,7 +300,7 @@
 
 TEST(ReloadPermitsTest, CheckerDetectsExpiringGrants)
 {
-    CHECK(isCaught(InjectedFault::ExpireGrants));
+    CHECK(isCaught(InjectedFault::ExpirePermits));
 }
 
 TEST(ReloadPermitsTest, NewIncarnationGrantsNothingUntilAllHaveReported)
