--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -274,7 +274,7 @@
     CHECK_EQUAL(500, completed);
 }
 
-TEST(ReloadPermitsTest, ReportedGrantsCountTowardsLimit)
+TEST(ReloadPermitsTest, ReportedPermitsCountTowardsLimit)
 {
     // Guards against a failure of the simulation with seed 457: two replaced members each received
     // reports from three requesters that held some of the grants, and confirmed all three although
