--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -288,7 +288,7 @@
     CHECK_FALSE(issuer.tryIssue(InstanceId("c"), Incarnation(2), 1));
 }
 
-TEST(ReloadPermitsTest, CheckerDetectsForgottenGrants)
+TEST(ReloadPermitsTest, CheckerDetectsForgottenPermits)
 {
     CHECK(isCaught(InjectedFault::ForgetPermits));
 }
