--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -293,7 +293,7 @@
     CHECK(isCaught(InjectedFault::ForgetPermits));
 }
 
-TEST(ReloadPermitsTest, CheckerDetectsGrantsOfSomeMembersOnly)
+TEST(ReloadPermitsTest, CheckerDetectsPermitsOfSomeMembersOnly)
 {
     CHECK(isCaught(InjectedFault::AskSomeMembers));
 }
