--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -298,7 +298,7 @@
     CHECK(isCaught(InjectedFault::AskSomeMembers));
 }
 
-TEST(ReloadPermitsTest, CheckerDetectsExpiringGrants)
+TEST(ReloadPermitsTest, CheckerDetectsExpiringPermits)
 {
     CHECK(isCaught(InjectedFault::ExpirePermits));
 }
