--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -303,7 +303,7 @@
     CHECK(isCaught(InjectedFault::ExpirePermits));
 }
 
-TEST(ReloadPermitsTest, NewIncarnationGrantsNothingUntilAllHaveReported)
+TEST(ReloadPermitsTest, NewIncarnationIssuesNothingUntilAllHaveReported)
 {
     ReloadPermitIssuer issuer(InstanceId("a"));
     issuer.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
