--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -316,7 +316,7 @@
     CHECK(issuer.tryIssue(InstanceId("c"), Incarnation(2), 1));
 }
 
-TEST(ReloadPermitsTest, LateReleaseOfOlderGrantKeepsNewerGrant)
+TEST(ReloadPermitsTest, LateReleaseOfOlderPermitKeepsNewerPermit)
 {
     ReloadPermitIssuer issuer(InstanceId("a"));
     issuer.setPool(makeMemberSet({InstanceId("a"), InstanceId("b")}), 1);
