--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -130,7 +130,7 @@
     Settings settings_;
     std::map<InstanceId, Member> members_; // Excludes this gateway.
     mutable std::uint64_t digest_ = 0;     // Zero if it has to be recomputed.
-    InstanceId lastNextPeer_;              // That `another` returned last.
+    InstanceId lastNextPeer_;              // The last result of `nextPeer`.
 };
 
 } // namespace seamarch
--- a/src/decision/rollout/reloadpermits.cpp
+++ b/src/decision/rollout/reloadpermits.cpp
@@ -25,7 +25,7 @@
     if (ended) {
         permits_.erase(permit);
     }
-    // The grant may have been given by an earlier incarnation of this agent.
+    // The permit may have been issued by an earlier incarnation of this agent.
     if (state.holds) {
         permits_.try_emplace(member, Permit{state.incarnation, state.released + 1, true});
     }
@@ -50,8 +50,9 @@
     if (!ready()) {
         return false;
     }
-    // A grant known only from a report counts as one of its holder, but is confirmed only within
-    // the limit: several requesters may each hold some of the grants given by earlier incarnations.
+    // A permit known only from a report counts as one of its holder, but is confirmed only within
+    // the limit: several requesters may each hold some of the permits issued by earlier
+    // incarnations.
     const std::size_t others = permits_.size() - (held == permits_.end() ? 0 : 1);
     if (others >= maxConcurrent_) {
         return false;
@@ -72,7 +73,7 @@
 
 void ReloadPermitCollector::setPool(const MemberSet &members)
 {
-    // Grants of members that are no longer listed are harmless. Those of new members are still
+    // Permits of members that are no longer listed are harmless. Those of new members are still
     // required.
     members_ = members;
 }
--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -110,7 +110,7 @@
         }
         if (agent.down) {
             // The engine reports to the new incarnation that it is being reloaded, so the
-            // incarnation counts its own grant as held.
+            // incarnation counts its own permit as held.
             agent.collector->startCollecting();
             agent.collector->onIssued(name(index));
         }
@@ -151,7 +151,7 @@
         const Agent &agent = agents_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
             ReloadPermitState state = agent.collector->state(agent.incarnation);
-            // With either of these faults no agent reports the grants that it holds.
+            // With either of these faults no agent reports the permits that it holds.
             state.holds = state.holds && fault_ != InjectedFault::ForgetPermits
                           && fault_ != InjectedFault::ExpirePermits;
             send(other, agents_[other].incarnation,
@@ -277,7 +277,7 @@
 TEST(ReloadPermitsTest, ReportedPermitsCountTowardsLimit)
 {
     // Guards against a failure of the simulation with seed 457: two replaced members each received
-    // reports from three requesters that held some of the grants, and confirmed all three although
+    // reports from three requesters that held some of the permits, and confirmed all three although
     // that exceeded the limit.
     ReloadPermitIssuer issuer(InstanceId("a"));
     issuer.setPool(makeMemberSet({InstanceId("a"), InstanceId("b"), InstanceId("c")}), 1);
