--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -45,9 +45,9 @@
     CrashRecord::Settings settings;
     CrashRecord record{settings};
 
-    void crash(std::uint64_t digest, std::uint64_t which, double seconds)
+    void crash(std::uint64_t digest, std::uint64_t upstreamNumber, double seconds)
     {
-        record.onUpstreamCrashed(request(digest), kAccount, upstream(which), at(seconds));
+        record.onUpstreamCrashed(request(digest), kAccount, upstream(upstreamNumber), at(seconds));
     }
 
     bool allowed(std::uint64_t digest, double seconds)
@@ -92,8 +92,8 @@
 
 TEST(CrashRecordTest, BlockAfterThirdCrashEndsWithRetention)
 {
-    for (const std::uint64_t which : {1, 2, 3}) {
-        crash(1, which, 4.0 * static_cast<double>(which));
+    for (const std::uint64_t upstreamNumber : {1, 2, 3}) {
+        crash(1, upstreamNumber, 4.0 * static_cast<double>(upstreamNumber));
     }
     record.expire(at(3600));
     CHECK_FALSE(allowed(1, 3600));
@@ -222,8 +222,8 @@
 {
     settings.maxEntries = 10;
     record = CrashRecord(settings);
-    for (const std::uint64_t which : {1, 2, 3}) {
-        crash(1, which, static_cast<double>(which) * 3);
+    for (const std::uint64_t upstreamNumber : {1, 2, 3}) {
+        crash(1, upstreamNumber, static_cast<double>(upstreamNumber) * 3);
     }
     for (std::uint64_t number = 0; number < 100; ++number) {
         crash(1000 + number, number, 20);
