--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -310,13 +310,15 @@
             retries_.clear();
             return;
         }
-        const std::uint64_t ended = ++lastUpstream_;
+        const std::uint64_t crashedUpstream = ++lastUpstream_;
         for (std::size_t slot = 0; slot < kSlots - 1; ++slot) {
-            record_.onUpstreamCrashed(request(running[slot]), kAccount, upstream(ended), at(now_));
+            record_.onUpstreamCrashed(request(running[slot]), kAccount, upstream(crashedUpstream),
+                                      at(now_));
         }
         if (hit) {
             ++poisonCrashes_;
-            record_.onUpstreamCrashed(request(kPoison), kAccount, upstream(ended), at(now_));
+            record_.onUpstreamCrashed(request(kPoison), kAccount, upstream(crashedUpstream),
+                                      at(now_));
         }
         // The crash of one engine interrupts all requests of the group.
         std::map<std::uint64_t, int> failed;
