--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -285,7 +285,7 @@
     std::vector<std::uint64_t> admit()
     {
         std::vector<std::uint64_t> running;
-        for (const auto &[number, times] : retries_) {
+        for (const auto &[number, failures] : retries_) {
             if (record_.mayBeSent(request(number), at(now_))) {
                 running.push_back(number);
             } else {
@@ -324,9 +324,9 @@
         std::map<std::uint64_t, int> failed;
         for (const std::uint64_t number : running) {
             const auto before = retries_.find(number);
-            const int times = before == retries_.end() ? 1 : before->second + 1;
-            if (times <= kMaxRepeats) {
-                failed.emplace(number, times);
+            const int failures = before == retries_.end() ? 1 : before->second + 1;
+            if (failures <= kMaxRepeats) {
+                failed.emplace(number, failures);
             }
         }
         retries_ = std::move(failed);
