--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -263,10 +263,10 @@
 
     // Simulates `rounds` starts of the group, `gap` seconds apart. An engine crashes after each
     // start, unless the poison request is enabled but blocked.
-    void run(int rounds, double gap)
+    void run(int rounds, double intervalSeconds)
     {
         for (int round = 0; round < rounds; ++round) {
-            now_ += gap;
+            now_ += intervalSeconds;
             startGroup();
         }
     }
