--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -253,7 +253,7 @@
     static constexpr std::uint64_t kUpstreams = 12;
     static constexpr std::uint64_t kSlots = 12;
 
-    static constexpr int kMaxRepeats = 3;
+    static constexpr int kMaxRetries = 3;
 
     CrashingGroup(std::uint64_t seed, bool poison, std::size_t suspectThreshold)
         : record_(settingsWith(suspectThreshold))
@@ -325,7 +325,7 @@
         for (const std::uint64_t number : running) {
             const auto before = retries_.find(number);
             const int failures = before == retries_.end() ? 1 : before->second + 1;
-            if (failures <= kMaxRepeats) {
+            if (failures <= kMaxRetries) {
                 failed.emplace(number, failures);
             }
         }
