--- a/test/decision/membership/gatewaygossip_test.cpp
+++ b/test/decision/membership/gatewaygossip_test.cpp
@@ -197,9 +197,9 @@
 
 } // namespace
 
-TEST_GROUP(DirectorySpreadTest){};
+TEST_GROUP(GatewayGossipTest){};
 
-TEST(DirectorySpreadTest, GossipConvergesAndStaysComplete)
+TEST(GatewayGossipTest, GossipConvergesAndStaysComplete)
 {
     for (const auto &[gateways, halls] :
          std::vector<std::pair<std::size_t, std::size_t>>{{30, 3}, {149, 3}, {531, 5}, {1062, 9}}) {
@@ -218,7 +218,7 @@
     }
 }
 
-TEST(DirectorySpreadTest, DetectsIntervalsThatGrowWithFleetSize)
+TEST(GatewayGossipTest, DetectsIntervalsThatGrowWithFleetSize)
 {
     SimulationConfig config = configOf(531, 5);
     config.intervalMs = [](std::size_t known) {
@@ -227,7 +227,7 @@
     CHECK_TRUE(Simulation(config).run().minKnownLate < config.gateways);
 }
 
-TEST(DirectorySpreadTest, StoppedGatewayIsEvictedEverywhere)
+TEST(GatewayGossipTest, StoppedGatewayIsEvictedEverywhere)
 {
     for (const std::size_t gateways : {30U, 149U, 265U}) {
         SimulationConfig config = configOf(gateways, 5);
