--- a/test/decision/membership/gatewaygossip_test.cpp
+++ b/test/decision/membership/gatewaygossip_test.cpp
@@ -36,7 +36,7 @@
     int millis = 22000;
     // The interval between exchanges, by the number of known gateways.
     std::function<int(std::size_t)> intervalMs = [](std::size_t) { return 2000; };
-    int stopLastAtMs = -1; // When the last gateway stops; never if negative.
+    int lastStopsAtMs = -1; // When the last gateway stops; never if negative.
     std::uint64_t seed = 1;
 };
 
@@ -88,7 +88,7 @@
 
 private:
     TimePoint now() const { return TimePoint(std::chrono::milliseconds(now_)); }
-    bool stopped() const { return config_.stopLastAtMs >= 0 && now_ >= config_.stopLastAtMs; }
+    bool stopped() const { return config_.lastStopsAtMs >= 0 && now_ >= config_.lastStopsAtMs; }
     std::size_t runningCount() const { return config_.gateways - (stopped() ? 1 : 0); }
 
     void step(std::size_t index)
@@ -231,7 +231,7 @@
 {
     for (const std::size_t gateways : {30U, 149U, 265U}) {
         SimulationConfig config = configOf(gateways, 5);
-        config.stopLastAtMs = 6000;
+        config.lastStopsAtMs = 6000;
         config.millis = 36000;
         const Result result = Simulation(config).run();
         CHECK_TEXT(result.evictedAtMs >= 0,
