--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -261,7 +261,7 @@
         , poison_(poison)
     {}
 
-    // Simulates `rounds` starts of the group, `gap` seconds apart. An engine crashes after each
+    // Simulates `rounds` starts of the group, `intervalSeconds` apart. An engine crashes after each
     // start, unless the poison request is enabled but blocked.
     void run(int rounds, double intervalSeconds)
     {
