--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -386,7 +386,7 @@
         logLine(LogLevel::Warning, "request.stopped",
                 {{"digest", fmt::format("{:016x}", flight.request.digest.value())},
                  {"account", flight.request.account.value()},
-                 {"ends", core_.crashes().ends(flight.request.digest)}});
+                 {"ends", core_.crashes().crashCount(flight.request.digest)}});
     }
     if (flight.headSent) {
         breakOffStream(flight, action.failure, action.outcome);
