--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -172,7 +172,7 @@
             return now - crash.at > settings_.retention;
         });
         const bool cleared = suspect.lastCompletedAt
-                             && now - *suspect.lastCompletedAt <= settings_.clearanceRetention;
+                             && now - *suspect.lastCompletedAt <= settings_.completionRetention;
         if (suspect.crashes.empty() && !cleared) {
             byChange_.erase(next->second.changedAt);
             next = suspects_.erase(next);
--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -72,7 +72,7 @@
         // under the same id.
         Duration duplicateWindow = std::chrono::seconds(2);
         // How long a completion is kept. Reports of earlier crashes are not delayed for longer.
-        Duration clearanceRetention = std::chrono::seconds(60);
+        Duration completionRetention = std::chrono::seconds(60);
         // The maximum number of requests, about 150 bytes each.
         std::size_t maxEntries = 4096;
         // A random number from which cursors start, so that peers do not apply the cursors of an
