--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -171,9 +171,10 @@
         std::erase_if(suspect.crashes, [&](const UpstreamCrash &crash) {
             return now - crash.at > settings_.retention;
         });
-        const bool cleared = suspect.lastCompletedAt
-                             && now - *suspect.lastCompletedAt <= settings_.completionRetention;
-        if (suspect.crashes.empty() && !cleared) {
+        const bool recentlyCompleted =
+            suspect.lastCompletedAt
+            && now - *suspect.lastCompletedAt <= settings_.completionRetention;
+        if (suspect.crashes.empty() && !recentlyCompleted) {
             byChange_.erase(next->second.changedAt);
             next = suspects_.erase(next);
         } else {
