--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -188,12 +188,12 @@
 {
     return std::any_of(suspects_.begin(), suspects_.end(), [&](const auto &other) {
         const CrashSuspect &candidate = other.second.suspect;
-        const auto wasAt = [&](const UpstreamCrash &crash) {
+        const auto wasPresentAt = [&](const UpstreamCrash &crash) {
             return std::any_of(candidate.crashes.begin(), candidate.crashes.end(),
                                [&](const UpstreamCrash &its) { return isSameCrash(its, crash); });
         };
         return candidate.digest != suspect.digest
-               && std::all_of(suspect.crashes.begin(), suspect.crashes.end(), wasAt);
+               && std::all_of(suspect.crashes.begin(), suspect.crashes.end(), wasPresentAt);
     });
 }
 
