--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -190,7 +190,9 @@
         const CrashSuspect &candidate = other.second.suspect;
         const auto wasPresentAt = [&](const UpstreamCrash &crash) {
             return std::any_of(candidate.crashes.begin(), candidate.crashes.end(),
-                               [&](const UpstreamCrash &its) { return isSameCrash(its, crash); });
+                               [&](const UpstreamCrash &candidateCrash) {
+                                   return isSameCrash(candidateCrash, crash);
+                               });
         };
         return candidate.digest != suspect.digest
                && std::all_of(suspect.crashes.begin(), suspect.crashes.end(), wasPresentAt);
