--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -38,8 +38,8 @@
 
 bool CrashRecord::isSameCrash(const UpstreamCrash &left, const UpstreamCrash &right) const
 {
-    const Duration apart = left.at < right.at ? right.at - left.at : left.at - right.at;
-    return left.upstream == right.upstream && apart <= settings_.duplicateWindow;
+    const Duration difference = left.at < right.at ? right.at - left.at : left.at - right.at;
+    return left.upstream == right.upstream && difference <= settings_.duplicateWindow;
 }
 
 // Returns false if the crash is already recorded, precedes the latest completion, or is older than
