--- a/src/decision/membership/membertable.cpp
+++ b/src/decision/membership/membertable.cpp
@@ -56,8 +56,8 @@
     std::vector<const Member *> found;
     for (const auto &[id, member] : members_) {
         const auto &serves = member.record.serves;
-        const bool fits = std::find(serves.begin(), serves.end(), target) != serves.end();
-        if (fits && mayReceive(id, now)) {
+        const bool servesTarget = std::find(serves.begin(), serves.end(), target) != serves.end();
+        if (servesTarget && mayReceive(id, now)) {
             found.push_back(&member);
         }
     }
@@ -70,8 +70,8 @@
     std::vector<InstanceId> found;
     for (const auto &[id, member] : members_) {
         const auto &serves = member.record.serves;
-        const bool fits = std::find(serves.begin(), serves.end(), target) != serves.end();
-        if (fits && member.record.hall == hall) {
+        const bool servesTarget = std::find(serves.begin(), serves.end(), target) != serves.end();
+        if (servesTarget && member.record.hall == hall) {
             found.push_back(id);
         }
     }
