--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -84,7 +84,7 @@
     {
         int at = 0;
         std::size_t to = 0;
-        Incarnation recipient;
+        Incarnation recipientIncarnation;
         std::function<void()> action;
     };
 
@@ -116,7 +116,7 @@
         }
     }
 
-    void send(std::size_t to, Incarnation recipient, const std::function<void()> &action)
+    void send(std::size_t to, Incarnation recipientIncarnation, const std::function<void()> &action)
     {
         if (chance(0.05)) {
             return;
@@ -125,7 +125,7 @@
         for (int copy = 0; copy < copies; ++copy) {
             const int maxDelay = chance(0.05) ? 60 : 4;
             const int delay = std::uniform_int_distribution<int>(1, maxDelay)(random_);
-            messages_.push_back({now_ + delay, to, recipient, action});
+            messages_.push_back({now_ + delay, to, recipientIncarnation, action});
         }
     }
 
@@ -140,7 +140,7 @@
         });
         for (const Message &message : due) {
             // Messages to an earlier incarnation are lost with its connection.
-            if (agents_[message.to].incarnation == message.recipient) {
+            if (agents_[message.to].incarnation == message.recipientIncarnation) {
                 message.action();
             }
         }
