--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -43,7 +43,7 @@
             }
             // Replaces an agent. The state of its upstream is kept.
             if (now_ < kSteps / 2 && chance(0.02)) {
-                start(pick());
+                start(pickAgent());
             }
             int down = 0;
             for (const Agent &agent : agents_) {
@@ -90,7 +90,7 @@
 
     static InstanceId name(std::size_t index) { return InstanceId(fmt::format("bid-{}", index)); }
     bool chance(double probability) { return std::bernoulli_distribution(probability)(random_); }
-    std::size_t pick()
+    std::size_t pickAgent()
     {
         return std::uniform_int_distribution<std::size_t>(0, kAgents - 1)(random_);
     }
