--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -39,7 +39,7 @@
         for (now_ = 0; now_ < kSteps; ++now_) {
             deliver();
             for (std::size_t index = 0; index < kAgents; ++index) {
-                act(index);
+                step(index);
             }
             // Replaces an agent. The state of its upstream is kept.
             if (now_ < kSteps / 2 && chance(0.02)) {
@@ -187,7 +187,7 @@
         });
     }
 
-    void act(std::size_t index)
+    void step(std::size_t index)
     {
         Agent &agent = agents_[index];
         if (now_ % 5 == static_cast<int>(index)) {
