--- a/test/decision/rollout/reloadpermits_test.cpp
+++ b/test/decision/rollout/reloadpermits_test.cpp
@@ -204,10 +204,10 @@
                 agent.issuer->release(name(other), agents_[other].incarnation, 99);
             }
         }
-        const bool enough =
+        const bool permitted =
             agent.collector->holdsAll()
             || (fault_ == InjectedFault::AskSomeMembers && agent.collector->holdsAny());
-        if (enough && !agent.down && !agent.reloaded) {
+        if (permitted && !agent.down && !agent.reloaded) {
             agent.down = true;
             agent.reloadEndsAt = now_ + 50;
         }
