--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -99,7 +99,7 @@
 {
     GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
     std::set<InstanceId> asked;
-    for (std::size_t turn = 0; turn < kGateways.size() - 1; ++turn) {
+    for (std::size_t round = 0; round < kGateways.size() - 1; ++round) {
         asked.insert(*directory.nextPeer(InstanceId(), at(2)));
     }
     LONGS_EQUAL(kGateways.size() - 1, asked.size());
