--- a/src/decision/retry/crashrecord.h
+++ b/src/decision/retry/crashrecord.h
@@ -46,8 +46,8 @@
 {
     RequestDigest digest;
     std::uint64_t account = 0;                // A hash of the client account's id.
-    std::vector<UpstreamCrash> crashes;       // Since it last completed, by time.
-    std::optional<TimePoint> lastCompletedAt; // Successfully or not.
+    std::vector<UpstreamCrash> crashes;       // Since the last completion, ordered by time.
+    std::optional<TimePoint> lastCompletedAt; // The last completion, successful or not.
 };
 
 class CrashRecord
@@ -63,9 +63,9 @@
         // a group of engines for four more seconds.
         std::size_t suspectThreshold = 2;
         Duration suspicionDuration = std::chrono::seconds(60);
-        // How long a crash is kept; zero disables the record. Each time a poison request expires it
-        // costs an upstream, or a whole group for four seconds, so this is long. Operators can
-        // clear the record after a fix of the engine software (see docs/OPERATIONS.md).
+        // How long a crash is kept; zero disables the record. Each time a poison request is
+        // forgotten it crashes another upstream, or stops a whole group for four seconds, so this
+        // is long. Operators clear the record after a fix of the software (see docs/OPERATIONS.md).
         Duration retention = std::chrono::hours(1);
         // Crashes of one upstream within this time count as one. Two gateways report the same crash
         // some milliseconds apart, and a crashed upstream is back only after some seconds, possibly
--- a/src/decision/retry/outlierdetector.h
+++ b/src/decision/retry/outlierdetector.h
@@ -22,7 +22,7 @@
 public:
     struct Settings
     {
-        std::uint32_t consecutiveFailures = 3; // That cause the first ejection.
+        std::uint32_t consecutiveFailures = 3; // Failures before the first ejection.
         Duration baseEjectionTime = std::chrono::seconds(2);
         Duration maxEjectionTime = std::chrono::seconds(60);
         double maxEjectedFraction = 0.5;
