--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -109,8 +109,8 @@
     {
         const auto params = context.getParams();
         context.getResults().setGiven(
-            service_.turnBook_.give(InstanceId(toString(params.getInstance())),
-                                    Incarnation(params.getIncarnation()), params.getNumber()));
+            service_.turnBook_.tryIssue(InstanceId(toString(params.getInstance())),
+                                        Incarnation(params.getIncarnation()), params.getNumber()));
         return kj::READY_NOW;
     }
 
@@ -126,9 +126,9 @@
     {
         const auto params = context.getParams();
         const std::uint64_t set = params.getMemberSet();
-        service_.turnBook_.learn(InstanceId(toString(params.getInstance())),
-                                 {Incarnation(params.getIncarnation()), params.getTurnsReleased(),
-                                  params.getHoldsTurn()});
+        service_.turnBook_.onMemberState(InstanceId(toString(params.getInstance())),
+                                         {Incarnation(params.getIncarnation()),
+                                          params.getTurnsReleased(), params.getHoldsTurn()});
         context.getResults().setGranted(service_.core_.onGrantRequest(set, service_.loop_.now()));
         return kj::READY_NOW;
     }
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -70,13 +70,14 @@
 
 void GrantNetwork::askTurn()
 {
-    const auto member = context_.taker.next();
+    const auto member = context_.taker.nextMember();
     if (!member) {
         return;
     }
     if (*member == context_.self) {
-        if (context_.book.give(context_.self, context_.incarnation, context_.taker.number())) {
-            context_.taker.onGiven(context_.self);
+        if (context_.book.tryIssue(context_.self, context_.incarnation,
+                                   context_.taker.permitNumber())) {
+            context_.taker.onIssued(context_.self);
             askTurn();
         }
         return;
@@ -88,12 +89,12 @@
     auto request = link->second->capability().castAs<wire::Agent>().turnRequest();
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    request.setNumber(context_.taker.number());
+    request.setNumber(context_.taker.permitNumber());
     tasks_.add(request.send().then(
-        [this, asked = *member,
-         number = context_.taker.number()](capnp::Response<wire::Agent::TurnResults> &&answer) {
-            if (answer.getGiven() && number == context_.taker.number()) {
-                context_.taker.onGiven(asked);
+        [this, asked = *member, number = context_.taker.permitNumber()](
+            capnp::Response<wire::Agent::TurnResults> &&answer) {
+            if (answer.getGiven() && number == context_.taker.permitNumber()) {
+                context_.taker.onIssued(asked);
                 askTurn();
             }
         },
@@ -138,7 +139,7 @@
     request.setMemberSet(set);
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    const TurnState turns = context_.taker.state(context_.incarnation);
+    const ReloadPermitState turns = context_.taker.state(context_.incarnation);
     request.setTurnsReleased(turns.released);
     request.setHoldsTurn(turns.holds);
     tasks_.add(request.send().then(
--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "decision/dispatch/agentcore.h"
-#include "decision/rollout/turns.h"
+#include "decision/rollout/reloadpermits.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
@@ -26,8 +26,8 @@
         EventLoop &loop;
         RawTransport &transport;
         AgentCore &core;
-        TurnBook &book;
-        TurnTaker &taker;
+        ReloadPermitIssuer &book;
+        ReloadPermitCollector &taker;
         InstanceId self;
         Incarnation incarnation;
         HallId hall;
--- a/src/agent/orderdriver.cpp
+++ b/src/agent/orderdriver.cpp
@@ -101,8 +101,8 @@
     engine_ = *state;
     if (first && engine_.loading) {
         // The life of this agent before this one ordered it and died: its turn is this one's.
-        turns_.want();
-        turns_.onGiven(self_);
+        turns_.startCollecting();
+        turns_.onIssued(self_);
         host_.setServing(false);
         step_ = Step::Loading;
     }
@@ -169,14 +169,14 @@
 
 void OrderDriver::collect()
 {
-    turns_.want();
+    turns_.startCollecting();
     collectingSince_ = loop_.now();
     step_ = Step::Collecting;
 }
 
 void OrderDriver::giveTurnsBack()
 {
-    for (const InstanceId &member : turns_.done()) {
+    for (const InstanceId &member : turns_.releaseAll()) {
         host_.releaseTurn(member);
     }
 }
--- a/src/agent/orderdriver.h
+++ b/src/agent/orderdriver.h
@@ -9,7 +9,7 @@
 // order, wait until the engine serves the version, take work again, give the turns back.
 #pragma once
 
-#include "decision/rollout/turns.h"
+#include "decision/rollout/reloadpermits.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
 #include "seamarch/configdocument.h"
@@ -53,7 +53,7 @@
 
     // Takes the version that the engine should have, from a configuration.
     void setTarget(std::string version, ConfigVersion config);
-    TurnTaker &turns() { return turns_; }
+    ReloadPermitCollector &turns() { return turns_; }
     // Time has passed: takes the next step.
     void tick();
 
@@ -78,7 +78,7 @@
     OrderHost &host_;
     InstanceId self_;
     SocketAddress address_;
-    TurnTaker turns_;
+    ReloadPermitCollector turns_;
     Step step_ = Step::Resting;
     EngineState engine_;
     std::string target_;
--- a/src/decision/admission/tokenbucket.cpp
+++ b/src/decision/admission/tokenbucket.cpp
@@ -38,7 +38,7 @@
     permits_ = std::min(permits_, burst);
 }
 
-std::optional<Duration> TokenBucket::take(TimePoint now)
+std::optional<Duration> TokenBucket::tryAcquire(TimePoint now)
 {
     refill(now);
     if (permits_ >= 1.0) {
@@ -64,12 +64,12 @@
     if (limit == limits_.end()) {
         return std::nullopt;
     }
-    const double rate = limit->second * part_;
+    const double rate = limit->second * share_;
     const auto [bucket, added] = buckets_.try_emplace(account, rate, burstFor(rate), now);
     if (!added) {
         bucket->second.setRate(rate, burstFor(rate), now);
     }
-    return bucket->second.take(now);
+    return bucket->second.tryAcquire(now);
 }
 
 } // namespace seamarch
--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -60,7 +60,7 @@
     const auto entries =
         std::count_if(list.instances.begin(), list.instances.end(),
                       [](const InstanceRecord &each) { return each.role == InstanceRole::Entry; });
-    limiter_.setPart(1.0 / static_cast<double>(std::max<std::ptrdiff_t>(1, entries)));
+    limiter_.setShare(1.0 / static_cast<double>(std::max<std::ptrdiff_t>(1, entries)));
 }
 
 void EntryCore::onReport(const InstanceId &agent, const AgentReport &report, TimePoint askedAt,
@@ -70,7 +70,7 @@
     LoadEstimate &load = loads_[agent];
     if (newIncarnation) {
         load.reset();
-        outliers_.forget(agent);
+        outliers_.reset(agent);
         prefixes_.forget(agent);
     }
     load.onReport(report, askedAt);
@@ -177,8 +177,8 @@
 {
     const Ticket &ticket = *request.original.ticket;
     const Member *member = members_.find(ticket.agent);
-    const bool alive =
-        member != nullptr && member->heard && member->report.incarnation == ticket.incarnation;
+    const bool alive = member != nullptr && member->hasReported
+                       && member->report.incarnation == ticket.incarnation;
     // An earlier attempt with this ticket may have run, through this entry or another one.
     if (!alive) {
         return {std::nullopt, FailureCode::TicketSpent, Outcome::Unknown};
@@ -193,11 +193,11 @@
 {
     const auto hall = homeHalls_.find(request.original.account);
     const HallId home = hall == homeHalls_.end() ? HallId() : hall->second;
-    const MemberSet set = makeMemberSet(members_.listed(request.original.target, home));
+    const MemberSet set = makeMemberSet(members_.listedAgents(request.original.target, home));
     const auto agent =
         rendezvousHome(set, scopedKey(request.original.account, request.original.callerKey));
     const Member *member = agent ? members_.find(*agent) : nullptr;
-    if (member != nullptr && !member->heard) {
+    if (member != nullptr && !member->hasReported) {
         return {*agent, FailureCode::KeyHomeUnsure, Outcome::Unknown, true};
     }
     if (!agent || !members_.mayReceive(*agent, now)) {
@@ -219,7 +219,7 @@
         ids.push_back(member->record.id);
     }
     std::vector<RouteCandidate> candidates;
-    for (const InstanceId &id : outliers_.remaining(ids, now)) {
+    for (const InstanceId &id : outliers_.filterCandidates(ids, now)) {
         candidates.push_back(candidateFor(*members_.find(id), request, now));
     }
     const RouteRequest traits{request.original.promptTokens, request.original.answerTokens};
@@ -251,7 +251,7 @@
 
 double EntryCore::readiness(const Member &member, TimePoint now) const
 {
-    const double age = toSeconds(now - member.firstSeen);
+    const double age = toSeconds(now - member.firstReportAt);
     return std::clamp(age / toSeconds(settings_.slowStart), 0.1, 1.0);
 }
 
@@ -295,7 +295,7 @@
     const bool mayRetry =
         !bound && request->attempts < settings_.maxAttempts && now < request->deadline;
     const Choice choice = mayRetry ? choose(*request, now) : Choice();
-    if (!choice.agent || !retryBudget_.take()) {
+    if (!choice.agent || !retryBudget_.tryAcquire()) {
         fail(id, failure, Outcome::NotRun, retryAfter, actions);
         return;
     }
@@ -315,7 +315,8 @@
     }
     // The end of an upstream that is leaving is an intended stop, not a crash.
     if (failure == FailureCode::UpstreamEnded && members_.mayReceive(request->agent, now)) {
-        crashes_.onEnded(request->original.digest, request->original.account, request->agent, now);
+        crashes_.onUpstreamCrashed(request->original.digest, request->original.account,
+                                   request->agent, now);
     }
     if (outcome == Outcome::Unknown) {
         request->mayHaveRun = true;
@@ -406,7 +407,7 @@
 void EntryCore::onFree(const InstanceId &agent, const AgentReport &report, TimePoint now,
                        EntryActions &actions)
 {
-    if (!members_.mayReceive(agent, now) || outliers_.ejected(agent, now)) {
+    if (!members_.mayReceive(agent, now) || outliers_.isEjected(agent, now)) {
         return;
     }
     const Member &member = *members_.find(agent);
@@ -472,7 +473,7 @@
         return;
     }
     outliers_.onSuccess(agent);
-    crashes_.onSurvived(request->original.digest, now);
+    crashes_.onRequestCompleted(request->original.digest, now);
     if (request->attempts == 1) {
         retryBudget_.onSuccess();
     }
@@ -515,7 +516,7 @@
 TimePoint EntryCore::leaseUntil(const InstanceId &agent) const
 {
     const Member *member = members_.find(agent);
-    return member == nullptr ? TimePoint{} : member->leaseUntil;
+    return member == nullptr ? TimePoint{} : member->leaseExpiresAt;
 }
 
 } // namespace seamarch
--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -73,7 +73,7 @@
 {
     settings_.retries = limits;
     for (auto &[service, budget] : budgets_) {
-        budget.change(budgetShare());
+        budget.reconfigure(budgetShare());
     }
 }
 
@@ -159,7 +159,7 @@
 {
     return mayRepeat(request) && mayBeSent(request, now)
            && request.attempts < request.request.route->maxAttempts
-           && budgets_.at(request.service).available()
+           && budgets_.at(request.service).hasPermit()
            && chooseFor(request, std::nullopt, now).has_value();
 }
 
@@ -279,7 +279,7 @@
         return true;
     }
     if (kind == AnswerKind::Failure) {
-        crashes_.onSurvived(request->request.digest, now);
+        crashes_.onRequestCompleted(request->request.digest, now);
     }
     if (kind == AnswerKind::Failure || kind == AnswerKind::Invalid) {
         chooser_.onFailure(upstream, now);
@@ -323,7 +323,7 @@
     const GroupId group = request->group;
     detachUpstream(*request);
     if (end == AttemptEnd::Complete && attemptHasHead) {
-        crashes_.onSurvived(request->request.digest, now);
+        crashes_.onRequestCompleted(request->request.digest, now);
         endRequest(number);
         return;
     }
@@ -357,7 +357,7 @@
     Request &request = requests_.at(number);
     const bool allowed =
         request.attempts < request.request.route->maxAttempts && mayBeSent(request, now);
-    if (allowed && budgets_.at(request.service).take()
+    if (allowed && budgets_.at(request.service).tryAcquire()
         && startRetry(number, request, now, actions)) {
         ++secondAttempts_;
         return;
@@ -430,7 +430,7 @@
 {
     // An upstream that is leaving, or that the store no longer lists, ends as planned.
     if (upstreams_.isActive(upstream)) {
-        crashes_.onEnded(digest, account, upstream, at);
+        crashes_.onUpstreamCrashed(digest, account, upstream, at);
         giveUpSuspects(now, actions);
     }
 }
@@ -496,7 +496,7 @@
             return;
         }
     }
-    if (!budgets_.at(request.service).take()) {
+    if (!budgets_.at(request.service).tryAcquire()) {
         return;
     }
     chooser_.onFailure(request.upstream, now);
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -132,7 +132,7 @@
         Request &request = requests_.at(number);
         request.queued = false;
         service.recentStarts.push_back(now);
-        const bool allowed = !request.refusedBefore || budgets_.at(request.service).take();
+        const bool allowed = !request.refusedBefore || budgets_.at(request.service).tryAcquire();
         if (allowed) {
             startOrAwaitPermit(number, request, group, now, actions);
         } else {
--- a/src/decision/gateway/permitissuer.cpp
+++ b/src/decision/gateway/permitissuer.cpp
@@ -33,7 +33,7 @@
     state.requesters[requester] = now;
     PermitGrant grant;
     while (grant.granted < wanted) {
-        if (const auto wait = state.bucket.take(now)) {
+        if (const auto wait = state.bucket.tryAcquire(now)) {
             const auto requesters = static_cast<Duration::rep>(state.requesters.size());
             grant.retryAfter = std::max(*wait, settings_.retryDelayPerRequester * requesters);
             return grant;
--- a/src/decision/gateway/permitissuer.h
+++ b/src/decision/gateway/permitissuer.h
@@ -2,11 +2,12 @@
 // gateways together, or that are warming up.
 //
 // All gateways request the permits for one upstream from the same gateway
-// (GatewayDirectory::issuerOf). The alternative, an equal share for each gateway, would leave most
-// of a small limit unused if one gateway has all callers, and would allow as many simultaneous
-// requests as there are gateways. There is no consensus and no stored state. While gateways
-// disagree on the issuer, two issuers may be active at once; each therefore issues less than three
-// quarters of the limit, because an upstream tolerates one and a half times its limit for a while.
+// (GatewayDirectory::permitIssuerFor). The alternative, an equal share for each gateway, would
+// leave most of a small limit unused if one gateway has all callers, and would allow as many
+// simultaneous requests as there are gateways. There is no consensus and no stored state. While
+// gateways disagree on the issuer, two issuers may be active at once; each therefore issues less
+// than three quarters of the limit, because an upstream tolerates one and a half times its limit
+// for a while.
 //
 // A new issuer starts without permits, as it does not know what its predecessor has issued. Unused
 // permits do not accumulate, so that a pause is not followed by a burst of requests.
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -142,7 +142,7 @@
     for (const UpstreamRecord *record : candidates) {
         ids.push_back(record->id);
     }
-    const std::vector<InstanceId> healthy = outliers_.remaining(ids, now);
+    const std::vector<InstanceId> healthy = outliers_.filterCandidates(ids, now);
     const auto isLastResort = [&](const UpstreamRecord *record) {
         const auto state = states_.find(record->id);
         const bool isDeprioritized =
--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -8,88 +8,90 @@
 namespace seamarch {
 namespace {
 
-using Place = std::pair<std::uint64_t, InstanceId>;
+using OrderKey = std::pair<std::uint64_t, InstanceId>;
 
-// The place in the order of a hall, which all gateways compute alike.
-Place placeOf(const InstanceId &id)
+// Returns the sort key of a gateway in its hall's order, which is the same at all gateways.
+OrderKey orderKeyOf(const InstanceId &id)
 {
     return {XXH3_64bits(id.value().data(), id.value().size()), id};
 }
 
 } // namespace
 
-void GatewayDirectory::hear(const GatewayRecord &record, TimePoint heardAt)
+void GatewayDirectory::recordSeen(const GatewayRecord &record, TimePoint lastSeen)
 {
     if (record.id == self_.id || record.id == InstanceId()) {
         return;
     }
     Member &member = members_[record.id];
-    if (member.heardAt != TimePoint{} && heardAt <= member.heardAt) {
+    if (member.lastSeen != TimePoint{} && lastSeen <= member.lastSeen) {
         return;
     }
     if (member.record != record) {
         member.record = record;
-        mark_ = 0;
+        digest_ = 0;
     }
-    member.heardAt = heardAt;
+    member.lastSeen = lastSeen;
 }
 
-// Returns all, this one included, in the order of their ids.
-std::vector<GatewayDirectory::Known> GatewayDirectory::sorted(TimePoint now) const
+// Returns all gateways, this one included, ordered by id.
+std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::sortedWithSelf(TimePoint now) const
 {
-    std::vector<Known> all = known();
+    std::vector<KnownPeer> peers = knownPeers();
     const auto place = std::lower_bound(
-        all.begin(), all.end(), self_.id,
-        [](const Known &known, const InstanceId &id) { return known.record.id < id; });
-    all.insert(place, {self_, now});
-    return all;
+        peers.begin(), peers.end(), self_.id,
+        [](const KnownPeer &known, const InstanceId &id) { return known.record.id < id; });
+    peers.insert(place, {self_, now});
+    return peers;
 }
 
-std::uint64_t GatewayDirectory::mark() const
+std::uint64_t GatewayDirectory::digest() const
 {
-    if (mark_ == 0) {
+    if (digest_ == 0) {
         std::string text;
-        for (const Known &known : sorted(TimePoint{})) {
+        for (const KnownPeer &known : sortedWithSelf(TimePoint{})) {
             const GatewayRecord &record = known.record;
             text += record.id.value() + '|' + record.hall.value() + '|' + record.host + '|'
                     + std::to_string(record.port) + '\n';
         }
-        mark_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
+        digest_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
     }
-    return mark_;
+    return digest_;
 }
 
-GatewayDirectory::News GatewayDirectory::newsFor(std::uint64_t askerMark, TimePoint now) const
+GatewayDirectory::GossipUpdate GatewayDirectory::gossipFor(std::uint64_t receiverDigest,
+                                                           TimePoint now) const
 {
-    News news;
-    news.mark = mark();
-    if (askerMark != news.mark) {
-        news.all = known();
-        return news;
+    GossipUpdate gossip;
+    gossip.digest = digest();
+    if (receiverDigest != gossip.digest) {
+        gossip.peers = knownPeers();
+        return gossip;
     }
-    constexpr Duration::rep kOldest = 255;
-    for (const Known &known : sorted(now)) {
-        const Duration age = std::max(Duration{}, now - known.heardAt);
-        const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Never too young.
-        news.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kOldest)));
+    constexpr Duration::rep kMaxAgeSteps = 255;
+    for (const KnownPeer &known : sortedWithSelf(now)) {
+        const Duration age = std::max(Duration{}, now - known.lastSeen);
+        const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Rounded up.
+        gossip.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kMaxAgeSteps)));
     }
-    return news;
+    return gossip;
 }
 
-bool GatewayDirectory::take(const News &news, TimePoint now)
+bool GatewayDirectory::applyGossip(const GossipUpdate &gossip, TimePoint now)
 {
-    for (const Known &known : news.all) {
-        hear(known.record, known.heardAt);
+    for (const KnownPeer &known : gossip.peers) {
+        recordSeen(known.record, known.lastSeen);
     }
-    if (news.ages.empty()) {
+    if (gossip.ages.empty()) {
         return true;
     }
-    if (news.mark != mark() || news.ages.size() != size()) {
+    if (gossip.digest != digest() || gossip.ages.size() != size()) {
         return false;
     }
-    const std::vector<Known> all = sorted(now);
-    for (std::size_t index = 0; index < all.size(); ++index) {
-        hear(all[index].record, now - kAgeStep * static_cast<Duration::rep>(news.ages[index]));
+    const std::vector<KnownPeer> peers = sortedWithSelf(now);
+    for (std::size_t index = 0; index < peers.size(); ++index) {
+        recordSeen(peers[index].record,
+                   now - kAgeStep * static_cast<Duration::rep>(gossip.ages[index]));
     }
     return true;
 }
@@ -98,8 +100,8 @@
 {
     const auto found = members_.find(id);
     if (found != members_.end()) {
-        found->second.heardAt = std::max(found->second.heardAt, now);
-        found->second.avoidUntil = {};
+        found->second.lastSeen = std::max(found->second.lastSeen, now);
+        found->second.cooldownUntil = {};
     }
 }
 
@@ -107,57 +109,59 @@
 {
     const auto found = members_.find(id);
     if (found != members_.end()) {
-        found->second.avoidUntil = now + settings_.avoidance;
+        found->second.cooldownUntil = now + settings_.failureCooldown;
     }
 }
 
 void GatewayDirectory::expire(TimePoint now)
 {
-    const std::size_t forgotten = std::erase_if(
-        members_, [&](const auto &entry) { return now - entry.second.heardAt > settings_.life; });
-    mark_ = forgotten > 0 ? 0 : mark_;
+    const std::size_t expired = std::erase_if(members_, [&](const auto &entry) {
+        return now - entry.second.lastSeen > settings_.timeToLive;
+    });
+    digest_ = expired > 0 ? 0 : digest_;
 }
 
-InstanceId GatewayDirectory::follower(TimePoint now) const
+InstanceId GatewayDirectory::localStoreFollower(TimePoint now) const
 {
-    Place best = placeOf(self_.id);
+    OrderKey best = orderKeyOf(self_.id);
     for (const auto &[id, member] : members_) {
-        if (member.record.hall == self_.hall && member.avoidUntil <= now) {
-            best = std::min(best, placeOf(id));
+        if (member.record.hall == self_.hall && member.cooldownUntil <= now) {
+            best = std::min(best, orderKeyOf(id));
         }
     }
     return best.second;
 }
 
-std::optional<InstanceId> GatewayDirectory::firstOf(const HallId &hall, TimePoint now) const
+std::optional<InstanceId> GatewayDirectory::storeFollowerOf(const HallId &hall, TimePoint now) const
 {
-    std::optional<Place> best;
+    std::optional<OrderKey> best;
     for (const auto &[id, member] : members_) {
-        const bool fits = member.record.hall == hall && member.avoidUntil <= now;
-        if (fits && (!best || placeOf(id) < *best)) {
-            best = placeOf(id);
+        const bool fits = member.record.hall == hall && member.cooldownUntil <= now;
+        if (fits && (!best || orderKeyOf(id) < *best)) {
+            best = orderKeyOf(id);
         }
     }
     return best ? std::optional(best->second) : std::nullopt;
 }
 
-InstanceId GatewayDirectory::issuerOf(const InstanceId &upstream, const HallId &hall,
-                                      TimePoint now) const
+InstanceId GatewayDirectory::permitIssuerFor(const InstanceId &upstream, const HallId &hall,
+                                             TimePoint now) const
 {
-    const auto rankOf = [&](const GatewayRecord &record) {
-        const std::string both = upstream.value() + '/' + record.id.value();
-        return std::tuple(record.hall != hall, XXH3_64bits(both.data(), both.size()), record.id);
+    const auto preferenceOf = [&](const GatewayRecord &record) {
+        const std::string combined = upstream.value() + '/' + record.id.value();
+        return std::tuple(record.hall != hall, XXH3_64bits(combined.data(), combined.size()),
+                          record.id);
     };
-    auto best = rankOf(self_);
+    auto best = preferenceOf(self_);
     for (const auto &[id, member] : members_) {
-        if (member.avoidUntil <= now) {
-            best = std::min(best, rankOf(member.record));
+        if (member.cooldownUntil <= now) {
+            best = std::min(best, preferenceOf(member.record));
         }
     }
     return std::get<InstanceId>(best);
 }
 
-std::set<HallId> GatewayDirectory::halls() const
+std::set<HallId> GatewayDirectory::peerHalls() const
 {
     std::set<HallId> halls;
     for (const auto &[id, member] : members_) {
@@ -166,33 +170,33 @@
     return halls;
 }
 
-HallPosition GatewayDirectory::place() const
+HallPosition GatewayDirectory::hallPlace() const
 {
-    const Place own = placeOf(self_.id);
+    const OrderKey own = orderKeyOf(self_.id);
     HallPosition place;
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall) {
             ++place.gateways;
-            place.index += placeOf(id) < own ? 1 : 0;
+            place.index += orderKeyOf(id) < own ? 1 : 0;
         }
     }
     return place;
 }
 
-std::optional<InstanceId> GatewayDirectory::another(const InstanceId &besides, TimePoint now)
+std::optional<InstanceId> GatewayDirectory::nextPeer(const InstanceId &excluded, TimePoint now)
 {
     std::optional<InstanceId> best;
     std::pair<bool, bool> bestRank{true, true};
     for (const auto &[id, member] : members_) {
-        // Those after the last turn come before those up to it.
-        const std::pair<bool, bool> rank{member.avoidUntil > now, id <= lastTurn_};
-        if (id != besides && (!best || rank < bestRank)) {
+        // Ids after the last one returned come first.
+        const std::pair<bool, bool> rank{member.cooldownUntil > now, id <= lastNextPeer_};
+        if (id != excluded && (!best || rank < bestRank)) {
             best = id;
             bestRank = rank;
         }
     }
     if (best) {
-        lastTurn_ = *best;
+        lastNextPeer_ = *best;
     }
     return best;
 }
@@ -203,14 +207,14 @@
     return found == members_.end() ? nullptr : &found->second.record;
 }
 
-std::vector<GatewayDirectory::Known> GatewayDirectory::known() const
+std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::knownPeers() const
 {
-    std::vector<Known> all;
-    all.reserve(members_.size());
+    std::vector<KnownPeer> peers;
+    peers.reserve(members_.size());
     for (const auto &[id, member] : members_) {
-        all.push_back({member.record, member.heardAt});
+        peers.push_back({member.record, member.lastSeen});
     }
-    return all;
+    return peers;
 }
 
 } // namespace seamarch
--- a/src/decision/membership/linkplan.cpp
+++ b/src/decision/membership/linkplan.cpp
@@ -8,11 +8,11 @@
 namespace seamarch {
 namespace {
 
-// The agents of one target, near or far.
+// The agents of one target, in the entry's own hall and in other halls.
 struct Pool
 {
-    std::vector<InstanceId> near;
-    std::vector<InstanceId> far;
+    std::vector<InstanceId> local;
+    std::vector<InstanceId> remote;
 };
 
 void sortByRendezvous(std::vector<InstanceId> &agents, const InstanceId &entry)
@@ -26,11 +26,11 @@
     });
 }
 
-void takeFirst(const std::vector<InstanceId> &agents, std::size_t count,
-               std::set<InstanceId> &chosen)
+void insertFirst(const std::vector<InstanceId> &agents, std::size_t count,
+                 std::set<InstanceId> &chosen)
 {
-    const std::size_t taken = std::min(count, agents.size());
-    chosen.insert(agents.begin(), agents.begin() + static_cast<std::ptrdiff_t>(taken));
+    const std::size_t inserted = std::min(count, agents.size());
+    chosen.insert(agents.begin(), agents.begin() + static_cast<std::ptrdiff_t>(inserted));
 }
 
 } // namespace
@@ -47,29 +47,30 @@
         all.insert(record.id);
         for (const TargetName &target : record.serves) {
             Pool &pool = pools[target];
-            (record.hall == hall ? pool.near : pool.far).push_back(record.id);
+            (record.hall == hall ? pool.local : pool.remote).push_back(record.id);
         }
     }
-    if (all.size() <= budget.links) {
+    if (all.size() <= budget.maxLinks) {
         return all;
     }
-    const std::size_t farTotal = budget.farPerTarget * pools.size();
-    const std::size_t nearTotal = budget.links > farTotal ? budget.links - farTotal : 0;
-    const std::size_t nearEach = std::max<std::size_t>(1, nearTotal / pools.size());
+    const std::size_t remoteTotal = budget.remotePerTarget * pools.size();
+    const std::size_t localTotal =
+        budget.maxLinks > remoteTotal ? budget.maxLinks - remoteTotal : 0;
+    const std::size_t localPerTarget = std::max<std::size_t>(1, localTotal / pools.size());
     std::set<InstanceId> chosen;
     for (auto &[target, pool] : pools) {
-        sortByRendezvous(pool.near, entry);
-        sortByRendezvous(pool.far, entry);
-        takeFirst(pool.near, nearEach, chosen);
-        takeFirst(pool.far, budget.farPerTarget, chosen);
+        sortByRendezvous(pool.local, entry);
+        sortByRendezvous(pool.remote, entry);
+        insertFirst(pool.local, localPerTarget, chosen);
+        insertFirst(pool.remote, budget.remotePerTarget, chosen);
     }
     return chosen;
 }
 
-Duration heartbeatPeriod(std::size_t links, Duration shortest, const LinkBudget &budget)
+Duration heartbeatPeriod(std::size_t links, Duration minPeriod, const LinkBudget &budget)
 {
     const Duration needed = fromSeconds(static_cast<double>(links) / budget.heartbeatsPerSecond);
-    return std::max(shortest, needed);
+    return std::max(minPeriod, needed);
 }
 
 } // namespace seamarch
--- a/src/decision/membership/membertable.cpp
+++ b/src/decision/membership/membertable.cpp
@@ -22,33 +22,33 @@
     return true;
 }
 
-bool MemberTable::onReport(const InstanceId &agent, const AgentReport &report, TimePoint askedAt,
-                           TimePoint now)
+bool MemberTable::onReport(const InstanceId &agent, const AgentReport &report,
+                           TimePoint requestedAt, TimePoint now)
 {
     const auto found = members_.find(agent);
     if (found == members_.end()) {
         return false;
     }
     Member &member = found->second;
-    if (member.heard && askedAt < member.reportAskedAt) {
+    if (member.hasReported && requestedAt < member.reportRequestedAt) {
         return false;
     }
-    const bool reborn = !member.heard || member.report.incarnation != report.incarnation;
-    if (reborn) {
-        member.firstSeen = now;
+    const bool restarted = !member.hasReported || member.report.incarnation != report.incarnation;
+    if (restarted) {
+        member.firstReportAt = now;
     }
-    member.heard = true;
+    member.hasReported = true;
     member.report = report;
-    member.reportAskedAt = askedAt;
-    member.leaseUntil = askedAt + lease_;
-    return reborn;
+    member.reportRequestedAt = requestedAt;
+    member.leaseExpiresAt = requestedAt + lease_;
+    return restarted;
 }
 
 bool MemberTable::mayReceive(const InstanceId &agent, TimePoint now) const
 {
     const Member *member = find(agent);
-    return member != nullptr && member->heard && now < member->leaseUntil && !member->report.leaving
-           && member->record.state == InstanceState::Live;
+    return member != nullptr && member->hasReported && now < member->leaseExpiresAt
+           && !member->report.leaving && member->record.state == InstanceState::Live;
 }
 
 std::vector<const Member *> MemberTable::candidates(const TargetName &target, TimePoint now) const
@@ -56,21 +56,22 @@
     std::vector<const Member *> found;
     for (const auto &[id, member] : members_) {
         const auto &serves = member.record.serves;
-        const bool fits = std::find(serves.begin(), serves.end(), target) != serves.end();
-        if (fits && mayReceive(id, now)) {
+        const bool servesTarget = std::find(serves.begin(), serves.end(), target) != serves.end();
+        if (servesTarget && mayReceive(id, now)) {
             found.push_back(&member);
         }
     }
     return found;
 }
 
-std::vector<InstanceId> MemberTable::listed(const TargetName &target, const HallId &hall) const
+std::vector<InstanceId> MemberTable::listedAgents(const TargetName &target,
+                                                  const HallId &hall) const
 {
     std::vector<InstanceId> found;
     for (const auto &[id, member] : members_) {
         const auto &serves = member.record.serves;
-        const bool fits = std::find(serves.begin(), serves.end(), target) != serves.end();
-        if (fits && member.record.hall == hall) {
+        const bool servesTarget = std::find(serves.begin(), serves.end(), target) != serves.end();
+        if (servesTarget && member.record.hall == hall) {
             found.push_back(id);
         }
     }
--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -8,12 +8,13 @@
 namespace seamarch {
 namespace {
 
-// Cursors rise by one with each change; those of another life of the process lie elsewhere.
+// Cursors increase by one with each change. Shifting the seed leaves room for that without
+// overflow, and different seeds keep the cursors of two processes apart.
 constexpr unsigned kCursorSpareBits = 16;
-// More ends than these prove nothing more.
-constexpr std::size_t kMostEnds = 4;
+// The maximum number of crashes kept per request; more do not change the decision.
+constexpr std::size_t kMaxCrashes = 4;
 
-std::uint64_t digestOf(std::string_view text)
+std::uint64_t hashOf(std::string_view text)
 {
     return XXH3_64bits(text.data(), text.size());
 }
@@ -26,85 +27,90 @@
     , cursor_(firstCursor_)
 {}
 
-void CrashRecord::setLife(Duration life)
+void CrashRecord::setRetention(Duration retention)
 {
-    settings_.life = life;
-    if (life <= Duration{}) {
+    settings_.retention = retention;
+    if (retention <= Duration{}) {
         suspects_.clear();
         byChange_.clear();
     }
 }
 
-bool CrashRecord::isSameEnd(const UpstreamEnd &left, const UpstreamEnd &right) const
+bool CrashRecord::isSameCrash(const UpstreamCrash &left, const UpstreamCrash &right) const
 {
-    const Duration apart = left.at < right.at ? right.at - left.at : left.at - right.at;
-    return left.upstream == right.upstream && apart <= settings_.sameEnd;
+    const Duration difference = left.at < right.at ? right.at - left.at : left.at - right.at;
+    return left.upstream == right.upstream && difference <= settings_.duplicateWindow;
 }
 
-// Returns false when the end is known or makes no difference.
-bool CrashRecord::addEnd(CrashSuspect &suspect, const UpstreamEnd &end) const
+// Returns false if the crash is already recorded, precedes the latest completion, or is older than
+// all of `kMaxCrashes` recorded ones.
+bool CrashRecord::addCrash(CrashSuspect &suspect, const UpstreamCrash &crash) const
 {
-    if (suspect.survivedAt && end.at <= *suspect.survivedAt) {
+    if (suspect.lastCompletedAt && crash.at <= *suspect.lastCompletedAt) {
         return false;
     }
-    std::vector<UpstreamEnd> &ends = suspect.ends;
-    const bool known = std::any_of(ends.begin(), ends.end(),
-                                   [&](const UpstreamEnd &other) { return isSameEnd(other, end); });
-    const bool tooOld = ends.size() >= kMostEnds && end.at <= ends.front().at;
+    std::vector<UpstreamCrash> &crashes = suspect.crashes;
+    const bool known = std::any_of(crashes.begin(), crashes.end(), [&](const UpstreamCrash &other) {
+        return isSameCrash(other, crash);
+    });
+    const bool tooOld = crashes.size() >= kMaxCrashes && crash.at <= crashes.front().at;
     if (known || tooOld) {
         return false;
     }
-    const auto after = std::find_if(ends.begin(), ends.end(),
-                                    [&](const UpstreamEnd &other) { return other.at > end.at; });
-    ends.insert(after, end);
-    if (ends.size() > kMostEnds) {
-        ends.erase(ends.begin());
+    const auto after =
+        std::find_if(crashes.begin(), crashes.end(),
+                     [&](const UpstreamCrash &other) { return other.at > crash.at; });
+    crashes.insert(after, crash);
+    if (crashes.size() > kMaxCrashes) {
+        crashes.erase(crashes.begin());
     }
     return true;
 }
 
-// Returns false when a later clearing is known.
-bool CrashRecord::clear(CrashSuspect &suspect, TimePoint survivedAt) const
+// Removes the crashes up to `lastCompletedAt`. Returns false if a later completion is known.
+bool CrashRecord::clearCrashes(CrashSuspect &suspect, TimePoint lastCompletedAt) const
 {
-    if (suspect.survivedAt && survivedAt <= *suspect.survivedAt) {
+    if (suspect.lastCompletedAt && lastCompletedAt <= *suspect.lastCompletedAt) {
         return false;
     }
-    suspect.survivedAt = survivedAt;
-    std::erase_if(suspect.ends, [&](const UpstreamEnd &end) { return end.at <= survivedAt; });
+    suspect.lastCompletedAt = lastCompletedAt;
+    std::erase_if(suspect.crashes,
+                  [&](const UpstreamCrash &crash) { return crash.at <= lastCompletedAt; });
     return true;
 }
 
-void CrashRecord::change(Entry &entry)
+void CrashRecord::markChanged(Entry &entry)
 {
     byChange_.erase(entry.changedAt);
     entry.changedAt = ++cursor_;
     byChange_.emplace(entry.changedAt, entry.suspect.digest);
 }
 
-void CrashRecord::onEnded(const RequestDigest &digest, const AccountId &account,
-                          const InstanceId &upstream, TimePoint at)
+void CrashRecord::onUpstreamCrashed(const RequestDigest &digest, const AccountId &account,
+                                    const InstanceId &upstream, TimePoint at)
 {
-    CrashSuspect seen;
-    seen.digest = digest;
-    seen.account = digestOf(account.value());
-    seen.ends.push_back({digestOf(upstream.value()), at});
-    learn(seen);
+    CrashSuspect observed;
+    observed.digest = digest;
+    observed.account = hashOf(account.value());
+    observed.crashes.push_back({hashOf(upstream.value()), at});
+    merge(observed);
 }
 
-void CrashRecord::onSurvived(const RequestDigest &digest, TimePoint now)
+void CrashRecord::onRequestCompleted(const RequestDigest &digest, TimePoint now)
 {
     const auto found = suspects_.find(digest);
-    if (found == suspects_.end() || found->second.suspect.ends.empty()) {
+    if (found == suspects_.end() || found->second.suspect.crashes.empty()) {
         return;
     }
-    if (clear(found->second.suspect, now)) {
-        change(found->second);
+    if (clearCrashes(found->second.suspect, now)) {
+        markChanged(found->second);
     }
 }
 
-void CrashRecord::learn(const CrashSuspect &suspect)
+void CrashRecord::merge(const CrashSuspect &suspect)
 {
-    if (settings_.life <= Duration{} || (suspect.ends.empty() && !suspect.survivedAt)) {
+    if (settings_.retention <= Duration{}
+        || (suspect.crashes.empty() && !suspect.lastCompletedAt)) {
         return;
     }
     const auto [found, isNew] = suspects_.try_emplace(suspect.digest);
@@ -113,24 +119,24 @@
         entry.suspect.digest = suspect.digest;
         entry.suspect.account = suspect.account;
     }
-    bool news = isNew;
-    if (suspect.survivedAt && clear(entry.suspect, *suspect.survivedAt)) {
-        news = true;
+    bool changed = isNew;
+    if (suspect.lastCompletedAt && clearCrashes(entry.suspect, *suspect.lastCompletedAt)) {
+        changed = true;
     }
-    for (const UpstreamEnd &end : suspect.ends) {
-        news = addEnd(entry.suspect, end) || news;
+    for (const UpstreamCrash &crash : suspect.crashes) {
+        changed = addCrash(entry.suspect, crash) || changed;
     }
-    if (news) {
-        change(entry);
+    if (changed) {
+        markChanged(entry);
     }
-    if (suspects_.size() > settings_.most) {
-        makeRoom();
+    if (suspects_.size() > settings_.maxEntries) {
+        evictOne();
     }
 }
 
-// Forgets a request of the account that has the most, the one with the fewest ends, and of those
-// the one that changed first.
-void CrashRecord::makeRoom()
+// Evicts an entry of the account that has the most: the one with the fewest crashes, and among
+// those the least recently changed.
+void CrashRecord::evictOne()
 {
     std::unordered_map<std::uint64_t, std::size_t> counts;
     std::uint64_t account = 0;
@@ -144,7 +150,7 @@
     }
     const Entry *least = nullptr;
     const auto rank = [](const Entry &entry) {
-        return std::pair(entry.suspect.ends.size(), entry.changedAt);
+        return std::pair(entry.suspect.crashes.size(), entry.changedAt);
     };
     for (const auto &[digest, entry] : suspects_) {
         const bool fits = entry.suspect.account == account;
@@ -162,11 +168,13 @@
 {
     for (auto next = suspects_.begin(); next != suspects_.end();) {
         CrashSuspect &suspect = next->second.suspect;
-        std::erase_if(suspect.ends,
-                      [&](const UpstreamEnd &end) { return now - end.at > settings_.life; });
-        const bool cleared =
-            suspect.survivedAt && now - *suspect.survivedAt <= settings_.clearingLife;
-        if (suspect.ends.empty() && !cleared) {
+        std::erase_if(suspect.crashes, [&](const UpstreamCrash &crash) {
+            return now - crash.at > settings_.retention;
+        });
+        const bool recentlyCompleted =
+            suspect.lastCompletedAt
+            && now - *suspect.lastCompletedAt <= settings_.completionRetention;
+        if (suspect.crashes.empty() && !recentlyCompleted) {
             byChange_.erase(next->second.changedAt);
             next = suspects_.erase(next);
         } else {
@@ -175,17 +183,19 @@
     }
 }
 
-// Tells whether another request was at all ends of this one.
-bool CrashRecord::sharesAllEnds(const CrashSuspect &suspect) const
+// Returns whether another request was present at all crashes of this one.
+bool CrashRecord::sharesAllCrashes(const CrashSuspect &suspect) const
 {
     return std::any_of(suspects_.begin(), suspects_.end(), [&](const auto &other) {
         const CrashSuspect &candidate = other.second.suspect;
-        const auto wasAt = [&](const UpstreamEnd &end) {
-            return std::any_of(candidate.ends.begin(), candidate.ends.end(),
-                               [&](const UpstreamEnd &its) { return isSameEnd(its, end); });
+        const auto wasPresentAt = [&](const UpstreamCrash &crash) {
+            return std::any_of(candidate.crashes.begin(), candidate.crashes.end(),
+                               [&](const UpstreamCrash &candidateCrash) {
+                                   return isSameCrash(candidateCrash, crash);
+                               });
         };
         return candidate.digest != suspect.digest
-               && std::all_of(suspect.ends.begin(), suspect.ends.end(), wasAt);
+               && std::all_of(suspect.crashes.begin(), suspect.crashes.end(), wasPresentAt);
     });
 }
 
@@ -196,18 +206,18 @@
         return true;
     }
     const CrashSuspect &suspect = found->second.suspect;
-    if (suspect.ends.size() >= settings_.proof) {
+    if (suspect.crashes.size() >= settings_.blockThreshold) {
         return false;
     }
-    const bool suspected = suspect.ends.size() >= settings_.suspicion
-                           && now - suspect.ends.back().at <= settings_.suspicionLife;
-    return !suspected || sharesAllEnds(suspect);
+    const bool suspected = suspect.crashes.size() >= settings_.suspectThreshold
+                           && now - suspect.crashes.back().at <= settings_.suspicionDuration;
+    return !suspected || sharesAllCrashes(suspect);
 }
 
-std::size_t CrashRecord::ends(const RequestDigest &digest) const
+std::size_t CrashRecord::crashCount(const RequestDigest &digest) const
 {
     const auto found = suspects_.find(digest);
-    return found == suspects_.end() ? 0 : found->second.suspect.ends.size();
+    return found == suspects_.end() ? 0 : found->second.suspect.crashes.size();
 }
 
 bool CrashRecord::isKnownCursor(std::uint64_t cursor) const
@@ -221,13 +231,13 @@
     return byChange_.upper_bound(from) != byChange_.end();
 }
 
-CrashRecord::Changes CrashRecord::changedSince(std::uint64_t cursor, std::size_t most) const
+CrashRecord::Changes CrashRecord::changedSince(std::uint64_t cursor, std::size_t maxSuspects) const
 {
     const std::uint64_t from = isKnownCursor(cursor) ? cursor : 0;
     Changes changes;
     changes.cursor = cursor_;
     for (auto next = byChange_.upper_bound(from); next != byChange_.end(); ++next) {
-        if (changes.suspects.size() == most) {
+        if (changes.suspects.size() == maxSuspects) {
             return changes;
         }
         changes.suspects.push_back(suspects_.at(next->second).suspect);
@@ -237,7 +247,7 @@
     return changes;
 }
 
-std::vector<CrashSuspect> CrashRecord::all() const
+std::vector<CrashSuspect> CrashRecord::allSuspects() const
 {
     return changedSince(0, suspects_.size()).suspects;
 }
--- a/src/decision/retry/outlierdetector.cpp
+++ b/src/decision/retry/outlierdetector.cpp
@@ -10,7 +10,7 @@
     states_.erase(agent);
 }
 
-void OutlierDetector::forget(const InstanceId &agent)
+void OutlierDetector::reset(const InstanceId &agent)
 {
     states_.erase(agent);
 }
@@ -20,39 +20,40 @@
     constexpr std::uint32_t kMaxDoublings = 10;
     State &state = states_[agent];
     ++state.failures;
-    const std::uint32_t allowed = state.ejections == 0 ? settings_.failuresInARow : 1;
-    if (state.failures < allowed || now < state.ejectedUntil) {
+    const std::uint32_t threshold = state.ejections == 0 ? settings_.consecutiveFailures : 1;
+    if (state.failures < threshold || now < state.ejectedUntil) {
         return;
     }
     const auto doublings = std::min(state.ejections, kMaxDoublings);
-    const Duration length = settings_.baseEjection * (1LL << doublings);
-    state.ejectedUntil = now + std::min(length, settings_.maxEjection);
+    const Duration duration = settings_.baseEjectionTime * (1LL << doublings);
+    state.ejectedUntil = now + std::min(duration, settings_.maxEjectionTime);
     ++state.ejections;
     state.failures = 0;
 }
 
-bool OutlierDetector::ejected(const InstanceId &agent, TimePoint now) const
+bool OutlierDetector::isEjected(const InstanceId &agent, TimePoint now) const
 {
     const auto found = states_.find(agent);
     return found != states_.end() && now < found->second.ejectedUntil;
 }
 
-std::vector<InstanceId> OutlierDetector::remaining(const std::vector<InstanceId> &candidates,
-                                                   TimePoint now) const
+std::vector<InstanceId> OutlierDetector::filterCandidates(const std::vector<InstanceId> &candidates,
+                                                          TimePoint now) const
 {
     std::vector<InstanceId> kept;
-    std::vector<InstanceId> out;
+    std::vector<InstanceId> ejected;
     for (const InstanceId &agent : candidates) {
-        (ejected(agent, now) ? out : kept).push_back(agent);
+        (isEjected(agent, now) ? ejected : kept).push_back(agent);
     }
     const auto count = static_cast<double>(candidates.size());
-    const auto floor =
-        static_cast<std::size_t>(std::ceil(count * (1.0 - settings_.maxEjectedPart)));
-    std::sort(out.begin(), out.end(), [this](const InstanceId &left, const InstanceId &right) {
-        return states_.at(left).ejectedUntil < states_.at(right).ejectedUntil;
-    });
-    for (const InstanceId &agent : out) {
-        if (kept.size() >= floor) {
+    const auto minKept =
+        static_cast<std::size_t>(std::ceil(count * (1.0 - settings_.maxEjectedFraction)));
+    std::sort(ejected.begin(), ejected.end(),
+              [this](const InstanceId &left, const InstanceId &right) {
+                  return states_.at(left).ejectedUntil < states_.at(right).ejectedUntil;
+              });
+    for (const InstanceId &agent : ejected) {
+        if (kept.size() >= minKept) {
             break;
         }
         kept.push_back(agent);
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -44,7 +44,7 @@
     {
         const auto params = context.getParams();
         const TimePoint askedAt = peers_.loop_.now();
-        peers_.directory_.hear(readGateway(params.getSelf()), askedAt);
+        peers_.directory_.recordSeen(readGateway(params.getSelf()), askedAt);
         const PollRequest pollRequest{ConfigVersion(params.getConfigVersion()),
                                       params.getUpstreamsMark(),
                                       params.getTakesChanges(),
@@ -186,7 +186,7 @@
     request.setUpstreamsMark(storeView_.advertisedMark());
     request.setTakesChanges(true);
     request.setWantsGateways(withGatewayList);
-    request.setGatewaysMark(directory_.mark());
+    request.setGatewaysMark(directory_.digest());
     request.setWaitMicros(maxWait.count());
     link.groupsMark = link.groupsMark == 0 ? groups_.digest() : link.groupsMark;
     request.setGroupsMark(link.groupsMark);
@@ -257,28 +257,28 @@
 
 void GatewayPeers::applyGateways(wire::GatewayNews::Reader reader, TimePoint now)
 {
-    GatewayDirectory::News news;
-    news.mark = reader.getGatewaysMark();
+    GatewayDirectory::GossipUpdate news;
+    news.digest = reader.getGatewaysMark();
     const auto listed = reader.getGateways();
-    directory_.hear(readGateway(listed[0]), now);
+    directory_.recordSeen(readGateway(listed[0]), now);
     for (std::uint32_t index = 1; index < listed.size(); ++index) {
         const TimePoint heardAt = now - Duration(listed[index].getHeardMicrosAgo());
-        news.all.push_back({readGateway(listed[index]), heardAt});
+        news.peers.push_back({readGateway(listed[index]), heardAt});
     }
     const auto ages = reader.getGatewayAges();
     news.ages.assign(ages.begin(), ages.end());
-    directory_.take(news, now);
+    directory_.applyGossip(news, now);
 }
 
 void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t knownMark) const
 {
     const TimePoint now = loop_.now();
-    const GatewayDirectory::News news = directory_.newsFor(knownMark, now);
-    to.setGatewaysMark(news.mark);
-    auto list = to.initGateways(static_cast<std::uint32_t>(news.all.size() + 1));
+    const GatewayDirectory::GossipUpdate news = directory_.gossipFor(knownMark, now);
+    to.setGatewaysMark(news.digest);
+    auto list = to.initGateways(static_cast<std::uint32_t>(news.peers.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
-    for (std::uint32_t index = 0; index < news.all.size(); ++index) {
-        writeGateway(news.all[index].record, now - news.all[index].heardAt, list[index + 1]);
+    for (std::uint32_t index = 0; index < news.peers.size(); ++index) {
+        writeGateway(news.peers[index].record, now - news.peers[index].lastSeen, list[index + 1]);
     }
     to.setGatewayAges(kj::arrayPtr(news.ages.data(), news.ages.size()));
 }
--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -62,7 +62,7 @@
 
 void GatewayPeers::onHasNews(const GatewayRecord &from)
 {
-    directory_.hear(from, loop_.now());
+    directory_.recordSeen(from, loop_.now());
     const SocketAddress address{from.host, from.port};
     Link &link = linkTo(address);
     link.pollAgain = link.polling;
@@ -79,7 +79,7 @@
         return;
     }
     bool allAcknowledged = true;
-    for (const HallId &hall : directory_.halls()) {
+    for (const HallId &hall : directory_.peerHalls()) {
         Announcement &announcement =
             announcements_.try_emplace(hall, Announcement{initialOwnEventCount_}).first->second;
         allAcknowledged = allAcknowledged && announcement.acknowledged == ownEventCount();
@@ -93,7 +93,7 @@
 
 void GatewayPeers::announceTo(const HallId &hall, TimePoint now)
 {
-    const std::optional<InstanceId> first = directory_.firstOf(hall, now);
+    const std::optional<InstanceId> first = directory_.storeFollowerOf(hall, now);
     const GatewayRecord *record = first ? directory_.find(*first) : nullptr;
     if (record == nullptr) {
         return;
--- a/src/gateway/gatewaypeerspermits.cpp
+++ b/src/gateway/gatewaypeerspermits.cpp
@@ -29,7 +29,7 @@
 {
     const TimePoint now = loop_.now();
     const GatewayRecord from = readGateway(permitRequest.getSelf());
-    directory_.hear(from, now);
+    directory_.recordSeen(from, now);
     const LimitReport namedLimit = readLimit(permitRequest.getLimit(), now);
     if (namedLimit.rate) {
         limits_.merge(namedLimit, now);
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -26,7 +26,7 @@
     core.regions = settings.regions;
     core.seed = randomIdentity();
     core.retries = retryLimits(settings.bounds);
-    core.crashes.life = settings.crashRetention;
+    core.crashes.retention = settings.crashRetention;
     core.crashes.seed = randomIdentity();
     core.limits.firstVersion = randomIdentity() | 1U;
     return core;
@@ -248,7 +248,7 @@
                 {{"id", active.facts.requestId},
                  {"digest", toText(digest)},
                  {"account", active.admitted.account.value()},
-                 {"ends", core_.crashes().ends(digest)}});
+                 {"ends", core_.crashes().crashCount(digest)}});
     }
     refuse(active.exchange, active.facts, action.failure, action.outcome, action.retryAfter);
     endRequest(action.request, toString(action.failure));
@@ -329,18 +329,18 @@
 json GatewayService::suspectsStatus() const
 {
     constexpr std::size_t kMaxSuspectsShown = 20;
-    std::vector<CrashSuspect> all = core_.crashes().all();
-    std::erase_if(all, [](const CrashSuspect &suspect) { return suspect.ends.empty(); });
+    std::vector<CrashSuspect> all = core_.crashes().allSuspects();
+    std::erase_if(all, [](const CrashSuspect &suspect) { return suspect.crashes.empty(); });
     std::stable_sort(all.begin(), all.end(), [](const auto &left, const auto &right) {
-        return left.ends.size() > right.ends.size();
+        return left.crashes.size() > right.crashes.size();
     });
     all.resize(std::min(all.size(), kMaxSuspectsShown));
     const TimePoint now = loop_.now();
     json shown = json::array();
     for (const CrashSuspect &suspect : all) {
         shown.push_back({{"digest", toText(suspect.digest)},
-                         {"ends", suspect.ends.size()},
-                         {"lastMsAgo", toMillis(now - suspect.ends.back().at)},
+                         {"ends", suspect.crashes.size()},
+                         {"lastMsAgo", toMillis(now - suspect.crashes.back().at)},
                          {"stopped", !core_.crashes().mayBeSent(suspect.digest, now)}});
     }
     return shown;
@@ -414,7 +414,7 @@
     core_.setRetryLimits(retryLimits(settings_.bounds));
     core_.warmUps().setBounds(settings_.bounds.warmUp);
     settings_.crashRetention = settings.crashRetention;
-    core_.crashes().setLife(settings_.crashRetention);
+    core_.crashes().setRetention(settings_.crashRetention);
     core_.upstreams().setLapseGrace(settings_.times.lapseGrace);
 }
 
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -47,7 +47,7 @@
     std::optional<int> agentPort; // The port of the agents, which run at the engines' addresses.
     std::size_t maxAccountSeries = 300; // The number of accounts with metric series of their own.
     // How long the record is kept that an upstream ended under a request; zero disables it.
-    Duration crashRetention = CrashRecord::Settings().life;
+    Duration crashRetention = CrashRecord::Settings().retention;
     // Limits from the platform's settings, and the timings derived from them.
     GatewayBounds bounds;
     GatewayTimings times = deriveTimings(GatewayBounds());
--- a/src/gateway/grouppoller.cpp
+++ b/src/gateway/grouppoller.cpp
@@ -74,7 +74,7 @@
     const TimePoint now = loop_.now();
     if (active) {
         refreshEngines();
-        for (const std::string &host : survey_.next(engines_, groups_, now)) {
+        for (const std::string &host : survey_.nextHosts(engines_, groups_, now)) {
             poll(host);
         }
     }
--- a/src/gateway/grouppoller.h
+++ b/src/gateway/grouppoller.h
@@ -7,12 +7,12 @@
 // the latency of one connection. Without agents no groups are known, and all upstreams of a service
 // count as one group.
 //
-// GroupSurvey selects the agents to poll. Single-threaded; the constructor's arguments must outlive
-// the object.
+// GroupPollPlanner selects the agents to poll. Single-threaded; the constructor's arguments must
+// outlive the object.
 #pragma once
 
 #include "decision/gateway/grouptable.h"
-#include "decision/membership/groupsurvey.h"
+#include "decision/membership/grouppollplanner.h"
 #include "gateway/gatewaystoreview.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
@@ -65,8 +65,8 @@
     GroupTable &groups_;
     int agentPort_;
     std::unique_ptr<RawTransport> transport_;
-    GroupSurvey survey_;
-    std::vector<GroupSurvey::Engine>
+    GroupPollPlanner survey_;
+    std::vector<GroupPollPlanner::Engine>
         engines_; // Built from the list and configuration that the next two members identify.
     std::uint64_t engineListChanges_ = 0;
     ConfigVersion engineListVersion_;
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -117,7 +117,7 @@
         answered({}); // The upstream states no limit any more and is warmed up.
         return;
     }
-    const InstanceId issuer = directory_.issuerOf(ask.upstream, upstream->hall, now);
+    const InstanceId issuer = directory_.permitIssuerFor(ask.upstream, upstream->hall, now);
     const GatewayRecord *record = directory_.find(issuer);
     if (peers_ == nullptr || record == nullptr) {
         const InstanceId &self = settings_.instance;
@@ -177,10 +177,10 @@
     return now - startedAt_ < (peersLackConfiguration ? kMaxPeerBootstrapWait : kPeerBootstrapWait);
 }
 
-KnowledgeTimes StateSynchronizer::times() const
+StorePollSchedule StateSynchronizer::times() const
 {
     const FreshnessBounds &bounds = knowledge_.freshness();
-    return knowledgeTimes({bounds.keys, bounds.deny});
+    return makeStorePollSchedule({bounds.keys, bounds.deny});
 }
 
 // Returns whether other gateways of the hall query the store on behalf of this one, and this one
@@ -189,7 +189,7 @@
 {
     const bool peersAnswer =
         peers_ != nullptr && now - peers_->lastAnswerAt() < kPeerContactTimeout;
-    return peersAnswer && !hasStoreTurn(directory_.place().index);
+    return peersAnswer && !mayPollStore(directory_.hallPlace().index);
 }
 
 // Returns whether this gateway is due to query the store although it follows another gateway.
@@ -201,7 +201,7 @@
     if (!knowledge_.confirmed()) {
         return !waitsForPeers(now);
     }
-    return knowledge_.age() > storeTurnAge(times(), directory_.place().index);
+    return knowledge_.age() > storePollAge(times(), directory_.hallPlace().index);
 }
 
 void StateSynchronizer::stop()
@@ -222,7 +222,7 @@
         return;
     }
     directory_.expire(now);
-    const InstanceId followed = directory_.follower(now);
+    const InstanceId followed = directory_.localStoreFollower(now);
     const bool followsSelf = followed == settings_.instance;
     // While a site starts, no gateway knows the first of its hall yet. All gateways query the seeds
     // then, so the seeds poll the groups.
@@ -258,8 +258,8 @@
     const bool followsSelf = followed == settings_.instance;
     // A follower's state is normally older than that of a gateway that follows the store, so its
     // threshold is higher.
-    const bool stale =
-        !knowledge_.confirmed() || knowledge_.age() > (followsSelf ? kMaxFreshAge : times().old);
+    const bool stale = !knowledge_.confirmed()
+                       || knowledge_.age() > (followsSelf ? kMaxFreshAge : times().staleAge);
     if (!followsSelf) {
         queryGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
@@ -268,13 +268,13 @@
         // counts as being in contact with its peers.
         listsQueriedAt_ = now;
         queryOtherHalls(now);
-        queryGateway(directory_.another(settings_.instance, now), Duration{},
+        queryGateway(directory_.nextPeer(settings_.instance, now), Duration{},
                      GatewayPeers::ListRequest::Always);
         queryNextSeed();
     }
     if (stale && now - staleQueriedAt_ >= kStaleQueryInterval) {
         staleQueriedAt_ = now;
-        queryGateway(followsSelf ? nextRemoteGateway(now) : directory_.another(followed, now),
+        queryGateway(followsSelf ? nextRemoteGateway(now) : directory_.nextPeer(followed, now),
                      Duration{});
     }
     if (now - seedsQueriedAt_ >= kSeedQueryInterval) {
@@ -306,23 +306,24 @@
 std::optional<InstanceId> StateSynchronizer::nextRemoteGateway(TimePoint now)
 {
     std::vector<InstanceId> candidates;
-    for (const HallId &hall : directory_.halls()) {
-        const auto first = hall == settings_.hall ? std::nullopt : directory_.firstOf(hall, now);
+    for (const HallId &hall : directory_.peerHalls()) {
+        const auto first =
+            hall == settings_.hall ? std::nullopt : directory_.storeFollowerOf(hall, now);
         if (first) {
             candidates.push_back(*first);
         }
     }
     if (candidates.empty()) {
-        return directory_.another(settings_.instance, now);
+        return directory_.nextPeer(settings_.instance, now);
     }
     return candidates[nextHall_++ % candidates.size()];
 }
 
 void StateSynchronizer::queryOtherHalls(TimePoint now)
 {
-    for (const HallId &hall : directory_.halls()) {
+    for (const HallId &hall : directory_.peerHalls()) {
         if (hall != settings_.hall) {
-            queryGateway(directory_.firstOf(hall, now), Duration{},
+            queryGateway(directory_.storeFollowerOf(hall, now), Duration{},
                          GatewayPeers::ListRequest::Always);
         }
     }
@@ -365,7 +366,8 @@
         return;
     }
     StoreWatcher::Settings watchSettings;
-    watchSettings.longPollWait = peers_ == nullptr ? watchSettings.longPollWait : times().watchWait;
+    watchSettings.longPollWait =
+        peers_ == nullptr ? watchSettings.longPollWait : times().watchTimeout;
     watchSettings.coalesceDelay = settings_.storeCoalesceDelay;
     watchSettings.seed = randomIdentity();
     watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, knowledge_, watchSettings);
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -11,7 +11,7 @@
 
 #include "decision/gateway/sendpermits.h"
 #include "decision/membership/gatewaydirectory.h"
-#include "decision/membership/storeturn.h"
+#include "decision/membership/storepollschedule.h"
 #include "gateway/gatewaypeers.h"
 #include "gateway/gatewaystoreview.h"
 #include "gateway/gossipstate.h"
@@ -64,7 +64,7 @@
     bool followsStore() const { return watcher_ != nullptr; }
     std::size_t gateways() const { return directory_.size(); }
     // Returns the position of this gateway among the gateways of its hall.
-    HallPosition place() const { return directory_.place(); }
+    HallPosition place() const { return directory_.hallPlace(); }
 
 private:
     StateSynchronizer(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
@@ -76,7 +76,7 @@
     bool isSeed() const;
     bool isDiscovering(TimePoint now) const;
     bool waitsForPeers(TimePoint now) const;
-    KnowledgeTimes times() const;
+    StorePollSchedule times() const;
     bool isStoreQueryDue(TimePoint now) const;
     bool peersQueryStore(TimePoint now) const;
     void pollGroups(bool active, TimePoint now);
--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -100,9 +100,9 @@
     void recordCrashes(int count)
     {
         for (int index = 0; index < count; ++index) {
-            core->crashes().onEnded(kPoison, kAccount,
-                                    InstanceId("elsewhere-" + std::to_string(index)),
-                                    at(-1000 + index));
+            core->crashes().onUpstreamCrashed(kPoison, kAccount,
+                                              InstanceId("elsewhere-" + std::to_string(index)),
+                                              at(-1000 + index));
         }
     }
 
@@ -189,7 +189,7 @@
     const RequestNumber number = begin(Kind::AtMostOnce);
     core->onHead(number, AnswerKind::Failure, at(20), actions);
     core->onEnd(number, AttemptEnd::Complete, at(20), actions);
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().crashCount(kPoison));
 }
 
 TEST(SuspectRequestTest, RefusalDoesNotClearTheRequest)
@@ -197,7 +197,7 @@
     recordCrashes(1);
     const RequestNumber number = begin(Kind::AtMostOnce);
     core->onHead(number, AnswerKind::Full, at(20), actions);
-    LONGS_EQUAL(1, core->crashes().ends(kPoison));
+    LONGS_EQUAL(1, core->crashes().crashCount(kPoison));
 }
 
 // A planned end is not a crash.
@@ -208,7 +208,7 @@
     leaving.leaving = true;
     core->upstreams().put(leaving);
     crashUnder(number, 50);
-    LONGS_EQUAL(0, core->crashes().ends(kPoison));
+    LONGS_EQUAL(0, core->crashes().crashCount(kPoison));
 }
 
 // The gateway learns of the crash after the caller has disconnected.
@@ -218,7 +218,7 @@
     const InstanceId upstream = last<StartAttempt>()->upstream.id;
     core->onCallerGone(number, actions);
     core->onUpstreamEnded(kPoison, kAccount, upstream, at(50), at(52), actions);
-    LONGS_EQUAL(1, core->crashes().ends(kPoison));
+    LONGS_EQUAL(1, core->crashes().crashCount(kPoison));
 }
 
 TEST(SuspectRequestTest, QueuedSuspectIsRejectedOnceCrashesAreReported)
@@ -274,8 +274,8 @@
 TEST(SuspectRequestTest, SuspectIsNotFailedOverFromASilentUpstream)
 {
     begin(Kind::Repeatable);
-    core->crashes().onEnded(kPoison, kAccount, InstanceId("a"), at(100));
-    core->crashes().onEnded(kPoison, kAccount, InstanceId("b"), at(200));
+    core->crashes().onUpstreamCrashed(kPoison, kAccount, InstanceId("a"), at(100));
+    core->crashes().onUpstreamCrashed(kPoison, kAccount, InstanceId("b"), at(200));
     actions.clear();
     core->onTick(at(300), actions);
     core->onTick(at(7900), actions);
--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -18,174 +18,174 @@
     return {InstanceId(id), HallId(hall), "10.0.0.1", 7000};
 }
 
-// Returns a directory of `self` that has heard of all of `others` at the start.
+// Returns the directory of `self`, which saw all of `others` at 1 ms.
 GatewayDirectory directoryOf(const GatewayRecord &self, const std::vector<GatewayRecord> &others)
 {
     GatewayDirectory directory(self, {});
     for (const GatewayRecord &other : others) {
-        directory.hear(other, at(1));
+        directory.recordSeen(other, at(1));
     }
     return directory;
 }
 
-const std::vector<GatewayRecord> kSite = {gateway("a-1", "a"), gateway("a-2", "a"),
-                                          gateway("a-3", "a"), gateway("b-1", "b"),
-                                          gateway("b-2", "b")};
+const std::vector<GatewayRecord> kGateways = {gateway("a-1", "a"), gateway("a-2", "a"),
+                                              gateway("a-3", "a"), gateway("b-1", "b"),
+                                              gateway("b-2", "b")};
 
 } // namespace
 
 TEST_GROUP(GatewayDirectoryTest){};
 
-TEST(GatewayDirectoryTest, AllGatewaysOfAHallFollowTheSameOne)
+TEST(GatewayDirectoryTest, GatewaysOfAHallChooseSameStoreFollower)
 {
-    std::set<InstanceId> followed;
-    for (const GatewayRecord &self : kSite) {
+    std::set<InstanceId> followers;
+    for (const GatewayRecord &self : kGateways) {
         if (self.hall == HallId("a")) {
-            followed.insert(directoryOf(self, kSite).follower(at(2)));
+            followers.insert(directoryOf(self, kGateways).localStoreFollower(at(2)));
         }
     }
-    LONGS_EQUAL(1, followed.size());
-    CHECK_TRUE(followed.begin()->value().starts_with("a-"));
+    LONGS_EQUAL(1, followers.size());
+    CHECK_TRUE(followers.begin()->value().starts_with("a-"));
 }
 
-TEST(GatewayDirectoryTest, FollowsTheStoreItselfWhenAlone)
+TEST(GatewayDirectoryTest, FollowsStoreItselfWhenAlone)
 {
     GatewayDirectory directory(gateway("a-1", "a"), {});
-    CHECK_TRUE(directory.follower(at(0)) == InstanceId("a-1"));
-    CHECK_FALSE(directory.another(InstanceId(), at(0)).has_value());
+    CHECK_TRUE(directory.localStoreFollower(at(0)) == InstanceId("a-1"));
+    CHECK_FALSE(directory.nextPeer(InstanceId(), at(0)).has_value());
 }
 
-TEST(GatewayDirectoryTest, PassesOverOneThatFailsUntilItMayBeBack)
+TEST(GatewayDirectoryTest, SkipsFailedGatewayUntilCooldownEnds)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    const InstanceId first = directory.follower(at(2));
-    GatewayDirectory other = directoryOf(kSite[first == kSite[0].id ? 1 : 0], kSite);
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    const InstanceId first = directory.localStoreFollower(at(2));
+    GatewayDirectory other = directoryOf(kGateways[first == kGateways[0].id ? 1 : 0], kGateways);
     other.onFailed(first, at(2));
-    CHECK_FALSE(other.follower(at(3)) == first);
-    CHECK_TRUE(other.follower(at(2002)) == first);
+    CHECK_FALSE(other.localStoreFollower(at(3)) == first);
+    CHECK_TRUE(other.localStoreFollower(at(2002)) == first);
 }
 
-TEST(GatewayDirectoryTest, OneThatAnswersAgainIsFollowedAgain)
+TEST(GatewayDirectoryTest, FollowsGatewayAgainOnceItAnswers)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    const InstanceId first = directory.follower(at(2));
-    GatewayDirectory other = directoryOf(kSite[first == kSite[0].id ? 1 : 0], kSite);
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    const InstanceId first = directory.localStoreFollower(at(2));
+    GatewayDirectory other = directoryOf(kGateways[first == kGateways[0].id ? 1 : 0], kGateways);
     other.onFailed(first, at(2));
     other.onAnswered(first, at(10));
-    CHECK_TRUE(other.follower(at(11)) == first);
+    CHECK_TRUE(other.localStoreFollower(at(11)) == first);
 }
 
-TEST(GatewayDirectoryTest, ForgetsThoseThatNobodyHears)
+TEST(GatewayDirectoryTest, EvictsGatewaysNotSeenWithinTimeToLive)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    directory.hear(kSite[1], at(9000));
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    directory.recordSeen(kGateways[1], at(9000));
     directory.expire(at(11'000));
     LONGS_EQUAL(2, directory.size());
-    CHECK_TRUE(directory.find(kSite[1].id) != nullptr);
-    CHECK_TRUE(directory.find(kSite[2].id) == nullptr);
+    CHECK_TRUE(directory.find(kGateways[1].id) != nullptr);
+    CHECK_TRUE(directory.find(kGateways[2].id) == nullptr);
 }
 
-TEST(GatewayDirectoryTest, TakesTheLatestThatWasHeardOfOne)
+TEST(GatewayDirectoryTest, KeepsLatestRecordOfAGateway)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    GatewayRecord moved = kSite[1];
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    GatewayRecord moved = kGateways[1];
     moved.port = 7001;
-    directory.hear(moved, at(5));
-    directory.hear(kSite[1], at(4));
+    directory.recordSeen(moved, at(5));
+    directory.recordSeen(kGateways[1], at(4));
     LONGS_EQUAL(7001, directory.find(moved.id)->port);
 }
 
-TEST(GatewayDirectoryTest, AsksTheOthersInTurn)
+TEST(GatewayDirectoryTest, NextPeerRotatesOverAllPeers)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
     std::set<InstanceId> asked;
-    for (std::size_t turn = 0; turn < kSite.size() - 1; ++turn) {
-        asked.insert(*directory.another(InstanceId(), at(2)));
+    for (std::size_t round = 0; round < kGateways.size() - 1; ++round) {
+        asked.insert(*directory.nextPeer(InstanceId(), at(2)));
     }
-    LONGS_EQUAL(kSite.size() - 1, asked.size());
+    LONGS_EQUAL(kGateways.size() - 1, asked.size());
 }
 
-TEST(GatewayDirectoryTest, AsksOneThatFailedOnlyWhenNoOtherIsLeft)
+TEST(GatewayDirectoryTest, NextPeerReturnsFailedPeersLast)
 {
-    GatewayDirectory directory = directoryOf(kSite[0], {kSite[1], kSite[2]});
-    directory.onFailed(kSite[1].id, at(2));
-    CHECK_TRUE(*directory.another(InstanceId(), at(3)) == kSite[2].id);
-    CHECK_TRUE(*directory.another(InstanceId(), at(3)) == kSite[2].id);
-    CHECK_TRUE(*directory.another(kSite[2].id, at(3)) == kSite[1].id);
+    GatewayDirectory directory = directoryOf(kGateways[0], {kGateways[1], kGateways[2]});
+    directory.onFailed(kGateways[1].id, at(2));
+    CHECK_TRUE(*directory.nextPeer(InstanceId(), at(3)) == kGateways[2].id);
+    CHECK_TRUE(*directory.nextPeer(InstanceId(), at(3)) == kGateways[2].id);
+    CHECK_TRUE(*directory.nextPeer(kGateways[2].id, at(3)) == kGateways[1].id);
 }
 
-TEST(GatewayDirectoryTest, FirstOfEachOtherHallStandsThere)
+TEST(GatewayDirectoryTest, StoreFollowerOfHallIsInThatHall)
 {
-    const GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    for (const HallId &hall : directory.halls()) {
-        CHECK_TRUE(directory.find(*directory.firstOf(hall, at(2)))->hall == hall);
+    const GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    for (const HallId &hall : directory.peerHalls()) {
+        CHECK_TRUE(directory.find(*directory.storeFollowerOf(hall, at(2)))->hall == hall);
     }
-    CHECK_TRUE(directory.halls().contains(HallId("b")));
+    CHECK_TRUE(directory.peerHalls().contains(HallId("b")));
 }
 
-TEST(GatewayDirectoryTest, GatewaysThatKnowTheSameOnesNameThemAlike)
+TEST(GatewayDirectoryTest, DigestDependsOnlyOnKnownGateways)
 {
-    std::set<std::uint64_t> marks;
-    for (const GatewayRecord &self : kSite) {
-        marks.insert(directoryOf(self, kSite).mark());
+    std::set<std::uint64_t> digests;
+    for (const GatewayRecord &self : kGateways) {
+        digests.insert(directoryOf(self, kGateways).digest());
     }
-    UNSIGNED_LONGS_EQUAL(1, marks.size());
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    GatewayRecord moved = kSite[1];
+    UNSIGNED_LONGS_EQUAL(1, digests.size());
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    GatewayRecord moved = kGateways[1];
     moved.port = 7001;
-    directory.hear(moved, at(2));
-    CHECK_FALSE(marks.contains(directory.mark()));
+    directory.recordSeen(moved, at(2));
+    CHECK_FALSE(digests.contains(directory.digest()));
 }
 
-TEST(GatewayDirectoryTest, AgesAreToldToOneThatKnowsTheSameGateways)
+TEST(GatewayDirectoryTest, SendsAgesWhenDigestsMatch)
 {
-    GatewayDirectory teller = directoryOf(kSite[0], kSite);
-    GatewayDirectory asker = directoryOf(kSite[1], kSite);
-    teller.hear(kSite[4], at(6000));
-    const auto news = teller.newsFor(asker.mark(), at(7000));
-    CHECK_TRUE(news.all.empty());
-    CHECK_TRUE(asker.take(news, at(7000)));
-    asker.expire(at(10050)); // Ages are told in steps, and never too young.
-    CHECK_TRUE(asker.find(kSite[4].id) != nullptr);
-    CHECK_TRUE(asker.find(kSite[3].id) == nullptr);
-    CHECK_TRUE(asker.find(kSite[0].id) != nullptr);
-    asker.expire(at(16050));
-    CHECK_TRUE(asker.find(kSite[4].id) == nullptr);
+    GatewayDirectory sender = directoryOf(kGateways[0], kGateways);
+    GatewayDirectory receiver = directoryOf(kGateways[1], kGateways);
+    sender.recordSeen(kGateways[4], at(6000));
+    const auto gossip = sender.gossipFor(receiver.digest(), at(7000));
+    CHECK_TRUE(gossip.peers.empty());
+    CHECK_TRUE(receiver.applyGossip(gossip, at(7000)));
+    receiver.expire(at(10050)); // Ages are rounded up to whole steps of 50 ms.
+    CHECK_TRUE(receiver.find(kGateways[4].id) != nullptr);
+    CHECK_TRUE(receiver.find(kGateways[3].id) == nullptr);
+    CHECK_TRUE(receiver.find(kGateways[0].id) != nullptr);
+    receiver.expire(at(16050));
+    CHECK_TRUE(receiver.find(kGateways[4].id) == nullptr);
 }
 
-TEST(GatewayDirectoryTest, AgesOfAnotherSetAreNotTaken)
+TEST(GatewayDirectoryTest, RejectsAgesForDifferentDigest)
 {
-    GatewayDirectory teller = directoryOf(kSite[0], kSite);
-    GatewayDirectory asker = directoryOf(kSite[1], kSite);
-    const auto news = teller.newsFor(asker.mark(), at(7000));
-    asker.hear(gateway("c-1", "c"), at(7000));
-    CHECK_FALSE(asker.take(news, at(7001)));
+    GatewayDirectory sender = directoryOf(kGateways[0], kGateways);
+    GatewayDirectory receiver = directoryOf(kGateways[1], kGateways);
+    const auto gossip = sender.gossipFor(receiver.digest(), at(7000));
+    receiver.recordSeen(gateway("c-1", "c"), at(7000));
+    CHECK_FALSE(receiver.applyGossip(gossip, at(7001)));
 }
 
-TEST(GatewayDirectoryTest, AllAreToldToOneThatKnowsOthers)
+TEST(GatewayDirectoryTest, SendsFullRecordsWhenDigestsDiffer)
 {
-    GatewayDirectory teller = directoryOf(kSite[0], kSite);
-    GatewayDirectory asker(kSite[1], {});
-    asker.hear(kSite[0], at(1));
-    CHECK_TRUE(asker.take(teller.newsFor(asker.mark(), at(2)), at(2)));
-    UNSIGNED_LONGS_EQUAL(kSite.size(), asker.size());
+    GatewayDirectory sender = directoryOf(kGateways[0], kGateways);
+    GatewayDirectory receiver(kGateways[1], {});
+    receiver.recordSeen(kGateways[0], at(1));
+    CHECK_TRUE(receiver.applyGossip(sender.gossipFor(receiver.digest(), at(2)), at(2)));
+    UNSIGNED_LONGS_EQUAL(kGateways.size(), receiver.size());
 }
 
-TEST(GatewayDirectoryTest, AllAgreeOnTheFirstOfAnotherHallAndPassOverOneThatFails)
+TEST(GatewayDirectoryTest, GatewaysAgreeOnStoreFollowerOfAnotherHall)
 {
-    std::set<InstanceId> firsts;
-    for (const GatewayRecord &self : {kSite[0], kSite[1], kSite[2]}) {
-        firsts.insert(*directoryOf(self, kSite).firstOf(HallId("b"), at(2)));
+    std::set<InstanceId> followers;
+    for (const GatewayRecord &self : {kGateways[0], kGateways[1], kGateways[2]}) {
+        followers.insert(*directoryOf(self, kGateways).storeFollowerOf(HallId("b"), at(2)));
     }
-    LONGS_EQUAL(1, firsts.size());
-    GatewayDirectory directory = directoryOf(kSite[0], kSite);
-    directory.onFailed(*firsts.begin(), at(2));
-    CHECK_TRUE(*directory.firstOf(HallId("b"), at(3)) != *firsts.begin());
-    CHECK_FALSE(directory.firstOf(HallId("nowhere"), at(3)).has_value());
+    LONGS_EQUAL(1, followers.size());
+    GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
+    directory.onFailed(*followers.begin(), at(2));
+    CHECK_TRUE(*directory.storeFollowerOf(HallId("b"), at(3)) != *followers.begin());
+    CHECK_FALSE(directory.storeFollowerOf(HallId("nowhere"), at(3)).has_value());
 }
 
-TEST(GatewayDirectoryTest, NamesTheHallsOfTheOthers)
+TEST(GatewayDirectoryTest, ReturnsHallsOfPeers)
 {
-    LONGS_EQUAL(2, directoryOf(kSite[0], kSite).halls().size());
-    LONGS_EQUAL(0, directoryOf(kSite[0], {}).halls().size());
+    LONGS_EQUAL(2, directoryOf(kGateways[0], kGateways).peerHalls().size());
+    LONGS_EQUAL(0, directoryOf(kGateways[0], {}).peerHalls().size());
 }
--- a/test/decision/membership/linkplan_test.cpp
+++ b/test/decision/membership/linkplan_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace seamarch;
 
-TEST_GROUP(LinkPlanTest){// `agents` for each of three models in each of nine halls.
+TEST_GROUP(LinkPlanTest){// Lists `agents` agents of each of three models in each of nine halls.
                          static InstanceList listOf(int agents){InstanceList list;
 for (int hall = 0; hall < 9; ++hall) {
     for (int model = 0; model < 3; ++model) {
@@ -25,12 +25,12 @@
 }
 ;
 
-TEST(LinkPlanTest, SmallSiteLinksEverything)
+TEST(LinkPlanTest, SmallSiteLinksAllAgents)
 {
     CHECK_EQUAL(27U, chooseLinks(listOf(1), InstanceId("e"), HallId("h0"), {}).size());
 }
 
-TEST(LinkPlanTest, LargeSiteStaysInItsBudget)
+TEST(LinkPlanTest, LargeSiteStaysWithinLinkBudget)
 {
     const auto links = chooseLinks(listOf(28), InstanceId("e"), HallId("h0"), {});
 
@@ -38,7 +38,7 @@
     CHECK(links.size() >= 36);
 }
 
-TEST(LinkPlanTest, EveryAgentIsReachedBySeveralEntriesOfItsHall)
+TEST(LinkPlanTest, EveryAgentIsLinkedBySeveralLocalEntries)
 {
     const InstanceList list = listOf(28);
     std::map<InstanceId, int> reached;
@@ -55,7 +55,7 @@
     }
 }
 
-TEST(LinkPlanTest, OneReplacedAgentChangesFewLinks)
+TEST(LinkPlanTest, RemovedAgentChangesFewLinks)
 {
     InstanceList list = listOf(28);
     const auto before = chooseLinks(list, InstanceId("e"), HallId("h0"), {});
@@ -70,7 +70,7 @@
     CHECK(kept + 1 >= after.size());
 }
 
-TEST(LinkPlanTest, ManyLinksAreAskedLessOften)
+TEST(LinkPlanTest, HeartbeatPeriodGrowsWithLinkCount)
 {
     CHECK(heartbeatPeriod(9, std::chrono::milliseconds(500), {}) == std::chrono::milliseconds(500));
     CHECK(heartbeatPeriod(36, std::chrono::milliseconds(500), {}) == std::chrono::seconds(2));
--- a/test/decision/retry/crashrecord_test.cpp
+++ b/test/decision/retry/crashrecord_test.cpp
@@ -1,6 +1,6 @@
-// The load that this answers: one caller repeats a request that ends each upstream that runs it, at
-// every gateway, while upstreams also end for reasons of their own and take harmless requests
-// along.
+// Tests the detection of poison requests: a caller retries, at every gateway, a request that
+// crashes each upstream that runs it, while upstreams also crash for unrelated reasons and
+// interrupt harmless requests.
 #include "decision/retry/crashrecord.h"
 
 #include <CppUTest/TestHarness.h>
@@ -30,11 +30,11 @@
 
 const AccountId kAccount("bids");
 
-// Hands on everything that `from` knows.
-void tell(const CrashRecord &from, CrashRecord &to)
+// Merges all entries of `from` into `to`.
+void mergeInto(const CrashRecord &from, CrashRecord &to)
 {
-    for (const CrashSuspect &suspect : from.all()) {
-        to.learn(suspect);
+    for (const CrashSuspect &suspect : from.allSuspects()) {
+        to.merge(suspect);
     }
 }
 
@@ -45,145 +45,145 @@
     CrashRecord::Settings settings;
     CrashRecord record{settings};
 
-    void end(std::uint64_t digest, std::uint64_t which, double seconds)
+    void crash(std::uint64_t digest, std::uint64_t upstreamNumber, double seconds)
     {
-        record.onEnded(request(digest), kAccount, upstream(which), at(seconds));
+        record.onUpstreamCrashed(request(digest), kAccount, upstream(upstreamNumber), at(seconds));
     }
 
-    bool sent(std::uint64_t digest, double seconds)
+    bool allowed(std::uint64_t digest, double seconds)
     {
         return record.mayBeSent(request(digest), at(seconds));
     }
 };
 
-TEST(CrashRecordTest, RequestThatNothingIsKnownOfIsSent)
+TEST(CrashRecordTest, AllowsUnknownRequest)
 {
-    CHECK_TRUE(sent(1, 0));
+    CHECK_TRUE(allowed(1, 0));
 }
 
-TEST(CrashRecordTest, OneEndProvesNothing)
+TEST(CrashRecordTest, AllowsRequestAfterOneCrash)
 {
-    end(1, 1, 0);
-    CHECK_TRUE(sent(1, 0.1));
+    crash(1, 1, 0);
+    CHECK_TRUE(allowed(1, 0.1));
 }
 
-TEST(CrashRecordTest, TwoEndsThatNoOtherSharesKeepARequestBackForAWhile)
+TEST(CrashRecordTest, BlocksTemporarilyAfterTwoUnsharedCrashes)
 {
-    end(1, 1, 0);
-    end(2, 1, 0);
-    end(1, 2, 4);
-    CHECK_FALSE(sent(1, 4.1));
-    CHECK_TRUE(sent(2, 4.1));
-    CHECK_TRUE(sent(1, 65));
+    crash(1, 1, 0);
+    crash(2, 1, 0);
+    crash(1, 2, 4);
+    CHECK_FALSE(allowed(1, 4.1));
+    CHECK_TRUE(allowed(2, 4.1));
+    CHECK_TRUE(allowed(1, 65));
 }
 
-TEST(CrashRecordTest, OfTwoThatShareBothEndsTheThirdTellsWhichItWas)
+TEST(CrashRecordTest, ThirdCrashDistinguishesRequestsThatShareTwo)
 {
     for (const std::uint64_t digest : {1, 2}) {
-        end(digest, 1, 0);
-        end(digest, 2, 4);
+        crash(digest, 1, 0);
+        crash(digest, 2, 4);
     }
-    CHECK_TRUE(sent(1, 4.1));
-    CHECK_TRUE(sent(2, 4.1));
-    end(1, 3, 8);
-    CHECK_FALSE(sent(1, 8.1));
-    CHECK_TRUE(sent(2, 8.1));
+    CHECK_TRUE(allowed(1, 4.1));
+    CHECK_TRUE(allowed(2, 4.1));
+    crash(1, 3, 8);
+    CHECK_FALSE(allowed(1, 8.1));
+    CHECK_TRUE(allowed(2, 8.1));
 }
 
-TEST(CrashRecordTest, ThirdEndIsRememberedLongAndNotForEver)
+TEST(CrashRecordTest, BlockAfterThirdCrashEndsWithRetention)
 {
-    for (const std::uint64_t which : {1, 2, 3}) {
-        end(1, which, 4.0 * static_cast<double>(which));
+    for (const std::uint64_t upstreamNumber : {1, 2, 3}) {
+        crash(1, upstreamNumber, 4.0 * static_cast<double>(upstreamNumber));
     }
     record.expire(at(3600));
-    CHECK_FALSE(sent(1, 3600));
+    CHECK_FALSE(allowed(1, 3600));
     record.expire(at(3700));
-    CHECK_TRUE(sent(1, 3700));
+    CHECK_TRUE(allowed(1, 3700));
     LONGS_EQUAL(0, record.size());
 }
 
-TEST(CrashRecordTest, RunThatEndsWellOrBadlyClearsARequest)
+TEST(CrashRecordTest, CompletedRunClearsEarlierCrashes)
 {
-    end(1, 1, 0);
-    end(1, 2, 1);
-    record.onSurvived(request(1), at(2));
-    CHECK_TRUE(sent(1, 2.1));
-    end(1, 3, 3);
-    CHECK_TRUE(sent(1, 3.1));
+    crash(1, 1, 0);
+    crash(1, 2, 1);
+    record.onRequestCompleted(request(1), at(2));
+    CHECK_TRUE(allowed(1, 2.1));
+    crash(1, 3, 3);
+    CHECK_TRUE(allowed(1, 3.1));
 }
 
-TEST(CrashRecordTest, LateWordOfAnEndBeforeTheClearingChangesNothing)
+TEST(CrashRecordTest, IgnoresCrashesBeforeCompletedRun)
 {
-    end(1, 1, 0);
-    record.onSurvived(request(1), at(2));
-    end(1, 2, 1);
-    end(1, 3, 1.5);
-    LONGS_EQUAL(0, record.ends(request(1)));
+    crash(1, 1, 0);
+    record.onRequestCompleted(request(1), at(2));
+    crash(1, 2, 1);
+    crash(1, 3, 1.5);
+    LONGS_EQUAL(0, record.crashCount(request(1)));
 }
 
-// Two copies of a request may be at one upstream when it ends, sent by two gateways.
-TEST(CrashRecordTest, OneEndSeenByTwoGatewaysCountsOnce)
+// Two gateways may each have sent a copy of the request to the upstream that crashes.
+TEST(CrashRecordTest, CountsCrashReportedTwiceOnce)
 {
-    end(1, 1, 0);
-    end(1, 1, 0.2);
-    LONGS_EQUAL(1, record.ends(request(1)));
+    crash(1, 1, 0);
+    crash(1, 1, 0.2);
+    LONGS_EQUAL(1, record.crashCount(request(1)));
 }
 
-TEST(CrashRecordTest, UpstreamThatStartedAgainUnderItsIdEndsAgain)
+TEST(CrashRecordTest, CountsCrashesOfRestartedUpstreamSeparately)
 {
-    end(1, 1, 0);
-    end(1, 1, 4);
-    end(1, 1, 8);
-    LONGS_EQUAL(3, record.ends(request(1)));
+    crash(1, 1, 0);
+    crash(1, 1, 4);
+    crash(1, 1, 8);
+    LONGS_EQUAL(3, record.crashCount(request(1)));
 }
 
-TEST(CrashRecordTest, EndsSeenByThreeGatewaysAddUpInAnyOrder)
+TEST(CrashRecordTest, MergesCrashesOfThreeGatewaysInAnyOrder)
 {
     std::vector<int> order{0, 1, 2};
     do {
         std::vector<CrashRecord> gateways(4, CrashRecord(settings));
         for (std::uint64_t index = 0; index < 3; ++index) {
-            gateways.at(index).onEnded(request(1), kAccount, upstream(index),
-                                       at(static_cast<double>(index)));
+            gateways.at(index).onUpstreamCrashed(request(1), kAccount, upstream(index),
+                                                 at(static_cast<double>(index)));
         }
-        for (const int teller : order) {
-            tell(gateways.at(static_cast<std::size_t>(teller)), gateways.at(3));
-            tell(gateways.at(3), gateways.at(static_cast<std::size_t>(teller)));
+        for (const int source : order) {
+            mergeInto(gateways.at(static_cast<std::size_t>(source)), gateways.at(3));
+            mergeInto(gateways.at(3), gateways.at(static_cast<std::size_t>(source)));
         }
-        LONGS_EQUAL(3, gateways.at(3).ends(request(1)));
+        LONGS_EQUAL(3, gateways.at(3).crashCount(request(1)));
         CHECK_FALSE(gateways.at(3).mayBeSent(request(1), at(3)));
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-TEST(CrashRecordTest, ClearingReachesThoseThatHeardOfTheEndsBefore)
+TEST(CrashRecordTest, MergesCompletedRunAfterCrashes)
 {
     CrashRecord other(settings);
-    end(1, 1, 0);
-    end(1, 2, 1);
-    tell(record, other);
-    other.onSurvived(request(1), at(2));
-    tell(other, record);
-    CHECK_TRUE(sent(1, 2.1));
+    crash(1, 1, 0);
+    crash(1, 2, 1);
+    mergeInto(record, other);
+    other.onRequestCompleted(request(1), at(2));
+    mergeInto(other, record);
+    CHECK_TRUE(allowed(1, 2.1));
     CrashRecord third(settings);
-    third.onEnded(request(1), kAccount, upstream(1), at(0));
-    tell(third, record);
-    LONGS_EQUAL(0, record.ends(request(1)));
+    third.onUpstreamCrashed(request(1), kAccount, upstream(1), at(0));
+    mergeInto(third, record);
+    LONGS_EQUAL(0, record.crashCount(request(1)));
 }
 
-TEST(CrashRecordTest, WhatIsKnownAlreadyIsNoNews)
+TEST(CrashRecordTest, MergingKnownCrashesKeepsCursor)
 {
     CrashRecord other(settings);
-    end(1, 1, 0);
-    tell(record, other);
+    crash(1, 1, 0);
+    mergeInto(record, other);
     const std::uint64_t before = record.cursor();
-    tell(other, record);
+    mergeInto(other, record);
     LONGS_EQUAL(before, record.cursor());
 }
 
-TEST(CrashRecordTest, HandsOnWhatChangedSinceInPieces)
+TEST(CrashRecordTest, ReturnsChangesInBatches)
 {
     for (std::uint64_t digest = 1; digest <= 5; ++digest) {
-        end(digest, digest, 0);
+        crash(digest, digest, 0);
     }
     const auto first = record.changedSince(0, 3);
     LONGS_EQUAL(3, first.suspects.size());
@@ -191,60 +191,61 @@
     const auto rest = record.changedSince(first.cursor, 3);
     LONGS_EQUAL(2, rest.suspects.size());
     CHECK_FALSE(record.hasChangedSince(rest.cursor));
-    end(1, 9, 5);
+    crash(1, 9, 5);
     LONGS_EQUAL(1, record.changedSince(rest.cursor, 3).suspects.size());
 }
 
-TEST(CrashRecordTest, CursorOfAnEarlierLifeMeansFromTheBeginning)
+TEST(CrashRecordTest, CursorOfAnotherProcessReturnsAllChanges)
 {
     CrashRecord::Settings earlier = settings;
     earlier.seed = 0x7000'0000'0000'0000;
     CrashRecord before(earlier);
-    before.onEnded(request(9), kAccount, upstream(9), at(0));
-    end(1, 1, 0);
+    before.onUpstreamCrashed(request(9), kAccount, upstream(9), at(0));
+    crash(1, 1, 0);
     LONGS_EQUAL(1, record.changedSince(before.cursor(), 10).suspects.size());
 }
 
-TEST(CrashRecordTest, AccountThatFillsTheRecordPushesOutItsOwn)
+TEST(CrashRecordTest, EvictsFromAccountWithMostEntries)
 {
-    settings.most = 100;
+    settings.maxEntries = 100;
     record = CrashRecord(settings);
-    end(1, 1, 0);
+    crash(1, 1, 0);
     for (std::uint64_t number = 0; number < 1000; ++number) {
-        record.onEnded(request(1000 + number), AccountId("flood"), upstream(number), at(1));
+        record.onUpstreamCrashed(request(1000 + number), AccountId("flood"), upstream(number),
+                                 at(1));
     }
     LONGS_EQUAL(100, record.size());
-    LONGS_EQUAL(1, record.ends(request(1)));
+    LONGS_EQUAL(1, record.crashCount(request(1)));
 }
 
-TEST(CrashRecordTest, ProofIsForgottenAfterSingleEnds)
+TEST(CrashRecordTest, EvictsEntriesWithFewestCrashesFirst)
 {
-    settings.most = 10;
+    settings.maxEntries = 10;
     record = CrashRecord(settings);
-    for (const std::uint64_t which : {1, 2, 3}) {
-        end(1, which, static_cast<double>(which) * 3);
+    for (const std::uint64_t upstreamNumber : {1, 2, 3}) {
+        crash(1, upstreamNumber, static_cast<double>(upstreamNumber) * 3);
     }
     for (std::uint64_t number = 0; number < 100; ++number) {
-        end(1000 + number, number, 20);
+        crash(1000 + number, number, 20);
     }
-    CHECK_FALSE(sent(1, 21));
+    CHECK_FALSE(allowed(1, 21));
 }
 
-TEST(CrashRecordTest, MemoryThatIsTurnedOffKeepsNothing)
+TEST(CrashRecordTest, ZeroRetentionKeepsNothing)
 {
-    end(1, 1, 0);
-    end(1, 2, 4);
-    record.setLife({});
-    CHECK_TRUE(sent(1, 4.1));
-    end(1, 3, 8);
+    crash(1, 1, 0);
+    crash(1, 2, 4);
+    record.setRetention({});
+    CHECK_TRUE(allowed(1, 4.1));
+    crash(1, 3, 8);
     LONGS_EQUAL(0, record.size());
 }
 
 namespace {
 
-// A group of engines under load while some of them end. A request that fails comes again at the
-// next opening, up to three times, as a gateway and its caller may repeat it; the poison one comes
-// again after every end.
+// Simulates a group of engines under load in which engines crash. A request that fails is retried
+// when the group has started again, up to three times, as a gateway and its caller may do. The
+// poison request is retried after every crash.
 class CrashingGroup
 {
 public:
@@ -252,38 +253,39 @@
     static constexpr std::uint64_t kUpstreams = 12;
     static constexpr std::uint64_t kSlots = 12;
 
-    static constexpr int kRepeats = 3;
+    static constexpr int kMaxRetries = 3;
 
-    CrashingGroup(std::uint64_t seed, bool poison, std::size_t suspicion)
-        : record_(settingsWith(suspicion))
+    CrashingGroup(std::uint64_t seed, bool poison, std::size_t suspectThreshold)
+        : record_(settingsWith(suspectThreshold))
         , random_(seed)
         , poison_(poison)
     {}
 
-    // Plays `rounds` openings of the group, `gap` seconds apart; at each an engine ends.
-    void play(int rounds, double gap)
+    // Simulates `rounds` starts of the group, `intervalSeconds` apart. An engine crashes after each
+    // start, unless the poison request is enabled but blocked.
+    void run(int rounds, double intervalSeconds)
     {
         for (int round = 0; round < rounds; ++round) {
-            now_ += gap;
-            open();
+            now_ += intervalSeconds;
+            startGroup();
         }
     }
 
-    std::uint64_t poisonEnds() const { return poisonEnds_; }
+    std::uint64_t poisonCrashes() const { return poisonCrashes_; }
     std::uint64_t harmlessRefusals() const { return harmlessRefusals_; }
 
 private:
-    static CrashRecord::Settings settingsWith(std::size_t suspicion)
+    static CrashRecord::Settings settingsWith(std::size_t suspectThreshold)
     {
         CrashRecord::Settings settings;
-        settings.suspicion = suspicion;
+        settings.suspectThreshold = suspectThreshold;
         return settings;
     }
 
     std::vector<std::uint64_t> admit()
     {
         std::vector<std::uint64_t> running;
-        for (const auto &[number, times] : comesAgain_) {
+        for (const auto &[number, failures] : retries_) {
             if (record_.mayBeSent(request(number), at(now_))) {
                 running.push_back(number);
             } else {
@@ -297,86 +299,88 @@
         return running;
     }
 
-    void open()
+    void startGroup()
     {
         const std::vector<std::uint64_t> running = admit();
         const bool hit = poison_ && record_.mayBeSent(request(kPoison), at(now_));
         if (poison_ && !hit) {
             for (const std::uint64_t number : running) {
-                record_.onSurvived(request(number), at(now_ + 1));
+                record_.onRequestCompleted(request(number), at(now_ + 1));
             }
-            comesAgain_.clear();
+            retries_.clear();
             return;
         }
-        const std::uint64_t ended = ++lastUpstream_;
+        const std::uint64_t crashedUpstream = ++lastUpstream_;
         for (std::size_t slot = 0; slot < kSlots - 1; ++slot) {
-            record_.onEnded(request(running[slot]), kAccount, upstream(ended), at(now_));
+            record_.onUpstreamCrashed(request(running[slot]), kAccount, upstream(crashedUpstream),
+                                      at(now_));
         }
         if (hit) {
-            ++poisonEnds_;
-            record_.onEnded(request(kPoison), kAccount, upstream(ended), at(now_));
+            ++poisonCrashes_;
+            record_.onUpstreamCrashed(request(kPoison), kAccount, upstream(crashedUpstream),
+                                      at(now_));
         }
-        // All that the group had is cut off with the engine.
+        // The crash of one engine interrupts all requests of the group.
         std::map<std::uint64_t, int> failed;
         for (const std::uint64_t number : running) {
-            const auto before = comesAgain_.find(number);
-            const int times = before == comesAgain_.end() ? 1 : before->second + 1;
-            if (times <= kRepeats) {
-                failed.emplace(number, times);
+            const auto before = retries_.find(number);
+            const int failures = before == retries_.end() ? 1 : before->second + 1;
+            if (failures <= kMaxRetries) {
+                failed.emplace(number, failures);
             }
         }
-        comesAgain_ = std::move(failed);
+        retries_ = std::move(failed);
     }
 
     CrashRecord record_;
     std::mt19937_64 random_;
     bool poison_;
     double now_ = 0.0;
-    std::map<std::uint64_t, int> comesAgain_; // And how often.
+    std::map<std::uint64_t, int> retries_; // By request, the number of its failures.
     std::uint64_t lastRequest_ = 1000;
     std::uint64_t lastUpstream_ = 0;
-    std::uint64_t poisonEnds_ = 0;
+    std::uint64_t poisonCrashes_ = 0;
     std::uint64_t harmlessRefusals_ = 0;
 };
 
-struct Toll
+struct Losses
 {
-    int ends = 0;     // Under the poison request.
-    int refusals = 0; // Of harmless ones.
+    int crashes = 0;  // Caused by the poison request.
+    int refusals = 0; // Of harmless requests.
 };
 
-// Plays 200 groups in which engines end at twelve openings, 4.5 s apart, for as long as the poison
-// request is sent, or all the time by themselves.
-Toll tollOf(bool poison, std::size_t suspicion)
+// Simulates 200 groups with twelve starts each, 4.5 s apart. Engines crash for as long as the
+// poison request is sent or, if `poison` is false, at every start for unrelated reasons.
+Losses lossesOf(bool poison, std::size_t suspectThreshold)
 {
-    Toll toll;
+    Losses losses;
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
-        CrashingGroup group(seed, poison, suspicion);
-        group.play(12, 4.5);
-        toll.ends += static_cast<int>(group.poisonEnds());
-        toll.refusals += static_cast<int>(group.harmlessRefusals());
+        CrashingGroup group(seed, poison, suspectThreshold);
+        group.run(12, 4.5);
+        losses.crashes += static_cast<int>(group.poisonCrashes());
+        losses.refusals += static_cast<int>(group.harmlessRefusals());
     }
-    return toll;
+    return losses;
 }
 
 } // namespace
 
-// Two ways: to refuse at the third end alone, or at the second where no other request shares both.
-// Over 200 groups: 600 engines and 8 harmless requests, or 524 engines and 8.
-TEST(CrashRecordTest, SecondEndSparesEnginesAndCostsNoHarmlessRequestMore)
+// Compares blocking at the third crash only with blocking also at the second crash if no other
+// request shares both. Over 200 groups, the former costs 600 engines and 8 refused harmless
+// requests, the latter 524 engines and 8 requests.
+TEST(CrashRecordTest, BlockingAtSecondCrashSparesEngines)
 {
-    const Toll third = tollOf(true, 3);
-    const Toll second = tollOf(true, 2);
-    LONGS_EQUAL(600, third.ends);
-    CHECK_TRUE(second.ends <= 540);
+    const Losses third = lossesOf(true, 3);
+    const Losses second = lossesOf(true, 2);
+    LONGS_EQUAL(600, third.crashes);
+    CHECK_TRUE(second.crashes <= 540);
     CHECK_TRUE(second.refusals <= third.refusals);
 }
 
-// Engines that end by themselves, twelve one after the other, as fast as their group can open: of
-// 345,600 requests 712 are refused, each after two engines had ended under it; at the third end
-// alone 32.
-TEST(CrashRecordTest, EnginesThatEndByThemselvesMakeFewRequestsSuspect)
+// With twelve unrelated crashes in a row, as fast as the group can start, 712 of 345,600 requests
+// are refused, each after two crashes, and 32 if requests are blocked at the third crash only.
+TEST(CrashRecordTest, UnrelatedCrashesBlockFewRequests)
 {
-    CHECK_TRUE(tollOf(false, 3).refusals <= 40);
-    CHECK_TRUE(tollOf(false, 2).refusals <= 800);
+    CHECK_TRUE(lossesOf(false, 3).refusals <= 40);
+    CHECK_TRUE(lossesOf(false, 2).refusals <= 800);
 }
