--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr int kSplitRounds = 24;
-constexpr int kQuickSplitRounds = 6;
+constexpr int kSearchSplitRounds = 6;
 constexpr double kConverged = 1e-4;
 constexpr double kSlowest = 0.02;
 constexpr std::size_t kHotRanks = 2;
@@ -238,7 +238,7 @@
 
     void consider(Placement changed, std::uint32_t moves)
     {
-        LoadSplit split = Splitter(changed, input_.shares, input_.speeds).run(kQuickSplitRounds);
+        LoadSplit split = Splitter(changed, input_.shares, input_.speeds).run(kSearchSplitRounds);
         const double time = largestTime(split);
         // A swap must win more than a replica does, since it moves twice the weights.
         const double gain = (largestTime(split_) - time) / moves;
