--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -9,7 +9,7 @@
 
 constexpr int kSplitRounds = 24;
 constexpr int kSearchSplitRounds = 6;
-constexpr double kConverged = 1e-4;
+constexpr double kConvergenceThreshold = 1e-4;
 constexpr double kSlowest = 0.02;
 constexpr std::size_t kHotRanks = 2;
 constexpr std::size_t kColdRanks = 6;
@@ -60,7 +60,7 @@
             for (std::size_t expert = 0; expert < shares_.size(); ++expert) {
                 changed += evenOut(expert);
             }
-            if (changed < kConverged) {
+            if (changed < kConvergenceThreshold) {
                 break;
             }
         }
