--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -10,7 +10,7 @@
 constexpr int kSplitRounds = 24;
 constexpr int kSearchSplitRounds = 6;
 constexpr double kConvergenceThreshold = 1e-4;
-constexpr double kSlowest = 0.02;
+constexpr double kMinSpeed = 0.02;
 constexpr std::size_t kHotRanks = 2;
 constexpr std::size_t kColdRanks = 6;
 
@@ -28,7 +28,7 @@
 
 double speedOf(std::span<const double> speeds, std::uint32_t rank)
 {
-    return std::max(kSlowest, speeds[rank]);
+    return std::max(kMinSpeed, speeds[rank]);
 }
 
 // Works out splits by giving one expert after the other the split that evens its own ranks out.
