--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -11,7 +11,7 @@
 constexpr int kSearchSplitRounds = 6;
 constexpr double kConvergenceThreshold = 1e-4;
 constexpr double kMinSpeed = 0.02;
-constexpr std::size_t kHotRanks = 2;
+constexpr std::size_t kHotRanksToTry = 2;
 constexpr std::size_t kColdRanks = 6;
 
 // The slots of each expert.
@@ -185,7 +185,7 @@
     bool run()
     {
         const auto ranks = ranksByTime(split_);
-        const std::size_t hot = std::min(kHotRanks, ranks.size());
+        const std::size_t hot = std::min(kHotRanksToTry, ranks.size());
         const std::size_t cold = std::min(kColdRanks, ranks.size() - hot);
         for (std::size_t h = 0; h < hot; ++h) {
             for (std::size_t c = 0; c < cold; ++c) {
