--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -12,7 +12,7 @@
 constexpr double kConvergenceThreshold = 1e-4;
 constexpr double kMinSpeed = 0.02;
 constexpr std::size_t kHotRanksToTry = 2;
-constexpr std::size_t kColdRanks = 6;
+constexpr std::size_t kColdRanksToTry = 6;
 
 // The slots of each expert.
 using Replicas = std::vector<std::vector<std::uint32_t>>;
@@ -186,7 +186,7 @@
     {
         const auto ranks = ranksByTime(split_);
         const std::size_t hot = std::min(kHotRanksToTry, ranks.size());
-        const std::size_t cold = std::min(kColdRanks, ranks.size() - hot);
+        const std::size_t cold = std::min(kColdRanksToTry, ranks.size() - hot);
         for (std::size_t h = 0; h < hot; ++h) {
             for (std::size_t c = 0; c < cold; ++c) {
                 tryBetween(ranks[h], ranks[ranks.size() - 1 - c]);
