--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -58,7 +58,7 @@
         for (int round = 0; round < rounds; ++round) {
             double changed = 0.0;
             for (std::size_t expert = 0; expert < shares_.size(); ++expert) {
-                changed += evenOut(expert);
+                changed += balanceExpert(expert);
             }
             if (changed < kConvergenceThreshold) {
                 break;
@@ -70,7 +70,7 @@
 
 private:
     // Fills the expert's ranks up to one level of time, like water; returns how much moved.
-    double evenOut(std::size_t expert)
+    double balanceExpert(std::size_t expert)
     {
         const auto &slots = replicas_[expert];
         if (slots.size() < 2) {
