--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -83,7 +83,7 @@
         std::sort(order_.begin(), order_.end(), [this](std::uint32_t left, std::uint32_t right) {
             return baseTime(left) < baseTime(right);
         });
-        const double level = waterLevel(shares_[expert]);
+        const double level = waterFillingLevel(shares_[expert]);
         double moved = 0.0;
         for (const std::uint32_t slot : slots) {
             const std::uint32_t rank = slot / placement_.slots;
@@ -101,7 +101,7 @@
         return load_[rank] / speedOf(speeds_, rank);
     }
 
-    double waterLevel(double amount) const
+    double waterFillingLevel(double amount) const
     {
         double speed = 0.0;
         double held = 0.0;
