--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -64,7 +64,7 @@
                 break;
             }
         }
-        finish();
+        computeRankTimes();
         return std::move(split_);
     }
 
@@ -119,7 +119,7 @@
         return level;
     }
 
-    void finish()
+    void computeRankTimes()
     {
         const double ideal = 1.0 / std::accumulate(speeds_.begin(), speeds_.end(), 0.0);
         double largest = 0.0;
