--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -189,7 +189,7 @@
         const std::size_t cold = std::min(kColdRanksToTry, ranks.size() - hot);
         for (std::size_t h = 0; h < hot; ++h) {
             for (std::size_t c = 0; c < cold; ++c) {
-                tryBetween(ranks[h], ranks[ranks.size() - 1 - c]);
+                tryRankPair(ranks[h], ranks[ranks.size() - 1 - c]);
             }
         }
         return found_;
@@ -200,7 +200,7 @@
     std::uint32_t moves() const { return moves_; }
 
 private:
-    void tryBetween(std::uint32_t hot, std::uint32_t cold)
+    void tryRankPair(std::uint32_t hot, std::uint32_t cold)
     {
         for (std::uint32_t from = 0; from < placement_.slots; ++from) {
             const ExpertIndex expert = placement_.at(hot, from);
