--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -208,14 +208,14 @@
                 continue;
             }
             for (std::uint32_t to = 0; to < placement_.slots; ++to) {
-                tryReplica(expert, cold * placement_.slots + to);
+                tryAddReplica(expert, cold * placement_.slots + to);
                 trySwap(hot * placement_.slots + from, cold * placement_.slots + to);
             }
         }
     }
 
     // Puts one more replica of `expert` in the place of a replica that is not the last of its kind.
-    void tryReplica(ExpertIndex expert, std::uint32_t slot)
+    void tryAddReplica(ExpertIndex expert, std::uint32_t slot)
     {
         if (replicas_[placement_.experts[slot]].size() < 2) {
             return;
