--- a/bench/placementfigures.cpp
+++ b/bench/placementfigures.cpp
@@ -171,7 +171,7 @@
 {
     return [](const Placement &, const PopularityEstimate &estimate,
               const std::vector<double> &speeds) {
-        return freshPlacement(kRanks, kSlots, estimate.shares(), speeds);
+        return greedyPlacement(kRanks, kSlots, estimate.shares(), speeds);
     };
 }
 
--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -287,8 +287,8 @@
     return placement;
 }
 
-Placement freshPlacement(std::uint32_t ranks, std::uint32_t slots, std::span<const double> shares,
-                         std::span<const double> speeds)
+Placement greedyPlacement(std::uint32_t ranks, std::uint32_t slots, std::span<const double> shares,
+                          std::span<const double> speeds)
 {
     const auto experts = static_cast<std::uint32_t>(shares.size());
     std::vector<std::uint32_t> counts(experts, 1);
--- a/src/decision/placement/balancer.h
+++ b/src/decision/placement/balancer.h
@@ -69,8 +69,8 @@
 
 // Returns a placement made from nothing: replicas by popularity, then the heaviest first onto the
 // least loaded rank.
-Placement freshPlacement(std::uint32_t ranks, std::uint32_t slots, std::span<const double> shares,
-                         std::span<const double> speeds);
+Placement greedyPlacement(std::uint32_t ranks, std::uint32_t slots, std::span<const double> shares,
+                          std::span<const double> speeds);
 
 // Returns the split that evens out the step times of a placement.
 LoadSplit splitLoad(const Placement &placement, std::span<const double> shares,
--- a/test/decision/placement/balancer_test.cpp
+++ b/test/decision/placement/balancer_test.cpp
@@ -58,7 +58,7 @@
 
     CHECK(holdsEveryExpert(start, 16));
     CHECK(holdsEveryExpert(result.placement, 16));
-    CHECK(holdsEveryExpert(freshPlacement(8, 3, zipf(16), speeds), 16));
+    CHECK(holdsEveryExpert(greedyPlacement(8, 3, zipf(16), speeds), 16));
 }
 
 TEST(BalancerTest, SplitGivesAwayExactlyAllWork)
