--- a/bench/placementfigures.cpp
+++ b/bench/placementfigures.cpp
@@ -1,5 +1,5 @@
 #include "decision/placement/balancer.h"
-#include "decision/placement/popularity.h"
+#include "decision/placement/popularityestimate.h"
 #include "figures.h"
 
 #include <algorithm>
--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -1,4 +1,4 @@
-#include "decision/placement/popularity.h"
+#include "decision/placement/popularityestimate.h"
 
 #include <algorithm>
 #include <cmath>
