--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -7,7 +7,8 @@
 namespace seamarch {
 namespace {
 
-constexpr double kDriftPart = 0.25;  // Relative difference that drift alone makes within a period.
+constexpr double kDriftFraction =
+    0.25;                            // Relative difference that drift alone makes within a period.
 constexpr double kSpeedWeight = 0.3; // A rank that stalls shows within a few steps.
 
 double total(std::span<const double> values)
@@ -108,7 +109,8 @@
         // Drift differs from day to day and makes small differences; a swing makes large ones.
         const double recurred = there[index] - here[index];
         const double relative = recurred / std::max(here[index], 1e-9);
-        const double trust = relative * relative / (relative * relative + kDriftPart * kDriftPart);
+        const double trust =
+            relative * relative / (relative * relative + kDriftFraction * kDriftFraction);
         shares[index] = std::max(0.0, shares[index] + settings_.profileWeight * trust * recurred);
     }
     normalise(shares);
