--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double kDriftFraction =
-    0.25;                            // Relative difference that drift alone makes within a period.
-constexpr double kSpeedWeight = 0.3; // A rank that stalls shows within a few steps.
+    0.25; // Relative difference that drift alone makes within a period.
+constexpr double kSpeedSmoothing = 0.3; // A rank that stalls shows within a few steps.
 
 double total(std::span<const double> values)
 {
@@ -131,7 +131,7 @@
         return;
     }
     for (std::size_t rank = 0; rank < speeds.size(); ++rank) {
-        speeds_[rank] += kSpeedWeight * (speeds[rank] / median - speeds_[rank]);
+        speeds_[rank] += kSpeedSmoothing * (speeds[rank] / median - speeds_[rank]);
     }
 }
 
