--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -24,7 +24,7 @@
     }
 }
 
-void moveToward(std::vector<double> &average, const std::vector<double> &value, double weight)
+void updateAverage(std::vector<double> &average, const std::vector<double> &value, double weight)
 {
     for (std::size_t index = 0; index < average.size(); ++index) {
         average[index] += weight * (value[index] - average[index]);
@@ -61,14 +61,14 @@
         started_ = true;
     }
     const double passed = std::max(1.0, toSeconds(now - last_));
-    moveToward(fast_, shares, 1.0 - std::exp2(-passed / settings_.fastHalfLifeSeconds));
-    moveToward(slow_, shares, 1.0 - std::exp2(-passed / settings_.slowHalfLifeSeconds));
+    updateAverage(fast_, shares, 1.0 - std::exp2(-passed / settings_.fastHalfLifeSeconds));
+    updateAverage(slow_, shares, 1.0 - std::exp2(-passed / settings_.slowHalfLifeSeconds));
     std::vector<double> &bin = profile_[binAt(now)];
     if (bin.empty()) {
         bin = shares;
     } else {
         constexpr double kProfileWeight = 0.2;
-        moveToward(bin, shares, kProfileWeight);
+        updateAverage(bin, shares, kProfileWeight);
     }
     countsPerPeriod_ = sum;
     last_ = now;
