--- a/bench/placementfigures.cpp
+++ b/bench/placementfigures.cpp
@@ -149,7 +149,7 @@
                     std::poisson_distribution<int>(shares[expert] * kTokensPerPeriod)(random);
             }
             const double seconds = static_cast<double>(period + 1) * kPeriodSeconds;
-            estimate.onCounts(counts, TimePoint(fromSeconds(seconds)));
+            estimate.addCounts(counts, TimePoint(fromSeconds(seconds)));
             const Placement next = policy(placement, estimate, speeds);
             const std::uint32_t moved = movedSlots(placement, next);
             outcome.movedSlots += moved;
--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -47,7 +47,7 @@
     return std::min(kDayBins - 1, static_cast<std::size_t>(part * static_cast<double>(kDayBins)));
 }
 
-void PopularityEstimate::onCounts(std::span<const double> counts, TimePoint now)
+void PopularityEstimate::addCounts(std::span<const double> counts, TimePoint now)
 {
     const double sum = total(counts);
     if (sum <= 0.0 || counts.size() != fast_.size()) {
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -35,7 +35,7 @@
 
     // Takes the tokens that each expert got in a period that ended at `now`. A period whose counts
     // are lost is simply not reported.
-    void onCounts(std::span<const double> counts, TimePoint now);
+    void addCounts(std::span<const double> counts, TimePoint now);
 
     // Returns the share of each expert as estimated now; the shares sum to 1.
     std::vector<double> shares() const;
--- a/test/decision/placement/balancer_test.cpp
+++ b/test/decision/placement/balancer_test.cpp
@@ -129,9 +129,9 @@
 TEST(BalancerTest, PopularityIgnoresAPeriodWithoutCounts)
 {
     PopularityEstimate estimate(2);
-    estimate.onCounts(std::vector<double>{30.0, 10.0}, TimePoint(std::chrono::seconds(300)));
+    estimate.addCounts(std::vector<double>{30.0, 10.0}, TimePoint(std::chrono::seconds(300)));
 
-    estimate.onCounts(std::vector<double>{0.0, 0.0}, TimePoint(std::chrono::seconds(600)));
+    estimate.addCounts(std::vector<double>{0.0, 0.0}, TimePoint(std::chrono::seconds(600)));
 
     DOUBLES_EQUAL(0.75, estimate.shares()[0], 1e-9);
 }
