--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -117,7 +117,7 @@
     return shares;
 }
 
-void RankSpeedEstimate::onStep(std::span<const double> tokens, std::span<const double> seconds)
+void RankSpeedEstimate::addStep(std::span<const double> tokens, std::span<const double> seconds)
 {
     std::vector<double> speeds(speeds_.size(), 0.0);
     for (std::size_t rank = 0; rank < speeds.size(); ++rank) {
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -65,7 +65,7 @@
     {}
 
     // Takes one step: the tokens that each rank had and the seconds that it took for them.
-    void onStep(std::span<const double> tokens, std::span<const double> seconds);
+    void addStep(std::span<const double> tokens, std::span<const double> seconds);
     // Returns each rank's speed; the median rank has 1.
     const std::vector<double> &speeds() const { return speeds_; }
     // Returns the ranks whose speed is below `part` of the median's.
--- a/test/decision/placement/balancer_test.cpp
+++ b/test/decision/placement/balancer_test.cpp
@@ -119,7 +119,7 @@
     const std::vector<double> seconds = {1.0, 1.0, 10.0, 1.0};
 
     for (int step = 0; step < 3; ++step) {
-        estimate.onStep(tokens, seconds);
+        estimate.addStep(tokens, seconds);
     }
 
     CHECK_EQUAL(1U, estimate.slowerThan(0.6).size());
