--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -135,7 +135,7 @@
     }
 }
 
-std::vector<std::size_t> RankSpeedEstimate::slowerThan(double part) const
+std::vector<std::size_t> RankSpeedEstimate::ranksSlowerThan(double part) const
 {
     std::vector<std::size_t> slow;
     for (std::size_t rank = 0; rank < speeds_.size(); ++rank) {
--- a/test/decision/placement/balancer_test.cpp
+++ b/test/decision/placement/balancer_test.cpp
@@ -122,8 +122,8 @@
         estimate.addStep(tokens, seconds);
     }
 
-    CHECK_EQUAL(1U, estimate.slowerThan(0.6).size());
-    CHECK_EQUAL(2U, estimate.slowerThan(0.6).front());
+    CHECK_EQUAL(1U, estimate.ranksSlowerThan(0.6).size());
+    CHECK_EQUAL(2U, estimate.ranksSlowerThan(0.6).front());
 }
 
 TEST(BalancerTest, PopularityIgnoresAPeriodWithoutCounts)
