--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -37,7 +37,7 @@
     : settings_(settings)
     , fast_(experts, 1.0 / static_cast<double>(experts))
     , slow_(fast_)
-    , profile_(kDayBins)
+    , dayProfile_(kDayBins)
 {}
 
 std::size_t PopularityEstimate::binAt(TimePoint time) const
@@ -63,7 +63,7 @@
     const double passed = std::max(1.0, toSeconds(now - last_));
     updateAverage(fast_, shares, 1.0 - std::exp2(-passed / settings_.fastHalfLifeSeconds));
     updateAverage(slow_, shares, 1.0 - std::exp2(-passed / settings_.slowHalfLifeSeconds));
-    std::vector<double> &bin = profile_[binAt(now)];
+    std::vector<double> &bin = dayProfile_[binAt(now)];
     if (bin.empty()) {
         bin = shares;
     } else {
@@ -100,8 +100,8 @@
 std::vector<double> PopularityEstimate::forecast(Duration ahead) const
 {
     std::vector<double> shares = this->shares();
-    const std::vector<double> &here = profile_[binAt(last_)];
-    const std::vector<double> &there = profile_[binAt(last_ + ahead)];
+    const std::vector<double> &here = dayProfile_[binAt(last_)];
+    const std::vector<double> &there = dayProfile_[binAt(last_ + ahead)];
     if (here.empty() || there.empty()) {
         return shares;
     }
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -50,7 +50,7 @@
     Settings settings_;
     std::vector<double> fast_;
     std::vector<double> slow_;
-    std::vector<std::vector<double>> profile_; // By bin of the day; empty until it was seen.
+    std::vector<std::vector<double>> dayProfile_; // By bin of the day; empty until it was seen.
     TimePoint last_{};
     double countsPerPeriod_ = 0.0;
     bool started_ = false;
