--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -101,13 +101,13 @@
 {
     std::vector<double> shares = this->shares();
     const std::vector<double> &currentBin = dayProfile_[binAt(last_)];
-    const std::vector<double> &there = dayProfile_[binAt(last_ + ahead)];
-    if (currentBin.empty() || there.empty()) {
+    const std::vector<double> &targetBin = dayProfile_[binAt(last_ + ahead)];
+    if (currentBin.empty() || targetBin.empty()) {
         return shares;
     }
     for (std::size_t index = 0; index < shares.size(); ++index) {
         // Drift differs from day to day and makes small differences; a swing makes large ones.
-        const double recurred = there[index] - currentBin[index];
+        const double recurred = targetBin[index] - currentBin[index];
         const double relative = recurred / std::max(currentBin[index], 1e-9);
         const double trust =
             relative * relative / (relative * relative + kDriftFraction * kDriftFraction);
