--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -107,11 +107,12 @@
     }
     for (std::size_t index = 0; index < shares.size(); ++index) {
         // Drift differs from day to day and makes small differences; a swing makes large ones.
-        const double recurred = targetBin[index] - currentBin[index];
-        const double relative = recurred / std::max(currentBin[index], 1e-9);
+        const double profileChange = targetBin[index] - currentBin[index];
+        const double relative = profileChange / std::max(currentBin[index], 1e-9);
         const double trust =
             relative * relative / (relative * relative + kDriftFraction * kDriftFraction);
-        shares[index] = std::max(0.0, shares[index] + settings_.profileWeight * trust * recurred);
+        shares[index] =
+            std::max(0.0, shares[index] + settings_.profileWeight * trust * profileChange);
     }
     normalise(shares);
     return shares;
