--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -89,8 +89,8 @@
     std::vector<double> shares(fast_.size());
     const double floor = noise();
     for (std::size_t index = 0; index < shares.size(); ++index) {
-        const double apart = std::abs(fast_[index] - slow_[index]);
-        const double trust = apart / (apart + floor);
+        const double difference = std::abs(fast_[index] - slow_[index]);
+        const double trust = difference / (difference + floor);
         shares[index] = trust * fast_[index] + (1.0 - trust) * slow_[index];
     }
     normalise(shares);
