--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -60,7 +60,7 @@
         slow_ = shares;
         started_ = true;
     }
-    const double passed = std::max(1.0, toSeconds(now - last_));
+    const double passed = std::max(1.0, toSeconds(now - lastCountsAt_));
     updateAverage(fast_, shares, 1.0 - std::exp2(-passed / settings_.fastHalfLifeSeconds));
     updateAverage(slow_, shares, 1.0 - std::exp2(-passed / settings_.slowHalfLifeSeconds));
     std::vector<double> &bin = dayProfile_[binAt(now)];
@@ -71,7 +71,7 @@
         updateAverage(bin, shares, kProfileWeight);
     }
     countsPerPeriod_ = sum;
-    last_ = now;
+    lastCountsAt_ = now;
 }
 
 double PopularityEstimate::noise() const
@@ -100,8 +100,8 @@
 std::vector<double> PopularityEstimate::forecast(Duration ahead) const
 {
     std::vector<double> shares = this->shares();
-    const std::vector<double> &currentBin = dayProfile_[binAt(last_)];
-    const std::vector<double> &targetBin = dayProfile_[binAt(last_ + ahead)];
+    const std::vector<double> &currentBin = dayProfile_[binAt(lastCountsAt_)];
+    const std::vector<double> &targetBin = dayProfile_[binAt(lastCountsAt_ + ahead)];
     if (currentBin.empty() || targetBin.empty()) {
         return shares;
     }
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -51,7 +51,7 @@
     std::vector<double> fast_;
     std::vector<double> slow_;
     std::vector<std::vector<double>> dayProfile_; // By bin of the day; empty until it was seen.
-    TimePoint last_{};
+    TimePoint lastCountsAt_{};
     double countsPerPeriod_ = 0.0;
     bool started_ = false;
 };
