--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -60,9 +60,9 @@
         slow_ = shares;
         started_ = true;
     }
-    const double passed = std::max(1.0, toSeconds(now - lastCountsAt_));
-    updateAverage(fast_, shares, 1.0 - std::exp2(-passed / settings_.fastHalfLifeSeconds));
-    updateAverage(slow_, shares, 1.0 - std::exp2(-passed / settings_.slowHalfLifeSeconds));
+    const double elapsed = std::max(1.0, toSeconds(now - lastCountsAt_));
+    updateAverage(fast_, shares, 1.0 - std::exp2(-elapsed / settings_.fastHalfLifeSeconds));
+    updateAverage(slow_, shares, 1.0 - std::exp2(-elapsed / settings_.slowHalfLifeSeconds));
     std::vector<double> &bin = dayProfile_[binAt(now)];
     if (bin.empty()) {
         bin = shares;
