--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -42,8 +42,8 @@
 
 std::size_t PopularityEstimate::binAt(TimePoint time) const
 {
-    const double ofDay = std::fmod(toSeconds(time.time_since_epoch()), settings_.daySeconds);
-    const double part = ofDay / settings_.daySeconds;
+    const double secondOfDay = std::fmod(toSeconds(time.time_since_epoch()), settings_.daySeconds);
+    const double part = secondOfDay / settings_.daySeconds;
     return std::min(kDayBins - 1, static_cast<std::size_t>(part * static_cast<double>(kDayBins)));
 }
 
