--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -172,7 +172,7 @@
     RunLedger ledger_;
     TicketBook tickets_;
     KeyHome keyHome_;
-    GrantBook grants_;
+    GrantIssuer grants_;
     TargetName keyTarget_; // Keys are honoured for requests to it only.
     std::unordered_map<RequestId, Running> running_;
     std::unordered_map<RequestId, Proof> proofs_;
--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -76,7 +76,7 @@
     return WallMillis(millis);
 }
 
-bool GrantBook::grant(std::uint64_t set, TimePoint now)
+bool GrantIssuer::grant(std::uint64_t set, TimePoint now)
 {
     if (set != promisedSet_ && now < promisedUntil_) {
         return false;
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -59,10 +59,10 @@
 std::optional<WallMillis> keyTime(std::string_view key);
 
 // The granter's side: promises one member set at a time.
-class GrantBook
+class GrantIssuer
 {
 public:
-    explicit GrantBook(Duration lease)
+    explicit GrantIssuer(Duration lease)
         : lease_(lease)
     {}
 
--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -60,7 +60,7 @@
     struct Agent
     {
         std::unique_ptr<KeyHome> home;
-        std::unique_ptr<GrantBook> grants;
+        std::unique_ptr<GrantIssuer> grants;
         TimePoint pausedUntil{};
     };
 
@@ -120,7 +120,7 @@
         settings.lease = kLease;
         Agent &agent = agents_[index];
         agent.home = std::make_unique<KeyHome>(name(index), settings);
-        agent.grants = std::make_unique<GrantBook>(kLease);
+        agent.grants = std::make_unique<GrantIssuer>(kLease);
         if (fault_ != PlantedFault::NoHoldBack) {
             agent.grants->holdBack(now_ + kLease);
         }
