--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -32,7 +32,7 @@
     , grants_(settings.keyHome.lease)
     , tokensPerSecond_(settings.initialTokensPerSecond)
 {
-    grants_.holdBack(now + settings.keyHome.lease);
+    grants_.refuseUntil(now + settings.keyHome.lease);
 }
 
 void AgentCore::applyConfig(const ConfigDocument &document)
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -70,7 +70,7 @@
     bool grant(std::uint64_t set, TimePoint now);
     // Refuses all grants until `until`: a process that has just started cannot know what the
     // incarnation before it promised.
-    void holdBack(TimePoint until) { promisedUntil_ = std::max(promisedUntil_, until); }
+    void refuseUntil(TimePoint until) { promisedUntil_ = std::max(promisedUntil_, until); }
 
 private:
     Duration lease_;
--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -122,7 +122,7 @@
         agent.home = std::make_unique<KeyHome>(name(index), settings);
         agent.grants = std::make_unique<GrantIssuer>(kLease);
         if (fault_ != PlantedFault::NoHoldBack) {
-            agent.grants->holdBack(now_ + kLease);
+            agent.grants->refuseUntil(now_ + kLease);
         }
         agent.home->setMembers(setOf(members));
         agent.home->confirmView(now_);
