--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -13,8 +13,8 @@
 //
 // Two sets that share no member could be in use at once when a whole pool is replaced while its old
 // members live on behind a cut. An agent therefore acts as a home only under a list that the
-// platform has confirmed within `viewLease`, and operators do not replace a whole pool within that
-// time.
+// platform has confirmed within `maxMembersAge`, and operators do not replace a whole pool within
+// that time.
 //
 // When the set changes, the new homes have no record of the old ones' keys. A home accepts only
 // keys that were made after it got its set (`tenure`), with a margin for the callers' clocks; older
@@ -96,7 +96,7 @@
     struct Settings
     {
         Duration lease = std::chrono::seconds(3);
-        Duration viewLease = std::chrono::minutes(10);
+        Duration maxMembersAge = std::chrono::minutes(10);
         WallMillis clockMargin = std::chrono::seconds(2);
         std::size_t maxKeys = 100'000;
     };
