--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -125,7 +125,7 @@
     void setKeyMembers(TargetName target, MemberSet set);
     const MemberSet &keyMembers() const { return keyHome_.members(); }
     // The platform was asked at `at` or later and confirmed that list.
-    void confirmKeyView(TimePoint at) { keyHome_.confirmView(at); }
+    void confirmKeyView(TimePoint at) { keyHome_.confirmMembers(at); }
     // Another agent asks this one to promise a member set.
     bool onGrantAsked(std::uint64_t set, TimePoint now) { return grants_.grant(set, now); }
     // Another agent has promised `set`; it was asked at `askedAt`.
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -110,7 +110,7 @@
                  WallMillis wall);
 
     // The platform was asked at `at` or later and confirmed the list that the set was made from.
-    void confirmView(TimePoint at) { viewConfirmedAt_ = std::max(viewConfirmedAt_, at); }
+    void confirmMembers(TimePoint at) { viewConfirmedAt_ = std::max(viewConfirmedAt_, at); }
 
     // Tells whether every member's grant is in force.
     bool holdsAll(TimePoint now) const;
--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -125,7 +125,7 @@
             agent.grants->refuseUntil(now_ + kLease);
         }
         agent.home->setMembers(setOf(members));
-        agent.home->confirmView(now_);
+        agent.home->confirmMembers(now_);
         ++lives_[index];
     }
 
@@ -265,7 +265,7 @@
     void becomeHome()
     {
         home.setMembers(set);
-        home.confirmView(now);
+        home.confirmMembers(now);
         home.onGrant(InstanceId("a"), set.hash, now, now, wall);
     }
 };
