--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -143,7 +143,7 @@
         return KeyVerdict::SeenBefore;
     }
     const auto time = keyTime(key);
-    const bool viewFresh = now - viewConfirmedAt_ < settings_.maxMembersAge;
+    const bool viewFresh = now - membersConfirmedAt_ < settings_.maxMembersAge;
     if (!time || !tenured_ || !viewFresh || !holdsAll(now)) {
         return KeyVerdict::Unsure;
     }
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -110,7 +110,7 @@
                  WallMillis wall);
 
     // The platform was asked at `at` or later and confirmed the list that the set was made from.
-    void confirmMembers(TimePoint at) { viewConfirmedAt_ = std::max(viewConfirmedAt_, at); }
+    void confirmMembers(TimePoint at) { membersConfirmedAt_ = std::max(membersConfirmedAt_, at); }
 
     // Tells whether every member's grant is in force.
     bool holdsAll(TimePoint now) const;
@@ -130,7 +130,7 @@
     Settings settings_;
     MemberSet set_;
     std::map<InstanceId, TimePoint> grantedUntil_;
-    TimePoint viewConfirmedAt_{};
+    TimePoint membersConfirmedAt_{};
     bool tenured_ = false;
     WallMillis tenure_{}; // Keys at or before this time are refused.
     std::unordered_set<std::string> keys_;
