--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -143,8 +143,8 @@
         return KeyVerdict::SeenBefore;
     }
     const auto time = keyTime(key);
-    const bool viewFresh = now - membersConfirmedAt_ < settings_.maxMembersAge;
-    if (!time || !tenured_ || !viewFresh || !holdsAll(now)) {
+    const bool membersFresh = now - membersConfirmedAt_ < settings_.maxMembersAge;
+    if (!time || !tenured_ || !membersFresh || !holdsAll(now)) {
         return KeyVerdict::Unsure;
     }
     if (rendezvousHome(set_, scoped) != self_) {
