--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -98,7 +98,7 @@
     }
     set_ = std::move(set);
     grantedUntil_.clear();
-    tenured_ = false;
+    active_ = false;
 }
 
 void KeyHome::onGrant(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
@@ -108,13 +108,13 @@
         return;
     }
     // A home that lost a lease may have been replaced meanwhile, so its tenure starts anew.
-    if (tenured_ && !holdsAll(now)) {
-        tenured_ = false;
+    if (active_ && !holdsAll(now)) {
+        active_ = false;
     }
     TimePoint &until = grantedUntil_[member];
     until = std::max(until, askedAt + settings_.lease);
-    if (!tenured_ && holdsAll(now)) {
-        tenured_ = true;
+    if (!active_ && holdsAll(now)) {
+        active_ = true;
         tenure_ = wall + settings_.clockMargin;
     }
 }
@@ -144,7 +144,7 @@
     }
     const auto time = keyTime(key);
     const bool membersFresh = now - membersConfirmedAt_ < settings_.maxMembersAge;
-    if (!time || !tenured_ || !membersFresh || !holdsAll(now)) {
+    if (!time || !active_ || !membersFresh || !holdsAll(now)) {
         return KeyVerdict::Unsure;
     }
     if (rendezvousHome(set_, scoped) != self_) {
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -131,7 +131,7 @@
     MemberSet set_;
     std::map<InstanceId, TimePoint> grantedUntil_;
     TimePoint membersConfirmedAt_{};
-    bool tenured_ = false;
+    bool active_ = false;
     WallMillis tenure_{}; // Keys at or before this time are refused.
     std::unordered_set<std::string> keys_;
     std::deque<std::pair<WallMillis, std::string>> order_;
