--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -115,7 +115,7 @@
     until = std::max(until, askedAt + settings_.lease);
     if (!active_ && holdsAll(now)) {
         active_ = true;
-        tenure_ = wall + settings_.clockMargin;
+        minKeyTime_ = wall + settings_.clockMargin;
     }
 }
 
@@ -151,7 +151,7 @@
         return KeyVerdict::NotHome;
     }
     // A key from the future would pass the test of a later home too.
-    if (*time <= tenure_ || *time > wall + settings_.clockMargin) {
+    if (*time <= minKeyTime_ || *time > wall + settings_.clockMargin) {
         return KeyVerdict::Unsure;
     }
     remember(scoped, *time);
@@ -164,7 +164,7 @@
     order_.emplace_back(time, std::move(scoped));
     while (order_.size() > settings_.maxKeys) {
         // A forgotten key must stay refused, so the tenure moves up to it.
-        tenure_ = std::max(tenure_, order_.front().first);
+        minKeyTime_ = std::max(minKeyTime_, order_.front().first);
         keys_.erase(order_.front().second);
         order_.pop_front();
     }
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -132,7 +132,7 @@
     std::map<InstanceId, TimePoint> grantedUntil_;
     TimePoint membersConfirmedAt_{};
     bool active_ = false;
-    WallMillis tenure_{}; // Keys at or before this time are refused.
+    WallMillis minKeyTime_{}; // Keys at or before this time are refused.
     std::unordered_set<std::string> keys_;
     std::deque<std::pair<WallMillis, std::string>> order_;
 };
