--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -51,7 +51,7 @@
     return best;
 }
 
-std::optional<WallMillis> keyTime(std::string_view key)
+std::optional<WallMillis> uuidV7Time(std::string_view key)
 {
     // The form is xxxxxxxx-xxxx-7xxx-yxxx-xxxxxxxxxxxx; the first 48 bits are the time.
     constexpr std::size_t kUuidLength = 36;
@@ -142,7 +142,7 @@
     if (keys_.contains(scoped)) {
         return KeyVerdict::SeenBefore;
     }
-    const auto time = keyTime(key);
+    const auto time = uuidV7Time(key);
     const bool membersFresh = now - membersConfirmedAt_ < settings_.maxMembersAge;
     if (!time || !active_ || !membersFresh || !holdsAll(now)) {
         return KeyVerdict::Unsure;
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -56,7 +56,7 @@
 std::optional<InstanceId> rendezvousHome(const MemberSet &set, std::string_view key);
 
 // Returns the time inside a key that is an RFC 9562 version 7 UUID; nothing for any other key.
-std::optional<WallMillis> keyTime(std::string_view key);
+std::optional<WallMillis> uuidV7Time(std::string_view key);
 
 // The granter's side: promises one member set at a time.
 class GrantIssuer
--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -330,7 +330,7 @@
             }
         }
         if (!key.empty()) {
-            if (key.size() > kMaxKeyLength || !keyTime(key)) {
+            if (key.size() > kMaxKeyLength || !uuidV7Time(key)) {
                 return bad("expected Idempotency-Key to be a version 7 UUID (RFC 9562)");
             }
             // The key is the caller's own: two accounts may use the same one.
--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -351,7 +351,7 @@
 
 TEST(KeyHomeTest, RefusesAKeyThatIsNoVersionSevenUuid)
 {
-    CHECK_FALSE(keyTime("0190163d-8694-4f3a-8c0a-000000000001").has_value());
-    CHECK_FALSE(keyTime("hello").has_value());
-    CHECK(keyTime("0190163d-8694-7f3a-8c0a-000000000001").has_value());
+    CHECK_FALSE(uuidV7Time("0190163d-8694-4f3a-8c0a-000000000001").has_value());
+    CHECK_FALSE(uuidV7Time("hello").has_value());
+    CHECK(uuidV7Time("0190163d-8694-7f3a-8c0a-000000000001").has_value());
 }
