--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -54,7 +54,7 @@
 }
 
 void AgentCore::onGranted(const InstanceId &member, std::uint64_t set, TimePoint askedAt,
-                          TimePoint now, WallMillis wall)
+                          TimePoint now, UnixMillis wall)
 {
     keyHome_.onGrant(member, set, askedAt, now, wall);
 }
@@ -125,7 +125,7 @@
 }
 
 std::optional<StartVerdict> AgentCore::checkProof(const AgentCall &call, TimePoint now,
-                                                  WallMillis wall)
+                                                  UnixMillis wall)
 {
     if (call.ticket) {
         switch (tickets_.redeem(*call.ticket)) {
@@ -159,7 +159,7 @@
     return std::nullopt;
 }
 
-StartVerdict AgentCore::onCall(const AgentCall &call, TimePoint now, WallMillis wall,
+StartVerdict AgentCore::onCall(const AgentCall &call, TimePoint now, UnixMillis wall,
                                AgentActions &actions)
 {
     if (ledger_.state(call.id) != RunState::Unknown) {
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -90,7 +90,7 @@
     void applyConfig(const ConfigDocument &document);
 
     // A request has arrived.
-    StartVerdict onCall(const AgentCall &call, TimePoint now, WallMillis wall,
+    StartVerdict onCall(const AgentCall &call, TimePoint now, UnixMillis wall,
                         AgentActions &actions);
     // The entry gives a request up. Returns true when it is proved that it did not and will not
     // run. A cancel that means another incarnation proves nothing: its request may have run there.
@@ -130,7 +130,7 @@
     bool onGrantAsked(std::uint64_t set, TimePoint now) { return grants_.grant(set, now); }
     // Another agent has promised `set`; it was asked at `askedAt`.
     void onGranted(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
-                   WallMillis wall);
+                   UnixMillis wall);
     bool holdsAllGrants(TimePoint now) const { return keyHome_.holdsAll(now); }
     Incarnation incarnation() const { return settings_.incarnation; }
     const RunLedger &ledger() const { return ledger_; }
@@ -155,7 +155,7 @@
 
     void refuseAllWaiting(FailureCode failure, Duration retryAfter, AgentActions &actions);
     std::optional<StartVerdict> refuseBeforeProof(const AgentCall &call, TimePoint now) const;
-    std::optional<StartVerdict> checkProof(const AgentCall &call, TimePoint now, WallMillis wall);
+    std::optional<StartVerdict> checkProof(const AgentCall &call, TimePoint now, UnixMillis wall);
     void giveProofBack(RequestId id);
     Duration predictedWait(const AccountId &account) const;
     Duration predictedService(const AccountId &account, Tokens promptTokens,
--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -51,7 +51,7 @@
     return best;
 }
 
-std::optional<WallMillis> uuidV7Time(std::string_view key)
+std::optional<UnixMillis> uuidV7Time(std::string_view key)
 {
     // The form is xxxxxxxx-xxxx-7xxx-yxxx-xxxxxxxxxxxx; the first 48 bits are the time.
     constexpr std::size_t kUuidLength = 36;
@@ -73,7 +73,7 @@
             ++digits;
         }
     }
-    return WallMillis(millis);
+    return UnixMillis(millis);
 }
 
 bool GrantIssuer::grant(std::uint64_t set, TimePoint now)
@@ -102,7 +102,7 @@
 }
 
 void KeyHome::onGrant(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
-                      WallMillis wall)
+                      UnixMillis wall)
 {
     if (set != set_.hash) {
         return;
@@ -136,7 +136,7 @@
 }
 
 KeyVerdict KeyHome::accept(const AccountId &account, std::string_view key, TimePoint now,
-                           WallMillis wall)
+                           UnixMillis wall)
 {
     const std::string scoped = scopedKey(account, key);
     if (keys_.contains(scoped)) {
@@ -158,7 +158,7 @@
     return KeyVerdict::Accept;
 }
 
-void KeyHome::remember(std::string scoped, WallMillis time)
+void KeyHome::remember(std::string scoped, UnixMillis time)
 {
     keys_.insert(scoped);
     order_.emplace_back(time, std::move(scoped));
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -40,7 +40,7 @@
 namespace seamarch {
 
 // Milliseconds since the Unix epoch, as a key carries them.
-using WallMillis = std::chrono::milliseconds;
+using UnixMillis = std::chrono::milliseconds;
 
 // A set of members, named by the hash of its sorted ids.
 struct MemberSet
@@ -56,7 +56,7 @@
 std::optional<InstanceId> rendezvousHome(const MemberSet &set, std::string_view key);
 
 // Returns the time inside a key that is an RFC 9562 version 7 UUID; nothing for any other key.
-std::optional<WallMillis> uuidV7Time(std::string_view key);
+std::optional<UnixMillis> uuidV7Time(std::string_view key);
 
 // The granter's side: promises one member set at a time.
 class GrantIssuer
@@ -97,7 +97,7 @@
     {
         Duration lease = std::chrono::seconds(3);
         Duration maxMembersAge = std::chrono::minutes(10);
-        WallMillis clockMargin = std::chrono::seconds(2);
+        UnixMillis clockMargin = std::chrono::seconds(2);
         std::size_t maxKeys = 100'000;
     };
 
@@ -107,7 +107,7 @@
     void setMembers(MemberSet set);
     // A member granted `set`; the request for it was sent at `askedAt`.
     void onGrant(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
-                 WallMillis wall);
+                 UnixMillis wall);
 
     // The platform was asked at `at` or later and confirmed the list that the set was made from.
     void confirmMembers(TimePoint at) { membersConfirmedAt_ = std::max(membersConfirmedAt_, at); }
@@ -116,7 +116,7 @@
     bool holdsAll(TimePoint now) const;
     // Decides on a request with `key`, and records the key if it is accepted.
     KeyVerdict accept(const AccountId &account, std::string_view key, TimePoint now,
-                      WallMillis wall);
+                      UnixMillis wall);
     // Takes back an accepted key, because its request was refused before it started.
     void withdraw(const AccountId &account, std::string_view key);
 
@@ -124,7 +124,7 @@
     std::size_t size() const { return keys_.size(); }
 
 private:
-    void remember(std::string scoped, WallMillis time);
+    void remember(std::string scoped, UnixMillis time);
 
     InstanceId self_;
     Settings settings_;
@@ -132,9 +132,9 @@
     std::map<InstanceId, TimePoint> grantedUntil_;
     TimePoint membersConfirmedAt_{};
     bool active_ = false;
-    WallMillis minKeyTime_{}; // Keys at or before this time are refused.
+    UnixMillis minKeyTime_{}; // Keys at or before this time are refused.
     std::unordered_set<std::string> keys_;
-    std::deque<std::pair<WallMillis, std::string>> order_;
+    std::deque<std::pair<UnixMillis, std::string>> order_;
 };
 
 } // namespace seamarch
--- a/test/decision/dispatch/dispatchworld.cpp
+++ b/test/decision/dispatch/dispatchworld.cpp
@@ -17,7 +17,7 @@
 const HallId kHall("north");
 const AccountId kAccount("bids");
 
-std::string keyAt(WallMillis wall, std::uint64_t low)
+std::string keyAt(UnixMillis wall, std::uint64_t low)
 {
     const auto millis = static_cast<std::uint64_t>(wall.count());
     return fmt::format("{:08x}-{:04x}-7{:03x}-8{:03x}-{:012x}", millis >> 16U, millis & 0xffffU,
@@ -72,10 +72,10 @@
     return std::uniform_int_distribution<std::size_t>(0, size - 1)(random_);
 }
 
-WallMillis DispatchWorld::wall() const
+UnixMillis DispatchWorld::wall() const
 {
-    constexpr WallMillis kStart(1'700'000'000'000);
-    return kStart + std::chrono::duration_cast<WallMillis>(now_.time_since_epoch());
+    constexpr UnixMillis kStart(1'700'000'000'000);
+    return kStart + std::chrono::duration_cast<UnixMillis>(now_.time_since_epoch());
 }
 
 void DispatchWorld::publishList()
--- a/test/decision/dispatch/dispatchworld.h
+++ b/test/decision/dispatch/dispatchworld.h
@@ -112,7 +112,7 @@
     bool random() const { return options_.scenario == Scenario::Random; }
     bool cut(std::size_t left, std::size_t right) const;
     std::size_t pickIndex(std::size_t size);
-    WallMillis wall() const;
+    UnixMillis wall() const;
 
     void startEntry(std::size_t entry);
     void startAgent(std::size_t agent);
--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -16,7 +16,7 @@
 constexpr Duration kLease = std::chrono::seconds(3);
 const AccountId kAccount("bids");
 
-std::string keyAt(WallMillis wall, std::uint64_t low)
+std::string keyAt(UnixMillis wall, std::uint64_t low)
 {
     const auto millis = static_cast<std::uint64_t>(wall.count());
     return fmt::format("{:08x}-{:04x}-7{:03x}-8{:03x}-{:012x}", millis >> 16U, millis & 0xffffU,
@@ -85,10 +85,10 @@
         return std::chrono::milliseconds(std::uniform_int_distribution<int>(0, highMs)(random_));
     }
 
-    WallMillis wall() const
+    UnixMillis wall() const
     {
-        return WallMillis(1'700'000'000'000)
-               + std::chrono::duration_cast<WallMillis>(now_.time_since_epoch());
+        return UnixMillis(1'700'000'000'000)
+               + std::chrono::duration_cast<UnixMillis>(now_.time_since_epoch());
     }
 
     static std::vector<std::size_t> allMembers() { return {0, 1, 2, 3}; }
@@ -165,7 +165,7 @@
                     if (lives_[index] == life) {
                         const bool late = fault_ == PlantedFault::LeaseFromAnswer;
                         // A tenure that began long ago is one that was forgotten to be renewed.
-                        const WallMillis begun = fault_ == PlantedFault::ForgetTenure
+                        const UnixMillis begun = fault_ == PlantedFault::ForgetTenure
                                                      ? wall() - std::chrono::hours(1)
                                                      : wall();
                         agents_[index].home->onGrant(name(other), set,
@@ -259,7 +259,7 @@
 {
     KeyHome home{InstanceId("a"), {}};
     MemberSet set = makeMemberSet({InstanceId("a")});
-    WallMillis wall{1'700'000'000'000};
+    UnixMillis wall{1'700'000'000'000};
     TimePoint now{std::chrono::seconds(100)};
 
     void becomeHome()
@@ -308,11 +308,11 @@
 {
     becomeHome();
     const TimePoint muchLater = now + std::chrono::minutes(10);
-    const WallMillis later = wall + std::chrono::minutes(10);
+    const UnixMillis later = wall + std::chrono::minutes(10);
     home.onGrant(InstanceId("a"), set.hash, muchLater, muchLater, later);
 
-    CHECK(home.accept(kAccount, keyAt(later + WallMillis(2500), 1), muchLater,
-                      later + WallMillis(2500))
+    CHECK(home.accept(kAccount, keyAt(later + UnixMillis(2500), 1), muchLater,
+                      later + UnixMillis(2500))
           == KeyVerdict::Unsure);
 }
 
@@ -326,7 +326,7 @@
 TEST(KeyHomeTest, AcceptsAYoungKeyOnce)
 {
     becomeHome();
-    const WallMillis later = wall + std::chrono::seconds(2) + WallMillis(1);
+    const UnixMillis later = wall + std::chrono::seconds(2) + UnixMillis(1);
 
     CHECK(home.accept(kAccount, keyAt(later, 1), now, later) == KeyVerdict::Accept);
     CHECK(home.accept(kAccount, keyAt(later, 1), now, later) == KeyVerdict::SeenBefore);
@@ -335,7 +335,7 @@
 TEST(KeyHomeTest, KeepsKeysOfTwoAccountsApart)
 {
     becomeHome();
-    const WallMillis later = wall + std::chrono::seconds(5);
+    const UnixMillis later = wall + std::chrono::seconds(5);
     home.accept(kAccount, keyAt(later, 1), now, later);
 
     CHECK(home.accept(AccountId("other"), keyAt(later, 1), now, later) == KeyVerdict::Accept);
@@ -344,7 +344,7 @@
 TEST(KeyHomeTest, RefusesOnceALeaseHasRunOut)
 {
     becomeHome();
-    const WallMillis later = wall + std::chrono::seconds(5);
+    const UnixMillis later = wall + std::chrono::seconds(5);
 
     CHECK(home.accept(kAccount, keyAt(later, 1), now + kLease, later) == KeyVerdict::Unsure);
 }
