--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -154,11 +154,11 @@
     if (*time <= minKeyTime_ || *time > wall + settings_.clockMargin) {
         return KeyVerdict::Unsure;
     }
-    remember(scoped, *time);
+    record(scoped, *time);
     return KeyVerdict::Accept;
 }
 
-void KeyHome::remember(std::string scoped, UnixMillis time)
+void KeyHome::record(std::string scoped, UnixMillis time)
 {
     keys_.insert(scoped);
     order_.emplace_back(time, std::move(scoped));
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -124,7 +124,7 @@
     std::size_t size() const { return keys_.size(); }
 
 private:
-    void remember(std::string scoped, UnixMillis time);
+    void record(std::string scoped, UnixMillis time);
 
     InstanceId self_;
     Settings settings_;
