--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -161,12 +161,12 @@
 void KeyHome::record(std::string scoped, UnixMillis time)
 {
     keys_.insert(scoped);
-    order_.emplace_back(time, std::move(scoped));
-    while (order_.size() > settings_.maxKeys) {
+    insertionOrder_.emplace_back(time, std::move(scoped));
+    while (insertionOrder_.size() > settings_.maxKeys) {
         // A forgotten key must stay refused, so the tenure moves up to it.
-        minKeyTime_ = std::max(minKeyTime_, order_.front().first);
-        keys_.erase(order_.front().second);
-        order_.pop_front();
+        minKeyTime_ = std::max(minKeyTime_, insertionOrder_.front().first);
+        keys_.erase(insertionOrder_.front().second);
+        insertionOrder_.pop_front();
     }
 }
 
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -134,7 +134,7 @@
     bool active_ = false;
     UnixMillis minKeyTime_{}; // Keys at or before this time are refused.
     std::unordered_set<std::string> keys_;
-    std::deque<std::pair<UnixMillis, std::string>> order_;
+    std::deque<std::pair<UnixMillis, std::string>> insertionOrder_;
 };
 
 } // namespace seamarch
