--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -139,7 +139,7 @@
                            UnixMillis wall)
 {
     const std::string scoped = scopedKey(account, key);
-    if (keys_.contains(scoped)) {
+    if (acceptedKeys_.contains(scoped)) {
         return KeyVerdict::SeenBefore;
     }
     const auto time = uuidV7Time(key);
@@ -160,19 +160,19 @@
 
 void KeyHome::record(std::string scoped, UnixMillis time)
 {
-    keys_.insert(scoped);
+    acceptedKeys_.insert(scoped);
     insertionOrder_.emplace_back(time, std::move(scoped));
     while (insertionOrder_.size() > settings_.maxKeys) {
         // A forgotten key must stay refused, so the tenure moves up to it.
         minKeyTime_ = std::max(minKeyTime_, insertionOrder_.front().first);
-        keys_.erase(insertionOrder_.front().second);
+        acceptedKeys_.erase(insertionOrder_.front().second);
         insertionOrder_.pop_front();
     }
 }
 
 void KeyHome::withdraw(const AccountId &account, std::string_view key)
 {
-    keys_.erase(scopedKey(account, key));
+    acceptedKeys_.erase(scopedKey(account, key));
 }
 
 } // namespace seamarch
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -121,7 +121,7 @@
     void withdraw(const AccountId &account, std::string_view key);
 
     const MemberSet &members() const { return set_; }
-    std::size_t size() const { return keys_.size(); }
+    std::size_t size() const { return acceptedKeys_.size(); }
 
 private:
     void record(std::string scoped, UnixMillis time);
@@ -133,7 +133,7 @@
     TimePoint membersConfirmedAt_{};
     bool active_ = false;
     UnixMillis minKeyTime_{}; // Keys at or before this time are refused.
-    std::unordered_set<std::string> keys_;
+    std::unordered_set<std::string> acceptedKeys_;
     std::deque<std::pair<UnixMillis, std::string>> insertionOrder_;
 };
 
