--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -78,10 +78,10 @@
 
 bool GrantIssuer::grant(std::uint64_t set, TimePoint now)
 {
-    if (set != promisedSet_ && now < promisedUntil_) {
+    if (set != grantedSet_ && now < promisedUntil_) {
         return false;
     }
-    promisedSet_ = set;
+    grantedSet_ = set;
     promisedUntil_ = now + lease_;
     return true;
 }
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -74,7 +74,7 @@
 
 private:
     Duration lease_;
-    std::uint64_t promisedSet_ = 0;
+    std::uint64_t grantedSet_ = 0;
     TimePoint promisedUntil_{};
 };
 
