--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -78,11 +78,11 @@
 
 bool GrantIssuer::grant(std::uint64_t set, TimePoint now)
 {
-    if (set != grantedSet_ && now < promisedUntil_) {
+    if (set != grantedSet_ && now < exclusiveUntil_) {
         return false;
     }
     grantedSet_ = set;
-    promisedUntil_ = now + lease_;
+    exclusiveUntil_ = now + lease_;
     return true;
 }
 
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -70,12 +70,12 @@
     bool grant(std::uint64_t set, TimePoint now);
     // Refuses all grants until `until`: a process that has just started cannot know what the
     // incarnation before it promised.
-    void refuseUntil(TimePoint until) { promisedUntil_ = std::max(promisedUntil_, until); }
+    void refuseUntil(TimePoint until) { exclusiveUntil_ = std::max(exclusiveUntil_, until); }
 
 private:
     Duration lease_;
     std::uint64_t grantedSet_ = 0;
-    TimePoint promisedUntil_{};
+    TimePoint exclusiveUntil_{};
 };
 
 // Returns the name of a key among all accounts' keys: two accounts may use the same one.
