--- a/src/decision/once/runledger.cpp
+++ b/src/decision/once/runledger.cpp
@@ -16,7 +16,7 @@
     }
     const auto floor = floors_.find(id.entry);
     const bool below = floor != floors_.end() && id.counter <= floor->second;
-    return below ? RunState::Forgotten : RunState::Unknown;
+    return below ? RunState::Evicted : RunState::Unknown;
 }
 
 bool RunLedger::enqueue(RequestId id)
@@ -59,7 +59,7 @@
         return true;
     case RunState::Started:
     case RunState::Finished:
-    case RunState::Forgotten:
+    case RunState::Evicted:
         // A forgotten request may have been a finished one.
         return false;
     }
--- a/src/decision/once/runledger.h
+++ b/src/decision/once/runledger.h
@@ -18,7 +18,7 @@
 namespace seamarch {
 
 // What the ledger knows of a request.
-enum class RunState { Unknown, Queued, Started, Finished, Tombstone, Forgotten };
+enum class RunState { Unknown, Queued, Started, Finished, Tombstone, Evicted };
 
 class RunLedger
 {
--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -43,7 +43,7 @@
         ledger.finish(request(counter));
     }
 
-    CHECK(ledger.state(request(1)) == RunState::Forgotten);
+    CHECK(ledger.state(request(1)) == RunState::Evicted);
     CHECK_FALSE(ledger.enqueue(request(1)));
     CHECK_FALSE(ledger.cancel(request(1)));
     CHECK_EQUAL(2U, ledger.size());
