--- a/src/decision/once/runledger.cpp
+++ b/src/decision/once/runledger.cpp
@@ -71,11 +71,11 @@
     states_[id] = state;
     closed_.push_back(id);
     while (closed_.size() > capacity_) {
-        forgetOldest();
+        evictOldest();
     }
 }
 
-void RunLedger::forgetOldest()
+void RunLedger::evictOldest()
 {
     const RequestId oldest = closed_.front();
     closed_.pop_front();
--- a/src/decision/once/runledger.h
+++ b/src/decision/once/runledger.h
@@ -45,7 +45,7 @@
 
 private:
     void close(RequestId id, RunState state);
-    void forgetOldest();
+    void evictOldest();
 
     std::size_t capacity_;
     std::unordered_map<RequestId, RunState> states_;
