--- a/src/decision/once/runledger.h
+++ b/src/decision/once/runledger.h
@@ -41,7 +41,7 @@
 
     std::size_t size() const { return states_.size(); }
     // Returns the number of entry incarnations that have a floor.
-    std::size_t floors() const { return floors_.size(); }
+    std::size_t incarnationsWithEvictions() const { return floors_.size(); }
 
 private:
     void close(RequestId id, RunState state);
