--- a/src/decision/once/runledger.cpp
+++ b/src/decision/once/runledger.cpp
@@ -14,8 +14,8 @@
     if (found != states_.end()) {
         return found->second;
     }
-    const auto floor = floors_.find(id.entry);
-    const bool below = floor != floors_.end() && id.counter <= floor->second;
+    const auto floor = evictedUpTo_.find(id.entry);
+    const bool below = floor != evictedUpTo_.end() && id.counter <= floor->second;
     return below ? RunState::Evicted : RunState::Unknown;
 }
 
@@ -80,7 +80,7 @@
     const RequestId oldest = closed_.front();
     closed_.pop_front();
     states_.erase(oldest);
-    const auto [floor, added] = floors_.try_emplace(oldest.entry, oldest.counter);
+    const auto [floor, added] = evictedUpTo_.try_emplace(oldest.entry, oldest.counter);
     floor->second = std::max(floor->second, oldest.counter);
 }
 
--- a/src/decision/once/runledger.h
+++ b/src/decision/once/runledger.h
@@ -41,7 +41,7 @@
 
     std::size_t size() const { return states_.size(); }
     // Returns the number of entry incarnations that have a floor.
-    std::size_t incarnationsWithEvictions() const { return floors_.size(); }
+    std::size_t incarnationsWithEvictions() const { return evictedUpTo_.size(); }
 
 private:
     void close(RequestId id, RunState state);
@@ -52,7 +52,7 @@
     std::deque<RequestId> closed_; // Oldest first.
     // Sixteen bytes for each incarnation of an entry that was ever met: at 140 replacements a day
     // an agent that lives for a year keeps less than two megabytes of them.
-    std::unordered_map<Incarnation, std::uint64_t> floors_;
+    std::unordered_map<Incarnation, std::uint64_t> evictedUpTo_;
 };
 
 } // namespace seamarch
