--- a/src/decision/once/runledger.cpp
+++ b/src/decision/once/runledger.cpp
@@ -69,16 +69,16 @@
 void RunLedger::close(RequestId id, RunState state)
 {
     states_[id] = state;
-    closed_.push_back(id);
-    while (closed_.size() > capacity_) {
+    closedOrder_.push_back(id);
+    while (closedOrder_.size() > capacity_) {
         evictOldest();
     }
 }
 
 void RunLedger::evictOldest()
 {
-    const RequestId oldest = closed_.front();
-    closed_.pop_front();
+    const RequestId oldest = closedOrder_.front();
+    closedOrder_.pop_front();
     states_.erase(oldest);
     const auto [floor, added] = evictedUpTo_.try_emplace(oldest.entry, oldest.counter);
     floor->second = std::max(floor->second, oldest.counter);
--- a/src/decision/once/runledger.h
+++ b/src/decision/once/runledger.h
@@ -49,7 +49,7 @@
 
     std::size_t capacity_;
     std::unordered_map<RequestId, RunState> states_;
-    std::deque<RequestId> closed_; // Oldest first.
+    std::deque<RequestId> closedOrder_; // Oldest first.
     // Sixteen bytes for each incarnation of an entry that was ever met: at 140 replacements a day
     // an agent that lives for a year keeps less than two megabytes of them.
     std::unordered_map<Incarnation, std::uint64_t> evictedUpTo_;
