--- a/src/decision/once/runledger.cpp
+++ b/src/decision/once/runledger.cpp
@@ -15,8 +15,8 @@
         return found->second;
     }
     const auto floor = evictedUpTo_.find(id.entry);
-    const bool below = floor != evictedUpTo_.end() && id.counter <= floor->second;
-    return below ? RunState::Evicted : RunState::Unknown;
+    const bool evicted = floor != evictedUpTo_.end() && id.counter <= floor->second;
+    return evicted ? RunState::Evicted : RunState::Unknown;
 }
 
 bool RunLedger::enqueue(RequestId id)
