--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -225,8 +225,8 @@
         return metrics;
     });
     const double ticket = bytesEach(20'000, [](int count) {
-        auto book = std::make_unique<TicketBook>(InstanceId("a"), Incarnation(1), 1,
-                                                 static_cast<std::size_t>(count));
+        auto book = std::make_unique<TicketIssuer>(InstanceId("a"), Incarnation(1), 1,
+                                                   static_cast<std::size_t>(count));
         for (int each = 0; each < count; ++each) {
             book->issue();
         }
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -170,7 +170,7 @@
     Settings settings_;
     FairQueue queue_;
     RunLedger ledger_;
-    TicketBook tickets_;
+    TicketIssuer tickets_;
     KeyHome keyHome_;
     GrantIssuer grants_;
     TargetName keyTarget_; // Keys are honoured for requests to it only.
--- a/src/decision/once/ticketbook.cpp
+++ b/src/decision/once/ticketbook.cpp
@@ -47,15 +47,15 @@
                   Incarnation(*incarnation), *secret};
 }
 
-TicketBook::TicketBook(InstanceId agent, Incarnation incarnation, std::uint64_t seed,
-                       std::size_t capacity)
+TicketIssuer::TicketIssuer(InstanceId agent, Incarnation incarnation, std::uint64_t seed,
+                           std::size_t capacity)
     : agent_(std::move(agent))
     , incarnation_(incarnation)
     , random_(seed)
     , capacity_(capacity)
 {}
 
-Ticket TicketBook::issue()
+Ticket TicketIssuer::issue()
 {
     std::uint64_t secret = random_();
     while (secret == 0 || spent_.contains(secret)) {
@@ -70,7 +70,7 @@
     return {agent_, incarnation_, secret};
 }
 
-TicketVerdict TicketBook::redeem(const Ticket &ticket)
+TicketVerdict TicketIssuer::redeem(const Ticket &ticket)
 {
     if (ticket.incarnation != incarnation_ || ticket.agent != agent_) {
         return TicketVerdict::Unknown;
@@ -86,7 +86,7 @@
     return TicketVerdict::Fresh;
 }
 
-void TicketBook::restore(const Ticket &ticket)
+void TicketIssuer::restore(const Ticket &ticket)
 {
     const auto found = spent_.find(ticket.secret);
     if (found != spent_.end() && ticket.incarnation == incarnation_) {
--- a/src/decision/once/ticketbook.h
+++ b/src/decision/once/ticketbook.h
@@ -44,10 +44,11 @@
 
 // The agent's side: issues tickets and redeems each once. Bounded: the oldest are forgotten, and a
 // forgotten ticket is refused.
-class TicketBook
+class TicketIssuer
 {
 public:
-    TicketBook(InstanceId agent, Incarnation incarnation, std::uint64_t seed, std::size_t capacity);
+    TicketIssuer(InstanceId agent, Incarnation incarnation, std::uint64_t seed,
+                 std::size_t capacity);
 
     Ticket issue();
     // Spends the ticket if it is fresh.
--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -51,7 +51,7 @@
 
 TEST_GROUP(TicketBookTest)
 {
-    TicketBook book{InstanceId("portal.1"), Incarnation(7), 42, 2};
+    TicketIssuer book{InstanceId("portal.1"), Incarnation(7), 42, 2};
 };
 
 TEST(TicketBookTest, RedeemsATicketOnce)
