--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -49,12 +49,12 @@
     CHECK_EQUAL(2U, ledger.size());
 }
 
-TEST_GROUP(TicketBookTest)
+TEST_GROUP(TicketIssuerTest)
 {
     TicketIssuer book{InstanceId("portal.1"), Incarnation(7), 42, 2};
 };
 
-TEST(TicketBookTest, RedeemsATicketOnce)
+TEST(TicketIssuerTest, RedeemsATicketOnce)
 {
     const Ticket ticket = book.issue();
 
@@ -62,7 +62,7 @@
     CHECK(book.redeem(ticket) == TicketVerdict::Spent);
 }
 
-TEST(TicketBookTest, ForgetsTheOldestAndRefusesIt)
+TEST(TicketIssuerTest, ForgetsTheOldestAndRefusesIt)
 {
     const Ticket oldest = book.issue();
     book.issue();
@@ -71,7 +71,7 @@
     CHECK(book.redeem(oldest) == TicketVerdict::Unknown);
 }
 
-TEST(TicketBookTest, RefusesATicketOfAnotherIncarnation)
+TEST(TicketIssuerTest, RefusesATicketOfAnotherIncarnation)
 {
     Ticket ticket = book.issue();
     ticket.incarnation = Incarnation(8);
@@ -79,7 +79,7 @@
     CHECK(book.redeem(ticket) == TicketVerdict::Unknown);
 }
 
-TEST(TicketBookTest, ReadsWhatItWrites)
+TEST(TicketIssuerTest, ReadsWhatItWrites)
 {
     const Ticket ticket = book.issue();
 
