--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -51,37 +51,37 @@
 
 TEST_GROUP(TicketIssuerTest)
 {
-    TicketIssuer book{InstanceId("portal.1"), Incarnation(7), 42, 2};
+    TicketIssuer issuer{InstanceId("portal.1"), Incarnation(7), 42, 2};
 };
 
 TEST(TicketIssuerTest, RedeemsATicketOnce)
 {
-    const Ticket ticket = book.issue();
+    const Ticket ticket = issuer.issue();
 
-    CHECK(book.redeem(ticket) == TicketVerdict::Fresh);
-    CHECK(book.redeem(ticket) == TicketVerdict::Spent);
+    CHECK(issuer.redeem(ticket) == TicketVerdict::Fresh);
+    CHECK(issuer.redeem(ticket) == TicketVerdict::Spent);
 }
 
 TEST(TicketIssuerTest, ForgetsTheOldestAndRefusesIt)
 {
-    const Ticket oldest = book.issue();
-    book.issue();
-    book.issue();
+    const Ticket oldest = issuer.issue();
+    issuer.issue();
+    issuer.issue();
 
-    CHECK(book.redeem(oldest) == TicketVerdict::Unknown);
+    CHECK(issuer.redeem(oldest) == TicketVerdict::Unknown);
 }
 
 TEST(TicketIssuerTest, RefusesATicketOfAnotherIncarnation)
 {
-    Ticket ticket = book.issue();
+    Ticket ticket = issuer.issue();
     ticket.incarnation = Incarnation(8);
 
-    CHECK(book.redeem(ticket) == TicketVerdict::Unknown);
+    CHECK(issuer.redeem(ticket) == TicketVerdict::Unknown);
 }
 
 TEST(TicketIssuerTest, ReadsWhatItWrites)
 {
-    const Ticket ticket = book.issue();
+    const Ticket ticket = issuer.issue();
 
     const auto read = parseTicket(formatTicket(ticket));
 
