--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -11,7 +11,7 @@
 #include "decision/membership/membertable.h"
 #include "decision/once/keyhome.h"
 #include "decision/once/runledger.h"
-#include "decision/once/ticketbook.h"
+#include "decision/once/ticketissuer.h"
 #include "seamarch/configdocument.h"
 #include "seamarch/ids.h"
 #include "seamarch/outcome.h"
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -14,7 +14,7 @@
 #include "decision/admission/tokenbucket.h"
 #include "decision/membership/membertable.h"
 #include "decision/once/keyhome.h"
-#include "decision/once/ticketbook.h"
+#include "decision/once/ticketissuer.h"
 #include "decision/retry/crashrecord.h"
 #include "decision/retry/outlierdetector.h"
 #include "decision/retry/retrybudget.h"
--- a/src/decision/once/ticketissuer.cpp
+++ b/src/decision/once/ticketissuer.cpp
@@ -1,4 +1,4 @@
-#include "decision/once/ticketbook.h"
+#include "decision/once/ticketissuer.h"
 
 #include <charconv>
 #include <fmt/format.h>
--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -1,6 +1,6 @@
 #include "decision/once/runledger.h"
 
-#include "decision/once/ticketbook.h"
+#include "decision/once/ticketissuer.h"
 
 #include <CppUTest/TestHarness.h>
 
--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -5,7 +5,7 @@
 #include "config/parse.h"
 #include "config/plan.h"
 #include "config/versioned.h"
-#include "decision/once/ticketbook.h"
+#include "decision/once/ticketissuer.h"
 #include "entry/callerfilters.h"
 
 #include <cstddef>
