--- a/src/decision/once/ticketissuer.cpp
+++ b/src/decision/once/ticketissuer.cpp
@@ -58,13 +58,13 @@
 Ticket TicketIssuer::issue()
 {
     std::uint64_t secret = random_();
-    while (secret == 0 || spent_.contains(secret)) {
+    while (secret == 0 || spentBySecret_.contains(secret)) {
         secret = random_();
     }
-    spent_.emplace(secret, false);
+    spentBySecret_.emplace(secret, false);
     order_.push_back(secret);
     if (order_.size() > capacity_) {
-        spent_.erase(order_.front());
+        spentBySecret_.erase(order_.front());
         order_.pop_front();
     }
     return {agent_, incarnation_, secret};
@@ -75,8 +75,8 @@
     if (ticket.incarnation != incarnation_ || ticket.agent != agent_) {
         return TicketVerdict::Unknown;
     }
-    const auto found = spent_.find(ticket.secret);
-    if (found == spent_.end()) {
+    const auto found = spentBySecret_.find(ticket.secret);
+    if (found == spentBySecret_.end()) {
         return TicketVerdict::Unknown;
     }
     if (found->second) {
@@ -88,8 +88,8 @@
 
 void TicketIssuer::restore(const Ticket &ticket)
 {
-    const auto found = spent_.find(ticket.secret);
-    if (found != spent_.end() && ticket.incarnation == incarnation_) {
+    const auto found = spentBySecret_.find(ticket.secret);
+    if (found != spentBySecret_.end() && ticket.incarnation == incarnation_) {
         found->second = false;
     }
 }
--- a/src/decision/once/ticketissuer.h
+++ b/src/decision/once/ticketissuer.h
@@ -61,8 +61,8 @@
     Incarnation incarnation_;
     std::mt19937_64 random_;
     std::size_t capacity_;
-    std::unordered_map<std::uint64_t, bool> spent_; // By secret.
-    std::deque<std::uint64_t> order_;               // Oldest first.
+    std::unordered_map<std::uint64_t, bool> spentBySecret_; // By secret.
+    std::deque<std::uint64_t> order_;                       // Oldest first.
 };
 
 } // namespace seamarch
