--- a/src/decision/once/ticketissuer.cpp
+++ b/src/decision/once/ticketissuer.cpp
@@ -62,10 +62,10 @@
         secret = random_();
     }
     spentBySecret_.emplace(secret, false);
-    order_.push_back(secret);
-    if (order_.size() > capacity_) {
-        spentBySecret_.erase(order_.front());
-        order_.pop_front();
+    issueOrder_.push_back(secret);
+    if (issueOrder_.size() > capacity_) {
+        spentBySecret_.erase(issueOrder_.front());
+        issueOrder_.pop_front();
     }
     return {agent_, incarnation_, secret};
 }
--- a/src/decision/once/ticketissuer.h
+++ b/src/decision/once/ticketissuer.h
@@ -62,7 +62,7 @@
     std::mt19937_64 random_;
     std::size_t capacity_;
     std::unordered_map<std::uint64_t, bool> spentBySecret_; // By secret.
-    std::deque<std::uint64_t> order_;                       // Oldest first.
+    std::deque<std::uint64_t> issueOrder_;                  // Oldest first.
 };
 
 } // namespace seamarch
