--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -43,8 +43,9 @@
 std::size_t PopularityEstimate::binAt(TimePoint time) const
 {
     const double secondOfDay = std::fmod(toSeconds(time.time_since_epoch()), settings_.daySeconds);
-    const double part = secondOfDay / settings_.daySeconds;
-    return std::min(kDayBins - 1, static_cast<std::size_t>(part * static_cast<double>(kDayBins)));
+    const double fraction = secondOfDay / settings_.daySeconds;
+    return std::min(kDayBins - 1,
+                    static_cast<std::size_t>(fraction * static_cast<double>(kDayBins)));
 }
 
 void PopularityEstimate::addCounts(std::span<const double> counts, TimePoint now)
@@ -136,11 +137,11 @@
     }
 }
 
-std::vector<std::size_t> RankSpeedEstimate::ranksSlowerThan(double part) const
+std::vector<std::size_t> RankSpeedEstimate::ranksSlowerThan(double fraction) const
 {
     std::vector<std::size_t> slow;
     for (std::size_t rank = 0; rank < speeds_.size(); ++rank) {
-        if (speeds_[rank] < part) {
+        if (speeds_[rank] < fraction) {
             slow.push_back(rank);
         }
     }
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -69,7 +69,7 @@
     // Returns each rank's speed; the median rank has 1.
     const std::vector<double> &speeds() const { return speeds_; }
     // Returns the ranks whose speed is below `part` of the median's.
-    std::vector<std::size_t> ranksSlowerThan(double part) const;
+    std::vector<std::size_t> ranksSlowerThan(double fraction) const;
 
 private:
     std::vector<double> speeds_;
