--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -108,18 +108,18 @@
         return;
     }
     // A home that lost a lease may have been replaced meanwhile, so its tenure starts anew.
-    if (active_ && !holdsAll(now)) {
+    if (active_ && !holdsAllGrants(now)) {
         active_ = false;
     }
     TimePoint &until = grantedUntil_[member];
     until = std::max(until, askedAt + settings_.lease);
-    if (!active_ && holdsAll(now)) {
+    if (!active_ && holdsAllGrants(now)) {
         active_ = true;
         minKeyTime_ = wall + settings_.clockMargin;
     }
 }
 
-bool KeyHome::holdsAll(TimePoint now) const
+bool KeyHome::holdsAllGrants(TimePoint now) const
 {
     if (set_.members.empty()) {
         return false;
@@ -144,7 +144,7 @@
     }
     const auto time = uuidV7Time(key);
     const bool membersFresh = now - membersConfirmedAt_ < settings_.maxMembersAge;
-    if (!time || !active_ || !membersFresh || !holdsAll(now)) {
+    if (!time || !active_ || !membersFresh || !holdsAllGrants(now)) {
         return KeyVerdict::Unsure;
     }
     if (rendezvousHome(set_, scoped) != self_) {
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -113,7 +113,7 @@
     void confirmMembers(TimePoint at) { membersConfirmedAt_ = std::max(membersConfirmedAt_, at); }
 
     // Tells whether every member's grant is in force.
-    bool holdsAll(TimePoint now) const;
+    bool holdsAllGrants(TimePoint now) const;
     // Decides on a request with `key`, and records the key if it is accepted.
     KeyVerdict accept(const AccountId &account, std::string_view key, TimePoint now,
                       UnixMillis wall);
