--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -131,7 +131,7 @@
     // Another agent has promised `set`; it was asked at `askedAt`.
     void onGranted(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
                    UnixMillis wall);
-    bool holdsAllGrants(TimePoint now) const { return keyHome_.holdsAll(now); }
+    bool holdsAllGrants(TimePoint now) const { return keyHome_.holdsAllGrants(now); }
     Incarnation incarnation() const { return settings_.incarnation; }
     const RunLedger &ledger() const { return ledger_; }
 
