--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -5,7 +5,8 @@
 namespace seamarch {
 namespace {
 
-constexpr double kDefaultRate = 1000.0; // Cost a second, until an agent has reported its own.
+constexpr double kDefaultTokensPerSecond =
+    1000.0; // Cost a second, until an agent has reported its own.
 
 } // namespace
 
@@ -58,7 +59,7 @@
 
 double LoadEstimate::rate() const
 {
-    return report_.tokensPerSecond > 0.0 ? report_.tokensPerSecond : kDefaultRate;
+    return report_.tokensPerSecond > 0.0 ? report_.tokensPerSecond : kDefaultTokensPerSecond;
 }
 
 double LoadEstimate::queued(TimePoint now) const
