--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -14,12 +14,12 @@
 {
     report_ = report;
     reportedAt_ = askedAt;
-    costSince_ = 0.0;
+    costSinceReport_ = 0.0;
     sentSince_ = 0;
     endedSince_ = 0;
     for (const auto &[id, sent] : inFlight_) {
         if (sent.at >= askedAt) {
-            costSince_ += sent.cost;
+            costSinceReport_ += sent.cost;
             ++sentSince_;
         }
     }
@@ -28,7 +28,7 @@
 void LoadEstimate::onSent(RequestId id, double cost, TimePoint now)
 {
     inFlight_[id] = {cost, now};
-    costSince_ += cost;
+    costSinceReport_ += cost;
     ++sentSince_;
 }
 
@@ -40,7 +40,7 @@
     }
     const Sent &sent = found->second;
     if (sent.at >= reportedAt_) {
-        costSince_ = std::max(0.0, costSince_ - sent.cost);
+        costSinceReport_ = std::max(0.0, costSinceReport_ - sent.cost);
         sentSince_ -= sentSince_ > 0 ? 1 : 0;
     } else {
         ++endedSince_;
@@ -52,7 +52,7 @@
 {
     inFlight_.clear();
     report_ = {};
-    costSince_ = 0.0;
+    costSinceReport_ = 0.0;
     sentSince_ = 0;
     endedSince_ = 0;
 }
@@ -72,7 +72,7 @@
 {
     const double worked = toSeconds(now - reportedAt_) * rate();
     const auto reported = static_cast<double>(report_.queuedTokens + report_.runningTokens);
-    return std::max(0.0, reported - worked) + costSince_;
+    return std::max(0.0, reported - worked) + costSinceReport_;
 }
 
 double LoadEstimate::freeSlots() const
@@ -90,7 +90,7 @@
     // The next slot to come free is the first of those that run; what is queued goes before.
     const double slots = std::max<double>(1.0, report_.slots);
     const double firstEnd = static_cast<double>(report_.runningTokens) / slots;
-    return fromSeconds((queued(now) + costSince_ + firstEnd) / rate());
+    return fromSeconds((queued(now) + costSinceReport_ + firstEnd) / rate());
 }
 
 } // namespace seamarch
