--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -15,12 +15,12 @@
     report_ = report;
     reportedAt_ = askedAt;
     costSinceReport_ = 0.0;
-    sentSince_ = 0;
+    sentSinceReport_ = 0;
     endedSince_ = 0;
     for (const auto &[id, sent] : inFlight_) {
         if (sent.at >= askedAt) {
             costSinceReport_ += sent.cost;
-            ++sentSince_;
+            ++sentSinceReport_;
         }
     }
 }
@@ -29,7 +29,7 @@
 {
     inFlight_[id] = {cost, now};
     costSinceReport_ += cost;
-    ++sentSince_;
+    ++sentSinceReport_;
 }
 
 void LoadEstimate::onEnded(RequestId id)
@@ -41,7 +41,7 @@
     const Sent &sent = found->second;
     if (sent.at >= reportedAt_) {
         costSinceReport_ = std::max(0.0, costSinceReport_ - sent.cost);
-        sentSince_ -= sentSince_ > 0 ? 1 : 0;
+        sentSinceReport_ -= sentSinceReport_ > 0 ? 1 : 0;
     } else {
         ++endedSince_;
     }
@@ -53,7 +53,7 @@
     inFlight_.clear();
     report_ = {};
     costSinceReport_ = 0.0;
-    sentSince_ = 0;
+    sentSinceReport_ = 0;
     endedSince_ = 0;
 }
 
@@ -78,7 +78,7 @@
 double LoadEstimate::freeSlots() const
 {
     const double taken = static_cast<double>(report_.runningRequests) + report_.queuedRequests
-                         + sentSince_ - endedSince_;
+                         + sentSinceReport_ - endedSince_;
     return static_cast<double>(report_.slots) - std::max(0.0, taken);
 }
 
