--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -16,7 +16,7 @@
     reportedAt_ = askedAt;
     costSinceReport_ = 0.0;
     sentSinceReport_ = 0;
-    endedSince_ = 0;
+    endedSinceReport_ = 0;
     for (const auto &[id, sent] : inFlight_) {
         if (sent.at >= askedAt) {
             costSinceReport_ += sent.cost;
@@ -43,7 +43,7 @@
         costSinceReport_ = std::max(0.0, costSinceReport_ - sent.cost);
         sentSinceReport_ -= sentSinceReport_ > 0 ? 1 : 0;
     } else {
-        ++endedSince_;
+        ++endedSinceReport_;
     }
     inFlight_.erase(found);
 }
@@ -54,7 +54,7 @@
     report_ = {};
     costSinceReport_ = 0.0;
     sentSinceReport_ = 0;
-    endedSince_ = 0;
+    endedSinceReport_ = 0;
 }
 
 double LoadEstimate::rate() const
@@ -78,7 +78,7 @@
 double LoadEstimate::freeSlots() const
 {
     const double taken = static_cast<double>(report_.runningRequests) + report_.queuedRequests
-                         + sentSinceReport_ - endedSince_;
+                         + sentSinceReport_ - endedSinceReport_;
     return static_cast<double>(report_.slots) - std::max(0.0, taken);
 }
 
--- a/src/decision/routing/loadestimate.h
+++ b/src/decision/routing/loadestimate.h
@@ -48,7 +48,7 @@
     // Sent after the report was asked for and not yet ended.
     double costSinceReport_ = 0.0;
     std::uint32_t sentSinceReport_ = 0;
-    std::uint32_t endedSince_ = 0; // Of those that the report counts.
+    std::uint32_t endedSinceReport_ = 0; // Of those that the report counts.
     std::unordered_map<RequestId, Sent> inFlight_;
 };
 
