--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -38,7 +38,7 @@
     if (found == inFlight_.end()) {
         return;
     }
-    const Sent &sent = found->second;
+    const SentRequest &sent = found->second;
     if (sent.at >= reportedAt_) {
         costSinceReport_ = std::max(0.0, costSinceReport_ - sent.cost);
         sentSinceReport_ -= sentSinceReport_ > 0 ? 1 : 0;
--- a/src/decision/routing/loadestimate.h
+++ b/src/decision/routing/loadestimate.h
@@ -34,7 +34,7 @@
     std::uint32_t inFlight() const { return static_cast<std::uint32_t>(inFlight_.size()); }
 
 private:
-    struct Sent
+    struct SentRequest
     {
         double cost = 0.0;
         TimePoint at;
@@ -49,7 +49,7 @@
     double costSinceReport_ = 0.0;
     std::uint32_t sentSinceReport_ = 0;
     std::uint32_t endedSinceReport_ = 0; // Of those that the report counts.
-    std::unordered_map<RequestId, Sent> inFlight_;
+    std::unordered_map<RequestId, SentRequest> inFlight_;
 };
 
 } // namespace seamarch
