--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -18,7 +18,7 @@
     sentSinceReport_ = 0;
     endedSinceReport_ = 0;
     for (const auto &[id, sent] : inFlight_) {
-        if (sent.at >= askedAt) {
+        if (sent.sentAt >= askedAt) {
             costSinceReport_ += sent.cost;
             ++sentSinceReport_;
         }
@@ -39,7 +39,7 @@
         return;
     }
     const SentRequest &sent = found->second;
-    if (sent.at >= reportedAt_) {
+    if (sent.sentAt >= reportedAt_) {
         costSinceReport_ = std::max(0.0, costSinceReport_ - sent.cost);
         sentSinceReport_ -= sentSinceReport_ > 0 ? 1 : 0;
     } else {
--- a/src/decision/routing/loadestimate.h
+++ b/src/decision/routing/loadestimate.h
@@ -37,7 +37,7 @@
     struct SentRequest
     {
         double cost = 0.0;
-        TimePoint at;
+        TimePoint sentAt;
     };
 
     double rate() const;
