--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -13,7 +13,7 @@
 void LoadEstimate::onReport(const AgentReport &report, TimePoint askedAt)
 {
     report_ = report;
-    reportedAt_ = askedAt;
+    reportRequestedAt_ = askedAt;
     costSinceReport_ = 0.0;
     sentSinceReport_ = 0;
     endedSinceReport_ = 0;
@@ -39,7 +39,7 @@
         return;
     }
     const SentRequest &sent = found->second;
-    if (sent.sentAt >= reportedAt_) {
+    if (sent.sentAt >= reportRequestedAt_) {
         costSinceReport_ = std::max(0.0, costSinceReport_ - sent.cost);
         sentSinceReport_ -= sentSinceReport_ > 0 ? 1 : 0;
     } else {
@@ -64,13 +64,13 @@
 
 double LoadEstimate::queued(TimePoint now) const
 {
-    const double worked = toSeconds(now - reportedAt_) * rate();
+    const double worked = toSeconds(now - reportRequestedAt_) * rate();
     return std::max(0.0, static_cast<double>(report_.queuedTokens) - worked);
 }
 
 double LoadEstimate::pending(TimePoint now) const
 {
-    const double worked = toSeconds(now - reportedAt_) * rate();
+    const double worked = toSeconds(now - reportRequestedAt_) * rate();
     const auto reported = static_cast<double>(report_.queuedTokens + report_.runningTokens);
     return std::max(0.0, reported - worked) + costSinceReport_;
 }
--- a/src/decision/routing/loadestimate.h
+++ b/src/decision/routing/loadestimate.h
@@ -44,7 +44,7 @@
     double queued(TimePoint now) const;
 
     AgentReport report_;
-    TimePoint reportedAt_{};
+    TimePoint reportRequestedAt_{};
     // Sent after the report was asked for and not yet ended.
     double costSinceReport_ = 0.0;
     std::uint32_t sentSinceReport_ = 0;
