--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -62,7 +62,7 @@
     return report_.tokensPerSecond > 0.0 ? report_.tokensPerSecond : kDefaultTokensPerSecond;
 }
 
-double LoadEstimate::queued(TimePoint now) const
+double LoadEstimate::queuedCost(TimePoint now) const
 {
     const double worked = toSeconds(now - reportRequestedAt_) * rate();
     return std::max(0.0, static_cast<double>(report_.queuedTokens) - worked);
@@ -90,7 +90,7 @@
     // The next slot to come free is the first of those that run; what is queued goes before.
     const double slots = std::max<double>(1.0, report_.slots);
     const double firstEnd = static_cast<double>(report_.runningTokens) / slots;
-    return fromSeconds((queued(now) + costSinceReport_ + firstEnd) / rate());
+    return fromSeconds((queuedCost(now) + costSinceReport_ + firstEnd) / rate());
 }
 
 } // namespace seamarch
--- a/src/decision/routing/loadestimate.h
+++ b/src/decision/routing/loadestimate.h
@@ -41,7 +41,7 @@
     };
 
     double rate() const;
-    double queued(TimePoint now) const;
+    double queuedCost(TimePoint now) const;
 
     AgentReport report_;
     TimePoint reportRequestedAt_{};
