--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -68,7 +68,7 @@
     return std::max(0.0, static_cast<double>(report_.queuedTokens) - worked);
 }
 
-double LoadEstimate::pending(TimePoint now) const
+double LoadEstimate::pendingCost(TimePoint now) const
 {
     const double worked = toSeconds(now - reportRequestedAt_) * rate();
     const auto reported = static_cast<double>(report_.queuedTokens + report_.runningTokens);
--- a/src/decision/routing/loadestimate.h
+++ b/src/decision/routing/loadestimate.h
@@ -26,7 +26,7 @@
     void reset();
 
     // Returns the estimated cost of all that is queued or running at `now`.
-    double pending(TimePoint now) const;
+    double pendingCost(TimePoint now) const;
     // Returns the estimated number of slots that a new request would find free; may be negative.
     double freeSlots() const;
     // Returns how long a request that is sent now is expected to wait for its start.
