--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -236,7 +236,7 @@
     const LoadEstimate &load = loads_[id];
     RouteCandidate candidate;
     candidate.agent = id;
-    candidate.pendingCost = load.pending(now);
+    candidate.pendingCost = load.pendingCost(now);
     candidate.wait = load.expectedWait(now);
     candidate.ownInFlight = load.inFlight();
     candidate.readiness = readiness(member, now);
