--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -57,20 +57,20 @@
     endedSinceReport_ = 0;
 }
 
-double LoadEstimate::rate() const
+double LoadEstimate::processingRate() const
 {
     return report_.tokensPerSecond > 0.0 ? report_.tokensPerSecond : kDefaultTokensPerSecond;
 }
 
 double LoadEstimate::queuedCost(TimePoint now) const
 {
-    const double worked = toSeconds(now - reportRequestedAt_) * rate();
+    const double worked = toSeconds(now - reportRequestedAt_) * processingRate();
     return std::max(0.0, static_cast<double>(report_.queuedTokens) - worked);
 }
 
 double LoadEstimate::pendingCost(TimePoint now) const
 {
-    const double worked = toSeconds(now - reportRequestedAt_) * rate();
+    const double worked = toSeconds(now - reportRequestedAt_) * processingRate();
     const auto reported = static_cast<double>(report_.queuedTokens + report_.runningTokens);
     return std::max(0.0, reported - worked) + costSinceReport_;
 }
@@ -90,7 +90,7 @@
     // The next slot to come free is the first of those that run; what is queued goes before.
     const double slots = std::max<double>(1.0, report_.slots);
     const double firstEnd = static_cast<double>(report_.runningTokens) / slots;
-    return fromSeconds((queuedCost(now) + costSinceReport_ + firstEnd) / rate());
+    return fromSeconds((queuedCost(now) + costSinceReport_ + firstEnd) / processingRate());
 }
 
 } // namespace seamarch
--- a/src/decision/routing/loadestimate.h
+++ b/src/decision/routing/loadestimate.h
@@ -40,7 +40,7 @@
         TimePoint sentAt;
     };
 
-    double rate() const;
+    double processingRate() const;
     double queuedCost(TimePoint now) const;
 
     AgentReport report_;
