--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -64,15 +64,15 @@
 
 double LoadEstimate::queuedCost(TimePoint now) const
 {
-    const double worked = toSeconds(now - reportRequestedAt_) * processingRate();
-    return std::max(0.0, static_cast<double>(report_.queuedTokens) - worked);
+    const double processed = toSeconds(now - reportRequestedAt_) * processingRate();
+    return std::max(0.0, static_cast<double>(report_.queuedTokens) - processed);
 }
 
 double LoadEstimate::pendingCost(TimePoint now) const
 {
-    const double worked = toSeconds(now - reportRequestedAt_) * processingRate();
+    const double processed = toSeconds(now - reportRequestedAt_) * processingRate();
     const auto reported = static_cast<double>(report_.queuedTokens + report_.runningTokens);
-    return std::max(0.0, reported - worked) + costSinceReport_;
+    return std::max(0.0, reported - processed) + costSinceReport_;
 }
 
 double LoadEstimate::freeSlots() const
