--- a/src/decision/routing/prefixindex.cpp
+++ b/src/decision/routing/prefixindex.cpp
@@ -5,7 +5,7 @@
 
 namespace seamarch {
 
-void PrefixIndex::learn(std::uint64_t prefix, const InstanceId &agent, TimePoint now)
+void PrefixIndex::recordHolder(std::uint64_t prefix, const InstanceId &agent, TimePoint now)
 {
     const auto [entry, added] = entries_.try_emplace(prefix);
     if (!added) {
