--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -147,7 +147,7 @@
     ++request.attempts;
     loads_[request.agent].onSent(id, expectedCost(request.request), now);
     if (request.request.prefixHash != 0) {
-        prefixes_.learn(request.request.prefixHash, request.agent, now);
+        prefixes_.recordHolder(request.request.prefixHash, request.agent, now);
     }
     actions.emplace_back(
         SendCall{id, request.agent, request.agentIncarnation, request.deadline - now});
