--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -212,7 +212,8 @@
     const double prefix = bytesEach(20'000, [](int count) {
         auto index = std::make_unique<PrefixIndex>();
         for (int each = 0; each < count; ++each) {
-            index->learn(static_cast<std::uint64_t>(each), InstanceId("bid-0001"), TimePoint{});
+            index->recordHolder(static_cast<std::uint64_t>(each), InstanceId("bid-0001"),
+                                TimePoint{});
         }
         return index;
     });
