--- a/src/decision/routing/prefixindex.cpp
+++ b/src/decision/routing/prefixindex.cpp
@@ -25,7 +25,7 @@
     }
 }
 
-void PrefixIndex::forget(const InstanceId &agent)
+void PrefixIndex::removeAgent(const InstanceId &agent)
 {
     for (auto &[prefix, entry] : entries_) {
         std::erase_if(entry.holders,
--- a/src/decision/routing/prefixindex.h
+++ b/src/decision/routing/prefixindex.h
@@ -34,7 +34,7 @@
     // A request with the prefix was sent to `agent`, or the agent reported that it holds it.
     void recordHolder(std::uint64_t prefix, const InstanceId &agent, TimePoint now);
     // The agent is gone or has lost its cache.
-    void forget(const InstanceId &agent);
+    void removeAgent(const InstanceId &agent);
     // Returns the probability that `agent` holds the prefix.
     double probability(std::uint64_t prefix, const InstanceId &agent, TimePoint now) const;
 
