--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -71,7 +71,7 @@
     if (reborn) {
         load.reset();
         outliers_.forget(agent);
-        prefixes_.forget(agent);
+        prefixes_.removeAgent(agent);
     }
     load.onReport(report, askedAt);
     if (reborn) {
