--- a/src/decision/routing/prefixindex.cpp
+++ b/src/decision/routing/prefixindex.cpp
@@ -9,10 +9,10 @@
 {
     const auto [entry, added] = entries_.try_emplace(prefix);
     if (!added) {
-        uses_.erase(entry->second.use);
+        recency_.erase(entry->second.use);
     }
-    uses_.push_front(prefix);
-    entry->second.use = uses_.begin();
+    recency_.push_front(prefix);
+    entry->second.use = recency_.begin();
     std::vector<Holder> &holders = entry->second.holders;
     std::erase_if(holders, [&agent](const Holder &holder) { return holder.agent == agent; });
     holders.insert(holders.begin(), Holder{agent, now});
@@ -20,8 +20,8 @@
         holders.pop_back();
     }
     if (entries_.size() > settings_.capacity) {
-        entries_.erase(uses_.back());
-        uses_.pop_back();
+        entries_.erase(recency_.back());
+        recency_.pop_back();
     }
 }
 
--- a/src/decision/routing/prefixindex.h
+++ b/src/decision/routing/prefixindex.h
@@ -54,7 +54,7 @@
     };
 
     Settings settings_;
-    std::list<std::uint64_t> uses_; // Most recent first.
+    std::list<std::uint64_t> recency_; // Most recent first.
     std::unordered_map<std::uint64_t, Entry> entries_;
 };
 
