--- a/src/decision/routing/prefixindex.cpp
+++ b/src/decision/routing/prefixindex.cpp
@@ -9,10 +9,10 @@
 {
     const auto [entry, added] = entries_.try_emplace(prefix);
     if (!added) {
-        recency_.erase(entry->second.use);
+        recency_.erase(entry->second.recencyPosition);
     }
     recency_.push_front(prefix);
-    entry->second.use = recency_.begin();
+    entry->second.recencyPosition = recency_.begin();
     std::vector<Holder> &holders = entry->second.holders;
     std::erase_if(holders, [&agent](const Holder &holder) { return holder.agent == agent; });
     holders.insert(holders.begin(), Holder{agent, now});
--- a/src/decision/routing/prefixindex.h
+++ b/src/decision/routing/prefixindex.h
@@ -50,7 +50,7 @@
     struct Entry
     {
         std::vector<Holder> holders; // Most recent first.
-        std::list<std::uint64_t>::iterator use;
+        std::list<std::uint64_t>::iterator recencyPosition;
     };
 
     Settings settings_;
