--- a/src/decision/routing/prefixindex.cpp
+++ b/src/decision/routing/prefixindex.cpp
@@ -45,7 +45,7 @@
     if (holder == holders.end()) {
         return 0.0;
     }
-    return std::exp2(-toSeconds(now - holder->at) / toSeconds(settings_.halfLife));
+    return std::exp2(-toSeconds(now - holder->recordedAt) / toSeconds(settings_.halfLife));
 }
 
 } // namespace seamarch
--- a/src/decision/routing/prefixindex.h
+++ b/src/decision/routing/prefixindex.h
@@ -44,7 +44,7 @@
     struct Holder
     {
         InstanceId agent;
-        TimePoint at;
+        TimePoint recordedAt;
     };
 
     struct Entry
