--- a/src/decision/routing/router.cpp
+++ b/src/decision/routing/router.cpp
@@ -43,7 +43,8 @@
     return candidates[first].pendingCost <= candidates[second].pendingCost ? first : second;
 }
 
-double ExpectedWaitRouter::price(const RouteCandidate &candidate, const RouteRequest &request) const
+double ExpectedWaitRouter::routingCost(const RouteCandidate &candidate,
+                                       const RouteRequest &request) const
 {
     const double wait = toSeconds(candidate.wait);
     const double left =
@@ -62,7 +63,7 @@
     std::vector<double> prices;
     prices.reserve(candidates.size());
     for (const RouteCandidate &candidate : candidates) {
-        prices.push_back(price(candidate, request));
+        prices.push_back(routingCost(candidate, request));
     }
     const double limit =
         *std::min_element(prices.begin(), prices.end()) + toSeconds(settings_.herdMargin);
--- a/src/decision/routing/router.h
+++ b/src/decision/routing/router.h
@@ -97,7 +97,7 @@
                                     const RouteRequest &request, RandomEngine &random) override;
 
     // Returns the price of `candidate` in seconds.
-    double price(const RouteCandidate &candidate, const RouteRequest &request) const;
+    double routingCost(const RouteCandidate &candidate, const RouteRequest &request) const;
 
 private:
     Settings settings_;
