--- a/src/decision/routing/router.cpp
+++ b/src/decision/routing/router.cpp
@@ -60,19 +60,19 @@
     if (candidates.empty()) {
         return std::nullopt;
     }
-    std::vector<double> prices;
-    prices.reserve(candidates.size());
+    std::vector<double> routingCosts;
+    routingCosts.reserve(candidates.size());
     for (const RouteCandidate &candidate : candidates) {
-        prices.push_back(routingCost(candidate, request));
+        routingCosts.push_back(routingCost(candidate, request));
     }
-    const double limit =
-        *std::min_element(prices.begin(), prices.end()) + toSeconds(settings_.herdMargin);
+    const double limit = *std::min_element(routingCosts.begin(), routingCosts.end())
+                         + toSeconds(settings_.herdMargin);
     const auto near = static_cast<std::size_t>(std::count_if(
-        prices.begin(), prices.end(), [limit](double each) { return each <= limit; }));
+        routingCosts.begin(), routingCosts.end(), [limit](double each) { return each <= limit; }));
     std::uniform_int_distribution<std::size_t> draw(0, near - 1);
     std::size_t skip = draw(random);
-    for (std::size_t index = 0; index < prices.size(); ++index) {
-        if (prices[index] <= limit && skip-- == 0) {
+    for (std::size_t index = 0; index < routingCosts.size(); ++index) {
+        if (routingCosts[index] <= limit && skip-- == 0) {
             return index;
         }
     }
