--- a/src/decision/routing/router.cpp
+++ b/src/decision/routing/router.cpp
@@ -66,7 +66,7 @@
         routingCosts.push_back(routingCost(candidate, request));
     }
     const double limit = *std::min_element(routingCosts.begin(), routingCosts.end())
-                         + toSeconds(settings_.herdMargin);
+                         + toSeconds(settings_.tieMargin);
     const auto near = static_cast<std::size_t>(std::count_if(
         routingCosts.begin(), routingCosts.end(), [limit](double each) { return each <= limit; }));
     std::uniform_int_distribution<std::size_t> draw(0, near - 1);
--- a/src/decision/routing/router.h
+++ b/src/decision/routing/router.h
@@ -77,7 +77,7 @@
 };
 
 // The candidate with the lowest price: expected wait, plus the prefill that its cache does not
-// save, plus the distance. Prices within `herdMargin` of the lowest are equal and drawn from at
+// save, plus the distance. Prices within `tieMargin` of the lowest are equal and drawn from at
 // random, because all entries see the same lagged reports and would otherwise run to one upstream.
 class ExpectedWaitRouter final : public Router
 {
@@ -85,7 +85,7 @@
     struct Settings
     {
         double prefillTokensPerSecond = 20000.0;
-        Duration herdMargin = std::chrono::milliseconds(10);
+        Duration tieMargin = std::chrono::milliseconds(10);
     };
 
     ExpectedWaitRouter() = default;
