--- a/src/decision/routing/router.cpp
+++ b/src/decision/routing/router.cpp
@@ -46,11 +46,12 @@
 double ExpectedWaitRouter::routingCost(const RouteCandidate &candidate,
                                        const RouteRequest &request) const
 {
-    const double wait = toSeconds(candidate.wait);
+    const double expectedWait = toSeconds(candidate.expectedWait);
     const double left =
         std::max(0.0, static_cast<double>(request.promptTokens) - candidate.cachedTokens);
     const double prefill = left / settings_.prefillTokensPerSecond;
-    return (wait + prefill) / std::max(0.05, candidate.readiness) + toSeconds(candidate.distance);
+    return (expectedWait + prefill) / std::max(0.05, candidate.readiness)
+           + toSeconds(candidate.distance);
 }
 
 std::optional<std::size_t> ExpectedWaitRouter::pick(std::span<const RouteCandidate> candidates,
--- a/src/decision/routing/router.h
+++ b/src/decision/routing/router.h
@@ -23,7 +23,7 @@
 {
     InstanceId agent;
     double pendingCost = 0.0; // Queued and running at the agent, corrected by the entry.
-    Duration wait{};          // Expected until a new request starts.
+    Duration expectedWait{};  // Expected until a new request starts.
     std::uint32_t ownInFlight = 0;
     double cachedTokens = 0.0; // Expected number of prompt tokens that its cache holds.
     Duration distance{};       // One-way delay to it.
