--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -237,7 +237,7 @@
     RouteCandidate candidate;
     candidate.agent = id;
     candidate.pendingCost = load.pendingCost(now);
-    candidate.wait = load.expectedWait(now);
+    candidate.expectedWait = load.expectedWait(now);
     candidate.ownInFlight = load.inFlight();
     candidate.readiness = readiness(member, now);
     const auto distance = distances_.find(member.record.hall);
