--- a/src/decision/routing/router.cpp
+++ b/src/decision/routing/router.cpp
@@ -47,9 +47,9 @@
                                        const RouteRequest &request) const
 {
     const double expectedWait = toSeconds(candidate.expectedWait);
-    const double left =
+    const double uncachedTokens =
         std::max(0.0, static_cast<double>(request.promptTokens) - candidate.cachedTokens);
-    const double prefill = left / settings_.prefillTokensPerSecond;
+    const double prefill = uncachedTokens / settings_.prefillTokensPerSecond;
     return (expectedWait + prefill) / std::max(0.05, candidate.readiness)
            + toSeconds(candidate.distance);
 }
