--- a/src/decision/routing/router.cpp
+++ b/src/decision/routing/router.cpp
@@ -68,9 +68,9 @@
     }
     const double limit = *std::min_element(routingCosts.begin(), routingCosts.end())
                          + toSeconds(settings_.tieMargin);
-    const auto near = static_cast<std::size_t>(std::count_if(
+    const auto eligible = static_cast<std::size_t>(std::count_if(
         routingCosts.begin(), routingCosts.end(), [limit](double each) { return each <= limit; }));
-    std::uniform_int_distribution<std::size_t> draw(0, near - 1);
+    std::uniform_int_distribution<std::size_t> draw(0, eligible - 1);
     std::size_t skip = draw(random);
     for (std::size_t index = 0; index < routingCosts.size(); ++index) {
         if (routingCosts[index] <= limit && skip-- == 0) {
