--- a/bench/virtualfleet.cpp
+++ b/bench/virtualfleet.cpp
@@ -1,6 +1,6 @@
 #include "virtualfleet.h"
 
-#include "decision/fairness/cost.h"
+#include "decision/fairness/requestcost.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -1,6 +1,6 @@
 #include "decision/dispatch/agentcore.h"
 
-#include "decision/fairness/cost.h"
+#include "decision/fairness/requestcost.h"
 
 #include <algorithm>
 #include <cmath>
