--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -37,7 +37,7 @@
 };
 
 // What an account may claim.
-struct AccountClaim
+struct AccountPolicy
 {
     double share = 1.0;
     std::uint32_t maxQueued = 256;
@@ -47,7 +47,7 @@
 {
 public:
     // Sets the claim of an account. Accounts that were never set have the default claim.
-    void setClaim(const AccountId &account, const AccountClaim &claim);
+    void setClaim(const AccountId &account, const AccountPolicy &claim);
 
     // Adds a request. Returns false when the account has its full number of requests waiting.
     bool push(QueuedRequest request);
@@ -87,7 +87,7 @@
 
     struct Account
     {
-        AccountClaim claim;
+        AccountPolicy claim;
         bool configured = false;
         double virtualTime = 0.0;
         Tokens queued = 0;
