--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -38,7 +38,7 @@
 void AgentCore::applyConfig(const ConfigDocument &document)
 {
     for (const AccountConfig &account : document.accounts) {
-        queue_.setClaim(account.id, {account.share, account.maxQueued});
+        queue_.setPolicy(account.id, {account.share, account.maxQueued});
     }
     for (const UpstreamConfig &upstream : document.upstreams) {
         if (upstream.agent == settings_.self) {
--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -5,7 +5,7 @@
 
 namespace seamarch {
 
-void FairQueue::setClaim(const AccountId &account, const AccountPolicy &claim)
+void FairQueue::setPolicy(const AccountId &account, const AccountPolicy &claim)
 {
     Account &entry = accounts_[account];
     entry.claim = claim;
--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -47,8 +47,8 @@
 
 TEST(FairQueueTest, ServesBackloggedAccountsByShare)
 {
-    queue.setClaim(AccountId("large"), {3.0, 10'000});
-    queue.setClaim(AccountId("small"), {1.0, 10'000});
+    queue.setPolicy(AccountId("large"), {3.0, 10'000});
+    queue.setPolicy(AccountId("small"), {1.0, 10'000});
 
     const auto served = serveBacklogged(2000, {{"large", 100}, {"small", 100}});
 
@@ -57,8 +57,8 @@
 
 TEST(FairQueueTest, CountsTokensAndNotRequests)
 {
-    queue.setClaim(AccountId("long"), {1.0, 10'000});
-    queue.setClaim(AccountId("short"), {1.0, 10'000});
+    queue.setPolicy(AccountId("long"), {1.0, 10'000});
+    queue.setPolicy(AccountId("short"), {1.0, 10'000});
 
     const auto served = serveBacklogged(3000, {{"long", 1000}, {"short", 10}});
 
@@ -67,8 +67,8 @@
 
 TEST(FairQueueTest, IdleAccountEarnsNoCredit)
 {
-    queue.setClaim(AccountId("busy"), {1.0, 10'000});
-    queue.setClaim(AccountId("idle"), {1.0, 10'000});
+    queue.setPolicy(AccountId("busy"), {1.0, 10'000});
+    queue.setPolicy(AccountId("idle"), {1.0, 10'000});
     for (std::uint64_t number = 0; number < 1000; ++number) {
         queue.push(makeRequest(number, "busy", 100));
     }
@@ -89,8 +89,8 @@
 
 TEST(FairQueueTest, ChargesBackWhatWasDeclaredTooLow)
 {
-    queue.setClaim(AccountId("liar"), {1.0, 10'000});
-    queue.setClaim(AccountId("honest"), {1.0, 10'000});
+    queue.setPolicy(AccountId("liar"), {1.0, 10'000});
+    queue.setPolicy(AccountId("honest"), {1.0, 10'000});
     std::uint64_t number = 0;
     for (int index = 0; index < 1000; ++index) {
         queue.push(makeRequest(++number, "liar", 1));
@@ -119,8 +119,8 @@
 
 TEST(FairQueueTest, PriorityOfOneAccountDoesNotStarveAnother)
 {
-    queue.setClaim(AccountId("urgent"), {1.0, 10'000});
-    queue.setClaim(AccountId("plain"), {1.0, 10'000});
+    queue.setPolicy(AccountId("urgent"), {1.0, 10'000});
+    queue.setPolicy(AccountId("plain"), {1.0, 10'000});
     for (std::uint64_t number = 0; number < 100; ++number) {
         queue.push(makeRequest(number, "urgent", 10, 9));
         queue.push(makeRequest(1000 + number, "plain", 10, 0));
@@ -136,7 +136,7 @@
 
 TEST(FairQueueTest, RefusesBeyondTheAccountsBound)
 {
-    queue.setClaim(AccountId("one"), {1.0, 2});
+    queue.setPolicy(AccountId("one"), {1.0, 2});
     CHECK(queue.push(makeRequest(1, "one", 10)));
     CHECK(queue.push(makeRequest(2, "one", 10)));
 
