--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -5,17 +5,17 @@
 
 namespace seamarch {
 
-void FairQueue::setPolicy(const AccountId &account, const AccountPolicy &claim)
+void FairQueue::setPolicy(const AccountId &account, const AccountPolicy &policy)
 {
     Account &entry = accounts_[account];
-    entry.claim = claim;
+    entry.policy = policy;
     entry.configured = true;
 }
 
 bool FairQueue::push(QueuedRequest request)
 {
     Account &account = accounts_[request.account];
-    if (account.waiting.size() >= account.claim.maxQueued) {
+    if (account.waiting.size() >= account.policy.maxQueued) {
         return false;
     }
     if (account.waiting.empty()) {
@@ -55,7 +55,7 @@
     leaveBacklog(id, account);
     virtualTime_ = std::max(virtualTime_, account.virtualTime);
     QueuedRequest taken = extract(account, account.waiting.begin());
-    account.virtualTime += static_cast<double>(taken.expected) / account.claim.share;
+    account.virtualTime += static_cast<double>(taken.expected) / account.policy.share;
     if (!account.waiting.empty()) {
         backlog_.emplace(account.virtualTime, id);
     }
@@ -109,7 +109,7 @@
     if (waits) {
         leaveBacklog(account, entry);
     }
-    entry.virtualTime += delta / entry.claim.share;
+    entry.virtualTime += delta / entry.policy.share;
     if (waits) {
         backlog_.emplace(entry.virtualTime, account);
     }
@@ -120,7 +120,7 @@
     // Until the account's own backlog is served, every backlogged account gets its share of the
     // tokens; none gets more than it has queued.
     const auto own = accounts_.find(account);
-    const double ownShare = own == accounts_.end() ? 1.0 : own->second.claim.share;
+    const double ownShare = own == accounts_.end() ? 1.0 : own->second.policy.share;
     const double ownQueued = own == accounts_.end() ? 0.0 : static_cast<double>(own->second.queued);
     const double start =
         own == accounts_.end() ? virtualTime_ : std::max(own->second.virtualTime, virtualTime_);
@@ -131,7 +131,7 @@
             continue;
         }
         const Account &other = accounts_.at(id);
-        const double entitled = std::max(0.0, finish - virtualTime) * other.claim.share;
+        const double entitled = std::max(0.0, finish - virtualTime) * other.policy.share;
         const double largest = static_cast<double>(other.waiting.begin()->second.expected);
         ahead += std::min(static_cast<double>(other.queued), entitled + largest);
     }
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -47,7 +47,7 @@
 {
 public:
     // Sets the claim of an account. Accounts that were never set have the default claim.
-    void setPolicy(const AccountId &account, const AccountPolicy &claim);
+    void setPolicy(const AccountId &account, const AccountPolicy &policy);
 
     // Adds a request. Returns false when the account has its full number of requests waiting.
     bool push(QueuedRequest request);
@@ -87,7 +87,7 @@
 
     struct Account
     {
-        AccountPolicy claim;
+        AccountPolicy policy;
         bool configured = false;
         double virtualTime = 0.0;
         Tokens queued = 0;
