--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -327,7 +327,7 @@
 
 void AgentCore::onTick(TimePoint now, AgentActions &actions)
 {
-    for (const QueuedRequest &request : queue_.takeExpired(now)) {
+    for (const QueuedRequest &request : queue_.popExpired(now)) {
         refuseWaiting(request, FailureCode::DeadlineUnreachable, kShortRetry, actions);
     }
     if (restUntil_ && now >= *restUntil_) {
--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -77,7 +77,7 @@
     return true;
 }
 
-std::vector<QueuedRequest> FairQueue::takeExpired(TimePoint now)
+std::vector<QueuedRequest> FairQueue::popExpired(TimePoint now)
 {
     std::vector<QueuedRequest> expired;
     for (const auto &[virtualTime, id] : backlog_) {
@@ -95,7 +95,7 @@
 
 std::vector<QueuedRequest> FairQueue::takeAll()
 {
-    return takeExpired(TimePoint::max());
+    return popExpired(TimePoint::max());
 }
 
 void FairQueue::charge(const AccountId &account, double delta)
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -56,7 +56,7 @@
     // Removes a waiting request. Returns false when it does not wait here.
     bool remove(RequestId id);
     // Removes and returns all requests whose deadline is at or before `now`.
-    std::vector<QueuedRequest> takeExpired(TimePoint now);
+    std::vector<QueuedRequest> popExpired(TimePoint now);
     // Removes and returns all requests.
     std::vector<QueuedRequest> takeAll();
     // Corrects what an account was charged: `delta` tokens more, or fewer when negative.
--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -151,7 +151,7 @@
     queue.push(late);
     queue.push(makeRequest(2, "one", 10));
 
-    const auto expired = queue.takeExpired(TimePoint(Duration(100)));
+    const auto expired = queue.popExpired(TimePoint(Duration(100)));
 
     CHECK_EQUAL(1U, expired.size());
     CHECK_EQUAL(1U, queue.size());
