--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -353,7 +353,7 @@
 
 void AgentCore::refuseAllWaiting(FailureCode failure, Duration retryAfter, AgentActions &actions)
 {
-    for (const QueuedRequest &request : queue_.takeAll()) {
+    for (const QueuedRequest &request : queue_.popAll()) {
         refuseWaiting(request, failure, retryAfter, actions);
     }
 }
--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -93,7 +93,7 @@
     return expired;
 }
 
-std::vector<QueuedRequest> FairQueue::takeAll()
+std::vector<QueuedRequest> FairQueue::popAll()
 {
     return popExpired(TimePoint::max());
 }
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -58,7 +58,7 @@
     // Removes and returns all requests whose deadline is at or before `now`.
     std::vector<QueuedRequest> popExpired(TimePoint now);
     // Removes and returns all requests.
-    std::vector<QueuedRequest> takeAll();
+    std::vector<QueuedRequest> popAll();
     // Corrects what an account was charged: `delta` tokens more, or fewer when negative.
     void charge(const AccountId &account, double delta);
 
