--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -45,7 +45,7 @@
     backlog_.erase({account.virtualTime, id});
 }
 
-std::optional<QueuedRequest> FairQueue::take()
+std::optional<QueuedRequest> FairQueue::pop()
 {
     if (backlog_.empty()) {
         return std::nullopt;
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -52,7 +52,7 @@
     // Adds a request. Returns false when the account has its full number of requests waiting.
     bool push(QueuedRequest request);
     // Takes the request whose turn it is and charges its expected tokens.
-    std::optional<QueuedRequest> take();
+    std::optional<QueuedRequest> pop();
     // Removes a waiting request. Returns false when it does not wait here.
     bool remove(RequestId id);
     // Removes and returns all requests whose deadline is at or before `now`.
