--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -197,7 +197,7 @@
 void AgentCore::startNext(TimePoint now, AgentActions &actions)
 {
     while (running_.size() < settings_.slots && !restUntil_) {
-        const auto request = queue_.take();
+        const auto request = queue_.pop();
         if (!request) {
             return;
         }
