--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -38,7 +38,7 @@
             }
         }
         for (int index = 0; index < count; ++index) {
-            const auto taken = queue.take();
+            const auto taken = queue.pop();
             served[taken->account.value()] += static_cast<double>(taken->expected);
         }
         return served;
@@ -73,7 +73,7 @@
         queue.push(makeRequest(number, "busy", 100));
     }
     for (int index = 0; index < 500; ++index) {
-        queue.take();
+        queue.pop();
     }
 
     for (std::uint64_t number = 2000; number < 2100; ++number) {
@@ -81,7 +81,7 @@
     }
     int busyServed = 0;
     for (int index = 0; index < 100; ++index) {
-        busyServed += queue.take()->account == AccountId("busy") ? 1 : 0;
+        busyServed += queue.pop()->account == AccountId("busy") ? 1 : 0;
     }
 
     CHECK(busyServed >= 49);
@@ -99,7 +99,7 @@
 
     std::map<std::string, double> produced;
     for (int index = 0; index < 400; ++index) {
-        const auto taken = queue.take();
+        const auto taken = queue.pop();
         const double actual = 100.0;
         queue.charge(taken->account, actual - static_cast<double>(taken->expected));
         produced[taken->account.value()] += actual;
@@ -113,8 +113,8 @@
     queue.push(makeRequest(1, "one", 10, 0));
     queue.push(makeRequest(2, "one", 10, 5));
 
-    CHECK_EQUAL(2U, queue.take()->id.counter);
-    CHECK_EQUAL(1U, queue.take()->id.counter);
+    CHECK_EQUAL(2U, queue.pop()->id.counter);
+    CHECK_EQUAL(1U, queue.pop()->id.counter);
 }
 
 TEST(FairQueueTest, PriorityOfOneAccountDoesNotStarveAnother)
@@ -128,7 +128,7 @@
 
     int plainServed = 0;
     for (int index = 0; index < 100; ++index) {
-        plainServed += queue.take()->account == AccountId("plain") ? 1 : 0;
+        plainServed += queue.pop()->account == AccountId("plain") ? 1 : 0;
     }
 
     CHECK_EQUAL(50, plainServed);
