--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -32,12 +32,12 @@
 
 QueuedRequest FairQueue::extract(Account &account, std::map<Turn, QueuedRequest>::iterator request)
 {
-    QueuedRequest taken = std::move(request->second);
+    QueuedRequest popped = std::move(request->second);
     account.waiting.erase(request);
-    account.queued -= taken.expected;
-    queuedTokens_ -= taken.expected;
-    where_.erase(taken.id);
-    return taken;
+    account.queued -= popped.expected;
+    queuedTokens_ -= popped.expected;
+    where_.erase(popped.id);
+    return popped;
 }
 
 void FairQueue::leaveBacklog(const AccountId &id, const Account &account)
@@ -54,12 +54,12 @@
     Account &account = accounts_.at(id);
     leaveBacklog(id, account);
     virtualTime_ = std::max(virtualTime_, account.virtualTime);
-    QueuedRequest taken = extract(account, account.waiting.begin());
-    account.virtualTime += static_cast<double>(taken.expected) / account.policy.share;
+    QueuedRequest popped = extract(account, account.waiting.begin());
+    account.virtualTime += static_cast<double>(popped.expected) / account.policy.share;
     if (!account.waiting.empty()) {
         backlog_.emplace(account.virtualTime, id);
     }
-    return taken;
+    return popped;
 }
 
 bool FairQueue::remove(RequestId id)
--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -38,8 +38,8 @@
             }
         }
         for (int index = 0; index < count; ++index) {
-            const auto taken = queue.pop();
-            served[taken->account.value()] += static_cast<double>(taken->expected);
+            const auto popped = queue.pop();
+            served[popped->account.value()] += static_cast<double>(popped->expected);
         }
         return served;
     }
@@ -99,10 +99,10 @@
 
     std::map<std::string, double> produced;
     for (int index = 0; index < 400; ++index) {
-        const auto taken = queue.pop();
+        const auto popped = queue.pop();
         const double actual = 100.0;
-        queue.charge(taken->account, actual - static_cast<double>(taken->expected));
-        produced[taken->account.value()] += actual;
+        queue.charge(popped->account, actual - static_cast<double>(popped->expected));
+        produced[popped->account.value()] += actual;
     }
 
     DOUBLES_EQUAL(1.0, produced.at("liar") / produced.at("honest"), 0.03);
