--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -98,7 +98,7 @@
     return popExpired(TimePoint::max());
 }
 
-void FairQueue::charge(const AccountId &account, double delta)
+void FairQueue::adjustCharge(const AccountId &account, double delta)
 {
     const auto found = accounts_.find(account);
     if (found == accounts_.end()) {
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -60,7 +60,7 @@
     // Removes and returns all requests.
     std::vector<QueuedRequest> popAll();
     // Corrects what an account was charged: `delta` tokens more, or fewer when negative.
-    void charge(const AccountId &account, double delta);
+    void adjustCharge(const AccountId &account, double delta);
 
     std::size_t size() const { return where_.size(); }
     Tokens queuedTokens() const { return queuedTokens_; }
--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -101,7 +101,7 @@
     for (int index = 0; index < 400; ++index) {
         const auto popped = queue.pop();
         const double actual = 100.0;
-        queue.charge(popped->account, actual - static_cast<double>(popped->expected));
+        queue.adjustCharge(popped->account, actual - static_cast<double>(popped->expected));
         produced[popped->account.value()] += actual;
     }
 
