--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -203,7 +203,7 @@
         }
         const Duration service = predictedService(request->account, 0, request->answerTokens);
         if (request->deadline <= now + 2 * service) {
-            queue_.charge(request->account, -static_cast<double>(request->expected));
+            queue_.adjustCharge(request->account, -static_cast<double>(request->expected));
             refuseWaiting(*request, FailureCode::DeadlineUnreachable, kShortRetry, actions);
             continue;
         }
@@ -280,7 +280,7 @@
     // What goes beyond the declared length is charged as it is produced.
     const double beyond = running.promptCost + running.produced - running.expected;
     if (beyond > 0.0) {
-        queue_.charge(running.account, beyond);
+        queue_.adjustCharge(running.account, beyond);
         running.expected += beyond;
         runningTokens_ += beyond;
     }
@@ -288,7 +288,7 @@
 
 void AgentCore::settle(const Running &running, double actual)
 {
-    queue_.charge(running.account, actual - running.expected);
+    queue_.adjustCharge(running.account, actual - running.expected);
     runningTokens_ = std::max(0.0, runningTokens_ - running.expected);
 }
 
