--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -138,7 +138,7 @@
     return ahead;
 }
 
-void FairQueue::forgetIdle()
+void FairQueue::removeIdleAccounts()
 {
     std::erase_if(accounts_, [this](const auto &entry) {
         const Account &account = entry.second;
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -69,7 +69,7 @@
     // Returns the number of accounts that the queue keeps state for.
     std::size_t accounts() const { return accounts_.size(); }
     // Forgets accounts that are idle and whose virtual time lies behind the queue's.
-    void forgetIdle();
+    void removeIdleAccounts();
 
 private:
     // Orders requests inside an account.
