--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -25,7 +25,7 @@
     const Turn turn{request.priority, nextSequence_++};
     account.queued += request.expected;
     queuedTokens_ += request.expected;
-    where_.emplace(request.id, Place{request.account, turn});
+    positions_.emplace(request.id, Place{request.account, turn});
     account.waiting.emplace(turn, std::move(request));
     return true;
 }
@@ -36,7 +36,7 @@
     account.waiting.erase(request);
     account.queued -= popped.expected;
     queuedTokens_ -= popped.expected;
-    where_.erase(popped.id);
+    positions_.erase(popped.id);
     return popped;
 }
 
@@ -64,8 +64,8 @@
 
 bool FairQueue::remove(RequestId id)
 {
-    const auto place = where_.find(id);
-    if (place == where_.end()) {
+    const auto place = positions_.find(id);
+    if (place == positions_.end()) {
         return false;
     }
     const AccountId accountId = place->second.account;
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -62,7 +62,7 @@
     // Corrects what an account was charged: `delta` tokens more, or fewer when negative.
     void adjustCharge(const AccountId &account, double delta);
 
-    std::size_t size() const { return where_.size(); }
+    std::size_t size() const { return positions_.size(); }
     Tokens queuedTokens() const { return queuedTokens_; }
     // Returns the tokens that will be served before a new request of `account` could be, by shares.
     double tokensAhead(const AccountId &account) const;
@@ -107,7 +107,7 @@
 
     std::unordered_map<AccountId, Account> accounts_;
     Backlog backlog_; // Accounts that have requests waiting, by virtual time.
-    std::unordered_map<RequestId, Place> where_;
+    std::unordered_map<RequestId, Place> positions_;
     Tokens queuedTokens_ = 0;
     double virtualTime_ = 0.0;
     std::uint64_t nextSequence_ = 0;
