--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -25,7 +25,7 @@
     const Turn turn{request.priority, nextSequence_++};
     account.queued += request.expected;
     queuedTokens_ += request.expected;
-    positions_.emplace(request.id, Place{request.account, turn});
+    positions_.emplace(request.id, Position{request.account, turn});
     account.waiting.emplace(turn, std::move(request));
     return true;
 }
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -94,7 +94,7 @@
         std::map<Turn, QueuedRequest> waiting;
     };
 
-    struct Place
+    struct Position
     {
         AccountId account;
         Turn turn;
@@ -107,7 +107,7 @@
 
     std::unordered_map<AccountId, Account> accounts_;
     Backlog backlog_; // Accounts that have requests waiting, by virtual time.
-    std::unordered_map<RequestId, Place> positions_;
+    std::unordered_map<RequestId, Position> positions_;
     Tokens queuedTokens_ = 0;
     double virtualTime_ = 0.0;
     std::uint64_t nextSequence_ = 0;
