--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -64,13 +64,13 @@
 
 bool FairQueue::remove(RequestId id)
 {
-    const auto place = positions_.find(id);
-    if (place == positions_.end()) {
+    const auto position = positions_.find(id);
+    if (position == positions_.end()) {
         return false;
     }
-    const AccountId accountId = place->second.account;
+    const AccountId accountId = position->second.account;
     Account &account = accounts_.at(accountId);
-    extract(account, account.waiting.find(place->second.turn));
+    extract(account, account.waiting.find(position->second.turn));
     if (account.waiting.empty()) {
         leaveBacklog(accountId, account);
     }
