--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -22,7 +22,7 @@
         account.virtualTime = std::max(account.virtualTime, virtualTime_);
         backlog_.emplace(account.virtualTime, request.account);
     }
-    const Turn turn{request.priority, nextSequence_++};
+    const OrderKey turn{request.priority, nextSequence_++};
     account.queued += request.expected;
     queuedTokens_ += request.expected;
     positions_.emplace(request.id, Position{request.account, turn});
@@ -30,7 +30,8 @@
     return true;
 }
 
-QueuedRequest FairQueue::extract(Account &account, std::map<Turn, QueuedRequest>::iterator request)
+QueuedRequest FairQueue::extract(Account &account,
+                                 std::map<OrderKey, QueuedRequest>::iterator request)
 {
     QueuedRequest popped = std::move(request->second);
     account.waiting.erase(request);
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -73,12 +73,12 @@
 
 private:
     // Orders requests inside an account.
-    struct Turn
+    struct OrderKey
     {
         std::uint8_t priority = 0;
         std::uint64_t sequence = 0;
 
-        bool operator<(const Turn &other) const
+        bool operator<(const OrderKey &other) const
         {
             return priority != other.priority ? priority > other.priority
                                               : sequence < other.sequence;
@@ -91,18 +91,18 @@
         bool configured = false;
         double virtualTime = 0.0;
         Tokens queued = 0;
-        std::map<Turn, QueuedRequest> waiting;
+        std::map<OrderKey, QueuedRequest> waiting;
     };
 
     struct Position
     {
         AccountId account;
-        Turn turn;
+        OrderKey turn;
     };
 
     using Backlog = std::set<std::pair<double, AccountId>>;
 
-    QueuedRequest extract(Account &account, std::map<Turn, QueuedRequest>::iterator request);
+    QueuedRequest extract(Account &account, std::map<OrderKey, QueuedRequest>::iterator request);
     void leaveBacklog(const AccountId &id, const Account &account);
 
     std::unordered_map<AccountId, Account> accounts_;
