--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -22,11 +22,11 @@
         account.virtualTime = std::max(account.virtualTime, virtualTime_);
         backlog_.emplace(account.virtualTime, request.account);
     }
-    const OrderKey turn{request.priority, nextSequence_++};
+    const OrderKey orderKey{request.priority, nextSequence_++};
     account.queued += request.expected;
     queuedTokens_ += request.expected;
-    positions_.emplace(request.id, Position{request.account, turn});
-    account.waiting.emplace(turn, std::move(request));
+    positions_.emplace(request.id, Position{request.account, orderKey});
+    account.waiting.emplace(orderKey, std::move(request));
     return true;
 }
 
@@ -71,7 +71,7 @@
     }
     const AccountId accountId = position->second.account;
     Account &account = accounts_.at(accountId);
-    extract(account, account.waiting.find(position->second.turn));
+    extract(account, account.waiting.find(position->second.orderKey));
     if (account.waiting.empty()) {
         leaveBacklog(accountId, account);
     }
@@ -82,7 +82,7 @@
 {
     std::vector<QueuedRequest> expired;
     for (const auto &[virtualTime, id] : backlog_) {
-        for (const auto &[turn, request] : accounts_.at(id).waiting) {
+        for (const auto &[orderKey, request] : accounts_.at(id).waiting) {
             if (request.deadline <= now) {
                 expired.push_back(request);
             }
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -97,7 +97,7 @@
     struct Position
     {
         AccountId account;
-        OrderKey turn;
+        OrderKey orderKey;
     };
 
     using Backlog = std::set<std::pair<double, AccountId>>;
