--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -41,7 +41,7 @@
     return popped;
 }
 
-void FairQueue::leaveBacklog(const AccountId &id, const Account &account)
+void FairQueue::removeFromBacklog(const AccountId &id, const Account &account)
 {
     backlog_.erase({account.virtualTime, id});
 }
@@ -53,7 +53,7 @@
     }
     const AccountId id = backlog_.begin()->second;
     Account &account = accounts_.at(id);
-    leaveBacklog(id, account);
+    removeFromBacklog(id, account);
     virtualTime_ = std::max(virtualTime_, account.virtualTime);
     QueuedRequest popped = extract(account, account.waiting.begin());
     account.virtualTime += static_cast<double>(popped.expected) / account.policy.share;
@@ -73,7 +73,7 @@
     Account &account = accounts_.at(accountId);
     extract(account, account.waiting.find(position->second.orderKey));
     if (account.waiting.empty()) {
-        leaveBacklog(accountId, account);
+        removeFromBacklog(accountId, account);
     }
     return true;
 }
@@ -108,7 +108,7 @@
     Account &entry = found->second;
     const bool waits = !entry.waiting.empty();
     if (waits) {
-        leaveBacklog(account, entry);
+        removeFromBacklog(account, entry);
     }
     entry.virtualTime += delta / entry.policy.share;
     if (waits) {
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -103,7 +103,7 @@
     using Backlog = std::set<std::pair<double, AccountId>>;
 
     QueuedRequest extract(Account &account, std::map<OrderKey, QueuedRequest>::iterator request);
-    void leaveBacklog(const AccountId &id, const Account &account);
+    void removeFromBacklog(const AccountId &id, const Account &account);
 
     std::unordered_map<AccountId, Account> accounts_;
     Backlog backlog_; // Accounts that have requests waiting, by virtual time.
