--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -23,7 +23,7 @@
         backlog_.emplace(account.virtualTime, request.account);
     }
     const OrderKey orderKey{request.priority, nextSequence_++};
-    account.queued += request.expected;
+    account.queuedTokens += request.expected;
     queuedTokens_ += request.expected;
     positions_.emplace(request.id, Position{request.account, orderKey});
     account.waiting.emplace(orderKey, std::move(request));
@@ -35,7 +35,7 @@
 {
     QueuedRequest popped = std::move(request->second);
     account.waiting.erase(request);
-    account.queued -= popped.expected;
+    account.queuedTokens -= popped.expected;
     queuedTokens_ -= popped.expected;
     positions_.erase(popped.id);
     return popped;
@@ -122,7 +122,8 @@
     // tokens; none gets more than it has queued.
     const auto own = accounts_.find(account);
     const double ownShare = own == accounts_.end() ? 1.0 : own->second.policy.share;
-    const double ownQueued = own == accounts_.end() ? 0.0 : static_cast<double>(own->second.queued);
+    const double ownQueued =
+        own == accounts_.end() ? 0.0 : static_cast<double>(own->second.queuedTokens);
     const double start =
         own == accounts_.end() ? virtualTime_ : std::max(own->second.virtualTime, virtualTime_);
     const double finish = start + ownQueued / ownShare;
@@ -134,7 +135,7 @@
         const Account &other = accounts_.at(id);
         const double entitled = std::max(0.0, finish - virtualTime) * other.policy.share;
         const double largest = static_cast<double>(other.waiting.begin()->second.expected);
-        ahead += std::min(static_cast<double>(other.queued), entitled + largest);
+        ahead += std::min(static_cast<double>(other.queuedTokens), entitled + largest);
     }
     return ahead;
 }
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -90,7 +90,7 @@
         AccountPolicy policy;
         bool configured = false;
         double virtualTime = 0.0;
-        Tokens queued = 0;
+        Tokens queuedTokens = 0;
         std::map<OrderKey, QueuedRequest> waiting;
     };
 
