--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -23,8 +23,8 @@
         backlog_.emplace(account.virtualTime, request.account);
     }
     const OrderKey orderKey{request.priority, nextSequence_++};
-    account.queuedTokens += request.expected;
-    queuedTokens_ += request.expected;
+    account.queuedTokens += request.expectedCost;
+    queuedTokens_ += request.expectedCost;
     positions_.emplace(request.id, Position{request.account, orderKey});
     account.waiting.emplace(orderKey, std::move(request));
     return true;
@@ -35,8 +35,8 @@
 {
     QueuedRequest popped = std::move(request->second);
     account.waiting.erase(request);
-    account.queuedTokens -= popped.expected;
-    queuedTokens_ -= popped.expected;
+    account.queuedTokens -= popped.expectedCost;
+    queuedTokens_ -= popped.expectedCost;
     positions_.erase(popped.id);
     return popped;
 }
@@ -56,7 +56,7 @@
     removeFromBacklog(id, account);
     virtualTime_ = std::max(virtualTime_, account.virtualTime);
     QueuedRequest popped = extract(account, account.waiting.begin());
-    account.virtualTime += static_cast<double>(popped.expected) / account.policy.share;
+    account.virtualTime += static_cast<double>(popped.expectedCost) / account.policy.share;
     if (!account.waiting.empty()) {
         backlog_.emplace(account.virtualTime, id);
     }
@@ -134,7 +134,7 @@
         }
         const Account &other = accounts_.at(id);
         const double entitled = std::max(0.0, finish - virtualTime) * other.policy.share;
-        const double largest = static_cast<double>(other.waiting.begin()->second.expected);
+        const double largest = static_cast<double>(other.waiting.begin()->second.expectedCost);
         ahead += std::min(static_cast<double>(other.queuedTokens), entitled + largest);
     }
     return ahead;
--- a/src/decision/fairness/fairqueue.h
+++ b/src/decision/fairness/fairqueue.h
@@ -29,8 +29,8 @@
     RequestId id;
     AccountId account;
     std::uint8_t priority = 0;
-    Tokens expected = 0;   // Cost by the declared answer tokens, see cost.h.
-    Tokens promptCost = 0; // The part of it that the prompt makes.
+    Tokens expectedCost = 0; // Cost by the declared answer tokens, see cost.h.
+    Tokens promptCost = 0;   // The part of it that the prompt makes.
     Tokens answerTokens = 0;
     TimePoint arrived;
     TimePoint deadline;
--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-QueuedRequest makeRequest(std::uint64_t number, const char *account, Tokens expected,
+QueuedRequest makeRequest(std::uint64_t number, const char *account, Tokens expectedCost,
                           std::uint8_t priority = 0)
 {
     QueuedRequest request;
     request.id = {Incarnation(1), number};
     request.account = AccountId(account);
     request.priority = priority;
-    request.expected = expected;
+    request.expectedCost = expectedCost;
     request.deadline = TimePoint::max();
     return request;
 }
@@ -39,7 +39,7 @@
         }
         for (int index = 0; index < count; ++index) {
             const auto popped = queue.pop();
-            served[popped->account.value()] += static_cast<double>(popped->expected);
+            served[popped->account.value()] += static_cast<double>(popped->expectedCost);
         }
         return served;
     }
@@ -101,7 +101,7 @@
     for (int index = 0; index < 400; ++index) {
         const auto popped = queue.pop();
         const double actual = 100.0;
-        queue.adjustCharge(popped->account, actual - static_cast<double>(popped->expected));
+        queue.adjustCharge(popped->account, actual - static_cast<double>(popped->expectedCost));
         produced[popped->account.value()] += actual;
     }
 
