--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -174,7 +174,7 @@
     request.account = call.account;
     request.priority = call.priority;
     const Tokens answer = expectedAnswer(call.account, call.answerTokens);
-    request.expected = requestCost(call.promptTokens, answer);
+    request.expectedCost = requestCost(call.promptTokens, answer);
     request.promptCost = requestCost(call.promptTokens, 0);
     request.answerTokens = call.answerTokens;
     request.arrived = now;
@@ -203,13 +203,13 @@
         }
         const Duration service = predictedService(request->account, 0, request->answerTokens);
         if (request->deadline <= now + 2 * service) {
-            queue_.adjustCharge(request->account, -static_cast<double>(request->expected));
+            queue_.adjustCharge(request->account, -static_cast<double>(request->expectedCost));
             refuseWaiting(*request, FailureCode::DeadlineUnreachable, kShortRetry, actions);
             continue;
         }
         ledger_.start(request->id);
         proofs_.erase(request->id);
-        const auto expected = static_cast<double>(request->expected);
+        const auto expected = static_cast<double>(request->expectedCost);
         const auto promptCost = static_cast<double>(request->promptCost);
         running_[request->id] = {request->account, expected, promptCost,
                                  static_cast<double>(request->answerTokens), 0.0};
