--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -133,9 +133,9 @@
             continue;
         }
         const Account &other = accounts_.at(id);
-        const double entitled = std::max(0.0, finish - virtualTime) * other.policy.share;
+        const double fairShare = std::max(0.0, finish - virtualTime) * other.policy.share;
         const double largest = static_cast<double>(other.waiting.begin()->second.expectedCost);
-        ahead += std::min(static_cast<double>(other.queuedTokens), entitled + largest);
+        ahead += std::min(static_cast<double>(other.queuedTokens), fairShare + largest);
     }
     return ahead;
 }
