--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -134,8 +134,8 @@
         }
         const Account &other = accounts_.at(id);
         const double fairShare = std::max(0.0, finish - virtualTime) * other.policy.share;
-        const double largest = static_cast<double>(other.waiting.begin()->second.expectedCost);
-        ahead += std::min(static_cast<double>(other.queuedTokens), fairShare + largest);
+        const double nextCost = static_cast<double>(other.waiting.begin()->second.expectedCost);
+        ahead += std::min(static_cast<double>(other.queuedTokens), fairShare + nextCost);
     }
     return ahead;
 }
