--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -7,9 +7,9 @@
 
 void FairQueue::setPolicy(const AccountId &account, const AccountPolicy &policy)
 {
-    Account &entry = accounts_[account];
-    entry.policy = policy;
-    entry.configured = true;
+    Account &accountState = accounts_[account];
+    accountState.policy = policy;
+    accountState.configured = true;
 }
 
 bool FairQueue::push(QueuedRequest request)
@@ -105,14 +105,14 @@
     if (found == accounts_.end()) {
         return;
     }
-    Account &entry = found->second;
-    const bool waits = !entry.waiting.empty();
+    Account &accountState = found->second;
+    const bool waits = !accountState.waiting.empty();
     if (waits) {
-        removeFromBacklog(account, entry);
+        removeFromBacklog(account, accountState);
     }
-    entry.virtualTime += delta / entry.policy.share;
+    accountState.virtualTime += delta / accountState.policy.share;
     if (waits) {
-        backlog_.emplace(entry.virtualTime, account);
+        backlog_.emplace(accountState.virtualTime, account);
     }
 }
 
@@ -142,8 +142,8 @@
 
 void FairQueue::removeIdleAccounts()
 {
-    std::erase_if(accounts_, [this](const auto &entry) {
-        const Account &account = entry.second;
+    std::erase_if(accounts_, [this](const auto &accountState) {
+        const Account &account = accountState.second;
         return account.waiting.empty() && !account.configured
                && account.virtualTime <= virtualTime_;
     });
