--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -23,14 +23,14 @@
                        low & 0xfffU, (low >> 12U) & 0xfffU, low & 0xffffffffffffU);
 }
 
-enum class PlantedFault { None, GrantAnySet, NoHoldBack, LeaseFromAnswer, ForgetTenure };
+enum class InjectedFault { None, GrantAnySet, NoHoldBack, LeaseFromAnswer, ForgetTenure };
 
 // Agents whose lists change and lag, that are paused and replaced, and that are all offered every
 // key again and again. A key may be accepted once in all.
 class KeyHomeWorld
 {
 public:
-    KeyHomeWorld(std::uint64_t seed, PlantedFault fault)
+    KeyHomeWorld(std::uint64_t seed, InjectedFault fault)
         : random_(seed)
         , fault_(fault)
     {}
@@ -121,7 +121,7 @@
         Agent &agent = agents_[index];
         agent.home = std::make_unique<KeyHome>(name(index), settings);
         agent.grants = std::make_unique<GrantIssuer>(kLease);
-        if (fault_ != PlantedFault::NoHoldBack) {
+        if (fault_ != InjectedFault::NoHoldBack) {
             agent.grants->refuseUntil(now_ + kLease);
         }
         agent.home->setMembers(setOf(members));
@@ -158,14 +158,14 @@
         for (std::size_t other = 0; other < kAgents; ++other) {
             send(other, [this, index, other, set, askedAt, life] {
                 const bool granted = agents_[other].grants->grant(set, now_);
-                if (!granted && fault_ != PlantedFault::GrantAnySet) {
+                if (!granted && fault_ != InjectedFault::GrantAnySet) {
                     return;
                 }
                 send(index, [this, index, other, set, askedAt, life] {
                     if (lives_[index] == life) {
-                        const bool late = fault_ == PlantedFault::LeaseFromAnswer;
+                        const bool late = fault_ == InjectedFault::LeaseFromAnswer;
                         // A tenure that began long ago is one that was forgotten to be renewed.
-                        const UnixMillis begun = fault_ == PlantedFault::ForgetTenure
+                        const UnixMillis begun = fault_ == InjectedFault::ForgetTenure
                                                      ? wall() - std::chrono::hours(1)
                                                      : wall();
                         agents_[index].home->onGrant(name(other), set,
@@ -233,7 +233,7 @@
     }
 
     std::mt19937_64 random_;
-    PlantedFault fault_;
+    InjectedFault fault_;
     TimePoint now_{};
     Agent agents_[kAgents];
     int lives_[kAgents] = {};
@@ -243,7 +243,7 @@
     std::map<std::string, int> accepted_;
 };
 
-bool caught(PlantedFault fault)
+bool caught(InjectedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         if (KeyHomeWorld(seed, fault).run() > 0) {
@@ -274,7 +274,7 @@
 {
     std::size_t accepted = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        KeyHomeWorld world(seed, PlantedFault::None);
+        KeyHomeWorld world(seed, InjectedFault::None);
         const int again = world.run();
         if (again != 0) {
             FAIL(fmt::format("seed {}: {} keys were accepted twice", seed, again).c_str());
@@ -286,22 +286,22 @@
 
 TEST(KeyHomeTest, CheckerCatchesGrantsOfAnySet)
 {
-    CHECK(caught(PlantedFault::GrantAnySet));
+    CHECK(caught(InjectedFault::GrantAnySet));
 }
 
 TEST(KeyHomeTest, CheckerCatchesAGranterThatForgetsItsPromises)
 {
-    CHECK(caught(PlantedFault::NoHoldBack));
+    CHECK(caught(InjectedFault::NoHoldBack));
 }
 
 TEST(KeyHomeTest, CheckerCatchesALeaseCountedFromTheAnswer)
 {
-    CHECK(caught(PlantedFault::LeaseFromAnswer));
+    CHECK(caught(InjectedFault::LeaseFromAnswer));
 }
 
 TEST(KeyHomeTest, CheckerCatchesAForgottenTenure)
 {
-    CHECK(caught(PlantedFault::ForgetTenure));
+    CHECK(caught(InjectedFault::ForgetTenure));
 }
 
 TEST(KeyHomeTest, RefusesUnderAViewThatNobodyConfirms)
