--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -23,7 +23,7 @@
                        low & 0xfffU, (low >> 12U) & 0xfffU, low & 0xffffffffffffU);
 }
 
-enum class InjectedFault { None, GrantAnySet, NoHoldBack, LeaseFromAnswer, ForgetTenure };
+enum class InjectedFault { None, GrantAnySet, NoRefusalAfterStart, LeaseFromAnswer, ForgetTenure };
 
 // Agents whose lists change and lag, that are paused and replaced, and that are all offered every
 // key again and again. A key may be accepted once in all.
@@ -121,7 +121,7 @@
         Agent &agent = agents_[index];
         agent.home = std::make_unique<KeyHome>(name(index), settings);
         agent.grants = std::make_unique<GrantIssuer>(kLease);
-        if (fault_ != InjectedFault::NoHoldBack) {
+        if (fault_ != InjectedFault::NoRefusalAfterStart) {
             agent.grants->refuseUntil(now_ + kLease);
         }
         agent.home->setMembers(setOf(members));
@@ -291,7 +291,7 @@
 
 TEST(KeyHomeTest, CheckerCatchesAGranterThatForgetsItsPromises)
 {
-    CHECK(caught(InjectedFault::NoHoldBack));
+    CHECK(caught(InjectedFault::NoRefusalAfterStart));
 }
 
 TEST(KeyHomeTest, CheckerCatchesALeaseCountedFromTheAnswer)
