--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -23,7 +23,13 @@
                        low & 0xfffU, (low >> 12U) & 0xfffU, low & 0xffffffffffffU);
 }
 
-enum class InjectedFault { None, GrantAnySet, NoRefusalAfterStart, LeaseFromAnswer, ForgetTenure };
+enum class InjectedFault {
+    None,
+    GrantAnySet,
+    NoRefusalAfterStart,
+    LeaseFromAnswer,
+    StaleMinKeyTime
+};
 
 // Agents whose lists change and lag, that are paused and replaced, and that are all offered every
 // key again and again. A key may be accepted once in all.
@@ -165,7 +171,7 @@
                     if (lives_[index] == life) {
                         const bool late = fault_ == InjectedFault::LeaseFromAnswer;
                         // A tenure that began long ago is one that was forgotten to be renewed.
-                        const UnixMillis begun = fault_ == InjectedFault::ForgetTenure
+                        const UnixMillis begun = fault_ == InjectedFault::StaleMinKeyTime
                                                      ? wall() - std::chrono::hours(1)
                                                      : wall();
                         agents_[index].home->onGrant(name(other), set,
@@ -301,7 +307,7 @@
 
 TEST(KeyHomeTest, CheckerCatchesAForgottenTenure)
 {
-    CHECK(caught(InjectedFault::ForgetTenure));
+    CHECK(caught(InjectedFault::StaleMinKeyTime));
 }
 
 TEST(KeyHomeTest, RefusesUnderAViewThatNobodyConfirms)
