--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -33,10 +33,10 @@
 
 // Agents whose lists change and lag, that are paused and replaced, and that are all offered every
 // key again and again. A key may be accepted once in all.
-class KeyHomeWorld
+class KeyHomeSimulation
 {
 public:
-    KeyHomeWorld(std::uint64_t seed, InjectedFault fault)
+    KeyHomeSimulation(std::uint64_t seed, InjectedFault fault)
         : random_(seed)
         , fault_(fault)
     {}
@@ -252,7 +252,7 @@
 bool caught(InjectedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        if (KeyHomeWorld(seed, fault).run() > 0) {
+        if (KeyHomeSimulation(seed, fault).run() > 0) {
             return true;
         }
     }
@@ -280,7 +280,7 @@
 {
     std::size_t accepted = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        KeyHomeWorld world(seed, InjectedFault::None);
+        KeyHomeSimulation world(seed, InjectedFault::None);
         const int again = world.run();
         if (again != 0) {
             FAIL(fmt::format("seed {}: {} keys were accepted twice", seed, again).c_str());
