--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -280,12 +280,12 @@
 {
     std::size_t accepted = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        KeyHomeSimulation world(seed, InjectedFault::None);
-        const int again = world.run();
+        KeyHomeSimulation simulation(seed, InjectedFault::None);
+        const int again = simulation.run();
         if (again != 0) {
             FAIL(fmt::format("seed {}: {} keys were accepted twice", seed, again).c_str());
         }
-        accepted += world.acceptedKeys();
+        accepted += simulation.acceptedKeys();
     }
     CHECK(accepted > 2000);
 }
