--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -132,7 +132,7 @@
         }
         agent.home->setMembers(setOf(members));
         agent.home->confirmMembers(now_);
-        ++lives_[index];
+        ++incarnations_[index];
     }
 
     void send(std::size_t to, std::function<void()> action)
@@ -160,7 +160,7 @@
     {
         const std::uint64_t set = agents_[index].home->members().hash;
         const TimePoint askedAt = now_;
-        const int life = lives_[index];
+        const int life = incarnations_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
             send(other, [this, index, other, set, askedAt, life] {
                 const bool granted = agents_[other].grants->grant(set, now_);
@@ -168,7 +168,7 @@
                     return;
                 }
                 send(index, [this, index, other, set, askedAt, life] {
-                    if (lives_[index] == life) {
+                    if (incarnations_[index] == life) {
                         const bool late = fault_ == InjectedFault::LeaseFromAnswer;
                         // A tenure that began long ago is one that was forgotten to be renewed.
                         const UnixMillis begun = fault_ == InjectedFault::StaleMinKeyTime
@@ -242,7 +242,7 @@
     InjectedFault fault_;
     TimePoint now_{};
     Agent agents_[kAgents];
-    int lives_[kAgents] = {};
+    int incarnations_[kAgents] = {};
     std::vector<std::size_t> view_ = allMembers();
     std::vector<Message> messages_;
     std::deque<std::string> keys_;
