--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -160,15 +160,15 @@
     {
         const std::uint64_t set = agents_[index].home->members().hash;
         const TimePoint askedAt = now_;
-        const int life = incarnations_[index];
+        const int incarnation = incarnations_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
-            send(other, [this, index, other, set, askedAt, life] {
+            send(other, [this, index, other, set, askedAt, incarnation] {
                 const bool granted = agents_[other].grants->grant(set, now_);
                 if (!granted && fault_ != InjectedFault::GrantAnySet) {
                     return;
                 }
-                send(index, [this, index, other, set, askedAt, life] {
-                    if (incarnations_[index] == life) {
+                send(index, [this, index, other, set, askedAt, incarnation] {
+                    if (incarnations_[index] == incarnation) {
                         const bool late = fault_ == InjectedFault::LeaseFromAnswer;
                         // A tenure that began long ago is one that was forgotten to be renewed.
                         const UnixMillis begun = fault_ == InjectedFault::StaleMinKeyTime
