--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -182,7 +182,7 @@
         }
     }
 
-    void disturb()
+    void injectDisturbances()
     {
         const std::size_t index = pick(kAgents);
         if (chance(0.02)) {
@@ -227,7 +227,7 @@
     void step()
     {
         deliver();
-        disturb();
+        injectDisturbances();
         if (now_.time_since_epoch() % std::chrono::milliseconds(500) == Duration{}) {
             for (std::size_t index = 0; index < kAgents; ++index) {
                 if (agents_[index].pausedUntil <= now_) {
