--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -51,11 +51,11 @@
              now_ += std::chrono::milliseconds(100)) {
             step();
         }
-        int again = 0;
+        int duplicates = 0;
         for (const auto &[key, count] : accepted_) {
-            again += count - 1;
+            duplicates += count - 1;
         }
-        return again;
+        return duplicates;
     }
 
     std::size_t acceptedKeys() const { return accepted_.size(); }
@@ -281,9 +281,9 @@
     std::size_t accepted = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
         KeyHomeSimulation simulation(seed, InjectedFault::None);
-        const int again = simulation.run();
-        if (again != 0) {
-            FAIL(fmt::format("seed {}: {} keys were accepted twice", seed, again).c_str());
+        const int duplicates = simulation.run();
+        if (duplicates != 0) {
+            FAIL(fmt::format("seed {}: {} keys were accepted twice", seed, duplicates).c_str());
         }
         accepted += simulation.acceptedKeys();
     }
