--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -249,7 +249,7 @@
     std::map<std::string, int> accepted_;
 };
 
-bool caught(InjectedFault fault)
+bool detects(InjectedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         if (KeyHomeSimulation(seed, fault).run() > 0) {
@@ -292,22 +292,22 @@
 
 TEST(KeyHomeTest, CheckerCatchesGrantsOfAnySet)
 {
-    CHECK(caught(InjectedFault::GrantAnySet));
+    CHECK(detects(InjectedFault::GrantAnySet));
 }
 
 TEST(KeyHomeTest, CheckerCatchesAGranterThatForgetsItsPromises)
 {
-    CHECK(caught(InjectedFault::NoRefusalAfterStart));
+    CHECK(detects(InjectedFault::NoRefusalAfterStart));
 }
 
 TEST(KeyHomeTest, CheckerCatchesALeaseCountedFromTheAnswer)
 {
-    CHECK(caught(InjectedFault::LeaseFromAnswer));
+    CHECK(detects(InjectedFault::LeaseFromAnswer));
 }
 
 TEST(KeyHomeTest, CheckerCatchesAForgottenTenure)
 {
-    CHECK(caught(InjectedFault::StaleMinKeyTime));
+    CHECK(detects(InjectedFault::StaleMinKeyTime));
 }
 
 TEST(KeyHomeTest, RefusesUnderAViewThatNobodyConfirms)
