--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -191,12 +191,12 @@
         if (chance(0.03)) {
             const std::size_t replaced = chance(0.5) ? 0 : index;
             agents_[replaced].pausedUntil = {};
-            start(replaced, view_);
+            start(replaced, memberList_);
         }
         if (chance(0.02)) {
-            view_ = someMembers();
+            memberList_ = someMembers();
             for (std::size_t other = 0; other < kAgents; ++other) {
-                const MemberSet set = setOf(view_);
+                const MemberSet set = setOf(memberList_);
                 messages_.push_back({now_ + delay(8000), other,
                                      [this, other, set] { agents_[other].home->setMembers(set); }});
             }
@@ -243,7 +243,7 @@
     TimePoint now_{};
     Agent agents_[kAgents];
     int incarnations_[kAgents] = {};
-    std::vector<std::size_t> view_ = allMembers();
+    std::vector<std::size_t> memberList_ = allMembers();
     std::vector<Message> messages_;
     std::deque<std::string> keys_;
     std::map<std::string, int> accepted_;
