--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -169,13 +169,13 @@
                 }
                 send(index, [this, index, other, set, askedAt, incarnation] {
                     if (incarnations_[index] == incarnation) {
-                        const bool late = fault_ == InjectedFault::LeaseFromAnswer;
+                        const bool fromAnswer = fault_ == InjectedFault::LeaseFromAnswer;
                         // A tenure that began long ago is one that was forgotten to be renewed.
                         const UnixMillis begun = fault_ == InjectedFault::StaleMinKeyTime
                                                      ? wall() - std::chrono::hours(1)
                                                      : wall();
-                        agents_[index].home->onGrant(name(other), set,
-                                                     late ? now_ + kLease : askedAt, now_, begun);
+                        agents_[index].home->onGrant(
+                            name(other), set, fromAnswer ? now_ + kLease : askedAt, now_, begun);
                     }
                 });
             });
