--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -171,11 +171,12 @@
                     if (incarnations_[index] == incarnation) {
                         const bool fromAnswer = fault_ == InjectedFault::LeaseFromAnswer;
                         // A tenure that began long ago is one that was forgotten to be renewed.
-                        const UnixMillis begun = fault_ == InjectedFault::StaleMinKeyTime
-                                                     ? wall() - std::chrono::hours(1)
-                                                     : wall();
-                        agents_[index].home->onGrant(
-                            name(other), set, fromAnswer ? now_ + kLease : askedAt, now_, begun);
+                        const UnixMillis grantedAtWall = fault_ == InjectedFault::StaleMinKeyTime
+                                                             ? wall() - std::chrono::hours(1)
+                                                             : wall();
+                        agents_[index].home->onGrant(name(other), set,
+                                                     fromAnswer ? now_ + kLease : askedAt, now_,
+                                                     grantedAtWall);
                     }
                 });
             });
