--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -144,13 +144,13 @@
 
     void deliver()
     {
-        std::vector<Message> later;
+        std::vector<Message> notDue;
         std::vector<Message> due;
         for (Message &message : messages_) {
             const bool ready = message.at <= now_ && agents_[message.to].pausedUntil <= now_;
-            (ready ? due : later).push_back(std::move(message));
+            (ready ? due : notDue).push_back(std::move(message));
         }
-        messages_ = std::move(later);
+        messages_ = std::move(notDue);
         for (const Message &message : due) {
             message.action();
         }
