--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -311,7 +311,7 @@
     CHECK(detects(InjectedFault::StaleMinKeyTime));
 }
 
-TEST(KeyHomeTest, RefusesUnderAViewThatNobodyConfirms)
+TEST(KeyHomeTest, RefusesWithAnUnconfirmedMemberList)
 {
     becomeHome();
     const TimePoint muchLater = now + std::chrono::minutes(10);
