--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -291,7 +291,7 @@
     CHECK(accepted > 2000);
 }
 
-TEST(KeyHomeTest, CheckerCatchesGrantsOfAnySet)
+TEST(KeyHomeTest, SimulationDetectsGrantsOfAnySet)
 {
     CHECK(detects(InjectedFault::GrantAnySet));
 }
