--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -296,7 +296,7 @@
     CHECK(detects(InjectedFault::GrantAnySet));
 }
 
-TEST(KeyHomeTest, CheckerCatchesAGranterThatForgetsItsPromises)
+TEST(KeyHomeTest, SimulationDetectsGrantsIssuedRightAfterARestart)
 {
     CHECK(detects(InjectedFault::NoRefusalAfterStart));
 }
