--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -301,7 +301,7 @@
     CHECK(detects(InjectedFault::NoRefusalAfterStart));
 }
 
-TEST(KeyHomeTest, CheckerCatchesALeaseCountedFromTheAnswer)
+TEST(KeyHomeTest, SimulationDetectsALeaseCountedFromTheAnswer)
 {
     CHECK(detects(InjectedFault::LeaseFromAnswer));
 }
