--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -306,7 +306,7 @@
     CHECK(detects(InjectedFault::LeaseFromAnswer));
 }
 
-TEST(KeyHomeTest, CheckerCatchesAForgottenTenure)
+TEST(KeyHomeTest, SimulationDetectsAStaleMinKeyTime)
 {
     CHECK(detects(InjectedFault::StaleMinKeyTime));
 }
