--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -323,7 +323,7 @@
           == KeyVerdict::Unsure);
 }
 
-TEST(KeyHomeTest, RefusesKeysThatAreOlderThanItsTenure)
+TEST(KeyHomeTest, RefusesKeysMadeBeforeTheGrants)
 {
     becomeHome();
 
