--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -330,7 +330,7 @@
     CHECK(home.accept(kAccount, keyAt(wall, 1), now, wall) == KeyVerdict::Unsure);
 }
 
-TEST(KeyHomeTest, AcceptsAYoungKeyOnce)
+TEST(KeyHomeTest, AcceptsANewKeyOnce)
 {
     becomeHome();
     const UnixMillis later = wall + std::chrono::seconds(2) + UnixMillis(1);
