--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -348,7 +348,7 @@
     CHECK(home.accept(AccountId("other"), keyAt(later, 1), now, later) == KeyVerdict::Accept);
 }
 
-TEST(KeyHomeTest, RefusesOnceALeaseHasRunOut)
+TEST(KeyHomeTest, RefusesAfterALeaseExpires)
 {
     becomeHome();
     const UnixMillis later = wall + std::chrono::seconds(5);
