--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -27,7 +27,7 @@
     CHECK_FALSE(ledger.enqueue(request(1)));
 }
 
-TEST(RunLedgerTest, CancelAfterTheStartProvesNothing)
+TEST(RunLedgerTest, CancelAfterTheStartReturnsFalse)
 {
     ledger.enqueue(request(1));
     ledger.start(request(1));
