--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -35,7 +35,7 @@
     CHECK_FALSE(ledger.cancel(request(1)));
 }
 
-TEST(RunLedgerTest, ForgottenRequestsStayRefused)
+TEST(RunLedgerTest, EvictedRequestsStayRefused)
 {
     for (std::uint64_t counter = 1; counter <= 5; ++counter) {
         ledger.enqueue(request(counter));
