--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -62,7 +62,7 @@
     CHECK(issuer.redeem(ticket) == TicketVerdict::Spent);
 }
 
-TEST(TicketIssuerTest, ForgetsTheOldestAndRefusesIt)
+TEST(TicketIssuerTest, RefusesAnEvictedTicket)
 {
     const Ticket oldest = issuer.issue();
     issuer.issue();
