--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -79,7 +79,7 @@
     CHECK(issuer.redeem(ticket) == TicketVerdict::Unknown);
 }
 
-TEST(TicketIssuerTest, ReadsWhatItWrites)
+TEST(TicketIssuerTest, ParsesAFormattedTicket)
 {
     const Ticket ticket = issuer.issue();
 
