--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -87,7 +87,7 @@
     CHECK(busyServed >= 49);
 }
 
-TEST(FairQueueTest, ChargesBackWhatWasDeclaredTooLow)
+TEST(FairQueueTest, ChargesForUnderdeclaredTokens)
 {
     queue.setPolicy(AccountId("liar"), {1.0, 10'000});
     queue.setPolicy(AccountId("honest"), {1.0, 10'000});
