--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -134,7 +134,7 @@
     CHECK_EQUAL(50, plainServed);
 }
 
-TEST(FairQueueTest, RefusesBeyondTheAccountsBound)
+TEST(FairQueueTest, RefusesPushBeyondMaxQueued)
 {
     queue.setPolicy(AccountId("one"), {1.0, 2});
     CHECK(queue.push(makeRequest(1, "one", 10)));
