--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -144,7 +144,7 @@
     CHECK_EQUAL(2U, queue.size());
 }
 
-TEST(FairQueueTest, ExpiresWhatIsPastItsDeadline)
+TEST(FairQueueTest, PopExpiredRemovesRequestsPastTheirDeadline)
 {
     QueuedRequest late = makeRequest(1, "one", 10);
     late.deadline = TimePoint(Duration(100));
