--- a/test/decision/placement/balancer_test.cpp
+++ b/test/decision/placement/balancer_test.cpp
@@ -61,7 +61,7 @@
     CHECK(holdsEveryExpert(greedyPlacement(8, 3, zipf(16), speeds), 16));
 }
 
-TEST(BalancerTest, SplitGivesAwayExactlyAllWork)
+TEST(BalancerTest, SlotSharesSumToOne)
 {
     const LoadSplit split = splitLoad(staticPlacement(8, 3, 16), zipf(16), speeds);
 
