--- a/test/decision/placement/balancer_test.cpp
+++ b/test/decision/placement/balancer_test.cpp
@@ -85,7 +85,7 @@
     CHECK_EQUAL(0U, balance(staticPlacement(8, 3, 16), input(1.0, 1e6)).moves);
 }
 
-TEST(BalancerTest, StaysWithinTheMovesThatTheWeightStoreAllows)
+TEST(BalancerTest, MakesAtMostMaxMoves)
 {
     BalanceInput given = input(10.0, 0.0);
     given.maxMoves = 2;
