--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -7,14 +7,14 @@
 namespace seamarch {
 namespace {
 
-constexpr int kSplitRounds = 24;
-constexpr int kSearchSplitRounds = 6;
-constexpr double kConvergenceThreshold = 1e-4;
-constexpr double kMinSpeed = 0.02;
+constexpr int kSplitRounds = 24;               // Iterations for the split that is returned.
+constexpr int kSearchSplitRounds = 6;          // Iterations for the split of a candidate change.
+constexpr double kConvergenceThreshold = 1e-4; // Load share moved in the last iteration.
+constexpr double kMinSpeed = 0.02;             // Lower bound, since step times divide by speed.
 constexpr std::size_t kHotRanksToTry = 2;
 constexpr std::size_t kColdRanksToTry = 6;
 
-// The slots of each expert.
+// The slots that hold each expert.
 using Replicas = std::vector<std::vector<std::uint32_t>>;
 
 Replicas replicasOf(const Placement &placement, std::size_t experts)
@@ -31,7 +31,8 @@
     return std::max(kMinSpeed, speeds[rank]);
 }
 
-// Works out splits by giving one expert after the other the split that evens its own ranks out.
+// Computes the load split iteratively: each iteration redistributes the tokens of one expert after
+// another to equalize the step times of the ranks that hold it.
 class Splitter
 {
 public:
@@ -69,7 +70,8 @@
     }
 
 private:
-    // Fills the expert's ranks up to one level of time, like water; returns how much moved.
+    // Redistributes the tokens of `expert` by water-filling, so that the ranks that get any of them
+    // reach the same step time. Returns the load share that moved.
     double balanceExpert(std::size_t expert)
     {
         const auto &slots = replicas_[expert];
@@ -95,12 +97,15 @@
         return moved;
     }
 
+    // Returns the step time of the slot's rank under its current load.
     double baseTime(std::uint32_t slot) const
     {
         const std::uint32_t rank = slot / placement_.slots;
         return load_[rank] / speedOf(speeds_, rank);
     }
 
+    // Returns the step time that the ranks in `order_` reach when `amount` of load is added to the
+    // least loaded ones.
     double waterFillingLevel(double amount) const
     {
         double speed = 0.0;
@@ -148,7 +153,7 @@
     return *std::max_element(split.rankTime.begin(), split.rankTime.end());
 }
 
-// Ranks by step time, slowest first.
+// Returns the ranks by step time, longest first.
 std::vector<std::uint32_t> ranksByTime(const LoadSplit &split)
 {
     std::vector<std::uint32_t> ranks(split.rankTime.size());
@@ -169,7 +174,8 @@
     return false;
 }
 
-// Searches for the single change that lowers the largest step time most.
+// Searches for the replacement or swap that lowers the largest step time most per moved slot. Tries
+// only changes between the ranks with the longest and those with the shortest step times.
 class MoveSearch
 {
 public:
@@ -181,7 +187,7 @@
         , bestTime_(largestTime(split))
     {}
 
-    // Returns false when no change helps.
+    // Returns false if no change lowers the largest step time.
     bool run()
     {
         const auto ranks = ranksByTime(split_);
@@ -214,7 +220,8 @@
         }
     }
 
-    // Puts one more replica of `expert` in the place of a replica that is not the last of its kind.
+    // Replaces the expert in `slot` by a further replica of `expert`, unless `slot` holds the only
+    // replica of its expert.
     void tryAddReplica(ExpertIndex expert, std::uint32_t slot)
     {
         if (replicas_[placement_.experts[slot]].size() < 2) {
@@ -240,7 +247,7 @@
     {
         LoadSplit split = Splitter(changed, input_.shares, input_.speeds).run(kSearchSplitRounds);
         const double time = largestTime(split);
-        // A swap must win more than a replica does, since it moves twice the weights.
+        // Compares the gain per moved slot, since a swap loads weights into two slots.
         const double gain = (largestTime(split_) - time) / moves;
         const double bestGain = found_ ? (largestTime(split_) - bestTime_) / moves_ : 0.0;
         if (gain <= bestGain) {
@@ -279,7 +286,8 @@
     placement.experts.resize(static_cast<std::size_t>(ranks) * slots);
     for (std::uint32_t slot = 0; slot < slots; ++slot) {
         for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-            // Each round is shifted by one rank, so that spare replicas fall on other ranks.
+            // Each row of slots is shifted by one rank, so that further replicas of an expert are
+            // placed on other ranks.
             const std::uint32_t number = slot * ranks + (rank + slot) % ranks;
             placement.experts[rank * slots + slot] = number % experts;
         }
@@ -322,7 +330,7 @@
                 best = fits && better ? rank : best;
             }
             if (best == ranks) {
-                // Only ranks that hold the expert have room: the replica goes to any free slot.
+                // All ranks with a free slot already hold the expert: use the first free slot.
                 best = static_cast<std::uint32_t>(
                     std::find_if(ofRank.begin(), ofRank.end(),
                                  [slots](const auto &held) { return held.size() < slots; })
@@ -362,7 +370,7 @@
     result.placement = current;
     result.split = splitLoad(current, input.shares, input.speeds);
     const std::size_t slots = current.experts.size();
-    // What noise alone may seem to win is not worth moving weights for.
+    // Noise in the shares alone can appear as a gain; it does not justify moving weights.
     const double noiseFloor = input.objective.skewWeight * input.noise * current.ranks;
     while (result.moves < input.maxMoves) {
         MoveSearch search(result.placement, result.split, input);
--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double kDriftFraction =
-    0.25; // Relative difference that drift alone makes within a period.
-constexpr double kSpeedSmoothing = 0.3; // A rank that stalls shows within a few steps.
+    0.25; // Relative difference within a period that drift alone causes.
+constexpr double kSpeedSmoothing = 0.3; // Detects a stalled rank within a few steps.
 
 double total(std::span<const double> values)
 {
@@ -80,7 +80,8 @@
     if (countsPerPeriod_ <= 0.0) {
         return 1.0;
     }
-    // The counts are nearly Poisson; the fast average spreads the noise over its half-life.
+    // The counts are approximately Poisson distributed; the fast average smooths the noise over its
+    // half-life.
     const double mean = 1.0 / static_cast<double>(fast_.size());
     return std::sqrt(mean / countsPerPeriod_);
 }
@@ -107,7 +108,7 @@
         return shares;
     }
     for (std::size_t index = 0; index < shares.size(); ++index) {
-        // Drift differs from day to day and makes small differences; a swing makes large ones.
+        // Large changes recur daily; small ones are mostly drift, which differs from day to day.
         const double profileChange = targetBin[index] - currentBin[index];
         const double relative = profileChange / std::max(currentBin[index], 1e-9);
         const double trust =
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -1,10 +1,7 @@
-// How popular each expert of a layer is, from counts that lag and have gaps.
+// Estimators for the input of the balancer: the popularity of each expert of a layer, and the speed
+// of each rank.
 //
-// Two averages are kept, a fast and a slow one. The estimate leans on the fast one by how far the
-// two lie apart against the noise of the counts, so that drift is followed and noise is not. A
-// profile of the day, kept for the life of the process, adds what recurred at this time before.
-//
-// The class is pure and single-threaded. Memory: (2 + kDayBins) numbers for each expert.
+// The classes are pure and single-threaded.
 #pragma once
 
 #include "seamarch/units.h"
@@ -15,6 +12,14 @@
 
 namespace seamarch {
 
+// Estimates the popularity of each expert from token counts that arrive late and with gaps.
+//
+// Keeps a fast and a slow exponential moving average. The weight of the fast average grows with the
+// difference between the two relative to the noise of the counts, so that the estimate follows
+// drift but not noise. A profile of the day, kept until the process ends, lets the forecast include
+// changes that recur at the same time of day.
+//
+// Memory: (2 + kDayBins) numbers for each expert.
 class PopularityEstimate
 {
 public:
@@ -23,9 +28,10 @@
         double fastHalfLifeSeconds = 100.0;
         double slowHalfLifeSeconds = 3600.0;
         double daySeconds = 86400.0;
-        double profileWeight = 0.5; // How far a forecast follows what recurred.
+        double profileWeight = 0.5; // Weight of the daily profile in a forecast; 0 to 1.
     };
 
+    // Number of bins of the daily profile.
     static constexpr std::size_t kDayBins = 48;
 
     explicit PopularityEstimate(std::size_t experts)
@@ -33,15 +39,16 @@
     {}
     PopularityEstimate(std::size_t experts, Settings settings);
 
-    // Takes the tokens that each expert got in a period that ended at `now`. A period whose counts
-    // are lost is simply not reported.
+    // Adds the number of tokens routed to each expert in a period that ended at `now`. Ignores
+    // counts that sum to zero. Periods whose counts were lost are not reported.
     void addCounts(std::span<const double> counts, TimePoint now);
 
-    // Returns the share of each expert as estimated now; the shares sum to 1.
+    // Returns the estimated current share of each expert; the shares sum to 1.
     std::vector<double> shares() const;
-    // Returns the shares that are expected `ahead` from the last counts.
+    // Returns the shares expected at `ahead` after the last counts; they sum to 1.
     std::vector<double> forecast(Duration ahead) const;
-    // Returns the standard deviation of one expert's share that the counts' noise alone makes.
+    // Returns the standard deviation of one expert's share due to the sampling noise of the counts;
+    // 1 before the first counts.
     double noise() const;
 
 private:
@@ -50,13 +57,14 @@
     Settings settings_;
     std::vector<double> fast_;
     std::vector<double> slow_;
-    std::vector<std::vector<double>> dayProfile_; // By bin of the day; empty until it was seen.
+    std::vector<std::vector<double>>
+        dayProfile_; // Shares by bin of the day; empty until a bin has counts.
     TimePoint lastCountsAt_{};
     double countsPerPeriod_ = 0.0;
     bool started_ = false;
 };
 
-// How fast each rank works, from the time that each takes for its tokens in a step.
+// Estimates the relative speed of each rank from its tokens and its time in each step.
 class RankSpeedEstimate
 {
 public:
@@ -64,11 +72,11 @@
         : speeds_(ranks, 1.0)
     {}
 
-    // Takes one step: the tokens that each rank had and the seconds that it took for them.
+    // Adds one step: the number of tokens that each rank processed and the seconds it took.
     void addStep(std::span<const double> tokens, std::span<const double> seconds);
-    // Returns each rank's speed; the median rank has 1.
+    // Returns the smoothed speed of each rank; 1 is the speed of the median rank.
     const std::vector<double> &speeds() const { return speeds_; }
-    // Returns the ranks whose speed is below `part` of the median's.
+    // Returns the ranks whose speed is below `fraction` of the median speed.
     std::vector<std::size_t> ranksSlowerThan(double fraction) const;
 
 private:
