--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -53,7 +53,7 @@
 
 std::optional<UnixMillis> uuidV7Time(std::string_view key)
 {
-    // The form is xxxxxxxx-xxxx-7xxx-yxxx-xxxxxxxxxxxx; the first 48 bits are the time.
+    // The format is xxxxxxxx-xxxx-7xxx-yxxx-xxxxxxxxxxxx; the first 48 bits are the timestamp.
     constexpr std::size_t kUuidLength = 36;
     constexpr std::size_t kVersionAt = 14;
     constexpr std::size_t kTimeDigits = 12;
@@ -107,7 +107,7 @@
     if (set != set_.hash) {
         return;
     }
-    // A home that lost a lease may have been replaced meanwhile, so its tenure starts anew.
+    // Another home may have accepted keys while a lease was expired, so `minKeyTime_` is set anew.
     if (active_ && !holdsAllGrants(now)) {
         active_ = false;
     }
@@ -150,7 +150,7 @@
     if (rendezvousHome(set_, scoped) != self_) {
         return KeyVerdict::NotHome;
     }
-    // A key from the future would pass the test of a later home too.
+    // A key with a future timestamp would be accepted by a later home as well.
     if (*time <= minKeyTime_ || *time > wall + settings_.clockMargin) {
         return KeyVerdict::Unsure;
     }
@@ -163,7 +163,7 @@
     acceptedKeys_.insert(scoped);
     insertionOrder_.emplace_back(time, std::move(scoped));
     while (insertionOrder_.size() > settings_.maxKeys) {
-        // A forgotten key must stay refused, so the tenure moves up to it.
+        // An evicted key must still be refused, so `minKeyTime_` advances to its time.
         minKeyTime_ = std::max(minKeyTime_, insertionOrder_.front().first);
         acceptedKeys_.erase(insertionOrder_.front().second);
         insertionOrder_.pop_front();
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -1,26 +1,27 @@
-// Which agent is the home of a caller's own key, without shared state and without guessing.
+// Runs a request with a client-chosen idempotency key at most once, without shared state.
 //
-// A request that carries an `Idempotency-Key` runs only at the key's home: the agent with the
+// A request that carries an `Idempotency-Key` runs only at the home of the key: the agent with the
 // highest rendezvous hash among the agents of its service in the account's home hall. Two processes
-// may see two member sets and would then name two homes, so an agent acts as a home only while it
-// holds a grant from *every* member of its set, for exactly that set. A member grants one set at a
-// time and does not grant another until all that it granted before has run out. Two sets that share
-// a member can therefore never be in use at the same time, and no majority is involved: every
-// member must agree, and one that cannot be reached makes the homes refuse.
+// may have different member sets and would then compute different homes. An agent therefore acts as
+// a home only while it holds a grant, which is a lease, from *every* member of its set for exactly
+// that set. A member grants one set at a time and grants another set only after all its earlier
+// grants have expired. Two sets that share a member can therefore never be active at the same time.
+// No majority is involved: if one member cannot be reached, the homes refuse requests.
 //
-// A grant is measured from when it was asked for, on the asker's monotonic clock, and is promised
-// from when it was answered, on the granter's; the asker's lease therefore ends first.
+// The requester measures a grant on its monotonic clock from the time of the request; the granter
+// measures it on its own clock from the time of the answer. The requester's lease therefore expires
+// first.
 //
-// Two sets that share no member could be in use at once when a whole pool is replaced while its old
-// members live on behind a cut. An agent therefore acts as a home only under a list that the
-// platform has confirmed within `maxMembersAge`, and operators do not replace a whole pool within
-// that time.
+// Two sets that share no member could be active at the same time if a whole pool is replaced while
+// a network partition keeps its old members running. An agent therefore acts as a home only while
+// the platform has confirmed its member list within `maxMembersAge`, and operators must not replace
+// a whole pool within that time.
 //
-// When the set changes, the new homes have no record of the old ones' keys. A home accepts only
-// keys that were made after it got its set (`tenure`), with a margin for the callers' clocks; older
-// keys are refused as not provable.
+// When the set changes, the new homes have no record of the keys that the old homes accepted. A
+// home accepts only keys created after it obtained the grants for its set, plus a margin for the
+// clocks of the clients. It refuses older keys, since it cannot prove that they were not used.
 //
-// The classes are pure: time comes in as an argument. Single-threaded.
+// The classes are pure: time is passed as an argument. Single-threaded.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -39,26 +40,26 @@
 
 namespace seamarch {
 
-// Milliseconds since the Unix epoch, as a key carries them.
+// Milliseconds since the Unix epoch, the resolution of the time in a version 7 UUID.
 using UnixMillis = std::chrono::milliseconds;
 
-// A set of members, named by the hash of its sorted ids.
+// A set of agents, identified by a hash of its sorted ids.
 struct MemberSet
 {
     std::vector<InstanceId> members; // Sorted.
     std::uint64_t hash = 0;
 };
 
-// Makes a member set out of ids in any order.
+// Returns the member set of `members`, which may be unsorted and contain duplicates.
 MemberSet makeMemberSet(std::vector<InstanceId> members);
 
-// Returns the member with the highest rendezvous hash for `key`; nothing when the set is empty.
+// Returns the member with the highest rendezvous hash for `key`, or nullopt if the set is empty.
 std::optional<InstanceId> rendezvousHome(const MemberSet &set, std::string_view key);
 
-// Returns the time inside a key that is an RFC 9562 version 7 UUID; nothing for any other key.
+// Returns the timestamp of a key that is an RFC 9562 version 7 UUID, or nullopt for any other key.
 std::optional<UnixMillis> uuidV7Time(std::string_view key);
 
-// The granter's side: promises one member set at a time.
+// Issues grants for one member set at a time; the granter's side of the protocol above.
 class GrantIssuer
 {
 public:
@@ -66,61 +67,70 @@
         : lease_(lease)
     {}
 
-    // Asks for a grant on `set`. Returns false while another set is promised.
+    // Grants or renews `set`, given by its hash, for the lease time. Returns false and grants
+    // nothing while a grant for another set is in force.
     bool grant(std::uint64_t set, TimePoint now);
-    // Refuses all grants until `until`: a process that has just started cannot know what the
-    // incarnation before it promised.
+    // Refuses all grants until `until`. Called at start, since a process does not know the grants
+    // that its previous incarnation issued.
     void refuseUntil(TimePoint until) { exclusiveUntil_ = std::max(exclusiveUntil_, until); }
 
 private:
     Duration lease_;
     std::uint64_t grantedSet_ = 0;
-    TimePoint exclusiveUntil_{};
+    TimePoint exclusiveUntil_{}; // Other sets are refused before this time.
 };
 
-// Returns the name of a key among all accounts' keys: two accounts may use the same one.
+// Returns `key` prefixed with the account, since two accounts may use the same key.
 std::string scopedKey(const AccountId &account, std::string_view key);
 
-// Why a key was refused, or that it may run.
+// The decision on a request with an idempotency key.
 enum class KeyVerdict {
-    Accept,     // This agent is the home and has never seen the key.
-    SeenBefore, // A request with this key was accepted here.
-    NotHome,    // Another agent is the home in this agent's view.
-    Unsure,     // The home cannot be proved now.
+    Accept,     // This agent is the home and the key is new; the request may run.
+    SeenBefore, // This agent has already accepted a request with the key.
+    NotHome,    // Another agent is the home according to this agent's member set.
+    Unsure,     // This agent cannot prove that it is the home, or that the key is new.
 };
 
-// The asker's side: holds grants for its set, and the keys that it has accepted.
+// Decides whether this agent may run a request with an idempotency key. Holds the grants that the
+// agent has obtained for its member set and the keys that it has accepted.
 class KeyHome
 {
 public:
     struct Settings
     {
-        Duration lease = std::chrono::seconds(3);
+        Duration lease = std::chrono::seconds(3); // Lifetime of a grant.
+        // Maximum time since the platform last confirmed the member list.
         Duration maxMembersAge = std::chrono::minutes(10);
-        UnixMillis clockMargin = std::chrono::seconds(2);
-        std::size_t maxKeys = 100'000;
+        UnixMillis clockMargin = std::chrono::seconds(2); // Tolerated skew of client clocks.
+        std::size_t maxKeys = 100'000;                    // Accepted keys that are kept.
     };
 
     KeyHome(InstanceId self, Settings settings);
 
-    // Takes a new member set. Grants for another set are dropped at once.
+    // Replaces the member set and drops the grants for the previous set. Does nothing if the set is
+    // unchanged.
     void setMembers(MemberSet set);
-    // A member granted `set`; the request for it was sent at `askedAt`.
+    // Records that `member` granted `set` in answer to a request sent at `askedAt`. Ignores grants
+    // for other sets than the current one.
     void onGrant(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
                  UnixMillis wall);
 
-    // The platform was asked at `at` or later and confirmed the list that the set was made from.
+    // Records that the platform confirmed the member list in answer to a request sent at `at` or
+    // later.
     void confirmMembers(TimePoint at) { membersConfirmedAt_ = std::max(membersConfirmedAt_, at); }
 
-    // Tells whether every member's grant is in force.
+    // Returns whether the grants of all members are in force.
     bool holdsAllGrants(TimePoint now) const;
-    // Decides on a request with `key`, and records the key if it is accepted.
+    // Decides on a request with `key` and records the key if it is accepted. `wall` is the current
+    // Unix time.
     KeyVerdict accept(const AccountId &account, std::string_view key, TimePoint now,
                       UnixMillis wall);
-    // Takes back an accepted key, because its request was refused before it started.
+    // Removes an accepted key whose request was refused before it started, so that the client can
+    // retry it.
     void withdraw(const AccountId &account, std::string_view key);
 
     const MemberSet &members() const { return set_; }
+    // Returns the number of accepted keys that are kept.
     std::size_t size() const { return acceptedKeys_.size(); }
 
 private:
@@ -131,8 +141,8 @@
     MemberSet set_;
     std::map<InstanceId, TimePoint> grantedUntil_;
     TimePoint membersConfirmedAt_{};
-    bool active_ = false;
-    UnixMillis minKeyTime_{}; // Keys at or before this time are refused.
+    bool active_ = false;     // Whether all grants have been held without a gap since minKeyTime_.
+    UnixMillis minKeyTime_{}; // Keys created at or before this time are refused.
     std::unordered_set<std::string> acceptedKeys_;
     std::deque<std::pair<UnixMillis, std::string>> insertionOrder_;
 };
--- a/src/decision/once/runledger.cpp
+++ b/src/decision/once/runledger.cpp
@@ -60,7 +60,7 @@
     case RunState::Started:
     case RunState::Finished:
     case RunState::Evicted:
-        // A forgotten request may have been a finished one.
+        // An evicted request may have run.
         return false;
     }
     return false;
--- a/src/decision/once/runledger.h
+++ b/src/decision/once/runledger.h
@@ -1,10 +1,11 @@
-// The agent's record of every request that it has heard of, so that each runs at most once here.
+// An agent's record of the requests it has received, which ensures that each runs at most once
+// here.
 //
-// A request is unknown, queued, started or finished, or it has a tombstone. A tombstone is left by
-// a cancel that came before the start: a late copy of the request then does not start. The record
-// is bounded: the oldest closed entries are forgotten, and a floor per entry incarnation refuses
-// every counter at or below the highest forgotten one. Refusing too much is safe, because a refusal
-// says truthfully that this copy did not run.
+// A cancellation that arrives before the start leaves a tombstone, so that a delayed copy of the
+// request does not start. The record is bounded: it evicts the oldest closed requests and keeps,
+// for each entry incarnation, the highest evicted counter. A request that is not recorded and whose
+// counter is not above that is refused. Refusing too many requests is safe, because a refusal
+// correctly states that this copy did not run.
 //
 // The class is pure and single-threaded.
 #pragma once
@@ -17,30 +18,39 @@
 
 namespace seamarch {
 
-// What the ledger knows of a request.
-enum class RunState { Unknown, Queued, Started, Finished, Tombstone, Evicted };
+// The state of a request in the ledger.
+enum class RunState {
+    Unknown,   // Never received.
+    Queued,    // Accepted but not started.
+    Started,   // Running.
+    Finished,  // Has run.
+    Tombstone, // Cancelled or withdrawn before its start; must not start.
+    Evicted,   // No longer recorded; may have run.
+};
 
 class RunLedger
 {
 public:
-    // `capacity` bounds the number of closed requests that are remembered one by one.
+    // `capacity` is the maximum number of closed requests (Finished or Tombstone) that are kept.
     explicit RunLedger(std::size_t capacity);
 
     RunState state(RequestId id) const;
-    // Records a request that was accepted. Returns false, and records nothing, unless it is
-    // Unknown.
+    // Records an accepted request as Queued. Returns false and records nothing unless the request
+    // is Unknown.
     bool enqueue(RequestId id);
-    // Records the start. Returns false unless the request is Queued.
+    // Records the start of a request. Returns false and changes nothing unless it is Queued.
     bool start(RequestId id);
-    // Records the end of a started request.
+    // Records that a started request has ended.
     void finish(RequestId id);
-    // Cancels. Returns true when it is proved that the request did not and will not run here.
+    // Cancels a request that has not started and leaves a tombstone. Returns true if the request
+    // certainly has not run and will not run here.
     bool cancel(RequestId id);
-    // Takes back an accepted request that has not started; leaves a tombstone.
+    // Replaces an accepted request that has not started by a tombstone.
     void withdraw(RequestId id);
 
+    // Returns the number of requests that are recorded individually.
     std::size_t size() const { return states_.size(); }
-    // Returns the number of entry incarnations that have a floor.
+    // Returns the number of entry incarnations that have had requests evicted.
     std::size_t incarnationsWithEvictions() const { return evictedUpTo_.size(); }
 
 private:
@@ -50,8 +60,8 @@
     std::size_t capacity_;
     std::unordered_map<RequestId, RunState> states_;
     std::deque<RequestId> closedOrder_; // Oldest first.
-    // Sixteen bytes for each incarnation of an entry that was ever met: at 140 replacements a day
-    // an agent that lives for a year keeps less than two megabytes of them.
+    // Highest evicted counter by entry incarnation. Never shrinks: each incarnation takes 16 bytes,
+    // so at 140 replacements a day an agent that runs for a year keeps less than 2 MB.
     std::unordered_map<Incarnation, std::uint64_t> evictedUpTo_;
 };
 
--- a/src/decision/once/ticketissuer.h
+++ b/src/decision/once/ticketissuer.h
@@ -1,9 +1,9 @@
-// Tickets: a caller's way to have a request run at most once, whatever entry it retries through.
+// Tickets with which a client has a request run at most once, through whichever entry it retries.
 //
-// An agent hands out tickets ahead of use. A ticket names the agent's incarnation, so it is dead
-// when that incarnation is gone, and carries a random secret, so it cannot be guessed. A request
-// with a ticket runs only at the agent that issued it, and only once. This needs no clock and no
-// agreement on members and is safe in every partition.
+// An agent issues tickets in advance. A ticket contains the agent's incarnation, so it becomes
+// invalid when the agent restarts, and a random secret, so it cannot be guessed. A request with a
+// ticket runs only at the agent that issued the ticket, and only once. This requires neither clocks
+// nor agreement on the members, and holds under every network partition.
 //
 // The classes are pure and single-threaded.
 #pragma once
@@ -20,7 +20,7 @@
 
 namespace seamarch {
 
-// A ticket as it travels in the header `Seamarch-Ticket`.
+// A ticket as carried in the `Seamarch-Ticket` header.
 struct Ticket
 {
     InstanceId agent;
@@ -30,30 +30,31 @@
     friend bool operator==(const Ticket &, const Ticket &) = default;
 };
 
-// Writes a ticket as text.
+// Returns the text form `agent.incarnation.secret`, with both numbers in hexadecimal.
 std::string formatTicket(const Ticket &ticket);
-// Reads a ticket; returns nothing when the text is not one.
+// Parses the text form. Returns nullopt if the text is not a well-formed ticket.
 std::optional<Ticket> parseTicket(std::string_view text);
 
-// What an agent says of a ticket that is presented to it.
+// The result of redeeming a ticket.
 enum class TicketVerdict {
-    Fresh,   // Issued here and never used; it is spent now.
-    Spent,   // Used before: a request with it was accepted here.
-    Unknown, // Never issued by this incarnation, or forgotten.
+    Fresh,   // Issued here and not used before; the ticket is now spent.
+    Spent,   // A request with this ticket was already accepted here.
+    Unknown, // Not issued by this incarnation, or evicted.
 };
 
-// The agent's side: issues tickets and redeems each once. Bounded: the oldest are forgotten, and a
-// forgotten ticket is refused.
+// Issues the tickets of an agent and redeems each at most once. Keeps at most `capacity` tickets;
+// the oldest are evicted, and evicted tickets are refused.
 class TicketIssuer
 {
 public:
     TicketIssuer(InstanceId agent, Incarnation incarnation, std::uint64_t seed,
                  std::size_t capacity);
 
+    // Returns a new ticket with a unique random secret.
     Ticket issue();
-    // Spends the ticket if it is fresh.
+    // Marks the ticket as spent if it is fresh, and returns its state before the call.
     TicketVerdict redeem(const Ticket &ticket);
-    // Makes a spent ticket fresh again, because its request was refused before it started.
+    // Makes a spent ticket fresh again after its request was refused before its start.
     void restore(const Ticket &ticket);
 
 private:
@@ -61,7 +62,7 @@
     Incarnation incarnation_;
     std::mt19937_64 random_;
     std::size_t capacity_;
-    std::unordered_map<std::uint64_t, bool> spentBySecret_; // By secret.
+    std::unordered_map<std::uint64_t, bool> spentBySecret_; // Whether each ticket is spent.
     std::deque<std::uint64_t> issueOrder_;                  // Oldest first.
 };
 
