--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -118,8 +118,8 @@
 
 double FairQueue::tokensAhead(const AccountId &account) const
 {
-    // Until the account's own backlog is served, every backlogged account gets its share of the
-    // tokens; none gets more than it has queued.
+    // Until the account's own backlog is served, each other backlogged account is served its fair
+    // share plus at most one request, but no more than it has queued.
     const auto own = accounts_.find(account);
     const double ownShare = own == accounts_.end() ? 1.0 : own->second.policy.share;
     const double ownQueued =
--- a/src/decision/fairness/requestcost.h
+++ b/src/decision/fairness/requestcost.h
@@ -1,8 +1,8 @@
-// What a request costs an upstream, as one number for queueing, shares and load.
+// The cost of a request at an upstream, used for queueing, fair shares and load estimates.
 //
-// The unit is one generated token. A prompt token costs far less: an engine reads a prompt in
-// parallel but generates token by token. Counting both alike makes long prompts look like long
-// work; docs/design/routing.md has the measurement.
+// The unit is one generated token. A prompt token costs far less, because an engine processes the
+// prompt in parallel but generates the answer token by token. Equal weights would overestimate the
+// cost of long prompts; docs/design/routing.md has the measurement.
 #pragma once
 
 #include "seamarch/units.h"
@@ -12,7 +12,7 @@
 // Cost of one prompt token, in generated tokens.
 constexpr double kPromptTokenCost = 0.01;
 
-// Returns the cost of a prompt and an answer, at least 1.
+// Returns the cost of a request with the given number of prompt and answer tokens; at least 1.
 inline Tokens requestCost(Tokens promptTokens, Tokens answerTokens)
 {
     const double prompt = kPromptTokenCost * static_cast<double>(promptTokens);
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -141,7 +141,7 @@
     MemberSet set_;
     std::map<InstanceId, TimePoint> grantedUntil_;
     TimePoint membersConfirmedAt_{};
-    bool active_ = false;     // Whether all grants have been held without a gap since minKeyTime_.
+    bool active_ = false;     // Set once all grants are held; cleared when one lapses.
     UnixMillis minKeyTime_{}; // Keys created at or before this time are refused.
     std::unordered_set<std::string> acceptedKeys_;
     std::deque<std::pair<UnixMillis, std::string>> insertionOrder_;
--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -5,8 +5,8 @@
 namespace seamarch {
 namespace {
 
-constexpr double kDefaultTokensPerSecond =
-    1000.0; // Cost a second, until an agent has reported its own.
+// Processing rate that is assumed until the agent reports its own.
+constexpr double kDefaultTokensPerSecond = 1000.0;
 
 } // namespace
 
@@ -87,7 +87,7 @@
     if (freeSlots() >= 1.0) {
         return {};
     }
-    // The next slot to come free is the first of those that run; what is queued goes before.
+    // A new request waits for all queued requests and then for the first slot to become free.
     const double slots = std::max<double>(1.0, report_.slots);
     const double firstEnd = static_cast<double>(report_.runningTokens) / slots;
     return fromSeconds((queuedCost(now) + costSinceReport_ + firstEnd) / processingRate());
--- a/src/decision/routing/prefixindex.h
+++ b/src/decision/routing/prefixindex.h
@@ -1,7 +1,8 @@
-// What an entry believes about which agents hold a prompt prefix in their cache.
+// An entry's index of the agents that probably hold a prompt prefix in their cache.
 //
-// Cache events come late and with gaps, so the knowledge is a probability that decays with age:
-// caches are limited and evict. The index is bounded; the least recently used prefix goes first.
+// Cache events arrive late and with gaps, and caches are bounded and evict. The index therefore
+// returns a probability that decays with the age of the last event. It is bounded and evicts the
+// least recently recorded prefix first.
 //
 // The class is pure and single-threaded.
 #pragma once
@@ -21,9 +22,9 @@
 public:
     struct Settings
     {
-        std::size_t capacity = 20'000;
-        std::size_t holdersPerPrefix = 4;
-        Duration halfLife = std::chrono::seconds(120);
+        std::size_t capacity = 20'000;                 // Number of prefixes that are kept.
+        std::size_t holdersPerPrefix = 4;              // Number of agents kept for a prefix.
+        Duration halfLife = std::chrono::seconds(120); // Time in which the probability halves.
     };
 
     PrefixIndex() = default;
@@ -31,13 +32,15 @@
         : settings_(settings)
     {}
 
-    // A request with the prefix was sent to `agent`, or the agent reported that it holds it.
+    // Records that a request with the prefix was sent to `agent`, or that the agent reported that
+    // it holds the prefix. `prefix` is a hash.
     void recordHolder(std::uint64_t prefix, const InstanceId &agent, TimePoint now);
-    // The agent is gone or has lost its cache.
+    // Removes `agent` from all prefixes, because it is gone or has lost its cache.
     void removeAgent(const InstanceId &agent);
-    // Returns the probability that `agent` holds the prefix.
+    // Returns the estimated probability, from 0 to 1, that `agent` holds the prefix at `now`.
     double probability(std::uint64_t prefix, const InstanceId &agent, TimePoint now) const;
 
+    // Returns the number of prefixes in the index.
     std::size_t size() const { return entries_.size(); }
 
 private:
--- a/src/decision/routing/router.h
+++ b/src/decision/routing/router.h
@@ -1,10 +1,10 @@
 // Chooses the agent that gets a request.
 //
-// A router sees candidates, which already may receive work, with the entry's corrected estimate of
-// their load, and returns the index of one. Round robin, least in flight and two random choices are
-// baselines behind the same interface; ExpectedWaitRouter is what the product uses.
+// A router receives the candidates that may receive work, with the entry's estimate of their load,
+// and returns the index of one of them. The entry uses ExpectedWaitRouter; round robin, least in
+// flight and two random choices are baselines for comparison.
 //
-// Routers are pure: the random engine comes with the call. Single-threaded.
+// Routers are deterministic: the random engine is passed with the call. Single-threaded.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -18,19 +18,19 @@
 
 namespace seamarch {
 
-// What a router needs to know of one candidate.
+// An agent that may be chosen, and its estimated state.
 struct RouteCandidate
 {
     InstanceId agent;
-    double pendingCost = 0.0; // Queued and running at the agent, corrected by the entry.
-    Duration expectedWait{};  // Expected until a new request starts.
-    std::uint32_t ownInFlight = 0;
-    double cachedTokens = 0.0; // Expected number of prompt tokens that its cache holds.
-    Duration distance{};       // One-way delay to it.
-    double readiness = 1.0;    // From 0 to 1: less than 1 during the slow start.
+    double pendingCost = 0.0;      // Estimated cost of the requests queued and running there.
+    Duration expectedWait{};       // Expected time until a new request starts.
+    std::uint32_t ownInFlight = 0; // Requests in flight from this entry.
+    double cachedTokens = 0.0;     // Expected number of prompt tokens in its cache.
+    Duration distance{};           // One-way network delay to the agent.
+    double readiness = 1.0;        // From 0 to 1; less than 1 during slow start.
 };
 
-// What a router needs to know of the request.
+// The properties of a request that routing depends on.
 struct RouteRequest
 {
     Tokens promptTokens = 0;
@@ -39,17 +39,18 @@
 
 using RandomEngine = std::mt19937_64;
 
+// Interface of the routing policies.
 class Router
 {
 public:
     virtual ~Router() = default;
 
-    // Returns the index of the chosen candidate; nothing when there are none.
+    // Returns the index of the chosen candidate, or nullopt if there are no candidates.
     virtual std::optional<std::size_t> pick(std::span<const RouteCandidate> candidates,
                                             const RouteRequest &request, RandomEngine &random) = 0;
 };
 
-// The candidates in turn.
+// Chooses the candidates in turn.
 class RoundRobinRouter final : public Router
 {
 public:
@@ -60,7 +61,7 @@
     std::size_t next_ = 0;
 };
 
-// The candidate with the fewest requests in flight from this entry.
+// Chooses the candidate with the fewest requests in flight from this entry.
 class LeastInFlightRouter final : public Router
 {
 public:
@@ -68,7 +69,7 @@
                                     const RouteRequest &request, RandomEngine &random) override;
 };
 
-// The less loaded of two candidates drawn at random.
+// Draws two candidates at random and chooses the one with the lower pending cost.
 class TwoChoicesRouter final : public Router
 {
 public:
@@ -96,7 +97,7 @@
     std::optional<std::size_t> pick(std::span<const RouteCandidate> candidates,
                                     const RouteRequest &request, RandomEngine &random) override;
 
-    // Returns the price of `candidate` in seconds.
+    // Returns the routing cost of `candidate` in seconds.
     double routingCost(const RouteCandidate &candidate, const RouteRequest &request) const;
 
 private:
