--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -91,8 +91,8 @@
     Unsure,     // This agent cannot prove that it is the home, or that the key is new.
 };
 
-// Decides whether this agent may run a request with an idempotency key. Holds the grants that the
-// agent has obtained for its member set and the keys that it has accepted.
+// The home's side of the protocol above: decides whether this agent may run a request with an
+// idempotency key. Holds the grants obtained for the member set and the keys accepted so far.
 class KeyHome
 {
 public:
--- a/src/decision/routing/router.h
+++ b/src/decision/routing/router.h
@@ -4,7 +4,7 @@
 // and returns the index of one of them. The entry uses ExpectedWaitRouter; round robin, least in
 // flight and two random choices are baselines for comparison.
 //
-// Routers are deterministic: the random engine is passed with the call. Single-threaded.
+// Routers are pure: the random engine is passed with each call. Single-threaded.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -77,9 +77,10 @@
                                     const RouteRequest &request, RandomEngine &random) override;
 };
 
-// The candidate with the lowest price: expected wait, plus the prefill that its cache does not
-// save, plus the distance. Prices within `tieMargin` of the lowest are equal and drawn from at
-// random, because all entries see the same lagged reports and would otherwise run to one upstream.
+// Chooses the candidate with the lowest routing cost: expected wait plus prefill time of the prompt
+// tokens that are not cached, both divided by the readiness, plus the network delay. Candidates
+// within `tieMargin` of the lowest cost are drawn at random, because all entries see the same
+// delayed reports and would otherwise all send their requests to the same upstream.
 class ExpectedWaitRouter final : public Router
 {
 public:
--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -26,7 +26,8 @@
 {
     FairQueue queue;
 
-    // Serves `count` requests from accounts that never run dry; returns tokens by account.
+    // Pops `count` requests from accounts that stay backlogged. `sizes` gives the cost of each
+    // account's requests. Returns the cost served by account.
     std::map<std::string, double> serveBacklogged(int count,
                                                   const std::map<std::string, Tokens> &sizes)
     {
--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -31,8 +31,9 @@
     StaleMinKeyTime
 };
 
-// Agents whose lists change and lag, that are paused and replaced, and that are all offered every
-// key again and again. A key may be accepted once in all.
+// Simulates agents that run the key-home protocol while messages are delayed and lost, agents are
+// paused and restarted, and member lists change at different times. Clients retry each key at
+// random agents. No key may be accepted more than once in total.
 class KeyHomeSimulation
 {
 public:
@@ -41,7 +42,7 @@
         , fault_(fault)
     {}
 
-    // Returns how often some key was accepted beyond its first time.
+    // Runs for 60 simulated seconds and returns the number of duplicate acceptances.
     int run()
     {
         for (std::size_t index = 0; index < kAgents; ++index) {
@@ -99,7 +100,8 @@
 
     static std::vector<std::size_t> allMembers() { return {0, 1, 2, 3}; }
 
-    // Agent 0 is in every list: operators keep one agent of a pool through a view lease.
+    // Agent 0 is in every list, since operators must not replace a whole pool within
+    // `maxMembersAge`.
     std::vector<std::size_t> someMembers()
     {
         std::vector<std::size_t> members = {0};
@@ -170,7 +172,7 @@
                 send(index, [this, index, other, set, askedAt, incarnation] {
                     if (incarnations_[index] == incarnation) {
                         const bool fromAnswer = fault_ == InjectedFault::LeaseFromAnswer;
-                        // A tenure that began long ago is one that was forgotten to be renewed.
+                        // A wall time in the past sets a minimum key time that is too early.
                         const UnixMillis grantedAtWall = fault_ == InjectedFault::StaleMinKeyTime
                                                              ? wall() - std::chrono::hours(1)
                                                              : wall();
@@ -209,7 +211,7 @@
         if (chance(0.5)) {
             keys_.push_back(keyAt(wall(), random_()));
         }
-        // Callers retry a key for some seconds.
+        // Clients stop retrying a key after 40 newer ones, which takes several seconds.
         while (keys_.size() > 40) {
             keys_.pop_front();
         }
