--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -101,8 +101,8 @@
     active_ = false;
 }
 
-void KeyHome::onGrant(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
-                      UnixMillis wall)
+void KeyHome::onGrant(const InstanceId &member, std::uint64_t set, TimePoint requestedAt,
+                      TimePoint now, UnixMillis wall)
 {
     if (set != set_.hash) {
         return;
@@ -112,7 +112,7 @@
         active_ = false;
     }
     TimePoint &until = grantedUntil_[member];
-    until = std::max(until, askedAt + settings_.lease);
+    until = std::max(until, requestedAt + settings_.lease);
     if (!active_ && holdsAllGrants(now)) {
         active_ = true;
         minKeyTime_ = wall + settings_.clockMargin;
--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -110,9 +110,9 @@
     // Replaces the member set and drops the grants for the previous set. Does nothing if the set is
     // unchanged.
     void setMembers(MemberSet set);
-    // Records that `member` granted `set` in answer to a request sent at `askedAt`. Ignores grants
-    // for other sets than the current one.
-    void onGrant(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
+    // Records that `member` granted `set` in answer to a request sent at `requestedAt`. Ignores
+    // grants for other sets than the current one.
+    void onGrant(const InstanceId &member, std::uint64_t set, TimePoint requestedAt, TimePoint now,
                  UnixMillis wall);
 
     // Records that the platform confirmed the member list in answer to a request sent at `at` or
--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -10,15 +10,15 @@
 
 } // namespace
 
-void LoadEstimate::onReport(const AgentReport &report, TimePoint askedAt)
+void LoadEstimate::onReport(const AgentReport &report, TimePoint requestedAt)
 {
     report_ = report;
-    reportRequestedAt_ = askedAt;
+    reportRequestedAt_ = requestedAt;
     costSinceReport_ = 0.0;
     sentSinceReport_ = 0;
     endedSinceReport_ = 0;
     for (const auto &[id, sent] : inFlight_) {
-        if (sent.sentAt >= askedAt) {
+        if (sent.sentAt >= requestedAt) {
             costSinceReport_ += sent.cost;
             ++sentSinceReport_;
         }
--- a/src/decision/routing/loadestimate.h
+++ b/src/decision/routing/loadestimate.h
@@ -18,9 +18,9 @@
 class LoadEstimate
 {
 public:
-    // Replaces the last report by one that was requested at `askedAt`. Requests sent since then are
-    // counted in addition to it.
-    void onReport(const AgentReport &report, TimePoint askedAt);
+    // Replaces the last report by one that was requested at `requestedAt`. Requests sent since then
+    // are counted in addition to it.
+    void onReport(const AgentReport &report, TimePoint requestedAt);
     // Records that this entry sent a request of the given cost to the agent.
     void onSent(RequestId id, double cost, TimePoint now);
     // Records that a request sent by this entry has ended. Ignores unknown requests.
--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -161,15 +161,15 @@
     void askGrants(std::size_t index)
     {
         const std::uint64_t set = agents_[index].home->members().hash;
-        const TimePoint askedAt = now_;
+        const TimePoint requestedAt = now_;
         const int incarnation = incarnations_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
-            send(other, [this, index, other, set, askedAt, incarnation] {
+            send(other, [this, index, other, set, requestedAt, incarnation] {
                 const bool granted = agents_[other].grants->grant(set, now_);
                 if (!granted && fault_ != InjectedFault::GrantAnySet) {
                     return;
                 }
-                send(index, [this, index, other, set, askedAt, incarnation] {
+                send(index, [this, index, other, set, requestedAt, incarnation] {
                     if (incarnations_[index] == incarnation) {
                         const bool fromAnswer = fault_ == InjectedFault::LeaseFromAnswer;
                         // A wall time in the past sets a minimum key time that is too early.
@@ -177,7 +177,7 @@
                                                              ? wall() - std::chrono::hours(1)
                                                              : wall();
                         agents_[index].home->onGrant(name(other), set,
-                                                     fromAnswer ? now_ + kLease : askedAt, now_,
+                                                     fromAnswer ? now_ + kLease : requestedAt, now_,
                                                      grantedAtWall);
                     }
                 });
