--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -158,7 +158,7 @@
         }
     }
 
-    void askGrants(std::size_t index)
+    void requestGrants(std::size_t index)
     {
         const std::uint64_t set = agents_[index].home->members().hash;
         const TimePoint requestedAt = now_;
@@ -234,7 +234,7 @@
         if (now_.time_since_epoch() % std::chrono::milliseconds(500) == Duration{}) {
             for (std::size_t index = 0; index < kAgents; ++index) {
                 if (agents_[index].pausedUntil <= now_) {
-                    askGrants(index);
+                    requestGrants(index);
                 }
             }
         }
