--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -206,7 +206,7 @@
         }
     }
 
-    void offerKeys()
+    void sendKeys()
     {
         if (chance(0.5)) {
             keys_.push_back(keyAt(wall(), random_()));
@@ -238,7 +238,7 @@
                 }
             }
         }
-        offerKeys();
+        sendKeys();
     }
 
     std::mt19937_64 random_;
