--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -33,12 +33,12 @@
 QueuedRequest FairQueue::extract(Account &account,
                                  std::map<OrderKey, QueuedRequest>::iterator request)
 {
-    QueuedRequest popped = std::move(request->second);
+    QueuedRequest result = std::move(request->second);
     account.waiting.erase(request);
-    account.queuedTokens -= popped.expectedCost;
-    queuedTokens_ -= popped.expectedCost;
-    positions_.erase(popped.id);
-    return popped;
+    account.queuedTokens -= result.expectedCost;
+    queuedTokens_ -= result.expectedCost;
+    positions_.erase(result.id);
+    return result;
 }
 
 void FairQueue::removeFromBacklog(const AccountId &id, const Account &account)
@@ -55,12 +55,12 @@
     Account &account = accounts_.at(id);
     removeFromBacklog(id, account);
     virtualTime_ = std::max(virtualTime_, account.virtualTime);
-    QueuedRequest popped = extract(account, account.waiting.begin());
-    account.virtualTime += static_cast<double>(popped.expectedCost) / account.policy.share;
+    QueuedRequest result = extract(account, account.waiting.begin());
+    account.virtualTime += static_cast<double>(result.expectedCost) / account.policy.share;
     if (!account.waiting.empty()) {
         backlog_.emplace(account.virtualTime, id);
     }
-    return popped;
+    return result;
 }
 
 bool FairQueue::remove(RequestId id)
