--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -315,13 +315,13 @@
     std::stable_sort(order.begin(), order.end(), [&](ExpertIndex left, ExpertIndex right) {
         return shares[left] / counts[left] > shares[right] / counts[right];
     });
-    std::vector<std::vector<ExpertIndex>> ofRank(ranks);
+    std::vector<std::vector<ExpertIndex>> expertsOfRank(ranks);
     std::vector<double> load(ranks, 0.0);
     for (const ExpertIndex expert : order) {
         for (std::uint32_t replica = 0; replica < counts[expert]; ++replica) {
             std::uint32_t best = ranks;
             for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-                const auto &held = ofRank[rank];
+                const auto &held = expertsOfRank[rank];
                 const bool fits = held.size() < slots
                                   && std::find(held.begin(), held.end(), expert) == held.end();
                 const bool better =
@@ -332,16 +332,16 @@
             if (best == ranks) {
                 // All ranks with a free slot already hold the expert: use the first free slot.
                 best = static_cast<std::uint32_t>(
-                    std::find_if(ofRank.begin(), ofRank.end(),
+                    std::find_if(expertsOfRank.begin(), expertsOfRank.end(),
                                  [slots](const auto &held) { return held.size() < slots; })
-                    - ofRank.begin());
+                    - expertsOfRank.begin());
             }
-            ofRank[best].push_back(expert);
+            expertsOfRank[best].push_back(expert);
             load[best] += shares[expert] / counts[expert];
         }
     }
     Placement placement{ranks, slots, {}};
-    for (const auto &held : ofRank) {
+    for (const auto &held : expertsOfRank) {
         placement.experts.insert(placement.experts.end(), held.begin(), held.end());
     }
     return placement;
