--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -300,13 +300,13 @@
 {
     const auto experts = static_cast<std::uint32_t>(shares.size());
     std::vector<std::uint32_t> counts(experts, 1);
-    const auto perReplica = [&](std::uint32_t expert) {
+    const auto sharePerReplica = [&](std::uint32_t expert) {
         return counts[expert] >= ranks ? 0.0 : shares[expert] / counts[expert];
     };
     for (std::uint32_t spare = experts; spare < ranks * slots; ++spare) {
         std::uint32_t hottest = 0;
         for (std::uint32_t expert = 1; expert < experts; ++expert) {
-            hottest = perReplica(expert) > perReplica(hottest) ? expert : hottest;
+            hottest = sharePerReplica(expert) > sharePerReplica(hottest) ? expert : hottest;
         }
         ++counts[hottest];
     }
