--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -126,13 +126,13 @@
 
     void computeRankTimes()
     {
-        const double ideal = 1.0 / std::accumulate(speeds_.begin(), speeds_.end(), 0.0);
+        const double idealTime = 1.0 / std::accumulate(speeds_.begin(), speeds_.end(), 0.0);
         double largest = 0.0;
         double sum = 0.0;
         split_.rankTime.resize(placement_.ranks);
         for (std::uint32_t rank = 0; rank < placement_.ranks; ++rank) {
             const double time = load_[rank] / speedOf(speeds_, rank);
-            split_.rankTime[rank] = time / ideal;
+            split_.rankTime[rank] = time / idealTime;
             largest = std::max(largest, time);
             sum += time;
         }
