--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -109,7 +109,7 @@
     double waterFillingLevel(double amount) const
     {
         double speed = 0.0;
-        double held = 0.0;
+        double existingLoad = 0.0;
         double level = 0.0;
         for (std::size_t index = 0; index < order_.size(); ++index) {
             const double base = baseTime(order_[index]);
@@ -118,8 +118,8 @@
             }
             const double ownSpeed = speedOf(speeds_, order_[index] / placement_.slots);
             speed += ownSpeed;
-            held += base * ownSpeed;
-            level = (held + amount) / speed;
+            existingLoad += base * ownSpeed;
+            level = (existingLoad + amount) / speed;
         }
         return level;
     }
