--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -35,8 +35,8 @@
 
 PopularityEstimate::PopularityEstimate(std::size_t experts, Settings settings)
     : settings_(settings)
-    , fast_(experts, 1.0 / static_cast<double>(experts))
-    , slow_(fast_)
+    , fastAverage_(experts, 1.0 / static_cast<double>(experts))
+    , slow_(fastAverage_)
     , dayProfile_(kDayBins)
 {}
 
@@ -51,18 +51,18 @@
 void PopularityEstimate::addCounts(std::span<const double> counts, TimePoint now)
 {
     const double sum = total(counts);
-    if (sum <= 0.0 || counts.size() != fast_.size()) {
+    if (sum <= 0.0 || counts.size() != fastAverage_.size()) {
         return;
     }
     std::vector<double> shares(counts.begin(), counts.end());
     normalise(shares);
     if (!started_) {
-        fast_ = shares;
+        fastAverage_ = shares;
         slow_ = shares;
         started_ = true;
     }
     const double elapsed = std::max(1.0, toSeconds(now - lastCountsAt_));
-    updateAverage(fast_, shares, 1.0 - std::exp2(-elapsed / settings_.fastHalfLifeSeconds));
+    updateAverage(fastAverage_, shares, 1.0 - std::exp2(-elapsed / settings_.fastHalfLifeSeconds));
     updateAverage(slow_, shares, 1.0 - std::exp2(-elapsed / settings_.slowHalfLifeSeconds));
     std::vector<double> &bin = dayProfile_[binAt(now)];
     if (bin.empty()) {
@@ -82,18 +82,18 @@
     }
     // The counts are approximately Poisson distributed; the fast average smooths the noise over its
     // half-life.
-    const double mean = 1.0 / static_cast<double>(fast_.size());
+    const double mean = 1.0 / static_cast<double>(fastAverage_.size());
     return std::sqrt(mean / countsPerPeriod_);
 }
 
 std::vector<double> PopularityEstimate::shares() const
 {
-    std::vector<double> shares(fast_.size());
+    std::vector<double> shares(fastAverage_.size());
     const double floor = noise();
     for (std::size_t index = 0; index < shares.size(); ++index) {
-        const double difference = std::abs(fast_[index] - slow_[index]);
+        const double difference = std::abs(fastAverage_[index] - slow_[index]);
         const double trust = difference / (difference + floor);
-        shares[index] = trust * fast_[index] + (1.0 - trust) * slow_[index];
+        shares[index] = trust * fastAverage_[index] + (1.0 - trust) * slow_[index];
     }
     normalise(shares);
     return shares;
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -55,7 +55,7 @@
     std::size_t binAt(TimePoint time) const;
 
     Settings settings_;
-    std::vector<double> fast_;
+    std::vector<double> fastAverage_;
     std::vector<double> slow_;
     std::vector<std::vector<double>>
         dayProfile_; // Shares by bin of the day; empty until a bin has counts.
