--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -36,7 +36,7 @@
 PopularityEstimate::PopularityEstimate(std::size_t experts, Settings settings)
     : settings_(settings)
     , fastAverage_(experts, 1.0 / static_cast<double>(experts))
-    , slow_(fastAverage_)
+    , slowAverage_(fastAverage_)
     , dayProfile_(kDayBins)
 {}
 
@@ -58,12 +58,12 @@
     normalise(shares);
     if (!started_) {
         fastAverage_ = shares;
-        slow_ = shares;
+        slowAverage_ = shares;
         started_ = true;
     }
     const double elapsed = std::max(1.0, toSeconds(now - lastCountsAt_));
     updateAverage(fastAverage_, shares, 1.0 - std::exp2(-elapsed / settings_.fastHalfLifeSeconds));
-    updateAverage(slow_, shares, 1.0 - std::exp2(-elapsed / settings_.slowHalfLifeSeconds));
+    updateAverage(slowAverage_, shares, 1.0 - std::exp2(-elapsed / settings_.slowHalfLifeSeconds));
     std::vector<double> &bin = dayProfile_[binAt(now)];
     if (bin.empty()) {
         bin = shares;
@@ -91,9 +91,9 @@
     std::vector<double> shares(fastAverage_.size());
     const double floor = noise();
     for (std::size_t index = 0; index < shares.size(); ++index) {
-        const double difference = std::abs(fastAverage_[index] - slow_[index]);
+        const double difference = std::abs(fastAverage_[index] - slowAverage_[index]);
         const double trust = difference / (difference + floor);
-        shares[index] = trust * fastAverage_[index] + (1.0 - trust) * slow_[index];
+        shares[index] = trust * fastAverage_[index] + (1.0 - trust) * slowAverage_[index];
     }
     normalise(shares);
     return shares;
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -56,7 +56,7 @@
 
     Settings settings_;
     std::vector<double> fastAverage_;
-    std::vector<double> slow_;
+    std::vector<double> slowAverage_;
     std::vector<std::vector<double>>
         dayProfile_; // Shares by bin of the day; empty until a bin has counts.
     TimePoint lastCountsAt_{};
