--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -92,8 +92,8 @@
     const double floor = noise();
     for (std::size_t index = 0; index < shares.size(); ++index) {
         const double difference = std::abs(fastAverage_[index] - slowAverage_[index]);
-        const double trust = difference / (difference + floor);
-        shares[index] = trust * fastAverage_[index] + (1.0 - trust) * slowAverage_[index];
+        const double weight = difference / (difference + floor);
+        shares[index] = weight * fastAverage_[index] + (1.0 - weight) * slowAverage_[index];
     }
     normalise(shares);
     return shares;
@@ -111,10 +111,10 @@
         // Large changes recur daily; small ones are mostly drift, which differs from day to day.
         const double profileChange = targetBin[index] - currentBin[index];
         const double relative = profileChange / std::max(currentBin[index], 1e-9);
-        const double trust =
+        const double weight =
             relative * relative / (relative * relative + kDriftFraction * kDriftFraction);
         shares[index] =
-            std::max(0.0, shares[index] + settings_.profileWeight * trust * profileChange);
+            std::max(0.0, shares[index] + settings_.profileWeight * weight * profileChange);
     }
     normalise(shares);
     return shares;
