--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -89,10 +89,10 @@
 std::vector<double> PopularityEstimate::shares() const
 {
     std::vector<double> shares(fastAverage_.size());
-    const double floor = noise();
+    const double noiseLevel = noise();
     for (std::size_t index = 0; index < shares.size(); ++index) {
         const double difference = std::abs(fastAverage_[index] - slowAverage_[index]);
-        const double weight = difference / (difference + floor);
+        const double weight = difference / (difference + noiseLevel);
         shares[index] = weight * fastAverage_[index] + (1.0 - weight) * slowAverage_[index];
     }
     normalise(shares);
