--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -56,10 +56,10 @@
     }
     std::vector<double> shares(counts.begin(), counts.end());
     normalise(shares);
-    if (!started_) {
+    if (!hasCounts_) {
         fastAverage_ = shares;
         slowAverage_ = shares;
-        started_ = true;
+        hasCounts_ = true;
     }
     const double elapsed = std::max(1.0, toSeconds(now - lastCountsAt_));
     updateAverage(fastAverage_, shares, 1.0 - std::exp2(-elapsed / settings_.fastHalfLifeSeconds));
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -61,7 +61,7 @@
         dayProfile_; // Shares by bin of the day; empty until a bin has counts.
     TimePoint lastCountsAt_{};
     double countsPerPeriod_ = 0.0;
-    bool started_ = false;
+    bool hasCounts_ = false;
 };
 
 // Estimates the relative speed of each rank from its tokens and its time in each step.
