--- a/src/decision/routing/router.cpp
+++ b/src/decision/routing/router.cpp
@@ -66,14 +66,15 @@
     for (const RouteCandidate &candidate : candidates) {
         routingCosts.push_back(routingCost(candidate, request));
     }
-    const double limit = *std::min_element(routingCosts.begin(), routingCosts.end())
-                         + toSeconds(settings_.tieMargin);
-    const auto eligible = static_cast<std::size_t>(std::count_if(
-        routingCosts.begin(), routingCosts.end(), [limit](double each) { return each <= limit; }));
+    const double maxCost = *std::min_element(routingCosts.begin(), routingCosts.end())
+                           + toSeconds(settings_.tieMargin);
+    const auto eligible =
+        static_cast<std::size_t>(std::count_if(routingCosts.begin(), routingCosts.end(),
+                                               [maxCost](double each) { return each <= maxCost; }));
     std::uniform_int_distribution<std::size_t> draw(0, eligible - 1);
     std::size_t skip = draw(random);
     for (std::size_t index = 0; index < routingCosts.size(); ++index) {
-        if (routingCosts[index] <= limit && skip-- == 0) {
+        if (routingCosts[index] <= maxCost && skip-- == 0) {
             return index;
         }
     }
