--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -77,9 +77,9 @@
 
 double LoadEstimate::freeSlots() const
 {
-    const double taken = static_cast<double>(report_.runningRequests) + report_.queuedRequests
-                         + sentSinceReport_ - endedSinceReport_;
-    return static_cast<double>(report_.slots) - std::max(0.0, taken);
+    const double usedSlots = static_cast<double>(report_.runningRequests) + report_.queuedRequests
+                             + sentSinceReport_ - endedSinceReport_;
+    return static_cast<double>(report_.slots) - std::max(0.0, usedSlots);
 }
 
 Duration LoadEstimate::expectedWait(TimePoint now) const
