--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -89,8 +89,8 @@
     }
     // A new request waits for all queued requests and then for the first slot to become free.
     const double slots = std::max<double>(1.0, report_.slots);
-    const double firstEnd = static_cast<double>(report_.runningTokens) / slots;
-    return fromSeconds((queuedCost(now) + costSinceReport_ + firstEnd) / processingRate());
+    const double costUntilFreeSlot = static_cast<double>(report_.runningTokens) / slots;
+    return fromSeconds((queuedCost(now) + costSinceReport_ + costUntilFreeSlot) / processingRate());
 }
 
 } // namespace seamarch
