--- a/test/decision/placement/balancer_test.cpp
+++ b/test/decision/placement/balancer_test.cpp
@@ -41,12 +41,12 @@
 
     BalanceInput input(double skewWeight, double moveWeight) const
     {
-        BalanceInput made;
-        made.shares = zipf(16);
-        made.speeds = speeds;
-        made.objective = {skewWeight, moveWeight};
-        made.maxMoves = 100;
-        return made;
+        BalanceInput balanceInput;
+        balanceInput.shares = zipf(16);
+        balanceInput.speeds = speeds;
+        balanceInput.objective = {skewWeight, moveWeight};
+        balanceInput.maxMoves = 100;
+        return balanceInput;
     }
 };
 
