--- a/test/decision/placement/balancer_test.cpp
+++ b/test/decision/placement/balancer_test.cpp
@@ -74,8 +74,8 @@
     const double before = splitLoad(start, zipf(16), speeds).skew;
 
     for (const double moveWeight : {0.0, 0.1, 1.0, 100.0}) {
-        const BalanceInput given = input(1.0, moveWeight);
-        const BalanceResult result = balance(start, given);
+        const BalanceInput balanceInput = input(1.0, moveWeight);
+        const BalanceResult result = balance(start, balanceInput);
         CHECK(result.objective <= before - 1.0 + 1e-9);
     }
 }
@@ -87,11 +87,11 @@
 
 TEST(BalancerTest, MakesAtMostMaxMoves)
 {
-    BalanceInput given = input(10.0, 0.0);
-    given.maxMoves = 2;
+    BalanceInput balanceInput = input(10.0, 0.0);
+    balanceInput.maxMoves = 2;
 
     const Placement start = staticPlacement(8, 3, 16);
-    const BalanceResult result = balance(start, given);
+    const BalanceResult result = balance(start, balanceInput);
 
     CHECK(result.moves <= 2);
     CHECK(movedSlots(start, result.placement) <= 2);
