--- a/src/decision/once/runledger.h
+++ b/src/decision/once/runledger.h
@@ -25,7 +25,7 @@
     Started,   // Running.
     Finished,  // Has run.
     Tombstone, // Cancelled or withdrawn before its start; must not start.
-    Evicted,   // No longer recorded; may have run.
+    Evicted    // No longer recorded; may have run.
 };
 
 class RunLedger
