--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -1,4 +1,5 @@
-// Runs a request with a client-chosen idempotency key at most once, without shared state.
+// Classes that ensure that a request with a client-chosen idempotency key runs at most once,
+// without shared state.
 //
 // A request that carries an `Idempotency-Key` runs only at the home of the key: the agent with the
 // highest rendezvous hash among the agents of its service in the account's home hall. Two processes
@@ -112,6 +113,7 @@
     void setMembers(MemberSet set);
     // Records that `member` granted `set` in answer to a request sent at `requestedAt`. Ignores
     // grants for other sets than the current one.
+    // `wall` is the current Unix time.
     void onGrant(const InstanceId &member, std::uint64_t set, TimePoint requestedAt, TimePoint now,
                  UnixMillis wall);
 
@@ -139,12 +141,12 @@
     InstanceId self_;
     Settings settings_;
     MemberSet set_;
-    std::map<InstanceId, TimePoint> grantedUntil_;
+    std::map<InstanceId, TimePoint> grantedUntil_; // Expiry of each member's grant.
     TimePoint membersConfirmedAt_{};
     bool active_ = false;     // Set once all grants are held; cleared when one lapses.
     UnixMillis minKeyTime_{}; // Keys created at or before this time are refused.
     std::unordered_set<std::string> acceptedKeys_;
-    std::deque<std::pair<UnixMillis, std::string>> insertionOrder_;
+    std::deque<std::pair<UnixMillis, std::string>> insertionOrder_; // Oldest first.
 };
 
 } // namespace seamarch
--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -7,12 +7,13 @@
 namespace seamarch {
 namespace {
 
-constexpr int kSplitRounds = 24;               // Iterations for the split that is returned.
-constexpr int kSearchSplitRounds = 6;          // Iterations for the split of a candidate change.
-constexpr double kConvergenceThreshold = 1e-4; // Load share moved in the last iteration.
-constexpr double kMinSpeed = 0.02;             // Lower bound, since step times divide by speed.
-constexpr std::size_t kHotRanksToTry = 2;
-constexpr std::size_t kColdRanksToTry = 6;
+constexpr int kSplitRounds = 24;      // Most iterations for the split that is returned.
+constexpr int kSearchSplitRounds = 6; // Most iterations for the split of a candidate change.
+constexpr double kConvergenceThreshold =
+    1e-4;                                  // Iteration stops when less load share than this moves.
+constexpr double kMinSpeed = 0.02;         // Lower bound, since step times divide by speed.
+constexpr std::size_t kHotRanksToTry = 2;  // Ranks with the longest step times.
+constexpr std::size_t kColdRanksToTry = 6; // Ranks with the shortest step times.
 
 // The slots that hold each expert.
 using Replicas = std::vector<std::vector<std::uint32_t>>;
@@ -104,8 +105,8 @@
         return load_[rank] / speedOf(speeds_, rank);
     }
 
-    // Returns the step time that the ranks in `order_` reach when `amount` of load is added to the
-    // least loaded ones.
+    // Returns the step time up to which `amount` of load fills the ranks in `order_`, least loaded
+    // first.
     double waterFillingLevel(double amount) const
     {
         double speed = 0.0;
--- a/src/decision/placement/balancer.h
+++ b/src/decision/placement/balancer.h
@@ -5,11 +5,11 @@
 // its replicas. The split equalizes the step times of the ranks, so that a slow rank gets less work
 // without any weights being moved.
 //
-// The balancer minimizes skewWeight · (skew − 1) + moveWeight · (moved slots / slots), where skew
-// is the largest step time divided by the mean. It improves the current placement greedily: each
-// step applies the replacement or swap with the largest gain per moved slot. It stops when the gain
-// does not exceed the cost by a margin derived from the noise of the popularity estimate. Every
-// intermediate placement is valid.
+// The balancer minimizes skewWeight · (T − 1) + moveWeight · (moved slots / slots), where T is the
+// largest step time relative to a perfectly even load. It improves the current placement greedily:
+// each step applies the replacement or swap with the largest gain per moved slot. It stops when the
+// gain does not exceed the cost by a margin derived from the noise of the popularity estimate.
+// Every intermediate placement is valid.
 //
 // The functions are pure and deterministic.
 #pragma once
--- a/src/decision/placement/popularityestimate.cpp
+++ b/src/decision/placement/popularityestimate.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kDriftFraction =
     0.25; // Relative difference within a period that drift alone causes.
-constexpr double kSpeedSmoothing = 0.3; // Detects a stalled rank within a few steps.
+constexpr double kSpeedSmoothing = 0.3; // High enough to detect a stalled rank within a few steps.
 
 double total(std::span<const double> values)
 {
@@ -108,7 +108,7 @@
         return shares;
     }
     for (std::size_t index = 0; index < shares.size(); ++index) {
-        // Large changes recur daily; small ones are mostly drift, which differs from day to day.
+        // A daily swing causes large differences; drift causes small ones and varies by day.
         const double profileChange = targetBin[index] - currentBin[index];
         const double relative = profileChange / std::max(currentBin[index], 1e-9);
         const double weight =
--- a/src/decision/placement/popularityestimate.h
+++ b/src/decision/placement/popularityestimate.h
@@ -23,6 +23,7 @@
 class PopularityEstimate
 {
 public:
+    // Half-lives of the two averages, length of the daily cycle and weight of the profile.
     struct Settings
     {
         double fastHalfLifeSeconds = 100.0;
@@ -57,8 +58,8 @@
     Settings settings_;
     std::vector<double> fastAverage_;
     std::vector<double> slowAverage_;
-    std::vector<std::vector<double>>
-        dayProfile_; // Shares by bin of the day; empty until a bin has counts.
+    // Shares by bin of the day; a bin is empty until it has counts.
+    std::vector<std::vector<double>> dayProfile_;
     TimePoint lastCountsAt_{};
     double countsPerPeriod_ = 0.0;
     bool hasCounts_ = false;
@@ -76,7 +77,7 @@
     void addStep(std::span<const double> tokens, std::span<const double> seconds);
     // Returns the smoothed speed of each rank; 1 is the speed of the median rank.
     const std::vector<double> &speeds() const { return speeds_; }
-    // Returns the ranks whose speed is below `fraction` of the median speed.
+    // Returns the indices of the ranks whose speed is below `fraction` of the median speed.
     std::vector<std::size_t> ranksSlowerThan(double fraction) const;
 
 private:
--- a/src/decision/routing/loadestimate.h
+++ b/src/decision/routing/loadestimate.h
@@ -30,7 +30,8 @@
 
     // Returns the estimated cost of all requests that are queued or running at `now`.
     double pendingCost(TimePoint now) const;
-    // Returns the estimated number of free slots; negative if requests are queued.
+    // Returns the estimated number of free slots; negative if the queued and running requests
+    // outnumber the slots.
     double freeSlots() const;
     // Returns the expected time until a request that is sent at `now` starts to run.
     Duration expectedWait(TimePoint now) const;
