--- a/src/decision/once/keyhome.h
+++ b/src/decision/once/keyhome.h
@@ -112,8 +112,7 @@
     // unchanged.
     void setMembers(MemberSet set);
     // Records that `member` granted `set` in answer to a request sent at `requestedAt`. Ignores
-    // grants for other sets than the current one.
-    // `wall` is the current Unix time.
+    // grants for sets other than the current one. `wall` is the current Unix time.
     void onGrant(const InstanceId &member, std::uint64_t set, TimePoint requestedAt, TimePoint now,
                  UnixMillis wall);
 
--- a/src/decision/once/runledger.h
+++ b/src/decision/once/runledger.h
@@ -3,9 +3,9 @@
 //
 // A cancellation that arrives before the start leaves a tombstone, so that a delayed copy of the
 // request does not start. The record is bounded: it evicts the oldest closed requests and keeps,
-// for each entry incarnation, the highest evicted counter. A request that is not recorded and whose
-// counter is not above that is refused. Refusing too many requests is safe, because a refusal
-// correctly states that this copy did not run.
+// for each entry incarnation, the highest evicted counter. Unrecorded requests with that counter or
+// a lower one are refused. Refusing too many requests is safe, because a refusal correctly states
+// that this copy did not run.
 //
 // The class is pure and single-threaded.
 #pragma once
@@ -25,7 +25,7 @@
     Started,   // Running.
     Finished,  // Has run.
     Tombstone, // Cancelled or withdrawn before its start; must not start.
-    Evicted    // No longer recorded; may have run.
+    Evicted    // Not recorded, with a counter up to the highest evicted one; may have run.
 };
 
 class RunLedger
--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -9,8 +9,8 @@
 
 constexpr int kSplitRounds = 24;      // Most iterations for the split that is returned.
 constexpr int kSearchSplitRounds = 6; // Most iterations for the split of a candidate change.
-constexpr double kConvergenceThreshold =
-    1e-4;                                  // Iteration stops when less load share than this moves.
+// Iteration stops when less load share than this moves.
+constexpr double kConvergenceThreshold = 1e-4;
 constexpr double kMinSpeed = 0.02;         // Lower bound, since step times divide by speed.
 constexpr std::size_t kHotRanksToTry = 2;  // Ranks with the longest step times.
 constexpr std::size_t kColdRanksToTry = 6; // Ranks with the shortest step times.
