--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -212,7 +212,8 @@
     const double prefix = bytesEach(20'000, [](int count) {
         auto index = std::make_unique<PrefixIndex>();
         for (int each = 0; each < count; ++each) {
-            index->learn(static_cast<std::uint64_t>(each), InstanceId("bid-0001"), TimePoint{});
+            index->recordHolder(static_cast<std::uint64_t>(each), InstanceId("bid-0001"),
+                                TimePoint{});
         }
         return index;
     });
@@ -225,8 +226,8 @@
         return metrics;
     });
     const double ticket = bytesEach(20'000, [](int count) {
-        auto book = std::make_unique<TicketBook>(InstanceId("a"), Incarnation(1), 1,
-                                                 static_cast<std::size_t>(count));
+        auto book = std::make_unique<TicketIssuer>(InstanceId("a"), Incarnation(1), 1,
+                                                   static_cast<std::size_t>(count));
         for (int each = 0; each < count; ++each) {
             book->issue();
         }
--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -1,6 +1,6 @@
 #include "decision/dispatch/agentcore.h"
 
-#include "decision/fairness/cost.h"
+#include "decision/fairness/requestcost.h"
 
 #include <algorithm>
 #include <cmath>
@@ -32,13 +32,13 @@
     , grants_(settings.keyHome.lease)
     , tokensPerSecond_(settings.initialTokensPerSecond)
 {
-    grants_.holdBack(now + settings.keyHome.lease);
+    grants_.refuseUntil(now + settings.keyHome.lease);
 }
 
 void AgentCore::applyConfig(const ConfigDocument &document)
 {
     for (const AccountConfig &account : document.accounts) {
-        queue_.setClaim(account.id, {account.share, account.maxQueued});
+        queue_.setPolicy(account.id, {account.share, account.maxQueued});
     }
     for (const UpstreamConfig &upstream : document.upstreams) {
         if (upstream.agent == settings_.self) {
@@ -54,7 +54,7 @@
 }
 
 void AgentCore::onGranted(const InstanceId &member, std::uint64_t set, TimePoint askedAt,
-                          TimePoint now, WallMillis wall)
+                          TimePoint now, UnixMillis wall)
 {
     keyHome_.onGrant(member, set, askedAt, now, wall);
 }
@@ -129,7 +129,7 @@
 }
 
 std::optional<AdmissionResult> AgentCore::reserveTicketAndKey(const AgentCall &call, TimePoint now,
-                                                              WallMillis wall)
+                                                              UnixMillis wall)
 {
     if (call.ticket) {
         switch (tickets_.redeem(*call.ticket)) {
@@ -163,7 +163,7 @@
     return std::nullopt;
 }
 
-AdmissionResult AgentCore::onCall(const AgentCall &call, TimePoint now, WallMillis wall,
+AdmissionResult AgentCore::onCall(const AgentCall &call, TimePoint now, UnixMillis wall,
                                   AgentActions &actions)
 {
     if (ledger_.state(call.id) != RunState::Unknown) {
@@ -178,7 +178,7 @@
     request.account = call.account;
     request.priority = call.priority;
     const Tokens answer = expectedAnswerTokens(call.account, call.answerTokens);
-    request.expected = requestCost(call.promptTokens, answer);
+    request.expectedCost = requestCost(call.promptTokens, answer);
     request.promptCost = requestCost(call.promptTokens, 0);
     request.answerTokens = call.answerTokens;
     request.arrived = now;
@@ -201,19 +201,19 @@
 void AgentCore::startNext(TimePoint now, AgentActions &actions)
 {
     while (running_.size() < settings_.slots && !backoffUntil_) {
-        const auto request = queue_.take();
+        const auto request = queue_.pop();
         if (!request) {
             return;
         }
         const Duration service = predictedServiceTime(request->account, 0, request->answerTokens);
         if (request->deadline <= now + 2 * service) {
-            queue_.charge(request->account, -static_cast<double>(request->expected));
+            queue_.adjustCharge(request->account, -static_cast<double>(request->expectedCost));
             refuseWaiting(*request, FailureCode::DeadlineUnreachable, kDefaultRetryAfter, actions);
             continue;
         }
         ledger_.start(request->id);
         reservations_.erase(request->id);
-        const auto expected = static_cast<double>(request->expected);
+        const auto expected = static_cast<double>(request->expectedCost);
         const auto promptCost = static_cast<double>(request->promptCost);
         running_[request->id] = {request->account, expected, promptCost,
                                  static_cast<double>(request->answerTokens), 0.0};
@@ -285,7 +285,7 @@
     // Tokens beyond the expected cost are charged as they are produced.
     const double excess = running.promptCost + running.producedTokens - running.chargedCost;
     if (excess > 0.0) {
-        queue_.charge(running.account, excess);
+        queue_.adjustCharge(running.account, excess);
         running.chargedCost += excess;
         runningTokens_ += excess;
     }
@@ -293,7 +293,7 @@
 
 void AgentCore::settleCharge(const Running &running, double actual)
 {
-    queue_.charge(running.account, actual - running.chargedCost);
+    queue_.adjustCharge(running.account, actual - running.chargedCost);
     runningTokens_ = std::max(0.0, runningTokens_ - running.chargedCost);
 }
 
@@ -333,7 +333,7 @@
 
 void AgentCore::onTick(TimePoint now, AgentActions &actions)
 {
-    for (const QueuedRequest &request : queue_.takeExpired(now)) {
+    for (const QueuedRequest &request : queue_.popExpired(now)) {
         refuseWaiting(request, FailureCode::DeadlineUnreachable, kDefaultRetryAfter, actions);
     }
     if (backoffUntil_ && now >= *backoffUntil_) {
@@ -360,7 +360,7 @@
 
 void AgentCore::refuseAllWaiting(FailureCode failure, Duration retryAfter, AgentActions &actions)
 {
-    for (const QueuedRequest &request : queue_.takeAll()) {
+    for (const QueuedRequest &request : queue_.popAll()) {
         refuseWaiting(request, failure, retryAfter, actions);
     }
 }
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -10,7 +10,7 @@
 #include "decision/membership/membertable.h"
 #include "decision/once/keyhome.h"
 #include "decision/once/runledger.h"
-#include "decision/once/ticketbook.h"
+#include "decision/once/ticketissuer.h"
 #include "seamarch/configdocument.h"
 #include "seamarch/ids.h"
 #include "seamarch/outcome.h"
@@ -93,7 +93,7 @@
     void applyConfig(const ConfigDocument &document);
 
     // Starts, queues or refuses an arriving request. `wall` is compared with the time in its key.
-    AdmissionResult onCall(const AgentCall &call, TimePoint now, WallMillis wall,
+    AdmissionResult onCall(const AgentCall &call, TimePoint now, UnixMillis wall,
                            AgentActions &actions);
     // Handles a cancel by the entry; a running request is aborted. Returns true if the request
     // provably has not run and will not run. A cancel that addresses another incarnation returns
@@ -134,15 +134,15 @@
     void setKeyMembers(TargetName target, MemberSet set);
     const MemberSet &keyMembers() const { return keyHome_.members(); }
     // Records that the platform confirmed that list in answer to a query sent at `at` or later.
-    void confirmKeyView(TimePoint at) { keyHome_.confirmView(at); }
+    void confirmKeyView(TimePoint at) { keyHome_.confirmMembers(at); }
     // Handles another agent's request for a grant of the member set with the hash `set`. Returns
     // true if it is granted.
     bool onGrantRequest(std::uint64_t set, TimePoint now) { return grants_.grant(set, now); }
     // Records a grant of `set` by `member`, requested at `askedAt`; its lease counts from then.
     void onGranted(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
-                   WallMillis wall);
+                   UnixMillis wall);
     // Returns true if every member's grant for the current set is valid.
-    bool holdsAllGrants(TimePoint now) const { return keyHome_.holdsAll(now); }
+    bool holdsAllGrants(TimePoint now) const { return keyHome_.holdsAllGrants(now); }
     Incarnation incarnation() const { return settings_.incarnation; }
     const RunLedger &ledger() const { return ledger_; }
 
@@ -170,7 +170,7 @@
     std::optional<AdmissionResult> checkAdmission(const AgentCall &call, TimePoint now) const;
     // Redeems the call's ticket and registers its key. Returns a refusal if either is not accepted.
     std::optional<AdmissionResult> reserveTicketAndKey(const AgentCall &call, TimePoint now,
-                                                       WallMillis wall);
+                                                       UnixMillis wall);
     void releaseReservation(RequestId id);
     // Returns the expected time in the queue; zero if a slot is free.
     Duration predictedWait(const AccountId &account) const;
@@ -191,9 +191,9 @@
     Settings settings_;
     FairQueue queue_;
     RunLedger ledger_;
-    TicketBook tickets_;
+    TicketIssuer tickets_;
     KeyHome keyHome_;
-    GrantBook grants_;
+    GrantIssuer grants_;
     TargetName keyTarget_; // The only target whose caller keys are accepted.
     std::unordered_map<RequestId, Running> running_;
     std::unordered_map<RequestId, Reservation> reservations_;
--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -1,6 +1,6 @@
 #include "decision/dispatch/entrycore.h"
 
-#include "decision/fairness/cost.h"
+#include "decision/fairness/requestcost.h"
 
 #include <algorithm>
 #include <utility>
@@ -71,7 +71,7 @@
     if (newIncarnation) {
         load.reset();
         outliers_.reset(agent);
-        prefixes_.forget(agent);
+        prefixes_.removeAgent(agent);
     }
     load.onReport(report, askedAt);
     if (newIncarnation) {
@@ -147,7 +147,7 @@
     ++request.attempts;
     loads_[request.agent].onSent(id, expectedCost(request.original), now);
     if (request.original.prefixHash != 0) {
-        prefixes_.learn(request.original.prefixHash, request.agent, now);
+        prefixes_.recordHolder(request.original.prefixHash, request.agent, now);
     }
     actions.emplace_back(
         SendCall{id, request.agent, request.agentIncarnation, request.deadline - now});
@@ -236,8 +236,8 @@
     const LoadEstimate &load = loads_[id];
     RouteCandidate candidate;
     candidate.agent = id;
-    candidate.pendingCost = load.pending(now);
-    candidate.wait = load.expectedWait(now);
+    candidate.pendingCost = load.pendingCost(now);
+    candidate.expectedWait = load.expectedWait(now);
     candidate.ownInFlight = load.inFlight();
     candidate.readiness = readiness(member, now);
     const auto distance = hallDistances_.find(member.record.hall);
--- a/src/decision/fairness/fairqueue.cpp
+++ b/src/decision/fairness/fairqueue.cpp
@@ -5,83 +5,84 @@
 
 namespace seamarch {
 
-void FairQueue::setClaim(const AccountId &account, const AccountClaim &claim)
+void FairQueue::setPolicy(const AccountId &account, const AccountPolicy &policy)
 {
-    Account &entry = accounts_[account];
-    entry.claim = claim;
-    entry.configured = true;
+    Account &accountState = accounts_[account];
+    accountState.policy = policy;
+    accountState.configured = true;
 }
 
 bool FairQueue::push(QueuedRequest request)
 {
     Account &account = accounts_[request.account];
-    if (account.waiting.size() >= account.claim.maxQueued) {
+    if (account.waiting.size() >= account.policy.maxQueued) {
         return false;
     }
     if (account.waiting.empty()) {
         account.virtualTime = std::max(account.virtualTime, virtualTime_);
         backlog_.emplace(account.virtualTime, request.account);
     }
-    const Turn turn{request.priority, nextSequence_++};
-    account.queued += request.expected;
-    queuedTokens_ += request.expected;
-    where_.emplace(request.id, Place{request.account, turn});
-    account.waiting.emplace(turn, std::move(request));
+    const OrderKey orderKey{request.priority, nextSequence_++};
+    account.queuedTokens += request.expectedCost;
+    queuedTokens_ += request.expectedCost;
+    positions_.emplace(request.id, Position{request.account, orderKey});
+    account.waiting.emplace(orderKey, std::move(request));
     return true;
 }
 
-QueuedRequest FairQueue::extract(Account &account, std::map<Turn, QueuedRequest>::iterator request)
+QueuedRequest FairQueue::extract(Account &account,
+                                 std::map<OrderKey, QueuedRequest>::iterator request)
 {
-    QueuedRequest taken = std::move(request->second);
+    QueuedRequest result = std::move(request->second);
     account.waiting.erase(request);
-    account.queued -= taken.expected;
-    queuedTokens_ -= taken.expected;
-    where_.erase(taken.id);
-    return taken;
+    account.queuedTokens -= result.expectedCost;
+    queuedTokens_ -= result.expectedCost;
+    positions_.erase(result.id);
+    return result;
 }
 
-void FairQueue::leaveBacklog(const AccountId &id, const Account &account)
+void FairQueue::removeFromBacklog(const AccountId &id, const Account &account)
 {
     backlog_.erase({account.virtualTime, id});
 }
 
-std::optional<QueuedRequest> FairQueue::take()
+std::optional<QueuedRequest> FairQueue::pop()
 {
     if (backlog_.empty()) {
         return std::nullopt;
     }
     const AccountId id = backlog_.begin()->second;
     Account &account = accounts_.at(id);
-    leaveBacklog(id, account);
+    removeFromBacklog(id, account);
     virtualTime_ = std::max(virtualTime_, account.virtualTime);
-    QueuedRequest taken = extract(account, account.waiting.begin());
-    account.virtualTime += static_cast<double>(taken.expected) / account.claim.share;
+    QueuedRequest result = extract(account, account.waiting.begin());
+    account.virtualTime += static_cast<double>(result.expectedCost) / account.policy.share;
     if (!account.waiting.empty()) {
         backlog_.emplace(account.virtualTime, id);
     }
-    return taken;
+    return result;
 }
 
 bool FairQueue::remove(RequestId id)
 {
-    const auto place = where_.find(id);
-    if (place == where_.end()) {
+    const auto position = positions_.find(id);
+    if (position == positions_.end()) {
         return false;
     }
-    const AccountId accountId = place->second.account;
+    const AccountId accountId = position->second.account;
     Account &account = accounts_.at(accountId);
-    extract(account, account.waiting.find(place->second.turn));
+    extract(account, account.waiting.find(position->second.orderKey));
     if (account.waiting.empty()) {
-        leaveBacklog(accountId, account);
+        removeFromBacklog(accountId, account);
     }
     return true;
 }
 
-std::vector<QueuedRequest> FairQueue::takeExpired(TimePoint now)
+std::vector<QueuedRequest> FairQueue::popExpired(TimePoint now)
 {
     std::vector<QueuedRequest> expired;
     for (const auto &[virtualTime, id] : backlog_) {
-        for (const auto &[turn, request] : accounts_.at(id).waiting) {
+        for (const auto &[orderKey, request] : accounts_.at(id).waiting) {
             if (request.deadline <= now) {
                 expired.push_back(request);
             }
@@ -93,35 +94,36 @@
     return expired;
 }
 
-std::vector<QueuedRequest> FairQueue::takeAll()
+std::vector<QueuedRequest> FairQueue::popAll()
 {
-    return takeExpired(TimePoint::max());
+    return popExpired(TimePoint::max());
 }
 
-void FairQueue::charge(const AccountId &account, double delta)
+void FairQueue::adjustCharge(const AccountId &account, double delta)
 {
     const auto found = accounts_.find(account);
     if (found == accounts_.end()) {
         return;
     }
-    Account &entry = found->second;
-    const bool waits = !entry.waiting.empty();
+    Account &accountState = found->second;
+    const bool waits = !accountState.waiting.empty();
     if (waits) {
-        leaveBacklog(account, entry);
+        removeFromBacklog(account, accountState);
     }
-    entry.virtualTime += delta / entry.claim.share;
+    accountState.virtualTime += delta / accountState.policy.share;
     if (waits) {
-        backlog_.emplace(entry.virtualTime, account);
+        backlog_.emplace(accountState.virtualTime, account);
     }
 }
 
 double FairQueue::tokensAhead(const AccountId &account) const
 {
-    // Until the account's own backlog is served, every backlogged account gets its share of the
-    // tokens; none gets more than it has queued.
+    // Until the account's own backlog is served, each other backlogged account is served its fair
+    // share plus at most one request, but no more than it has queued.
     const auto own = accounts_.find(account);
-    const double ownShare = own == accounts_.end() ? 1.0 : own->second.claim.share;
-    const double ownQueued = own == accounts_.end() ? 0.0 : static_cast<double>(own->second.queued);
+    const double ownShare = own == accounts_.end() ? 1.0 : own->second.policy.share;
+    const double ownQueued =
+        own == accounts_.end() ? 0.0 : static_cast<double>(own->second.queuedTokens);
     const double start =
         own == accounts_.end() ? virtualTime_ : std::max(own->second.virtualTime, virtualTime_);
     const double finish = start + ownQueued / ownShare;
@@ -131,17 +133,17 @@
             continue;
         }
         const Account &other = accounts_.at(id);
-        const double entitled = std::max(0.0, finish - virtualTime) * other.claim.share;
-        const double largest = static_cast<double>(other.waiting.begin()->second.expected);
-        ahead += std::min(static_cast<double>(other.queued), entitled + largest);
+        const double fairShare = std::max(0.0, finish - virtualTime) * other.policy.share;
+        const double nextCost = static_cast<double>(other.waiting.begin()->second.expectedCost);
+        ahead += std::min(static_cast<double>(other.queuedTokens), fairShare + nextCost);
     }
     return ahead;
 }
 
-void FairQueue::forgetIdle()
+void FairQueue::removeIdleAccounts()
 {
-    std::erase_if(accounts_, [this](const auto &entry) {
-        const Account &account = entry.second;
+    std::erase_if(accounts_, [this](const auto &accountState) {
+        const Account &account = accountState.second;
         return account.waiting.empty() && !account.configured
                && account.virtualTime <= virtualTime_;
     });
--- a/src/decision/once/keyhome.cpp
+++ b/src/decision/once/keyhome.cpp
@@ -51,9 +51,9 @@
     return best;
 }
 
-std::optional<WallMillis> keyTime(std::string_view key)
+std::optional<UnixMillis> uuidV7Time(std::string_view key)
 {
-    // The form is xxxxxxxx-xxxx-7xxx-yxxx-xxxxxxxxxxxx; the first 48 bits are the time.
+    // The format is xxxxxxxx-xxxx-7xxx-yxxx-xxxxxxxxxxxx; the first 48 bits are the timestamp.
     constexpr std::size_t kUuidLength = 36;
     constexpr std::size_t kVersionAt = 14;
     constexpr std::size_t kTimeDigits = 12;
@@ -73,16 +73,16 @@
             ++digits;
         }
     }
-    return WallMillis(millis);
+    return UnixMillis(millis);
 }
 
-bool GrantBook::grant(std::uint64_t set, TimePoint now)
+bool GrantIssuer::grant(std::uint64_t set, TimePoint now)
 {
-    if (set != promisedSet_ && now < promisedUntil_) {
+    if (set != grantedSet_ && now < exclusiveUntil_) {
         return false;
     }
-    promisedSet_ = set;
-    promisedUntil_ = now + lease_;
+    grantedSet_ = set;
+    exclusiveUntil_ = now + lease_;
     return true;
 }
 
@@ -98,28 +98,28 @@
     }
     set_ = std::move(set);
     grantedUntil_.clear();
-    tenured_ = false;
+    active_ = false;
 }
 
-void KeyHome::onGrant(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
-                      WallMillis wall)
+void KeyHome::onGrant(const InstanceId &member, std::uint64_t set, TimePoint requestedAt,
+                      TimePoint now, UnixMillis wall)
 {
     if (set != set_.hash) {
         return;
     }
-    // A home that lost a lease may have been replaced meanwhile, so its tenure starts anew.
-    if (tenured_ && !holdsAll(now)) {
-        tenured_ = false;
+    // Another home may have accepted keys while a lease was expired, so `minKeyTime_` is set anew.
+    if (active_ && !holdsAllGrants(now)) {
+        active_ = false;
     }
     TimePoint &until = grantedUntil_[member];
-    until = std::max(until, askedAt + settings_.lease);
-    if (!tenured_ && holdsAll(now)) {
-        tenured_ = true;
-        tenure_ = wall + settings_.clockMargin;
+    until = std::max(until, requestedAt + settings_.lease);
+    if (!active_ && holdsAllGrants(now)) {
+        active_ = true;
+        minKeyTime_ = wall + settings_.clockMargin;
     }
 }
 
-bool KeyHome::holdsAll(TimePoint now) const
+bool KeyHome::holdsAllGrants(TimePoint now) const
 {
     if (set_.members.empty()) {
         return false;
@@ -136,43 +136,43 @@
 }
 
 KeyVerdict KeyHome::accept(const AccountId &account, std::string_view key, TimePoint now,
-                           WallMillis wall)
+                           UnixMillis wall)
 {
     const std::string scoped = scopedKey(account, key);
-    if (keys_.contains(scoped)) {
+    if (acceptedKeys_.contains(scoped)) {
         return KeyVerdict::SeenBefore;
     }
-    const auto time = keyTime(key);
-    const bool viewFresh = now - viewConfirmedAt_ < settings_.viewLease;
-    if (!time || !tenured_ || !viewFresh || !holdsAll(now)) {
+    const auto time = uuidV7Time(key);
+    const bool membersFresh = now - membersConfirmedAt_ < settings_.maxMembersAge;
+    if (!time || !active_ || !membersFresh || !holdsAllGrants(now)) {
         return KeyVerdict::Unsure;
     }
     if (rendezvousHome(set_, scoped) != self_) {
         return KeyVerdict::NotHome;
     }
-    // A key from the future would pass the test of a later home too.
-    if (*time <= tenure_ || *time > wall + settings_.clockMargin) {
+    // A key with a future timestamp would be accepted by a later home as well.
+    if (*time <= minKeyTime_ || *time > wall + settings_.clockMargin) {
         return KeyVerdict::Unsure;
     }
-    remember(scoped, *time);
+    record(scoped, *time);
     return KeyVerdict::Accept;
 }
 
-void KeyHome::remember(std::string scoped, WallMillis time)
+void KeyHome::record(std::string scoped, UnixMillis time)
 {
-    keys_.insert(scoped);
-    order_.emplace_back(time, std::move(scoped));
-    while (order_.size() > settings_.maxKeys) {
-        // A forgotten key must stay refused, so the tenure moves up to it.
-        tenure_ = std::max(tenure_, order_.front().first);
-        keys_.erase(order_.front().second);
-        order_.pop_front();
+    acceptedKeys_.insert(scoped);
+    insertionOrder_.emplace_back(time, std::move(scoped));
+    while (insertionOrder_.size() > settings_.maxKeys) {
+        // An evicted key must still be refused, so `minKeyTime_` advances to its time.
+        minKeyTime_ = std::max(minKeyTime_, insertionOrder_.front().first);
+        acceptedKeys_.erase(insertionOrder_.front().second);
+        insertionOrder_.pop_front();
     }
 }
 
 void KeyHome::withdraw(const AccountId &account, std::string_view key)
 {
-    keys_.erase(scopedKey(account, key));
+    acceptedKeys_.erase(scopedKey(account, key));
 }
 
 } // namespace seamarch
--- a/src/decision/once/runledger.cpp
+++ b/src/decision/once/runledger.cpp
@@ -14,9 +14,9 @@
     if (found != states_.end()) {
         return found->second;
     }
-    const auto floor = floors_.find(id.entry);
-    const bool below = floor != floors_.end() && id.counter <= floor->second;
-    return below ? RunState::Forgotten : RunState::Unknown;
+    const auto floor = evictedUpTo_.find(id.entry);
+    const bool evicted = floor != evictedUpTo_.end() && id.counter <= floor->second;
+    return evicted ? RunState::Evicted : RunState::Unknown;
 }
 
 bool RunLedger::enqueue(RequestId id)
@@ -59,8 +59,8 @@
         return true;
     case RunState::Started:
     case RunState::Finished:
-    case RunState::Forgotten:
-        // A forgotten request may have been a finished one.
+    case RunState::Evicted:
+        // An evicted request may have run.
         return false;
     }
     return false;
@@ -69,18 +69,18 @@
 void RunLedger::close(RequestId id, RunState state)
 {
     states_[id] = state;
-    closed_.push_back(id);
-    while (closed_.size() > capacity_) {
-        forgetOldest();
+    closedOrder_.push_back(id);
+    while (closedOrder_.size() > capacity_) {
+        evictOldest();
     }
 }
 
-void RunLedger::forgetOldest()
+void RunLedger::evictOldest()
 {
-    const RequestId oldest = closed_.front();
-    closed_.pop_front();
+    const RequestId oldest = closedOrder_.front();
+    closedOrder_.pop_front();
     states_.erase(oldest);
-    const auto [floor, added] = floors_.try_emplace(oldest.entry, oldest.counter);
+    const auto [floor, added] = evictedUpTo_.try_emplace(oldest.entry, oldest.counter);
     floor->second = std::max(floor->second, oldest.counter);
 }
 
--- a/src/decision/once/ticketbook.cpp
+++ b/src/decision/once/ticketissuer.cpp
@@ -1,4 +1,4 @@
-#include "decision/once/ticketbook.h"
+#include "decision/once/ticketissuer.h"
 
 #include <charconv>
 #include <fmt/format.h>
@@ -47,36 +47,36 @@
                   Incarnation(*incarnation), *secret};
 }
 
-TicketBook::TicketBook(InstanceId agent, Incarnation incarnation, std::uint64_t seed,
-                       std::size_t capacity)
+TicketIssuer::TicketIssuer(InstanceId agent, Incarnation incarnation, std::uint64_t seed,
+                           std::size_t capacity)
     : agent_(std::move(agent))
     , incarnation_(incarnation)
     , random_(seed)
     , capacity_(capacity)
 {}
 
-Ticket TicketBook::issue()
+Ticket TicketIssuer::issue()
 {
     std::uint64_t secret = random_();
-    while (secret == 0 || spent_.contains(secret)) {
+    while (secret == 0 || spentBySecret_.contains(secret)) {
         secret = random_();
     }
-    spent_.emplace(secret, false);
-    order_.push_back(secret);
-    if (order_.size() > capacity_) {
-        spent_.erase(order_.front());
-        order_.pop_front();
+    spentBySecret_.emplace(secret, false);
+    issueOrder_.push_back(secret);
+    if (issueOrder_.size() > capacity_) {
+        spentBySecret_.erase(issueOrder_.front());
+        issueOrder_.pop_front();
     }
     return {agent_, incarnation_, secret};
 }
 
-TicketVerdict TicketBook::redeem(const Ticket &ticket)
+TicketVerdict TicketIssuer::redeem(const Ticket &ticket)
 {
     if (ticket.incarnation != incarnation_ || ticket.agent != agent_) {
         return TicketVerdict::Unknown;
     }
-    const auto found = spent_.find(ticket.secret);
-    if (found == spent_.end()) {
+    const auto found = spentBySecret_.find(ticket.secret);
+    if (found == spentBySecret_.end()) {
         return TicketVerdict::Unknown;
     }
     if (found->second) {
@@ -86,10 +86,10 @@
     return TicketVerdict::Fresh;
 }
 
-void TicketBook::restore(const Ticket &ticket)
+void TicketIssuer::restore(const Ticket &ticket)
 {
-    const auto found = spent_.find(ticket.secret);
-    if (found != spent_.end() && ticket.incarnation == incarnation_) {
+    const auto found = spentBySecret_.find(ticket.secret);
+    if (found != spentBySecret_.end() && ticket.incarnation == incarnation_) {
         found->second = false;
     }
 }
--- a/src/decision/placement/balancer.cpp
+++ b/src/decision/placement/balancer.cpp
@@ -7,14 +7,15 @@
 namespace seamarch {
 namespace {
 
-constexpr int kSplitRounds = 24;
-constexpr int kQuickSplitRounds = 6;
-constexpr double kConverged = 1e-4;
-constexpr double kSlowest = 0.02;
-constexpr std::size_t kHotRanks = 2;
-constexpr std::size_t kColdRanks = 6;
-
-// The slots of each expert.
+constexpr int kSplitRounds = 24;      // Most iterations for the split that is returned.
+constexpr int kSearchSplitRounds = 6; // Most iterations for the split of a candidate change.
+// Iteration stops when less load share than this moves.
+constexpr double kConvergenceThreshold = 1e-4;
+constexpr double kMinSpeed = 0.02;         // Lower bound, since step times divide by speed.
+constexpr std::size_t kHotRanksToTry = 2;  // Ranks with the longest step times.
+constexpr std::size_t kColdRanksToTry = 6; // Ranks with the shortest step times.
+
+// The slots that hold each expert.
 using Replicas = std::vector<std::vector<std::uint32_t>>;
 
 Replicas replicasOf(const Placement &placement, std::size_t experts)
@@ -28,10 +29,11 @@
 
 double speedOf(std::span<const double> speeds, std::uint32_t rank)
 {
-    return std::max(kSlowest, speeds[rank]);
+    return std::max(kMinSpeed, speeds[rank]);
 }
 
-// Works out splits by giving one expert after the other the split that evens its own ranks out.
+// Computes the load split iteratively: each iteration redistributes the tokens of one expert after
+// another to equalize the step times of the ranks that hold it.
 class Splitter
 {
 public:
@@ -58,19 +60,20 @@
         for (int round = 0; round < rounds; ++round) {
             double changed = 0.0;
             for (std::size_t expert = 0; expert < shares_.size(); ++expert) {
-                changed += evenOut(expert);
+                changed += balanceExpert(expert);
             }
-            if (changed < kConverged) {
+            if (changed < kConvergenceThreshold) {
                 break;
             }
         }
-        finish();
+        computeRankTimes();
         return std::move(split_);
     }
 
 private:
-    // Fills the expert's ranks up to one level of time, like water; returns how much moved.
-    double evenOut(std::size_t expert)
+    // Redistributes the tokens of `expert` by water-filling, so that the ranks that get any of them
+    // reach the same step time. Returns the load share that moved.
+    double balanceExpert(std::size_t expert)
     {
         const auto &slots = replicas_[expert];
         if (slots.size() < 2) {
@@ -83,7 +86,7 @@
         std::sort(order_.begin(), order_.end(), [this](std::uint32_t left, std::uint32_t right) {
             return baseTime(left) < baseTime(right);
         });
-        const double level = waterLevel(shares_[expert]);
+        const double level = waterFillingLevel(shares_[expert]);
         double moved = 0.0;
         for (const std::uint32_t slot : slots) {
             const std::uint32_t rank = slot / placement_.slots;
@@ -95,16 +98,19 @@
         return moved;
     }
 
+    // Returns the step time of the slot's rank under its current load.
     double baseTime(std::uint32_t slot) const
     {
         const std::uint32_t rank = slot / placement_.slots;
         return load_[rank] / speedOf(speeds_, rank);
     }
 
-    double waterLevel(double amount) const
+    // Returns the step time up to which `amount` of load fills the ranks in `order_`, least loaded
+    // first.
+    double waterFillingLevel(double amount) const
     {
         double speed = 0.0;
-        double held = 0.0;
+        double existingLoad = 0.0;
         double level = 0.0;
         for (std::size_t index = 0; index < order_.size(); ++index) {
             const double base = baseTime(order_[index]);
@@ -113,21 +119,21 @@
             }
             const double ownSpeed = speedOf(speeds_, order_[index] / placement_.slots);
             speed += ownSpeed;
-            held += base * ownSpeed;
-            level = (held + amount) / speed;
+            existingLoad += base * ownSpeed;
+            level = (existingLoad + amount) / speed;
         }
         return level;
     }
 
-    void finish()
+    void computeRankTimes()
     {
-        const double ideal = 1.0 / std::accumulate(speeds_.begin(), speeds_.end(), 0.0);
+        const double idealTime = 1.0 / std::accumulate(speeds_.begin(), speeds_.end(), 0.0);
         double largest = 0.0;
         double sum = 0.0;
         split_.rankTime.resize(placement_.ranks);
         for (std::uint32_t rank = 0; rank < placement_.ranks; ++rank) {
             const double time = load_[rank] / speedOf(speeds_, rank);
-            split_.rankTime[rank] = time / ideal;
+            split_.rankTime[rank] = time / idealTime;
             largest = std::max(largest, time);
             sum += time;
         }
@@ -148,7 +154,7 @@
     return *std::max_element(split.rankTime.begin(), split.rankTime.end());
 }
 
-// Ranks by step time, slowest first.
+// Returns the ranks by step time, longest first.
 std::vector<std::uint32_t> ranksByTime(const LoadSplit &split)
 {
     std::vector<std::uint32_t> ranks(split.rankTime.size());
@@ -169,7 +175,8 @@
     return false;
 }
 
-// Searches for the single change that lowers the largest step time most.
+// Searches for the replacement or swap that lowers the largest step time most per moved slot. Tries
+// only changes between the ranks with the longest and those with the shortest step times.
 class MoveSearch
 {
 public:
@@ -181,15 +188,15 @@
         , bestTime_(largestTime(split))
     {}
 
-    // Returns false when no change helps.
+    // Returns false if no change lowers the largest step time.
     bool run()
     {
         const auto ranks = ranksByTime(split_);
-        const std::size_t hot = std::min(kHotRanks, ranks.size());
-        const std::size_t cold = std::min(kColdRanks, ranks.size() - hot);
+        const std::size_t hot = std::min(kHotRanksToTry, ranks.size());
+        const std::size_t cold = std::min(kColdRanksToTry, ranks.size() - hot);
         for (std::size_t h = 0; h < hot; ++h) {
             for (std::size_t c = 0; c < cold; ++c) {
-                tryBetween(ranks[h], ranks[ranks.size() - 1 - c]);
+                tryRankPair(ranks[h], ranks[ranks.size() - 1 - c]);
             }
         }
         return found_;
@@ -200,7 +207,7 @@
     std::uint32_t moves() const { return moves_; }
 
 private:
-    void tryBetween(std::uint32_t hot, std::uint32_t cold)
+    void tryRankPair(std::uint32_t hot, std::uint32_t cold)
     {
         for (std::uint32_t from = 0; from < placement_.slots; ++from) {
             const ExpertIndex expert = placement_.at(hot, from);
@@ -208,14 +215,15 @@
                 continue;
             }
             for (std::uint32_t to = 0; to < placement_.slots; ++to) {
-                tryReplica(expert, cold * placement_.slots + to);
+                tryAddReplica(expert, cold * placement_.slots + to);
                 trySwap(hot * placement_.slots + from, cold * placement_.slots + to);
             }
         }
     }
 
-    // Puts one more replica of `expert` in the place of a replica that is not the last of its kind.
-    void tryReplica(ExpertIndex expert, std::uint32_t slot)
+    // Replaces the expert in `slot` by a further replica of `expert`, unless `slot` holds the only
+    // replica of its expert.
+    void tryAddReplica(ExpertIndex expert, std::uint32_t slot)
     {
         if (replicas_[placement_.experts[slot]].size() < 2) {
             return;
@@ -238,9 +246,9 @@
 
     void consider(Placement changed, std::uint32_t moves)
     {
-        LoadSplit split = Splitter(changed, input_.shares, input_.speeds).run(kQuickSplitRounds);
+        LoadSplit split = Splitter(changed, input_.shares, input_.speeds).run(kSearchSplitRounds);
         const double time = largestTime(split);
-        // A swap must win more than a replica does, since it moves twice the weights.
+        // Compares the gain per moved slot, since a swap loads weights into two slots.
         const double gain = (largestTime(split_) - time) / moves;
         const double bestGain = found_ ? (largestTime(split_) - bestTime_) / moves_ : 0.0;
         if (gain <= bestGain) {
@@ -279,7 +287,8 @@
     placement.experts.resize(static_cast<std::size_t>(ranks) * slots);
     for (std::uint32_t slot = 0; slot < slots; ++slot) {
         for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-            // Each round is shifted by one rank, so that spare replicas fall on other ranks.
+            // Each row of slots is shifted by one rank, so that further replicas of an expert are
+            // placed on other ranks.
             const std::uint32_t number = slot * ranks + (rank + slot) % ranks;
             placement.experts[rank * slots + slot] = number % experts;
         }
@@ -287,18 +296,18 @@
     return placement;
 }
 
-Placement freshPlacement(std::uint32_t ranks, std::uint32_t slots, std::span<const double> shares,
-                         std::span<const double> speeds)
+Placement greedyPlacement(std::uint32_t ranks, std::uint32_t slots, std::span<const double> shares,
+                          std::span<const double> speeds)
 {
     const auto experts = static_cast<std::uint32_t>(shares.size());
     std::vector<std::uint32_t> counts(experts, 1);
-    const auto perReplica = [&](std::uint32_t expert) {
+    const auto sharePerReplica = [&](std::uint32_t expert) {
         return counts[expert] >= ranks ? 0.0 : shares[expert] / counts[expert];
     };
     for (std::uint32_t spare = experts; spare < ranks * slots; ++spare) {
         std::uint32_t hottest = 0;
         for (std::uint32_t expert = 1; expert < experts; ++expert) {
-            hottest = perReplica(expert) > perReplica(hottest) ? expert : hottest;
+            hottest = sharePerReplica(expert) > sharePerReplica(hottest) ? expert : hottest;
         }
         ++counts[hottest];
     }
@@ -307,13 +316,13 @@
     std::stable_sort(order.begin(), order.end(), [&](ExpertIndex left, ExpertIndex right) {
         return shares[left] / counts[left] > shares[right] / counts[right];
     });
-    std::vector<std::vector<ExpertIndex>> ofRank(ranks);
+    std::vector<std::vector<ExpertIndex>> expertsOfRank(ranks);
     std::vector<double> load(ranks, 0.0);
     for (const ExpertIndex expert : order) {
         for (std::uint32_t replica = 0; replica < counts[expert]; ++replica) {
             std::uint32_t best = ranks;
             for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-                const auto &held = ofRank[rank];
+                const auto &held = expertsOfRank[rank];
                 const bool fits = held.size() < slots
                                   && std::find(held.begin(), held.end(), expert) == held.end();
                 const bool better =
@@ -322,18 +331,18 @@
                 best = fits && better ? rank : best;
             }
             if (best == ranks) {
-                // Only ranks that hold the expert have room: the replica goes to any free slot.
+                // All ranks with a free slot already hold the expert: use the first free slot.
                 best = static_cast<std::uint32_t>(
-                    std::find_if(ofRank.begin(), ofRank.end(),
+                    std::find_if(expertsOfRank.begin(), expertsOfRank.end(),
                                  [slots](const auto &held) { return held.size() < slots; })
-                    - ofRank.begin());
+                    - expertsOfRank.begin());
             }
-            ofRank[best].push_back(expert);
+            expertsOfRank[best].push_back(expert);
             load[best] += shares[expert] / counts[expert];
         }
     }
     Placement placement{ranks, slots, {}};
-    for (const auto &held : ofRank) {
+    for (const auto &held : expertsOfRank) {
         placement.experts.insert(placement.experts.end(), held.begin(), held.end());
     }
     return placement;
@@ -362,7 +371,7 @@
     result.placement = current;
     result.split = splitLoad(current, input.shares, input.speeds);
     const std::size_t slots = current.experts.size();
-    // What noise alone may seem to win is not worth moving weights for.
+    // Noise in the shares alone can appear as a gain; it does not justify moving weights.
     const double noiseFloor = input.objective.skewWeight * input.noise * current.ranks;
     while (result.moves < input.maxMoves) {
         MoveSearch search(result.placement, result.split, input);
--- a/src/decision/routing/loadestimate.cpp
+++ b/src/decision/routing/loadestimate.cpp
@@ -5,21 +5,22 @@
 namespace seamarch {
 namespace {
 
-constexpr double kDefaultRate = 1000.0; // Cost a second, until an agent has reported its own.
+// Processing rate that is assumed until the agent reports its own.
+constexpr double kDefaultTokensPerSecond = 1000.0;
 
 } // namespace
 
-void LoadEstimate::onReport(const AgentReport &report, TimePoint askedAt)
+void LoadEstimate::onReport(const AgentReport &report, TimePoint requestedAt)
 {
     report_ = report;
-    reportedAt_ = askedAt;
-    costSince_ = 0.0;
-    sentSince_ = 0;
-    endedSince_ = 0;
+    reportRequestedAt_ = requestedAt;
+    costSinceReport_ = 0.0;
+    sentSinceReport_ = 0;
+    endedSinceReport_ = 0;
     for (const auto &[id, sent] : inFlight_) {
-        if (sent.at >= askedAt) {
-            costSince_ += sent.cost;
-            ++sentSince_;
+        if (sent.sentAt >= requestedAt) {
+            costSinceReport_ += sent.cost;
+            ++sentSinceReport_;
         }
     }
 }
@@ -27,8 +28,8 @@
 void LoadEstimate::onSent(RequestId id, double cost, TimePoint now)
 {
     inFlight_[id] = {cost, now};
-    costSince_ += cost;
-    ++sentSince_;
+    costSinceReport_ += cost;
+    ++sentSinceReport_;
 }
 
 void LoadEstimate::onEnded(RequestId id)
@@ -37,12 +38,12 @@
     if (found == inFlight_.end()) {
         return;
     }
-    const Sent &sent = found->second;
-    if (sent.at >= reportedAt_) {
-        costSince_ = std::max(0.0, costSince_ - sent.cost);
-        sentSince_ -= sentSince_ > 0 ? 1 : 0;
+    const SentRequest &sent = found->second;
+    if (sent.sentAt >= reportRequestedAt_) {
+        costSinceReport_ = std::max(0.0, costSinceReport_ - sent.cost);
+        sentSinceReport_ -= sentSinceReport_ > 0 ? 1 : 0;
     } else {
-        ++endedSince_;
+        ++endedSinceReport_;
     }
     inFlight_.erase(found);
 }
@@ -51,34 +52,34 @@
 {
     inFlight_.clear();
     report_ = {};
-    costSince_ = 0.0;
-    sentSince_ = 0;
-    endedSince_ = 0;
+    costSinceReport_ = 0.0;
+    sentSinceReport_ = 0;
+    endedSinceReport_ = 0;
 }
 
-double LoadEstimate::rate() const
+double LoadEstimate::processingRate() const
 {
-    return report_.tokensPerSecond > 0.0 ? report_.tokensPerSecond : kDefaultRate;
+    return report_.tokensPerSecond > 0.0 ? report_.tokensPerSecond : kDefaultTokensPerSecond;
 }
 
-double LoadEstimate::queued(TimePoint now) const
+double LoadEstimate::queuedCost(TimePoint now) const
 {
-    const double worked = toSeconds(now - reportedAt_) * rate();
-    return std::max(0.0, static_cast<double>(report_.queuedTokens) - worked);
+    const double processed = toSeconds(now - reportRequestedAt_) * processingRate();
+    return std::max(0.0, static_cast<double>(report_.queuedTokens) - processed);
 }
 
-double LoadEstimate::pending(TimePoint now) const
+double LoadEstimate::pendingCost(TimePoint now) const
 {
-    const double worked = toSeconds(now - reportedAt_) * rate();
+    const double processed = toSeconds(now - reportRequestedAt_) * processingRate();
     const auto reported = static_cast<double>(report_.queuedTokens + report_.runningTokens);
-    return std::max(0.0, reported - worked) + costSince_;
+    return std::max(0.0, reported - processed) + costSinceReport_;
 }
 
 double LoadEstimate::freeSlots() const
 {
-    const double taken = static_cast<double>(report_.runningRequests) + report_.queuedRequests
-                         + sentSince_ - endedSince_;
-    return static_cast<double>(report_.slots) - std::max(0.0, taken);
+    const double usedSlots = static_cast<double>(report_.runningRequests) + report_.queuedRequests
+                             + sentSinceReport_ - endedSinceReport_;
+    return static_cast<double>(report_.slots) - std::max(0.0, usedSlots);
 }
 
 Duration LoadEstimate::expectedWait(TimePoint now) const
@@ -86,10 +87,10 @@
     if (freeSlots() >= 1.0) {
         return {};
     }
-    // The next slot to come free is the first of those that run; what is queued goes before.
+    // A new request waits for all queued requests and then for the first slot to become free.
     const double slots = std::max<double>(1.0, report_.slots);
-    const double firstEnd = static_cast<double>(report_.runningTokens) / slots;
-    return fromSeconds((queued(now) + costSince_ + firstEnd) / rate());
+    const double costUntilFreeSlot = static_cast<double>(report_.runningTokens) / slots;
+    return fromSeconds((queuedCost(now) + costSinceReport_ + costUntilFreeSlot) / processingRate());
 }
 
 } // namespace seamarch
--- a/src/decision/routing/prefixindex.cpp
+++ b/src/decision/routing/prefixindex.cpp
@@ -5,14 +5,14 @@
 
 namespace seamarch {
 
-void PrefixIndex::learn(std::uint64_t prefix, const InstanceId &agent, TimePoint now)
+void PrefixIndex::recordHolder(std::uint64_t prefix, const InstanceId &agent, TimePoint now)
 {
     const auto [entry, added] = entries_.try_emplace(prefix);
     if (!added) {
-        uses_.erase(entry->second.use);
+        recency_.erase(entry->second.recencyPosition);
     }
-    uses_.push_front(prefix);
-    entry->second.use = uses_.begin();
+    recency_.push_front(prefix);
+    entry->second.recencyPosition = recency_.begin();
     std::vector<Holder> &holders = entry->second.holders;
     std::erase_if(holders, [&agent](const Holder &holder) { return holder.agent == agent; });
     holders.insert(holders.begin(), Holder{agent, now});
@@ -20,12 +20,12 @@
         holders.pop_back();
     }
     if (entries_.size() > settings_.capacity) {
-        entries_.erase(uses_.back());
-        uses_.pop_back();
+        entries_.erase(recency_.back());
+        recency_.pop_back();
     }
 }
 
-void PrefixIndex::forget(const InstanceId &agent)
+void PrefixIndex::removeAgent(const InstanceId &agent)
 {
     for (auto &[prefix, entry] : entries_) {
         std::erase_if(entry.holders,
@@ -45,7 +45,7 @@
     if (holder == holders.end()) {
         return 0.0;
     }
-    return std::exp2(-toSeconds(now - holder->at) / toSeconds(settings_.halfLife));
+    return std::exp2(-toSeconds(now - holder->recordedAt) / toSeconds(settings_.halfLife));
 }
 
 } // namespace seamarch
--- a/src/decision/routing/router.cpp
+++ b/src/decision/routing/router.cpp
@@ -43,13 +43,15 @@
     return candidates[first].pendingCost <= candidates[second].pendingCost ? first : second;
 }
 
-double ExpectedWaitRouter::price(const RouteCandidate &candidate, const RouteRequest &request) const
+double ExpectedWaitRouter::routingCost(const RouteCandidate &candidate,
+                                       const RouteRequest &request) const
 {
-    const double wait = toSeconds(candidate.wait);
-    const double left =
+    const double expectedWait = toSeconds(candidate.expectedWait);
+    const double uncachedTokens =
         std::max(0.0, static_cast<double>(request.promptTokens) - candidate.cachedTokens);
-    const double prefill = left / settings_.prefillTokensPerSecond;
-    return (wait + prefill) / std::max(0.05, candidate.readiness) + toSeconds(candidate.distance);
+    const double prefill = uncachedTokens / settings_.prefillTokensPerSecond;
+    return (expectedWait + prefill) / std::max(0.05, candidate.readiness)
+           + toSeconds(candidate.distance);
 }
 
 std::optional<std::size_t> ExpectedWaitRouter::pick(std::span<const RouteCandidate> candidates,
@@ -59,19 +61,20 @@
     if (candidates.empty()) {
         return std::nullopt;
     }
-    std::vector<double> prices;
-    prices.reserve(candidates.size());
+    std::vector<double> routingCosts;
+    routingCosts.reserve(candidates.size());
     for (const RouteCandidate &candidate : candidates) {
-        prices.push_back(price(candidate, request));
+        routingCosts.push_back(routingCost(candidate, request));
     }
-    const double limit =
-        *std::min_element(prices.begin(), prices.end()) + toSeconds(settings_.herdMargin);
-    const auto near = static_cast<std::size_t>(std::count_if(
-        prices.begin(), prices.end(), [limit](double each) { return each <= limit; }));
-    std::uniform_int_distribution<std::size_t> draw(0, near - 1);
+    const double maxCost = *std::min_element(routingCosts.begin(), routingCosts.end())
+                           + toSeconds(settings_.tieMargin);
+    const auto eligible =
+        static_cast<std::size_t>(std::count_if(routingCosts.begin(), routingCosts.end(),
+                                               [maxCost](double each) { return each <= maxCost; }));
+    std::uniform_int_distribution<std::size_t> draw(0, eligible - 1);
     std::size_t skip = draw(random);
-    for (std::size_t index = 0; index < prices.size(); ++index) {
-        if (prices[index] <= limit && skip-- == 0) {
+    for (std::size_t index = 0; index < routingCosts.size(); ++index) {
+        if (routingCosts[index] <= maxCost && skip-- == 0) {
             return index;
         }
     }
--- a/test/decision/dispatch/dispatchsimulation.h
+++ b/test/decision/dispatch/dispatchsimulation.h
@@ -120,7 +120,7 @@
     // Returns true while messages between processes `left` and `right` are lost.
     bool isPartitioned(std::size_t left, std::size_t right) const;
     std::size_t pickIndex(std::size_t size);
-    WallMillis wall() const;
+    UnixMillis wall() const;
 
     void startEntry(std::size_t entry);
     void startAgent(std::size_t agent);
--- a/test/decision/fairness/fairqueue_test.cpp
+++ b/test/decision/fairness/fairqueue_test.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-QueuedRequest makeRequest(std::uint64_t number, const char *account, Tokens expected,
+QueuedRequest makeRequest(std::uint64_t number, const char *account, Tokens expectedCost,
                           std::uint8_t priority = 0)
 {
     QueuedRequest request;
     request.id = {Incarnation(1), number};
     request.account = AccountId(account);
     request.priority = priority;
-    request.expected = expected;
+    request.expectedCost = expectedCost;
     request.deadline = TimePoint::max();
     return request;
 }
@@ -26,7 +26,8 @@
 {
     FairQueue queue;
 
-    // Serves `count` requests from accounts that never run dry; returns tokens by account.
+    // Pops `count` requests from accounts that stay backlogged. `sizes` gives the cost of each
+    // account's requests. Returns the cost served by account.
     std::map<std::string, double> serveBacklogged(int count,
                                                   const std::map<std::string, Tokens> &sizes)
     {
@@ -38,8 +39,8 @@
             }
         }
         for (int index = 0; index < count; ++index) {
-            const auto taken = queue.take();
-            served[taken->account.value()] += static_cast<double>(taken->expected);
+            const auto popped = queue.pop();
+            served[popped->account.value()] += static_cast<double>(popped->expectedCost);
         }
         return served;
     }
@@ -47,8 +48,8 @@
 
 TEST(FairQueueTest, ServesBackloggedAccountsByShare)
 {
-    queue.setClaim(AccountId("large"), {3.0, 10'000});
-    queue.setClaim(AccountId("small"), {1.0, 10'000});
+    queue.setPolicy(AccountId("large"), {3.0, 10'000});
+    queue.setPolicy(AccountId("small"), {1.0, 10'000});
 
     const auto served = serveBacklogged(2000, {{"large", 100}, {"small", 100}});
 
@@ -57,8 +58,8 @@
 
 TEST(FairQueueTest, CountsTokensAndNotRequests)
 {
-    queue.setClaim(AccountId("long"), {1.0, 10'000});
-    queue.setClaim(AccountId("short"), {1.0, 10'000});
+    queue.setPolicy(AccountId("long"), {1.0, 10'000});
+    queue.setPolicy(AccountId("short"), {1.0, 10'000});
 
     const auto served = serveBacklogged(3000, {{"long", 1000}, {"short", 10}});
 
@@ -67,13 +68,13 @@
 
 TEST(FairQueueTest, IdleAccountEarnsNoCredit)
 {
-    queue.setClaim(AccountId("busy"), {1.0, 10'000});
-    queue.setClaim(AccountId("idle"), {1.0, 10'000});
+    queue.setPolicy(AccountId("busy"), {1.0, 10'000});
+    queue.setPolicy(AccountId("idle"), {1.0, 10'000});
     for (std::uint64_t number = 0; number < 1000; ++number) {
         queue.push(makeRequest(number, "busy", 100));
     }
     for (int index = 0; index < 500; ++index) {
-        queue.take();
+        queue.pop();
     }
 
     for (std::uint64_t number = 2000; number < 2100; ++number) {
@@ -81,16 +82,16 @@
     }
     int busyServed = 0;
     for (int index = 0; index < 100; ++index) {
-        busyServed += queue.take()->account == AccountId("busy") ? 1 : 0;
+        busyServed += queue.pop()->account == AccountId("busy") ? 1 : 0;
     }
 
     CHECK(busyServed >= 49);
 }
 
-TEST(FairQueueTest, ChargesBackWhatWasDeclaredTooLow)
+TEST(FairQueueTest, ChargesForUnderdeclaredTokens)
 {
-    queue.setClaim(AccountId("liar"), {1.0, 10'000});
-    queue.setClaim(AccountId("honest"), {1.0, 10'000});
+    queue.setPolicy(AccountId("liar"), {1.0, 10'000});
+    queue.setPolicy(AccountId("honest"), {1.0, 10'000});
     std::uint64_t number = 0;
     for (int index = 0; index < 1000; ++index) {
         queue.push(makeRequest(++number, "liar", 1));
@@ -99,10 +100,10 @@
 
     std::map<std::string, double> produced;
     for (int index = 0; index < 400; ++index) {
-        const auto taken = queue.take();
+        const auto popped = queue.pop();
         const double actual = 100.0;
-        queue.charge(taken->account, actual - static_cast<double>(taken->expected));
-        produced[taken->account.value()] += actual;
+        queue.adjustCharge(popped->account, actual - static_cast<double>(popped->expectedCost));
+        produced[popped->account.value()] += actual;
     }
 
     DOUBLES_EQUAL(1.0, produced.at("liar") / produced.at("honest"), 0.03);
@@ -113,14 +114,14 @@
     queue.push(makeRequest(1, "one", 10, 0));
     queue.push(makeRequest(2, "one", 10, 5));
 
-    CHECK_EQUAL(2U, queue.take()->id.counter);
-    CHECK_EQUAL(1U, queue.take()->id.counter);
+    CHECK_EQUAL(2U, queue.pop()->id.counter);
+    CHECK_EQUAL(1U, queue.pop()->id.counter);
 }
 
 TEST(FairQueueTest, PriorityOfOneAccountDoesNotStarveAnother)
 {
-    queue.setClaim(AccountId("urgent"), {1.0, 10'000});
-    queue.setClaim(AccountId("plain"), {1.0, 10'000});
+    queue.setPolicy(AccountId("urgent"), {1.0, 10'000});
+    queue.setPolicy(AccountId("plain"), {1.0, 10'000});
     for (std::uint64_t number = 0; number < 100; ++number) {
         queue.push(makeRequest(number, "urgent", 10, 9));
         queue.push(makeRequest(1000 + number, "plain", 10, 0));
@@ -128,15 +129,15 @@
 
     int plainServed = 0;
     for (int index = 0; index < 100; ++index) {
-        plainServed += queue.take()->account == AccountId("plain") ? 1 : 0;
+        plainServed += queue.pop()->account == AccountId("plain") ? 1 : 0;
     }
 
     CHECK_EQUAL(50, plainServed);
 }
 
-TEST(FairQueueTest, RefusesBeyondTheAccountsBound)
+TEST(FairQueueTest, RefusesPushBeyondMaxQueued)
 {
-    queue.setClaim(AccountId("one"), {1.0, 2});
+    queue.setPolicy(AccountId("one"), {1.0, 2});
     CHECK(queue.push(makeRequest(1, "one", 10)));
     CHECK(queue.push(makeRequest(2, "one", 10)));
 
@@ -144,14 +145,14 @@
     CHECK_EQUAL(2U, queue.size());
 }
 
-TEST(FairQueueTest, ExpiresWhatIsPastItsDeadline)
+TEST(FairQueueTest, PopExpiredRemovesRequestsPastTheirDeadline)
 {
     QueuedRequest late = makeRequest(1, "one", 10);
     late.deadline = TimePoint(Duration(100));
     queue.push(late);
     queue.push(makeRequest(2, "one", 10));
 
-    const auto expired = queue.takeExpired(TimePoint(Duration(100)));
+    const auto expired = queue.popExpired(TimePoint(Duration(100)));
 
     CHECK_EQUAL(1U, expired.size());
     CHECK_EQUAL(1U, queue.size());
--- a/test/decision/once/keyhome_test.cpp
+++ b/test/decision/once/keyhome_test.cpp
@@ -16,26 +16,33 @@
 constexpr Duration kLease = std::chrono::seconds(3);
 const AccountId kAccount("bids");
 
-std::string keyAt(WallMillis wall, std::uint64_t low)
+std::string keyAt(UnixMillis wall, std::uint64_t low)
 {
     const auto millis = static_cast<std::uint64_t>(wall.count());
     return fmt::format("{:08x}-{:04x}-7{:03x}-8{:03x}-{:012x}", millis >> 16U, millis & 0xffffU,
                        low & 0xfffU, (low >> 12U) & 0xfffU, low & 0xffffffffffffU);
 }
 
-enum class PlantedFault { None, GrantAnySet, NoHoldBack, LeaseFromAnswer, ForgetTenure };
+enum class InjectedFault {
+    None,
+    GrantAnySet,
+    NoRefusalAfterStart,
+    LeaseFromAnswer,
+    StaleMinKeyTime
+};
 
-// Agents whose lists change and lag, that are paused and replaced, and that are all offered every
-// key again and again. A key may be accepted once in all.
-class KeyHomeWorld
+// Simulates agents that run the key-home protocol while messages are delayed and lost, agents are
+// paused and restarted, and member lists change at different times. Clients retry each key at
+// random agents. No key may be accepted more than once in total.
+class KeyHomeSimulation
 {
 public:
-    KeyHomeWorld(std::uint64_t seed, PlantedFault fault)
+    KeyHomeSimulation(std::uint64_t seed, InjectedFault fault)
         : random_(seed)
         , fault_(fault)
     {}
 
-    // Returns how often some key was accepted beyond its first time.
+    // Runs for 60 simulated seconds and returns the number of duplicate acceptances.
     int run()
     {
         for (std::size_t index = 0; index < kAgents; ++index) {
@@ -45,11 +52,11 @@
              now_ += std::chrono::milliseconds(100)) {
             step();
         }
-        int again = 0;
+        int duplicates = 0;
         for (const auto &[key, count] : accepted_) {
-            again += count - 1;
+            duplicates += count - 1;
         }
-        return again;
+        return duplicates;
     }
 
     std::size_t acceptedKeys() const { return accepted_.size(); }
@@ -60,7 +67,7 @@
     struct Agent
     {
         std::unique_ptr<KeyHome> home;
-        std::unique_ptr<GrantBook> grants;
+        std::unique_ptr<GrantIssuer> grants;
         TimePoint pausedUntil{};
     };
 
@@ -85,15 +92,16 @@
         return std::chrono::milliseconds(std::uniform_int_distribution<int>(0, highMs)(random_));
     }
 
-    WallMillis wall() const
+    UnixMillis wall() const
     {
-        return WallMillis(1'700'000'000'000)
-               + std::chrono::duration_cast<WallMillis>(now_.time_since_epoch());
+        return UnixMillis(1'700'000'000'000)
+               + std::chrono::duration_cast<UnixMillis>(now_.time_since_epoch());
     }
 
     static std::vector<std::size_t> allMembers() { return {0, 1, 2, 3}; }
 
-    // Agent 0 is in every list: operators keep one agent of a pool through a view lease.
+    // Agent 0 is in every list, since operators must not replace a whole pool within
+    // `maxMembersAge`.
     std::vector<std::size_t> someMembers()
     {
         std::vector<std::size_t> members = {0};
@@ -120,13 +128,13 @@
         settings.lease = kLease;
         Agent &agent = agents_[index];
         agent.home = std::make_unique<KeyHome>(name(index), settings);
-        agent.grants = std::make_unique<GrantBook>(kLease);
-        if (fault_ != PlantedFault::NoHoldBack) {
-            agent.grants->holdBack(now_ + kLease);
+        agent.grants = std::make_unique<GrantIssuer>(kLease);
+        if (fault_ != InjectedFault::NoRefusalAfterStart) {
+            agent.grants->refuseUntil(now_ + kLease);
         }
         agent.home->setMembers(setOf(members));
-        agent.home->confirmView(now_);
-        ++lives_[index];
+        agent.home->confirmMembers(now_);
+        ++incarnations_[index];
     }
 
     void send(std::size_t to, std::function<void()> action)
@@ -138,45 +146,46 @@
 
     void deliver()
     {
-        std::vector<Message> later;
+        std::vector<Message> notDue;
         std::vector<Message> due;
         for (Message &message : messages_) {
             const bool ready = message.at <= now_ && agents_[message.to].pausedUntil <= now_;
-            (ready ? due : later).push_back(std::move(message));
+            (ready ? due : notDue).push_back(std::move(message));
         }
-        messages_ = std::move(later);
+        messages_ = std::move(notDue);
         for (const Message &message : due) {
             message.action();
         }
     }
 
-    void askGrants(std::size_t index)
+    void requestGrants(std::size_t index)
     {
         const std::uint64_t set = agents_[index].home->members().hash;
-        const TimePoint askedAt = now_;
-        const int life = lives_[index];
+        const TimePoint requestedAt = now_;
+        const int incarnation = incarnations_[index];
         for (std::size_t other = 0; other < kAgents; ++other) {
-            send(other, [this, index, other, set, askedAt, life] {
+            send(other, [this, index, other, set, requestedAt, incarnation] {
                 const bool granted = agents_[other].grants->grant(set, now_);
-                if (!granted && fault_ != PlantedFault::GrantAnySet) {
+                if (!granted && fault_ != InjectedFault::GrantAnySet) {
                     return;
                 }
-                send(index, [this, index, other, set, askedAt, life] {
-                    if (lives_[index] == life) {
-                        const bool late = fault_ == PlantedFault::LeaseFromAnswer;
-                        // A tenure that began long ago is one that was forgotten to be renewed.
-                        const WallMillis begun = fault_ == PlantedFault::ForgetTenure
-                                                     ? wall() - std::chrono::hours(1)
-                                                     : wall();
+                send(index, [this, index, other, set, requestedAt, incarnation] {
+                    if (incarnations_[index] == incarnation) {
+                        const bool fromAnswer = fault_ == InjectedFault::LeaseFromAnswer;
+                        // A wall time in the past sets a minimum key time that is too early.
+                        const UnixMillis grantedAtWall = fault_ == InjectedFault::StaleMinKeyTime
+                                                             ? wall() - std::chrono::hours(1)
+                                                             : wall();
                         agents_[index].home->onGrant(name(other), set,
-                                                     late ? now_ + kLease : askedAt, now_, begun);
+                                                     fromAnswer ? now_ + kLease : requestedAt, now_,
+                                                     grantedAtWall);
                     }
                 });
             });
         }
     }
 
-    void disturb()
+    void injectDisturbances()
     {
         const std::size_t index = pick(kAgents);
         if (chance(0.02)) {
@@ -185,24 +194,24 @@
         if (chance(0.03)) {
             const std::size_t replaced = chance(0.5) ? 0 : index;
             agents_[replaced].pausedUntil = {};
-            start(replaced, view_);
+            start(replaced, memberList_);
         }
         if (chance(0.02)) {
-            view_ = someMembers();
+            memberList_ = someMembers();
             for (std::size_t other = 0; other < kAgents; ++other) {
-                const MemberSet set = setOf(view_);
+                const MemberSet set = setOf(memberList_);
                 messages_.push_back({now_ + delay(8000), other,
                                      [this, other, set] { agents_[other].home->setMembers(set); }});
             }
         }
     }
 
-    void offerKeys()
+    void sendKeys()
     {
         if (chance(0.5)) {
             keys_.push_back(keyAt(wall(), random_()));
         }
-        // Callers retry a key for some seconds.
+        // Clients stop retrying a key after 40 newer ones, which takes several seconds.
         while (keys_.size() > 40) {
             keys_.pop_front();
         }
@@ -221,32 +230,32 @@
     void step()
     {
         deliver();
-        disturb();
+        injectDisturbances();
         if (now_.time_since_epoch() % std::chrono::milliseconds(500) == Duration{}) {
             for (std::size_t index = 0; index < kAgents; ++index) {
                 if (agents_[index].pausedUntil <= now_) {
-                    askGrants(index);
+                    requestGrants(index);
                 }
             }
         }
-        offerKeys();
+        sendKeys();
     }
 
     std::mt19937_64 random_;
-    PlantedFault fault_;
+    InjectedFault fault_;
     TimePoint now_{};
     Agent agents_[kAgents];
-    int lives_[kAgents] = {};
-    std::vector<std::size_t> view_ = allMembers();
+    int incarnations_[kAgents] = {};
+    std::vector<std::size_t> memberList_ = allMembers();
     std::vector<Message> messages_;
     std::deque<std::string> keys_;
     std::map<std::string, int> accepted_;
 };
 
-bool caught(PlantedFault fault)
+bool detects(InjectedFault fault)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        if (KeyHomeWorld(seed, fault).run() > 0) {
+        if (KeyHomeSimulation(seed, fault).run() > 0) {
             return true;
         }
     }
@@ -259,13 +268,13 @@
 {
     KeyHome home{InstanceId("a"), {}};
     MemberSet set = makeMemberSet({InstanceId("a")});
-    WallMillis wall{1'700'000'000'000};
+    UnixMillis wall{1'700'000'000'000};
     TimePoint now{std::chrono::seconds(100)};
 
     void becomeHome()
     {
         home.setMembers(set);
-        home.confirmView(now);
+        home.confirmMembers(now);
         home.onGrant(InstanceId("a"), set.hash, now, now, wall);
     }
 };
@@ -274,59 +283,59 @@
 {
     std::size_t accepted = 0;
     for (std::uint64_t seed = 1; seed <= 400; ++seed) {
-        KeyHomeWorld world(seed, PlantedFault::None);
-        const int again = world.run();
-        if (again != 0) {
-            FAIL(fmt::format("seed {}: {} keys were accepted twice", seed, again).c_str());
+        KeyHomeSimulation simulation(seed, InjectedFault::None);
+        const int duplicates = simulation.run();
+        if (duplicates != 0) {
+            FAIL(fmt::format("seed {}: {} keys were accepted twice", seed, duplicates).c_str());
         }
-        accepted += world.acceptedKeys();
+        accepted += simulation.acceptedKeys();
     }
     CHECK(accepted > 2000);
 }
 
-TEST(KeyHomeTest, CheckerCatchesGrantsOfAnySet)
+TEST(KeyHomeTest, SimulationDetectsGrantsOfAnySet)
 {
-    CHECK(caught(PlantedFault::GrantAnySet));
+    CHECK(detects(InjectedFault::GrantAnySet));
 }
 
-TEST(KeyHomeTest, CheckerCatchesAGranterThatForgetsItsPromises)
+TEST(KeyHomeTest, SimulationDetectsGrantsIssuedRightAfterARestart)
 {
-    CHECK(caught(PlantedFault::NoHoldBack));
+    CHECK(detects(InjectedFault::NoRefusalAfterStart));
 }
 
-TEST(KeyHomeTest, CheckerCatchesALeaseCountedFromTheAnswer)
+TEST(KeyHomeTest, SimulationDetectsALeaseCountedFromTheAnswer)
 {
-    CHECK(caught(PlantedFault::LeaseFromAnswer));
+    CHECK(detects(InjectedFault::LeaseFromAnswer));
 }
 
-TEST(KeyHomeTest, CheckerCatchesAForgottenTenure)
+TEST(KeyHomeTest, SimulationDetectsAStaleMinKeyTime)
 {
-    CHECK(caught(PlantedFault::ForgetTenure));
+    CHECK(detects(InjectedFault::StaleMinKeyTime));
 }
 
-TEST(KeyHomeTest, RefusesUnderAViewThatNobodyConfirms)
+TEST(KeyHomeTest, RefusesWithAnUnconfirmedMemberList)
 {
     becomeHome();
     const TimePoint muchLater = now + std::chrono::minutes(10);
-    const WallMillis later = wall + std::chrono::minutes(10);
+    const UnixMillis later = wall + std::chrono::minutes(10);
     home.onGrant(InstanceId("a"), set.hash, muchLater, muchLater, later);
 
-    CHECK(home.accept(kAccount, keyAt(later + WallMillis(2500), 1), muchLater,
-                      later + WallMillis(2500))
+    CHECK(home.accept(kAccount, keyAt(later + UnixMillis(2500), 1), muchLater,
+                      later + UnixMillis(2500))
           == KeyVerdict::Unsure);
 }
 
-TEST(KeyHomeTest, RefusesKeysThatAreOlderThanItsTenure)
+TEST(KeyHomeTest, RefusesKeysMadeBeforeTheGrants)
 {
     becomeHome();
 
     CHECK(home.accept(kAccount, keyAt(wall, 1), now, wall) == KeyVerdict::Unsure);
 }
 
-TEST(KeyHomeTest, AcceptsAYoungKeyOnce)
+TEST(KeyHomeTest, AcceptsANewKeyOnce)
 {
     becomeHome();
-    const WallMillis later = wall + std::chrono::seconds(2) + WallMillis(1);
+    const UnixMillis later = wall + std::chrono::seconds(2) + UnixMillis(1);
 
     CHECK(home.accept(kAccount, keyAt(later, 1), now, later) == KeyVerdict::Accept);
     CHECK(home.accept(kAccount, keyAt(later, 1), now, later) == KeyVerdict::SeenBefore);
@@ -335,23 +344,23 @@
 TEST(KeyHomeTest, KeepsKeysOfTwoAccountsApart)
 {
     becomeHome();
-    const WallMillis later = wall + std::chrono::seconds(5);
+    const UnixMillis later = wall + std::chrono::seconds(5);
     home.accept(kAccount, keyAt(later, 1), now, later);
 
     CHECK(home.accept(AccountId("other"), keyAt(later, 1), now, later) == KeyVerdict::Accept);
 }
 
-TEST(KeyHomeTest, RefusesOnceALeaseHasRunOut)
+TEST(KeyHomeTest, RefusesAfterALeaseExpires)
 {
     becomeHome();
-    const WallMillis later = wall + std::chrono::seconds(5);
+    const UnixMillis later = wall + std::chrono::seconds(5);
 
     CHECK(home.accept(kAccount, keyAt(later, 1), now + kLease, later) == KeyVerdict::Unsure);
 }
 
-TEST(KeyHomeTest, RefusesAKeyThatIsNoVersionSevenUuid)
+TEST(KeyHomeTest, ReadsTheTimeOfVersion7UuidsOnly)
 {
-    CHECK_FALSE(keyTime("0190163d-8694-4f3a-8c0a-000000000001").has_value());
-    CHECK_FALSE(keyTime("hello").has_value());
-    CHECK(keyTime("0190163d-8694-7f3a-8c0a-000000000001").has_value());
+    CHECK_FALSE(uuidV7Time("0190163d-8694-4f3a-8c0a-000000000001").has_value());
+    CHECK_FALSE(uuidV7Time("hello").has_value());
+    CHECK(uuidV7Time("0190163d-8694-7f3a-8c0a-000000000001").has_value());
 }
--- a/test/decision/once/runledger_test.cpp
+++ b/test/decision/once/runledger_test.cpp
@@ -1,6 +1,6 @@
 #include "decision/once/runledger.h"
 
-#include "decision/once/ticketbook.h"
+#include "decision/once/ticketissuer.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -27,7 +27,7 @@
     CHECK_FALSE(ledger.enqueue(request(1)));
 }
 
-TEST(RunLedgerTest, CancelAfterTheStartProvesNothing)
+TEST(RunLedgerTest, CancelAfterTheStartReturnsFalse)
 {
     ledger.enqueue(request(1));
     ledger.start(request(1));
@@ -35,7 +35,7 @@
     CHECK_FALSE(ledger.cancel(request(1)));
 }
 
-TEST(RunLedgerTest, ForgottenRequestsStayRefused)
+TEST(RunLedgerTest, EvictedRequestsStayRefused)
 {
     for (std::uint64_t counter = 1; counter <= 5; ++counter) {
         ledger.enqueue(request(counter));
@@ -43,45 +43,45 @@
         ledger.finish(request(counter));
     }
 
-    CHECK(ledger.state(request(1)) == RunState::Forgotten);
+    CHECK(ledger.state(request(1)) == RunState::Evicted);
     CHECK_FALSE(ledger.enqueue(request(1)));
     CHECK_FALSE(ledger.cancel(request(1)));
     CHECK_EQUAL(2U, ledger.size());
 }
 
-TEST_GROUP(TicketBookTest)
+TEST_GROUP(TicketIssuerTest)
 {
-    TicketBook book{InstanceId("portal.1"), Incarnation(7), 42, 2};
+    TicketIssuer issuer{InstanceId("portal.1"), Incarnation(7), 42, 2};
 };
 
-TEST(TicketBookTest, RedeemsATicketOnce)
+TEST(TicketIssuerTest, RedeemsATicketOnce)
 {
-    const Ticket ticket = book.issue();
+    const Ticket ticket = issuer.issue();
 
-    CHECK(book.redeem(ticket) == TicketVerdict::Fresh);
-    CHECK(book.redeem(ticket) == TicketVerdict::Spent);
+    CHECK(issuer.redeem(ticket) == TicketVerdict::Fresh);
+    CHECK(issuer.redeem(ticket) == TicketVerdict::Spent);
 }
 
-TEST(TicketBookTest, ForgetsTheOldestAndRefusesIt)
+TEST(TicketIssuerTest, RefusesAnEvictedTicket)
 {
-    const Ticket oldest = book.issue();
-    book.issue();
-    book.issue();
+    const Ticket oldest = issuer.issue();
+    issuer.issue();
+    issuer.issue();
 
-    CHECK(book.redeem(oldest) == TicketVerdict::Unknown);
+    CHECK(issuer.redeem(oldest) == TicketVerdict::Unknown);
 }
 
-TEST(TicketBookTest, RefusesATicketOfAnotherIncarnation)
+TEST(TicketIssuerTest, RefusesATicketOfAnotherIncarnation)
 {
-    Ticket ticket = book.issue();
+    Ticket ticket = issuer.issue();
     ticket.incarnation = Incarnation(8);
 
-    CHECK(book.redeem(ticket) == TicketVerdict::Unknown);
+    CHECK(issuer.redeem(ticket) == TicketVerdict::Unknown);
 }
 
-TEST(TicketBookTest, ReadsWhatItWrites)
+TEST(TicketIssuerTest, ParsesAFormattedTicket)
 {
-    const Ticket ticket = book.issue();
+    const Ticket ticket = issuer.issue();
 
     const auto read = parseTicket(formatTicket(ticket));
 
--- a/test/decision/placement/balancer_test.cpp
+++ b/test/decision/placement/balancer_test.cpp
@@ -1,6 +1,6 @@
 #include "decision/placement/balancer.h"
 
-#include "decision/placement/popularity.h"
+#include "decision/placement/popularityestimate.h"
 
 #include <algorithm>
 #include <cmath>
@@ -41,12 +41,12 @@
 
     BalanceInput input(double skewWeight, double moveWeight) const
     {
-        BalanceInput made;
-        made.shares = zipf(16);
-        made.speeds = speeds;
-        made.objective = {skewWeight, moveWeight};
-        made.maxMoves = 100;
-        return made;
+        BalanceInput balanceInput;
+        balanceInput.shares = zipf(16);
+        balanceInput.speeds = speeds;
+        balanceInput.objective = {skewWeight, moveWeight};
+        balanceInput.maxMoves = 100;
+        return balanceInput;
     }
 };
 
@@ -58,10 +58,10 @@
 
     CHECK(holdsEveryExpert(start, 16));
     CHECK(holdsEveryExpert(result.placement, 16));
-    CHECK(holdsEveryExpert(freshPlacement(8, 3, zipf(16), speeds), 16));
+    CHECK(holdsEveryExpert(greedyPlacement(8, 3, zipf(16), speeds), 16));
 }
 
-TEST(BalancerTest, SplitGivesAwayExactlyAllWork)
+TEST(BalancerTest, SlotSharesSumToOne)
 {
     const LoadSplit split = splitLoad(staticPlacement(8, 3, 16), zipf(16), speeds);
 
@@ -74,8 +74,8 @@
     const double before = splitLoad(start, zipf(16), speeds).skew;
 
     for (const double moveWeight : {0.0, 0.1, 1.0, 100.0}) {
-        const BalanceInput given = input(1.0, moveWeight);
-        const BalanceResult result = balance(start, given);
+        const BalanceInput balanceInput = input(1.0, moveWeight);
+        const BalanceResult result = balance(start, balanceInput);
         CHECK(result.objective <= before - 1.0 + 1e-9);
     }
 }
@@ -85,13 +85,13 @@
     CHECK_EQUAL(0U, balance(staticPlacement(8, 3, 16), input(1.0, 1e6)).moves);
 }
 
-TEST(BalancerTest, StaysWithinTheMovesThatTheWeightStoreAllows)
+TEST(BalancerTest, MakesAtMostMaxMoves)
 {
-    BalanceInput given = input(10.0, 0.0);
-    given.maxMoves = 2;
+    BalanceInput balanceInput = input(10.0, 0.0);
+    balanceInput.maxMoves = 2;
 
     const Placement start = staticPlacement(8, 3, 16);
-    const BalanceResult result = balance(start, given);
+    const BalanceResult result = balance(start, balanceInput);
 
     CHECK(result.moves <= 2);
     CHECK(movedSlots(start, result.placement) <= 2);
@@ -119,19 +119,19 @@
     const std::vector<double> seconds = {1.0, 1.0, 10.0, 1.0};
 
     for (int step = 0; step < 3; ++step) {
-        estimate.onStep(tokens, seconds);
+        estimate.addStep(tokens, seconds);
     }
 
-    CHECK_EQUAL(1U, estimate.slowerThan(0.6).size());
-    CHECK_EQUAL(2U, estimate.slowerThan(0.6).front());
+    CHECK_EQUAL(1U, estimate.ranksSlowerThan(0.6).size());
+    CHECK_EQUAL(2U, estimate.ranksSlowerThan(0.6).front());
 }
 
 TEST(BalancerTest, PopularityIgnoresAPeriodWithoutCounts)
 {
     PopularityEstimate estimate(2);
-    estimate.onCounts(std::vector<double>{30.0, 10.0}, TimePoint(std::chrono::seconds(300)));
+    estimate.addCounts(std::vector<double>{30.0, 10.0}, TimePoint(std::chrono::seconds(300)));
 
-    estimate.onCounts(std::vector<double>{0.0, 0.0}, TimePoint(std::chrono::seconds(600)));
+    estimate.addCounts(std::vector<double>{0.0, 0.0}, TimePoint(std::chrono::seconds(600)));
 
     DOUBLES_EQUAL(0.75, estimate.shares()[0], 1e-9);
 }
