--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -89,8 +89,8 @@
                 const EngineProtocol &engineProtocol);
     tl::expected<void, NetError> open();
 
-    void onStoreListed(const StoreItems &items, TimePoint askedAt) override;
-    void onStoreChanged(const StoreItems &items, TimePoint askedAt) override;
+    void onStoreListed(const StoreItems &items, TimePoint sentAt) override;
+    void onStoreChanged(const StoreItems &items, TimePoint sentAt) override;
     void onStoreFailed(std::string_view cause) override;
     bool ready(std::string &reason) const override;
     nlohmann::json status() const override;
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -152,7 +152,7 @@
     return confirmedAt_ ? loop_.now() - *confirmedAt_ : Duration::max();
 }
 
-void GatewayStoreView::onStoreListed(const StoreItems &items, TimePoint askedAt)
+void GatewayStoreView::onStoreListed(const StoreItems &items, TimePoint sentAt)
 {
     std::vector<UpstreamRecord> records;
     std::set<HallId> drained;
@@ -175,7 +175,7 @@
     recordConfirmation(askedAt, items.position);
 }
 
-void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint askedAt)
+void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint sentAt)
 {
     for (const StoreItem &item : items.items) {
         applyItem(item);
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -56,8 +56,8 @@
 
     void setFreshness(const FreshnessBounds &freshness) { freshness_ = freshness; }
 
-    void onStoreListed(const StoreItems &items, TimePoint askedAt) override;
-    void onStoreChanged(const StoreItems &items, TimePoint askedAt) override;
+    void onStoreListed(const StoreItems &items, TimePoint sentAt) override;
+    void onStoreChanged(const StoreItems &items, TimePoint sentAt) override;
     void onStoreFailed(std::string_view cause) override;
 
     // Adopts the state of another gateway, which the store confirmed at `confirmedAt`. Returns
