--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -43,8 +43,8 @@
     kj::Promise<void> exchange(ExchangeContext context) override
     {
         const auto params = context.getParams();
-        const TimePoint askedAt = peers_.loop_.now();
-        peers_.directory_.recordSeen(readGateway(params.getSelf()), askedAt);
+        const TimePoint sentAt = peers_.loop_.now();
+        peers_.directory_.recordSeen(readGateway(params.getSelf()), sentAt);
         const PollRequest pollRequest{ConfigVersion(params.getConfigVersion()),
                                       params.getUpstreamsMark(),
                                       params.getTakesChanges(),
@@ -55,9 +55,9 @@
                                       params.getWantsLimits(),
                                       params.getLimitsMark()};
         const Duration wait = std::min(Duration(params.getWaitMicros()), kMaxPollWait);
-        auto answer = [this, context, pollRequest, askedAt]() mutable {
+        auto answer = [this, context, pollRequest, sentAt]() mutable {
             peers_.writeNews(context.getResults().initNews(), pollRequest,
-                             peers_.loop_.now() - askedAt);
+                             peers_.loop_.now() - sentAt);
         };
         if (wait <= Duration{} || peers_.hasNewsFor(pollRequest)) {
             answer();
@@ -228,7 +228,7 @@
     }
 }
 
-void GatewayPeers::onNews(const SocketAddress &address, TimePoint askedAt,
+void GatewayPeers::onNews(const SocketAddress &address, TimePoint sentAt,
                           wire::GatewayNews::Reader news)
 {
     const TimePoint now = loop_.now();
@@ -240,13 +240,13 @@
         applyGateways(news, now);
     }
     directory_.onAnswered(link.id, now);
-    applyGroups(link, askedAt, news);
-    applyCrashes(link, askedAt, news);
-    applyLimits(link, askedAt, news);
+    applyGroups(link, sentAt, news);
+    applyCrashes(link, sentAt, news);
+    applyLimits(link, sentAt, news);
     if (!news.getKnown()) {
         lastUnconfiguredAnswerAt_ = now;
     }
-    if (!news.getKnown() || !applyNews(askedAt, news)) {
+    if (!news.getKnown() || !applyNews(sentAt, news)) {
         link.notBefore = now + detail::kPeerRetryDelay;
     }
     if (std::exchange(link.pollAgain, false)) {
@@ -283,7 +283,7 @@
     to.setGatewayAges(kj::arrayPtr(news.ages.data(), news.ages.size()));
 }
 
-bool GatewayPeers::applyNews(TimePoint askedAt, wire::GatewayNews::Reader news)
+bool GatewayPeers::applyNews(TimePoint sentAt, wire::GatewayNews::Reader news)
 {
     PeerStoreState peerState;
     peerState.place = {news.getEra(), news.getRevision()};
@@ -308,19 +308,19 @@
     }
     const Duration held(news.getHeldMicros());
     const Duration age(news.getAgeMicros());
-    return onStateReceived_(peerState, askedAt + held - age);
+    return onStateReceived_(peerState, sentAt + held - age);
 }
 
 // Applies the other gateway's facts about groups, each as of its own time. If its mark is the one
 // that the poll named, the members are omitted and the facts are only renewed, provided that those
 // held here still have that mark.
-void GatewayPeers::applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+void GatewayPeers::applyGroups(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news)
 {
     const Duration held(news.getHeldMicros());
     const bool repeated = link.groupsMark == news.getGroupsMark();
     const bool matchesOwn = groups_.digest() == news.getGroupsMark();
     for (const auto &group : news.getGroups()) {
-        const TimePoint asOf = askedAt + held - Duration(group.getAgeMicros());
+        const TimePoint asOf = sentAt + held - Duration(group.getAgeMicros());
         if (!repeated) {
             groups_.update(readGroup(group), asOf);
         } else if (matchesOwn) {
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -114,15 +114,15 @@
     tl::expected<void, NetError> open();
 
     Link &linkTo(const SocketAddress &address);
-    void onNews(const SocketAddress &address, TimePoint askedAt, wire::GatewayNews::Reader news);
+    void onNews(const SocketAddress &address, TimePoint sentAt, wire::GatewayNews::Reader news);
     void onFailed(const SocketAddress &address);
-    bool applyNews(TimePoint askedAt, wire::GatewayNews::Reader news);
+    bool applyNews(TimePoint sentAt, wire::GatewayNews::Reader news);
     bool isGatewayListDue(const Link &link, TimePoint now) const;
     void applyGateways(wire::GatewayNews::Reader news, TimePoint now);
     void writeGateways(wire::GatewayNews::Builder news, std::uint64_t knownMark) const;
-    void applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    void applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    void applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
+    void applyGroups(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news);
+    void applyCrashes(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news);
+    void applyLimits(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news);
     PermitGrant grantPermits(wire::GatewayPeer::PermitsParams::Reader permitRequest);
     void onHasNews(const GatewayRecord &from);
     // Counts the changes to crashes and limits that this gateway observed itself.
--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -13,9 +13,9 @@
 
 // Adds the other gateway's changes to the crash record. Their ages count back from when that
 // gateway answered, which is its hold time after it received the poll.
-void GatewayPeers::applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+void GatewayPeers::applyCrashes(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news)
 {
-    const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
+    const TimePoint answeredAt = sentAt + Duration(news.getHeldMicros());
     const std::uint64_t learned = learnSuspects(news.getCrashes(), answeredAt, crashes_);
     link.crashCursor = news.getCrashCursor();
     peerCrashChanges_ += learned;
@@ -26,9 +26,9 @@
 }
 
 // Adds the limits that the other gateway knows. Their ages count back from when it answered.
-void GatewayPeers::applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+void GatewayPeers::applyLimits(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news)
 {
-    const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
+    const TimePoint answeredAt = sentAt + Duration(news.getHeldMicros());
     for (const auto &limit : news.getLimits()) {
         const LimitReport namedLimit = readLimit(limit, answeredAt);
         if (limits_.merge(namedLimit, loop_.now())) {
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -29,12 +29,12 @@
 
 // Records the time only while the store's document is readable: an unreadable one may have removed
 // a key, so the configuration in force counts as unconfirmed until the next readable document.
-void GatewayStoreView::recordConfirmation(TimePoint askedAt, const StorePosition &place)
+void GatewayStoreView::recordConfirmation(TimePoint sentAt, const StorePosition &place)
 {
     setPlace(std::max(place_, place));
     markStoreReachable();
     if (!routingUnreadable_) {
-        confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, askedAt) : askedAt;
+        confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, sentAt) : sentAt;
     }
 }
 
@@ -172,7 +172,7 @@
             {{"revision", items.position.revision}, {"upstreams", records.size()}});
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     reportFaults(items.faults);
-    recordConfirmation(askedAt, items.position);
+    recordConfirmation(sentAt, items.position);
 }
 
 void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint sentAt)
@@ -182,7 +182,7 @@
     }
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     reportFaults(items.faults);
-    recordConfirmation(askedAt, items.position);
+    recordConfirmation(sentAt, items.position);
 }
 
 void GatewayStoreView::reportFaults(const std::vector<std::string> &faults)
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -107,7 +107,7 @@
     UpstreamRecord withWarmUpEnd(UpstreamRecord record) const;
     void applyDrainedHalls(std::set<HallId> halls);
     void applyRouting(const RoutingDocument &document);
-    void recordConfirmation(TimePoint askedAt, const StorePosition &place);
+    void recordConfirmation(TimePoint sentAt, const StorePosition &place);
     void setPlace(const StorePosition &place);
     void handleRollback(const StorePosition &place);
     void markStoreReachable();
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -57,7 +57,7 @@
 {
     std::size_t to = 0;
     int incarnation = 0; // Of the receiver when the message was sent; a restart invalidates it.
-    TimePoint askedAt{};
+    TimePoint sentAt{};
     bool fullList = false;
     std::optional<StoreItems> items; // Set if the message is from the store.
     PeerStoreState peerState;        // Set if it is from another gateway.
@@ -213,19 +213,19 @@
     static void applyMessage(SimulatedGateway &gateway, const Message &message)
     {
         if (!message.items) {
-            if (gateway.view.adopt(message.peerState, message.askedAt)) {
-                gateway.confirmedAt = message.askedAt;
+            if (gateway.view.adopt(message.peerState, message.sentAt)) {
+                gateway.confirmedAt = message.sentAt;
             }
             return;
         }
         if (message.items->position < gateway.view.place()) {
             return; // Not possible with the real store watcher, which makes one call at a time.
         }
-        gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
+        gateway.confirmedAt = std::max(gateway.confirmedAt, message.sentAt);
         if (message.fullList) {
-            gateway.view.onStoreListed(*message.items, message.askedAt);
+            gateway.view.onStoreListed(*message.items, message.sentAt);
         } else {
-            gateway.view.onStoreChanged(*message.items, message.askedAt);
+            gateway.view.onStoreChanged(*message.items, message.sentAt);
         }
     }
 
