--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -215,8 +215,8 @@
     {
         return permits_.takeQueries(now);
     }
-    // Handles the answer to the permit request for `upstream` that was sent at `askedAt`.
-    void onPermits(const InstanceId &upstream, const PermitGrant &answer, TimePoint askedAt,
+    // Handles the answer to the permit request for `upstream` that was sent at `queriedAt`.
+    void onPermits(const InstanceId &upstream, const PermitGrant &answer, TimePoint queriedAt,
                    TimePoint now, GatewayActions &actions);
     // Handles the end of the current attempt's connection.
     void onEnd(RequestNumber request, AttemptEnd end, TimePoint now, GatewayActions &actions);
--- a/src/decision/gateway/gatewaycorepermits.cpp
+++ b/src/decision/gateway/gatewaycorepermits.cpp
@@ -54,9 +54,9 @@
 }
 
 void GatewayCore::onPermits(const InstanceId &upstream, const PermitGrant &answer,
-                            TimePoint askedAt, TimePoint now, GatewayActions &actions)
+                            TimePoint queriedAt, TimePoint now, GatewayActions &actions)
 {
-    permits_.onAnswer(upstream, answer, askedAt, now);
+    permits_.onAnswer(upstream, answer, queriedAt, now);
     servePermitWaiters(now, actions);
 }
 
--- a/test/decision/gateway/sharedlimit_test.cpp
+++ b/test/decision/gateway/sharedlimit_test.cpp
@@ -68,7 +68,7 @@
     bool isAnswer = false;
     std::uint32_t wanted = 0;
     PermitGrant answer;
-    int askedAt = 0;
+    int queriedAt = 0;
     int incarnation = 0; // Of the gateway that sent the query.
 
     bool operator>(const Message &other) const { return at > other.at; }
@@ -171,13 +171,13 @@
                 messages_.push(message);
             } else if (message.isAnswer) {
                 if (message.incarnation == gateway.incarnation) {
-                    gateway.permits.onAnswer(kUpstream, message.answer, at(message.askedAt),
+                    gateway.permits.onAnswer(kUpstream, message.answer, at(message.queriedAt),
                                              at(now_));
                 }
             } else {
                 ++result_.queries;
-                Message answer{0, message.to, message.from,    true,
-                               0, {},         message.askedAt, message.incarnation};
+                Message answer{0, message.to, message.from,      true,
+                               0, {},         message.queriedAt, message.incarnation};
                 answer.answer = gateway.issuer.issue(kUpstream, RequestRate(scenario_.limit),
                                                      idOf(message.from), message.wanted, at(now_));
                 send(answer);
