--- a/src/decision/dispatch/agentcore.cpp
+++ b/src/decision/dispatch/agentcore.cpp
@@ -53,10 +53,10 @@
     keyHome_.setMembers(std::move(set));
 }
 
-void AgentCore::onGranted(const InstanceId &member, std::uint64_t set, TimePoint askedAt,
+void AgentCore::onGranted(const InstanceId &member, std::uint64_t set, TimePoint requestedAt,
                           TimePoint now, UnixMillis wall)
 {
-    keyHome_.onGrant(member, set, askedAt, now, wall);
+    keyHome_.onGrant(member, set, requestedAt, now, wall);
 }
 
 Duration AgentCore::predictedWait(const AccountId &account) const
--- a/src/decision/dispatch/agentcore.h
+++ b/src/decision/dispatch/agentcore.h
@@ -138,9 +138,9 @@
     // Handles another agent's request for a grant of the member set with the hash `set`. Returns
     // true if it is granted.
     bool onGrantRequest(std::uint64_t set, TimePoint now) { return grants_.grant(set, now); }
-    // Records a grant of `set` by `member`, requested at `askedAt`; its lease counts from then.
-    void onGranted(const InstanceId &member, std::uint64_t set, TimePoint askedAt, TimePoint now,
-                   UnixMillis wall);
+    // Records a grant of `set` by `member`, requested at `requestedAt`; its lease counts from then.
+    void onGranted(const InstanceId &member, std::uint64_t set, TimePoint requestedAt,
+                   TimePoint now, UnixMillis wall);
     // Returns true if every member's grant for the current set is valid.
     bool holdsAllGrants(TimePoint now) const { return keyHome_.holdsAllGrants(now); }
     Incarnation incarnation() const { return settings_.incarnation; }
--- a/src/decision/dispatch/entrycore.cpp
+++ b/src/decision/dispatch/entrycore.cpp
@@ -63,17 +63,17 @@
     limiter_.setShare(1.0 / static_cast<double>(std::max<std::ptrdiff_t>(1, entries)));
 }
 
-void EntryCore::onReport(const InstanceId &agent, const AgentReport &report, TimePoint askedAt,
+void EntryCore::onReport(const InstanceId &agent, const AgentReport &report, TimePoint requestedAt,
                          TimePoint now, EntryActions &actions)
 {
-    const bool newIncarnation = members_.onReport(agent, report, askedAt, now);
+    const bool newIncarnation = members_.onReport(agent, report, requestedAt, now);
     LoadEstimate &load = loads_[agent];
     if (newIncarnation) {
         load.reset();
         outliers_.reset(agent);
         prefixes_.removeAgent(agent);
     }
-    load.onReport(report, askedAt);
+    load.onReport(report, requestedAt);
     if (newIncarnation) {
         releaseHeld(agent, now, actions);
     }
--- a/src/decision/dispatch/entrycore.h
+++ b/src/decision/dispatch/entrycore.h
@@ -126,8 +126,8 @@
     // Applies an instance list. Requests at agents that are no longer listed go on. An older list
     // than the current one is ignored.
     void applyList(const InstanceList &list);
-    // Handles an agent's answer to the heartbeat sent at `askedAt`.
-    void onReport(const InstanceId &agent, const AgentReport &report, TimePoint askedAt,
+    // Handles an agent's answer to the heartbeat sent at `requestedAt`.
+    void onReport(const InstanceId &agent, const AgentReport &report, TimePoint requestedAt,
                   TimePoint now, EntryActions &actions);
 
     // Admits a request and sends or holds it, or fails it. Returns the id of the request.
--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -89,7 +89,7 @@
 bool GroupDecider::isCurrent(const Rank &rank, TimePoint now) const
 {
     return rank.known && rank.report.epoch == epoch_ && rank.report.open
-           && now - rank.askedAt <= settings_.reportTtl;
+           && now - rank.requestedAt <= settings_.reportTtl;
 }
 
 bool GroupDecider::allRanksCurrent(TimePoint now) const
@@ -105,7 +105,7 @@
 {
     const auto last =
         std::max_element(ranks_.begin(), ranks_.end(), [](const auto &left, const auto &right) {
-            return left.second.askedAt < right.second.askedAt;
+            return left.second.requestedAt < right.second.requestedAt;
         });
     return last == ranks_.end() || !last->second.known || last->second.report.open;
 }
@@ -114,7 +114,7 @@
 {
     const auto reports = [&](const auto &entry) {
         const Rank &rank = entry.second;
-        return rank.known && now - rank.askedAt <= settings_.reportTtl;
+        return rank.known && now - rank.requestedAt <= settings_.reportTtl;
     };
     return size_ > 0 && ranks_.size() == size_ && !acceptsRequests()
            && std::all_of(ranks_.begin(), ranks_.end(), reports);
@@ -124,7 +124,7 @@
 {
     TimePoint latest{};
     for (const auto &[number, rank] : ranks_) {
-        latest = std::max(latest, rank.askedAt);
+        latest = std::max(latest, rank.requestedAt);
     }
     return latest;
 }
@@ -157,7 +157,7 @@
     enterPhase(Phase::Idle, now);
 }
 
-void GroupDecider::onReport(const RankReport &report, TimePoint askedAt, TimePoint now)
+void GroupDecider::onReport(const RankReport &report, TimePoint requestedAt, TimePoint now)
 {
     if (report.group != settings_.group || report.epoch < epoch_) {
         return;
@@ -167,21 +167,21 @@
     }
     size_ = report.ranks;
     Rank &rank = ranks_[report.rank];
-    if (rank.known && askedAt < rank.askedAt) {
+    if (rank.known && requestedAt < rank.requestedAt) {
         return;
     }
     if (!rank.known) {
         rank.resendDelay = settings_.resendInterval;
     }
     rank.known = true;
-    rank.askedAt = askedAt;
+    rank.requestedAt = requestedAt;
     rank.report = report;
-    measurePasses(askedAt);
+    measurePasses(requestedAt);
     if (phase_ == Phase::Preparing) {
         // A report that was requested before the rank answered may not include its copies yet.
         rank.confirmed =
-            report.prepared == version_ || (rank.confirmed && askedAt <= rank.answeredAt);
-    } else if (phase_ == Phase::Clearing && askedAt > rank.answeredAt && report.armed != 0) {
+            report.prepared == version_ || (rank.confirmed && requestedAt <= rank.answeredAt);
+    } else if (phase_ == Phase::Clearing && requestedAt > rank.answeredAt && report.armed != 0) {
         rank.confirmed = false; // A map other than the disarmed one is armed.
     }
     advance(now);
@@ -192,7 +192,8 @@
     return std::all_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         const Rank &rank = entry.second;
         const bool disarmReported =
-            phase_ != Phase::Clearing || (rank.askedAt > rank.answeredAt && rank.report.armed == 0);
+            phase_ != Phase::Clearing
+            || (rank.requestedAt > rank.answeredAt && rank.report.armed == 0);
         return isExcluded(entry.first) || (rank.confirmed && disarmReported);
     });
 }
@@ -219,7 +220,7 @@
     }
     // A rank that has not yet switched to the last map refuses to prepare the next one.
     const bool armLeft = std::any_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
-        return entry.second.askedAt <= releasedAt_ || entry.second.report.armed != 0;
+        return entry.second.requestedAt <= releasedAt_ || entry.second.report.armed != 0;
     });
     return armLeft ? Obstacle::ArmLeft : Obstacle::None;
 }
@@ -257,22 +258,22 @@
 }
 
 // Measures the pass time from the progress of the highest reported step.
-void GroupDecider::measurePasses(TimePoint askedAt)
+void GroupDecider::measurePasses(TimePoint requestedAt)
 {
     const std::uint64_t step = highestStep();
     if (measuredAt_ == TimePoint{} || step < measuredStep_) {
         measuredStep_ = step;
-        measuredAt_ = askedAt;
+        measuredAt_ = requestedAt;
         return;
     }
-    if (askedAt - measuredAt_ < settings_.passWindow) {
+    if (requestedAt - measuredAt_ < settings_.passWindow) {
         return;
     }
     if (step > measuredStep_) {
-        passTime_ = (askedAt - measuredAt_) / static_cast<Duration::rep>(step - measuredStep_);
+        passTime_ = (requestedAt - measuredAt_) / static_cast<Duration::rep>(step - measuredStep_);
     }
     measuredStep_ = step;
-    measuredAt_ = askedAt;
+    measuredAt_ = requestedAt;
 }
 
 void GroupDecider::onHoldAnswer(MapOrderAnswer answer, TimePoint now)
@@ -405,7 +406,7 @@
 {
     return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
         const Rank &rank = entry.second;
-        return rank.known && !rank.report.open && now - rank.askedAt <= settings_.reportTtl;
+        return rank.known && !rank.report.open && now - rank.requestedAt <= settings_.reportTtl;
     });
 }
 
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -190,9 +190,9 @@
 
     explicit GroupDecider(const Settings &settings);
 
-    // Handles a report of a rank that was polled at `askedAt`. Ignores reports of other groups and
-    // earlier epochs.
-    void onReport(const RankReport &report, TimePoint askedAt, TimePoint now);
+    // Handles a report of a rank that was polled at `requestedAt`. Ignores reports of other groups
+    // and earlier epochs.
+    void onReport(const RankReport &report, TimePoint requestedAt, TimePoint now);
     // Handles the outcome of an order. Ignores outcomes of orders with another epoch or fence.
     void onAnswer(std::uint32_t rank, const MapOrder &order, MapOrderAnswer answer, TimePoint now);
     // Handles timeouts and appends the orders that are due to `orders`.
@@ -249,7 +249,7 @@
     struct Rank
     {
         RankReport report;
-        TimePoint askedAt{};
+        TimePoint requestedAt{};
         bool known = false;
         bool confirmed = false; // The rank has executed the order of this phase.
         TimePoint sentAt{};     // When the order of this phase was sent; zero if not yet.
@@ -282,7 +282,7 @@
     bool isForeign(const RankReport &report) const;
     void startClearing(TimePoint now, std::optional<std::uint32_t> excluded = std::nullopt);
     bool allHoldsReleased() const;
-    void measurePasses(TimePoint askedAt);
+    void measurePasses(TimePoint requestedAt);
     Duration lead() const;
     std::uint64_t margin() const;
     void chooseStep();
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -200,7 +200,7 @@
     return {};
 }
 
-void ExpertAgent::onStoreListed(const StoreItems &items, TimePoint /*askedAt*/)
+void ExpertAgent::onStoreListed(const StoreItems &items, TimePoint /*requestedAt*/)
 {
     std::vector<UpstreamRecord> records;
     for (const StoreItem &item : items.items) {
@@ -218,7 +218,7 @@
     updatePeers();
 }
 
-void ExpertAgent::onStoreChanged(const StoreItems &items, TimePoint /*askedAt*/)
+void ExpertAgent::onStoreChanged(const StoreItems &items, TimePoint /*requestedAt*/)
 {
     for (const StoreItem &item : items.items) {
         applyStoreItem(item);
@@ -514,7 +514,7 @@
     proposedVersion_ = 0;
 }
 
-void ExpertAgent::onPeerFacts(const RankFacts &facts, TimePoint askedAt)
+void ExpertAgent::onPeerFacts(const RankFacts &facts, TimePoint requestedAt)
 {
     const RankReport &report = facts.report;
     if (!isDecider() || report.group != decider_->group()) {
@@ -527,7 +527,7 @@
     if (facts.choices) {
         planner_.addChoices(decodeChoices(*facts.choices), loop_.now());
     }
-    decider_->onReport(report, askedAt, loop_.now());
+    decider_->onReport(report, requestedAt, loop_.now());
 }
 
 // Returns the map in use, or nothing if it is not known for all ranks. A map that this agent
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -110,7 +110,7 @@
     void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
     void pollOwnEngine(RankQuery query);
     void pollGroup();
-    void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
+    void onPeerFacts(const RankFacts &facts, TimePoint requestedAt) override;
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
                            MapOrderAnswer answer) override;
     void updateOwnRank(const RankReport &report);
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -109,8 +109,8 @@
     std::vector<std::pair<TimePoint, InstanceId>> due;
     for (const auto &[id, peer] : peers_) {
         if (!peer.agentQueryPending
-            && now - peer.askedAt >= roster_.pollIntervalFor(id, interval)) {
-            due.emplace_back(peer.askedAt, id);
+            && now - peer.requestedAt >= roster_.pollIntervalFor(id, interval)) {
+            due.emplace_back(peer.requestedAt, id);
         }
     }
     // 10% more than the even share per call, because calls come slightly late.
@@ -121,7 +121,7 @@
         std::max(kMinQueriesPerCall, static_cast<std::size_t>(std::ceil(share * kLateCallFactor)));
     std::sort(due.begin(), due.end());
     due.resize(std::min(due.size(), maxQueries));
-    for (const auto &[askedAt, id] : due) {
+    for (const auto &[requestedAt, id] : due) {
         requestFacts(id, query, ownRank);
     }
 }
@@ -156,7 +156,7 @@
 {
     const TimePoint now = loop_.now();
     Peer &peer = peers_.at(id);
-    peer.askedAt = now;
+    peer.requestedAt = now;
     if (query.counts) {
         // Counts over a long period would mix past demand with current demand.
         peer.countsMark = now - peer.countsRequestedAt < kMaxMarkAge ? peer.countsMark : 0;
@@ -177,7 +177,7 @@
 {
     Peer &peer = peers_.at(id);
     peer.agentQueryPending = true;
-    const TimePoint askedAt = loop_.now();
+    const TimePoint requestedAt = loop_.now();
     auto request = peer.link->capability().castAs<wire::RankAgent>().stateRequest();
     request.setCounts(query.counts);
     request.setCountsSince(peer.countsMark);
@@ -196,14 +196,14 @@
     };
     loop_.schedule(kAgentQueryTimeout, finish);
     tasks_.add(request.send().then(
-        [this, id, askedAt, finish](capnp::Response<wire::RankAgent::StateResults> answer) {
+        [this, id, requestedAt, finish](capnp::Response<wire::RankAgent::StateResults> answer) {
             finish();
-            onAgentAnswer(id, askedAt, answer.getState());
+            onAgentAnswer(id, requestedAt, answer.getState());
         },
         [finish](kj::Exception && /*gone*/) { finish(); }));
 }
 
-void RankPeers::onAgentAnswer(const InstanceId &id, TimePoint askedAt,
+void RankPeers::onAgentAnswer(const InstanceId &id, TimePoint requestedAt,
                               wire::RankState::Reader state)
 {
     const auto found = peers_.find(id);
@@ -216,16 +216,16 @@
     if (facts.choices) {
         peer.countsMark = facts.choices->mark;
     }
-    deliverFacts(id, facts, askedAt);
+    deliverFacts(id, facts, requestedAt);
 }
 
 // Records the engine's group and rank, and passes its facts to the listener unless it belongs to
 // another group.
-void RankPeers::deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
+void RankPeers::deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint requestedAt)
 {
     roster_.recordMember(id, facts.report.group, facts.report.rank);
     if (!roster_.isInOtherGroup(id)) {
-        listener_.onPeerFacts(facts, askedAt);
+        listener_.onPeerFacts(facts, requestedAt);
     }
 }
 
@@ -238,8 +238,8 @@
         return;
     }
     peer.engineQueryPending = true;
-    const TimePoint askedAt = loop_.now() - kMaxEngineReportAge;
-    const auto onFacts = [this, id, askedAt, alive = alive_](std::optional<EngineFacts> facts) {
+    const TimePoint requestedAt = loop_.now() - kMaxEngineReportAge;
+    const auto onFacts = [this, id, requestedAt, alive = alive_](std::optional<EngineFacts> facts) {
         if (!*alive) {
             return;
         }
@@ -250,7 +250,7 @@
         found->second.engineQueryPending = false;
         if (facts) {
             facts->report.byAgent = false;
-            deliverFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
+            deliverFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, requestedAt);
         }
     };
     engineClient_.fetchFacts(peer.engine, query, onFacts);
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -31,8 +31,8 @@
 public:
     virtual ~RankPeersListener() = default;
 
-    // Called with the facts of a rank of the own group, as of `askedAt` or later.
-    virtual void onPeerFacts(const RankFacts &facts, TimePoint askedAt) = 0;
+    // Called with the facts of a rank of the own group, as of `requestedAt` or later.
+    virtual void onPeerFacts(const RankFacts &facts, TimePoint requestedAt) = 0;
     // Called with the outcome of an order; Lost if no answer arrived.
     virtual void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
                                    MapOrderAnswer answer) = 0;
@@ -86,7 +86,7 @@
         std::uint64_t countsMark = 0; // Mark of the last counts; zero: none.
         TimePoint countsRequestedAt{};
         TimePoint answeredAt{}; // Last answer of the agent; set from the listing time at first.
-        TimePoint askedAt{};
+        TimePoint requestedAt{};
         bool agentQueryPending = false;
         bool engineQueryPending = false;
     };
@@ -95,12 +95,12 @@
     void requestFacts(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank);
     void requestFromAgent(const InstanceId &id, const RankQuery &query, std::uint32_t ownRank);
     void requestFromEngine(const InstanceId &id, const RankQuery &query);
-    void onAgentAnswer(const InstanceId &id, TimePoint askedAt, wire::RankState::Reader state);
+    void onAgentAnswer(const InstanceId &id, TimePoint requestedAt, wire::RankState::Reader state);
     void sendPrepares(const MapOrders &prepares);
     void sendToAgent(Peer &peer, const SendMapOrder &action);
     void sendToEngine(const Peer &peer, const SendMapOrder &action);
     void sendToRelay(const std::vector<std::uint32_t> &block, const MapOrder &order);
-    void deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt);
+    void deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint requestedAt);
     Peer *peerOfRank(std::uint32_t rank);
     bool agentResponds(const Peer &peer) const;
 
--- a/test/decision/dispatch/dispatchsimulation.cpp
+++ b/test/decision/dispatch/dispatchsimulation.cpp
@@ -200,19 +200,19 @@
 {
     const Incarnation targetIncarnation = entries_[entry].incarnation;
     runAtEntry(entry, targetIncarnation, kHeartbeat, [this, entry, agent, targetIncarnation] {
-        const TimePoint askedAt = now_;
+        const TimePoint requestedAt = now_;
         if (!isPartitioned(entry, agent) && (!randomFaults() || !chance(0.05))) {
-            runAtAgent(agent, randomDelay(0.5, 20),
-                       [this, entry, agent, targetIncarnation, askedAt] {
-                           const AgentReport report = agents_[agent].core->report();
-                           runAtEntry(entry, targetIncarnation, randomDelay(0.5, 20),
-                                      [this, entry, agent, report, askedAt] {
-                                          EntryActions actions;
-                                          entries_[entry].core->onReport(agents_[agent].id, report,
-                                                                         askedAt, now_, actions);
-                                          carryOut(entry, actions);
-                                      });
-                       });
+            runAtAgent(
+                agent, randomDelay(0.5, 20), [this, entry, agent, targetIncarnation, requestedAt] {
+                    const AgentReport report = agents_[agent].core->report();
+                    runAtEntry(entry, targetIncarnation, randomDelay(0.5, 20),
+                               [this, entry, agent, report, requestedAt] {
+                                   EntryActions actions;
+                                   entries_[entry].core->onReport(agents_[agent].id, report,
+                                                                  requestedAt, now_, actions);
+                                   carryOut(entry, actions);
+                               });
+                });
         }
         heartbeatLoop(entry, agent);
     });
@@ -226,22 +226,22 @@
             return;
         }
         const std::uint64_t set = agents_[index].core->keyMembers().hash;
-        const TimePoint askedAt = now_;
+        const TimePoint requestedAt = now_;
         for (std::size_t other = 0; other < agents_.size(); ++other) {
             if (isPartitioned(index, other)) {
                 continue;
             }
             runAtAgent(other, randomDelay(0.5, 30),
-                       [this, index, other, targetIncarnation, set, askedAt] {
+                       [this, index, other, targetIncarnation, set, requestedAt] {
                            if (!agents_[other].core->onGrantRequest(set, now_)) {
                                return;
                            }
                            runAtAgent(index, randomDelay(0.5, 30),
-                                      [this, index, other, targetIncarnation, set, askedAt] {
+                                      [this, index, other, targetIncarnation, set, requestedAt] {
                                           Agent &asker = agents_[index];
                                           if (asker.incarnation == targetIncarnation) {
-                                              asker.core->onGranted(agents_[other].id, set, askedAt,
-                                                                    now_, wall());
+                                              asker.core->onGranted(agents_[other].id, set,
+                                                                    requestedAt, now_, wall());
                                           }
                                       });
                        });
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -402,10 +402,10 @@
             agents_[of].recordReport(epoch_, engine.prepared);
         }
         report.unarmedVersion = of == to ? agents_[of].unarmedVersion(epoch_) : 0;
-        const TimePoint askedAt = now_;
-        schedule(randomDelay(1, faults_ ? 80 : 10), [this, to, report, askedAt] {
-            onMachine(to, [this, to, report, askedAt] {
-                deciders_[to]->onReport(report, askedAt, now_);
+        const TimePoint requestedAt = now_;
+        schedule(randomDelay(1, faults_ ? 80 : 10), [this, to, report, requestedAt] {
+            onMachine(to, [this, to, report, requestedAt] {
+                deciders_[to]->onReport(report, requestedAt, now_);
             });
         });
     }
--- a/test/experts/rankpeers_test.cpp
+++ b/test/experts/rankpeers_test.cpp
@@ -12,7 +12,7 @@
 class NullListener final : public RankPeersListener
 {
 public:
-    void onPeerFacts(const RankFacts & /*facts*/, TimePoint /*askedAt*/) override {}
+    void onPeerFacts(const RankFacts & /*facts*/, TimePoint /*requestedAt*/) override {}
     void onPeerOrderAnswer(std::uint32_t /*rank*/, const MapOrder & /*order*/,
                            MapOrderAnswer /*answer*/) override
     {}
