--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -286,7 +286,7 @@
 bool GatewayPeers::applyNews(TimePoint sentAt, wire::GatewayNews::Reader news)
 {
     PeerStoreState peerState;
-    peerState.place = {news.getEra(), news.getRevision()};
+    peerState.position = {news.getEra(), news.getRevision()};
     peerState.version = ConfigVersion(news.getConfigVersion());
     peerState.upstreamsMark = news.getUpstreamsMark();
     if (news.hasConfig() && peerState.version > storeView_.version()) {
@@ -367,8 +367,8 @@
     }
     news.setKnown(true);
     news.setAgeMicros(storeView_.age().count());
-    news.setRevision(storeView_.place().revision);
-    news.setEra(storeView_.place().era);
+    news.setRevision(storeView_.position().revision);
+    news.setEra(storeView_.position().era);
     news.setConfigVersion(storeView_.version().value());
     if (storeView_.version() > pollRequest.version) {
         if (compressedVersion_ != storeView_.version()) {
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -29,7 +29,7 @@
 
 // Records the time only while the store's document is readable: an unreadable one may have removed
 // a key, so the configuration in force counts as unconfirmed until the next readable document.
-void GatewayStoreView::recordConfirmation(TimePoint sentAt, const StorePosition &place)
+void GatewayStoreView::recordConfirmation(TimePoint sentAt, const StorePosition &position)
 {
     setPlace(std::max(place_, place));
     markStoreReachable();
@@ -49,7 +49,7 @@
 
 // Handles a store that was restored from an older copy. Live upstreams that the copy lacks register
 // again soon, as after an outage; until then the table treats them as lapsed, not as removed.
-void GatewayStoreView::handleRollback(const StorePosition &place)
+void GatewayStoreView::handleRollback(const StorePosition &position)
 {
     if (!wasRolledBack(place_, place)) {
         return;
@@ -62,7 +62,7 @@
     upstreams_.onStoreRolledBack(loop_.now());
 }
 
-void GatewayStoreView::setPlace(const StorePosition &place)
+void GatewayStoreView::setPlace(const StorePosition &position)
 {
     if (place.era != place_.era) {
         metrics_.set("seamarch_store_era", static_cast<double>(place.era));
@@ -81,8 +81,8 @@
 {
     adoptConfiguration(peerState);
     // Gateways of earlier software versions do not send the era.
-    const StorePosition place{peerState.place.era == 0 ? place_.era : peerState.place.era,
-                              peerState.place.revision};
+    const StorePosition position{peerState.position.era == 0 ? place_.era : peerState.position.era,
+                                 peerState.position.revision};
     const bool isNewer = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
     const bool isComplete = (peerState.document || peerState.version <= version())
                             && (peerState.upstreams || peerState.upstreamsMark == advertisedMark());
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -35,7 +35,7 @@
 // are omitted.
 struct PeerStoreState
 {
-    StorePosition place; // The store's era and revision at which the state was read.
+    StorePosition position; // The store's era and revision at which the state was read.
     ConfigVersion version;
     std::optional<RoutingDocument> document;              // Set if the receiver's version is lower.
     std::uint64_t upstreamsMark = 0;                      // Digest of the sender's upstream list.
@@ -76,7 +76,7 @@
     // not receive the same list again.
     std::uint64_t upstreamsMark() const;
     // Returns the store's era and revision that the list of upstreams is at.
-    const StorePosition &place() const { return place_; }
+    const StorePosition &position() const { return place_; }
     // Returns the text of the document in force as the store holds it; empty while there is none.
     const std::string &documentText() const;
     const UpstreamTable &upstreams() const { return upstreams_; }
@@ -107,9 +107,9 @@
     UpstreamRecord withWarmUpEnd(UpstreamRecord record) const;
     void applyDrainedHalls(std::set<HallId> halls);
     void applyRouting(const RoutingDocument &document);
-    void recordConfirmation(TimePoint sentAt, const StorePosition &place);
-    void setPlace(const StorePosition &place);
-    void handleRollback(const StorePosition &place);
+    void recordConfirmation(TimePoint sentAt, const StorePosition &position);
+    void setPlace(const StorePosition &position);
+    void handleRollback(const StorePosition &position);
     void markStoreReachable();
 
     EventLoop &loop_;
--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -67,7 +67,7 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     PeerStoreState earlier = peerState();
-    earlier.place.revision = 9;
+    earlier.position.revision = 9;
     CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
 
@@ -77,10 +77,10 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState later = peerState();
-    later.place = {2, 4};
+    later.position = {2, 4};
     CHECK_TRUE(view.adopt(later, loop->now() - std::chrono::seconds(1)));
     PeerStoreState earlier = peerState();
-    earlier.place = {1, 99};
+    earlier.position = {1, 99};
     CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
 
@@ -88,9 +88,9 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState without = peerState();
-    without.place = {0, 11};
+    without.position = {0, 11};
     CHECK_TRUE(view.adopt(without, loop->now() - std::chrono::seconds(1)));
-    without.place = {0, 9};
+    without.position = {0, 9};
     CHECK_FALSE(view.adopt(without, loop->now()));
 }
 
@@ -98,12 +98,12 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now()));
     PeerStoreState behind = peerState();
-    behind.place = {1, 2};
+    behind.position = {1, 2};
     behind.version = ConfigVersion(4);
     behind.document = document(4);
     CHECK_FALSE(view.adopt(behind, loop->now() - std::chrono::seconds(1)));
     LONGS_EQUAL(4, view.version().value());
-    LONGS_EQUAL(10, view.place().revision);
+    LONGS_EQUAL(10, view.position().revision);
 }
 
 TEST(GatewayStoreViewTest, StoreRollbackKeepsVersionAndLeavingUpstreams)
@@ -120,7 +120,7 @@
     copy.items.emplace_back(upstream("i-1"));
     view.onStoreListed(copy, loop->now());
     LONGS_EQUAL(4, view.version().value());
-    LONGS_EQUAL(9, view.place().revision);
+    LONGS_EQUAL(9, view.position().revision);
     CHECK_FALSE(upstreams.mayReceive(InstanceId("i-1")));
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-2"))); // It may be alive and register again.
 }
@@ -183,7 +183,7 @@
     view.onStoreChanged(changed, loop->now() - std::chrono::seconds(1));
     CHECK_TRUE(!drained("north") && drained("south"));
     PeerStoreState told = peerState();
-    told.place = {1, 22};
+    told.position = {1, 22};
     told.drainedHalls = {HallId("west")};
     CHECK_TRUE(view.adopt(told, loop->now()));
     CHECK_TRUE(!drained("south") && drained("west"));
@@ -193,7 +193,7 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     PeerStoreState later = peerState();
-    later.place.revision = 11;
+    later.position.revision = 11;
     later.version = ConfigVersion(2);
     later.document = document(2);
     CHECK_TRUE(view.adopt(later, loop->now()));
@@ -253,7 +253,7 @@
     CHECK_TRUE(mark != 0);
     const PeerStoreState same{{1, 10}, ConfigVersion(3), std::nullopt, mark, std::nullopt, {}};
     CHECK_TRUE(view.adopt(same, loop->now()));
-    LONGS_EQUAL(10, view.place().revision);
+    LONGS_EQUAL(10, view.position().revision);
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
 }
 
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -141,7 +141,7 @@
     void queryStore(int index, bool fullList)
     {
         const SimulatedGateway &gateway = *gateways_[index];
-        const std::uint64_t since = gateway.view.place().revision;
+        const std::uint64_t since = gateway.view.position().revision;
         Message message{static_cast<std::size_t>(index), incarnations_[index], now_,
                         fullList || since == 0,          StoreItems(),         {}};
         message.items->position = {1, revision_};
@@ -179,7 +179,7 @@
                         std::nullopt,
                         {}};
         PeerStoreState &peerState = message.peerState;
-        peerState.place = sender.view.place();
+        peerState.position = sender.view.position();
         peerState.version = sender.view.version();
         peerState.document.emplace();
         peerState.document->version = peerState.version;
@@ -218,7 +218,7 @@
             }
             return;
         }
-        if (message.items->position < gateway.view.place()) {
+        if (message.items->position < gateway.view.position()) {
             return; // Not possible with the real store watcher, which makes one call at a time.
         }
         gateway.confirmedAt = std::max(gateway.confirmedAt, message.sentAt);
@@ -236,7 +236,7 @@
             if (!gateway.view.confirmed()) {
                 continue;
             }
-            const std::uint64_t revision = gateway.view.place().revision;
+            const std::uint64_t revision = gateway.view.position().revision;
             const std::set<HallId> &drained = drainedAt_.at(revision);
             for (int hall = 0; hall < kHallCount; ++hall) {
                 const bool sends =
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -280,7 +280,7 @@
             return;
         }
         Message message{to, incarnations_[to], sender.confirmedAt, false, false, {}, {}};
-        message.shared.place = sender.knowledge.place();
+        message.shared.position = sender.knowledge.position();
         message.shared.version = sender.knowledge.version();
         if (message.shared.version > gateways_[to]->knowledge.version()) {
             message.shared.document = document(message.shared.version.value());
