--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -31,7 +31,7 @@
 // a key, so the configuration in force counts as unconfirmed until the next readable document.
 void GatewayStoreView::recordConfirmation(TimePoint sentAt, const StorePosition &position)
 {
-    setPlace(std::max(place_, place));
+    setPosition(std::max(place_, place));
     markStoreReachable();
     if (!routingUnreadable_) {
         confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, sentAt) : sentAt;
@@ -62,7 +62,7 @@
     upstreams_.onStoreRolledBack(loop_.now());
 }
 
-void GatewayStoreView::setPlace(const StorePosition &position)
+void GatewayStoreView::setPosition(const StorePosition &position)
 {
     if (place.era != place_.era) {
         metrics_.set("seamarch_store_era", static_cast<double>(place.era));
@@ -100,7 +100,7 @@
                  {"upstreams", peerState.upstreams->size()},
                  {"confirmedMsAgo", toMillis(loop_.now() - confirmedAt)}});
     }
-    setPlace(place);
+    setPosition(place);
     confirmedAt_ = confirmedAt;
     return true;
 }
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -108,7 +108,7 @@
     void applyDrainedHalls(std::set<HallId> halls);
     void applyRouting(const RoutingDocument &document);
     void recordConfirmation(TimePoint sentAt, const StorePosition &position);
-    void setPlace(const StorePosition &position);
+    void setPosition(const StorePosition &position);
     void handleRollback(const StorePosition &position);
     void markStoreReachable();
 
