--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -31,7 +31,7 @@
 // a key, so the configuration in force counts as unconfirmed until the next readable document.
 void GatewayStoreView::recordConfirmation(TimePoint sentAt, const StorePosition &position)
 {
-    setPosition(std::max(place_, place));
+    setPosition(std::max(place_, position));
     markStoreReachable();
     if (!routingUnreadable_) {
         confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, sentAt) : sentAt;
@@ -51,23 +51,23 @@
 // again soon, as after an outage; until then the table treats them as lapsed, not as removed.
 void GatewayStoreView::handleRollback(const StorePosition &position)
 {
-    if (!wasRolledBack(place_, place)) {
+    if (!wasRolledBack(place_, position)) {
         return;
     }
     logLine(LogLevel::Warning, "store.went_back",
-            {{"era", place.era},
+            {{"era", position.era},
              {"eraBefore", place_.era},
-             {"revision", place.revision},
+             {"revision", position.revision},
              {"revisionBefore", place_.revision}});
     upstreams_.onStoreRolledBack(loop_.now());
 }
 
 void GatewayStoreView::setPosition(const StorePosition &position)
 {
-    if (place.era != place_.era) {
-        metrics_.set("seamarch_store_era", static_cast<double>(place.era));
+    if (position.era != place_.era) {
+        metrics_.set("seamarch_store_era", static_cast<double>(position.era));
     }
-    place_ = place;
+    place_ = position;
 }
 
 void GatewayStoreView::adoptConfiguration(const PeerStoreState &peerState)
@@ -83,24 +83,24 @@
     // Gateways of earlier software versions do not send the era.
     const StorePosition position{peerState.position.era == 0 ? place_.era : peerState.position.era,
                                  peerState.position.revision};
-    const bool isNewer = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
+    const bool isNewer = position >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
     const bool isComplete = (peerState.document || peerState.version <= version())
                             && (peerState.upstreams || peerState.upstreamsMark == advertisedMark());
     if (!isNewer || !isComplete) {
         return false;
     }
-    handleRollback(place);
+    handleRollback(position);
     if (peerState.upstreams) {
         upstreams_.mirror(*peerState.upstreams);
         applyDrainedHalls(peerState.drainedHalls);
         adoptedMark_ = peerState.upstreamsMark;
         changesAtAdoption_ = upstreams_.changes();
         logLine(LogLevel::Info, "upstreams.adopted",
-                {{"revision", place.revision},
+                {{"revision", position.revision},
                  {"upstreams", peerState.upstreams->size()},
                  {"confirmedMsAgo", toMillis(loop_.now() - confirmedAt)}});
     }
-    setPosition(place);
+    setPosition(position);
     confirmedAt_ = confirmedAt;
     return true;
 }
