--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -31,7 +31,7 @@
 // a key, so the configuration in force counts as unconfirmed until the next readable document.
 void GatewayStoreView::recordConfirmation(TimePoint sentAt, const StorePosition &position)
 {
-    setPosition(std::max(place_, position));
+    setPosition(std::max(position_, position));
     markStoreReachable();
     if (!routingUnreadable_) {
         confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, sentAt) : sentAt;
@@ -43,7 +43,7 @@
     if (!storeReachable_) {
         storeReachable_ = true;
         logLine(LogLevel::Info, "store.reached",
-                {{"revision", place_.revision}, {"era", place_.era}});
+                {{"revision", position_.revision}, {"era", position_.era}});
     }
 }
 
@@ -51,23 +51,23 @@
 // again soon, as after an outage; until then the table treats them as lapsed, not as removed.
 void GatewayStoreView::handleRollback(const StorePosition &position)
 {
-    if (!wasRolledBack(place_, position)) {
+    if (!wasRolledBack(position_, position)) {
         return;
     }
     logLine(LogLevel::Warning, "store.went_back",
             {{"era", position.era},
-             {"eraBefore", place_.era},
+             {"eraBefore", position_.era},
              {"revision", position.revision},
-             {"revisionBefore", place_.revision}});
+             {"revisionBefore", position_.revision}});
     upstreams_.onStoreRolledBack(loop_.now());
 }
 
 void GatewayStoreView::setPosition(const StorePosition &position)
 {
-    if (position.era != place_.era) {
+    if (position.era != position_.era) {
         metrics_.set("seamarch_store_era", static_cast<double>(position.era));
     }
-    place_ = position;
+    position_ = position;
 }
 
 void GatewayStoreView::adoptConfiguration(const PeerStoreState &peerState)
@@ -81,9 +81,10 @@
 {
     adoptConfiguration(peerState);
     // Gateways of earlier software versions do not send the era.
-    const StorePosition position{peerState.position.era == 0 ? place_.era : peerState.position.era,
+    const StorePosition position{peerState.position.era == 0 ? position_.era
+                                                             : peerState.position.era,
                                  peerState.position.revision};
-    const bool isNewer = position >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
+    const bool isNewer = position >= position_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
     const bool isComplete = (peerState.document || peerState.version <= version())
                             && (peerState.upstreams || peerState.upstreamsMark == advertisedMark());
     if (!isNewer || !isComplete) {
@@ -257,7 +258,7 @@
     }
     logLine(LogLevel::Info, "halls.drained",
             {{"halls", names},
-             {"revision", place_.revision},
+             {"revision", position_.revision},
              {"knowledgeAgeMs", confirmed() ? toMillis(age()) : -1}});
     metrics_.set("seamarch_drained_halls", static_cast<double>(names.size()));
 }
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -76,7 +76,7 @@
     // not receive the same list again.
     std::uint64_t upstreamsMark() const;
     // Returns the store's era and revision that the list of upstreams is at.
-    const StorePosition &position() const { return place_; }
+    const StorePosition &position() const { return position_; }
     // Returns the text of the document in force as the store holds it; empty while there is none.
     const std::string &documentText() const;
     const UpstreamTable &upstreams() const { return upstreams_; }
@@ -119,7 +119,7 @@
     ConfigApplied onConfigApplied_;
     std::shared_ptr<const RouteTable> table_;
     std::optional<TimePoint> confirmedAt_;
-    StorePosition place_;            // The era and revision of the list of upstreams.
+    StorePosition position_;         // The era and revision of the list of upstreams.
     mutable std::uint64_t mark_ = 0; // Cached mark of the list after `markedChanges_` changes.
     mutable std::uint64_t markedChanges_ = 0;
     std::uint64_t adoptedMark_ = 0;
