--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -210,10 +210,10 @@
             applyStoreItem(item);
         }
     }
-    if (wasRolledBack(storePlace_, items.position)) {
+    if (wasRolledBack(storePosition_, items.position)) {
         upstreams_.onStoreRolledBack(loop_.now());
     }
-    storePlace_ = items.position;
+    storePosition_ = items.position;
     upstreams_.replaceAll(records, loop_.now());
     updatePeers();
 }
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -134,7 +134,7 @@
     const EngineProtocol &engineProtocol_;
     Metrics metrics_;
     UpstreamTable upstreams_;
-    StorePosition storePlace_; // Position of the last full listing.
+    StorePosition storePosition_; // Position of the last full listing.
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<RawTransport> transport_;
     std::unique_ptr<OperatorServer> metricsServer_;
