--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -170,7 +170,7 @@
     return halls;
 }
 
-HallPosition GatewayDirectory::hallPlace() const
+HallPosition GatewayDirectory::hallPosition() const
 {
     const OrderKey own = orderKeyOf(self_.id);
     HallPosition place;
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -105,7 +105,7 @@
     // Returns the halls of the other gateways, which may include this gateway's own.
     std::set<HallId> peerHalls() const;
     // Returns this gateway's position in the hash order of its hall, and the hall's gateway count.
-    HallPosition hallPlace() const;
+    HallPosition hallPosition() const;
     // Returns the next of the other gateways except `excluded`, in round-robin order; gateways in
     // cooldown come last. Returns nullopt if there is no other gateway.
     std::optional<InstanceId> nextPeer(const InstanceId &excluded, TimePoint now);
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -189,7 +189,7 @@
 {
     const bool peersAnswer =
         peers_ != nullptr && now - peers_->lastAnswerAt() < kPeerContactTimeout;
-    return peersAnswer && !mayPollStore(directory_.hallPlace().index);
+    return peersAnswer && !mayPollStore(directory_.hallPosition().index);
 }
 
 // Returns whether this gateway is due to query the store although it follows another gateway.
@@ -201,7 +201,7 @@
     if (!knowledge_.confirmed()) {
         return !waitsForPeers(now);
     }
-    return knowledge_.age() > storePollAge(times(), directory_.hallPlace().index);
+    return knowledge_.age() > storePollAge(times(), directory_.hallPosition().index);
 }
 
 void StateSynchronizer::stop()
