--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -64,7 +64,7 @@
     bool followsStore() const { return watcher_ != nullptr; }
     std::size_t gateways() const { return directory_.size(); }
     // Returns the position of this gateway among the gateways of its hall.
-    HallPosition place() const { return directory_.hallPosition(); }
+    HallPosition hallPosition() const { return directory_.hallPosition(); }
 
 private:
     StateSynchronizer(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
