--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -299,7 +299,7 @@
     processEarlyRequests();
     GatewayActions actions;
     core_.setGatewayCount(sources_->gateways() + 1);
-    core_.setHallPosition(sources_->place());
+    core_.setHallPosition(sources_->hallPosition());
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
     sources_->tick();
