--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -66,7 +66,7 @@
 void GatewayCore::setHallPosition(const HallPosition &position)
 {
     hallPosition_ = position;
-    chooser_.setPlace(position);
+    chooser_.setHallPosition(position);
 }
 
 void GatewayCore::setRetryLimits(const RetryLimits &limits)
