--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -65,7 +65,8 @@
     Positions positions;
     for (const auto &[hall, ids] : halls) {
         for (std::size_t index = 0; index < ids.size(); ++index) {
-            const auto position = static_cast<double>(fillPosition(index, ids.size(), place_));
+            const auto position =
+                static_cast<double>(fillPosition(index, ids.size(), hallPosition_));
             positions.emplace(ids[index], position / static_cast<double>(ids.size()));
         }
     }
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -89,7 +89,7 @@
                     const WarmUpLimits &warmUps, SendPermits &permits);
 
     // Sets the position of this gateway among those of its hall.
-    void setHallPosition(const HallPosition &place) { place_ = place; }
+    void setHallPosition(const HallPosition &place) { hallPosition_ = place; }
 
     // Returns the groups of `service` that have upstreams. The reference is valid until a table
     // changes.
@@ -183,7 +183,7 @@
     const WarmUpLimits &warmUps_;
     SendPermits &permits_;
     OutlierDetector outliers_;
-    HallPosition place_;
+    HallPosition hallPosition_;
     std::unordered_map<InstanceId, State> states_;
     std::unordered_map<TargetName, CachedGroups> groupCache_;
 };
