--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -89,7 +89,7 @@
                     const WarmUpLimits &warmUps, SendPermits &permits);
 
     // Sets the position of this gateway among those of its hall.
-    void setHallPosition(const HallPosition &place) { hallPosition_ = place; }
+    void setHallPosition(const HallPosition &position) { hallPosition_ = position; }
 
     // Returns the groups of `service` that have upstreams. The reference is valid until a table
     // changes.
