--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -38,10 +38,10 @@
 std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::sortedWithSelf(TimePoint now) const
 {
     std::vector<KnownPeer> peers = knownPeers();
-    const auto place = std::lower_bound(
+    const auto insertionPoint = std::lower_bound(
         peers.begin(), peers.end(), self_.id,
         [](const KnownPeer &known, const InstanceId &id) { return known.record.id < id; });
-    peers.insert(place, {self_, now});
+    peers.insert(insertionPoint, {self_, now});
     return peers;
 }
 
