--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -173,14 +173,14 @@
 HallPosition GatewayDirectory::hallPosition() const
 {
     const OrderKey own = orderKeyOf(self_.id);
-    HallPosition place;
+    HallPosition position;
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall) {
-            ++place.gateways;
-            place.index += orderKeyOf(id) < own ? 1 : 0;
+            ++position.gateways;
+            position.index += orderKeyOf(id) < own ? 1 : 0;
         }
     }
-    return place;
+    return position;
 }
 
 std::optional<InstanceId> GatewayDirectory::nextPeer(const InstanceId &excluded, TimePoint now)
