--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -8,7 +8,7 @@
 // Enough for a few polls of gateways in other halls, at seven polls a second.
 constexpr Duration kPeerPollTime = std::chrono::milliseconds(500);
 // The store answers within a few milliseconds, and the next poll by a peer passes the answer on.
-constexpr Duration kPlaceDelay = std::chrono::milliseconds(100);
+constexpr Duration kDelayPerHallIndex = std::chrono::milliseconds(100);
 // A store that rejects a third of all machines rejects all twelve gateways of a hall with a
 // probability of one in half a million.
 constexpr std::size_t kMaxPollersPerHall = 12;
@@ -54,7 +54,7 @@
 Duration storePollAge(const StorePollSchedule &schedule, std::size_t place)
 {
     const Duration wanted =
-        schedule.staleAge + kPeerPollTime + kPlaceDelay * static_cast<Duration::rep>(place);
+        schedule.staleAge + kPeerPollTime + kDelayPerHallIndex * static_cast<Duration::rep>(place);
     return std::min(wanted, schedule.maxStorePollAge);
 }
 
