--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -46,15 +46,15 @@
     return schedule;
 }
 
-bool mayPollStore(std::size_t place)
+bool mayPollStore(std::size_t hallIndex)
 {
-    return place < kMaxPollersPerHall;
+    return hallIndex < kMaxPollersPerHall;
 }
 
-Duration storePollAge(const StorePollSchedule &schedule, std::size_t place)
+Duration storePollAge(const StorePollSchedule &schedule, std::size_t hallIndex)
 {
-    const Duration wanted =
-        schedule.staleAge + kPeerPollTime + kDelayPerHallIndex * static_cast<Duration::rep>(place);
+    const Duration wanted = schedule.staleAge + kPeerPollTime
+                            + kDelayPerHallIndex * static_cast<Duration::rep>(hallIndex);
     return std::min(wanted, schedule.maxStorePollAge);
 }
 
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -49,8 +49,8 @@
     CHECK_TRUE(firstPollAge >= schedule.staleAge + std::chrono::milliseconds(500));
     const Duration spreadAge = firstPollAge + std::chrono::milliseconds(250);
     std::size_t polling = 0;
-    for (std::size_t place = 0; place < kHallSize; ++place) {
-        polling += storePollAge(schedule, place) <= spreadAge ? 1 : 0;
+    for (std::size_t hallIndex = 0; hallIndex < kHallSize; ++hallIndex) {
+        polling += storePollAge(schedule, hallIndex) <= spreadAge ? 1 : 0;
     }
     CHECK_TRUE(polling <= 3);
 }
@@ -58,8 +58,8 @@
 TEST(StorePollScheduleTest, PollAgesIncreaseWithPlaceWhenTimeAllows)
 {
     const StorePollSchedule schedule = makeStorePollSchedule(kLargeFleet);
-    for (std::size_t place = 1; mayPollStore(place); ++place) {
-        CHECK_TRUE(storePollAge(schedule, place) > storePollAge(schedule, place - 1));
+    for (std::size_t hallIndex = 1; mayPollStore(hallIndex); ++hallIndex) {
+        CHECK_TRUE(storePollAge(schedule, hallIndex) > storePollAge(schedule, hallIndex - 1));
     }
 }
 
@@ -67,8 +67,8 @@
 {
     for (const std::size_t gateways : {30U, 107U, 222U, 667U}) {
         std::size_t pollers = 0;
-        for (std::size_t place = 0; place < gateways; ++place) {
-            pollers += mayPollStore(place) ? 1 : 0;
+        for (std::size_t hallIndex = 0; hallIndex < gateways; ++hallIndex) {
+            pollers += mayPollStore(hallIndex) ? 1 : 0;
         }
         UNSIGNED_LONGS_EQUAL(12, pollers);
     }
