--- a/test/decision/gateway/upstreamhistory_test.cpp
+++ b/test/decision/gateway/upstreamhistory_test.cpp
@@ -115,11 +115,11 @@
                 CHECK_TEXT(applied == list,
                            fmt::format("seed {}, from {} to {}", seed, base, digest).c_str());
             }
-            const std::size_t place = random() % list.size();
+            const std::size_t index = random() % list.size();
             if (random() % 2 == 0) {
-                list[place].start = UpstreamStart(static_cast<std::int64_t>(digest + 1));
+                list[index].start = UpstreamStart(static_cast<std::int64_t>(digest + 1));
             } else if (list.size() > 20) {
-                list.erase(list.begin() + static_cast<std::ptrdiff_t>(place));
+                list.erase(list.begin() + static_cast<std::ptrdiff_t>(index));
             }
             list.push_back(record(static_cast<int>(100 + digest)));
         }
