--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -292,7 +292,7 @@
     }
     inputs.orderBytes = order.experts == nullptr ? 0 : packExperts(*order.experts).size();
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
-    inputs.rotation = relayTurn_++;
+    inputs.rotation = relayRotation_++;
     const std::vector<RelayBlock> blocks = planRelays(inputs);
     logLine(LogLevel::Info, "map.prepares_sent",
             {{"version", order.version},
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -110,7 +110,7 @@
     Settings settings_;
     RankPeersListener &listener_;
     GroupMembership roster_;
-    std::uint64_t relayTurn_ = 0;
+    std::uint64_t relayRotation_ = 0;
     std::map<InstanceId, Peer> peers_;
     // False once the object is destroyed; checked by timers and HTTP callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
