--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -42,9 +42,9 @@
                 return;
             }
             RankFacts facts{engine->report, std::nullopt, std::move(engine->experts)};
-            handedOrders_.recordReport(facts.report.epoch, facts.report.prepared);
-            facts.report.fence = handedOrders_.highestFence();
-            facts.report.unarmedVersion = handedOrders_.unarmedVersion(facts.report.epoch);
+            forwardedOrders_.recordReport(facts.report.epoch, facts.report.prepared);
+            facts.report.fence = forwardedOrders_.highestFence();
+            facts.report.unarmedVersion = forwardedOrders_.unarmedVersion(facts.report.epoch);
             if (!engine->counts.empty()) {
                 facts.choices = choiceLedger_.record(std::move(engine->counts), query.countsSince);
             }
@@ -54,12 +54,12 @@
 
 void OwnEngine::sendOrder(const MapOrder &order, OrderDone done)
 {
-    if (!handedOrders_.admit(order)) {
+    if (!forwardedOrders_.admit(order)) {
         logLine(LogLevel::Info, "order.fenced",
                 {{"kind", logName(order.kind)},
                  {"version", order.version},
                  {"fence", order.fence},
-                 {"highest", handedOrders_.highestFence()}});
+                 {"highest", forwardedOrders_.highestFence()}});
         done(MapOrderAnswer::Fenced);
         return;
     }
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -37,7 +37,7 @@
     // order with a lower fence than an earlier one is answered with Fenced and not sent.
     void sendOrder(const MapOrder &order, OrderDone done);
     // Discards the fences and versions of earlier orders, because the engine has changed groups.
-    void resetOrders() { handedOrders_ = {}; }
+    void resetOrders() { forwardedOrders_ = {}; }
 
 private:
     void awaitCopy(const MapOrder &order, TimePoint deadline, const OrderDone &done);
@@ -46,7 +46,7 @@
     EngineClient &engineClient_;
     SocketAddress engine_;
     ChoiceCountHistory choiceLedger_;
-    ForwardedOrders handedOrders_;
+    ForwardedOrders forwardedOrders_;
     // False once the object is destroyed; checked by timers and HTTP callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
