--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -21,7 +21,7 @@
     : loop_(loop)
     , engineClient_(engineClient)
     , engine_(std::move(engine))
-    , choiceLedger_(randomIdentity())
+    , countHistory_(randomIdentity())
 {}
 
 OwnEngine::~OwnEngine()
@@ -46,7 +46,7 @@
             facts.report.fence = forwardedOrders_.highestFence();
             facts.report.unarmedVersion = forwardedOrders_.unarmedVersion(facts.report.epoch);
             if (!engine->counts.empty()) {
-                facts.choices = choiceLedger_.record(std::move(engine->counts), query.countsSince);
+                facts.choices = countHistory_.record(std::move(engine->counts), query.countsSince);
             }
             done(std::move(facts));
         });
--- a/src/experts/ownengine.h
+++ b/src/experts/ownengine.h
@@ -45,7 +45,7 @@
     EventLoop &loop_;
     EngineClient &engineClient_;
     SocketAddress engine_;
-    ChoiceCountHistory choiceLedger_;
+    ChoiceCountHistory countHistory_;
     ForwardedOrders forwardedOrders_;
     // False once the object is destroyed; checked by timers and HTTP callbacks.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
