--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -45,7 +45,7 @@
     , engineClient_(engineClient)
     , settings_(settings)
     , listener_(listener)
-    , roster_(settings.group)
+    , membership_(settings.group)
     , callErrorLogger_(std::make_unique<CallErrorLogger>())
     , tasks_(*callErrorLogger_)
 {}
@@ -68,7 +68,7 @@
             connect(peer);
         }
     }
-    roster_.setListed(listed);
+    membership_.setListed(listed);
 }
 
 void RankPeers::connect(Peer &peer)
@@ -85,7 +85,7 @@
 
 RankPeers::Peer *RankPeers::peerOfRank(std::uint32_t rank)
 {
-    const auto id = roster_.engineOf(rank);
+    const auto id = membership_.engineOf(rank);
     const auto found = id ? peers_.find(*id) : peers_.end();
     return found == peers_.end() ? nullptr : &found->second;
 }
@@ -93,7 +93,7 @@
 std::map<std::uint32_t, SocketAddress> RankPeers::engines() const
 {
     std::map<std::uint32_t, SocketAddress> engines;
-    for (const auto &[rank, id] : roster_.engines()) {
+    for (const auto &[rank, id] : membership_.engines()) {
         const auto found = peers_.find(id);
         if (found != peers_.end()) {
             engines.emplace(rank, found->second.engine);
@@ -109,7 +109,7 @@
     std::vector<std::pair<TimePoint, InstanceId>> due;
     for (const auto &[id, peer] : peers_) {
         if (!peer.agentQueryPending
-            && now - peer.requestedAt >= roster_.pollIntervalFor(id, interval)) {
+            && now - peer.requestedAt >= membership_.pollIntervalFor(id, interval)) {
             due.emplace_back(peer.requestedAt, id);
         }
     }
@@ -129,7 +129,7 @@
 void RankPeers::requestCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
                               std::uint32_t ownRank)
 {
-    const std::map<std::uint32_t, InstanceId> engines = roster_.engines();
+    const std::map<std::uint32_t, InstanceId> engines = membership_.engines();
     std::uint64_t credit = 0; // Queries due, in units of 1 / `ranks`.
     for (std::uint32_t rank = 0; rank < ranks; ++rank) {
         credit += count;
@@ -167,7 +167,7 @@
         connect(peer);
     }
     requestFromAgent(id, query, ownRank);
-    if (!agentResponds(peer) && !roster_.isInOtherGroup(id)) {
+    if (!agentResponds(peer) && !membership_.isInOtherGroup(id)) {
         requestFromEngine(id, {false, query.experts, 0});
     }
 }
@@ -223,8 +223,8 @@
 // another group.
 void RankPeers::deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint requestedAt)
 {
-    roster_.recordMember(id, facts.report.group, facts.report.rank);
-    if (!roster_.isInOtherGroup(id)) {
+    membership_.recordMember(id, facts.report.group, facts.report.rank);
+    if (!membership_.isInOtherGroup(id)) {
         listener_.onPeerFacts(facts, requestedAt);
     }
 }
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -109,7 +109,7 @@
     EngineClient &engineClient_;
     Settings settings_;
     RankPeersListener &listener_;
-    GroupMembership roster_;
+    GroupMembership membership_;
     std::uint64_t relayRotation_ = 0;
     std::map<InstanceId, Peer> peers_;
     // False once the object is destroyed; checked by timers and HTTP callbacks.
