--- a/src/gateway/grouppoller.cpp
+++ b/src/gateway/grouppoller.cpp
@@ -74,7 +74,7 @@
     const TimePoint now = loop_.now();
     if (active) {
         refreshEngines();
-        for (const std::string &host : survey_.nextHosts(engines_, groups_, now)) {
+        for (const std::string &host : planner_.nextHosts(engines_, groups_, now)) {
             poll(host);
         }
     }
@@ -123,18 +123,18 @@
         loop_.post([old = std::make_shared<Link>(std::move(found->second))] { old->rpc.reset(); });
         links_.erase(found);
     }
-    survey_.onFailed(host, loop_.now());
+    planner_.onFailed(host, loop_.now());
 }
 
 void GroupPoller::onReply(const std::string &host, TimePoint sentAt,
                           wire::RankAgent::GroupResults::Reader reply)
 {
     if (!reply.getDecides()) {
-        survey_.onReferred(host, reply.getDeciderHost().cStr(), loop_.now());
+        planner_.onReferred(host, reply.getDeciderHost().cStr(), loop_.now());
         return;
     }
     const GroupId group(reply.getGroup().cStr());
-    survey_.onDecider(host, group);
+    planner_.onDecider(host, group);
     Link &link = links_[host];
     const auto groupNews = reply.getNews();
     const bool unchanged = link.mark == reply.getMark();
--- a/src/gateway/grouppoller.h
+++ b/src/gateway/grouppoller.h
@@ -65,7 +65,7 @@
     GroupTable &groups_;
     int agentPort_;
     std::unique_ptr<RawTransport> transport_;
-    GroupPollPlanner survey_;
+    GroupPollPlanner planner_;
     std::vector<GroupPollPlanner::Engine>
         engines_; // Built from the list and configuration that the next two members identify.
     std::uint64_t engineListChanges_ = 0;
