--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -127,10 +127,14 @@
         refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyRetryAfter);
         return;
     }
-    const bool early = (!storeView_.hasConfiguration() || early_.size() > 0) && !stopping_;
-    if (early && early_.push(exchange, request, facts.deadline.value_or(Duration{}), loop_.now())) {
+    const bool early = (!storeView_.hasConfiguration() || startupQueue_.size() > 0) && !stopping_;
+    if (early
+        && startupQueue_.push(exchange, request, facts.deadline.value_or(Duration{}),
+                              loop_.now())) {
         logLine(LogLevel::Info, "request.held",
-                {{"id", facts.requestId}, {"reason", "no configuration"}, {"held", early_.size()}});
+                {{"id", facts.requestId},
+                 {"reason", "no configuration"},
+                 {"held", startupQueue_.size()}});
         return;
     }
     admitRequest(exchange, std::move(request), loop_.now());
@@ -142,12 +146,12 @@
 {
     constexpr std::size_t kMaxPerTick = 1;
     if (storeView_.hasConfiguration()) {
-        for (StartupRequestQueue::QueuedRequest &held : early_.popFront(kMaxPerTick)) {
+        for (StartupRequestQueue::QueuedRequest &held : startupQueue_.popFront(kMaxPerTick)) {
             admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
         }
         return;
     }
-    for (StartupRequestQueue::QueuedRequest &held : early_.popExpired(loop_.now())) {
+    for (StartupRequestQueue::QueuedRequest &held : startupQueue_.popExpired(loop_.now())) {
         admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
     }
 }
@@ -202,7 +206,7 @@
 
 void GatewayService::onCallerGone(ExchangeId exchange)
 {
-    if (early_.remove(exchange)) {
+    if (startupQueue_.remove(exchange)) {
         return;
     }
     const auto found = byExchange_.find(exchange);
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -172,7 +172,7 @@
     std::unique_ptr<OperatorServer> operators_;
     std::unique_ptr<OperatorServer> metricsServer_;
     std::unique_ptr<StateSynchronizer> sources_;
-    StartupRequestQueue early_;
+    StartupRequestQueue startupQueue_;
     std::unordered_map<RequestNumber, ActiveRequest> activeRequests_;
     std::unordered_map<ExchangeId, RequestNumber> byExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
