--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -142,7 +142,7 @@
 
 // Processes requests that arrived before the first configuration, once there is one. Until then,
 // passes on those that have waited too long, which are refused for the lack of a configuration.
-void GatewayService::processEarlyRequests()
+void GatewayService::processStartupQueue()
 {
     constexpr std::size_t kMaxPerTick = 1;
     if (storeView_.hasConfiguration()) {
@@ -300,7 +300,7 @@
 
 void GatewayService::tick()
 {
-    processEarlyRequests();
+    processStartupQueue();
     GatewayActions actions;
     core_.setGatewayCount(sources_->gateways() + 1);
     core_.setHallPosition(sources_->hallPosition());
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -129,7 +129,7 @@
     void applyConfiguration(const RouteTable &table);
     // Starts the request if it is admitted, else refuses it. Its times count from `arrivedAt`.
     void admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
-    void processEarlyRequests();
+    void processStartupQueue();
     void refuse(ExchangeId exchange, const RequestMetadata &facts, FailureCode code,
                 Outcome outcome, Duration retryAfter);
 
