--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -127,8 +127,9 @@
         refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyRetryAfter);
         return;
     }
-    const bool early = (!storeView_.hasConfiguration() || startupQueue_.size() > 0) && !stopping_;
-    if (early
+    const bool awaitsConfiguration =
+        (!storeView_.hasConfiguration() || startupQueue_.size() > 0) && !stopping_;
+    if (awaitsConfiguration
         && startupQueue_.push(exchange, request, facts.deadline.value_or(Duration{}),
                               loop_.now())) {
         logLine(LogLevel::Info, "request.held",
