--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -147,13 +147,13 @@
 {
     constexpr std::size_t kMaxPerTick = 1;
     if (storeView_.hasConfiguration()) {
-        for (StartupRequestQueue::QueuedRequest &held : startupQueue_.popFront(kMaxPerTick)) {
-            admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
+        for (StartupRequestQueue::QueuedRequest &queued : startupQueue_.popFront(kMaxPerTick)) {
+            admitRequest(queued.exchange, std::move(queued.request), queued.arrivedAt);
         }
         return;
     }
-    for (StartupRequestQueue::QueuedRequest &held : startupQueue_.popExpired(loop_.now())) {
-        admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
+    for (StartupRequestQueue::QueuedRequest &queued : startupQueue_.popExpired(loop_.now())) {
+        admitRequest(queued.exchange, std::move(queued.request), queued.arrivedAt);
     }
 }
 
