--- a/src/gateway/grouppoller.cpp
+++ b/src/gateway/grouppoller.cpp
@@ -21,7 +21,7 @@
 GroupPoller::GroupPoller(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
                          int agentPort)
     : loop_(loop)
-    , knowledge_(knowledge)
+    , storeView_(knowledge)
     , groups_(groups)
     , agentPort_(agentPort)
     , tasks_(*this)
@@ -55,15 +55,15 @@
 // changed.
 void GroupPoller::refreshEngines()
 {
-    const std::uint64_t changes = knowledge_.upstreams().changes();
-    if (changes == engineListChanges_ && knowledge_.version() == engineListVersion_) {
+    const std::uint64_t changes = storeView_.upstreams().changes();
+    if (changes == engineListChanges_ && storeView_.version() == engineListVersion_) {
         return;
     }
     engineListChanges_ = changes;
-    engineListVersion_ = knowledge_.version();
+    engineListVersion_ = storeView_.version();
     engines_.clear();
-    for (const UpstreamRecord *record : knowledge_.upstreams().all()) {
-        if (knowledge_.formsGroups(record->service)) {
+    for (const UpstreamRecord *record : storeView_.upstreams().all()) {
+        if (storeView_.formsGroups(record->service)) {
             engines_.push_back({record->host, record->port});
         }
     }
--- a/src/gateway/grouppoller.h
+++ b/src/gateway/grouppoller.h
@@ -61,7 +61,7 @@
     void taskFailed(kj::Exception &&exception) override;
 
     EventLoop &loop_;
-    const GatewayStoreView &knowledge_;
+    const GatewayStoreView &storeView_;
     GroupTable &groups_;
     int agentPort_;
     std::unique_ptr<RawTransport> transport_;
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -54,7 +54,7 @@
     : loop_(loop)
     , client_(client)
     , store_(store)
-    , knowledge_(knowledge)
+    , storeView_(knowledge)
     , gossip_(gossip)
     , settings_(settings)
     , directory_(makeRecord(settings), GatewayDirectory::Settings())
@@ -78,7 +78,7 @@
 tl::expected<void, NetError> StateSynchronizer::open()
 {
     if (settings_.agentPort) {
-        auto poller = GroupPoller::create(loop_, knowledge_, gossip_.groups, *settings_.agentPort);
+        auto poller = GroupPoller::create(loop_, storeView_, gossip_.groups, *settings_.agentPort);
         if (!poller) {
             return tl::unexpected(poller.error());
         }
@@ -87,7 +87,7 @@
     if (!settings_.peerListen) {
         return {};
     }
-    auto peers = GatewayPeers::create(loop_, knowledge_, gossip_, store_, directory_,
+    auto peers = GatewayPeers::create(loop_, storeView_, gossip_, store_, directory_,
                                       [this](const PeerStoreState &shared, TimePoint confirmedAt) {
                                           return onSharedState(shared, confirmedAt);
                                       });
@@ -102,7 +102,7 @@
                                        GatewayPeers::PermitsCallback answered)
 {
     const TimePoint now = loop_.now();
-    const UpstreamRecord *upstream = knowledge_.upstreams().find(ask.upstream);
+    const UpstreamRecord *upstream = storeView_.upstreams().find(ask.upstream);
     if (upstream == nullptr) {
         answered({}); // The upstream has been removed.
         return;
@@ -139,11 +139,11 @@
 // still needed.
 bool StateSynchronizer::onSharedState(const PeerStoreState &shared, TimePoint confirmedAt)
 {
-    if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kMaxFreshAge) {
-        knowledge_.adoptConfiguration(shared);
+    if (watcher_ != nullptr && storeView_.confirmed() && storeView_.age() < kMaxFreshAge) {
+        storeView_.adoptConfiguration(shared);
         return false;
     }
-    if (!knowledge_.adopt(shared, confirmedAt)) {
+    if (!storeView_.adopt(shared, confirmedAt)) {
         return false;
     }
     if (watcher_ != nullptr) {
@@ -169,7 +169,7 @@
 // Returns whether this gateway is new and may still receive the configuration from others.
 bool StateSynchronizer::waitsForPeers(TimePoint now) const
 {
-    if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || knowledge_.hasConfiguration()) {
+    if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || storeView_.hasConfiguration()) {
         return false;
     }
     const bool peersLackConfiguration =
@@ -179,7 +179,7 @@
 
 StorePollSchedule StateSynchronizer::times() const
 {
-    const FreshnessBounds &bounds = knowledge_.freshness();
+    const FreshnessBounds &bounds = storeView_.freshness();
     return makeStorePollSchedule({bounds.keys, bounds.deny});
 }
 
@@ -198,10 +198,10 @@
     if (peersQueryStore(now)) {
         return false;
     }
-    if (!knowledge_.confirmed()) {
+    if (!storeView_.confirmed()) {
         return !waitsForPeers(now);
     }
-    return knowledge_.age() > storePollAge(times(), directory_.hallPosition().index);
+    return storeView_.age() > storePollAge(times(), directory_.hallPosition().index);
 }
 
 void StateSynchronizer::stop()
@@ -258,8 +258,8 @@
     const bool followsSelf = followed == settings_.instance;
     // A follower's state is normally older than that of a gateway that follows the store, so its
     // threshold is higher.
-    const bool stale = !knowledge_.confirmed()
-                       || knowledge_.age() > (followsSelf ? kMaxFreshAge : times().staleAge);
+    const bool stale = !storeView_.confirmed()
+                       || storeView_.age() > (followsSelf ? kMaxFreshAge : times().staleAge);
     if (!followsSelf) {
         queryGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
@@ -292,7 +292,7 @@
         return;
     }
     seedsQueriedAt_ = now;
-    nextSeed_ += knowledge_.confirmed() && knowledge_.age() < kMaxFreshAge ? 0 : 1;
+    nextSeed_ += storeView_.confirmed() && storeView_.age() < kMaxFreshAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
         const bool selected = knowsFewGateways || index == nextSeed_ % settings_.seeds.size();
         if (selected && settings_.peerListen != settings_.seeds[index]) {
@@ -359,7 +359,7 @@
     logLine(LogLevel::Info, follow ? "store.followed" : "store.left",
             {{"reason", reason},
              {"gateways", directory_.size()},
-             {"knowledgeAgeMs", knowledge_.confirmed() ? toMillis(knowledge_.age()) : -1}});
+             {"knowledgeAgeMs", storeView_.confirmed() ? toMillis(storeView_.age()) : -1}});
     if (!follow) {
         endedWatcherCalls_ += watcher_->calls();
         watcher_.reset();
@@ -370,7 +370,7 @@
         peers_ == nullptr ? watchSettings.longPollWait : times().watchTimeout;
     watchSettings.coalesceDelay = settings_.storeCoalesceDelay;
     watchSettings.seed = randomIdentity();
-    watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, knowledge_, watchSettings);
+    watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, storeView_, watchSettings);
     watcher_->start();
 }
 
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -92,7 +92,7 @@
     EventLoop &loop_;
     HttpClient &client_;
     const StoreProtocol &store_;
-    GatewayStoreView &knowledge_;
+    GatewayStoreView &storeView_;
     GossipState gossip_;
     Settings settings_;
     GatewayDirectory directory_;
