--- a/src/gateway/grouppoller.cpp
+++ b/src/gateway/grouppoller.cpp
@@ -18,10 +18,10 @@
 
 } // namespace
 
-GroupPoller::GroupPoller(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
+GroupPoller::GroupPoller(EventLoop &loop, const GatewayStoreView &storeView, GroupTable &groups,
                          int agentPort)
     : loop_(loop)
-    , storeView_(knowledge)
+    , storeView_(storeView)
     , groups_(groups)
     , agentPort_(agentPort)
     , tasks_(*this)
@@ -33,14 +33,14 @@
 }
 
 tl::expected<std::unique_ptr<GroupPoller>, NetError>
-GroupPoller::create(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
+GroupPoller::create(EventLoop &loop, const GatewayStoreView &storeView, GroupTable &groups,
                     int agentPort)
 {
     auto transport = RawTransport::create(loop);
     if (!transport) {
         return tl::unexpected(transport.error());
     }
-    std::unique_ptr<GroupPoller> poller(new GroupPoller(loop, knowledge, groups, agentPort));
+    std::unique_ptr<GroupPoller> poller(new GroupPoller(loop, storeView, groups, agentPort));
     poller->transport_ = std::move(*transport);
     return poller;
 }
--- a/src/gateway/grouppoller.h
+++ b/src/gateway/grouppoller.h
@@ -34,7 +34,7 @@
     // Creates a poller for agents that listen on `agentPort` at the addresses of their engines.
     // Fails if no transport can be set up.
     static tl::expected<std::unique_ptr<GroupPoller>, NetError>
-    create(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups, int agentPort);
+    create(EventLoop &loop, const GatewayStoreView &storeView, GroupTable &groups, int agentPort);
     ~GroupPoller();
     GroupPoller(const GroupPoller &) = delete;
     GroupPoller &operator=(const GroupPoller &) = delete;
@@ -51,7 +51,7 @@
         TimePoint lastUsedAt{};
     };
 
-    GroupPoller(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
+    GroupPoller(EventLoop &loop, const GatewayStoreView &storeView, GroupTable &groups,
                 int agentPort);
     void refreshEngines();
     void poll(const std::string &host);
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -49,12 +49,12 @@
 } // namespace
 
 StateSynchronizer::StateSynchronizer(EventLoop &loop, HttpClient &client,
-                                     const StoreProtocol &store, GatewayStoreView &knowledge,
+                                     const StoreProtocol &store, GatewayStoreView &storeView,
                                      const GossipState &gossip, const Settings &settings)
     : loop_(loop)
     , client_(client)
     , store_(store)
-    , storeView_(knowledge)
+    , storeView_(storeView)
     , gossip_(gossip)
     , settings_(settings)
     , directory_(makeRecord(settings), GatewayDirectory::Settings())
@@ -64,11 +64,11 @@
 
 tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
 StateSynchronizer::create(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
-                          GatewayStoreView &knowledge, const GossipState &gossip,
+                          GatewayStoreView &storeView, const GossipState &gossip,
                           const Settings &settings)
 {
     std::unique_ptr<StateSynchronizer> sources(
-        new StateSynchronizer(loop, client, store, knowledge, gossip, settings));
+        new StateSynchronizer(loop, client, store, storeView, gossip, settings));
     if (auto opened = sources->open(); !opened) {
         return tl::unexpected(opened.error());
     }
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -47,7 +47,7 @@
 
     static tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
     create(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
-           GatewayStoreView &knowledge, const GossipState &gossip, const Settings &settings);
+           GatewayStoreView &storeView, const GossipState &gossip, const Settings &settings);
 
     // Requests permits to send to an upstream that states a limit or is warming up, from the
     // gateway that issues them or, if there is no such peer, from this gateway's own issuer.
@@ -68,7 +68,7 @@
 
 private:
     StateSynchronizer(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
-                      GatewayStoreView &knowledge, const GossipState &gossip,
+                      GatewayStoreView &storeView, const GossipState &gossip,
                       const Settings &settings);
     tl::expected<void, NetError> open();
 
--- a/test/gateway/grouppoller_test.cpp
+++ b/test/gateway/grouppoller_test.cpp
@@ -89,7 +89,7 @@
     std::unique_ptr<EventLoop> loop = *EventLoop::create();
     Metrics metrics{0};
     UpstreamTable upstreams;
-    GatewayStoreView knowledge{*loop, upstreams, metrics, FreshnessBounds(),
+    GatewayStoreView storeView{*loop, upstreams, metrics, FreshnessBounds(),
                                [](const RouteTable &) {}};
     GroupTable groups;
     int port = freePort();
@@ -101,8 +101,8 @@
     {
         StoreItems items;
         items.items = {makeDocument(), makeEngine(kFirstEngine), makeEngine(kSecondEngine)};
-        knowledge.onStoreListed(items, loop->now());
-        poller = *GroupPoller::create(*loop, knowledge, groups, port);
+        storeView.onStoreListed(items, loop->now());
+        poller = *GroupPoller::create(*loop, storeView, groups, port);
         timer = std::make_unique<PeriodicTimer>(*loop, std::chrono::milliseconds(50),
                                                 [this] { poller->tick(true); });
     }
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -61,13 +61,13 @@
 struct Gateway
 {
     explicit Gateway(EventLoop &loop, Metrics &metrics)
-        : knowledge(loop, upstreams, metrics,
+        : storeView(loop, upstreams, metrics,
                     {std::chrono::milliseconds(4700), std::chrono::milliseconds(1900)},
                     [](const RouteTable &) {})
     {}
 
     UpstreamTable upstreams;
-    GatewayStoreView knowledge;
+    GatewayStoreView storeView;
     StorePosition watchPosition; // Where the next watch call continues.
     TimePoint confirmedAt{};
     std::uint64_t highestVersion = 0; // Highest version in force so far.
@@ -276,16 +276,16 @@
     void sendState(std::size_t from, std::size_t to)
     {
         const Gateway &sender = *gateways_[from];
-        if (from == to || !sender.knowledge.confirmed()) {
+        if (from == to || !sender.storeView.confirmed()) {
             return;
         }
         Message message{to, incarnations_[to], sender.confirmedAt, false, false, {}, {}};
-        message.shared.position = sender.knowledge.position();
-        message.shared.version = sender.knowledge.version();
-        if (message.shared.version > gateways_[to]->knowledge.version()) {
+        message.shared.position = sender.storeView.position();
+        message.shared.version = sender.storeView.version();
+        if (message.shared.version > gateways_[to]->storeView.version()) {
             message.shared.document = document(message.shared.version.value());
         }
-        message.shared.upstreamsMark = sender.knowledge.upstreamsMark();
+        message.shared.upstreamsMark = sender.storeView.upstreamsMark();
         message.shared.upstreams.emplace();
         for (const UpstreamRecord *record : sender.upstreams.all()) {
             message.shared.upstreams->push_back(*record);
@@ -304,7 +304,7 @@
             }
             Gateway &gateway = *gateways_[message.to];
             if (!message.fromStore) {
-                if (gateway.knowledge.adopt(message.shared, message.sentAt)) {
+                if (gateway.storeView.adopt(message.shared, message.sentAt)) {
                     gateway.confirmedAt = message.sentAt;
                 }
             } else {
@@ -328,9 +328,9 @@
             }
         }
         if (message.isList) {
-            gateway.knowledge.onStoreListed(message.items, message.sentAt);
+            gateway.storeView.onStoreListed(message.items, message.sentAt);
         } else {
-            gateway.knowledge.onStoreChanged(message.items, message.sentAt);
+            gateway.storeView.onStoreChanged(message.items, message.sentAt);
         }
     }
 
@@ -338,7 +338,7 @@
     {
         for (std::size_t index = 0; index < kGateways; ++index) {
             Gateway &gateway = *gateways_[index];
-            const std::uint64_t version = gateway.knowledge.version().value();
+            const std::uint64_t version = gateway.storeView.version().value();
             failure_ = version < gateway.highestVersion
                            ? fmt::format("seed {}: gateway {} reverted from version {} to {}",
                                          seed_, index, gateway.highestVersion, version)
