--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -211,7 +211,7 @@
     UpstreamLimits::Change onLimit(RequestNumber request, std::optional<RequestRate> limit,
                                    TimePoint now);
     // Returns the permit requests that are due and marks them as sent.
-    std::vector<SendPermits::Query> takePermitAsks(TimePoint now)
+    std::vector<SendPermits::Query> takePermitQueries(TimePoint now)
     {
         return permits_.takeQueries(now);
     }
--- a/src/gateway/gatewayservicenotices.cpp
+++ b/src/gateway/gatewayservicenotices.cpp
@@ -87,7 +87,7 @@
 void GatewayService::requestPermits()
 {
     const TimePoint now = loop_.now();
-    for (const SendPermits::Query &ask : core_.takePermitAsks(now)) {
+    for (const SendPermits::Query &ask : core_.takePermitQueries(now)) {
         sources_->requestPermits(ask, [this, ask, now](const PermitGrant &answer) {
             logLine(LogLevel::Debug, "permits.answered",
                     {{"upstream", ask.upstream.value()},
--- a/test/decision/gateway/limitedupstream_test.cpp
+++ b/test/decision/gateway/limitedupstream_test.cpp
@@ -95,7 +95,7 @@
     std::size_t answerQueries(const PermitGrant &answer, int now)
     {
         actions.clear();
-        const auto queries = core->takePermitAsks(at(now));
+        const auto queries = core->takePermitQueries(at(now));
         for (const SendPermits::Query &query : queries) {
             core->onPermits(query.upstream, answer, at(now), at(now), actions);
         }
@@ -144,7 +144,7 @@
     core->upstreams().put(far);
     addLimit("two", 0);
     begin(Kind::Repeatable, 1);
-    UNSIGNED_LONGS_EQUAL(0, core->takePermitAsks(at(1)).size());
+    UNSIGNED_LONGS_EQUAL(0, core->takePermitQueries(at(1)).size());
 }
 
 TEST(LimitedUpstreamTest, RetryIsNotSentWithoutAPermit)
@@ -185,7 +185,7 @@
     start(1, {"one"});
     addLimit("one", 0);
     begin(Kind::Repeatable, 1);
-    core->takePermitAsks(at(1));
+    core->takePermitQueries(at(1));
     actions.clear();
     core->onTick(at(150), actions);
     CHECK_TRUE(actions.empty());
@@ -267,7 +267,7 @@
                 core->upstreams().replaceAll(listed, at(now));
                 break;
             case 6:
-                for (const SendPermits::Query &query : core->takePermitAsks(at(now))) {
+                for (const SendPermits::Query &query : core->takePermitQueries(at(now))) {
                     if (draw(3) != 0) {
                         const auto count = static_cast<std::uint32_t>(draw(3));
                         granted[query.upstream] += count;
--- a/test/decision/gateway/warmuplimits_test.cpp
+++ b/test/decision/gateway/warmuplimits_test.cpp
@@ -99,7 +99,7 @@
 {
     core->upstreams().put(record("one", 5000));
     CHECK_TRUE(begin(Kind::Repeatable, 10) == nullptr);
-    const auto queries = core->takePermitAsks(at(10));
+    const auto queries = core->takePermitQueries(at(10));
     UNSIGNED_LONGS_EQUAL(1, queries.size());
     actions.clear();
     core->onPermits(queries[0].upstream, {1, Duration{}}, at(10), at(14), actions);
@@ -120,5 +120,5 @@
         core->upstreams().put(record(fmt::format("i-{}", index), 5000));
     }
     CHECK_TRUE(begin(Kind::Stream, 10) == nullptr);
-    CHECK_TRUE(core->takePermitAsks(at(10)).size() <= 2);
+    CHECK_TRUE(core->takePermitQueries(at(10)).size() <= 2);
 }
