--- a/src/gateway/gatewayservicenotices.cpp
+++ b/src/gateway/gatewayservicenotices.cpp
@@ -87,17 +87,17 @@
 void GatewayService::requestPermits()
 {
     const TimePoint now = loop_.now();
-    for (const SendPermits::Query &ask : core_.takePermitQueries(now)) {
-        sources_->requestPermits(ask, [this, ask, now](const PermitGrant &answer) {
+    for (const SendPermits::Query &query : core_.takePermitQueries(now)) {
+        sources_->requestPermits(query, [this, query, now](const PermitGrant &answer) {
             logLine(LogLevel::Debug, "permits.answered",
-                    {{"upstream", ask.upstream.value()},
-                     {"wanted", ask.wanted},
+                    {{"upstream", query.upstream.value()},
+                     {"wanted", query.wanted},
                      {"granted", answer.granted},
                      {"askAgainMs", toMillis(answer.retryAfter)},
                      {"ms", toMillis(loop_.now() - now)}});
             metrics_.count("seamarch_send_permits_total", answer.granted > 0 ? "granted" : "none");
             GatewayActions actions;
-            core_.onPermits(ask.upstream, answer, now, loop_.now(), actions);
+            core_.onPermits(query.upstream, answer, now, loop_.now(), actions);
             carryOut(actions);
         });
     }
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -98,16 +98,16 @@
     return {};
 }
 
-void StateSynchronizer::requestPermits(const SendPermits::Query &ask,
+void StateSynchronizer::requestPermits(const SendPermits::Query &query,
                                        GatewayPeers::PermitsCallback answered)
 {
     const TimePoint now = loop_.now();
-    const UpstreamRecord *upstream = storeView_.upstreams().find(ask.upstream);
+    const UpstreamRecord *upstream = storeView_.upstreams().find(query.upstream);
     if (upstream == nullptr) {
         answered({}); // The upstream has been removed.
         return;
     }
-    GatewayPeers::PermitRequest question{upstream->id, upstream->start, ask.wanted, {}, {}};
+    GatewayPeers::PermitRequest question{upstream->id, upstream->start, query.wanted, {}, {}};
     if (const LimitReport *statedLimit = gossip_.limits.find(*upstream);
         statedLimit != nullptr && statedLimit->rate) {
         question.limit = *statedLimit;
@@ -117,13 +117,14 @@
         answered({}); // The upstream states no limit any more and is warmed up.
         return;
     }
-    const InstanceId issuer = directory_.permitIssuerFor(ask.upstream, upstream->hall, now);
+    const InstanceId issuer = directory_.permitIssuerFor(query.upstream, upstream->hall, now);
     const GatewayRecord *record = directory_.find(issuer);
     if (peers_ == nullptr || record == nullptr) {
         const InstanceId &self = settings_.instance;
         const RequestRate rate = question.limit ? *question.limit->rate : *question.warmUp;
-        answered(gossip_.permitIssuer.issue(
-            ask.upstream, std::min(rate, question.warmUp.value_or(rate)), self, ask.wanted, now));
+        answered(gossip_.permitIssuer.issue(query.upstream,
+                                            std::min(rate, question.warmUp.value_or(rate)), self,
+                                            query.wanted, now));
         return;
     }
     peers_->requestPermits(*record, question, std::move(answered));
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -52,7 +52,7 @@
     // Requests permits to send to an upstream that states a limit or is warming up, from the
     // gateway that issues them or, if there is no such peer, from this gateway's own issuer.
     // `answered` is called once, possibly before this function returns.
-    void requestPermits(const SendPermits::Query &ask, GatewayPeers::PermitsCallback answered);
+    void requestPermits(const SendPermits::Query &query, GatewayPeers::PermitsCallback answered);
 
     // Starts the queries that are due. Must be called at short intervals.
     void tick();
