--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -107,13 +107,13 @@
         answered({}); // The upstream has been removed.
         return;
     }
-    GatewayPeers::PermitRequest question{upstream->id, upstream->start, query.wanted, {}, {}};
+    GatewayPeers::PermitRequest permitRequest{upstream->id, upstream->start, query.wanted, {}, {}};
     if (const LimitReport *statedLimit = gossip_.limits.find(*upstream);
         statedLimit != nullptr && statedLimit->rate) {
-        question.limit = *statedLimit;
+        permitRequest.limit = *statedLimit;
     }
-    question.warmUp = gossip_.warmUps.limitOf(*upstream, now);
-    if (!question.limit && !question.warmUp) {
+    permitRequest.warmUp = gossip_.warmUps.limitOf(*upstream, now);
+    if (!permitRequest.limit && !permitRequest.warmUp) {
         answered({}); // The upstream states no limit any more and is warmed up.
         return;
     }
@@ -121,13 +121,14 @@
     const GatewayRecord *record = directory_.find(issuer);
     if (peers_ == nullptr || record == nullptr) {
         const InstanceId &self = settings_.instance;
-        const RequestRate rate = question.limit ? *question.limit->rate : *question.warmUp;
+        const RequestRate rate =
+            permitRequest.limit ? *permitRequest.limit->rate : *permitRequest.warmUp;
         answered(gossip_.permitIssuer.issue(query.upstream,
-                                            std::min(rate, question.warmUp.value_or(rate)), self,
-                                            query.wanted, now));
+                                            std::min(rate, permitRequest.warmUp.value_or(rate)),
+                                            self, query.wanted, now));
         return;
     }
-    peers_->requestPermits(*record, question, std::move(answered));
+    peers_->requestPermits(*record, permitRequest, std::move(answered));
 }
 
 std::uint64_t StateSynchronizer::storeCalls() const
