--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -101,8 +101,8 @@
     if (!sources) {
         return tl::unexpected(sources.error());
     }
-    sources_ = std::move(*sources);
-    sources_->tick();
+    synchronizer_ = std::move(*sources);
+    synchronizer_->tick();
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickInterval, [this] { tick(); });
     return {};
 }
@@ -303,11 +303,11 @@
 {
     processStartupQueue();
     GatewayActions actions;
-    core_.setGatewayCount(sources_->gateways() + 1);
-    core_.setHallPosition(sources_->hallPosition());
+    core_.setGatewayCount(synchronizer_->gateways() + 1);
+    core_.setHallPosition(synchronizer_->hallPosition());
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
-    sources_->tick();
+    synchronizer_->tick();
     if (stopping_) {
         stopIfDrained();
     }
@@ -388,9 +388,9 @@
             {"configVersion", storeView_.version().value()},
             {"knowledgeAgeMs", storeView_.confirmed() ? toMillis(storeView_.age()) : -1},
             {"storeReachable", storeView_.storeReachable()},
-            {"storeCalls", sources_->storeCalls()},
-            {"followsStore", sources_->followsStore()},
-            {"gateways", sources_->gateways()},
+            {"storeCalls", synchronizer_->storeCalls()},
+            {"followsStore", synchronizer_->followsStore()},
+            {"gateways", synchronizer_->gateways()},
             {"inFlight", activeRequests_.size()},
             {"secondAttempts", core_.secondAttempts()},
             {"connectionsMade", client_->connectionsMade()},
@@ -447,7 +447,7 @@
         return;
     }
     logLine(LogLevel::Info, "gateway.stopped", {{"cutOff", activeRequests_.size()}});
-    sources_->stop();
+    synchronizer_->stop();
     loop_.stop();
 }
 
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -171,7 +171,7 @@
     std::unique_ptr<HttpServer> server_;
     std::unique_ptr<OperatorServer> operators_;
     std::unique_ptr<OperatorServer> metricsServer_;
-    std::unique_ptr<StateSynchronizer> sources_;
+    std::unique_ptr<StateSynchronizer> synchronizer_;
     StartupRequestQueue startupQueue_;
     std::unordered_map<RequestNumber, ActiveRequest> activeRequests_;
     std::unordered_map<ExchangeId, RequestNumber> byExchange_;
--- a/src/gateway/gatewayservicenotices.cpp
+++ b/src/gateway/gatewayservicenotices.cpp
@@ -79,7 +79,7 @@
          {"upstream", active.upstream.value()},
          {"change", nameOf(change)},
          {"perSecond", notice.limit ? nlohmann::json(notice.limit->perSecond()) : nlohmann::json()},
-         {"gateways", sources_->gateways()}});
+         {"gateways", synchronizer_->gateways()}});
     metrics_.count("seamarch_limit_changes_total", nameOf(change));
 }
 
@@ -88,7 +88,7 @@
 {
     const TimePoint now = loop_.now();
     for (const SendPermits::Query &query : core_.takePermitQueries(now)) {
-        sources_->requestPermits(query, [this, query, now](const PermitGrant &answer) {
+        synchronizer_->requestPermits(query, [this, query, now](const PermitGrant &answer) {
             logLine(LogLevel::Debug, "permits.answered",
                     {{"upstream", query.upstream.value()},
                      {"wanted", query.wanted},
