--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -93,15 +93,15 @@
         }
         metricsServer_ = std::move(*metrics);
     }
-    auto sources = StateSynchronizer::create(
+    auto synchronizer = StateSynchronizer::create(
         loop_, *client_, store_, storeView_,
         {core_.groups(), core_.crashes(), core_.limits(), core_.permitIssuer(), core_.warmUps()},
         {settings_.instance, settings_.hall, settings_.peerListen, settings_.seeds,
          settings_.agentPort, settings_.times.storeBatchWindow});
-    if (!sources) {
-        return tl::unexpected(sources.error());
+    if (!synchronizer) {
+        return tl::unexpected(synchronizer.error());
     }
-    synchronizer_ = std::move(*sources);
+    synchronizer_ = std::move(*synchronizer);
     synchronizer_->tick();
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickInterval, [this] { tick(); });
     return {};
