--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -262,8 +262,8 @@
     const auto listed = reader.getGateways();
     directory_.recordSeen(readGateway(listed[0]), now);
     for (std::uint32_t index = 1; index < listed.size(); ++index) {
-        const TimePoint heardAt = now - Duration(listed[index].getHeardMicrosAgo());
-        news.peers.push_back({readGateway(listed[index]), heardAt});
+        const TimePoint lastSeen = now - Duration(listed[index].getHeardMicrosAgo());
+        news.peers.push_back({readGateway(listed[index]), lastSeen});
     }
     const auto ages = reader.getGatewayAges();
     news.ages.assign(ages.begin(), ages.end());
