--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -13,13 +13,14 @@
 
 } // namespace
 
-void writeGateway(const GatewayRecord &record, Duration heardAgo, wire::GatewayRecord::Builder to)
+void writeGateway(const GatewayRecord &record, Duration lastSeenAge,
+                  wire::GatewayRecord::Builder to)
 {
     to.setId(record.id.value());
     to.setHall(record.hall.value());
     to.setHost(record.host);
     to.setPort(static_cast<std::uint16_t>(record.port));
-    to.setHeardMicrosAgo(heardAgo.count());
+    to.setHeardMicrosAgo(lastSeenAge.count());
 }
 
 GatewayRecord readGateway(wire::GatewayRecord::Reader from)
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -18,8 +18,10 @@
 
 namespace seamarch {
 
-// `heardAgo` is the time since the gateway was last heard from; `readGateway` does not return it.
-void writeGateway(const GatewayRecord &record, Duration heardAgo, wire::GatewayRecord::Builder to);
+// `lastSeenAge` is the time since the gateway was last heard from; `readGateway` does not return
+// it.
+void writeGateway(const GatewayRecord &record, Duration lastSeenAge,
+                  wire::GatewayRecord::Builder to);
 GatewayRecord readGateway(wire::GatewayRecord::Reader from);
 
 // The end of the warm-up is sent as the time remaining at `now`, and counts from `now` when read.
