--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -289,14 +289,14 @@
 // the full list is not sent again, and switches to the next when the state is not fresh.
 void StateSynchronizer::querySeeds(bool follows, TimePoint now)
 {
-    const bool knowsFewGateways = directory_.size() <= settings_.seeds.size();
-    if (!knowsFewGateways && !follows) {
+    const bool fewGatewaysKnown = directory_.size() <= settings_.seeds.size();
+    if (!fewGatewaysKnown && !follows) {
         return;
     }
     seedsQueriedAt_ = now;
     nextSeed_ += storeView_.confirmed() && storeView_.age() < kMaxFreshAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
-        const bool selected = knowsFewGateways || index == nextSeed_ % settings_.seeds.size();
+        const bool selected = fewGatewaysKnown || index == nextSeed_ % settings_.seeds.size();
         if (selected && settings_.peerListen != settings_.seeds[index]) {
             peers_->poll(settings_.seeds[index], InstanceId(), Duration{});
         }
