--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -659,11 +659,11 @@
 {
     const GroupDecider::Phase phase = decider_->phase();
     if (phase != loggedPhase_) {
-        const auto leftOut = decider_->excludedRank();
+        const auto excludedRank = decider_->excludedRank();
         logLine(LogLevel::Info, "map.phase",
                 {{"phase", logName(phase)},
                  {"epoch", epoch_},
-                 {"withoutRank", leftOut ? json(*leftOut) : json()}});
+                 {"withoutRank", excludedRank ? json(*excludedRank) : json()}});
         loggedPhase_ = phase;
     }
     if (decider_->changes() != loggedChanges_) {
