--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -219,10 +219,10 @@
         return Obstacle::Foreign;
     }
     // A rank that has not yet switched to the last map refuses to prepare the next one.
-    const bool armLeft = std::any_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
+    const bool armPending = std::any_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         return entry.second.requestedAt <= releasedAt_ || entry.second.report.armed != 0;
     });
-    return armLeft ? Obstacle::ArmLeft : Obstacle::None;
+    return armPending ? Obstacle::ArmLeft : Obstacle::None;
 }
 
 std::optional<std::uint64_t> GroupDecider::propose(ExpertMap experts, TimePoint now,
