--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -222,7 +222,7 @@
     const bool armPending = std::any_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         return entry.second.requestedAt <= releasedAt_ || entry.second.report.armed != 0;
     });
-    return armPending ? Obstacle::ArmLeft : Obstacle::None;
+    return armPending ? Obstacle::ArmPending : Obstacle::None;
 }
 
 std::optional<std::uint64_t> GroupDecider::propose(ExpertMap experts, TimePoint now,
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -181,7 +181,7 @@
         GroupBroken,  // A rank reports that the group does not accept requests.
         ReportsOld,   // The last report of a rank has expired.
         MapsDiffer,   // Ranks report different maps; a change is being activated.
-        ArmLeft,      // A rank has not yet switched to the last map.
+        ArmPending,   // A rank has not yet switched to the last map.
         Foreign,      // Another decider has armed a map or holds a step.
     };
 
--- a/src/experts/maplognames.cpp
+++ b/src/experts/maplognames.cpp
@@ -36,7 +36,7 @@
         return "reports outdated";
     case GroupDecider::Obstacle::MapsDiffer:
         return "maps differ";
-    case GroupDecider::Obstacle::ArmLeft:
+    case GroupDecider::Obstacle::ArmPending:
         return "armed map not in use yet";
     case GroupDecider::Obstacle::Foreign:
         return "arm or hold of another decider";
