--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -244,11 +244,11 @@
         }
     } else if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
         upstreams_.put(*record);
-    } else if (const auto *gone = std::get_if<UpstreamRemoval>(&item)) {
-        if (gone->unreadable) {
-            upstreams_.dropUnreadable(gone->id, loop_.now());
+    } else if (const auto *removal = std::get_if<UpstreamRemoval>(&item)) {
+        if (removal->unreadable) {
+            upstreams_.dropUnreadable(removal->id, loop_.now());
         } else {
-            upstreams_.remove(gone->id, loop_.now());
+            upstreams_.remove(removal->id, loop_.now());
         }
     }
 }
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -229,13 +229,13 @@
              {"service", record->service.value()},
              {"leaving", record->leaving},
              {"warmUpLeftMs", record->warmUpLeft ? json(toMillis(*record->warmUpLeft)) : json()}});
-    } else if (const auto *gone = std::get_if<UpstreamRemoval>(&item)) {
-        if (gone->unreadable) {
-            upstreams_.dropUnreadable(gone->id, loop_.now());
+    } else if (const auto *removal = std::get_if<UpstreamRemoval>(&item)) {
+        if (removal->unreadable) {
+            upstreams_.dropUnreadable(removal->id, loop_.now());
         } else {
-            upstreams_.remove(gone->id, loop_.now());
+            upstreams_.remove(removal->id, loop_.now());
         }
-        logLine(LogLevel::Info, "upstream.gone", {{"upstream", gone->id.value()}});
+        logLine(LogLevel::Info, "upstream.gone", {{"upstream", removal->id.value()}});
     } else if (const auto *drain = std::get_if<HallDrain>(&item)) {
         std::set<HallId> halls = upstreams_.drainedHalls();
         if (drain->cancelled) {
