--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -88,7 +88,7 @@
 
 bool GroupDecider::isCurrent(const Rank &rank, TimePoint now) const
 {
-    return rank.known && rank.report.epoch == epoch_ && rank.report.open
+    return rank.hasReported && rank.report.epoch == epoch_ && rank.report.open
            && now - rank.requestedAt <= settings_.reportTtl;
 }
 
@@ -107,14 +107,14 @@
         std::max_element(ranks_.begin(), ranks_.end(), [](const auto &left, const auto &right) {
             return left.second.requestedAt < right.second.requestedAt;
         });
-    return last == ranks_.end() || !last->second.known || last->second.report.open;
+    return last == ranks_.end() || !last->second.hasReported || last->second.report.open;
 }
 
 bool GroupDecider::forming(TimePoint now) const
 {
     const auto reports = [&](const auto &entry) {
         const Rank &rank = entry.second;
-        return rank.known && now - rank.requestedAt <= settings_.reportTtl;
+        return rank.hasReported && now - rank.requestedAt <= settings_.reportTtl;
     };
     return size_ > 0 && ranks_.size() == size_ && !acceptsRequests()
            && std::all_of(ranks_.begin(), ranks_.end(), reports);
@@ -167,13 +167,13 @@
     }
     size_ = report.ranks;
     Rank &rank = ranks_[report.rank];
-    if (rank.known && requestedAt < rank.requestedAt) {
+    if (rank.hasReported && requestedAt < rank.requestedAt) {
         return;
     }
-    if (!rank.known) {
+    if (!rank.hasReported) {
         rank.resendDelay = settings_.resendInterval;
     }
-    rank.known = true;
+    rank.hasReported = true;
     rank.requestedAt = requestedAt;
     rank.report = report;
     measurePasses(requestedAt);
@@ -406,7 +406,8 @@
 {
     return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
         const Rank &rank = entry.second;
-        return rank.known && !rank.report.open && now - rank.requestedAt <= settings_.reportTtl;
+        return rank.hasReported && !rank.report.open
+               && now - rank.requestedAt <= settings_.reportTtl;
     });
 }
 
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -250,7 +250,7 @@
     {
         RankReport report;
         TimePoint requestedAt{};
-        bool known = false;
+        bool hasReported = false;
         bool confirmed = false; // The rank has executed the order of this phase.
         TimePoint sentAt{};     // When the order of this phase was sent; zero if not yet.
         Duration resendDelay{}; // Measured from `sentAt`.
