--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -191,8 +191,8 @@
 // Returns whether passes are already so short that a more balanced map would not help any caller.
 bool ExpertPlanner::isWithinLatencyGoal(double skew) const
 {
-    const bool known = passTime_ > Duration{} && latencyGoal_ > Duration{};
-    return known && skew < settings_.forcedChangeSkew
+    const bool isMeasured = passTime_ > Duration{} && latencyGoal_ > Duration{};
+    return isMeasured && skew < settings_.forcedChangeSkew
            && toSeconds(passTime_) < settings_.relaxedPassRatio * toSeconds(latencyGoal_);
 }
 
