--- a/src/decision/expertmap/groupmembership.cpp
+++ b/src/decision/expertmap/groupmembership.cpp
@@ -9,8 +9,8 @@
 {
     std::map<InstanceId, std::optional<Position>> positions;
     for (const InstanceId &engine : engines) {
-        const auto known = positions_.find(engine);
-        positions.emplace(engine, known == positions_.end() ? std::nullopt : known->second);
+        const auto previous = positions_.find(engine);
+        positions.emplace(engine, previous == positions_.end() ? std::nullopt : previous->second);
     }
     positions_ = std::move(positions);
 }
