--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -40,7 +40,7 @@
     std::vector<KnownPeer> peers = knownPeers();
     const auto insertionPoint = std::lower_bound(
         peers.begin(), peers.end(), self_.id,
-        [](const KnownPeer &known, const InstanceId &id) { return known.record.id < id; });
+        [](const KnownPeer &peer, const InstanceId &id) { return peer.record.id < id; });
     peers.insert(insertionPoint, {self_, now});
     return peers;
 }
@@ -49,8 +49,8 @@
 {
     if (digest_ == 0) {
         std::string text;
-        for (const KnownPeer &known : sortedWithSelf(TimePoint{})) {
-            const GatewayRecord &record = known.record;
+        for (const KnownPeer &peer : sortedWithSelf(TimePoint{})) {
+            const GatewayRecord &record = peer.record;
             text += record.id.value() + '|' + record.hall.value() + '|' + record.host + '|'
                     + std::to_string(record.port) + '\n';
         }
@@ -69,7 +69,7 @@
         return gossip;
     }
     constexpr Duration::rep kMaxAgeSteps = 255;
-    for (const KnownPeer &known : sortedWithSelf(now)) {
+    for (const KnownPeer &peer : sortedWithSelf(now)) {
         const Duration age = std::max(Duration{}, now - known.lastSeen);
         const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Rounded up.
         gossip.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kMaxAgeSteps)));
@@ -79,7 +79,7 @@
 
 bool GatewayDirectory::applyGossip(const GossipUpdate &gossip, TimePoint now)
 {
-    for (const KnownPeer &known : gossip.peers) {
+    for (const KnownPeer &peer : gossip.peers) {
         recordSeen(known.record, known.lastSeen);
     }
     if (gossip.ages.empty()) {
