--- a/src/decision/membership/grouppollplanner.cpp
+++ b/src/decision/membership/grouppollplanner.cpp
@@ -13,13 +13,13 @@
 
 // Returns the host to poll for a known group: that of the last known decider, else the first member
 // that may be polled, because the lowest live rank is the decider. Returns "" if there is none.
-std::string GroupPollPlanner::hostToPoll(const GroupTable::Snapshot &known, TimePoint now) const
+std::string GroupPollPlanner::hostToPoll(const GroupTable::Snapshot &snapshot, TimePoint now) const
 {
-    const auto decider = deciders_.find(known.facts.group);
+    const auto decider = deciders_.find(snapshot.facts.group);
     if (decider != deciders_.end()) {
         return decider->second;
     }
-    for (const GroupMember &member : known.facts.members) {
+    for (const GroupMember &member : snapshot.facts.members) {
         if (mayPoll(member.host, now)) {
             return member.host;
         }
@@ -37,8 +37,8 @@
             hosts.push_back(host);
         }
     };
-    for (const auto &[group, known] : groups.groups()) {
-        poll(hostToPoll(known, now));
+    for (const auto &[group, snapshot] : groups.groups()) {
+        poll(hostToPoll(snapshot, now));
     }
     for (const std::string &host : std::exchange(referredHosts_, {})) {
         poll(host);
--- a/src/decision/membership/grouppollplanner.h
+++ b/src/decision/membership/grouppollplanner.h
@@ -66,7 +66,7 @@
     };
 
     bool mayPoll(const std::string &host, TimePoint now) const;
-    std::string hostToPoll(const GroupTable::Snapshot &known, TimePoint now) const;
+    std::string hostToPoll(const GroupTable::Snapshot &snapshot, TimePoint now) const;
 
     Settings settings_;
     std::map<std::string, Agent> agents_;
