--- a/src/decision/retry/crashrecord.cpp
+++ b/src/decision/retry/crashrecord.cpp
@@ -50,11 +50,11 @@
         return false;
     }
     std::vector<UpstreamCrash> &crashes = suspect.crashes;
-    const bool known = std::any_of(crashes.begin(), crashes.end(), [&](const UpstreamCrash &other) {
-        return isSameCrash(other, crash);
-    });
+    const bool isRecorded =
+        std::any_of(crashes.begin(), crashes.end(),
+                    [&](const UpstreamCrash &other) { return isSameCrash(other, crash); });
     const bool tooOld = crashes.size() >= kMaxCrashes && crash.at <= crashes.front().at;
-    if (known || tooOld) {
+    if (isRecorded || tooOld) {
         return false;
     }
     const auto after =
