--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -84,15 +84,15 @@
     GatewayPeers &peers_;
 };
 
-GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView,
-                           const GossipState &sharedState, const StoreProtocol &store,
-                           GatewayDirectory &directory, StateReceived onStateReceived)
+GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const GossipState &gossip,
+                           const StoreProtocol &store, GatewayDirectory &directory,
+                           StateReceived onStateReceived)
     : loop_(loop)
     , storeView_(storeView)
-    , groups_(sharedState.groups)
-    , crashes_(sharedState.crashes)
-    , limits_(sharedState.limits)
-    , permitIssuer_(sharedState.permitIssuer)
+    , groups_(gossip.groups)
+    , crashes_(gossip.crashes)
+    , limits_(gossip.limits)
+    , permitIssuer_(gossip.permitIssuer)
     , store_(store)
     , directory_(directory)
     , onStateReceived_(std::move(onStateReceived))
@@ -111,12 +111,12 @@
 }
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &sharedState,
+GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &gossip,
                      const StoreProtocol &store, GatewayDirectory &directory,
                      StateReceived onStateReceived)
 {
-    std::unique_ptr<GatewayPeers> peers(new GatewayPeers(loop, storeView, sharedState, store,
-                                                         directory, std::move(onStateReceived)));
+    std::unique_ptr<GatewayPeers> peers(
+        new GatewayPeers(loop, storeView, gossip, store, directory, std::move(onStateReceived)));
     if (auto opened = peers->open(); !opened) {
         return tl::unexpected(opened.error());
     }
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -54,7 +54,7 @@
 
     // Listens on the address in the directory's own record. Fails if it cannot be opened.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-    create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &sharedState,
+    create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &gossip,
            const StoreProtocol &store, GatewayDirectory &directory, StateReceived onStateReceived);
     ~GatewayPeers();
     GatewayPeers(const GatewayPeers &) = delete;
@@ -108,7 +108,7 @@
         TimePoint usedAt{};
     };
 
-    GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const GossipState &sharedState,
+    GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const GossipState &gossip,
                  const StoreProtocol &store, GatewayDirectory &directory,
                  StateReceived onStateReceived);
     tl::expected<void, NetError> open();
