--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -89,7 +89,7 @@
     }
     auto peers = GatewayPeers::create(loop_, storeView_, gossip_, store_, directory_,
                                       [this](const PeerStoreState &shared, TimePoint confirmedAt) {
-                                          return onSharedState(shared, confirmedAt);
+                                          return onPeerState(shared, confirmedAt);
                                       });
     if (!peers) {
         return tl::unexpected(peers.error());
@@ -139,7 +139,7 @@
 // Adopts the state of another gateway unless this gateway's own state is fresh from the store. A
 // running watch would continue from an older list, so it is stopped; it is restarted later if it is
 // still needed.
-bool StateSynchronizer::onSharedState(const PeerStoreState &shared, TimePoint confirmedAt)
+bool StateSynchronizer::onPeerState(const PeerStoreState &shared, TimePoint confirmedAt)
 {
     if (watcher_ != nullptr && storeView_.confirmed() && storeView_.age() < kMaxFreshAge) {
         storeView_.adoptConfiguration(shared);
