--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -87,10 +87,11 @@
     if (!settings_.peerListen) {
         return {};
     }
-    auto peers = GatewayPeers::create(loop_, storeView_, gossip_, store_, directory_,
-                                      [this](const PeerStoreState &shared, TimePoint confirmedAt) {
-                                          return onPeerState(shared, confirmedAt);
-                                      });
+    auto peers =
+        GatewayPeers::create(loop_, storeView_, gossip_, store_, directory_,
+                             [this](const PeerStoreState &peerState, TimePoint confirmedAt) {
+                                 return onPeerState(peerState, confirmedAt);
+                             });
     if (!peers) {
         return tl::unexpected(peers.error());
     }
@@ -139,13 +140,13 @@
 // Adopts the state of another gateway unless this gateway's own state is fresh from the store. A
 // running watch would continue from an older list, so it is stopped; it is restarted later if it is
 // still needed.
-bool StateSynchronizer::onPeerState(const PeerStoreState &shared, TimePoint confirmedAt)
+bool StateSynchronizer::onPeerState(const PeerStoreState &peerState, TimePoint confirmedAt)
 {
     if (watcher_ != nullptr && storeView_.confirmed() && storeView_.age() < kMaxFreshAge) {
-        storeView_.adoptConfiguration(shared);
+        storeView_.adoptConfiguration(peerState);
         return false;
     }
-    if (!storeView_.adopt(shared, confirmedAt)) {
+    if (!storeView_.adopt(peerState, confirmedAt)) {
         return false;
     }
     if (watcher_ != nullptr) {
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -72,7 +72,7 @@
                       const Settings &settings);
     tl::expected<void, NetError> open();
 
-    bool onPeerState(const PeerStoreState &shared, TimePoint confirmedAt);
+    bool onPeerState(const PeerStoreState &peerState, TimePoint confirmedAt);
     bool isSeed() const;
     bool isDiscovering(TimePoint now) const;
     bool waitsForPeers(TimePoint now) const;
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -86,7 +86,7 @@
     bool fromStore = false;
     bool isList = false;
     StoreItems items;
-    PeerStoreState shared;
+    PeerStoreState peerState;
 };
 
 class Simulation
@@ -280,15 +280,15 @@
             return;
         }
         Message message{to, incarnations_[to], sender.confirmedAt, false, false, {}, {}};
-        message.shared.position = sender.storeView.position();
-        message.shared.version = sender.storeView.version();
-        if (message.shared.version > gateways_[to]->storeView.version()) {
-            message.shared.document = document(message.shared.version.value());
+        message.peerState.position = sender.storeView.position();
+        message.peerState.version = sender.storeView.version();
+        if (message.peerState.version > gateways_[to]->storeView.version()) {
+            message.peerState.document = document(message.peerState.version.value());
         }
-        message.shared.upstreamsMark = sender.storeView.upstreamsMark();
-        message.shared.upstreams.emplace();
+        message.peerState.upstreamsMark = sender.storeView.upstreamsMark();
+        message.peerState.upstreams.emplace();
         for (const UpstreamRecord *record : sender.upstreams.all()) {
-            message.shared.upstreams->push_back(*record);
+            message.peerState.upstreams->push_back(*record);
         }
         inFlight_.push_back(std::move(message));
     }
@@ -304,7 +304,7 @@
             }
             Gateway &gateway = *gateways_[message.to];
             if (!message.fromStore) {
-                if (gateway.storeView.adopt(message.shared, message.sentAt)) {
+                if (gateway.storeView.adopt(message.peerState, message.sentAt)) {
                     gateway.confirmedAt = message.sentAt;
                 }
             } else {
