--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -244,7 +244,7 @@
     } else {
         followStore(false, "another gateway of the hall follows the store");
     }
-    queryPeers(followed, now);
+    pollPeers(followed, now);
     peers_->tick();
 }
 
@@ -256,7 +256,7 @@
     }
 }
 
-void StateSynchronizer::queryPeers(const InstanceId &followed, TimePoint now)
+void StateSynchronizer::pollPeers(const InstanceId &followed, TimePoint now)
 {
     const bool followsSelf = followed == settings_.instance;
     // A follower's state is normally older than that of a gateway that follows the store, so its
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -80,7 +80,7 @@
     bool isStoreQueryDue(TimePoint now) const;
     bool peersQueryStore(TimePoint now) const;
     void pollGroups(bool active, TimePoint now);
-    void queryPeers(const InstanceId &followed, TimePoint now);
+    void pollPeers(const InstanceId &followed, TimePoint now);
     void querySeeds(bool follows, TimePoint now);
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
     void queryOtherHalls(TimePoint now);
