--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -281,14 +281,14 @@
                      Duration{});
     }
     if (now - seedsQueriedAt_ >= kSeedQueryInterval) {
-        querySeeds(followsSelf && isDiscovering(now), now);
+        pollSeeds(followsSelf && isDiscovering(now), now);
     }
 }
 
 // Queries the seeds. All seeds are queried while few gateways are known. Otherwise a new gateway
 // that knows no gateway to follow (`follows`) queries a single seed, always the same one so that
 // the full list is not sent again, and switches to the next when the state is not fresh.
-void StateSynchronizer::querySeeds(bool follows, TimePoint now)
+void StateSynchronizer::pollSeeds(bool follows, TimePoint now)
 {
     const bool fewGatewaysKnown = directory_.size() <= settings_.seeds.size();
     if (!fewGatewaysKnown && !follows) {
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -81,7 +81,7 @@
     bool peersQueryStore(TimePoint now) const;
     void pollGroups(bool active, TimePoint now);
     void pollPeers(const InstanceId &followed, TimePoint now);
-    void querySeeds(bool follows, TimePoint now);
+    void pollSeeds(bool follows, TimePoint now);
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
     void queryOtherHalls(TimePoint now);
     void queryNextSeed();
