--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -270,7 +270,7 @@
         // it learns of at once: it must relearn the gateways that it has forgotten while it still
         // counts as being in contact with its peers.
         listsQueriedAt_ = now;
-        queryOtherHalls(now);
+        pollOtherHalls(now);
         queryGateway(directory_.nextPeer(settings_.instance, now), Duration{},
                      GatewayPeers::ListRequest::Always);
         queryNextSeed();
@@ -322,7 +322,7 @@
     return candidates[nextHall_++ % candidates.size()];
 }
 
-void StateSynchronizer::queryOtherHalls(TimePoint now)
+void StateSynchronizer::pollOtherHalls(TimePoint now)
 {
     for (const HallId &hall : directory_.peerHalls()) {
         if (hall != settings_.hall) {
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -83,7 +83,7 @@
     void pollPeers(const InstanceId &followed, TimePoint now);
     void pollSeeds(bool follows, TimePoint now);
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
-    void queryOtherHalls(TimePoint now);
+    void pollOtherHalls(TimePoint now);
     void queryNextSeed();
     void queryGateway(const std::optional<InstanceId> &id, Duration longPollWait,
                       GatewayPeers::ListRequest list = GatewayPeers::ListRequest::IfDue);
