--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -273,7 +273,7 @@
         pollOtherHalls(now);
         queryGateway(directory_.nextPeer(settings_.instance, now), Duration{},
                      GatewayPeers::ListRequest::Always);
-        queryNextSeed();
+        pollNextSeed();
     }
     if (stale && now - staleQueriedAt_ >= kStaleQueryInterval) {
         staleQueriedAt_ = now;
@@ -334,7 +334,7 @@
 
 // Queries the seeds in round-robin order. A seed that restarts while no other seed is running has
 // no gateway to learn from, and learns of a gateway when that gateway queries it.
-void StateSynchronizer::queryNextSeed()
+void StateSynchronizer::pollNextSeed()
 {
     if (settings_.seeds.empty()) {
         return;
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -84,7 +84,7 @@
     void pollSeeds(bool follows, TimePoint now);
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
     void pollOtherHalls(TimePoint now);
-    void queryNextSeed();
+    void pollNextSeed();
     void queryGateway(const std::optional<InstanceId> &id, Duration longPollWait,
                       GatewayPeers::ListRequest list = GatewayPeers::ListRequest::IfDue);
     void followStore(bool follow, std::string_view reason);
