--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -264,21 +264,21 @@
     const bool stale = !storeView_.confirmed()
                        || storeView_.age() > (followsSelf ? kMaxFreshAge : times().staleAge);
     if (!followsSelf) {
-        queryGateway(followed, kFollowLongPoll);
+        pollGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
         // A gateway that knows no others, such as a restarted seed, queries the first gateway that
         // it learns of at once: it must relearn the gateways that it has forgotten while it still
         // counts as being in contact with its peers.
         listsQueriedAt_ = now;
         pollOtherHalls(now);
-        queryGateway(directory_.nextPeer(settings_.instance, now), Duration{},
-                     GatewayPeers::ListRequest::Always);
+        pollGateway(directory_.nextPeer(settings_.instance, now), Duration{},
+                    GatewayPeers::ListRequest::Always);
         pollNextSeed();
     }
     if (stale && now - staleQueriedAt_ >= kStaleQueryInterval) {
         staleQueriedAt_ = now;
-        queryGateway(followsSelf ? nextRemoteGateway(now) : directory_.nextPeer(followed, now),
-                     Duration{});
+        pollGateway(followsSelf ? nextRemoteGateway(now) : directory_.nextPeer(followed, now),
+                    Duration{});
     }
     if (now - seedsQueriedAt_ >= kSeedQueryInterval) {
         pollSeeds(followsSelf && isDiscovering(now), now);
@@ -326,8 +326,8 @@
 {
     for (const HallId &hall : directory_.peerHalls()) {
         if (hall != settings_.hall) {
-            queryGateway(directory_.storeFollowerOf(hall, now), Duration{},
-                         GatewayPeers::ListRequest::Always);
+            pollGateway(directory_.storeFollowerOf(hall, now), Duration{},
+                        GatewayPeers::ListRequest::Always);
         }
     }
 }
@@ -345,8 +345,8 @@
     }
 }
 
-void StateSynchronizer::queryGateway(const std::optional<InstanceId> &id, Duration longPollWait,
-                                     GatewayPeers::ListRequest list)
+void StateSynchronizer::pollGateway(const std::optional<InstanceId> &id, Duration longPollWait,
+                                    GatewayPeers::ListRequest list)
 {
     const GatewayRecord *record = id ? directory_.find(*id) : nullptr;
     if (record != nullptr) {
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -85,8 +85,8 @@
     std::optional<InstanceId> nextRemoteGateway(TimePoint now);
     void pollOtherHalls(TimePoint now);
     void pollNextSeed();
-    void queryGateway(const std::optional<InstanceId> &id, Duration longPollWait,
-                      GatewayPeers::ListRequest list = GatewayPeers::ListRequest::IfDue);
+    void pollGateway(const std::optional<InstanceId> &id, Duration longPollWait,
+                     GatewayPeers::ListRequest list = GatewayPeers::ListRequest::IfDue);
     void followStore(bool follow, std::string_view reason);
 
     EventLoop &loop_;
