--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -196,7 +196,7 @@
 }
 
 // Returns whether this gateway is due to query the store although it follows another gateway.
-bool StateSynchronizer::isStoreQueryDue(TimePoint now) const
+bool StateSynchronizer::isStorePollDue(TimePoint now) const
 {
     if (peersQueryStore(now)) {
         return false;
@@ -232,7 +232,7 @@
     pollGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true
                                                                : followsSelf && !isDiscovering(now),
                now);
-    if (isStoreQueryDue(now)) {
+    if (isStorePollDue(now)) {
         fallbackWatchUntil_ = now + kFallbackWatchDuration;
     }
     if (waitsForPeers(now) || now < storeBackoffUntil_) {
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -77,7 +77,7 @@
     bool isDiscovering(TimePoint now) const;
     bool waitsForPeers(TimePoint now) const;
     StorePollSchedule times() const;
-    bool isStoreQueryDue(TimePoint now) const;
+    bool isStorePollDue(TimePoint now) const;
     bool peersQueryStore(TimePoint now) const;
     void pollGroups(bool active, TimePoint now);
     void pollPeers(const InstanceId &followed, TimePoint now);
