--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -188,7 +188,7 @@
 
 // Returns whether other gateways of the hall query the store on behalf of this one, and this one
 // receives their answers.
-bool StateSynchronizer::peersQueryStore(TimePoint now) const
+bool StateSynchronizer::peersPollStore(TimePoint now) const
 {
     const bool peersAnswer =
         peers_ != nullptr && now - peers_->lastAnswerAt() < kPeerContactTimeout;
@@ -198,7 +198,7 @@
 // Returns whether this gateway is due to query the store although it follows another gateway.
 bool StateSynchronizer::isStorePollDue(TimePoint now) const
 {
-    if (peersQueryStore(now)) {
+    if (peersPollStore(now)) {
         return false;
     }
     if (!storeView_.confirmed()) {
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -78,7 +78,7 @@
     bool waitsForPeers(TimePoint now) const;
     StorePollSchedule times() const;
     bool isStorePollDue(TimePoint now) const;
-    bool peersQueryStore(TimePoint now) const;
+    bool peersPollStore(TimePoint now) const;
     void pollGroups(bool active, TimePoint now);
     void pollPeers(const InstanceId &followed, TimePoint now);
     void pollSeeds(bool follows, TimePoint now);
