--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -265,11 +265,11 @@
                        || storeView_.age() > (followsSelf ? kMaxFreshAge : times().staleAge);
     if (!followsSelf) {
         pollGateway(followed, kFollowLongPoll);
-    } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
+    } else if (directory_.size() > 1 && now - listsPolledAt_ >= kListExchangeInterval) {
         // A gateway that knows no others, such as a restarted seed, queries the first gateway that
         // it learns of at once: it must relearn the gateways that it has forgotten while it still
         // counts as being in contact with its peers.
-        listsQueriedAt_ = now;
+        listsPolledAt_ = now;
         pollOtherHalls(now);
         pollGateway(directory_.nextPeer(settings_.instance, now), Duration{},
                     GatewayPeers::ListRequest::Always);
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -108,7 +108,7 @@
     TimePoint fallbackWatchUntil_{}; // End of a watch that was started because the state was stale.
     // Until then the store is not queried, because another gateway has newer state.
     TimePoint storeBackoffUntil_{};
-    TimePoint listsQueriedAt_{};
+    TimePoint listsPolledAt_{};
     TimePoint staleQueriedAt_{};
     TimePoint seedsQueriedAt_{};
 };
