--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -275,8 +275,8 @@
                     GatewayPeers::ListRequest::Always);
         pollNextSeed();
     }
-    if (stale && now - staleQueriedAt_ >= kStaleQueryInterval) {
-        staleQueriedAt_ = now;
+    if (stale && now - stalePolledAt_ >= kStaleQueryInterval) {
+        stalePolledAt_ = now;
         pollGateway(followsSelf ? nextRemoteGateway(now) : directory_.nextPeer(followed, now),
                     Duration{});
     }
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -109,7 +109,7 @@
     // Until then the store is not queried, because another gateway has newer state.
     TimePoint storeBackoffUntil_{};
     TimePoint listsPolledAt_{};
-    TimePoint staleQueriedAt_{};
+    TimePoint stalePolledAt_{};
     TimePoint seedsQueriedAt_{};
 };
 
