--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -280,7 +280,7 @@
         pollGateway(followsSelf ? nextRemoteGateway(now) : directory_.nextPeer(followed, now),
                     Duration{});
     }
-    if (now - seedsQueriedAt_ >= kSeedQueryInterval) {
+    if (now - seedsPolledAt_ >= kSeedQueryInterval) {
         pollSeeds(followsSelf && isDiscovering(now), now);
     }
 }
@@ -294,7 +294,7 @@
     if (!fewGatewaysKnown && !follows) {
         return;
     }
-    seedsQueriedAt_ = now;
+    seedsPolledAt_ = now;
     nextSeed_ += storeView_.confirmed() && storeView_.age() < kMaxFreshAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
         const bool selected = fewGatewaysKnown || index == nextSeed_ % settings_.seeds.size();
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -110,7 +110,7 @@
     TimePoint storeBackoffUntil_{};
     TimePoint listsPolledAt_{};
     TimePoint stalePolledAt_{};
-    TimePoint seedsQueriedAt_{};
+    TimePoint seedsPolledAt_{};
 };
 
 } // namespace seamarch
