--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -35,7 +35,7 @@
     times.stopDelay = std::min(kBalancerDetectionDelay, times.stopDeadline / 2);
     times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
                                   Duration(kReregistrationDelay));
-    times.storeBatchWindow =
+    times.storeCoalesceDelay =
         std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kBatchWindowDivisor;
     return times;
 }
--- a/src/gateway/gatewaybounds.h
+++ b/src/gateway/gatewaybounds.h
@@ -51,7 +51,7 @@
     // How long an upstream stays in use that disappeared from the list around a store outage.
     Duration lapseGrace{};
     // How long a gateway waits after a change in the store, to read further changes in one batch.
-    Duration storeBatchWindow{};
+    Duration storeCoalesceDelay{};
 };
 
 // Returns timings that keep within `bounds`. Timings to which a margin applies are at least 1 ms.
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -97,7 +97,7 @@
         loop_, *client_, store_, storeView_,
         {core_.groups(), core_.crashes(), core_.limits(), core_.permitIssuer(), core_.warmUps()},
         {settings_.instance, settings_.hall, settings_.peerListen, settings_.seeds,
-         settings_.agentPort, settings_.times.storeBatchWindow});
+         settings_.agentPort, settings_.times.storeCoalesceDelay});
     if (!synchronizer) {
         return tl::unexpected(synchronizer.error());
     }
