--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -52,7 +52,7 @@
 constexpr Duration kStoreWatchTimeout = std::chrono::seconds(10);
 // How long the store watch pauses after changes, so that they are read in batches. A new engine
 // takes longer than this to form its group.
-constexpr Duration kStoreWatchBatchDelay = std::chrono::milliseconds(200);
+constexpr Duration kStoreCoalesceDelay = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -391,7 +391,7 @@
     loggedCleared_ = 0;
     StoreWatcher::Settings watch;
     watch.longPollWait = kStoreWatchTimeout;
-    watch.coalesceDelay = kStoreWatchBatchDelay;
+    watch.coalesceDelay = kStoreCoalesceDelay;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
     storeWatcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
