--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -82,7 +82,7 @@
     {
         ExchangeId exchange = 0;
         HttpRequest request;
-        RequestMetadata facts;
+        RequestMetadata metadata;
         GatewayRequest admitted;
         HttpCallId call = 0;
         std::uint32_t attempt = 0; // The number of the current attempt.
@@ -130,7 +130,7 @@
     // Starts the request if it is admitted, else refuses it. Its times count from `arrivedAt`.
     void admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
     void processStartupQueue();
-    void refuse(ExchangeId exchange, const RequestMetadata &facts, FailureCode code,
+    void refuse(ExchangeId exchange, const RequestMetadata &metadata, FailureCode code,
                 Outcome outcome, Duration retryAfter);
 
     void carryOut(const GatewayActions &actions);
