--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -121,19 +121,20 @@
 
 void GatewayService::onRequest(ExchangeId exchange, HttpRequest request)
 {
-    RequestMetadata facts = protocol_.readRequest(request);
+    RequestMetadata metadata = protocol_.readRequest(request);
     if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.times.stopDelay) {
         // The balancer has noticed the stop by now, and a new request might not finish in time.
-        refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyRetryAfter);
+        refuse(exchange, metadata, FailureCode::EntryStopping, Outcome::NotRun,
+               kNotReadyRetryAfter);
         return;
     }
     const bool awaitsConfiguration =
         (!storeView_.hasConfiguration() || startupQueue_.size() > 0) && !stopping_;
     if (awaitsConfiguration
-        && startupQueue_.push(exchange, request, facts.deadline.value_or(Duration{}),
+        && startupQueue_.push(exchange, request, metadata.deadline.value_or(Duration{}),
                               loop_.now())) {
         logLine(LogLevel::Info, "request.held",
-                {{"id", facts.requestId},
+                {{"id", metadata.requestId},
                  {"reason", "no configuration"},
                  {"held", startupQueue_.size()}});
         return;
@@ -159,20 +160,20 @@
 
 void GatewayService::admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
 {
-    RequestMetadata facts = protocol_.readRequest(request);
-    auto admitted = storeView_.admit(request, facts);
+    RequestMetadata metadata = protocol_.readRequest(request);
+    auto admitted = storeView_.admit(request, metadata);
     if (!admitted) {
         const FailureCode code = admitted.error();
         const bool temporary =
             code == FailureCode::EntryNotReady || code == FailureCode::KnowledgeStale;
-        refuse(exchange, facts, code, Outcome::NotRun,
+        refuse(exchange, metadata, code, Outcome::NotRun,
                temporary ? kNotReadyRetryAfter : Duration{});
         return;
     }
     ActiveRequest active;
     active.exchange = exchange;
     active.request = std::move(request);
-    active.facts = std::move(facts);
+    active.metadata = std::move(metadata);
     admitted->age = loop_.now() - arrivedAt;
     admitted->digest = digestOf(active.request, admitted->account);
     active.admitted = *admitted;
@@ -185,18 +186,18 @@
     carryOut(actions);
 }
 
-void GatewayService::refuse(ExchangeId exchange, const RequestMetadata &facts, FailureCode code,
+void GatewayService::refuse(ExchangeId exchange, const RequestMetadata &metadata, FailureCode code,
                             Outcome outcome, Duration retryAfter)
 {
     HttpResponseHead head;
     head.status = httpStatus(code);
-    head.headers = protocol_.refusalHeaders(facts.requestId, outcome, retryAfter);
+    head.headers = protocol_.refusalHeaders(metadata.requestId, outcome, retryAfter);
     const json body = {
         {"error",
          {{"code", toString(code)}, {"message", advice(code)}, {"outcome", toString(outcome)}}}};
     metrics_.count("seamarch_failures_total", toString(code));
     logLine(LogLevel::Info, "request.refused",
-            {{"id", facts.requestId},
+            {{"id", metadata.requestId},
              {"code", toString(code)},
              {"outcome", toString(outcome)},
              {"retryAfterMs", toMillis(retryAfter)},
@@ -250,12 +251,12 @@
     if (action.failure == FailureCode::RequestEndsUpstreams) {
         const RequestDigest &digest = active.admitted.digest;
         logLine(LogLevel::Warning, "request.stopped",
-                {{"id", active.facts.requestId},
+                {{"id", active.metadata.requestId},
                  {"digest", toText(digest)},
                  {"account", active.admitted.account.value()},
                  {"ends", core_.crashes().crashCount(digest)}});
     }
-    refuse(active.exchange, active.facts, action.failure, action.outcome, action.retryAfter);
+    refuse(active.exchange, active.metadata, action.failure, action.outcome, action.retryAfter);
     endRequest(action.request, toString(action.failure));
 }
 
@@ -282,7 +283,7 @@
     metrics_.observe(Stage::Total, active.admitted.account, active.admitted.route->name,
                      now - active.startedAt);
     logLine(LogLevel::Info, "request.ended",
-            {{"id", active.facts.requestId},
+            {{"id", active.metadata.requestId},
              {"result", result},
              {"route", active.admitted.route->name},
              {"account", active.admitted.account.value()},
--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -113,18 +113,18 @@
         return;
     }
     ActiveRequest &active = found->second;
-    AttemptMetadata facts;
-    facts.instance = action.upstream.id;
-    facts.account = active.admitted.account;
-    facts.priority = active.admitted.priority;
-    facts.timeLeft = action.timeLeft;
-    facts.resumeAfter =
-        active.events.lastId().empty() ? active.facts.resumeAfter : active.events.lastId();
+    AttemptMetadata metadata;
+    metadata.instance = action.upstream.id;
+    metadata.account = active.admitted.account;
+    metadata.priority = active.admitted.priority;
+    metadata.timeLeft = action.timeLeft;
+    metadata.resumeAfter =
+        active.events.lastId().empty() ? active.metadata.resumeAfter : active.events.lastId();
     HttpCallRequest call;
     call.address = {action.upstream.host, action.upstream.port};
     call.method = active.request.method;
     call.path = active.request.target;
-    call.headers = protocol_.upstreamHeaders(active.request, facts);
+    call.headers = protocol_.upstreamHeaders(active.request, metadata);
     call.body = active.request.body;
     call.reuse = action.mayReuseConnection ? HttpReuse::Any : HttpReuse::Young;
     call.connectTimeout = kConnectTimeout;
@@ -139,7 +139,7 @@
     const TargetName &service = action.upstream.service;
     const GroupTracker *tracker = core_.tracker(service, action.group);
     logLine(LogLevel::Info, "attempt.started",
-            {{"id", active.facts.requestId},
+            {{"id", active.metadata.requestId},
              {"attempt", action.attempt},
              {"waitedMs", toMillis(loop_.now() - active.startedAt)},
              {"group", action.group.value()},
@@ -167,7 +167,7 @@
     if (action.silent) {
         active.events.discardPartial();
         logLine(LogLevel::Info, "attempt.silent",
-                {{"id", active.facts.requestId},
+                {{"id", active.metadata.requestId},
                  {"attempt", active.attempt},
                  {"upstream", active.upstream.value()},
                  {"group", active.group.value()},
@@ -182,7 +182,7 @@
     if (active == nullptr) {
         return;
     }
-    const AnswerKind kind = protocol_.classifyAnswer(head, active->facts);
+    const AnswerKind kind = protocol_.classifyAnswer(head, active->metadata);
     active->head = std::move(head);
     handleNotice(number, *active, kind);
     const bool events = kind == AnswerKind::Success && active->admitted.route->streamed
@@ -201,7 +201,7 @@
         return; // Decided when the body is complete.
     }
     logLine(LogLevel::Info, "attempt.refused",
-            {{"id", active->facts.requestId},
+            {{"id", active->metadata.requestId},
              {"attempt", attempt},
              {"upstream", active->upstream.value()},
              {"status", active->head.status},
@@ -289,7 +289,7 @@
         return;
     }
     logLine(LogLevel::Info, "attempt.lost",
-            {{"id", active->facts.requestId},
+            {{"id", active->metadata.requestId},
              {"attempt", attempt},
              {"upstream", active->upstream.value()},
              {"end", nameOf(end)},
@@ -322,7 +322,7 @@
 // take down another one.
 void GatewayService::probeUpstream(RequestNumber number, const ActiveRequest &active)
 {
-    LostAttempt lost{active.facts.requestId, active.admitted.digest, active.admitted.account,
+    LostAttempt lost{active.metadata.requestId, active.admitted.digest, active.admitted.account,
                      active.upstream, loop_.now()};
     const std::uint32_t attempt = active.attempt;
     probe_->ask(active.address, [this, number, attempt, lost](UpstreamState state) {
@@ -353,10 +353,10 @@
         endRequest(number, "served");
         return;
     }
-    const AnswerKind kind = protocol_.classifyAnswer(active.head, active.facts);
+    const AnswerKind kind = protocol_.classifyAnswer(active.head, active.metadata);
     if (!core_.onHead(number, kind, loop_.now(), actions)) {
         logLine(LogLevel::Info, "attempt.failed",
-                {{"id", active.facts.requestId},
+                {{"id", active.metadata.requestId},
                  {"attempt", active.attempt},
                  {"upstream", active.upstream.value()},
                  {"status", active.head.status}});
--- a/src/gateway/gatewayservicenotices.cpp
+++ b/src/gateway/gatewayservicenotices.cpp
@@ -35,7 +35,7 @@
         return;
     }
     logLine(LogLevel::Info, "upstream.notice",
-            {{"id", active.facts.requestId},
+            {{"id", active.metadata.requestId},
              {"attempt", active.attempt},
              {"upstream", active.upstream.value()},
              {"status", active.head.status},
@@ -74,7 +74,7 @@
     }
     logLine(
         LogLevel::Info, "limit.changed",
-        {{"id", active.facts.requestId},
+        {{"id", active.metadata.requestId},
          {"attempt", active.attempt},
          {"upstream", active.upstream.value()},
          {"change", nameOf(change)},
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -291,7 +291,7 @@
 }
 
 tl::expected<GatewayRequest, FailureCode>
-GatewayStoreView::admit(const HttpRequest &request, const RequestMetadata &facts) const
+GatewayStoreView::admit(const HttpRequest &request, const RequestMetadata &metadata) const
 {
     if (!table_) {
         return tl::unexpected(FailureCode::EntryNotReady);
@@ -300,7 +300,7 @@
     const bool mayDeny = confirmationAge <= freshness_.deny;
     GatewayRequest admitted;
     admitted.table = table_;
-    admitted.route = table_->match(facts.host, request.path);
+    admitted.route = table_->match(metadata.host, request.path);
     if (admitted.route == nullptr) {
         return tl::unexpected(mayDeny ? FailureCode::NotFound : FailureCode::KnowledgeStale);
     }
@@ -308,11 +308,11 @@
     admitted.residency.restrictTo(admitted.route->regions);
     const Duration defaultDeadline =
         admitted.route->timeout > Duration{} ? admitted.route->timeout : kDefaultDeadline;
-    admitted.deadline = facts.deadline.value_or(defaultDeadline);
+    admitted.deadline = metadata.deadline.value_or(defaultDeadline);
     if (admitted.route->allowsAnonymous || !table_->hasAccounts()) {
         return admitted;
     }
-    const AccountRule *account = table_->accountOf(facts.key);
+    const AccountRule *account = table_->accountOf(metadata.key);
     if (account == nullptr) {
         return tl::unexpected(mayDeny ? FailureCode::Unauthorized : FailureCode::KnowledgeStale);
     }
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -85,7 +85,7 @@
     // A copy that is too old to accept a key, or to reject a key or path as unknown, refuses with
     // `KnowledgeStale`.
     tl::expected<GatewayRequest, FailureCode> admit(const HttpRequest &request,
-                                                    const RequestMetadata &facts) const;
+                                                    const RequestMetadata &metadata) const;
 
     bool hasConfiguration() const { return table_ != nullptr; }
     // Returns whether the copy is recent enough to accept keys.
