--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -288,7 +288,7 @@
     PeerStoreState peerState;
     peerState.position = {news.getEra(), news.getRevision()};
     peerState.version = ConfigVersion(news.getConfigVersion());
-    peerState.upstreamsMark = news.getUpstreamsMark();
+    peerState.upstreamsDigest = news.getUpstreamsMark();
     if (news.hasConfig() && peerState.version > storeView_.version()) {
         const auto bytes = news.getConfig();
         const auto text = decompressText(bytes.begin(), bytes.size(), news.getConfigBytes());
@@ -334,7 +334,7 @@
 {
     const bool groupsChanged = lastGroupsMark_ != 0 && lastGroupsMark_ != pollRequest.groupsMark;
     return storeView_.version() > pollRequest.version
-           || storeView_.upstreamsMark() != pollRequest.upstreamsMark || groupsChanged
+           || storeView_.upstreamsDigest() != pollRequest.upstreamsDigest || groupsChanged
            || crashes_.hasChangedSince(pollRequest.crashCursor)
            || (pollRequest.wantsLimits && limits_.version() != pollRequest.limitsMark);
 }
@@ -378,8 +378,8 @@
         news.setConfig(kj::arrayPtr(compressedDocument_.data(), compressedDocument_.size()));
         news.setConfigBytes(static_cast<std::uint32_t>(storeView_.documentText().size()));
     }
-    news.setUpstreamsMark(storeView_.upstreamsMark());
-    if (storeView_.upstreamsMark() != pollRequest.upstreamsMark) {
+    news.setUpstreamsMark(storeView_.upstreamsDigest());
+    if (storeView_.upstreamsDigest() != pollRequest.upstreamsDigest) {
         writeUpstreams(news, pollRequest);
         writeDrainedHalls(storeView_.upstreams().drainedHalls(), news);
     }
@@ -388,7 +388,7 @@
 void GatewayPeers::recordUpstreamList()
 {
     if (storeView_.confirmed()) {
-        history_.recordState(storeView_.upstreamsMark(), storeView_.upstreams().all());
+        history_.recordState(storeView_.upstreamsDigest(), storeView_.upstreams().all());
     }
 }
 
@@ -398,8 +398,8 @@
 {
     recordUpstreamList();
     std::vector<const UpstreamRecord *> records = storeView_.upstreams().all();
-    const auto changed = pollRequest.takesChanges && pollRequest.upstreamsMark != 0
-                             ? history_.changedSince(pollRequest.upstreamsMark)
+    const auto changed = pollRequest.takesChanges && pollRequest.upstreamsDigest != 0
+                             ? history_.changedSince(pollRequest.upstreamsDigest)
                              : std::nullopt;
     if (changed) {
         std::set<InstanceId> removed = *changed;
@@ -407,7 +407,7 @@
             removed.erase(record->id);
             return !changed->contains(record->id);
         });
-        news.setUpstreamsSince(pollRequest.upstreamsMark);
+        news.setUpstreamsSince(pollRequest.upstreamsDigest);
         auto ids = news.initRemovedUpstreams(static_cast<std::uint32_t>(removed.size()));
         std::uint32_t index = 0;
         for (const InstanceId &id : removed) {
@@ -445,11 +445,11 @@
 {
     const TimePoint now = loop_.now();
     const std::uint64_t groupsMark = groups_.digest();
-    if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
+    if (storeView_.upstreamsDigest() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
         || groupsMark != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
         || limits_.version() != lastLimitsMark_) {
         recordUpstreamList();
-        lastUpstreamsMark_ = storeView_.upstreamsMark();
+        lastUpstreamsMark_ = storeView_.upstreamsDigest();
         lastVersion_ = storeView_.version();
         lastGroupsMark_ = groupsMark;
         lastCrashCursor_ = crashes_.cursor();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -136,7 +136,7 @@
     struct PollRequest
     {
         ConfigVersion version;
-        std::uint64_t upstreamsMark = 0;
+        std::uint64_t upstreamsDigest = 0;
         bool takesChanges = false; // Earlier software versions accept only full lists.
         std::uint64_t groupsMark = 0;
         std::uint64_t crashCursor = 0;
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -85,8 +85,9 @@
                                                              : peerState.position.era,
                                  peerState.position.revision};
     const bool isNewer = position >= position_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
-    const bool isComplete = (peerState.document || peerState.version <= version())
-                            && (peerState.upstreams || peerState.upstreamsMark == advertisedMark());
+    const bool isComplete =
+        (peerState.document || peerState.version <= version())
+        && (peerState.upstreams || peerState.upstreamsDigest == advertisedMark());
     if (!isNewer || !isComplete) {
         return false;
     }
@@ -94,7 +95,7 @@
     if (peerState.upstreams) {
         upstreams_.mirror(*peerState.upstreams);
         applyDrainedHalls(peerState.drainedHalls);
-        adoptedMark_ = peerState.upstreamsMark;
+        adoptedMark_ = peerState.upstreamsDigest;
         changesAtAdoption_ = upstreams_.changes();
         logLine(LogLevel::Info, "upstreams.adopted",
                 {{"revision", position.revision},
@@ -112,10 +113,10 @@
         return 0;
     }
     const bool adopted = adoptedMark_ != 0 && upstreams_.changes() == changesAtAdoption_;
-    return adopted ? adoptedMark_ : upstreamsMark();
+    return adopted ? adoptedMark_ : upstreamsDigest();
 }
 
-std::uint64_t GatewayStoreView::upstreamsMark() const
+std::uint64_t GatewayStoreView::upstreamsDigest() const
 {
     if (mark_ != 0 && markedChanges_ == upstreams_.changes()) {
         return mark_;
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -38,7 +38,7 @@
     StorePosition position; // The store's era and revision at which the state was read.
     ConfigVersion version;
     std::optional<RoutingDocument> document;              // Set if the receiver's version is lower.
-    std::uint64_t upstreamsMark = 0;                      // Digest of the sender's upstream list.
+    std::uint64_t upstreamsDigest = 0;                    // Digest of the sender's upstream list.
     std::optional<std::vector<UpstreamRecord>> upstreams; // Set if the receiver's mark differs.
     std::set<HallId> drainedHalls;                        // Valid if `upstreams` is set.
 };
@@ -67,14 +67,14 @@
     // Applies only the configuration of another gateway's state, if its version is higher.
     void adoptConfiguration(const PeerStoreState &peerState);
     // Returns the mark that stands for the own upstream list in requests to other gateways: the
-    // sender's mark if the list was adopted and is unchanged since, else `upstreamsMark`. The two
+    // sender's mark if the list was adopted and is unchanged since, else `upstreamsDigest`. The two
     // may differ, because this gateway may know of a leaving upstream that the sender did not know
     // of. Returns zero before the first confirmation.
     std::uint64_t advertisedMark() const;
     // Returns the mark of the own list, a digest of its contents that is never zero. Equal lists
     // have equal marks at all gateways, so a gateway that polls a different peer than before does
     // not receive the same list again.
-    std::uint64_t upstreamsMark() const;
+    std::uint64_t upstreamsDigest() const;
     // Returns the store's era and revision that the list of upstreams is at.
     const StorePosition &position() const { return position_; }
     // Returns the text of the document in force as the store holds it; empty while there is none.
--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -205,7 +205,7 @@
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState same{{1, 11}, ConfigVersion(3), std::nullopt, 77, std::nullopt, {}};
     CHECK_TRUE(view.adopt(same, loop->now() - std::chrono::seconds(1)));
-    same.upstreamsMark = 78;
+    same.upstreamsDigest = 78;
     CHECK_FALSE(view.adopt(same, loop->now()));
 }
 
@@ -222,10 +222,10 @@
     listed.position.revision = 12;
     listed.items.emplace_back(upstream("i-1"));
     other.onStoreListed(listed, loop->now());
-    CHECK_TRUE(view.upstreamsMark() == other.upstreamsMark());
+    CHECK_TRUE(view.upstreamsDigest() == other.upstreamsDigest());
     listed.items.emplace_back(upstream("i-2"));
     other.onStoreListed(listed, loop->now());
-    CHECK_FALSE(view.upstreamsMark() == other.upstreamsMark());
+    CHECK_FALSE(view.upstreamsDigest() == other.upstreamsDigest());
 }
 
 TEST(GatewayStoreViewTest, OwnListChangeReplacesTheAdoptedMark)
@@ -235,7 +235,7 @@
     items.position.revision = 11;
     items.items.emplace_back(upstream("i-1", true));
     view.onStoreChanged(items, loop->now());
-    CHECK_TRUE(view.advertisedMark() == view.upstreamsMark());
+    CHECK_TRUE(view.advertisedMark() == view.upstreamsDigest());
     CHECK_FALSE(view.advertisedMark() == 77);
 }
 
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -183,8 +183,8 @@
         peerState.version = sender.view.version();
         peerState.document.emplace();
         peerState.document->version = peerState.version;
-        peerState.upstreamsMark = sender.view.upstreamsMark();
-        if (peerState.upstreamsMark != gateways_[to]->view.upstreamsMark()) {
+        peerState.upstreamsDigest = sender.view.upstreamsDigest();
+        if (peerState.upstreamsDigest != gateways_[to]->view.upstreamsDigest()) {
             peerState.upstreams.emplace();
             for (const UpstreamRecord *record : sender.upstreams.all()) {
                 peerState.upstreams->push_back(*record);
--- a/test/gateway/storedrill_test.cpp
+++ b/test/gateway/storedrill_test.cpp
@@ -285,7 +285,7 @@
         if (message.peerState.version > gateways_[to]->storeView.version()) {
             message.peerState.document = document(message.peerState.version.value());
         }
-        message.peerState.upstreamsMark = sender.storeView.upstreamsMark();
+        message.peerState.upstreamsDigest = sender.storeView.upstreamsDigest();
         message.peerState.upstreams.emplace();
         for (const UpstreamRecord *record : sender.upstreams.all()) {
             message.peerState.upstreams->push_back(*record);
