--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -183,7 +183,7 @@
         maxWait = std::min(maxWait, configNotBefore_ - now);
     }
     request.setConfigVersion(configDeferred ? kNewerThanAnyConfig : storeView_.version().value());
-    request.setUpstreamsMark(storeView_.advertisedMark());
+    request.setUpstreamsMark(storeView_.advertisedDigest());
     request.setTakesChanges(true);
     request.setWantsGateways(withGatewayList);
     request.setGatewaysMark(directory_.digest());
@@ -431,7 +431,7 @@
     if (news.getUpstreamsSince() == 0) {
         return records;
     }
-    if (news.getUpstreamsSince() != storeView_.advertisedMark()) {
+    if (news.getUpstreamsSince() != storeView_.advertisedDigest()) {
         return std::nullopt;
     }
     std::set<InstanceId> removed;
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -87,7 +87,7 @@
     const bool isNewer = position >= position_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
     const bool isComplete =
         (peerState.document || peerState.version <= version())
-        && (peerState.upstreams || peerState.upstreamsDigest == advertisedMark());
+        && (peerState.upstreams || peerState.upstreamsDigest == advertisedDigest());
     if (!isNewer || !isComplete) {
         return false;
     }
@@ -107,7 +107,7 @@
     return true;
 }
 
-std::uint64_t GatewayStoreView::advertisedMark() const
+std::uint64_t GatewayStoreView::advertisedDigest() const
 {
     if (!confirmed()) {
         return 0;
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -70,7 +70,7 @@
     // sender's mark if the list was adopted and is unchanged since, else `upstreamsDigest`. The two
     // may differ, because this gateway may know of a leaving upstream that the sender did not know
     // of. Returns zero before the first confirmation.
-    std::uint64_t advertisedMark() const;
+    std::uint64_t advertisedDigest() const;
     // Returns the mark of the own list, a digest of its contents that is never zero. Equal lists
     // have equal marks at all gateways, so a gateway that polls a different peer than before does
     // not receive the same list again.
--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -46,7 +46,7 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now()));
     LONGS_EQUAL(3, view.version().value());
-    LONGS_EQUAL(77, view.advertisedMark());
+    LONGS_EQUAL(77, view.advertisedDigest());
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
     CHECK_TRUE(view.fresh());
 }
@@ -235,21 +235,21 @@
     items.position.revision = 11;
     items.items.emplace_back(upstream("i-1", true));
     view.onStoreChanged(items, loop->now());
-    CHECK_TRUE(view.advertisedMark() == view.upstreamsDigest());
-    CHECK_FALSE(view.advertisedMark() == 77);
+    CHECK_TRUE(view.advertisedDigest() == view.upstreamsDigest());
+    CHECK_FALSE(view.advertisedDigest() == 77);
 }
 
 // Guards against a gateway that reads the store itself and polls others without naming its list's
 // mark: it would receive the full list with each answer.
 TEST(GatewayStoreViewTest, StoreListIsAdvertisedByItsMark)
 {
-    LONGS_EQUAL(0, view.advertisedMark());
+    LONGS_EQUAL(0, view.advertisedDigest());
     StoreItems listed;
     listed.position = {1, 9};
     listed.items.emplace_back(document(3));
     listed.items.emplace_back(upstream("i-1"));
     view.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
-    const std::uint64_t mark = view.advertisedMark();
+    const std::uint64_t mark = view.advertisedDigest();
     CHECK_TRUE(mark != 0);
     const PeerStoreState same{{1, 10}, ConfigVersion(3), std::nullopt, mark, std::nullopt, {}};
     CHECK_TRUE(view.adopt(same, loop->now()));
