--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -95,7 +95,7 @@
     if (peerState.upstreams) {
         upstreams_.mirror(*peerState.upstreams);
         applyDrainedHalls(peerState.drainedHalls);
-        adoptedMark_ = peerState.upstreamsDigest;
+        adoptedDigest_ = peerState.upstreamsDigest;
         changesAtAdoption_ = upstreams_.changes();
         logLine(LogLevel::Info, "upstreams.adopted",
                 {{"revision", position.revision},
@@ -112,8 +112,8 @@
     if (!confirmed()) {
         return 0;
     }
-    const bool adopted = adoptedMark_ != 0 && upstreams_.changes() == changesAtAdoption_;
-    return adopted ? adoptedMark_ : upstreamsDigest();
+    const bool adopted = adoptedDigest_ != 0 && upstreams_.changes() == changesAtAdoption_;
+    return adopted ? adoptedDigest_ : upstreamsDigest();
 }
 
 std::uint64_t GatewayStoreView::upstreamsDigest() const
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -122,7 +122,7 @@
     StorePosition position_;         // The era and revision of the list of upstreams.
     mutable std::uint64_t mark_ = 0; // Cached mark of the list after `markedChanges_` changes.
     mutable std::uint64_t markedChanges_ = 0;
-    std::uint64_t adoptedMark_ = 0;
+    std::uint64_t adoptedDigest_ = 0;
     std::uint64_t changesAtAdoption_ = 0; // Change count of the list when it was adopted.
     bool storeReachable_ = false;
     bool routingUnreadable_ = false; // The store holds a newer document that could not be read.
