--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -19,7 +19,7 @@
         return;
     }
     facts_ = facts;
-    mark_ = digestOf(facts);
+    digest_ = digestOf(facts);
     waiters_.wakeAll();
 }
 
@@ -36,7 +36,7 @@
 {
     const std::uint64_t callerMark = context.getParams().getMark();
     const Duration wait = std::min(Duration(context.getParams().getWaitMicros()), kMaxWait);
-    if (!facts_ || callerMark != mark_ || wait <= Duration{}) {
+    if (!facts_ || callerMark != digest_ || wait <= Duration{}) {
         writeResults(context.getResults(), callerMark);
         return kj::READY_NOW;
     }
@@ -53,8 +53,8 @@
         return;
     }
     results.setGroup(facts_->group.value());
-    results.setMark(mark_);
-    writeGroup(*facts_, loop_.now() - asOf_, callerMark != mark_, results.initNews());
+    results.setMark(digest_);
+    writeGroup(*facts_, loop_.now() - asOf_, callerMark != digest_, results.initNews());
 }
 
 } // namespace seamarch
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -47,7 +47,7 @@
     EventLoop &loop_;
     WakeList waiters_;
     std::optional<GroupFacts> facts_; // Empty while this agent is not the decider.
-    std::uint64_t mark_ = 0;          // Digest of `facts_`.
+    std::uint64_t digest_ = 0;        // Digest of `facts_`.
     TimePoint asOf_{};                // When `facts_` were last confirmed.
     std::string deciderHost_;         // Empty if unknown.
 };
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -118,8 +118,8 @@
 
 std::uint64_t GatewayStoreView::upstreamsDigest() const
 {
-    if (mark_ != 0 && markedChanges_ == upstreams_.changes()) {
-        return mark_;
+    if (digest_ != 0 && markedChanges_ == upstreams_.changes()) {
+        return digest_;
     }
     std::string text;
     for (const UpstreamRecord *record : upstreams_.all()) {
@@ -133,8 +133,8 @@
     }
     markedChanges_ = upstreams_.changes();
     // Zero stands for "no list".
-    mark_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
-    return mark_;
+    digest_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
+    return digest_;
 }
 
 const std::string &GatewayStoreView::documentText() const
