--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -118,7 +118,7 @@
 
 std::uint64_t GatewayStoreView::upstreamsDigest() const
 {
-    if (digest_ != 0 && markedChanges_ == upstreams_.changes()) {
+    if (digest_ != 0 && digestedChanges_ == upstreams_.changes()) {
         return digest_;
     }
     std::string text;
@@ -131,7 +131,7 @@
     for (const HallId &hall : upstreams_.drainedHalls()) {
         text += fmt::format("drained|{}\n", hall.value());
     }
-    markedChanges_ = upstreams_.changes();
+    digestedChanges_ = upstreams_.changes();
     // Zero stands for "no list".
     digest_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
     return digest_;
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -120,8 +120,8 @@
     std::shared_ptr<const RouteTable> table_;
     std::optional<TimePoint> confirmedAt_;
     StorePosition position_;           // The era and revision of the list of upstreams.
-    mutable std::uint64_t digest_ = 0; // Cached mark of the list after `markedChanges_` changes.
-    mutable std::uint64_t markedChanges_ = 0;
+    mutable std::uint64_t digest_ = 0; // Cached mark of the list after `digestedChanges_` changes.
+    mutable std::uint64_t digestedChanges_ = 0;
     std::uint64_t adoptedDigest_ = 0;
     std::uint64_t changesAtAdoption_ = 0; // Change count of the list when it was adopted.
     bool storeReachable_ = false;
