--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -34,18 +34,19 @@
 
 kj::Promise<void> GroupReporter::answer(Context context)
 {
-    const std::uint64_t callerMark = context.getParams().getMark();
+    const std::uint64_t callerDigest = context.getParams().getMark();
     const Duration wait = std::min(Duration(context.getParams().getWaitMicros()), kMaxWait);
-    if (!facts_ || callerMark != digest_ || wait <= Duration{}) {
-        writeResults(context.getResults(), callerMark);
+    if (!facts_ || callerDigest != digest_ || wait <= Duration{}) {
+        writeResults(context.getResults(), callerDigest);
         return kj::READY_NOW;
     }
-    return waiters_.wait(wait).then(
-        [this, context, callerMark]() mutable { writeResults(context.getResults(), callerMark); });
+    return waiters_.wait(wait).then([this, context, callerDigest]() mutable {
+        writeResults(context.getResults(), callerDigest);
+    });
 }
 
 void GroupReporter::writeResults(wire::RankAgent::GroupResults::Builder results,
-                                 std::uint64_t callerMark) const
+                                 std::uint64_t callerDigest) const
 {
     results.setDecides(facts_.has_value());
     if (!facts_) {
@@ -54,7 +55,7 @@
     }
     results.setGroup(facts_->group.value());
     results.setMark(digest_);
-    writeGroup(*facts_, loop_.now() - asOf_, callerMark != digest_, results.initNews());
+    writeGroup(*facts_, loop_.now() - asOf_, callerDigest != digest_, results.initNews());
 }
 
 } // namespace seamarch
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -42,7 +42,7 @@
 
 private:
     void writeResults(wire::RankAgent::GroupResults::Builder results,
-                      std::uint64_t callerMark) const;
+                      std::uint64_t callerDigest) const;
 
     EventLoop &loop_;
     WakeList waiters_;
