--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -188,8 +188,8 @@
     request.setWantsGateways(withGatewayList);
     request.setGatewaysMark(directory_.digest());
     request.setWaitMicros(maxWait.count());
-    link.groupsMark = link.groupsMark == 0 ? groups_.digest() : link.groupsMark;
-    request.setGroupsMark(link.groupsMark);
+    link.groupsDigest = link.groupsDigest == 0 ? groups_.digest() : link.groupsDigest;
+    request.setGroupsMark(link.groupsDigest);
     request.setCrashCursor(link.crashCursor);
     request.setWantsLimits(true);
     request.setLimitsMark(link.limitsMark);
@@ -317,7 +317,7 @@
 void GatewayPeers::applyGroups(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news)
 {
     const Duration held(news.getHeldMicros());
-    const bool repeated = link.groupsMark == news.getGroupsMark();
+    const bool repeated = link.groupsDigest == news.getGroupsMark();
     const bool matchesOwn = groups_.digest() == news.getGroupsMark();
     for (const auto &group : news.getGroups()) {
         const TimePoint asOf = sentAt + held - Duration(group.getAgeMicros());
@@ -327,12 +327,12 @@
             groups_.renew(GroupId(group.getGroup().cStr()), asOf);
         }
     }
-    link.groupsMark = news.getGroupsMark();
+    link.groupsDigest = news.getGroupsMark();
 }
 
 bool GatewayPeers::hasNewsFor(const PollRequest &pollRequest) const
 {
-    const bool groupsChanged = lastGroupsMark_ != 0 && lastGroupsMark_ != pollRequest.groupsMark;
+    const bool groupsChanged = lastGroupsMark_ != 0 && lastGroupsMark_ != pollRequest.groupsDigest;
     return storeView_.version() > pollRequest.version
            || storeView_.upstreamsDigest() != pollRequest.upstreamsDigest || groupsChanged
            || crashes_.hasChangedSince(pollRequest.crashCursor)
@@ -359,7 +359,7 @@
         writeGateways(news, pollRequest.gatewaysMark);
     }
     news.setHeldMicros(held.count());
-    writeGroups(news, pollRequest.groupsMark);
+    writeGroups(news, pollRequest.groupsDigest);
     writeCrashes(news, pollRequest.crashCursor);
     writeLimits(news, pollRequest);
     if (!storeView_.hasConfiguration() || !storeView_.confirmed()) {
@@ -444,14 +444,14 @@
 void GatewayPeers::tick()
 {
     const TimePoint now = loop_.now();
-    const std::uint64_t groupsMark = groups_.digest();
+    const std::uint64_t groupsDigest = groups_.digest();
     if (storeView_.upstreamsDigest() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
-        || groupsMark != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
+        || groupsDigest != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
         || limits_.version() != lastLimitsMark_) {
         recordUpstreamList();
         lastUpstreamsMark_ = storeView_.upstreamsDigest();
         lastVersion_ = storeView_.version();
-        lastGroupsMark_ = groupsMark;
+        lastGroupsMark_ = groupsDigest;
         lastCrashCursor_ = crashes_.cursor();
         lastLimitsMark_ = limits_.version();
         waitingPolls_.wakeAll();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -99,9 +99,9 @@
         std::unique_ptr<RpcLink> rpc;
         InstanceId id; // Empty until it has answered.
         bool polling = false;
-        bool pollAgain = false;       // It announced an update during a poll; poll again after it.
-        std::uint64_t groupsMark = 0; // Mark of the groups last received from it, or of those known
-                                      // here at the first poll.
+        bool pollAgain = false; // It announced an update during a poll; poll again after it.
+        std::uint64_t groupsDigest = 0; // Mark of the groups last received from it, or of those
+                                        // known here at the first poll.
         std::uint64_t crashCursor = 0; // Its crash record has been received up to this cursor.
         std::uint64_t limitsMark = 0;  // Mark of the limits last received from it.
         TimePoint notBefore{};         // It is not polled before this time.
@@ -138,7 +138,7 @@
         ConfigVersion version;
         std::uint64_t upstreamsDigest = 0;
         bool takesChanges = false; // Earlier software versions accept only full lists.
-        std::uint64_t groupsMark = 0;
+        std::uint64_t groupsDigest = 0;
         std::uint64_t crashCursor = 0;
         bool wantsGateways = false;
         std::uint64_t gatewaysMark = 0;
