--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -356,7 +356,7 @@
                              Duration held)
 {
     if (pollRequest.wantsGateways) {
-        writeGateways(news, pollRequest.gatewaysMark);
+        writeGateways(news, pollRequest.gatewaysDigest);
     }
     news.setHeldMicros(held.count());
     writeGroups(news, pollRequest.groupsDigest);
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -102,9 +102,9 @@
         bool pollAgain = false; // It announced an update during a poll; poll again after it.
         std::uint64_t groupsDigest = 0; // Mark of the groups last received from it, or of those
                                         // known here at the first poll.
-        std::uint64_t crashCursor = 0; // Its crash record has been received up to this cursor.
-        std::uint64_t limitsMark = 0;  // Mark of the limits last received from it.
-        TimePoint notBefore{};         // It is not polled before this time.
+        std::uint64_t crashCursor = 0;  // Its crash record has been received up to this cursor.
+        std::uint64_t limitsMark = 0;   // Mark of the limits last received from it.
+        TimePoint notBefore{};          // It is not polled before this time.
         TimePoint usedAt{};
     };
 
@@ -141,7 +141,7 @@
         std::uint64_t groupsDigest = 0;
         std::uint64_t crashCursor = 0;
         bool wantsGateways = false;
-        std::uint64_t gatewaysMark = 0;
+        std::uint64_t gatewaysDigest = 0;
         bool wantsLimits = false; // Earlier software versions do not support limits.
         std::uint64_t limitsMark = 0;
     };
