--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -270,10 +270,10 @@
     directory_.applyGossip(news, now);
 }
 
-void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t knownMark) const
+void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t knownDigest) const
 {
     const TimePoint now = loop_.now();
-    const GatewayDirectory::GossipUpdate news = directory_.gossipFor(knownMark, now);
+    const GatewayDirectory::GossipUpdate news = directory_.gossipFor(knownDigest, now);
     to.setGatewaysMark(news.digest);
     auto list = to.initGateways(static_cast<std::uint32_t>(news.peers.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -119,7 +119,7 @@
     bool applyNews(TimePoint sentAt, wire::GatewayNews::Reader news);
     bool isGatewayListDue(const Link &link, TimePoint now) const;
     void applyGateways(wire::GatewayNews::Reader news, TimePoint now);
-    void writeGateways(wire::GatewayNews::Builder news, std::uint64_t knownMark) const;
+    void writeGateways(wire::GatewayNews::Builder news, std::uint64_t knownDigest) const;
     void applyGroups(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news);
     void applyCrashes(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news);
     void applyLimits(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news);
