--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -343,12 +343,12 @@
 {
     const TimePoint now = loop_.now();
     const auto &known = groups_.groups();
-    const std::uint64_t ownMark = groups_.digest();
-    news.setGroupsMark(ownMark);
+    const std::uint64_t ownDigest = groups_.digest();
+    news.setGroupsMark(ownDigest);
     auto list = news.initGroups(static_cast<std::uint32_t>(known.size()));
     std::uint32_t index = 0;
     for (const auto &[id, group] : known) {
-        writeGroup(group.facts, now - group.asOf, ownMark != mark, list[index++]);
+        writeGroup(group.facts, now - group.asOf, ownDigest != mark, list[index++]);
     }
 }
 
