--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -339,7 +339,7 @@
            || (pollRequest.wantsLimits && limits_.version() != pollRequest.limitsMark);
 }
 
-void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const
+void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t knownDigest) const
 {
     const TimePoint now = loop_.now();
     const auto &known = groups_.groups();
@@ -348,7 +348,7 @@
     auto list = news.initGroups(static_cast<std::uint32_t>(known.size()));
     std::uint32_t index = 0;
     for (const auto &[id, group] : known) {
-        writeGroup(group.facts, now - group.asOf, ownDigest != mark, list[index++]);
+        writeGroup(group.facts, now - group.asOf, ownDigest != knownDigest, list[index++]);
     }
 }
 
