--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -150,7 +150,7 @@
     void recordUpstreamList();
     void writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest);
     std::optional<std::vector<UpstreamRecord>> readUpstreams(wire::GatewayNews::Reader news) const;
-    void writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const;
+    void writeGroups(wire::GatewayNews::Builder news, std::uint64_t knownDigest) const;
     void writeCrashes(wire::GatewayNews::Builder news, std::uint64_t cursor) const;
     void writeLimits(wire::GatewayNews::Builder news, const PollRequest &pollRequest) const;
     void taskFailed(kj::Exception &&exception) override;
