--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -192,7 +192,7 @@
     request.setGroupsMark(link.groupsDigest);
     request.setCrashCursor(link.crashCursor);
     request.setWantsLimits(true);
-    request.setLimitsMark(link.limitsMark);
+    request.setLimitsMark(link.limitsVersion);
     // The first of the answer and the timeout ends the poll.
     const auto finished = std::make_shared<bool>(false);
     loop_.schedule(maxWait + detail::kPeerTimeout, [this, address, finished, alive = alive_] {
@@ -336,7 +336,7 @@
     return storeView_.version() > pollRequest.version
            || storeView_.upstreamsDigest() != pollRequest.upstreamsDigest || groupsChanged
            || crashes_.hasChangedSince(pollRequest.crashCursor)
-           || (pollRequest.wantsLimits && limits_.version() != pollRequest.limitsMark);
+           || (pollRequest.wantsLimits && limits_.version() != pollRequest.limitsVersion);
 }
 
 void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t knownDigest) const
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -100,11 +100,11 @@
         InstanceId id; // Empty until it has answered.
         bool polling = false;
         bool pollAgain = false; // It announced an update during a poll; poll again after it.
-        std::uint64_t groupsDigest = 0; // Mark of the groups last received from it, or of those
-                                        // known here at the first poll.
-        std::uint64_t crashCursor = 0;  // Its crash record has been received up to this cursor.
-        std::uint64_t limitsMark = 0;   // Mark of the limits last received from it.
-        TimePoint notBefore{};          // It is not polled before this time.
+        std::uint64_t groupsDigest = 0;  // Mark of the groups last received from it, or of those
+                                         // known here at the first poll.
+        std::uint64_t crashCursor = 0;   // Its crash record has been received up to this cursor.
+        std::uint64_t limitsVersion = 0; // Mark of the limits last received from it.
+        TimePoint notBefore{};           // It is not polled before this time.
         TimePoint usedAt{};
     };
 
@@ -143,7 +143,7 @@
         bool wantsGateways = false;
         std::uint64_t gatewaysDigest = 0;
         bool wantsLimits = false; // Earlier software versions do not support limits.
-        std::uint64_t limitsMark = 0;
+        std::uint64_t limitsVersion = 0;
     };
     bool hasNewsFor(const PollRequest &pollRequest) const;
     void writeNews(wire::GatewayNews::Builder news, const PollRequest &pollRequest, Duration held);
--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -40,7 +40,7 @@
                      {"ageMs", toMillis(loop_.now() - namedLimit.reportedAt)}});
         }
     }
-    link.limitsMark = news.getLimitsMark();
+    link.limitsVersion = news.getLimitsMark();
 }
 
 void GatewayPeers::writeLimits(wire::GatewayNews::Builder news,
@@ -50,7 +50,7 @@
         return;
     }
     news.setLimitsMark(limits_.version());
-    if (limits_.version() == pollRequest.limitsMark) {
+    if (limits_.version() == pollRequest.limitsVersion) {
         return;
     }
     const std::vector<LimitReport> namedLimits = limits_.all();
