--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -445,11 +445,11 @@
 {
     const TimePoint now = loop_.now();
     const std::uint64_t groupsDigest = groups_.digest();
-    if (storeView_.upstreamsDigest() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
+    if (storeView_.upstreamsDigest() != lastUpstreamsDigest_ || storeView_.version() != lastVersion_
         || groupsDigest != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
         || limits_.version() != lastLimitsMark_) {
         recordUpstreamList();
-        lastUpstreamsMark_ = storeView_.upstreamsDigest();
+        lastUpstreamsDigest_ = storeView_.upstreamsDigest();
         lastVersion_ = storeView_.version();
         lastGroupsMark_ = groupsDigest;
         lastCrashCursor_ = crashes_.cursor();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -173,7 +173,7 @@
     ConfigVersion compressedVersion_;
     UpstreamHistory history_; // Recent changes of the upstream list, to send them instead of all.
     // The state at the last tick. A difference means that there is an update for waiting polls.
-    std::uint64_t lastUpstreamsMark_ = 0;
+    std::uint64_t lastUpstreamsDigest_ = 0;
     ConfigVersion lastVersion_;
     std::uint64_t lastGroupsMark_ = 0;
     std::uint64_t lastCrashCursor_ = 0;
