--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -332,7 +332,8 @@
 
 bool GatewayPeers::hasNewsFor(const PollRequest &pollRequest) const
 {
-    const bool groupsChanged = lastGroupsMark_ != 0 && lastGroupsMark_ != pollRequest.groupsDigest;
+    const bool groupsChanged =
+        lastGroupsDigest_ != 0 && lastGroupsDigest_ != pollRequest.groupsDigest;
     return storeView_.version() > pollRequest.version
            || storeView_.upstreamsDigest() != pollRequest.upstreamsDigest || groupsChanged
            || crashes_.hasChangedSince(pollRequest.crashCursor)
@@ -446,12 +447,12 @@
     const TimePoint now = loop_.now();
     const std::uint64_t groupsDigest = groups_.digest();
     if (storeView_.upstreamsDigest() != lastUpstreamsDigest_ || storeView_.version() != lastVersion_
-        || groupsDigest != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
+        || groupsDigest != lastGroupsDigest_ || crashes_.cursor() != lastCrashCursor_
         || limits_.version() != lastLimitsMark_) {
         recordUpstreamList();
         lastUpstreamsDigest_ = storeView_.upstreamsDigest();
         lastVersion_ = storeView_.version();
-        lastGroupsMark_ = groupsDigest;
+        lastGroupsDigest_ = groupsDigest;
         lastCrashCursor_ = crashes_.cursor();
         lastLimitsMark_ = limits_.version();
         waitingPolls_.wakeAll();
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -175,7 +175,7 @@
     // The state at the last tick. A difference means that there is an update for waiting polls.
     std::uint64_t lastUpstreamsDigest_ = 0;
     ConfigVersion lastVersion_;
-    std::uint64_t lastGroupsMark_ = 0;
+    std::uint64_t lastGroupsDigest_ = 0;
     std::uint64_t lastCrashCursor_ = 0;
     std::uint64_t lastLimitsMark_ = 0;
     std::uint64_t peerCrashChanges_ = 0;     // Changes to `crashes_` received from other gateways.
