--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -98,7 +98,7 @@
     , onStateReceived_(std::move(onStateReceived))
     , waitingPolls_(loop)
     , lastCrashCursor_(crashes_.cursor())
-    , lastLimitsMark_(limits_.version())
+    , lastLimitsVersion_(limits_.version())
     , initialOwnEventCount_(ownEventCount())
     , announcedEventCount_(ownEventCount())
     , startedAt_(loop.now())
@@ -448,13 +448,13 @@
     const std::uint64_t groupsDigest = groups_.digest();
     if (storeView_.upstreamsDigest() != lastUpstreamsDigest_ || storeView_.version() != lastVersion_
         || groupsDigest != lastGroupsDigest_ || crashes_.cursor() != lastCrashCursor_
-        || limits_.version() != lastLimitsMark_) {
+        || limits_.version() != lastLimitsVersion_) {
         recordUpstreamList();
         lastUpstreamsDigest_ = storeView_.upstreamsDigest();
         lastVersion_ = storeView_.version();
         lastGroupsDigest_ = groupsDigest;
         lastCrashCursor_ = crashes_.cursor();
-        lastLimitsMark_ = limits_.version();
+        lastLimitsVersion_ = limits_.version();
         waitingPolls_.wakeAll();
     }
     announce(now);
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -177,7 +177,7 @@
     ConfigVersion lastVersion_;
     std::uint64_t lastGroupsDigest_ = 0;
     std::uint64_t lastCrashCursor_ = 0;
-    std::uint64_t lastLimitsMark_ = 0;
+    std::uint64_t lastLimitsVersion_ = 0;
     std::uint64_t peerCrashChanges_ = 0;     // Changes to `crashes_` received from other gateways.
     std::uint64_t initialOwnEventCount_ = 0; // `ownEventCount` at the start.
     std::uint64_t announcedEventCount_ = 0;  // `ownEventCount` when all halls had acknowledged.
