--- a/src/gateway/grouppoller.cpp
+++ b/src/gateway/grouppoller.cpp
@@ -92,7 +92,7 @@
     }
     link.lastUsedAt = now;
     auto request = link.rpc->capability().castAs<wire::RankAgent>().groupRequest();
-    request.setMark(link.mark);
+    request.setMark(link.digest);
     request.setWaitMicros(kLongPollWait.count());
     // The poll is settled by the reply or by the timeout, whichever comes first.
     const auto settled = std::make_shared<bool>(false);
@@ -137,8 +137,8 @@
     planner_.onDecider(host, group);
     Link &link = links_[host];
     const auto groupNews = reply.getNews();
-    const bool unchanged = link.mark == reply.getMark();
-    link.mark = reply.getMark();
+    const bool unchanged = link.digest == reply.getMark();
+    link.digest = reply.getMark();
     const TimePoint asOf = sentAt - Duration(groupNews.getAgeMicros());
     if (unchanged) {
         groups_.renew(group, asOf);
