--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -68,10 +68,10 @@
 ChoiceCounts ChoiceCountHistory::record(std::vector<std::uint64_t> counts, std::uint64_t since)
 {
     ChoiceCounts result;
-    result.mark = nextMark_++;
+    result.snapshotId = nextMark_++;
     const auto found =
         std::find_if(snapshots_.begin(), snapshots_.end(),
-                     [since](const Snapshot &snapshot) { return snapshot.mark == since; });
+                     [since](const Snapshot &snapshot) { return snapshot.snapshotId == since; });
     if (since != 0 && found != snapshots_.end()) {
         const std::vector<std::uint64_t> chosen = countDelta(found->counts, counts);
         if (!chosen.empty()) {
@@ -79,7 +79,7 @@
             quantize(chosen, result);
         }
     }
-    snapshots_.push_back({result.mark, std::move(counts)});
+    snapshots_.push_back({result.snapshotId, std::move(counts)});
     if (snapshots_.size() > kMaxSnapshots) {
         snapshots_.pop_front();
     }
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -19,8 +19,8 @@
 // How often each expert was chosen between two snapshots, quantized by block of experts.
 struct ChoiceCounts
 {
-    std::uint64_t mark = 0;  // Identifies the later snapshot.
-    std::uint64_t since = 0; // Identifies the earlier snapshot; zero if there is no delta.
+    std::uint64_t snapshotId = 0; // Identifies the later snapshot.
+    std::uint64_t since = 0;      // Identifies the earlier snapshot; zero if there is no delta.
     // Choices per quantization step, for each block of kBlockSize experts.
     std::vector<float> scales;
     std::vector<std::uint8_t> quantized; // Quantization steps, by expert.
@@ -50,7 +50,7 @@
 private:
     struct Snapshot
     {
-        std::uint64_t mark = 0;
+        std::uint64_t snapshotId = 0;
         std::vector<std::uint64_t> counts;
     };
 
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -439,7 +439,7 @@
             return;
         }
         if (facts->choices) {
-            ownCountsMark_ = facts->choices->mark;
+            ownCountsMark_ = facts->choices->snapshotId;
         }
         onPeerFacts(*facts, now);
     });
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -214,7 +214,7 @@
     peer.answeredAt = loop_.now();
     const RankFacts facts = readFacts(state);
     if (facts.choices) {
-        peer.countsMark = facts.choices->mark;
+        peer.countsMark = facts.choices->snapshotId;
     }
     deliverFacts(id, facts, requestedAt);
 }
--- a/src/experts/rankwire.cpp
+++ b/src/experts/rankwire.cpp
@@ -35,7 +35,7 @@
 
 void writeChoices(const ChoiceCounts &counts, wire::ChoiceCounts::Builder to)
 {
-    to.setMark(counts.mark);
+    to.setMark(counts.snapshotId);
     to.setSince(counts.since);
     auto units = to.initUnits(sizeOf(counts.scales));
     for (std::uint32_t index = 0; index < units.size(); ++index) {
@@ -47,7 +47,7 @@
 ChoiceCounts readChoices(wire::ChoiceCounts::Reader from)
 {
     ChoiceCounts counts;
-    counts.mark = from.getMark();
+    counts.snapshotId = from.getMark();
     counts.since = from.getSince();
     for (const float unit : from.getUnits()) {
         counts.scales.push_back(unit);
--- a/test/experts/rankwire_test.cpp
+++ b/test/experts/rankwire_test.cpp
@@ -30,7 +30,7 @@
     LONGS_EQUAL(4096, read.report.fence);
     DOUBLES_EQUAL(2.5, read.report.pace, 1e-6);
     STRCMP_EQUAL("north", read.report.group.value().c_str());
-    LONGS_EQUAL(8, read.choices->mark);
+    LONGS_EQUAL(8, read.choices->snapshotId);
     LONGS_EQUAL(7, read.choices->since);
     CHECK_TRUE(read.choices->scales == facts.choices->scales);
     CHECK_TRUE(read.choices->quantized == facts.choices->quantized);
