--- a/src/decision/expertmap/choicecounts.cpp
+++ b/src/decision/expertmap/choicecounts.cpp
@@ -68,7 +68,7 @@
 ChoiceCounts ChoiceCountHistory::record(std::vector<std::uint64_t> counts, std::uint64_t since)
 {
     ChoiceCounts result;
-    result.snapshotId = nextMark_++;
+    result.snapshotId = nextSnapshotId_++;
     const auto found =
         std::find_if(snapshots_.begin(), snapshots_.end(),
                      [since](const Snapshot &snapshot) { return snapshot.snapshotId == since; });
--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -39,7 +39,7 @@
     // `firstMark` is a random number, so that marks from an earlier run of the process do not match
     // a snapshot of this one.
     explicit ChoiceCountHistory(std::uint64_t firstMark)
-        : nextMark_(firstMark == 0 ? 1 : firstMark)
+        : nextSnapshotId_(firstMark == 0 ? 1 : firstMark)
     {}
 
     // Stores a snapshot of the counts since the engine's start and returns the delta since the
@@ -58,7 +58,7 @@
     static constexpr std::size_t kMaxSnapshots = 4;
 
     std::deque<Snapshot> snapshots_;
-    std::uint64_t nextMark_;
+    std::uint64_t nextSnapshotId_;
 };
 
 } // namespace seamarch
