--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -36,10 +36,10 @@
 class ChoiceCountHistory
 {
 public:
-    // `firstMark` is a random number, so that marks from an earlier run of the process do not match
-    // a snapshot of this one.
-    explicit ChoiceCountHistory(std::uint64_t firstMark)
-        : nextSnapshotId_(firstMark == 0 ? 1 : firstMark)
+    // `firstSnapshotId` is a random number, so that marks from an earlier run of the process do not
+    // match a snapshot of this one.
+    explicit ChoiceCountHistory(std::uint64_t firstSnapshotId)
+        : nextSnapshotId_(firstSnapshotId == 0 ? 1 : firstSnapshotId)
     {}
 
     // Stores a snapshot of the counts since the engine's start and returns the delta since the
