--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -159,7 +159,8 @@
     peer.requestedAt = now;
     if (query.counts) {
         // Counts over a long period would mix past demand with current demand.
-        peer.countsMark = now - peer.countsRequestedAt < kMaxMarkAge ? peer.countsMark : 0;
+        peer.countsSnapshotId =
+            now - peer.countsRequestedAt < kMaxMarkAge ? peer.countsSnapshotId : 0;
         peer.countsRequestedAt = now;
     }
     // A connection may be silent for good while a new one would work.
@@ -180,7 +181,7 @@
     const TimePoint requestedAt = loop_.now();
     auto request = peer.link->capability().castAs<wire::RankAgent>().stateRequest();
     request.setCounts(query.counts);
-    request.setCountsSince(peer.countsMark);
+    request.setCountsSince(peer.countsSnapshotId);
     request.setExperts(query.experts);
     request.setAskerRank(ownRank);
     request.setAskerGroup(settings_.group.value());
@@ -214,7 +215,7 @@
     peer.answeredAt = loop_.now();
     const RankFacts facts = readFacts(state);
     if (facts.choices) {
-        peer.countsMark = facts.choices->snapshotId;
+        peer.countsSnapshotId = facts.choices->snapshotId;
     }
     deliverFacts(id, facts, requestedAt);
 }
