--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -432,14 +432,14 @@
     ownPollPending_ = true;
     const TimePoint now = loop_.now();
     ownPolledAt_ = now;
-    query.countsSince = ownCountsMark_;
+    query.countsSince = ownCountsSnapshotId_;
     fetchOwnFacts(query, [this, now](std::optional<RankFacts> facts) {
         ownPollPending_ = false;
         if (!facts) {
             return;
         }
         if (facts->choices) {
-            ownCountsMark_ = facts->choices->snapshotId;
+            ownCountsSnapshotId_ = facts->choices->snapshotId;
         }
         onPeerFacts(*facts, now);
     });
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -149,7 +149,7 @@
     Duration pauseGoal_{};            // Shortest pause goal of the service's routes; zero: unknown.
     bool ownEngineHoldsStep_ = false; // From the own engine's last report.
     std::optional<LowerRankDecider> lowerRankDecider_;
-    std::uint64_t ownCountsMark_ = 0; // Mark of the own rank's last counts.
+    std::uint64_t ownCountsSnapshotId_ = 0; // Mark of the own rank's last counts.
     std::uint64_t epoch_ = 0;
     TimePoint startedAt_{};
     TimePoint ownPolledAt_{};  // Last poll of the own engine by this agent.
