--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -18,7 +18,7 @@
 // How long an answer to a query is awaited before the peer may be queried again.
 constexpr Duration kAgentQueryTimeout = std::chrono::milliseconds(600);
 // A counts query starts at the previous one's mark if that query is younger than this.
-constexpr Duration kMaxMarkAge = std::chrono::seconds(1);
+constexpr Duration kMaxSnapshotAge = std::chrono::seconds(1);
 // Up to this many queries are always allowed per call, because so few answers never queue at the
 // link: 16 reports take about 6 KB.
 constexpr std::size_t kMinQueriesPerCall = 16;
@@ -160,7 +160,7 @@
     if (query.counts) {
         // Counts over a long period would mix past demand with current demand.
         peer.countsSnapshotId =
-            now - peer.countsRequestedAt < kMaxMarkAge ? peer.countsSnapshotId : 0;
+            now - peer.countsRequestedAt < kMaxSnapshotAge ? peer.countsSnapshotId : 0;
         peer.countsRequestedAt = now;
     }
     // A connection may be silent for good while a new one would work.
