--- a/src/decision/expertmap/collectionplan.cpp
+++ b/src/decision/expertmap/collectionplan.cpp
@@ -41,7 +41,7 @@
     CollectionPlan plan;
     plan.reportInterval = std::max(
         kMinInterval, transferTime(ranks * kReportBytes, inputs.linkBytesPerSecond * kReportShare));
-    plan.reportTtl = 2 * plan.reportInterval + kLateAnswerAllowance;
+    plan.reportTimeToLive = 2 * plan.reportInterval + kLateAnswerAllowance;
     const Duration allRanksTime = transferTime(ranks * bytes, countsRate);
     const Duration minRanksTime =
         transferTime(std::min(ranks, double{kMinSampledRanks}) * bytes, countsRate);
--- a/src/decision/expertmap/collectionplan.h
+++ b/src/decision/expertmap/collectionplan.h
@@ -34,7 +34,7 @@
 struct CollectionPlan
 {
     Duration reportInterval{};      // Between two reports of one rank.
-    Duration reportTtl{};           // How long a report counts as current.
+    Duration reportTimeToLive{};    // How long a report counts as current.
     Duration countsInterval{};      // Between two rounds of counts.
     std::uint32_t sampledRanks = 0; // Number of ranks polled in a round of counts.
     Duration roundWindow{};         // Time within which all answers of a round arrive.
--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -89,7 +89,7 @@
 bool GroupDecider::isCurrent(const Rank &rank, TimePoint now) const
 {
     return rank.hasReported && rank.report.epoch == epoch_ && rank.report.open
-           && now - rank.requestedAt <= settings_.reportTtl;
+           && now - rank.requestedAt <= settings_.reportTimeToLive;
 }
 
 bool GroupDecider::allRanksCurrent(TimePoint now) const
@@ -114,7 +114,7 @@
 {
     const auto reports = [&](const auto &entry) {
         const Rank &rank = entry.second;
-        return rank.hasReported && now - rank.requestedAt <= settings_.reportTtl;
+        return rank.hasReported && now - rank.requestedAt <= settings_.reportTimeToLive;
     };
     return size_ > 0 && ranks_.size() == size_ && !acceptsRequests()
            && std::all_of(ranks_.begin(), ranks_.end(), reports);
@@ -407,7 +407,7 @@
     return std::any_of(ranks_.begin(), ranks_.end(), [&](const auto &entry) {
         const Rank &rank = entry.second;
         return rank.hasReported && !rank.report.open
-               && now - rank.requestedAt <= settings_.reportTtl;
+               && now - rank.requestedAt <= settings_.reportTimeToLive;
     });
 }
 
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -163,7 +163,7 @@
         // is waiting.
         Duration armTimeout = std::chrono::milliseconds(1500);
         // Time for which a report counts as current, unless setReportTtl() sets another value.
-        Duration reportTtl = std::chrono::milliseconds(700);
+        Duration reportTimeToLive = std::chrono::milliseconds(700);
         // Time after which unresolved arms and holds of other deciders are cleared. Until then,
         // their decider may still be working on them.
         Duration foreignTimeout = std::chrono::milliseconds(1200);
@@ -211,7 +211,7 @@
     bool abandon(TimePoint now);
 
     // Sets the time for which a report counts as current, which depends on the poll interval.
-    void setReportTtl(Duration ttl) { settings_.reportTtl = ttl; }
+    void setReportTtl(Duration ttl) { settings_.reportTimeToLive = ttl; }
 
     // Gives up the role of decider. A change in progress is left for the next decider to clear.
     void resign();
--- a/test/decision/expertmap/collectionplan_test.cpp
+++ b/test/decision/expertmap/collectionplan_test.cpp
@@ -57,7 +57,8 @@
 {
     for (const Group &group : kGroups) {
         const CollectionPlan plan = planFor(group);
-        CHECK_TEXT(plan.reportTtl >= 2 * plan.reportInterval + std::chrono::milliseconds(500),
+        CHECK_TEXT(plan.reportTimeToLive
+                       >= 2 * plan.reportInterval + std::chrono::milliseconds(500),
                    nameOf(group).c_str());
     }
 }
