--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -162,7 +162,8 @@
         // A change whose arms are not all confirmed after this time is cleared, because the group
         // is waiting.
         Duration armTimeout = std::chrono::milliseconds(1500);
-        // Time for which a report counts as current, unless setReportTtl() sets another value.
+        // Time for which a report counts as current, unless setReportTimeToLive() sets another
+        // value.
         Duration reportTimeToLive = std::chrono::milliseconds(700);
         // Time after which unresolved arms and holds of other deciders are cleared. Until then,
         // their decider may still be working on them.
@@ -211,7 +212,7 @@
     bool abandon(TimePoint now);
 
     // Sets the time for which a report counts as current, which depends on the poll interval.
-    void setReportTtl(Duration ttl) { settings_.reportTimeToLive = ttl; }
+    void setReportTimeToLive(Duration ttl) { settings_.reportTimeToLive = ttl; }
 
     // Gives up the role of decider. A change in progress is left for the next decider to clear.
     void resign();
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -455,7 +455,7 @@
     inputs.countsBytes = rule_ ? std::uint64_t{rule_->sets} * rule_->experts : 0;
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
     const CollectionPlan plan = planCollection(inputs);
-    decider_->setReportTtl(plan.reportTimeToLive);
+    decider_->setReportTimeToLive(plan.reportTimeToLive);
     planner_.setRoundWindow(plan.roundWindow);
     // After an alarm, polls as often as rounds allow, so that it is soon confirmed or dismissed.
     const Duration countsInterval = planner_.shiftSuspected()
