--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -41,7 +41,7 @@
         double nearGoalRatio = 0.8;
         // How long a pause near the goal counts. New pauses are observed at the end of each pass,
         // so there is no need to wait for longer than the goal.
-        Duration nearGoalTtl = std::chrono::milliseconds(150);
+        Duration nearTargetTimeToLive = std::chrono::milliseconds(150);
         // If streams are in flight and none has had an event for this long, the engines are
         // stalled, and the absence of long pauses must not raise the limit. Engines that wait for a
         // lost one give up after about 1.5 s.
@@ -74,7 +74,7 @@
     // next passes may take them over it.
     bool nearGoal(TimePoint now) const
     {
-        return nearGoalAt_ && now - *nearGoalAt_ < settings_.nearGoalTtl;
+        return nearGoalAt_ && now - *nearGoalAt_ < settings_.nearTargetTimeToLive;
     }
 
     bool admits(std::uint32_t inFlight) const { return inFlight + 1.0 <= limit_ + 0.5; }
--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -72,7 +72,7 @@
 TEST(StreamLimiterTest, NearGoalExpires)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
-    CHECK_FALSE(limiter.nearGoal(at(1000) + StreamLimiter::Settings().nearGoalTtl));
+    CHECK_FALSE(limiter.nearGoal(at(1000) + StreamLimiter::Settings().nearTargetTimeToLive));
 }
 
 // With 149 gateways and 129 ranks of six slots, a fixed initial limit of 12 streams per gateway,
