--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -40,7 +40,7 @@
     if (known != groups_->end() && !known->second.inOwnHall) {
         settings.streamLimiter.decreaseAbove *= settings_.remoteThresholdFactor;
         settings.streamLimiter.increaseBelow *= settings_.remoteThresholdFactor;
-        settings.streamLimiter.nearGoalRatio *= settings_.remoteThresholdFactor;
+        settings.streamLimiter.nearTargetRatio *= settings_.remoteThresholdFactor;
     }
     GroupTracker &added = trackers_.emplace(group, GroupTracker(settings)).first->second;
     resetLimit(group);
--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -14,7 +14,7 @@
     sampledAt_ = now;
     const double ratio = toSeconds(pause) / toSeconds(goal);
     maxRatio_ = std::max(maxRatio_, ratio);
-    if (ratio >= settings_.nearGoalRatio) {
+    if (ratio >= settings_.nearTargetRatio) {
         nearGoalAt_ = now;
     } else if (nearGoalAt_ && now > *nearGoalAt_) {
         nearGoalAt_.reset(); // A later pass was short.
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -38,7 +38,7 @@
         double increasePerQueued = 0.3;
         // Ratio of pause to goal from which on a pause is near the goal: reading a prompt takes a
         // tenth to a fifth of a pass.
-        double nearGoalRatio = 0.8;
+        double nearTargetRatio = 0.8;
         // How long a pause near the goal counts. New pauses are observed at the end of each pass,
         // so there is no need to wait for longer than the goal.
         Duration nearTargetTimeToLive = std::chrono::milliseconds(150);
