--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -15,9 +15,9 @@
     const double ratio = toSeconds(pause) / toSeconds(goal);
     maxRatio_ = std::max(maxRatio_, ratio);
     if (ratio >= settings_.nearTargetRatio) {
-        nearGoalAt_ = now;
-    } else if (nearGoalAt_ && now > *nearGoalAt_) {
-        nearGoalAt_.reset(); // A later pass was short.
+        nearTargetAt_ = now;
+    } else if (nearTargetAt_ && now > *nearTargetAt_) {
+        nearTargetAt_.reset(); // A later pass was short.
     }
 }
 
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -74,7 +74,7 @@
     // next passes may take them over it.
     bool nearGoal(TimePoint now) const
     {
-        return nearGoalAt_ && now - *nearGoalAt_ < settings_.nearTargetTimeToLive;
+        return nearTargetAt_ && now - *nearTargetAt_ < settings_.nearTargetTimeToLive;
     }
 
     bool admits(std::uint32_t inFlight) const { return inFlight + 1.0 <= limit_ + 0.5; }
@@ -87,7 +87,7 @@
     bool sampledInPeriod_ = false;
     std::optional<TimePoint> sampledAt_; // Time of the last sample.
     TimePoint adaptedAt_{};
-    std::optional<TimePoint> nearGoalAt_;
+    std::optional<TimePoint> nearTargetAt_;
 };
 
 } // namespace seamarch
