--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -70,7 +70,7 @@
     if (inFlight_ == 0) {
         return false;
     }
-    const Duration goalTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.stallGoalFactor);
+    const Duration goalTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.stallTargetFactor);
     const Duration timeout = producing_ > 0 ? std::max(goalTimeout, settings_.minStallTimeout)
                                             : settings_.firstEventTimeout;
     return now - progressAt_ >= timeout;
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -28,7 +28,7 @@
         // goal. The silences of normal operation are shorter: after a shift of demand passes take
         // up to 2.5 times as long as before, and a hold that is released in time lasts for one or
         // two passes.
-        double stallGoalFactor = 2.0;
+        double stallTargetFactor = 2.0;
         // Lower bound of the stall timeout: a lossy link causes shorter silences, as a lost packet
         // is retransmitted after 200 ms.
         Duration minStallTimeout = std::chrono::milliseconds(250);
