--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -70,8 +70,8 @@
     if (inFlight_ == 0) {
         return false;
     }
-    const Duration goalTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.stallTargetFactor);
-    const Duration timeout = producing_ > 0 ? std::max(goalTimeout, settings_.minStallTimeout)
+    const Duration targetTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.stallTargetFactor);
+    const Duration timeout = producing_ > 0 ? std::max(targetTimeout, settings_.minStallTimeout)
                                             : settings_.firstEventTimeout;
     return now - progressAt_ >= timeout;
 }
