--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -34,7 +34,7 @@
 
 void GroupTracker::onPause(Duration pause, Duration goal, TimePoint now)
 {
-    pauseGoal_ = goal > Duration{} ? goal : pauseGoal_;
+    gapTarget_ = goal > Duration{} ? goal : gapTarget_;
     recordProgress(now);
     limiter_.onPause(pause, goal, now);
 }
@@ -70,7 +70,7 @@
     if (inFlight_ == 0) {
         return false;
     }
-    const Duration targetTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.stallTargetFactor);
+    const Duration targetTimeout = fromSeconds(toSeconds(gapTarget_) * settings_.stallTargetFactor);
     const Duration timeout = producing_ > 0 ? std::max(targetTimeout, settings_.minStallTimeout)
                                             : settings_.firstEventTimeout;
     return now - progressAt_ >= timeout;
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -120,7 +120,7 @@
     StreamLimiter limiter_;
     std::uint32_t inFlight_ = 0;
     std::uint32_t producing_ = 0; // Streams in flight that have sent events.
-    Duration pauseGoal_{};        // The last one that was stated.
+    Duration gapTarget_{};        // The last one that was stated.
     TimePoint progressAt_{};      // Last event, or start of the first stream of an idle group.
     bool stalled_ = false;
     bool hasServed_ = false;                  // The group has accepted a request at some time.
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -235,7 +235,7 @@
 void ExpertAgent::applyStoreItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
-        pauseGoal_ = shortestGapTarget(*document, settings_.service);
+        gapTarget_ = shortestGapTarget(*document, settings_.service);
         for (const ServiceRule &service : document->services) {
             if (service.name == settings_.service && service.experts) {
                 rule_ = service.experts;
@@ -596,7 +596,7 @@
 void ExpertAgent::replaceOutdatedChange(MapOrders &orders)
 {
     planner_.setPaces(decider_->paces());
-    planner_.setPassTimes(decider_->passTime(), pauseGoal_);
+    planner_.setPassTimes(decider_->passTime(), gapTarget_);
     auto planned = planner_.plan(*currentMap_, loop_.now());
     if (planned && decider_->abandon(loop_.now())) {
         logLine(LogLevel::Info, "map.abandoned",
@@ -619,7 +619,7 @@
     }
     logObstacleChange(kNoObstacleName);
     planner_.setPaces(decider_->paces());
-    planner_.setPassTimes(decider_->passTime(), pauseGoal_);
+    planner_.setPassTimes(decider_->passTime(), gapTarget_);
     logLine(LogLevel::Debug, "map.weighed",
             {{"distance", planner_.roundDistance()}, {"skew", planner_.skew(*currentMap_)}});
     if (auto planned = planner_.plan(*currentMap_, loop_.now())) {
