--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -32,11 +32,11 @@
     recordProgress(now);
 }
 
-void GroupTracker::onPause(Duration pause, Duration goal, TimePoint now)
+void GroupTracker::onPause(Duration pause, Duration gapTarget, TimePoint now)
 {
-    gapTarget_ = goal > Duration{} ? goal : gapTarget_;
+    gapTarget_ = gapTarget > Duration{} ? gapTarget : gapTarget_;
     recordProgress(now);
-    limiter_.onPause(pause, goal, now);
+    limiter_.onPause(pause, gapTarget, now);
 }
 
 bool GroupTracker::onAnswer(TimePoint now)
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -75,7 +75,7 @@
     void onFirstEvent(TimePoint now);
     // Records a further event, `pause` after the previous one of the same stream. `goal` is the
     // pause goal of its route; zero if it has none.
-    void onPause(Duration pause, Duration goal, TimePoint now);
+    void onPause(Duration pause, Duration gapTarget, TimePoint now);
 
     // Records an answer of the group's upstreams other than a refusal for lack of capacity. Returns
     // true if it ends an outage.
--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -5,14 +5,14 @@
 
 namespace seamarch {
 
-void StreamLimiter::onPause(Duration pause, Duration goal, TimePoint now)
+void StreamLimiter::onPause(Duration pause, Duration gapTarget, TimePoint now)
 {
-    if (goal <= Duration{}) {
+    if (gapTarget <= Duration{}) {
         return;
     }
     sampledInPeriod_ = true;
     sampledAt_ = now;
-    const double ratio = toSeconds(pause) / toSeconds(goal);
+    const double ratio = toSeconds(pause) / toSeconds(gapTarget);
     maxRatio_ = std::max(maxRatio_, ratio);
     if (ratio >= settings_.nearTargetRatio) {
         nearTargetAt_ = now;
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -59,7 +59,7 @@
 
     // Adds a sample: an event came `pause` after the previous one of the same stream. `goal` is the
     // pause goal of its route; samples without a goal (zero) are ignored.
-    void onPause(Duration pause, Duration goal, TimePoint now);
+    void onPause(Duration pause, Duration gapTarget, TimePoint now);
     // Resets the limit to the initial share of `slots` among `gateways` if the limit is above that
     // or there are no samples: the engines are new, or were stalled while callers queued.
     void resetToShare(double slots, double gateways);
