--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -191,9 +191,9 @@
 // Returns whether passes are already so short that a more balanced map would not help any caller.
 bool ExpertPlanner::isWithinLatencyGoal(double skew) const
 {
-    const bool isMeasured = passTime_ > Duration{} && latencyGoal_ > Duration{};
+    const bool isMeasured = passTime_ > Duration{} && gapTarget_ > Duration{};
     return isMeasured && skew < settings_.forcedChangeSkew
-           && toSeconds(passTime_) < settings_.relaxedPassRatio * toSeconds(latencyGoal_);
+           && toSeconds(passTime_) < settings_.relaxedPassRatio * toSeconds(gapTarget_);
 }
 
 // Returns the best map that is reachable with `copies` new experts per rank. The sets share the
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -113,7 +113,7 @@
     void setPassTimes(Duration pass, Duration goal)
     {
         passTime_ = pass;
-        latencyGoal_ = goal;
+        gapTarget_ = goal;
     }
 
     // Ends the current round if it is complete, and evaluates it. Must be called on every tick,
@@ -175,7 +175,7 @@
     TimePoint mergedAt_{};
     std::vector<double> paces_;
     Duration passTime_{};
-    Duration latencyGoal_{};
+    Duration gapTarget_{};
     double distance_ = 0.0;
     double steadyDistance_ = 0.1;
     std::optional<TimePoint> lastShiftAt_;
