--- a/src/decision/expertmap/expertplanner.cpp
+++ b/src/decision/expertmap/expertplanner.cpp
@@ -189,7 +189,7 @@
 }
 
 // Returns whether passes are already so short that a more balanced map would not help any caller.
-bool ExpertPlanner::isWithinLatencyGoal(double skew) const
+bool ExpertPlanner::isWithinGapTarget(double skew) const
 {
     const bool isMeasured = passTime_ > Duration{} && gapTarget_ > Duration{};
     return isMeasured && skew < settings_.forcedChangeSkew
@@ -289,7 +289,7 @@
     if (1.0 - passTime(settings_.targetSkew) / passTime(before) <= settings_.minGain) {
         return std::nullopt; // Even the target skew would gain too little; skip the search.
     }
-    if (isWithinLatencyGoal(before)) {
+    if (isWithinGapTarget(before)) {
         return std::nullopt;
     }
     const Duration workloadDuration = expectedWorkloadDuration(now);
--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -159,7 +159,7 @@
     void recordShift(TimePoint now);
     void mergeRound(TimePoint now);
     double passTime(double skew) const;
-    bool isWithinLatencyGoal(double skew) const;
+    bool isWithinGapTarget(double skew) const;
     Candidate buildCandidate(const ExpertMap &current, std::uint32_t copies) const;
     std::uint32_t minCopiesPerRank() const;
     double netBenefit(const Candidate &candidate, double before, Duration workloadDuration) const;
