--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -110,10 +110,10 @@
 
     // Sets the present pass time and the latency goal, which is the longest pause between events
     // that callers tolerate. Zero means unknown.
-    void setPassTimes(Duration pass, Duration goal)
+    void setPassTimes(Duration pass, Duration gapTarget)
     {
         passTime_ = pass;
-        gapTarget_ = goal;
+        gapTarget_ = gapTarget;
     }
 
     // Ends the current round if it is complete, and evaluates it. Must be called on every tick,
