--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -43,8 +43,8 @@
     kj::Promise<void> exchange(ExchangeContext context) override
     {
         const auto params = context.getParams();
-        const TimePoint sentAt = peers_.loop_.now();
-        peers_.directory_.recordSeen(readGateway(params.getSelf()), sentAt);
+        const TimePoint receivedAt = peers_.loop_.now();
+        peers_.directory_.recordSeen(readGateway(params.getSelf()), receivedAt);
         const PollRequest pollRequest{ConfigVersion(params.getConfigVersion()),
                                       params.getUpstreamsMark(),
                                       params.getTakesChanges(),
@@ -55,9 +55,9 @@
                                       params.getWantsLimits(),
                                       params.getLimitsMark()};
         const Duration wait = std::min(Duration(params.getWaitMicros()), kMaxPollWait);
-        auto answer = [this, context, pollRequest, sentAt]() mutable {
+        auto answer = [this, context, pollRequest, receivedAt]() mutable {
             peers_.writeNews(context.getResults().initNews(), pollRequest,
-                             peers_.loop_.now() - sentAt);
+                             peers_.loop_.now() - receivedAt);
         };
         if (wait <= Duration{} || peers_.hasNewsFor(pollRequest)) {
             answer();
