--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -257,7 +257,7 @@
 
 void GatewayPeers::applyGateways(wire::GatewayNews::Reader reader, TimePoint now)
 {
-    GatewayDirectory::GossipUpdate news;
+    GatewayDirectory::GossipUpdate update;
     news.digest = reader.getGatewaysMark();
     const auto listed = reader.getGateways();
     directory_.recordSeen(readGateway(listed[0]), now);
@@ -267,20 +267,21 @@
     }
     const auto ages = reader.getGatewayAges();
     news.ages.assign(ages.begin(), ages.end());
-    directory_.applyGossip(news, now);
+    directory_.applyGossip(update, now);
 }
 
 void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t knownDigest) const
 {
     const TimePoint now = loop_.now();
-    const GatewayDirectory::GossipUpdate news = directory_.gossipFor(knownDigest, now);
-    to.setGatewaysMark(news.digest);
-    auto list = to.initGateways(static_cast<std::uint32_t>(news.peers.size() + 1));
+    const GatewayDirectory::GossipUpdate update = directory_.gossipFor(knownDigest, now);
+    to.setGatewaysMark(update.digest);
+    auto list = to.initGateways(static_cast<std::uint32_t>(update.peers.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
-    for (std::uint32_t index = 0; index < news.peers.size(); ++index) {
-        writeGateway(news.peers[index].record, now - news.peers[index].lastSeen, list[index + 1]);
+    for (std::uint32_t index = 0; index < update.peers.size(); ++index) {
+        writeGateway(update.peers[index].record, now - update.peers[index].lastSeen,
+                     list[index + 1]);
     }
-    to.setGatewayAges(kj::arrayPtr(news.ages.data(), news.ages.size()));
+    to.setGatewayAges(kj::arrayPtr(update.ages.data(), update.ages.size()));
 }
 
 bool GatewayPeers::applyNews(TimePoint sentAt, wire::GatewayNews::Reader news)
