--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -201,7 +201,7 @@
 
 void UpstreamChooser::onFull(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].fullUntil = now + settings_.fullPause;
+    states_[upstream].fullUntil = now + settings_.fullCooldown;
 }
 
 void UpstreamChooser::onRestRequested(const InstanceId &upstream, TimePoint until)
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -64,7 +64,7 @@
         // ranks differ by a few percent.
         double slowRankRatio = 1.5;
         // How long an upstream that rejected a request as full is not selected.
-        Duration fullPause = std::chrono::milliseconds(150);
+        Duration fullCooldown = std::chrono::milliseconds(150);
         // How long an upstream is deprioritized after a failed connection attempt.
         Duration unreachablePause = std::chrono::seconds(1);
         // How long an upstream is deprioritized after another instance answered at its address; an
