--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -260,7 +260,7 @@
 
 void UpstreamChooser::onUnreachable(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].deprioritizedUntil = now + settings_.unreachablePause;
+    states_[upstream].deprioritizedUntil = now + settings_.unreachableCooldown;
 }
 
 void UpstreamChooser::expire(TimePoint now)
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -66,7 +66,7 @@
         // How long an upstream that rejected a request as full is not selected.
         Duration fullCooldown = std::chrono::milliseconds(150);
         // How long an upstream is deprioritized after a failed connection attempt.
-        Duration unreachablePause = std::chrono::seconds(1);
+        Duration unreachableCooldown = std::chrono::seconds(1);
         // How long an upstream is deprioritized after another instance answered at its address; an
         // outdated list is corrected within this time.
         Duration wrongInstancePause = std::chrono::seconds(5);
