--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -255,7 +255,7 @@
 
 void UpstreamChooser::onWrongInstance(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].deprioritizedUntil = now + settings_.wrongInstancePause;
+    states_[upstream].deprioritizedUntil = now + settings_.wrongInstanceCooldown;
 }
 
 void UpstreamChooser::onUnreachable(const InstanceId &upstream, TimePoint now)
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -69,7 +69,7 @@
         Duration unreachableCooldown = std::chrono::seconds(1);
         // How long an upstream is deprioritized after another instance answered at its address; an
         // outdated list is corrected within this time.
-        Duration wrongInstancePause = std::chrono::seconds(5);
+        Duration wrongInstanceCooldown = std::chrono::seconds(5);
         OutlierDetector::Settings outliers;
     };
 
