--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -113,7 +113,7 @@
         return;
     }
     ActiveRequest &active = found->second;
-    AttemptMetadata attemptMetadata;
+    AttemptMetadata metadata;
     metadata.instance = action.upstream.id;
     metadata.account = active.admitted.account;
     metadata.priority = active.admitted.priority;
@@ -124,7 +124,7 @@
     call.address = {action.upstream.host, action.upstream.port};
     call.method = active.request.method;
     call.path = active.request.target;
-    call.headers = protocol_.upstreamHeaders(active.request, attemptMetadata);
+    call.headers = protocol_.upstreamHeaders(active.request, metadata);
     call.body = active.request.body;
     call.reuse = action.mayReuseConnection ? HttpReuse::Any : HttpReuse::Young;
     call.connectTimeout = kConnectTimeout;
