--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -258,15 +258,15 @@
 void GatewayPeers::applyGateways(wire::GatewayNews::Reader reader, TimePoint now)
 {
     GatewayDirectory::GossipUpdate update;
-    news.digest = reader.getGatewaysMark();
+    update.digest = reader.getGatewaysMark();
     const auto listed = reader.getGateways();
     directory_.recordSeen(readGateway(listed[0]), now);
     for (std::uint32_t index = 1; index < listed.size(); ++index) {
         const TimePoint lastSeen = now - Duration(listed[index].getHeardMicrosAgo());
-        news.peers.push_back({readGateway(listed[index]), lastSeen});
+        update.peers.push_back({readGateway(listed[index]), lastSeen});
     }
     const auto ages = reader.getGatewayAges();
-    news.ages.assign(ages.begin(), ages.end());
+    update.ages.assign(ages.begin(), ages.end());
     directory_.applyGossip(update, now);
 }
 
