--- a/src/experts/orderrelay.cpp
+++ b/src/experts/orderrelay.cpp
@@ -92,7 +92,7 @@
         [this, batch, rank](capnp::Response<wire::RankAgent::OrderResults> answer) {
             onAnswer(*batch, rank, static_cast<MapOrderAnswer>(answer.getStatus()));
         },
-        [this, batch, rank](kj::Exception && /*gone*/) {
+        [this, batch, rank](kj::Exception && /*exception*/) {
             onAnswer(*batch, rank, MapOrderAnswer::Lost);
         }));
 }
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -201,7 +201,7 @@
             finish();
             onAgentAnswer(id, requestedAt, answer.getState());
         },
-        [finish](kj::Exception && /*gone*/) { finish(); }));
+        [finish](kj::Exception && /*exception*/) { finish(); }));
 }
 
 void RankPeers::onAgentAnswer(const InstanceId &id, TimePoint requestedAt,
@@ -339,7 +339,7 @@
                                             static_cast<MapOrderAnswer>(answer.getStatus()));
             }
         },
-        [this, order, block](kj::Exception && /*gone*/) {
+        [this, order, block](kj::Exception && /*exception*/) {
             for (const std::uint32_t rank : block) {
                 listener_.onPeerOrderAnswer(rank, order, MapOrderAnswer::Lost);
             }
@@ -355,7 +355,7 @@
             listener_.onPeerOrderAnswer(action.rank, action.order,
                                         static_cast<MapOrderAnswer>(answer.getStatus()));
         },
-        [this, action](kj::Exception && /*gone*/) {
+        [this, action](kj::Exception && /*exception*/) {
             listener_.onPeerOrderAnswer(action.rank, action.order, MapOrderAnswer::Lost);
         }));
 }
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -209,7 +209,7 @@
                 onNews(address, now, answer.getNews());
             }
         },
-        [this, address, finished](kj::Exception && /*gone*/) {
+        [this, address, finished](kj::Exception && /*exception*/) {
             if (!std::exchange(*finished, true)) {
                 onFailed(address);
             }
--- a/src/gateway/grouppoller.cpp
+++ b/src/gateway/grouppoller.cpp
@@ -107,7 +107,7 @@
                 onReply(host, now, reply);
             }
         },
-        [this, host, settled](kj::Exception && /*gone*/) {
+        [this, host, settled](kj::Exception && /*exception*/) {
             if (!std::exchange(*settled, true)) {
                 onPollFailed(host);
             }
