--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -16,14 +16,14 @@
 StreamQueue::Entry GatewayCore::queueEntryFor(RequestNumber number, const Request &request,
                                               const ServiceState &service)
 {
-    const Duration goal = request.request.route->latencyTarget;
+    const Duration latencyTarget = request.request.route->latencyTarget;
     StreamQueue::Entry entry;
     entry.number = number;
     entry.priority = request.request.priority;
     entry.isRetry = request.arrivedAt - request.firstSentAt >= kMinRetryAge;
     // Without a latency goal a later start is no worse until the request fails.
-    entry.startDeadline = goal > Duration{}
-                              ? request.firstSentAt + goal - service.meanTimeToFirstEvent
+    entry.startDeadline = latencyTarget > Duration{}
+                              ? request.firstSentAt + latencyTarget - service.meanTimeToFirstEvent
                               : request.failAt;
     return entry;
 }
@@ -162,8 +162,8 @@
     Request *request = find(number);
     if (request != nullptr && request->upstream != InstanceId()) {
         request->progressAt = now;
-        const Duration goal = request->request.route->gapTarget;
-        trackerOf(*request).onPause(pause, goal, now);
+        const Duration gapTarget = request->request.route->gapTarget;
+        trackerOf(*request).onPause(pause, gapTarget, now);
     }
 }
 
