--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -23,8 +23,9 @@
     });
     for (const auto &[id, group] : groups) {
         // A new gateway learns only gradually how many others share the groups.
-        if (GroupTracker &known = tracker(id); shareChanged && !known.limiter().hasSamples()) {
-            initLimit(known, group);
+        if (GroupTracker &groupTracker = tracker(id);
+            shareChanged && !groupTracker.limiter().hasSamples()) {
+            initLimit(groupTracker, group);
         }
     }
 }
