--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -36,9 +36,9 @@
                                                 TimePoint now)
 {
     const auto found = entries_.find(upstream.id);
-    const bool known =
+    const bool hasReport =
         found != entries_.end() && mayBeSameStart(found->second.report.start, upstream.start);
-    const auto before = known ? found->second.report.rate : std::nullopt;
+    const auto before = hasReport ? found->second.report.rate : std::nullopt;
     if (before == rate) {
         if (rate) {
             found->second.report.reportedAt = std::max(found->second.report.reportedAt, now);
@@ -102,9 +102,9 @@
 const LimitReport *UpstreamLimits::find(const UpstreamRecord &upstream) const
 {
     const auto found = entries_.find(upstream.id);
-    const bool known =
+    const bool hasReport =
         found != entries_.end() && mayBeSameStart(found->second.report.start, upstream.start);
-    return known ? &found->second.report : nullptr;
+    return hasReport ? &found->second.report : nullptr;
 }
 
 std::optional<RequestRate> UpstreamLimits::limitOf(const UpstreamRecord &upstream) const
