--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -61,17 +61,17 @@
 
 // Returns whether `report` replaces `known`. If their order is ambiguous, a limit wins over no
 // limit and the lower of two limits wins.
-bool UpstreamLimits::supersedes(const LimitReport &report, const LimitReport &known) const
+bool UpstreamLimits::supersedes(const LimitReport &report, const LimitReport &stored) const
 {
-    const bool ambiguous = report.reportedAt > known.reportedAt - settings_.clockTolerance
-                           && report.reportedAt < known.reportedAt + settings_.clockTolerance;
-    if (ambiguous && report.rate.has_value() != known.rate.has_value()) {
+    const bool ambiguous = report.reportedAt > stored.reportedAt - settings_.clockTolerance
+                           && report.reportedAt < stored.reportedAt + settings_.clockTolerance;
+    if (ambiguous && report.rate.has_value() != stored.rate.has_value()) {
         return report.rate.has_value();
     }
-    if (ambiguous && report.rate && known.rate) {
-        return *report.rate < *known.rate;
+    if (ambiguous && report.rate && stored.rate) {
+        return *report.rate < *stored.rate;
     }
-    return report.reportedAt > known.reportedAt;
+    return report.reportedAt > stored.reportedAt;
 }
 
 bool UpstreamLimits::merge(const LimitReport &report, TimePoint now)
@@ -87,12 +87,12 @@
         store(report, now);
         return true;
     }
-    LimitReport &known = found->second.report;
-    if (!supersedes(report, known)) {
+    LimitReport &stored = found->second.report;
+    if (!supersedes(report, stored)) {
         return false;
     }
-    if (known.rate == report.rate && known.start == report.start) {
-        known.reportedAt = report.reportedAt;
+    if (stored.rate == report.rate && stored.start == report.start) {
+        stored.reportedAt = report.reportedAt;
         return false;
     }
     store(report, now);
--- a/src/decision/gateway/upstreamlimits.h
+++ b/src/decision/gateway/upstreamlimits.h
@@ -105,7 +105,7 @@
     };
 
     void store(const LimitReport &report, TimePoint now);
-    bool supersedes(const LimitReport &report, const LimitReport &known) const;
+    bool supersedes(const LimitReport &report, const LimitReport &stored) const;
 
     Settings settings_;
     std::unordered_map<InstanceId, Entry> entries_;
