--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -37,8 +37,8 @@
         return found->second;
     }
     GroupTracker::Settings settings = settings_.tracker;
-    const auto known = groups_->find(group);
-    if (known != groups_->end() && !known->second.inOwnHall) {
+    const auto groupEntry = groups_->find(group);
+    if (groupEntry != groups_->end() && !groupEntry->second.inOwnHall) {
         settings.streamLimiter.decreaseAbove *= settings_.remoteThresholdFactor;
         settings.streamLimiter.increaseBelow *= settings_.remoteThresholdFactor;
         settings.streamLimiter.nearTargetRatio *= settings_.remoteThresholdFactor;
@@ -72,17 +72,17 @@
 
 void GroupSelector::resetLimit(const GroupId &group)
 {
-    const auto known = groups_->find(group);
-    if (known != groups_->end()) {
-        initLimit(trackers_.at(group), known->second);
+    const auto groupEntry = groups_->find(group);
+    if (groupEntry != groups_->end()) {
+        initLimit(trackers_.at(group), groupEntry->second);
     }
 }
 
 GroupSelector::Fault GroupSelector::faultOf(const GroupId &group, const GroupTracker &tracker,
                                             const GroupTable &table, TimePoint now) const
 {
-    const auto known = groups_->find(group); // Missing if its last upstream has left.
-    const bool remote = known == groups_->end() || !known->second.inOwnHall;
+    const auto groupEntry = groups_->find(group); // Missing if its last upstream has left.
+    const bool remote = groupEntry == groups_->end() || !groupEntry->second.inOwnHall;
     if (tracker.isUnreachable()
         || (remote && table.isIsolated(group, now) && tracker.isQuiet(now))) {
         return Fault::Unreachable;
