--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -29,7 +29,7 @@
 // of one hall that both follow the store discover each other.
 constexpr Duration kListExchangeInterval = std::chrono::seconds(2);
 // Interval between queries to arbitrary gateways while the state is stale.
-constexpr Duration kStaleQueryInterval = std::chrono::milliseconds(150);
+constexpr Duration kStalePollInterval = std::chrono::milliseconds(150);
 // A gateway that has had no answer from any peer for this long may be partitioned from the others.
 constexpr Duration kPeerContactTimeout = std::chrono::seconds(1);
 // Interval at which the poller checks which agents to poll. Replies arrive when something changes.
@@ -275,7 +275,7 @@
                     GatewayPeers::ListRequest::Always);
         pollNextSeed();
     }
-    if (stale && now - stalePolledAt_ >= kStaleQueryInterval) {
+    if (stale && now - stalePolledAt_ >= kStalePollInterval) {
         stalePolledAt_ = now;
         pollGateway(followsSelf ? nextRemoteGateway(now) : directory_.nextPeer(followed, now),
                     Duration{});
