--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -34,7 +34,7 @@
 constexpr Duration kPeerContactTimeout = std::chrono::seconds(1);
 // Interval at which the poller checks which agents to poll. Replies arrive when something changes.
 constexpr Duration kGroupPollInterval = std::chrono::milliseconds(50);
-constexpr Duration kSeedQueryInterval = std::chrono::milliseconds(300);
+constexpr Duration kSeedPollInterval = std::chrono::milliseconds(300);
 // How long a new gateway may not know the first gateway of its hall, and queries the seeds instead.
 // When a site starts, the seeds learn of all gateways within one second and distribute the list
 // within two more.
@@ -280,7 +280,7 @@
         pollGateway(followsSelf ? nextRemoteGateway(now) : directory_.nextPeer(followed, now),
                     Duration{});
     }
-    if (now - seedsPolledAt_ >= kSeedQueryInterval) {
+    if (now - seedsPolledAt_ >= kSeedPollInterval) {
         pollSeeds(followsSelf && isDiscovering(now), now);
     }
 }
