--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -212,7 +212,7 @@
 // When the gateway that a hall follows becomes unavailable, each of the others polls one gateway
 // after another. If equal lists had different marks, each poll would transfer the full list, which
 // outweighs all other traffic between gateways.
-TEST(GatewayStoreViewTest, EqualListsHaveEqualMarks)
+TEST(GatewayStoreViewTest, EqualListsHaveEqualDigests)
 {
     UpstreamTable otherUpstreams;
     GatewayStoreView other{*loop, otherUpstreams, metrics, view.freshness(),
