--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -241,7 +241,7 @@
 
 // Guards against a gateway that reads the store itself and polls others without naming its list's
 // mark: it would receive the full list with each answer.
-TEST(GatewayStoreViewTest, StoreListIsAdvertisedByItsMark)
+TEST(GatewayStoreViewTest, StoreListIsAdvertisedByItsDigest)
 {
     LONGS_EQUAL(0, view.advertisedDigest());
     StoreItems listed;
