--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -398,7 +398,7 @@
 
 // Under light load, passes take about half of the latency goal. Without this rule, every second
 // change of a map copied 2 TB without benefit to any caller.
-TEST(ExpertPlannerTest, KeepsModeratelySkewedMapWhenPassesAreWellWithinGoal)
+TEST(ExpertPlannerTest, KeepsModeratelySkewedMapWhenPassesAreWellWithinGapTarget)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     const double skew = planner.skew({roundRobinPlacement()});
