--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -29,7 +29,7 @@
     CHECK_TRUE(decodeChoices(third) == (std::vector<double>{5, 0, 7}));
 }
 
-TEST(ChoiceCountHistoryTest, ReturnsNoDeltaWithoutMark)
+TEST(ChoiceCountHistoryTest, ReturnsNoDeltaWithoutSnapshotId)
 {
     const auto first = history.record({10, 20, 30}, 0);
     LONGS_EQUAL(0, first.since);
