--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -36,7 +36,7 @@
     CHECK_TRUE(decodeChoices(first).empty());
 }
 
-TEST(ChoiceCountHistoryTest, ReturnsNoDeltaForMarkOfEarlierProcess)
+TEST(ChoiceCountHistoryTest, ReturnsNoDeltaForSnapshotOfEarlierProcess)
 {
     history.record({10, 20, 30}, 0);
     LONGS_EQUAL(0, history.record({11, 21, 31}, kFirstMark - 1).since);
