--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -407,7 +407,7 @@
     CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenPassesNearGoal)
+TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenPassesNearGapTarget)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     planner.setPassTimes(std::chrono::milliseconds(100), std::chrono::milliseconds(150));
