--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -423,7 +423,7 @@
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenGoalIsUnknown)
+TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenGapTargetIsUnknown)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     planner.setPassTimes(std::chrono::milliseconds(50), Duration{});
