--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -348,7 +348,7 @@
     CHECK_TEXT(one <= 10, "expected what sixty requests add to the budget, and one more");
 }
 
-TEST(GatewayCoreTest, QueuedStreamStartsByItsDeadlineWhilePausesAreNearGoal)
+TEST(GatewayCoreTest, QueuedStreamStartsByItsDeadlineWhilePausesAreNearGapTarget)
 {
     RequestNumber running = 0;
     for (int count = 0; count < 4; ++count) {
