--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -169,7 +169,7 @@
 // After a shift of demand passes are long in every group. A stream that overflowed because of that
 // would add a prompt to passes that the gateways of the other hall hold their own prompts back
 // from.
-TEST(GroupSelectorTest, StreamWaitsForOwnGroupWhilePausesAreNearGoal)
+TEST(GroupSelectorTest, StreamWaitsForOwnGroupWhilePausesAreNearGapTarget)
 {
     for (int count = 0; count < 4; ++count) {
         send(0);
