--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -54,7 +54,7 @@
     CHECK_TRUE(limiter.admits(2));
 }
 
-TEST(StreamLimiterTest, PausesOfRoutesWithoutAGoalAreIgnored)
+TEST(StreamLimiterTest, PausesOfRoutesWithoutAGapTargetAreIgnored)
 {
     limiter.onPause(std::chrono::seconds(9), Duration{}, at(900));
     limiter.onTick(12, 0, at(1000));
