--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -61,7 +61,7 @@
     DOUBLES_EQUAL(StreamLimiter::Settings().initialLimit, limiter.limit(), 1e-9);
 }
 
-TEST(StreamLimiterTest, NearGoalLastsUntilAShortPause)
+TEST(StreamLimiterTest, NearTargetLastsUntilAShortPause)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
     CHECK_TRUE(limiter.nearTarget(at(1050)));
