--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -69,7 +69,7 @@
     CHECK_FALSE(limiter.nearTarget(at(1060)));
 }
 
-TEST(StreamLimiterTest, NearGoalExpires)
+TEST(StreamLimiterTest, NearTargetExpires)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
     CHECK_FALSE(limiter.nearTarget(at(1000) + StreamLimiter::Settings().nearTargetTimeToLive));
