--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -55,7 +55,7 @@
     CHECK_TRUE(polling <= 3);
 }
 
-TEST(StorePollScheduleTest, PollAgesIncreaseWithPlaceWhenTimeAllows)
+TEST(StorePollScheduleTest, PollAgesIncreaseWithHallIndexWhenTimeAllows)
 {
     const StorePollSchedule schedule = makeStorePollSchedule(kLargeFleet);
     for (std::size_t hallIndex = 1; mayPollStore(hallIndex); ++hallIndex) {
