--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -200,7 +200,7 @@
     LONGS_EQUAL(3, view.version().value());
 }
 
-TEST(GatewayStoreViewTest, OmittedListIsAdoptedOnlyUnderItsMark)
+TEST(GatewayStoreViewTest, OmittedListIsAdoptedOnlyUnderItsDigest)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState same{{1, 11}, ConfigVersion(3), std::nullopt, 77, std::nullopt, {}};
