--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -228,7 +228,7 @@
     CHECK_FALSE(view.upstreamsDigest() == other.upstreamsDigest());
 }
 
-TEST(GatewayStoreViewTest, OwnListChangeReplacesTheAdoptedMark)
+TEST(GatewayStoreViewTest, OwnListChangeReplacesTheAdoptedDigest)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     StoreItems items;
