--- a/src/decision/gateway/gatewaycore.cpp
+++ b/src/decision/gateway/gatewaycore.cpp
@@ -465,10 +465,10 @@
     const RouteRule &route = *request.request.route;
     const bool mayFailOver =
         request.upstream != InstanceId() && (!request.headSent || route.resumable);
-    const Duration silenceLimit = std::min(route.silenceTimeout, request.request.deadline);
-    return mayFailOver && silenceLimit > Duration{}
+    const Duration silenceTimeout = std::min(route.silenceTimeout, request.request.deadline);
+    return mayFailOver && silenceTimeout > Duration{}
            && toSeconds(now - request.progressAt)
-                  >= toSeconds(silenceLimit) * settings_.silenceFraction;
+                  >= toSeconds(silenceTimeout) * settings_.silenceFraction;
 }
 
 void GatewayCore::failOverSilent(TimePoint now, GatewayActions &actions)
