--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -21,7 +21,7 @@
 constexpr Duration kReregistrationDelay = std::chrono::milliseconds(1500);
 constexpr Duration kMinTiming = std::chrono::milliseconds(1);
 // Batching may delay a change by at most this fraction (1/n) of the shortest limit on propagation.
-constexpr int kBatchWindowDivisor = 20;
+constexpr int kCoalesceDelayDivisor = 20;
 
 } // namespace
 
@@ -36,7 +36,7 @@
     times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
                                   Duration(kReregistrationDelay));
     times.storeCoalesceDelay =
-        std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kBatchWindowDivisor;
+        std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kCoalesceDelayDivisor;
     return times;
 }
 
