--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -126,7 +126,7 @@
         return false;
     }
     const bool fewest = tracker.inFlight() < settings_.tracker.streamLimiter.minLimit;
-    if (fewest || !tracker.limiter().nearTarget(now)) {
+    if (fewest || !tracker.limiter().isNearTarget(now)) {
         return true;
     }
     return now <= entry.startDeadline && now + kStartSlack >= entry.startDeadline;
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -72,7 +72,7 @@
 
     // Returns whether the last pauses were so near the goal that another prompt in the engines'
     // next passes may take them over it.
-    bool nearTarget(TimePoint now) const
+    bool isNearTarget(TimePoint now) const
     {
         return nearTargetAt_ && now - *nearTargetAt_ < settings_.nearTargetTimeToLive;
     }
--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -64,15 +64,15 @@
 TEST(StreamLimiterTest, NearTargetLastsUntilAShortPause)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
-    CHECK_TRUE(limiter.nearTarget(at(1050)));
+    CHECK_TRUE(limiter.isNearTarget(at(1050)));
     limiter.onPause(std::chrono::milliseconds(60), kGoal, at(1060));
-    CHECK_FALSE(limiter.nearTarget(at(1060)));
+    CHECK_FALSE(limiter.isNearTarget(at(1060)));
 }
 
 TEST(StreamLimiterTest, NearTargetExpires)
 {
     limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
-    CHECK_FALSE(limiter.nearTarget(at(1000) + StreamLimiter::Settings().nearTargetTimeToLive));
+    CHECK_FALSE(limiter.isNearTarget(at(1000) + StreamLimiter::Settings().nearTargetTimeToLive));
 }
 
 // With 149 gateways and 129 ranks of six slots, a fixed initial limit of 12 streams per gateway,
