--- a/src/decision/expertmap/expertplanner.h
+++ b/src/decision/expertmap/expertplanner.h
@@ -76,7 +76,7 @@
         // Lower bound of that estimate, and the weight of the last change in its moving average.
         Duration minActivationDelay = std::chrono::milliseconds(100);
         double activationDelayWeight = 0.5;
-        // While passes take less than this fraction of the latency goal, no stream misses the goal
+        // While passes take less than this fraction of the gap target, no stream misses the target
         // unless the load grows by more than half, and the map is not changed. Maps with a skew of
         // `forcedChangeSkew` or more are changed regardless: a shift of demand has made them
         // useless, and passes may be longer than those that were measured.
@@ -108,7 +108,7 @@
     // Sets the pace of each rank: its time for a given load relative to a healthy rank.
     void setPaces(std::vector<double> paces) { paces_ = std::move(paces); }
 
-    // Sets the present pass time and the latency goal, which is the longest pause between events
+    // Sets the present pass time and the gap target, which is the longest pause between events
     // that callers tolerate. Zero means unknown.
     void setPassTimes(Duration pass, Duration gapTarget)
     {
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -11,7 +11,7 @@
 //
 // An upstream may also fall silent without a reset: its answers are lost, it hangs, its machine is
 // frozen, or its group is stalled. Callers disconnect after a time of silence (the route's silence
-// limit). After half of that time a repeatable request fails over to another upstream, in a group
+// timeout). After half of that time a repeatable request fails over to another upstream, in a group
 // that makes progress.
 //
 // A request during which several upstreams have crashed in turn is not sent any more, in any state:
--- a/src/decision/gateway/gatewaycorestreams.cpp
+++ b/src/decision/gateway/gatewaycorestreams.cpp
@@ -21,7 +21,7 @@
     entry.number = number;
     entry.priority = request.request.priority;
     entry.isRetry = request.arrivedAt - request.firstSentAt >= kMinRetryAge;
-    // Without a latency goal a later start is no worse until the request fails.
+    // Without a latency target a later start is no worse until the request fails.
     entry.startDeadline = latencyTarget > Duration{}
                               ? request.firstSentAt + latencyTarget - service.meanTimeToFirstEvent
                               : request.failAt;
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -116,9 +116,9 @@
     return candidates;
 }
 
-// Returns whether a stream may start now. While pauses are near the goal, each prompt that the
-// engines read delays all streams in flight: a stream that can still start in time later waits for
-// shorter passes, and one that is late already loses nothing by waiting.
+// Returns whether a stream may start now. While pauses are near the gap target, each prompt that
+// the engines read delays all streams in flight: a stream that can still start in time later waits
+// for shorter passes, and one that is late already loses nothing by waiting.
 bool GroupSelector::mayStart(const GroupTracker &tracker, const StreamQueue::Entry &entry,
                              TimePoint now) const
 {
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -24,8 +24,8 @@
     struct Settings
     {
         StreamLimiter::Settings streamLimiter;
-        // A group is stalled if all its streams have been silent for this many times their pause
-        // goal. The silences of normal operation are shorter: after a shift of demand passes take
+        // A group is stalled if all its streams have been silent for this many times their gap
+        // target. The silences of normal operation are shorter: after a shift of demand passes take
         // up to 2.5 times as long as before, and a hold that is released in time lasts for one or
         // two passes.
         double stallTargetFactor = 2.0;
@@ -73,8 +73,8 @@
     void onStreamEnd(bool hadEvents);
     // Records the first event of a stream.
     void onFirstEvent(TimePoint now);
-    // Records a further event, `pause` after the previous one of the same stream. `goal` is the
-    // pause goal of its route; zero if it has none.
+    // Records a further event, `pause` after the previous one of the same stream. `gapTarget` is
+    // that of its route; zero if it has none.
     void onPause(Duration pause, Duration gapTarget, TimePoint now);
 
     // Records an answer of the group's upstreams other than a refusal for lack of capacity. Returns
--- a/src/decision/gateway/streamlimiter.h
+++ b/src/decision/gateway/streamlimiter.h
@@ -1,10 +1,10 @@
 // Limits the streams that a gateway has in flight at one group of engines, so that the pauses
-// between their events stay within the routes' goal.
+// between their events stay within the routes' gap targets.
 //
 // Engines execute one pass for all their streams together: the more streams run, the longer are the
 // pauses of all of them. The gateways of a site do not know each other's streams, but all observe
-// the same pauses. Each lowers its limit by a factor when pauses come near the goal, and raises it
-// in steps while pauses are short and requests are queued (additive increase, multiplicative
+// the same pauses. Each lowers its limit by a factor when pauses come near the target, and raises
+// it in steps while pauses are short and requests are queued (additive increase, multiplicative
 // decrease). So gateways share the engines without communication between them.
 //
 // Pure and single-threaded; one object for each group of a service.
@@ -29,18 +29,19 @@
         double initialShare = 0.6;
         double minLimit = 3.0; // With fewer streams a gateway gets too few pause samples.
         double maxLimit = 200.0;
-        // Ratios of pause to goal: above the first the limit falls, below the second it may rise.
+        // Ratios of pause to gap target: above the first the limit falls, below the second it may
+        // rise.
         double decreaseAbove = 0.92;
         double increaseBelow = 0.75;
         double decreaseFactor = 0.88;
         double increaseStep = 1.0;
         // Added to the step for each queued request, so that gateways share by demand.
         double increasePerQueued = 0.3;
-        // Ratio of pause to goal from which on a pause is near the goal: reading a prompt takes a
-        // tenth to a fifth of a pass.
+        // Ratio of pause to gap target from which on a pause is near the target: reading a prompt
+        // takes a tenth to a fifth of a pass.
         double nearTargetRatio = 0.8;
-        // How long a pause near the goal counts. New pauses are observed at the end of each pass,
-        // so there is no need to wait for longer than the goal.
+        // How long a pause near the target counts. New pauses are observed at the end of each pass,
+        // so there is no need to wait for longer than the target.
         Duration nearTargetTimeToLive = std::chrono::milliseconds(150);
         // If streams are in flight and none has had an event for this long, the engines are
         // stalled, and the absence of long pauses must not raise the limit. Engines that wait for a
@@ -57,8 +58,8 @@
         , limit_(settings.initialLimit)
     {}
 
-    // Adds a sample: an event came `pause` after the previous one of the same stream. `goal` is the
-    // pause goal of its route; samples without a goal (zero) are ignored.
+    // Adds a sample: an event came `pause` after the previous one of the same stream. `gapTarget`
+    // is that of its route; samples without one (zero) are ignored.
     void onPause(Duration pause, Duration gapTarget, TimePoint now);
     // Resets the limit to the initial share of `slots` among `gateways` if the limit is above that
     // or there are no samples: the engines are new, or were stalled while callers queued.
@@ -70,7 +71,7 @@
     // Adapts the limit. `waiting` is the number of requests that are queued for it.
     void onTick(std::uint32_t inFlight, std::size_t waiting, TimePoint now);
 
-    // Returns whether the last pauses were so near the goal that another prompt in the engines'
+    // Returns whether the last pauses were so near the target that another prompt in the engines'
     // next passes may take them over it.
     bool isNearTarget(TimePoint now) const
     {
@@ -83,7 +84,7 @@
 private:
     Settings settings_;
     double limit_ = Settings().initialLimit;
-    double maxRatio_ = 0.0; // Longest pause of this period, as a ratio of its goal.
+    double maxRatio_ = 0.0; // Longest pause of this period, as a ratio of its gap target.
     bool sampledInPeriod_ = false;
     std::optional<TimePoint> sampledAt_; // Time of the last sample.
     TimePoint adaptedAt_{};
--- a/src/decision/gateway/streamqueue.h
+++ b/src/decision/gateway/streamqueue.h
@@ -30,7 +30,7 @@
         RequestNumber number = 0;  // Increases in order of arrival.
         std::uint8_t priority = 0; // 0 is the most urgent.
         bool isRetry = false;      // Its caller was rejected before.
-        TimePoint startDeadline{}; // A later start misses the route's latency goal.
+        TimePoint startDeadline{}; // A later start misses the route's latency target.
     };
 
     void add(const Entry &entry, TimePoint now);
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -396,7 +396,7 @@
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(5400)).has_value());
 }
 
-// Under light load, passes take about half of the latency goal. Without this rule, every second
+// Under light load, passes take about half of the gap target. Without this rule, every second
 // change of a map copied 2 TB without benefit to any caller.
 TEST(ExpertPlannerTest, KeepsModeratelySkewedMapWhenPassesAreWellWithinGapTarget)
 {
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -1,6 +1,6 @@
 // Loads of a site whose service has several groups of engines, one in each hall. The figures are
 // published ones of engines: ten streams per rank, passes of about 80 ms when all ranks are full
-// and evenly loaded, a pause goal of 150 ms; 42 or 149 gateways in three halls.
+// and evenly loaded, a gap target of 150 ms; 42 or 149 gateways in three halls.
 #include "decision/gateway/groupselector.h"
 
 #include <CppUTest/TestHarness.h>
@@ -209,7 +209,7 @@
 namespace {
 
 // A simulated site: gateways and one group per hall. A group with more streams than slots makes
-// passes that are longer than the goal.
+// passes that are longer than the gap target.
 class Site
 {
 public:
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -43,7 +43,7 @@
 };
 
 // A group that is held or has lost a rank sends no events, and refuses no request for 1.5 s. Two
-// pause goals are about four passes.
+// gap targets are about four passes.
 TEST(GroupTrackerTest, SilenceOfTwoGapTargetsIsAStall)
 {
     startProducing(1000);
--- a/test/decision/gateway/suspectrequest_test.cpp
+++ b/test/decision/gateway/suspectrequest_test.cpp
@@ -270,7 +270,7 @@
     }
 }
 
-// The upstream is silent for half of the silence limit; a failover would crash another one.
+// The upstream is silent for half of the silence timeout; a failover would crash another one.
 TEST(SuspectRequestTest, SuspectIsNotFailedOverFromASilentUpstream)
 {
     begin(Kind::Repeatable);
