--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -366,7 +366,7 @@
     core->onPause(running, std::chrono::milliseconds(100), at(475));
     core->onTick(at(475), actions);
     CHECK_TEXT(first<StartAttempt>(actions) != nullptr,
-               "expected a start before the latency goal at 510 ms");
+               "expected a start before the latency target at 510 ms");
 }
 
 TEST(GatewayCoreTest, QueuedStreamsStartOnceAPauseIsShort)
