--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -16,9 +16,9 @@
 constexpr Duration kMaxFreshAge = std::chrono::milliseconds(1200);
 // How long a watch lasts that was started because the state was stale.
 constexpr Duration kFallbackWatchDuration = std::chrono::seconds(3);
-// How long the store is not queried after another gateway has provided newer state.
+// How long the store is not polled after another gateway has provided newer state.
 constexpr Duration kStoreBackoff = std::chrono::seconds(1);
-// How long a new gateway queries only other gateways before it queries the store. The maximum
+// How long a new gateway polls only other gateways before it polls the store. The maximum
 // applies while the others answer that they have no configuration either, as when a whole site
 // starts.
 constexpr Duration kPeerBootstrapWait = std::chrono::milliseconds(700);
@@ -28,14 +28,14 @@
 // is reported to all halls well within the time after which it would be forgotten, and two gateways
 // of one hall that both follow the store discover each other.
 constexpr Duration kListExchangeInterval = std::chrono::seconds(2);
-// Interval between queries to arbitrary gateways while the state is stale.
+// Interval between polls of arbitrary gateways while the state is stale.
 constexpr Duration kStalePollInterval = std::chrono::milliseconds(150);
 // A gateway that has had no answer from any peer for this long may be partitioned from the others.
 constexpr Duration kPeerContactTimeout = std::chrono::seconds(1);
 // Interval at which the poller checks which agents to poll. Replies arrive when something changes.
 constexpr Duration kGroupPollInterval = std::chrono::milliseconds(50);
 constexpr Duration kSeedPollInterval = std::chrono::milliseconds(300);
-// How long a new gateway may not know the first gateway of its hall, and queries the seeds instead.
+// How long a new gateway may not know the first gateway of its hall, and polls the seeds instead.
 // When a site starts, the seeds learn of all gateways within one second and distribute the list
 // within two more.
 constexpr Duration kDiscoveryPeriod = std::chrono::seconds(3);
@@ -186,7 +186,7 @@
     return makeStorePollSchedule({bounds.keys, bounds.deny});
 }
 
-// Returns whether other gateways of the hall query the store on behalf of this one, and this one
+// Returns whether other gateways of the hall poll the store on behalf of this one, and this one
 // receives their answers.
 bool StateSynchronizer::peersPollStore(TimePoint now) const
 {
@@ -195,7 +195,7 @@
     return peersAnswer && !mayPollStore(directory_.hallPosition().index);
 }
 
-// Returns whether this gateway is due to query the store although it follows another gateway.
+// Returns whether this gateway is due to poll the store although it follows another gateway.
 bool StateSynchronizer::isStorePollDue(TimePoint now) const
 {
     if (peersPollStore(now)) {
@@ -227,7 +227,7 @@
     directory_.expire(now);
     const InstanceId followed = directory_.localStoreFollower(now);
     const bool followsSelf = followed == settings_.instance;
-    // While a site starts, no gateway knows the first of its hall yet. All gateways query the seeds
+    // While a site starts, no gateway knows the first of its hall yet. All gateways poll the seeds
     // then, so the seeds poll the groups.
     pollGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true
                                                                : followsSelf && !isDiscovering(now),
@@ -266,7 +266,7 @@
     if (!followsSelf) {
         pollGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsPolledAt_ >= kListExchangeInterval) {
-        // A gateway that knows no others, such as a restarted seed, queries the first gateway that
+        // A gateway that knows no others, such as a restarted seed, polls the first gateway that
         // it learns of at once: it must relearn the gateways that it has forgotten while it still
         // counts as being in contact with its peers.
         listsPolledAt_ = now;
@@ -285,8 +285,8 @@
     }
 }
 
-// Queries the seeds. All seeds are queried while few gateways are known. Otherwise a new gateway
-// that knows no gateway to follow (`follows`) queries a single seed, always the same one so that
+// Polls the seeds. All seeds are polled while few gateways are known. Otherwise a new gateway
+// that knows no gateway to follow (`follows`) polls a single seed, always the same one so that
 // the full list is not sent again, and switches to the next when the state is not fresh.
 void StateSynchronizer::pollSeeds(bool follows, TimePoint now)
 {
@@ -332,8 +332,8 @@
     }
 }
 
-// Queries the seeds in round-robin order. A seed that restarts while no other seed is running has
-// no gateway to learn from, and learns of a gateway when that gateway queries it.
+// Polls the seeds in round-robin order. A seed that restarts while no other seed is running has
+// no gateway to learn from, and learns of a gateway when that gateway polls it.
 void StateSynchronizer::pollNextSeed()
 {
     if (settings_.seeds.empty()) {
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -2,8 +2,8 @@
 //
 // One gateway of each hall follows the store (see GatewayDirectory), and the other gateways of the
 // hall follow that gateway. The one that is followed may be dead, partitioned or refused by the
-// store. A gateway whose state becomes stale for such a reason queries the store itself and the
-// other gateways in turn, and adopts the most recently confirmed state. A new gateway queries the
+// store. A gateway whose state becomes stale for such a reason polls the store itself and the
+// other gateways in turn, and adopts the most recently confirmed state. A new gateway polls the
 // other gateways before the store.
 //
 // Single-threaded; the constructor's arguments must outlive the object.
@@ -41,7 +41,7 @@
         std::vector<SocketAddress> seeds;
         // Port of the agents beside engines; empty if there are none.
         std::optional<int> agentPort;
-        // How long changes of the store are batched.
+        // Delay after a change of the store, in which further changes are coalesced.
         Duration storeCoalesceDelay{};
     };
 
@@ -54,10 +54,10 @@
     // `answered` is called once, possibly before this function returns.
     void requestPermits(const SendPermits::Query &query, GatewayPeers::PermitsCallback answered);
 
-    // Starts the queries that are due. Must be called at short intervals.
+    // Starts the polls that are due. Must be called at short intervals.
     void tick();
 
-    // Ends all queries, because the gateway is stopping.
+    // Ends all polls, because the gateway is stopping.
     void stop();
 
     std::uint64_t storeCalls() const;
@@ -103,10 +103,10 @@
     std::uint64_t endedWatcherCalls_ = 0; // Store calls made by earlier watchers.
     bool stopped_ = false;
     TimePoint startedAt_{};
-    std::size_t nextHall_ = 0;   // Selects the hall whose first gateway is queried next.
+    std::size_t nextHall_ = 0;   // Selects the hall whose first gateway is polled next.
     std::uint64_t nextSeed_ = 0; // Starts at a random value to spread new gateways over the seeds.
     TimePoint fallbackWatchUntil_{}; // End of a watch that was started because the state was stale.
-    // Until then the store is not queried, because another gateway has newer state.
+    // Until then the store is not polled, because another gateway has newer state.
     TimePoint storeBackoffUntil_{};
     TimePoint listsPolledAt_{};
     TimePoint stalePolledAt_{};
