--- a/src/gateway/gatewaybounds.h
+++ b/src/gateway/gatewaybounds.h
@@ -50,7 +50,7 @@
     Duration stopDeadline{};
     // How long an upstream stays in use that disappeared from the list around a store outage.
     Duration lapseGrace{};
-    // How long a gateway waits after a change in the store, to read further changes in one batch.
+    // How long a gateway waits after a change in the store, to read further changes with it.
     Duration storeCoalesceDelay{};
 };
 
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -312,9 +312,9 @@
     return onStateReceived_(peerState, sentAt + held - age);
 }
 
-// Applies the other gateway's facts about groups, each as of its own time. If its mark is the one
-// that the poll named, the members are omitted and the facts are only renewed, provided that those
-// held here still have that mark.
+// Applies the other gateway's facts about groups, each as of its own time. If its digest is the
+// one that the poll named, the members are omitted and the facts are only renewed, provided that
+// those held here still have that digest.
 void GatewayPeers::applyGroups(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news)
 {
     const Duration held(news.getHeldMicros());
@@ -394,7 +394,7 @@
     }
 }
 
-// Writes the changes since the list whose mark the poller sent, if that list is in the history,
+// Writes the changes since the list whose digest the poller sent, if that list is in the history,
 // else the full list.
 void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest)
 {
--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -72,7 +72,7 @@
 
 // Notifies the first gateway of each hall that there is an update here, and repeats that until it
 // acknowledges. An update here means that upstreams have ended under requests of this gateway, or
-// have told it a changed limit. The other gateways of that hall have polls waiting there.
+// have reported a changed limit to it. The other gateways of that hall have polls waiting there.
 void GatewayPeers::announce(TimePoint now)
 {
     if (announcedEventCount_ == ownEventCount()) {
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -352,7 +352,7 @@
     return shown;
 }
 
-// Lists the upstreams that have asked this gateway to pause, and the time left of each pause.
+// Lists the upstreams that have asked this gateway for a rest, and the time left of each rest.
 json GatewayService::restingStatus() const
 {
     const TimePoint now = loop_.now();
--- a/src/gateway/gatewayservicenotices.cpp
+++ b/src/gateway/gatewayservicenotices.cpp
@@ -1,4 +1,4 @@
-// The part of GatewayService that processes the notices in upstreams' answers (pauses, leaving,
+// The part of GatewayService that processes the notices in upstreams' answers (rests, leaving,
 // rate limits), and requests permits to send to upstreams.
 #include "base/log.h"
 #include "gateway/gatewayservice.h"
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -39,7 +39,7 @@
     ConfigVersion version;
     std::optional<RoutingDocument> document;              // Set if the receiver's version is lower.
     std::uint64_t upstreamsDigest = 0;                    // Digest of the sender's upstream list.
-    std::optional<std::vector<UpstreamRecord>> upstreams; // Set if the receiver's mark differs.
+    std::optional<std::vector<UpstreamRecord>> upstreams; // Set if the receiver's digest differs.
     std::set<HallId> drainedHalls;                        // Valid if `upstreams` is set.
 };
 
@@ -66,13 +66,13 @@
     bool adopt(const PeerStoreState &peerState, TimePoint confirmedAt);
     // Applies only the configuration of another gateway's state, if its version is higher.
     void adoptConfiguration(const PeerStoreState &peerState);
-    // Returns the mark that stands for the own upstream list in requests to other gateways: the
-    // sender's mark if the list was adopted and is unchanged since, else `upstreamsDigest`. The two
-    // may differ, because this gateway may know of a leaving upstream that the sender did not know
-    // of. Returns zero before the first confirmation.
+    // Returns the digest that stands for the own upstream list in requests to other gateways: the
+    // sender's digest if the list was adopted and is unchanged since, else `upstreamsDigest`. The
+    // two may differ, because this gateway may know of a leaving upstream that the sender did not
+    // know of. Returns zero before the first confirmation.
     std::uint64_t advertisedDigest() const;
-    // Returns the mark of the own list, a digest of its contents that is never zero. Equal lists
-    // have equal marks at all gateways, so a gateway that polls a different peer than before does
+    // Returns the digest of the contents of the own list, which is never zero. Equal lists have
+    // equal digests at all gateways, so a gateway that polls a different peer than before does
     // not receive the same list again.
     std::uint64_t upstreamsDigest() const;
     // Returns the store's era and revision that the list of upstreams is at.
@@ -120,7 +120,7 @@
     std::shared_ptr<const RouteTable> table_;
     std::optional<TimePoint> confirmedAt_;
     StorePosition position_;           // The era and revision of the list of upstreams.
-    mutable std::uint64_t digest_ = 0; // Cached mark of the list after `digestedChanges_` changes.
+    mutable std::uint64_t digest_ = 0; // Cached digest of the list as of `digestedChanges_`.
     mutable std::uint64_t digestedChanges_ = 0;
     std::uint64_t adoptedDigest_ = 0;
     std::uint64_t changesAtAdoption_ = 0; // Change count of the list when it was adopted.
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -18,8 +18,7 @@
 
 namespace seamarch {
 
-// `lastSeenAge` is the time since the gateway was last heard from; `readGateway` does not return
-// it.
+// `lastSeenAge` is the time since the gateway was last seen; `readGateway` does not return it.
 void writeGateway(const GatewayRecord &record, Duration lastSeenAge,
                   wire::GatewayRecord::Builder to);
 GatewayRecord readGateway(wire::GatewayRecord::Reader from);
--- a/src/gateway/grouppoller.h
+++ b/src/gateway/grouppoller.h
@@ -47,7 +47,7 @@
     struct Link
     {
         std::unique_ptr<RpcLink> rpc;
-        std::uint64_t digest = 0; // Version of the group state that the agent sent last.
+        std::uint64_t digest = 0; // Digest of the group state that the agent sent last.
         TimePoint lastUsedAt{};
     };
 
--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -210,8 +210,8 @@
 }
 
 // When the gateway that a hall follows becomes unavailable, each of the others polls one gateway
-// after another. If equal lists had different marks, each poll would transfer the full list, which
-// outweighs all other traffic between gateways.
+// after another. If equal lists had different digests, each poll would transfer the full list,
+// which outweighs all other traffic between gateways.
 TEST(GatewayStoreViewTest, EqualListsHaveEqualDigests)
 {
     UpstreamTable otherUpstreams;
@@ -240,7 +240,7 @@
 }
 
 // Guards against a gateway that reads the store itself and polls others without naming its list's
-// mark: it would receive the full list with each answer.
+// digest: it would receive the full list with each answer.
 TEST(GatewayStoreViewTest, StoreListIsAdvertisedByItsDigest)
 {
     LONGS_EQUAL(0, view.advertisedDigest());
--- a/test/gateway/grouppoller_test.cpp
+++ b/test/gateway/grouppoller_test.cpp
@@ -1,5 +1,5 @@
 // Tests polling of a single agent over sockets on the loopback interface. The selection among many
-// agents is tested in groupsurvey_test.cpp, without sockets.
+// agents is tested in grouppollplanner_test.cpp, without sockets.
 #include "experts/groupreporter.h"
 #include "freeport.h"
 #include "gateway/grouppoller.h"
