--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -36,7 +36,7 @@
 class ChoiceCountHistory
 {
 public:
-    // `firstSnapshotId` is a random number, so that marks from an earlier run of the process do not
+    // `firstSnapshotId` is a random number, so that ids from an earlier run of the process do not
     // match a snapshot of this one.
     explicit ChoiceCountHistory(std::uint64_t firstSnapshotId)
         : nextSnapshotId_(firstSnapshotId == 0 ? 1 : firstSnapshotId)
--- a/src/experts/engineclient.h
+++ b/src/experts/engineclient.h
@@ -15,7 +15,7 @@
 {
     bool counts = false;
     bool experts = false;
-    std::uint64_t countsSince = 0; // Mark from which an agent's counts start; engines ignore it.
+    std::uint64_t countsSince = 0; // Snapshot at which an agent's counts start; engines ignore it.
 };
 
 // An engine's answer to a query.
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -50,7 +50,7 @@
 // How long a store watch waits for changes. Long, because only the list of engines is needed and
 // every store call has a cost.
 constexpr Duration kStoreWatchTimeout = std::chrono::seconds(10);
-// How long the store watch pauses after changes, so that they are read in batches. A new engine
+// Delay of the store watch after a change, in which further changes are coalesced. A new engine
 // takes longer than this to form its group.
 constexpr Duration kStoreCoalesceDelay = std::chrono::milliseconds(200);
 
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -146,10 +146,10 @@
     GroupId ownGroup_; // Empty until the own engine has first reported.
     std::optional<std::uint32_t> ownRank_;
     std::uint32_t groupSize_ = 0;     // Number of ranks, from the own engine's last report.
-    Duration gapTarget_{};            // Shortest pause goal of the service's routes; zero: unknown.
+    Duration gapTarget_{};            // Shortest gap target of the service's routes; zero: unknown.
     bool ownEngineHoldsStep_ = false; // From the own engine's last report.
     std::optional<LowerRankDecider> lowerRankDecider_;
-    std::uint64_t ownCountsSnapshotId_ = 0; // Mark of the own rank's last counts.
+    std::uint64_t ownCountsSnapshotId_ = 0; // Snapshot of the own rank's last counts.
     std::uint64_t epoch_ = 0;
     TimePoint startedAt_{};
     TimePoint ownPolledAt_{};  // Last poll of the own engine by this agent.
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -35,7 +35,7 @@
     // decider.
     void referTo(const std::string &host);
 
-    // Answers a `group` call: at once if the caller's mark is outdated or this agent is not the
+    // Answers a `group` call: at once if the caller's digest is outdated or this agent is not the
     // decider, otherwise when that becomes so or the caller's wait time is over.
     using Context = capnp::CallContext<wire::RankAgent::GroupParams, wire::RankAgent::GroupResults>;
     kj::Promise<void> answer(Context context);
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kFirstAnswerTimeout = std::chrono::milliseconds(250);
 // How long an answer to a query is awaited before the peer may be queried again.
 constexpr Duration kAgentQueryTimeout = std::chrono::milliseconds(600);
-// A counts query starts at the previous one's mark if that query is younger than this.
+// A counts query starts at the previous one's snapshot if that query is younger than this.
 constexpr Duration kMaxSnapshotAge = std::chrono::seconds(1);
 // Up to this many queries are always allowed per call, because so few answers never queue at the
 // link: 16 reports take about 6 KB.
--- a/src/experts/rankpeers.h
+++ b/src/experts/rankpeers.h
@@ -83,7 +83,7 @@
         SocketAddress engine;
         std::unique_ptr<RpcLink> link;
         TimePoint connectedAt{};
-        std::uint64_t countsSnapshotId = 0; // Mark of the last counts; zero: none.
+        std::uint64_t countsSnapshotId = 0; // Snapshot of the last counts; zero: none.
         TimePoint countsRequestedAt{};
         TimePoint answeredAt{}; // Last answer of the agent; set from the listing time at first.
         TimePoint requestedAt{};
