--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -126,7 +126,7 @@
         outliers_.onFailure(upstream, now);
     }
 
-    // Removes the state of upstreams without requests in flight and pauses. To be called
+    // Removes the state of upstreams without requests in flight and cooldowns. To be called
     // periodically.
     void expire(TimePoint now);
 
--- a/src/decision/gateway/upstreamlimits.cpp
+++ b/src/decision/gateway/upstreamlimits.cpp
@@ -59,7 +59,7 @@
     return before ? Change::Changed : Change::Begun;
 }
 
-// Returns whether `report` replaces `known`. If their order is ambiguous, a limit wins over no
+// Returns whether `report` replaces `stored`. If their order is ambiguous, a limit wins over no
 // limit and the lower of two limits wins.
 bool UpstreamLimits::supersedes(const LimitReport &report, const LimitReport &stored) const
 {
--- a/src/decision/membership/gatewaydirectory.h
+++ b/src/decision/membership/gatewaydirectory.h
@@ -56,7 +56,7 @@
         TimePoint lastSeen{};
     };
 
-    // A gossip message: the sender's knowledge of gateways, in full or as ages only.
+    // A gossip message: the gateways that the sender knows, in full or as ages only.
     struct GossipUpdate
     {
         std::uint64_t digest = 0; // Digest of all gateways that the sender knows, itself included.
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -41,10 +41,10 @@
 // Derives the schedule from the staleness limits.
 StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits);
 
-// Returns whether a gateway polls the store in addition to the others of its hall. `place` is its
-// zero-based position in the order of the hall's gateways.
+// Returns whether a gateway polls the store in addition to the others of its hall. `hallIndex` is
+// its zero-based position in the order of the hall's gateways.
 bool mayPollStore(std::size_t hallIndex);
-// Returns the age of its data from which a gateway at `place` polls the store.
+// Returns the age of its data from which a gateway at `hallIndex` polls the store.
 Duration storePollAge(const StorePollSchedule &schedule, std::size_t hallIndex);
 
 } // namespace seamarch
