--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -70,7 +70,7 @@
     }
     constexpr Duration::rep kMaxAgeSteps = 255;
     for (const KnownPeer &peer : sortedWithSelf(now)) {
-        const Duration age = std::max(Duration{}, now - known.lastSeen);
+        const Duration age = std::max(Duration{}, now - peer.lastSeen);
         const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Rounded up.
         gossip.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kMaxAgeSteps)));
     }
@@ -80,7 +80,7 @@
 bool GatewayDirectory::applyGossip(const GossipUpdate &gossip, TimePoint now)
 {
     for (const KnownPeer &peer : gossip.peers) {
-        recordSeen(known.record, known.lastSeen);
+        recordSeen(peer.record, peer.lastSeen);
     }
     if (gossip.ages.empty()) {
         return true;
