--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits)
+StorePollSchedule makeStorePollSchedule(const FreshnessLimits &limits)
 {
     const Duration budget = std::min(scale(limits.keyMaxAge, kKeyFraction), limits.denyMaxAge);
     StorePollSchedule schedule;
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -20,7 +20,7 @@
 
 namespace seamarch {
 
-struct StalenessLimits
+struct FreshnessLimits
 {
     Duration keyMaxAge{};  // The maximum age of data that keys are checked against.
     Duration denyMaxAge{}; // The maximum age of data on which a route is denied.
@@ -39,7 +39,7 @@
 };
 
 // Derives the schedule from the staleness limits.
-StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits);
+StorePollSchedule makeStorePollSchedule(const FreshnessLimits &limits);
 
 // Returns whether a gateway polls the store in addition to the others of its hall. `hallIndex` is
 // its zero-based position in the order of the hall's gateways.
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -12,11 +12,11 @@
 constexpr std::size_t kHallSize = 30;
 // A configuration must be in force everywhere within two seconds (small fleet) or four seconds
 // (large fleet), and a removed key must be rejected within five.
-constexpr StalenessLimits kSmallFleet{std::chrono::milliseconds(4700),
+constexpr FreshnessLimits kSmallFleet{std::chrono::milliseconds(4700),
                                       std::chrono::milliseconds(1900)};
-constexpr StalenessLimits kLargeFleet{std::chrono::milliseconds(4700),
+constexpr FreshnessLimits kLargeFleet{std::chrono::milliseconds(4700),
                                       std::chrono::milliseconds(3900)};
-constexpr StalenessLimits kShortLimits{std::chrono::milliseconds(2200),
+constexpr FreshnessLimits kShortLimits{std::chrono::milliseconds(2200),
                                        std::chrono::milliseconds(1400)};
 // The time that a follower's long poll and the transmission add to the age of a watch's data.
 constexpr Duration kFollowerDelay = std::chrono::milliseconds(450);
@@ -27,7 +27,7 @@
 
 TEST(StorePollScheduleTest, StaleAgeExceedsNormalStaleness)
 {
-    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
+    for (const FreshnessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const StorePollSchedule schedule = makeStorePollSchedule(limits);
         CHECK_TRUE(schedule.watchTimeout + kFollowerDelay < schedule.staleAge);
     }
@@ -35,7 +35,7 @@
 
 TEST(StorePollScheduleTest, LastPollPrecedesStalenessLimits)
 {
-    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
+    for (const FreshnessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const Duration lastPollAge = storePollAge(makeStorePollSchedule(limits), kHallSize);
         CHECK_TRUE(lastPollAge <= limits.keyMaxAge - std::chrono::milliseconds(900));
         CHECK_TRUE(lastPollAge < limits.denyMaxAge);
