--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -49,7 +49,7 @@
 constexpr std::chrono::milliseconds kFenceUnit{100};
 // How long a store watch waits for changes. Long, because only the list of engines is needed and
 // every store call has a cost.
-constexpr Duration kStoreWatchTimeout = std::chrono::seconds(10);
+constexpr Duration kStoreLongPollWait = std::chrono::seconds(10);
 // Delay of the store watch after a change, in which further changes are coalesced. A new engine
 // takes longer than this to form its group.
 constexpr Duration kStoreCoalesceDelay = std::chrono::milliseconds(200);
@@ -390,7 +390,7 @@
     loggedChanges_ = 0;
     loggedCleared_ = 0;
     StoreWatcher::Settings watch;
-    watch.longPollWait = kStoreWatchTimeout;
+    watch.longPollWait = kStoreLongPollWait;
     watch.coalesceDelay = kStoreCoalesceDelay;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
