--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -180,7 +180,7 @@
     return now - startedAt_ < (peersLackConfiguration ? kMaxPeerBootstrapWait : kPeerBootstrapWait);
 }
 
-StorePollSchedule StateSynchronizer::times() const
+StorePollSchedule StateSynchronizer::pollSchedule() const
 {
     const FreshnessBounds &bounds = storeView_.freshness();
     return makeStorePollSchedule({bounds.keys, bounds.deny});
@@ -204,7 +204,7 @@
     if (!storeView_.confirmed()) {
         return !waitsForPeers(now);
     }
-    return storeView_.age() > storePollAge(times(), directory_.hallPosition().index);
+    return storeView_.age() > storePollAge(pollSchedule(), directory_.hallPosition().index);
 }
 
 void StateSynchronizer::stop()
@@ -262,7 +262,7 @@
     // A follower's state is normally older than that of a gateway that follows the store, so its
     // threshold is higher.
     const bool stale = !storeView_.confirmed()
-                       || storeView_.age() > (followsSelf ? kMaxFreshAge : times().staleAge);
+                       || storeView_.age() > (followsSelf ? kMaxFreshAge : pollSchedule().staleAge);
     if (!followsSelf) {
         pollGateway(followed, kFollowLongPoll);
     } else if (directory_.size() > 1 && now - listsPolledAt_ >= kListExchangeInterval) {
@@ -370,7 +370,7 @@
     }
     StoreWatcher::Settings watchSettings;
     watchSettings.longPollWait =
-        peers_ == nullptr ? watchSettings.longPollWait : times().watchTimeout;
+        peers_ == nullptr ? watchSettings.longPollWait : pollSchedule().watchTimeout;
     watchSettings.coalesceDelay = settings_.storeCoalesceDelay;
     watchSettings.seed = randomIdentity();
     watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, storeView_, watchSettings);
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -76,7 +76,7 @@
     bool isSeed() const;
     bool isDiscovering(TimePoint now) const;
     bool waitsForPeers(TimePoint now) const;
-    StorePollSchedule times() const;
+    StorePollSchedule pollSchedule() const;
     bool isStorePollDue(TimePoint now) const;
     bool peersPollStore(TimePoint now) const;
     void pollGroups(bool active, TimePoint now);
