--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -182,10 +182,10 @@
     changed.items.emplace_back(HallDrain{HallId("south"), false});
     view.onStoreChanged(changed, loop->now() - std::chrono::seconds(1));
     CHECK_TRUE(!drained("north") && drained("south"));
-    PeerStoreState told = peerState();
-    told.position = {1, 22};
-    told.drainedHalls = {HallId("west")};
-    CHECK_TRUE(view.adopt(told, loop->now()));
+    PeerStoreState received = peerState();
+    received.position = {1, 22};
+    received.drainedHalls = {HallId("west")};
+    CHECK_TRUE(view.adopt(received, loop->now()));
     CHECK_TRUE(!drained("south") && drained("west"));
 }
 
