--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -598,12 +598,12 @@
 
 TEST(GroupDeciderTest, ReportOlderThanAnswerDoesNotUndoIt)
 {
-    const TimePoint asked{std::chrono::seconds(10)};
+    const TimePoint requestedAt{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
-    reportTwoRanks(decider, asked, std::nullopt);
+    reportTwoRanks(decider, requestedAt, std::nullopt);
     MapOrders orders;
-    decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), asked, orders);
-    const TimePoint answered = asked + std::chrono::milliseconds(30);
+    decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), requestedAt, orders);
+    const TimePoint answered = requestedAt + std::chrono::milliseconds(30);
     decider.onAnswer(0, orders.at(0).order, MapOrderAnswer::Copied, answered);
     RankReport early;
     early.rank = 0;
@@ -611,7 +611,7 @@
     early.epoch = 1;
     early.open = true;
     early.step = 7;
-    decider.onReport(early, asked + std::chrono::milliseconds(10), answered);
+    decider.onReport(early, requestedAt + std::chrono::milliseconds(10), answered);
     decider.onAnswer(1, orders.at(1).order, MapOrderAnswer::Copied, answered);
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 }
