--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -605,13 +605,13 @@
     decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), requestedAt, orders);
     const TimePoint answered = requestedAt + std::chrono::milliseconds(30);
     decider.onAnswer(0, orders.at(0).order, MapOrderAnswer::Copied, answered);
-    RankReport early;
-    early.rank = 0;
-    early.ranks = kTwoRanks;
-    early.epoch = 1;
-    early.open = true;
-    early.step = 7;
-    decider.onReport(early, requestedAt + std::chrono::milliseconds(10), answered);
+    RankReport earlyReport;
+    earlyReport.rank = 0;
+    earlyReport.ranks = kTwoRanks;
+    earlyReport.epoch = 1;
+    earlyReport.open = true;
+    earlyReport.step = 7;
+    decider.onReport(earlyReport, requestedAt + std::chrono::milliseconds(10), answered);
     decider.onAnswer(1, orders.at(1).order, MapOrderAnswer::Copied, answered);
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 }
