--- a/test/decision/expertmap/mapswitchparticipant_test.cpp
+++ b/test/decision/expertmap/mapswitchparticipant_test.cpp
@@ -244,9 +244,9 @@
     MapFence usedMap(const Rank &rank) const
     {
         const auto change = rank.participant.change();
-        const bool early = fault_ == InjectedFault::SwitchOnArming && change
-                           && change->second == ChangeState::Armed;
-        return early ? change->first : rank.participant.activeMap();
+        const bool switchesEarly = fault_ == InjectedFault::SwitchOnArming && change
+                                   && change->second == ChangeState::Armed;
+        return switchesEarly ? change->first : rank.participant.activeMap();
     }
 
     // Takes a step in every generation in which all ranks can step.
