--- a/test/decision/membership/gatewaydirectory_test.cpp
+++ b/test/decision/membership/gatewaydirectory_test.cpp
@@ -98,11 +98,11 @@
 TEST(GatewayDirectoryTest, NextPeerRotatesOverAllPeers)
 {
     GatewayDirectory directory = directoryOf(kGateways[0], kGateways);
-    std::set<InstanceId> asked;
+    std::set<InstanceId> polled;
     for (std::size_t round = 0; round < kGateways.size() - 1; ++round) {
-        asked.insert(*directory.nextPeer(InstanceId(), at(2)));
+        polled.insert(*directory.nextPeer(InstanceId(), at(2)));
     }
-    LONGS_EQUAL(kGateways.size() - 1, asked.size());
+    LONGS_EQUAL(kGateways.size() - 1, polled.size());
 }
 
 TEST(GatewayDirectoryTest, NextPeerReturnsFailedPeersLast)
