--- a/test/decision/membership/gatewaygossip_test.cpp
+++ b/test/decision/membership/gatewaygossip_test.cpp
@@ -221,8 +221,8 @@
 TEST(GatewayGossipTest, DetectsIntervalsThatGrowWithFleetSize)
 {
     SimulationConfig config = configOf(531, 5);
-    config.intervalMs = [](std::size_t known) {
-        return std::max(2000, 50 * static_cast<int>(known));
+    config.intervalMs = [](std::size_t knownGateways) {
+        return std::max(2000, 50 * static_cast<int>(knownGateways));
     };
     CHECK_TRUE(Simulation(config).run().minKnownLate < config.gateways);
 }
