--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -38,7 +38,7 @@
 {
     const Duration budget = std::min(scale(limits.keyMaxAge, kKeyFraction), limits.denyMaxAge);
     StorePollSchedule schedule;
-    schedule.watchTimeout = std::min(scale(budget, kWatchFraction), kMaxWatchTimeout);
+    schedule.longPollWait = std::min(scale(budget, kWatchFraction), kMaxWatchTimeout);
     schedule.staleAge = std::min(scale(budget, kStaleFraction), kMaxStaleAge);
     schedule.maxStorePollAge = std::max(
         scale(budget, kMaxPollFraction),
--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -29,7 +29,7 @@
 struct StorePollSchedule
 {
     // The timeout of a watch on the store. Each answer is a call, and calls are billed.
-    Duration watchTimeout{};
+    Duration longPollWait{};
     // The age from which data is requested from any gateway. In normal operation the age of a
     // follower's data is at most the time of a watch, of a follower's long poll and of
     // transmission.
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -370,7 +370,7 @@
     }
     StoreWatcher::Settings watchSettings;
     watchSettings.longPollWait =
-        peers_ == nullptr ? watchSettings.longPollWait : pollSchedule().watchTimeout;
+        peers_ == nullptr ? watchSettings.longPollWait : pollSchedule().longPollWait;
     watchSettings.coalesceDelay = settings_.storeCoalesceDelay;
     watchSettings.seed = randomIdentity();
     watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, storeView_, watchSettings);
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -29,7 +29,7 @@
 {
     for (const FreshnessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const StorePollSchedule schedule = makeStorePollSchedule(limits);
-        CHECK_TRUE(schedule.watchTimeout + kFollowerDelay < schedule.staleAge);
+        CHECK_TRUE(schedule.longPollWait + kFollowerDelay < schedule.staleAge);
     }
 }
 
