--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -27,17 +27,17 @@
 
 GatewayTimings deriveTimings(const GatewayBounds &bounds)
 {
-    GatewayTimings times;
-    times.freshness.keys = std::max(kMinTiming, bounds.keyRevocationLimit - kKeyMargin);
-    times.freshness.deny = std::max(kMinTiming, bounds.configPropagationLimit - kDenyMargin);
-    times.stopDeadline = std::max(kMinTiming, bounds.stopLimit - kStopMargin);
+    GatewayTimings timings;
+    timings.freshness.keys = std::max(kMinTiming, bounds.keyRevocationLimit - kKeyMargin);
+    timings.freshness.deny = std::max(kMinTiming, bounds.configPropagationLimit - kDenyMargin);
+    timings.stopDeadline = std::max(kMinTiming, bounds.stopLimit - kStopMargin);
     // Requests that arrive at the end of the delay need the remaining time to finish.
-    times.stopDelay = std::min(kBalancerDetectionDelay, times.stopDeadline / 2);
-    times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
-                                  Duration(kReregistrationDelay));
-    times.storeCoalesceDelay =
+    timings.stopDelay = std::min(kBalancerDetectionDelay, timings.stopDeadline / 2);
+    timings.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
+                                    Duration(kReregistrationDelay));
+    timings.storeCoalesceDelay =
         std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kCoalesceDelayDivisor;
-    return times;
+    return timings;
 }
 
 RetryLimits retryLimits(const GatewayBounds &bounds)
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -42,11 +42,11 @@
     , store_(store)
     , metrics_(settings.maxAccountSeries)
     , core_(coreSettings(settings))
-    , storeView_(loop, core_.upstreams(), metrics_, settings.times.freshness,
+    , storeView_(loop, core_.upstreams(), metrics_, settings.timings.freshness,
                  [this](const RouteTable &table) { applyConfiguration(table); })
 {
     core_.warmUps().setBounds(settings.bounds.warmUp);
-    core_.upstreams().setLapseGrace(settings.times.lapseGrace);
+    core_.upstreams().setLapseGrace(settings.timings.lapseGrace);
 }
 
 GatewayService::~GatewayService() = default;
@@ -97,7 +97,7 @@
         loop_, *client_, store_, storeView_,
         {core_.groups(), core_.crashes(), core_.limits(), core_.permitIssuer(), core_.warmUps()},
         {settings_.instance, settings_.hall, settings_.peerListen, settings_.seeds,
-         settings_.agentPort, settings_.times.storeCoalesceDelay});
+         settings_.agentPort, settings_.timings.storeCoalesceDelay});
     if (!synchronizer) {
         return tl::unexpected(synchronizer.error());
     }
@@ -122,7 +122,7 @@
 void GatewayService::onRequest(ExchangeId exchange, HttpRequest request)
 {
     RequestMetadata metadata = protocol_.readRequest(request);
-    if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.times.stopDelay) {
+    if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.timings.stopDelay) {
         // The balancer has noticed the stop by now, and a new request might not finish in time.
         refuse(exchange, metadata, FailureCode::EntryStopping, Outcome::NotRun,
                kNotReadyRetryAfter);
@@ -414,14 +414,14 @@
         logLine(LogLevel::Warning, "settings.need_restart",
                 {{"message", "names and addresses change at the next start"}});
     }
-    storeView_.setFreshness(settings.times.freshness);
-    settings_.times = settings.times;
+    storeView_.setFreshness(settings.timings.freshness);
+    settings_.timings = settings.timings;
     settings_.bounds = settings.bounds;
     core_.setRetryLimits(retryLimits(settings_.bounds));
     core_.warmUps().setBounds(settings_.bounds.warmUp);
     settings_.crashRetention = settings.crashRetention;
     core_.crashes().setRetention(settings_.crashRetention);
-    core_.upstreams().setLapseGrace(settings_.times.lapseGrace);
+    core_.upstreams().setLapseGrace(settings_.timings.lapseGrace);
 }
 
 void GatewayService::stop()
@@ -439,12 +439,12 @@
 {
     const Duration since = loop_.now() - stopStartedAt_;
     // The balancer notices the lost readiness with a delay and sends requests until then.
-    if (since < settings_.times.stopDelay) {
+    if (since < settings_.timings.stopDelay) {
         return;
     }
     server_->closeIdle();
     const bool drained = activeRequests_.empty() && server_->open() == 0;
-    if (!drained && since < settings_.times.stopDeadline) {
+    if (!drained && since < settings_.timings.stopDeadline) {
         return;
     }
     logLine(LogLevel::Info, "gateway.stopped", {{"cutOff", activeRequests_.size()}});
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -50,7 +50,7 @@
     Duration crashRetention = CrashRecord::Settings().retention;
     // Limits from the platform's settings, and the timings derived from them.
     GatewayBounds bounds;
-    GatewayTimings times = deriveTimings(GatewayBounds());
+    GatewayTimings timings = deriveTimings(GatewayBounds());
 };
 
 // Runs one gateway on an event loop.
--- a/test/gateway/gatewaybounds_test.cpp
+++ b/test/gateway/gatewaybounds_test.cpp
@@ -28,17 +28,17 @@
 
 TEST(GatewayBoundsTest, FreshnessIsTighterThanThePlatformBounds)
 {
-    const GatewayTimings times = deriveTimings(tightBounds());
-    CHECK_TRUE(times.freshness.keys < millis(2500));
-    CHECK_TRUE(times.freshness.deny < millis(1000));
-    CHECK_TRUE(times.lapseGrace < millis(1200));
+    const GatewayTimings timings = deriveTimings(tightBounds());
+    CHECK_TRUE(timings.freshness.keys < millis(2500));
+    CHECK_TRUE(timings.freshness.deny < millis(1000));
+    CHECK_TRUE(timings.lapseGrace < millis(1200));
 }
 
 TEST(GatewayBoundsTest, StopEndsBeforeTheProcessIsKilled)
 {
-    const GatewayTimings times = deriveTimings(tightBounds());
-    CHECK_TRUE(times.stopDeadline < millis(4000));
-    CHECK_TRUE(times.stopDelay * 2 <= times.stopDeadline);
+    const GatewayTimings timings = deriveTimings(tightBounds());
+    CHECK_TRUE(timings.stopDeadline < millis(4000));
+    CHECK_TRUE(timings.stopDelay * 2 <= timings.stopDeadline);
 }
 
 TEST(GatewayBoundsTest, LongStopLimitDoesNotExtendTheStopDelay)
@@ -53,9 +53,9 @@
     GatewayBounds bounds;
     bounds.keyRevocationLimit = bounds.configPropagationLimit = bounds.leavingLimit =
         bounds.stopLimit = millis(50);
-    const GatewayTimings times = deriveTimings(bounds);
-    CHECK_TRUE(times.freshness.keys > Duration{});
-    CHECK_TRUE(times.freshness.deny > Duration{});
-    CHECK_TRUE(times.lapseGrace > Duration{});
-    CHECK_TRUE(times.stopDeadline > Duration{});
+    const GatewayTimings timings = deriveTimings(bounds);
+    CHECK_TRUE(timings.freshness.keys > Duration{});
+    CHECK_TRUE(timings.freshness.deny > Duration{});
+    CHECK_TRUE(timings.lapseGrace > Duration{});
+    CHECK_TRUE(timings.stopDeadline > Duration{});
 }
