--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -194,7 +194,7 @@
     settings.crashRetention = fromSeconds(
         reader.number("crash-memory-s", 0.0, kMostSeconds, toSeconds(settings.crashRetention)));
     settings.bounds = readBounds(reader);
-    settings.times = readTimes(reader, deriveTimings(settings.bounds));
+    settings.timings = readTimes(reader, deriveTimings(settings.bounds));
     return settings;
 }
 
