--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -603,16 +603,16 @@
     reportTwoRanks(decider, requestedAt, std::nullopt);
     MapOrders orders;
     decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), requestedAt, orders);
-    const TimePoint answered = requestedAt + std::chrono::milliseconds(30);
-    decider.onAnswer(0, orders.at(0).order, MapOrderAnswer::Copied, answered);
+    const TimePoint answeredAt = requestedAt + std::chrono::milliseconds(30);
+    decider.onAnswer(0, orders.at(0).order, MapOrderAnswer::Copied, answeredAt);
     RankReport earlyReport;
     earlyReport.rank = 0;
     earlyReport.ranks = kTwoRanks;
     earlyReport.epoch = 1;
     earlyReport.open = true;
     earlyReport.step = 7;
-    decider.onReport(earlyReport, requestedAt + std::chrono::milliseconds(10), answered);
-    decider.onAnswer(1, orders.at(1).order, MapOrderAnswer::Copied, answered);
+    decider.onReport(earlyReport, requestedAt + std::chrono::milliseconds(10), answeredAt);
+    decider.onAnswer(1, orders.at(1).order, MapOrderAnswer::Copied, answeredAt);
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 }
 
