--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -33,7 +33,7 @@
     }
 }
 
-TEST(StorePollScheduleTest, LastPollPrecedesStalenessLimits)
+TEST(StorePollScheduleTest, LastPollPrecedesFreshnessLimits)
 {
     for (const FreshnessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const Duration lastPollAge = storePollAge(makeStorePollSchedule(limits), kHallSize);
