--- a/src/decision/membership/storepollschedule.h
+++ b/src/decision/membership/storepollschedule.h
@@ -6,7 +6,7 @@
 // the store, a hall of thirty gateways would make thirty list calls and as many watches. So the
 // others first poll gateways of other halls, most of which are unaffected, and then the store, one
 // after the other in the hall's order, because the first to succeed passes the data on. The time
-// available follows from the staleness limits for keys and for denied routes; with short limits,
+// available follows from the freshness limits for keys and for denied routes; with short limits,
 // all poll at nearly the same time. Only the first few gateways of a hall poll the store at all: it
 // is unlikely to reject all of these and still serve others, and while it is down for everybody
 // each call is wasted.
@@ -20,6 +20,7 @@
 
 namespace seamarch {
 
+// The freshness bounds of the platform (see FreshnessBounds) from which the schedule is derived.
 struct FreshnessLimits
 {
     Duration keyMaxAge{};  // The maximum age of data that keys are checked against.
@@ -28,7 +29,7 @@
 
 struct StorePollSchedule
 {
-    // The timeout of a watch on the store. Each answer is a call, and calls are billed.
+    // How long a watch on the store waits for changes. Each answer is a call, and calls are billed.
     Duration longPollWait{};
     // The age from which data is requested from any gateway. In normal operation the age of a
     // follower's data is at most the time of a watch, of a follower's long poll and of
@@ -38,7 +39,7 @@
     Duration maxStorePollAge{};
 };
 
-// Derives the schedule from the staleness limits.
+// Derives the schedule from the freshness limits.
 StorePollSchedule makeStorePollSchedule(const FreshnessLimits &limits);
 
 // Returns whether a gateway polls the store in addition to the others of its hall. `hallIndex` is
