--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -23,9 +23,9 @@
 TEST(ChoiceCountHistoryTest, ReturnsDeltaSinceNamedSnapshot)
 {
     const auto first = history.record({10, 20, 30}, 0);
-    history.record({11, 20, 30}, first.mark);
-    const auto third = history.record({15, 20, 37}, first.mark);
-    LONGS_EQUAL(first.mark, third.since);
+    history.record({11, 20, 30}, first.snapshotId);
+    const auto third = history.record({15, 20, 37}, first.snapshotId);
+    LONGS_EQUAL(first.snapshotId, third.since);
     CHECK_TRUE(decodeChoices(third) == (std::vector<double>{5, 0, 7}));
 }
 
@@ -45,9 +45,9 @@
 TEST(ChoiceCountHistoryTest, ReturnsNoDeltaAcrossEngineRestart)
 {
     const auto first = history.record({10, 20, 30}, 0);
-    const auto second = history.record({0, 1, 0}, first.mark);
+    const auto second = history.record({0, 1, 0}, first.snapshotId);
     CHECK_TRUE(decodeChoices(second).empty());
-    const auto third = history.record({0, 4, 0}, second.mark);
+    const auto third = history.record({0, 4, 0}, second.snapshotId);
     CHECK_TRUE(decodeChoices(third) == (std::vector<double>{0, 3, 0}));
 }
 
@@ -59,7 +59,7 @@
     for (std::size_t expert = 0; expert < kExperts; ++expert) {
         later.push_back(expert * expert % 9973);
     }
-    const std::vector<double> choices = decodeChoices(history.record(later, first.mark));
+    const std::vector<double> choices = decodeChoices(history.record(later, first.snapshotId));
     LONGS_EQUAL(kExperts, choices.size());
     for (std::size_t expert = 0; expert < kExperts; ++expert) {
         DOUBLES_EQUAL(static_cast<double>(later[expert]), choices[expert], 9973.0 / 500.0);
@@ -70,7 +70,7 @@
 {
     constexpr std::size_t kExperts = 2016;
     const auto first = history.record(uniformCounts(kExperts, 0), 0);
-    const auto second = history.record(uniformCounts(kExperts, 5000), first.mark);
+    const auto second = history.record(uniformCounts(kExperts, 5000), first.snapshotId);
     CHECK_TRUE(second.quantized.size() + second.scales.size() * sizeof(float) < 3000);
 }
 
