--- a/test/decision/expertmap/choicecounts_test.cpp
+++ b/test/decision/expertmap/choicecounts_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::uint64_t kFirstMark = 700;
+constexpr std::uint64_t kFirstSnapshotId = 700;
 
 std::vector<std::uint64_t> uniformCounts(std::size_t experts, std::uint64_t each)
 {
@@ -17,7 +17,7 @@
 
 TEST_GROUP(ChoiceCountHistoryTest)
 {
-    ChoiceCountHistory history{kFirstMark};
+    ChoiceCountHistory history{kFirstSnapshotId};
 };
 
 TEST(ChoiceCountHistoryTest, ReturnsDeltaSinceNamedSnapshot)
@@ -39,7 +39,7 @@
 TEST(ChoiceCountHistoryTest, ReturnsNoDeltaForSnapshotOfEarlierProcess)
 {
     history.record({10, 20, 30}, 0);
-    LONGS_EQUAL(0, history.record({11, 21, 31}, kFirstMark - 1).since);
+    LONGS_EQUAL(0, history.record({11, 21, 31}, kFirstSnapshotId - 1).since);
 }
 
 TEST(ChoiceCountHistoryTest, ReturnsNoDeltaAcrossEngineRestart)
