--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -249,9 +249,9 @@
     listed.items.emplace_back(document(3));
     listed.items.emplace_back(upstream("i-1"));
     view.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
-    const std::uint64_t mark = view.advertisedDigest();
-    CHECK_TRUE(mark != 0);
-    const PeerStoreState same{{1, 10}, ConfigVersion(3), std::nullopt, mark, std::nullopt, {}};
+    const std::uint64_t digest = view.advertisedDigest();
+    CHECK_TRUE(digest != 0);
+    const PeerStoreState same{{1, 10}, ConfigVersion(3), std::nullopt, digest, std::nullopt, {}};
     CHECK_TRUE(view.adopt(same, loop->now()));
     LONGS_EQUAL(10, view.position().revision);
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
