--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Duration kGoal = std::chrono::milliseconds(150);
+constexpr Duration kGapTarget = std::chrono::milliseconds(150);
 constexpr Duration kShort = std::chrono::milliseconds(80);
 constexpr Duration kNearGoal = std::chrono::milliseconds(140);
 constexpr Duration kOverGoal = std::chrono::milliseconds(200);
@@ -76,7 +76,7 @@
     void pass(const GroupId &id, Duration pause, int now)
     {
         selector.tracker(id).onFirstEvent(at(now));
-        selector.tracker(id).onPause(pause, kGoal, at(now));
+        selector.tracker(id).onPause(pause, kGapTarget, at(now));
     }
 
     void stallGroup(const GroupId &id, int now)
@@ -303,7 +303,7 @@
         for (const Stream &stream : gateway.streams) {
             if (stream.group != down) {
                 const Duration pause = streamsAt(stream.group) > slots_ ? kOverGoal : kShort;
-                gateway.selector->tracker(group(stream.group)).onPause(pause, kGoal, at(now));
+                gateway.selector->tracker(group(stream.group)).onPause(pause, kGapTarget, at(now));
             }
         }
         gateway.selector->onTick(static_cast<std::size_t>(gateway.waiting), table_, at(now));
--- a/test/decision/gateway/grouptracker_test.cpp
+++ b/test/decision/gateway/grouptracker_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration kGoal = std::chrono::milliseconds(150);
+constexpr Duration kGapTarget = std::chrono::milliseconds(150);
 constexpr Duration kPass = std::chrono::milliseconds(80);
 
 TimePoint at(int millis)
@@ -25,7 +25,7 @@
     {
         tracker.onStreamStart(at(now - 160));
         tracker.onFirstEvent(at(now - 80));
-        tracker.onPause(kPass, kGoal, at(now));
+        tracker.onPause(kPass, kGapTarget, at(now));
     }
 
     // Ticks every 25 ms, as the gateway does. Returns when a stall is detected, or a time after
@@ -61,7 +61,7 @@
 {
     startProducing(1000);
     detectStall(1000, 2000);
-    tracker.onPause(std::chrono::seconds(1), kGoal, at(2000));
+    tracker.onPause(std::chrono::seconds(1), kGapTarget, at(2000));
     CHECK_FALSE(tracker.isStalled());
 }
 
--- a/test/decision/gateway/streamlimiter_test.cpp
+++ b/test/decision/gateway/streamlimiter_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration kGoal = std::chrono::milliseconds(120);
+constexpr Duration kGapTarget = std::chrono::milliseconds(120);
 
 TimePoint at(int millis)
 {
@@ -22,7 +22,7 @@
 
 TEST(StreamLimiterTest, LimitFallsBelowInFlightWhenPausesAreLong)
 {
-    limiter.onPause(std::chrono::milliseconds(119), kGoal, at(900));
+    limiter.onPause(std::chrono::milliseconds(119), kGapTarget, at(900));
     limiter.onTick(8, 0, at(1000));
     CHECK_TRUE(limiter.limit() < 8.0);
     CHECK_FALSE(limiter.admits(8));
@@ -30,7 +30,7 @@
 
 TEST(StreamLimiterTest, LimitGrowsOnlyWhileRequestsAreQueued)
 {
-    limiter.onPause(std::chrono::milliseconds(40), kGoal, at(900));
+    limiter.onPause(std::chrono::milliseconds(40), kGapTarget, at(900));
     limiter.onTick(12, 0, at(1000));
     DOUBLES_EQUAL(StreamLimiter::Settings().initialLimit, limiter.limit(), 1e-9);
     limiter.onTick(12, 1, at(2000));
@@ -48,7 +48,7 @@
 TEST(StreamLimiterTest, LimitNeverFallsBelowTheMinimum)
 {
     for (int count = 1; count < 100; ++count) {
-        limiter.onPause(std::chrono::seconds(1), kGoal, at(900));
+        limiter.onPause(std::chrono::seconds(1), kGapTarget, at(900));
         limiter.onTick(1, 5, at(1000 * count));
     }
     CHECK_TRUE(limiter.admits(2));
@@ -63,15 +63,15 @@
 
 TEST(StreamLimiterTest, NearTargetLastsUntilAShortPause)
 {
-    limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
+    limiter.onPause(std::chrono::milliseconds(110), kGapTarget, at(1000));
     CHECK_TRUE(limiter.isNearTarget(at(1050)));
-    limiter.onPause(std::chrono::milliseconds(60), kGoal, at(1060));
+    limiter.onPause(std::chrono::milliseconds(60), kGapTarget, at(1060));
     CHECK_FALSE(limiter.isNearTarget(at(1060)));
 }
 
 TEST(StreamLimiterTest, NearTargetExpires)
 {
-    limiter.onPause(std::chrono::milliseconds(110), kGoal, at(1000));
+    limiter.onPause(std::chrono::milliseconds(110), kGapTarget, at(1000));
     CHECK_FALSE(limiter.isNearTarget(at(1000) + StreamLimiter::Settings().nearTargetTimeToLive));
 }
 
@@ -95,7 +95,7 @@
 // A group stalls for seconds while callers queue: there are no events, thus no long pauses either.
 TEST(StreamLimiterTest, LimitDoesNotGrowWhileTheEnginesAreStalled)
 {
-    limiter.onPause(std::chrono::milliseconds(40), kGoal, at(1000));
+    limiter.onPause(std::chrono::milliseconds(40), kGapTarget, at(1000));
     limiter.onTick(12, 5, at(1100));
     for (int millis = 2600; millis < 8000; millis += 200) {
         const double before = limiter.limit();
@@ -112,7 +112,7 @@
     }
     limiter.resetToShare(144.0, 6.0);
     CHECK_TRUE(limiter.limit() <= 24.0);
-    limiter.onPause(std::chrono::milliseconds(119), kGoal, at(9100));
+    limiter.onPause(std::chrono::milliseconds(119), kGapTarget, at(9100));
     limiter.onTick(8, 0, at(9200));
     limiter.resetToShare(144.0, 6.0);
     CHECK_TRUE(limiter.limit() < 8.0);
