--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr Duration kGapTarget = std::chrono::milliseconds(150);
 constexpr Duration kShort = std::chrono::milliseconds(80);
-constexpr Duration kNearGoal = std::chrono::milliseconds(140);
+constexpr Duration kNearGapTarget = std::chrono::milliseconds(140);
 constexpr Duration kOverGoal = std::chrono::milliseconds(200);
 
 TimePoint at(int millis)
@@ -174,7 +174,7 @@
     for (int count = 0; count < 4; ++count) {
         send(0);
     }
-    pass(group(0), kNearGoal, 10);
+    pass(group(0), kNearGapTarget, 10);
     CHECK_FALSE(send(20).has_value());
 }
 
