--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kGapTarget = std::chrono::milliseconds(150);
 constexpr Duration kShort = std::chrono::milliseconds(80);
 constexpr Duration kNearGapTarget = std::chrono::milliseconds(140);
-constexpr Duration kOverGoal = std::chrono::milliseconds(200);
+constexpr Duration kOverGapTarget = std::chrono::milliseconds(200);
 
 TimePoint at(int millis)
 {
@@ -302,7 +302,7 @@
         });
         for (const Stream &stream : gateway.streams) {
             if (stream.group != down) {
-                const Duration pause = streamsAt(stream.group) > slots_ ? kOverGoal : kShort;
+                const Duration pause = streamsAt(stream.group) > slots_ ? kOverGapTarget : kShort;
                 gateway.selector->tracker(group(stream.group)).onPause(pause, kGapTarget, at(now));
             }
         }
