--- a/src/gateway/grouppoller.h
+++ b/src/gateway/grouppoller.h
@@ -66,8 +66,8 @@
     int agentPort_;
     std::unique_ptr<RawTransport> transport_;
     GroupPollPlanner planner_;
-    std::vector<GroupPollPlanner::Engine>
-        engines_; // Built from the list and configuration that the next two members identify.
+    // Built from the list and configuration that the next two members identify.
+    std::vector<GroupPollPlanner::Engine> engines_;
     std::uint64_t engineListChanges_ = 0;
     ConfigVersion engineListVersion_;
     std::map<std::string, Link> links_; // Keyed by host.
