--- a/src/decision/expertmap/groupdecider.cpp
+++ b/src/decision/expertmap/groupdecider.cpp
@@ -395,8 +395,8 @@
 {
     return std::all_of(ranks_.begin(), ranks_.end(), [this](const auto &entry) {
         const bool holds = entry.second.report.held.has_value() && !isExcluded(entry.first);
-        const bool asked = entry.first == holder_ || (clearing_ && holds);
-        return !asked || entry.second.confirmed;
+        const bool mustRelease = entry.first == holder_ || (clearing_ && holds);
+        return !mustRelease || entry.second.confirmed;
     });
 }
 
