--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -23,7 +23,7 @@
 // The time that the last list call may take; it must return before the key limit is reached.
 constexpr Duration kListTime = std::chrono::milliseconds(900);
 // Bounds every watch, because a connection that was lost silently is detected only by the timeout.
-constexpr Duration kMaxWatchTimeout = std::chrono::milliseconds(1000);
+constexpr Duration kMaxLongPollWait = std::chrono::milliseconds(1000);
 // Above the age of a follower's data in normal operation, which is at most about 1.4 s.
 constexpr Duration kMaxStaleAge = std::chrono::milliseconds(1600);
 
@@ -38,7 +38,7 @@
 {
     const Duration budget = std::min(scale(limits.keyMaxAge, kKeyFraction), limits.denyMaxAge);
     StorePollSchedule schedule;
-    schedule.longPollWait = std::min(scale(budget, kWatchFraction), kMaxWatchTimeout);
+    schedule.longPollWait = std::min(scale(budget, kWatchFraction), kMaxLongPollWait);
     schedule.staleAge = std::min(scale(budget, kStaleFraction), kMaxStaleAge);
     schedule.maxStorePollAge = std::max(
         scale(budget, kMaxPollFraction),
