--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -30,14 +30,14 @@
 {
     const TimePoint answeredAt = sentAt + Duration(news.getHeldMicros());
     for (const auto &limit : news.getLimits()) {
-        const LimitReport namedLimit = readLimit(limit, answeredAt);
-        if (limits_.merge(namedLimit, loop_.now())) {
+        const LimitReport report = readLimit(limit, answeredAt);
+        if (limits_.merge(report, loop_.now())) {
             logLine(LogLevel::Info, "limit.heard",
                     {{"from", link.id.value()},
-                     {"upstream", namedLimit.upstream.value()},
-                     {"perSecond", namedLimit.rate ? nlohmann::json(namedLimit.rate->perSecond())
-                                                   : nlohmann::json()},
-                     {"ageMs", toMillis(loop_.now() - namedLimit.reportedAt)}});
+                     {"upstream", report.upstream.value()},
+                     {"perSecond",
+                      report.rate ? nlohmann::json(report.rate->perSecond()) : nlohmann::json()},
+                     {"ageMs", toMillis(loop_.now() - report.reportedAt)}});
         }
     }
     link.limitsVersion = news.getLimitsMark();
--- a/src/gateway/gatewaypeerspermits.cpp
+++ b/src/gateway/gatewaypeerspermits.cpp
@@ -30,20 +30,20 @@
     const TimePoint now = loop_.now();
     const GatewayRecord from = readGateway(permitRequest.getSelf());
     directory_.recordSeen(from, now);
-    const LimitReport namedLimit = readLimit(permitRequest.getLimit(), now);
-    if (namedLimit.rate) {
-        limits_.merge(namedLimit, now);
+    const LimitReport report = readLimit(permitRequest.getLimit(), now);
+    if (report.rate) {
+        limits_.merge(report, now);
     }
     UpstreamRecord upstream;
-    upstream.id = namedLimit.upstream;
-    upstream.start = namedLimit.start;
+    upstream.id = report.upstream;
+    upstream.start = report.start;
     std::optional<RequestRate> rate = limits_.limitOf(upstream);
-    rate = rate ? rate : namedLimit.rate;
+    rate = rate ? rate : report.rate;
     if (permitRequest.getWarmUpPerSecond() != 0.0) {
         const RequestRate warmUp = readRate(permitRequest.getWarmUpPerSecond());
         rate = std::min(rate.value_or(warmUp), warmUp);
     }
-    return permitIssuer_.issue(namedLimit.upstream, rate.value_or(RequestRate()), from.id,
+    return permitIssuer_.issue(report.upstream, rate.value_or(RequestRate()), from.id,
                                permitRequest.getWanted(), now);
 }
 
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -368,10 +368,10 @@
 {
     const TimePoint now = loop_.now();
     json shown = json::object();
-    for (const LimitReport &namedLimit : core_.limits().all()) {
-        if (namedLimit.rate) {
-            shown[namedLimit.upstream.value()] = {{"perSecond", namedLimit.rate->perSecond()},
-                                                  {"msAgo", toMillis(now - namedLimit.reportedAt)}};
+    for (const LimitReport &report : core_.limits().all()) {
+        if (report.rate) {
+            shown[report.upstream.value()] = {{"perSecond", report.rate->perSecond()},
+                                              {"msAgo", toMillis(now - report.reportedAt)}};
         }
     }
     return shown;
--- a/src/gateway/gatewaywire.cpp
+++ b/src/gateway/gatewaywire.cpp
@@ -85,29 +85,29 @@
     return halls;
 }
 
-void writeLimit(const LimitReport &namedLimit, TimePoint now, wire::UpstreamLimit::Builder to)
+void writeLimit(const LimitReport &report, TimePoint now, wire::UpstreamLimit::Builder to)
 {
-    to.setUpstream(namedLimit.upstream.value());
-    to.setStartedUnixMillis(namedLimit.start.value());
-    to.setNamed(namedLimit.rate.has_value());
-    to.setPerSecond(namedLimit.rate.value_or(RequestRate()).perSecond());
-    to.setSaidMicrosAgo((now - namedLimit.reportedAt).count());
+    to.setUpstream(report.upstream.value());
+    to.setStartedUnixMillis(report.start.value());
+    to.setNamed(report.rate.has_value());
+    to.setPerSecond(report.rate.value_or(RequestRate()).perSecond());
+    to.setSaidMicrosAgo((now - report.reportedAt).count());
 }
 
 LimitReport readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt)
 {
-    LimitReport namedLimit;
-    namedLimit.upstream = InstanceId(from.getUpstream().cStr());
-    namedLimit.start = UpstreamStart(from.getStartedUnixMillis());
+    LimitReport report;
+    report.upstream = InstanceId(from.getUpstream().cStr());
+    report.start = UpstreamStart(from.getStartedUnixMillis());
     // A negative or non-finite rate counts as zero, at which an occasional request is still
     // permitted.
     const double perSecond = from.getPerSecond();
     const bool readable = std::isfinite(perSecond) && perSecond >= 0.0;
     if (from.getNamed()) {
-        namedLimit.rate = RequestRate(readable ? perSecond : 0.0);
+        report.rate = RequestRate(readable ? perSecond : 0.0);
     }
-    namedLimit.reportedAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
-    return namedLimit;
+    report.reportedAt = writtenAt - std::max(Duration{}, Duration(from.getSaidMicrosAgo()));
+    return report;
 }
 
 void writeGroup(const GroupFacts &facts, Duration age, bool members, wire::GroupNews::Builder to)
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -37,7 +37,7 @@
 
 // The time at which the upstream named the limit is sent as its age at `now`. `writtenAt` is when
 // the message was written, on the reader's clock.
-void writeLimit(const LimitReport &namedLimit, TimePoint now, wire::UpstreamLimit::Builder to);
+void writeLimit(const LimitReport &report, TimePoint now, wire::UpstreamLimit::Builder to);
 LimitReport readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt);
 
 // Compresses a text with zlib. Configurations are sent compressed, because one with many routes is
