--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -53,10 +53,10 @@
     if (limits_.version() == pollRequest.limitsVersion) {
         return;
     }
-    const std::vector<LimitReport> namedLimits = limits_.all();
-    auto list = news.initLimits(static_cast<std::uint32_t>(namedLimits.size()));
+    const std::vector<LimitReport> reports = limits_.all();
+    auto list = news.initLimits(static_cast<std::uint32_t>(reports.size()));
     for (std::uint32_t index = 0; index < list.size(); ++index) {
-        writeLimit(namedLimits[index], loop_.now(), list[index]);
+        writeLimit(reports[index], loop_.now(), list[index]);
     }
 }
 
