--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -109,9 +109,9 @@
         return;
     }
     GatewayPeers::PermitRequest permitRequest{upstream->id, upstream->start, query.wanted, {}, {}};
-    if (const LimitReport *statedLimit = gossip_.limits.find(*upstream);
-        statedLimit != nullptr && statedLimit->rate) {
-        permitRequest.limit = *statedLimit;
+    if (const LimitReport *limitReport = gossip_.limits.find(*upstream);
+        limitReport != nullptr && limitReport->rate) {
+        permitRequest.limit = *limitReport;
     }
     permitRequest.warmUp = gossip_.warmUps.limitOf(*upstream, now);
     if (!permitRequest.limit && !permitRequest.warmUp) {
