--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -6,7 +6,7 @@
 // The poller subtracts it from the time of its own poll, plus the time that the answer was held
 // back, so it never takes the data for younger than it is.
 //
-// Crashes of upstreams under a request, and the rate limits that upstreams name for all gateways
+// Crashes of upstreams under a request, and the rate limits that upstreams report for all gateways
 // together, cannot wait for the next poll. This gateway notifies the first gateway of each hall at
 // once; that one polls for the update, and the other gateways of its hall have polls waiting there.
 //
@@ -74,7 +74,7 @@
         InstanceId upstream;
         UpstreamStart start;
         std::uint32_t wanted = 0;          // The number of permits.
-        std::optional<LimitReport> limit;  // Empty if the upstream names none.
+        std::optional<LimitReport> limit;  // Empty if the upstream reports none.
         std::optional<RequestRate> warmUp; // The warm-up limit; empty if the upstream is warm.
     };
     // Requests permits from the gateway `issuer`. Calls `onAnswer` exactly once; with no permits if
--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -1,5 +1,5 @@
 // The part of GatewayPeers that propagates the requests that crash upstreams, and the rate limits
-// that upstreams name.
+// that upstreams report.
 #include "base/log.h"
 #include "gateway/gatewaypeers.h"
 #include "gateway/gatewaywire.h"
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -35,8 +35,8 @@
 void writeGroup(const GroupFacts &facts, Duration age, bool members, wire::GroupNews::Builder to);
 GroupFacts readGroup(wire::GroupNews::Reader from);
 
-// The time at which the upstream named the limit is sent as its age at `now`. `writtenAt` is when
-// the message was written, on the reader's clock.
+// The time at which the upstream reported the limit is sent as its age at `now`. `writtenAt` is
+// when the message was written, on the reader's clock.
 void writeLimit(const LimitReport &report, TimePoint now, wire::UpstreamLimit::Builder to);
 LimitReport readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt);
 
--- a/src/gateway/statesynchronizer.h
+++ b/src/gateway/statesynchronizer.h
@@ -49,7 +49,7 @@
     create(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
            GatewayStoreView &storeView, const GossipState &gossip, const Settings &settings);
 
-    // Requests permits to send to an upstream that states a limit or is warming up, from the
+    // Requests permits to send to an upstream that reports a limit or is warming up, from the
     // gateway that issues them or, if there is no such peer, from this gateway's own issuer.
     // `answered` is called once, possibly before this function returns.
     void requestPermits(const SendPermits::Query &query, GatewayPeers::PermitsCallback answered);
