--- a/src/decision/expertmap/choicecounts.h
+++ b/src/decision/expertmap/choicecounts.h
@@ -19,8 +19,8 @@
 // How often each expert was chosen between two snapshots, quantized by block of experts.
 struct ChoiceCounts
 {
-    std::uint64_t mark = 0;  // Identifies the later snapshot.
-    std::uint64_t since = 0; // Identifies the earlier snapshot; zero if there is no delta.
+    std::uint64_t snapshotId = 0; // Identifies the later snapshot.
+    std::uint64_t since = 0;      // Identifies the earlier snapshot; zero if there is no delta.
     // Choices per quantization step, for each block of kBlockSize experts.
     std::vector<float> scales;
     std::vector<std::uint8_t> quantized; // Quantization steps, by expert.
@@ -36,10 +36,10 @@
 class ChoiceCountHistory
 {
 public:
-    // `firstMark` is a random number, so that marks from an earlier run of the process do not match
-    // a snapshot of this one.
-    explicit ChoiceCountHistory(std::uint64_t firstMark)
-        : nextMark_(firstMark == 0 ? 1 : firstMark)
+    // `firstSnapshotId` is a random number, so that ids from an earlier run of the process do not
+    // match a snapshot of this one.
+    explicit ChoiceCountHistory(std::uint64_t firstSnapshotId)
+        : nextSnapshotId_(firstSnapshotId == 0 ? 1 : firstSnapshotId)
     {}
 
     // Stores a snapshot of the counts since the engine's start and returns the delta since the
@@ -50,7 +50,7 @@
 private:
     struct Snapshot
     {
-        std::uint64_t mark = 0;
+        std::uint64_t snapshotId = 0;
         std::vector<std::uint64_t> counts;
     };
 
@@ -58,7 +58,7 @@
     static constexpr std::size_t kMaxSnapshots = 4;
 
     std::deque<Snapshot> snapshots_;
-    std::uint64_t nextMark_;
+    std::uint64_t nextSnapshotId_;
 };
 
 } // namespace seamarch
--- a/src/decision/expertmap/groupdecider.h
+++ b/src/decision/expertmap/groupdecider.h
@@ -162,8 +162,9 @@
         // A change whose arms are not all confirmed after this time is cleared, because the group
         // is waiting.
         Duration armTimeout = std::chrono::milliseconds(1500);
-        // Time for which a report counts as current, unless setReportTtl() sets another value.
-        Duration reportTtl = std::chrono::milliseconds(700);
+        // Time for which a report counts as current, unless setReportTimeToLive() sets another
+        // value.
+        Duration reportTimeToLive = std::chrono::milliseconds(700);
         // Time after which unresolved arms and holds of other deciders are cleared. Until then,
         // their decider may still be working on them.
         Duration foreignTimeout = std::chrono::milliseconds(1200);
@@ -181,7 +182,7 @@
         GroupBroken,  // A rank reports that the group does not accept requests.
         ReportsOld,   // The last report of a rank has expired.
         MapsDiffer,   // Ranks report different maps; a change is being activated.
-        ArmLeft,      // A rank has not yet switched to the last map.
+        ArmPending,   // A rank has not yet switched to the last map.
         Foreign,      // Another decider has armed a map or holds a step.
     };
 
@@ -190,9 +191,9 @@
 
     explicit GroupDecider(const Settings &settings);
 
-    // Handles a report of a rank that was polled at `askedAt`. Ignores reports of other groups and
-    // earlier epochs.
-    void onReport(const RankReport &report, TimePoint askedAt, TimePoint now);
+    // Handles a report of a rank that was polled at `requestedAt`. Ignores reports of other groups
+    // and earlier epochs.
+    void onReport(const RankReport &report, TimePoint requestedAt, TimePoint now);
     // Handles the outcome of an order. Ignores outcomes of orders with another epoch or fence.
     void onAnswer(std::uint32_t rank, const MapOrder &order, MapOrderAnswer answer, TimePoint now);
     // Handles timeouts and appends the orders that are due to `orders`.
@@ -211,7 +212,7 @@
     bool abandon(TimePoint now);
 
     // Sets the time for which a report counts as current, which depends on the poll interval.
-    void setReportTtl(Duration ttl) { settings_.reportTtl = ttl; }
+    void setReportTimeToLive(Duration ttl) { settings_.reportTimeToLive = ttl; }
 
     // Gives up the role of decider. A change in progress is left for the next decider to clear.
     void resign();
@@ -249,8 +250,8 @@
     struct Rank
     {
         RankReport report;
-        TimePoint askedAt{};
-        bool known = false;
+        TimePoint requestedAt{};
+        bool hasReported = false;
         bool confirmed = false; // The rank has executed the order of this phase.
         TimePoint sentAt{};     // When the order of this phase was sent; zero if not yet.
         Duration resendDelay{}; // Measured from `sentAt`.
@@ -282,7 +283,7 @@
     bool isForeign(const RankReport &report) const;
     void startClearing(TimePoint now, std::optional<std::uint32_t> excluded = std::nullopt);
     bool allHoldsReleased() const;
-    void measurePasses(TimePoint askedAt);
+    void measurePasses(TimePoint requestedAt);
     Duration lead() const;
     std::uint64_t margin() const;
     void chooseStep();
--- a/src/decision/gateway/gatewaycore.h
+++ b/src/decision/gateway/gatewaycore.h
@@ -11,7 +11,7 @@
 //
 // An upstream may also fall silent without a reset: its answers are lost, it hangs, its machine is
 // frozen, or its group is stalled. Callers disconnect after a time of silence (the route's silence
-// limit). After half of that time a repeatable request fails over to another upstream, in a group
+// timeout). After half of that time a repeatable request fails over to another upstream, in a group
 // that makes progress.
 //
 // A request during which several upstreams have crashed in turn is not sent any more, in any state:
@@ -211,12 +211,12 @@
     UpstreamLimits::Change onLimit(RequestNumber request, std::optional<RequestRate> limit,
                                    TimePoint now);
     // Returns the permit requests that are due and marks them as sent.
-    std::vector<SendPermits::Query> takePermitAsks(TimePoint now)
+    std::vector<SendPermits::Query> takePermitQueries(TimePoint now)
     {
         return permits_.takeQueries(now);
     }
-    // Handles the answer to the permit request for `upstream` that was sent at `askedAt`.
-    void onPermits(const InstanceId &upstream, const PermitGrant &answer, TimePoint askedAt,
+    // Handles the answer to the permit request for `upstream` that was sent at `queriedAt`.
+    void onPermits(const InstanceId &upstream, const PermitGrant &answer, TimePoint queriedAt,
                    TimePoint now, GatewayActions &actions);
     // Handles the end of the current attempt's connection.
     void onEnd(RequestNumber request, AttemptEnd end, TimePoint now, GatewayActions &actions);
--- a/src/decision/gateway/groupselector.cpp
+++ b/src/decision/gateway/groupselector.cpp
@@ -23,8 +23,9 @@
     });
     for (const auto &[id, group] : groups) {
         // A new gateway learns only gradually how many others share the groups.
-        if (GroupTracker &known = tracker(id); shareChanged && !known.limiter().hasSamples()) {
-            initLimit(known, group);
+        if (GroupTracker &groupTracker = tracker(id);
+            shareChanged && !groupTracker.limiter().hasSamples()) {
+            initLimit(groupTracker, group);
         }
     }
 }
@@ -36,11 +37,11 @@
         return found->second;
     }
     GroupTracker::Settings settings = settings_.tracker;
-    const auto known = groups_->find(group);
-    if (known != groups_->end() && !known->second.inOwnHall) {
+    const auto groupEntry = groups_->find(group);
+    if (groupEntry != groups_->end() && !groupEntry->second.inOwnHall) {
         settings.streamLimiter.decreaseAbove *= settings_.remoteThresholdFactor;
         settings.streamLimiter.increaseBelow *= settings_.remoteThresholdFactor;
-        settings.streamLimiter.nearGoalRatio *= settings_.remoteThresholdFactor;
+        settings.streamLimiter.nearTargetRatio *= settings_.remoteThresholdFactor;
     }
     GroupTracker &added = trackers_.emplace(group, GroupTracker(settings)).first->second;
     resetLimit(group);
@@ -71,17 +72,17 @@
 
 void GroupSelector::resetLimit(const GroupId &group)
 {
-    const auto known = groups_->find(group);
-    if (known != groups_->end()) {
-        initLimit(trackers_.at(group), known->second);
+    const auto groupEntry = groups_->find(group);
+    if (groupEntry != groups_->end()) {
+        initLimit(trackers_.at(group), groupEntry->second);
     }
 }
 
 GroupSelector::Fault GroupSelector::faultOf(const GroupId &group, const GroupTracker &tracker,
                                             const GroupTable &table, TimePoint now) const
 {
-    const auto known = groups_->find(group); // Missing if its last upstream has left.
-    const bool remote = known == groups_->end() || !known->second.inOwnHall;
+    const auto groupEntry = groups_->find(group); // Missing if its last upstream has left.
+    const bool remote = groupEntry == groups_->end() || !groupEntry->second.inOwnHall;
     if (tracker.isUnreachable()
         || (remote && table.isIsolated(group, now) && tracker.isQuiet(now))) {
         return Fault::Unreachable;
@@ -115,9 +116,9 @@
     return candidates;
 }
 
-// Returns whether a stream may start now. While pauses are near the goal, each prompt that the
-// engines read delays all streams in flight: a stream that can still start in time later waits for
-// shorter passes, and one that is late already loses nothing by waiting.
+// Returns whether a stream may start now. While pauses are near the gap target, each prompt that
+// the engines read delays all streams in flight: a stream that can still start in time later waits
+// for shorter passes, and one that is late already loses nothing by waiting.
 bool GroupSelector::mayStart(const GroupTracker &tracker, const StreamQueue::Entry &entry,
                              TimePoint now) const
 {
@@ -125,7 +126,7 @@
         return false;
     }
     const bool fewest = tracker.inFlight() < settings_.tracker.streamLimiter.minLimit;
-    if (fewest || !tracker.limiter().nearGoal(now)) {
+    if (fewest || !tracker.limiter().isNearTarget(now)) {
         return true;
     }
     return now <= entry.startDeadline && now + kStartSlack >= entry.startDeadline;
--- a/src/decision/gateway/grouptracker.cpp
+++ b/src/decision/gateway/grouptracker.cpp
@@ -32,11 +32,11 @@
     recordProgress(now);
 }
 
-void GroupTracker::onPause(Duration pause, Duration goal, TimePoint now)
+void GroupTracker::onPause(Duration pause, Duration gapTarget, TimePoint now)
 {
-    pauseGoal_ = goal > Duration{} ? goal : pauseGoal_;
+    gapTarget_ = gapTarget > Duration{} ? gapTarget : gapTarget_;
     recordProgress(now);
-    limiter_.onPause(pause, goal, now);
+    limiter_.onPause(pause, gapTarget, now);
 }
 
 bool GroupTracker::onAnswer(TimePoint now)
@@ -70,8 +70,8 @@
     if (inFlight_ == 0) {
         return false;
     }
-    const Duration goalTimeout = fromSeconds(toSeconds(pauseGoal_) * settings_.stallGoalFactor);
-    const Duration timeout = producing_ > 0 ? std::max(goalTimeout, settings_.minStallTimeout)
+    const Duration targetTimeout = fromSeconds(toSeconds(gapTarget_) * settings_.stallTargetFactor);
+    const Duration timeout = producing_ > 0 ? std::max(targetTimeout, settings_.minStallTimeout)
                                             : settings_.firstEventTimeout;
     return now - progressAt_ >= timeout;
 }
--- a/src/decision/gateway/grouptracker.h
+++ b/src/decision/gateway/grouptracker.h
@@ -24,11 +24,11 @@
     struct Settings
     {
         StreamLimiter::Settings streamLimiter;
-        // A group is stalled if all its streams have been silent for this many times their pause
-        // goal. The silences of normal operation are shorter: after a shift of demand passes take
+        // A group is stalled if all its streams have been silent for this many times their gap
+        // target. The silences of normal operation are shorter: after a shift of demand passes take
         // up to 2.5 times as long as before, and a hold that is released in time lasts for one or
         // two passes.
-        double stallGoalFactor = 2.0;
+        double stallTargetFactor = 2.0;
         // Lower bound of the stall timeout: a lossy link causes shorter silences, as a lost packet
         // is retransmitted after 200 ms.
         Duration minStallTimeout = std::chrono::milliseconds(250);
@@ -73,9 +73,9 @@
     void onStreamEnd(bool hadEvents);
     // Records the first event of a stream.
     void onFirstEvent(TimePoint now);
-    // Records a further event, `pause` after the previous one of the same stream. `goal` is the
-    // pause goal of its route; zero if it has none.
-    void onPause(Duration pause, Duration goal, TimePoint now);
+    // Records a further event, `pause` after the previous one of the same stream. `gapTarget` is
+    // that of its route; zero if it has none.
+    void onPause(Duration pause, Duration gapTarget, TimePoint now);
 
     // Records an answer of the group's upstreams other than a refusal for lack of capacity. Returns
     // true if it ends an outage.
@@ -120,7 +120,7 @@
     StreamLimiter limiter_;
     std::uint32_t inFlight_ = 0;
     std::uint32_t producing_ = 0; // Streams in flight that have sent events.
-    Duration pauseGoal_{};        // The last one that was stated.
+    Duration gapTarget_{};        // The last one that was stated.
     TimePoint progressAt_{};      // Last event, or start of the first stream of an idle group.
     bool stalled_ = false;
     bool hasServed_ = false;                  // The group has accepted a request at some time.
--- a/src/decision/gateway/streamlimiter.cpp
+++ b/src/decision/gateway/streamlimiter.cpp
@@ -5,19 +5,19 @@
 
 namespace seamarch {
 
-void StreamLimiter::onPause(Duration pause, Duration goal, TimePoint now)
+void StreamLimiter::onPause(Duration pause, Duration gapTarget, TimePoint now)
 {
-    if (goal <= Duration{}) {
+    if (gapTarget <= Duration{}) {
         return;
     }
     sampledInPeriod_ = true;
     sampledAt_ = now;
-    const double ratio = toSeconds(pause) / toSeconds(goal);
+    const double ratio = toSeconds(pause) / toSeconds(gapTarget);
     maxRatio_ = std::max(maxRatio_, ratio);
-    if (ratio >= settings_.nearGoalRatio) {
-        nearGoalAt_ = now;
-    } else if (nearGoalAt_ && now > *nearGoalAt_) {
-        nearGoalAt_.reset(); // A later pass was short.
+    if (ratio >= settings_.nearTargetRatio) {
+        nearTargetAt_ = now;
+    } else if (nearTargetAt_ && now > *nearTargetAt_) {
+        nearTargetAt_.reset(); // A later pass was short.
     }
 }
 
--- a/src/decision/gateway/upstreamchooser.cpp
+++ b/src/decision/gateway/upstreamchooser.cpp
@@ -65,7 +65,8 @@
     Positions positions;
     for (const auto &[hall, ids] : halls) {
         for (std::size_t index = 0; index < ids.size(); ++index) {
-            const auto position = static_cast<double>(fillPosition(index, ids.size(), place_));
+            const auto position =
+                static_cast<double>(fillPosition(index, ids.size(), hallPosition_));
             positions.emplace(ids[index], position / static_cast<double>(ids.size()));
         }
     }
@@ -200,7 +201,7 @@
 
 void UpstreamChooser::onFull(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].fullUntil = now + settings_.fullPause;
+    states_[upstream].fullUntil = now + settings_.fullCooldown;
 }
 
 void UpstreamChooser::onRestRequested(const InstanceId &upstream, TimePoint until)
@@ -254,12 +255,12 @@
 
 void UpstreamChooser::onWrongInstance(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].deprioritizedUntil = now + settings_.wrongInstancePause;
+    states_[upstream].deprioritizedUntil = now + settings_.wrongInstanceCooldown;
 }
 
 void UpstreamChooser::onUnreachable(const InstanceId &upstream, TimePoint now)
 {
-    states_[upstream].deprioritizedUntil = now + settings_.unreachablePause;
+    states_[upstream].deprioritizedUntil = now + settings_.unreachableCooldown;
 }
 
 void UpstreamChooser::expire(TimePoint now)
--- a/src/decision/gateway/upstreamchooser.h
+++ b/src/decision/gateway/upstreamchooser.h
@@ -64,12 +64,12 @@
         // ranks differ by a few percent.
         double slowRankRatio = 1.5;
         // How long an upstream that rejected a request as full is not selected.
-        Duration fullPause = std::chrono::milliseconds(150);
+        Duration fullCooldown = std::chrono::milliseconds(150);
         // How long an upstream is deprioritized after a failed connection attempt.
-        Duration unreachablePause = std::chrono::seconds(1);
+        Duration unreachableCooldown = std::chrono::seconds(1);
         // How long an upstream is deprioritized after another instance answered at its address; an
         // outdated list is corrected within this time.
-        Duration wrongInstancePause = std::chrono::seconds(5);
+        Duration wrongInstanceCooldown = std::chrono::seconds(5);
         OutlierDetector::Settings outliers;
     };
 
@@ -89,7 +89,7 @@
                     const WarmUpLimits &warmUps, SendPermits &permits);
 
     // Sets the position of this gateway among those of its hall.
-    void setPlace(const HallPosition &place) { place_ = place; }
+    void setHallPosition(const HallPosition &position) { hallPosition_ = position; }
 
     // Returns the groups of `service` that have upstreams. The reference is valid until a table
     // changes.
@@ -126,7 +126,7 @@
         outliers_.onFailure(upstream, now);
     }
 
-    // Removes the state of upstreams without requests in flight and pauses. To be called
+    // Removes the state of upstreams without requests in flight and cooldowns. To be called
     // periodically.
     void expire(TimePoint now);
 
@@ -183,7 +183,7 @@
     const WarmUpLimits &warmUps_;
     SendPermits &permits_;
     OutlierDetector outliers_;
-    HallPosition place_;
+    HallPosition hallPosition_;
     std::unordered_map<InstanceId, State> states_;
     std::unordered_map<TargetName, CachedGroups> groupCache_;
 };
--- a/src/decision/membership/gatewaydirectory.cpp
+++ b/src/decision/membership/gatewaydirectory.cpp
@@ -38,10 +38,10 @@
 std::vector<GatewayDirectory::KnownPeer> GatewayDirectory::sortedWithSelf(TimePoint now) const
 {
     std::vector<KnownPeer> peers = knownPeers();
-    const auto place = std::lower_bound(
+    const auto insertionPoint = std::lower_bound(
         peers.begin(), peers.end(), self_.id,
-        [](const KnownPeer &known, const InstanceId &id) { return known.record.id < id; });
-    peers.insert(place, {self_, now});
+        [](const KnownPeer &peer, const InstanceId &id) { return peer.record.id < id; });
+    peers.insert(insertionPoint, {self_, now});
     return peers;
 }
 
@@ -49,8 +49,8 @@
 {
     if (digest_ == 0) {
         std::string text;
-        for (const KnownPeer &known : sortedWithSelf(TimePoint{})) {
-            const GatewayRecord &record = known.record;
+        for (const KnownPeer &peer : sortedWithSelf(TimePoint{})) {
+            const GatewayRecord &record = peer.record;
             text += record.id.value() + '|' + record.hall.value() + '|' + record.host + '|'
                     + std::to_string(record.port) + '\n';
         }
@@ -69,8 +69,8 @@
         return gossip;
     }
     constexpr Duration::rep kMaxAgeSteps = 255;
-    for (const KnownPeer &known : sortedWithSelf(now)) {
-        const Duration age = std::max(Duration{}, now - known.lastSeen);
+    for (const KnownPeer &peer : sortedWithSelf(now)) {
+        const Duration age = std::max(Duration{}, now - peer.lastSeen);
         const Duration::rep steps = (age + kAgeStep - Duration(1)) / kAgeStep; // Rounded up.
         gossip.ages.push_back(static_cast<std::uint8_t>(std::min(steps, kMaxAgeSteps)));
     }
@@ -79,8 +79,8 @@
 
 bool GatewayDirectory::applyGossip(const GossipUpdate &gossip, TimePoint now)
 {
-    for (const KnownPeer &known : gossip.peers) {
-        recordSeen(known.record, known.lastSeen);
+    for (const KnownPeer &peer : gossip.peers) {
+        recordSeen(peer.record, peer.lastSeen);
     }
     if (gossip.ages.empty()) {
         return true;
@@ -170,17 +170,17 @@
     return halls;
 }
 
-HallPosition GatewayDirectory::hallPlace() const
+HallPosition GatewayDirectory::hallPosition() const
 {
     const OrderKey own = orderKeyOf(self_.id);
-    HallPosition place;
+    HallPosition position;
     for (const auto &[id, member] : members_) {
         if (member.record.hall == self_.hall) {
-            ++place.gateways;
-            place.index += orderKeyOf(id) < own ? 1 : 0;
+            ++position.gateways;
+            position.index += orderKeyOf(id) < own ? 1 : 0;
         }
     }
-    return place;
+    return position;
 }
 
 std::optional<InstanceId> GatewayDirectory::nextPeer(const InstanceId &excluded, TimePoint now)
--- a/src/decision/membership/storepollschedule.cpp
+++ b/src/decision/membership/storepollschedule.cpp
@@ -8,7 +8,7 @@
 // Enough for a few polls of gateways in other halls, at seven polls a second.
 constexpr Duration kPeerPollTime = std::chrono::milliseconds(500);
 // The store answers within a few milliseconds, and the next poll by a peer passes the answer on.
-constexpr Duration kPlaceDelay = std::chrono::milliseconds(100);
+constexpr Duration kDelayPerHallIndex = std::chrono::milliseconds(100);
 // A store that rejects a third of all machines rejects all twelve gateways of a hall with a
 // probability of one in half a million.
 constexpr std::size_t kMaxPollersPerHall = 12;
@@ -23,7 +23,7 @@
 // The time that the last list call may take; it must return before the key limit is reached.
 constexpr Duration kListTime = std::chrono::milliseconds(900);
 // Bounds every watch, because a connection that was lost silently is detected only by the timeout.
-constexpr Duration kMaxWatchTimeout = std::chrono::milliseconds(1000);
+constexpr Duration kMaxLongPollWait = std::chrono::milliseconds(1000);
 // Above the age of a follower's data in normal operation, which is at most about 1.4 s.
 constexpr Duration kMaxStaleAge = std::chrono::milliseconds(1600);
 
@@ -34,11 +34,11 @@
 
 } // namespace
 
-StorePollSchedule makeStorePollSchedule(const StalenessLimits &limits)
+StorePollSchedule makeStorePollSchedule(const FreshnessLimits &limits)
 {
     const Duration budget = std::min(scale(limits.keyMaxAge, kKeyFraction), limits.denyMaxAge);
     StorePollSchedule schedule;
-    schedule.watchTimeout = std::min(scale(budget, kWatchFraction), kMaxWatchTimeout);
+    schedule.longPollWait = std::min(scale(budget, kWatchFraction), kMaxLongPollWait);
     schedule.staleAge = std::min(scale(budget, kStaleFraction), kMaxStaleAge);
     schedule.maxStorePollAge = std::max(
         scale(budget, kMaxPollFraction),
@@ -46,15 +46,15 @@
     return schedule;
 }
 
-bool mayPollStore(std::size_t place)
+bool mayPollStore(std::size_t hallIndex)
 {
-    return place < kMaxPollersPerHall;
+    return hallIndex < kMaxPollersPerHall;
 }
 
-Duration storePollAge(const StorePollSchedule &schedule, std::size_t place)
+Duration storePollAge(const StorePollSchedule &schedule, std::size_t hallIndex)
 {
-    const Duration wanted =
-        schedule.staleAge + kPeerPollTime + kPlaceDelay * static_cast<Duration::rep>(place);
+    const Duration wanted = schedule.staleAge + kPeerPollTime
+                            + kDelayPerHallIndex * static_cast<Duration::rep>(hallIndex);
     return std::min(wanted, schedule.maxStorePollAge);
 }
 
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -49,10 +49,10 @@
 constexpr std::chrono::milliseconds kFenceUnit{100};
 // How long a store watch waits for changes. Long, because only the list of engines is needed and
 // every store call has a cost.
-constexpr Duration kStoreWatchTimeout = std::chrono::seconds(10);
-// How long the store watch pauses after changes, so that they are read in batches. A new engine
+constexpr Duration kStoreLongPollWait = std::chrono::seconds(10);
+// Delay of the store watch after a change, in which further changes are coalesced. A new engine
 // takes longer than this to form its group.
-constexpr Duration kStoreWatchBatchDelay = std::chrono::milliseconds(200);
+constexpr Duration kStoreCoalesceDelay = std::chrono::milliseconds(200);
 
 } // namespace
 
@@ -200,7 +200,7 @@
     return {};
 }
 
-void ExpertAgent::onStoreListed(const StoreItems &items, TimePoint /*askedAt*/)
+void ExpertAgent::onStoreListed(const StoreItems &items, TimePoint /*requestedAt*/)
 {
     std::vector<UpstreamRecord> records;
     for (const StoreItem &item : items.items) {
@@ -210,15 +210,15 @@
             applyStoreItem(item);
         }
     }
-    if (wasRolledBack(storePlace_, items.position)) {
+    if (wasRolledBack(storePosition_, items.position)) {
         upstreams_.onStoreRolledBack(loop_.now());
     }
-    storePlace_ = items.position;
+    storePosition_ = items.position;
     upstreams_.replaceAll(records, loop_.now());
     updatePeers();
 }
 
-void ExpertAgent::onStoreChanged(const StoreItems &items, TimePoint /*askedAt*/)
+void ExpertAgent::onStoreChanged(const StoreItems &items, TimePoint /*requestedAt*/)
 {
     for (const StoreItem &item : items.items) {
         applyStoreItem(item);
@@ -235,7 +235,7 @@
 void ExpertAgent::applyStoreItem(const StoreItem &item)
 {
     if (const auto *document = std::get_if<RoutingDocument>(&item)) {
-        pauseGoal_ = shortestGapTarget(*document, settings_.service);
+        gapTarget_ = shortestGapTarget(*document, settings_.service);
         for (const ServiceRule &service : document->services) {
             if (service.name == settings_.service && service.experts) {
                 rule_ = service.experts;
@@ -244,11 +244,11 @@
         }
     } else if (const auto *record = std::get_if<UpstreamRecord>(&item)) {
         upstreams_.put(*record);
-    } else if (const auto *gone = std::get_if<UpstreamRemoval>(&item)) {
-        if (gone->unreadable) {
-            upstreams_.dropUnreadable(gone->id, loop_.now());
+    } else if (const auto *removal = std::get_if<UpstreamRemoval>(&item)) {
+        if (removal->unreadable) {
+            upstreams_.dropUnreadable(removal->id, loop_.now());
         } else {
-            upstreams_.remove(gone->id, loop_.now());
+            upstreams_.remove(removal->id, loop_.now());
         }
     }
 }
@@ -390,8 +390,8 @@
     loggedChanges_ = 0;
     loggedCleared_ = 0;
     StoreWatcher::Settings watch;
-    watch.longPollWait = kStoreWatchTimeout;
-    watch.coalesceDelay = kStoreWatchBatchDelay;
+    watch.longPollWait = kStoreLongPollWait;
+    watch.coalesceDelay = kStoreCoalesceDelay;
     watch.seed = randomIdentity();
     StoreListener &storeListener = *this;
     storeWatcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
@@ -432,14 +432,14 @@
     ownPollPending_ = true;
     const TimePoint now = loop_.now();
     ownPolledAt_ = now;
-    query.countsSince = ownCountsMark_;
+    query.countsSince = ownCountsSnapshotId_;
     fetchOwnFacts(query, [this, now](std::optional<RankFacts> facts) {
         ownPollPending_ = false;
         if (!facts) {
             return;
         }
         if (facts->choices) {
-            ownCountsMark_ = facts->choices->mark;
+            ownCountsSnapshotId_ = facts->choices->snapshotId;
         }
         onPeerFacts(*facts, now);
     });
@@ -455,7 +455,7 @@
     inputs.countsBytes = rule_ ? std::uint64_t{rule_->sets} * rule_->experts : 0;
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
     const CollectionPlan plan = planCollection(inputs);
-    decider_->setReportTtl(plan.reportTtl);
+    decider_->setReportTimeToLive(plan.reportTimeToLive);
     planner_.setRoundWindow(plan.roundWindow);
     // After an alarm, polls as often as rounds allow, so that it is soon confirmed or dismissed.
     const Duration countsInterval = planner_.shiftSuspected()
@@ -514,7 +514,7 @@
     proposedVersion_ = 0;
 }
 
-void ExpertAgent::onPeerFacts(const RankFacts &facts, TimePoint askedAt)
+void ExpertAgent::onPeerFacts(const RankFacts &facts, TimePoint requestedAt)
 {
     const RankReport &report = facts.report;
     if (!isDecider() || report.group != decider_->group()) {
@@ -527,7 +527,7 @@
     if (facts.choices) {
         planner_.addChoices(decodeChoices(*facts.choices), loop_.now());
     }
-    decider_->onReport(report, askedAt, loop_.now());
+    decider_->onReport(report, requestedAt, loop_.now());
 }
 
 // Returns the map in use, or nothing if it is not known for all ranks. A map that this agent
@@ -596,7 +596,7 @@
 void ExpertAgent::replaceOutdatedChange(MapOrders &orders)
 {
     planner_.setPaces(decider_->paces());
-    planner_.setPassTimes(decider_->passTime(), pauseGoal_);
+    planner_.setPassTimes(decider_->passTime(), gapTarget_);
     auto planned = planner_.plan(*currentMap_, loop_.now());
     if (planned && decider_->abandon(loop_.now())) {
         logLine(LogLevel::Info, "map.abandoned",
@@ -619,7 +619,7 @@
     }
     logObstacleChange(kNoObstacleName);
     planner_.setPaces(decider_->paces());
-    planner_.setPassTimes(decider_->passTime(), pauseGoal_);
+    planner_.setPassTimes(decider_->passTime(), gapTarget_);
     logLine(LogLevel::Debug, "map.weighed",
             {{"distance", planner_.roundDistance()}, {"skew", planner_.skew(*currentMap_)}});
     if (auto planned = planner_.plan(*currentMap_, loop_.now())) {
@@ -659,11 +659,11 @@
 {
     const GroupDecider::Phase phase = decider_->phase();
     if (phase != loggedPhase_) {
-        const auto leftOut = decider_->excludedRank();
+        const auto excludedRank = decider_->excludedRank();
         logLine(LogLevel::Info, "map.phase",
                 {{"phase", logName(phase)},
                  {"epoch", epoch_},
-                 {"withoutRank", leftOut ? json(*leftOut) : json()}});
+                 {"withoutRank", excludedRank ? json(*excludedRank) : json()}});
         loggedPhase_ = phase;
     }
     if (decider_->changes() != loggedChanges_) {
--- a/src/experts/expertagent.h
+++ b/src/experts/expertagent.h
@@ -89,8 +89,8 @@
                 const EngineProtocol &engineProtocol);
     tl::expected<void, NetError> open();
 
-    void onStoreListed(const StoreItems &items, TimePoint askedAt) override;
-    void onStoreChanged(const StoreItems &items, TimePoint askedAt) override;
+    void onStoreListed(const StoreItems &items, TimePoint sentAt) override;
+    void onStoreChanged(const StoreItems &items, TimePoint sentAt) override;
     void onStoreFailed(std::string_view cause) override;
     bool ready(std::string &reason) const override;
     nlohmann::json status() const override;
@@ -110,7 +110,7 @@
     void fetchOwnFacts(RankQuery query, OwnEngine::FactsDone done);
     void pollOwnEngine(RankQuery query);
     void pollGroup();
-    void onPeerFacts(const RankFacts &facts, TimePoint askedAt) override;
+    void onPeerFacts(const RankFacts &facts, TimePoint requestedAt) override;
     void onPeerOrderAnswer(std::uint32_t rank, const MapOrder &order,
                            MapOrderAnswer answer) override;
     void updateOwnRank(const RankReport &report);
@@ -134,7 +134,7 @@
     const EngineProtocol &engineProtocol_;
     Metrics metrics_;
     UpstreamTable upstreams_;
-    StorePosition storePlace_; // Position of the last full listing.
+    StorePosition storePosition_; // Position of the last full listing.
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<RawTransport> transport_;
     std::unique_ptr<OperatorServer> metricsServer_;
@@ -146,10 +146,10 @@
     GroupId ownGroup_; // Empty until the own engine has first reported.
     std::optional<std::uint32_t> ownRank_;
     std::uint32_t groupSize_ = 0;     // Number of ranks, from the own engine's last report.
-    Duration pauseGoal_{};            // Shortest pause goal of the service's routes; zero: unknown.
+    Duration gapTarget_{};            // Shortest gap target of the service's routes; zero: unknown.
     bool ownEngineHoldsStep_ = false; // From the own engine's last report.
     std::optional<LowerRankDecider> lowerRankDecider_;
-    std::uint64_t ownCountsMark_ = 0; // Mark of the own rank's last counts.
+    std::uint64_t ownCountsSnapshotId_ = 0; // Snapshot of the own rank's last counts.
     std::uint64_t epoch_ = 0;
     TimePoint startedAt_{};
     TimePoint ownPolledAt_{};  // Last poll of the own engine by this agent.
--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -19,7 +19,7 @@
         return;
     }
     facts_ = facts;
-    mark_ = digestOf(facts);
+    digest_ = digestOf(facts);
     waiters_.wakeAll();
 }
 
@@ -34,18 +34,19 @@
 
 kj::Promise<void> GroupReporter::answer(Context context)
 {
-    const std::uint64_t callerMark = context.getParams().getMark();
+    const std::uint64_t callerDigest = context.getParams().getMark();
     const Duration wait = std::min(Duration(context.getParams().getWaitMicros()), kMaxWait);
-    if (!facts_ || callerMark != mark_ || wait <= Duration{}) {
-        writeResults(context.getResults(), callerMark);
+    if (!facts_ || callerDigest != digest_ || wait <= Duration{}) {
+        writeResults(context.getResults(), callerDigest);
         return kj::READY_NOW;
     }
-    return waiters_.wait(wait).then(
-        [this, context, callerMark]() mutable { writeResults(context.getResults(), callerMark); });
+    return waiters_.wait(wait).then([this, context, callerDigest]() mutable {
+        writeResults(context.getResults(), callerDigest);
+    });
 }
 
 void GroupReporter::writeResults(wire::RankAgent::GroupResults::Builder results,
-                                 std::uint64_t callerMark) const
+                                 std::uint64_t callerDigest) const
 {
     results.setDecides(facts_.has_value());
     if (!facts_) {
@@ -53,8 +54,8 @@
         return;
     }
     results.setGroup(facts_->group.value());
-    results.setMark(mark_);
-    writeGroup(*facts_, loop_.now() - asOf_, callerMark != mark_, results.initNews());
+    results.setMark(digest_);
+    writeGroup(*facts_, loop_.now() - asOf_, callerDigest != digest_, results.initNews());
 }
 
 } // namespace seamarch
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -35,19 +35,19 @@
     // decider.
     void referTo(const std::string &host);
 
-    // Answers a `group` call: at once if the caller's mark is outdated or this agent is not the
+    // Answers a `group` call: at once if the caller's digest is outdated or this agent is not the
     // decider, otherwise when that becomes so or the caller's wait time is over.
     using Context = capnp::CallContext<wire::RankAgent::GroupParams, wire::RankAgent::GroupResults>;
     kj::Promise<void> answer(Context context);
 
 private:
     void writeResults(wire::RankAgent::GroupResults::Builder results,
-                      std::uint64_t callerMark) const;
+                      std::uint64_t callerDigest) const;
 
     EventLoop &loop_;
     WakeList waiters_;
     std::optional<GroupFacts> facts_; // Empty while this agent is not the decider.
-    std::uint64_t mark_ = 0;          // Digest of `facts_`.
+    std::uint64_t digest_ = 0;        // Digest of `facts_`.
     TimePoint asOf_{};                // When `facts_` were last confirmed.
     std::string deciderHost_;         // Empty if unknown.
 };
--- a/src/experts/rankpeers.cpp
+++ b/src/experts/rankpeers.cpp
@@ -17,8 +17,8 @@
 constexpr Duration kFirstAnswerTimeout = std::chrono::milliseconds(250);
 // How long an answer to a query is awaited before the peer may be queried again.
 constexpr Duration kAgentQueryTimeout = std::chrono::milliseconds(600);
-// A counts query starts at the previous one's mark if that query is younger than this.
-constexpr Duration kMaxMarkAge = std::chrono::seconds(1);
+// A counts query starts at the previous one's snapshot if that query is younger than this.
+constexpr Duration kMaxSnapshotAge = std::chrono::seconds(1);
 // Up to this many queries are always allowed per call, because so few answers never queue at the
 // link: 16 reports take about 6 KB.
 constexpr std::size_t kMinQueriesPerCall = 16;
@@ -45,7 +45,7 @@
     , engineClient_(engineClient)
     , settings_(settings)
     , listener_(listener)
-    , roster_(settings.group)
+    , membership_(settings.group)
     , callErrorLogger_(std::make_unique<CallErrorLogger>())
     , tasks_(*callErrorLogger_)
 {}
@@ -68,7 +68,7 @@
             connect(peer);
         }
     }
-    roster_.setListed(listed);
+    membership_.setListed(listed);
 }
 
 void RankPeers::connect(Peer &peer)
@@ -85,7 +85,7 @@
 
 RankPeers::Peer *RankPeers::peerOfRank(std::uint32_t rank)
 {
-    const auto id = roster_.engineOf(rank);
+    const auto id = membership_.engineOf(rank);
     const auto found = id ? peers_.find(*id) : peers_.end();
     return found == peers_.end() ? nullptr : &found->second;
 }
@@ -93,7 +93,7 @@
 std::map<std::uint32_t, SocketAddress> RankPeers::engines() const
 {
     std::map<std::uint32_t, SocketAddress> engines;
-    for (const auto &[rank, id] : roster_.engines()) {
+    for (const auto &[rank, id] : membership_.engines()) {
         const auto found = peers_.find(id);
         if (found != peers_.end()) {
             engines.emplace(rank, found->second.engine);
@@ -109,8 +109,8 @@
     std::vector<std::pair<TimePoint, InstanceId>> due;
     for (const auto &[id, peer] : peers_) {
         if (!peer.agentQueryPending
-            && now - peer.askedAt >= roster_.pollIntervalFor(id, interval)) {
-            due.emplace_back(peer.askedAt, id);
+            && now - peer.requestedAt >= membership_.pollIntervalFor(id, interval)) {
+            due.emplace_back(peer.requestedAt, id);
         }
     }
     // 10% more than the even share per call, because calls come slightly late.
@@ -121,7 +121,7 @@
         std::max(kMinQueriesPerCall, static_cast<std::size_t>(std::ceil(share * kLateCallFactor)));
     std::sort(due.begin(), due.end());
     due.resize(std::min(due.size(), maxQueries));
-    for (const auto &[askedAt, id] : due) {
+    for (const auto &[requestedAt, id] : due) {
         requestFacts(id, query, ownRank);
     }
 }
@@ -129,7 +129,7 @@
 void RankPeers::requestCounts(const RankQuery &query, std::uint32_t count, std::uint32_t ranks,
                               std::uint32_t ownRank)
 {
-    const std::map<std::uint32_t, InstanceId> engines = roster_.engines();
+    const std::map<std::uint32_t, InstanceId> engines = membership_.engines();
     std::uint64_t credit = 0; // Queries due, in units of 1 / `ranks`.
     for (std::uint32_t rank = 0; rank < ranks; ++rank) {
         credit += count;
@@ -156,10 +156,11 @@
 {
     const TimePoint now = loop_.now();
     Peer &peer = peers_.at(id);
-    peer.askedAt = now;
+    peer.requestedAt = now;
     if (query.counts) {
         // Counts over a long period would mix past demand with current demand.
-        peer.countsMark = now - peer.countsRequestedAt < kMaxMarkAge ? peer.countsMark : 0;
+        peer.countsSnapshotId =
+            now - peer.countsRequestedAt < kMaxSnapshotAge ? peer.countsSnapshotId : 0;
         peer.countsRequestedAt = now;
     }
     // A connection may be silent for good while a new one would work.
@@ -167,7 +168,7 @@
         connect(peer);
     }
     requestFromAgent(id, query, ownRank);
-    if (!agentResponds(peer) && !roster_.isInOtherGroup(id)) {
+    if (!agentResponds(peer) && !membership_.isInOtherGroup(id)) {
         requestFromEngine(id, {false, query.experts, 0});
     }
 }
@@ -177,10 +178,10 @@
 {
     Peer &peer = peers_.at(id);
     peer.agentQueryPending = true;
-    const TimePoint askedAt = loop_.now();
+    const TimePoint requestedAt = loop_.now();
     auto request = peer.link->capability().castAs<wire::RankAgent>().stateRequest();
     request.setCounts(query.counts);
-    request.setCountsSince(peer.countsMark);
+    request.setCountsSince(peer.countsSnapshotId);
     request.setExperts(query.experts);
     request.setAskerRank(ownRank);
     request.setAskerGroup(settings_.group.value());
@@ -196,14 +197,14 @@
     };
     loop_.schedule(kAgentQueryTimeout, finish);
     tasks_.add(request.send().then(
-        [this, id, askedAt, finish](capnp::Response<wire::RankAgent::StateResults> answer) {
+        [this, id, requestedAt, finish](capnp::Response<wire::RankAgent::StateResults> answer) {
             finish();
-            onAgentAnswer(id, askedAt, answer.getState());
+            onAgentAnswer(id, requestedAt, answer.getState());
         },
-        [finish](kj::Exception && /*gone*/) { finish(); }));
+        [finish](kj::Exception && /*exception*/) { finish(); }));
 }
 
-void RankPeers::onAgentAnswer(const InstanceId &id, TimePoint askedAt,
+void RankPeers::onAgentAnswer(const InstanceId &id, TimePoint requestedAt,
                               wire::RankState::Reader state)
 {
     const auto found = peers_.find(id);
@@ -214,18 +215,18 @@
     peer.answeredAt = loop_.now();
     const RankFacts facts = readFacts(state);
     if (facts.choices) {
-        peer.countsMark = facts.choices->mark;
+        peer.countsSnapshotId = facts.choices->snapshotId;
     }
-    deliverFacts(id, facts, askedAt);
+    deliverFacts(id, facts, requestedAt);
 }
 
 // Records the engine's group and rank, and passes its facts to the listener unless it belongs to
 // another group.
-void RankPeers::deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint askedAt)
+void RankPeers::deliverFacts(const InstanceId &id, const RankFacts &facts, TimePoint requestedAt)
 {
-    roster_.recordMember(id, facts.report.group, facts.report.rank);
-    if (!roster_.isInOtherGroup(id)) {
-        listener_.onPeerFacts(facts, askedAt);
+    membership_.recordMember(id, facts.report.group, facts.report.rank);
+    if (!membership_.isInOtherGroup(id)) {
+        listener_.onPeerFacts(facts, requestedAt);
     }
 }
 
@@ -238,8 +239,8 @@
         return;
     }
     peer.engineQueryPending = true;
-    const TimePoint askedAt = loop_.now() - kMaxEngineReportAge;
-    const auto onFacts = [this, id, askedAt, alive = alive_](std::optional<EngineFacts> facts) {
+    const TimePoint requestedAt = loop_.now() - kMaxEngineReportAge;
+    const auto onFacts = [this, id, requestedAt, alive = alive_](std::optional<EngineFacts> facts) {
         if (!*alive) {
             return;
         }
@@ -250,7 +251,7 @@
         found->second.engineQueryPending = false;
         if (facts) {
             facts->report.byAgent = false;
-            deliverFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, askedAt);
+            deliverFacts(id, {facts->report, std::nullopt, std::move(facts->experts)}, requestedAt);
         }
     };
     engineClient_.fetchFacts(peer.engine, query, onFacts);
@@ -292,7 +293,7 @@
     }
     inputs.orderBytes = order.experts == nullptr ? 0 : packExperts(*order.experts).size();
     inputs.linkBytesPerSecond = settings_.linkBytesPerSecond;
-    inputs.rotation = relayTurn_++;
+    inputs.rotation = relayRotation_++;
     const std::vector<RelayBlock> blocks = planRelays(inputs);
     logLine(LogLevel::Info, "map.prepares_sent",
             {{"version", order.version},
@@ -338,7 +339,7 @@
                                             static_cast<MapOrderAnswer>(answer.getStatus()));
             }
         },
-        [this, order, block](kj::Exception && /*gone*/) {
+        [this, order, block](kj::Exception && /*exception*/) {
             for (const std::uint32_t rank : block) {
                 listener_.onPeerOrderAnswer(rank, order, MapOrderAnswer::Lost);
             }
@@ -354,7 +355,7 @@
             listener_.onPeerOrderAnswer(action.rank, action.order,
                                         static_cast<MapOrderAnswer>(answer.getStatus()));
         },
-        [this, action](kj::Exception && /*gone*/) {
+        [this, action](kj::Exception && /*exception*/) {
             listener_.onPeerOrderAnswer(action.rank, action.order, MapOrderAnswer::Lost);
         }));
 }
--- a/src/gateway/gatewaybounds.cpp
+++ b/src/gateway/gatewaybounds.cpp
@@ -21,23 +21,23 @@
 constexpr Duration kReregistrationDelay = std::chrono::milliseconds(1500);
 constexpr Duration kMinTiming = std::chrono::milliseconds(1);
 // Batching may delay a change by at most this fraction (1/n) of the shortest limit on propagation.
-constexpr int kBatchWindowDivisor = 20;
+constexpr int kCoalesceDelayDivisor = 20;
 
 } // namespace
 
 GatewayTimings deriveTimings(const GatewayBounds &bounds)
 {
-    GatewayTimings times;
-    times.freshness.keys = std::max(kMinTiming, bounds.keyRevocationLimit - kKeyMargin);
-    times.freshness.deny = std::max(kMinTiming, bounds.configPropagationLimit - kDenyMargin);
-    times.stopDeadline = std::max(kMinTiming, bounds.stopLimit - kStopMargin);
+    GatewayTimings timings;
+    timings.freshness.keys = std::max(kMinTiming, bounds.keyRevocationLimit - kKeyMargin);
+    timings.freshness.deny = std::max(kMinTiming, bounds.configPropagationLimit - kDenyMargin);
+    timings.stopDeadline = std::max(kMinTiming, bounds.stopLimit - kStopMargin);
     // Requests that arrive at the end of the delay need the remaining time to finish.
-    times.stopDelay = std::min(kBalancerDetectionDelay, times.stopDeadline / 2);
-    times.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
-                                  Duration(kReregistrationDelay));
-    times.storeBatchWindow =
-        std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kBatchWindowDivisor;
-    return times;
+    timings.stopDelay = std::min(kBalancerDetectionDelay, timings.stopDeadline / 2);
+    timings.lapseGrace = std::clamp(bounds.leavingLimit - kPropagationDelay, Duration(kMinTiming),
+                                    Duration(kReregistrationDelay));
+    timings.storeCoalesceDelay =
+        std::min(bounds.leavingLimit, bounds.configPropagationLimit) / kCoalesceDelayDivisor;
+    return timings;
 }
 
 RetryLimits retryLimits(const GatewayBounds &bounds)
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -43,8 +43,8 @@
     kj::Promise<void> exchange(ExchangeContext context) override
     {
         const auto params = context.getParams();
-        const TimePoint askedAt = peers_.loop_.now();
-        peers_.directory_.recordSeen(readGateway(params.getSelf()), askedAt);
+        const TimePoint receivedAt = peers_.loop_.now();
+        peers_.directory_.recordSeen(readGateway(params.getSelf()), receivedAt);
         const PollRequest pollRequest{ConfigVersion(params.getConfigVersion()),
                                       params.getUpstreamsMark(),
                                       params.getTakesChanges(),
@@ -55,9 +55,9 @@
                                       params.getWantsLimits(),
                                       params.getLimitsMark()};
         const Duration wait = std::min(Duration(params.getWaitMicros()), kMaxPollWait);
-        auto answer = [this, context, pollRequest, askedAt]() mutable {
+        auto answer = [this, context, pollRequest, receivedAt]() mutable {
             peers_.writeNews(context.getResults().initNews(), pollRequest,
-                             peers_.loop_.now() - askedAt);
+                             peers_.loop_.now() - receivedAt);
         };
         if (wait <= Duration{} || peers_.hasNewsFor(pollRequest)) {
             answer();
@@ -84,21 +84,21 @@
     GatewayPeers &peers_;
 };
 
-GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView,
-                           const GossipState &sharedState, const StoreProtocol &store,
-                           GatewayDirectory &directory, StateReceived onStateReceived)
+GatewayPeers::GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const GossipState &gossip,
+                           const StoreProtocol &store, GatewayDirectory &directory,
+                           StateReceived onStateReceived)
     : loop_(loop)
     , storeView_(storeView)
-    , groups_(sharedState.groups)
-    , crashes_(sharedState.crashes)
-    , limits_(sharedState.limits)
-    , permitIssuer_(sharedState.permitIssuer)
+    , groups_(gossip.groups)
+    , crashes_(gossip.crashes)
+    , limits_(gossip.limits)
+    , permitIssuer_(gossip.permitIssuer)
     , store_(store)
     , directory_(directory)
     , onStateReceived_(std::move(onStateReceived))
     , waitingPolls_(loop)
     , lastCrashCursor_(crashes_.cursor())
-    , lastLimitsMark_(limits_.version())
+    , lastLimitsVersion_(limits_.version())
     , initialOwnEventCount_(ownEventCount())
     , announcedEventCount_(ownEventCount())
     , startedAt_(loop.now())
@@ -111,12 +111,12 @@
 }
 
 tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &sharedState,
+GatewayPeers::create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &gossip,
                      const StoreProtocol &store, GatewayDirectory &directory,
                      StateReceived onStateReceived)
 {
-    std::unique_ptr<GatewayPeers> peers(new GatewayPeers(loop, storeView, sharedState, store,
-                                                         directory, std::move(onStateReceived)));
+    std::unique_ptr<GatewayPeers> peers(
+        new GatewayPeers(loop, storeView, gossip, store, directory, std::move(onStateReceived)));
     if (auto opened = peers->open(); !opened) {
         return tl::unexpected(opened.error());
     }
@@ -183,16 +183,16 @@
         maxWait = std::min(maxWait, configNotBefore_ - now);
     }
     request.setConfigVersion(configDeferred ? kNewerThanAnyConfig : storeView_.version().value());
-    request.setUpstreamsMark(storeView_.advertisedMark());
+    request.setUpstreamsMark(storeView_.advertisedDigest());
     request.setTakesChanges(true);
     request.setWantsGateways(withGatewayList);
     request.setGatewaysMark(directory_.digest());
     request.setWaitMicros(maxWait.count());
-    link.groupsMark = link.groupsMark == 0 ? groups_.digest() : link.groupsMark;
-    request.setGroupsMark(link.groupsMark);
+    link.groupsDigest = link.groupsDigest == 0 ? groups_.digest() : link.groupsDigest;
+    request.setGroupsMark(link.groupsDigest);
     request.setCrashCursor(link.crashCursor);
     request.setWantsLimits(true);
-    request.setLimitsMark(link.limitsMark);
+    request.setLimitsMark(link.limitsVersion);
     // The first of the answer and the timeout ends the poll.
     const auto finished = std::make_shared<bool>(false);
     loop_.schedule(maxWait + detail::kPeerTimeout, [this, address, finished, alive = alive_] {
@@ -209,7 +209,7 @@
                 onNews(address, now, answer.getNews());
             }
         },
-        [this, address, finished](kj::Exception && /*gone*/) {
+        [this, address, finished](kj::Exception && /*exception*/) {
             if (!std::exchange(*finished, true)) {
                 onFailed(address);
             }
@@ -228,7 +228,7 @@
     }
 }
 
-void GatewayPeers::onNews(const SocketAddress &address, TimePoint askedAt,
+void GatewayPeers::onNews(const SocketAddress &address, TimePoint sentAt,
                           wire::GatewayNews::Reader news)
 {
     const TimePoint now = loop_.now();
@@ -240,13 +240,13 @@
         applyGateways(news, now);
     }
     directory_.onAnswered(link.id, now);
-    applyGroups(link, askedAt, news);
-    applyCrashes(link, askedAt, news);
-    applyLimits(link, askedAt, news);
+    applyGroups(link, sentAt, news);
+    applyCrashes(link, sentAt, news);
+    applyLimits(link, sentAt, news);
     if (!news.getKnown()) {
         lastUnconfiguredAnswerAt_ = now;
     }
-    if (!news.getKnown() || !applyNews(askedAt, news)) {
+    if (!news.getKnown() || !applyNews(sentAt, news)) {
         link.notBefore = now + detail::kPeerRetryDelay;
     }
     if (std::exchange(link.pollAgain, false)) {
@@ -257,38 +257,39 @@
 
 void GatewayPeers::applyGateways(wire::GatewayNews::Reader reader, TimePoint now)
 {
-    GatewayDirectory::GossipUpdate news;
-    news.digest = reader.getGatewaysMark();
+    GatewayDirectory::GossipUpdate update;
+    update.digest = reader.getGatewaysMark();
     const auto listed = reader.getGateways();
     directory_.recordSeen(readGateway(listed[0]), now);
     for (std::uint32_t index = 1; index < listed.size(); ++index) {
-        const TimePoint heardAt = now - Duration(listed[index].getHeardMicrosAgo());
-        news.peers.push_back({readGateway(listed[index]), heardAt});
+        const TimePoint lastSeen = now - Duration(listed[index].getHeardMicrosAgo());
+        update.peers.push_back({readGateway(listed[index]), lastSeen});
     }
     const auto ages = reader.getGatewayAges();
-    news.ages.assign(ages.begin(), ages.end());
-    directory_.applyGossip(news, now);
+    update.ages.assign(ages.begin(), ages.end());
+    directory_.applyGossip(update, now);
 }
 
-void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t knownMark) const
+void GatewayPeers::writeGateways(wire::GatewayNews::Builder to, std::uint64_t knownDigest) const
 {
     const TimePoint now = loop_.now();
-    const GatewayDirectory::GossipUpdate news = directory_.gossipFor(knownMark, now);
-    to.setGatewaysMark(news.digest);
-    auto list = to.initGateways(static_cast<std::uint32_t>(news.peers.size() + 1));
+    const GatewayDirectory::GossipUpdate update = directory_.gossipFor(knownDigest, now);
+    to.setGatewaysMark(update.digest);
+    auto list = to.initGateways(static_cast<std::uint32_t>(update.peers.size() + 1));
     writeGateway(directory_.self(), Duration{}, list[0]);
-    for (std::uint32_t index = 0; index < news.peers.size(); ++index) {
-        writeGateway(news.peers[index].record, now - news.peers[index].lastSeen, list[index + 1]);
+    for (std::uint32_t index = 0; index < update.peers.size(); ++index) {
+        writeGateway(update.peers[index].record, now - update.peers[index].lastSeen,
+                     list[index + 1]);
     }
-    to.setGatewayAges(kj::arrayPtr(news.ages.data(), news.ages.size()));
+    to.setGatewayAges(kj::arrayPtr(update.ages.data(), update.ages.size()));
 }
 
-bool GatewayPeers::applyNews(TimePoint askedAt, wire::GatewayNews::Reader news)
+bool GatewayPeers::applyNews(TimePoint sentAt, wire::GatewayNews::Reader news)
 {
     PeerStoreState peerState;
-    peerState.place = {news.getEra(), news.getRevision()};
+    peerState.position = {news.getEra(), news.getRevision()};
     peerState.version = ConfigVersion(news.getConfigVersion());
-    peerState.upstreamsMark = news.getUpstreamsMark();
+    peerState.upstreamsDigest = news.getUpstreamsMark();
     if (news.hasConfig() && peerState.version > storeView_.version()) {
         const auto bytes = news.getConfig();
         const auto text = decompressText(bytes.begin(), bytes.size(), news.getConfigBytes());
@@ -308,47 +309,48 @@
     }
     const Duration held(news.getHeldMicros());
     const Duration age(news.getAgeMicros());
-    return onStateReceived_(peerState, askedAt + held - age);
+    return onStateReceived_(peerState, sentAt + held - age);
 }
 
-// Applies the other gateway's facts about groups, each as of its own time. If its mark is the one
-// that the poll named, the members are omitted and the facts are only renewed, provided that those
-// held here still have that mark.
-void GatewayPeers::applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+// Applies the other gateway's facts about groups, each as of its own time. If its digest is the
+// one that the poll named, the members are omitted and the facts are only renewed, provided that
+// those held here still have that digest.
+void GatewayPeers::applyGroups(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news)
 {
     const Duration held(news.getHeldMicros());
-    const bool repeated = link.groupsMark == news.getGroupsMark();
+    const bool repeated = link.groupsDigest == news.getGroupsMark();
     const bool matchesOwn = groups_.digest() == news.getGroupsMark();
     for (const auto &group : news.getGroups()) {
-        const TimePoint asOf = askedAt + held - Duration(group.getAgeMicros());
+        const TimePoint asOf = sentAt + held - Duration(group.getAgeMicros());
         if (!repeated) {
             groups_.update(readGroup(group), asOf);
         } else if (matchesOwn) {
             groups_.renew(GroupId(group.getGroup().cStr()), asOf);
         }
     }
-    link.groupsMark = news.getGroupsMark();
+    link.groupsDigest = news.getGroupsMark();
 }
 
 bool GatewayPeers::hasNewsFor(const PollRequest &pollRequest) const
 {
-    const bool groupsChanged = lastGroupsMark_ != 0 && lastGroupsMark_ != pollRequest.groupsMark;
+    const bool groupsChanged =
+        lastGroupsDigest_ != 0 && lastGroupsDigest_ != pollRequest.groupsDigest;
     return storeView_.version() > pollRequest.version
-           || storeView_.upstreamsMark() != pollRequest.upstreamsMark || groupsChanged
+           || storeView_.upstreamsDigest() != pollRequest.upstreamsDigest || groupsChanged
            || crashes_.hasChangedSince(pollRequest.crashCursor)
-           || (pollRequest.wantsLimits && limits_.version() != pollRequest.limitsMark);
+           || (pollRequest.wantsLimits && limits_.version() != pollRequest.limitsVersion);
 }
 
-void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const
+void GatewayPeers::writeGroups(wire::GatewayNews::Builder news, std::uint64_t knownDigest) const
 {
     const TimePoint now = loop_.now();
     const auto &known = groups_.groups();
-    const std::uint64_t ownMark = groups_.digest();
-    news.setGroupsMark(ownMark);
+    const std::uint64_t ownDigest = groups_.digest();
+    news.setGroupsMark(ownDigest);
     auto list = news.initGroups(static_cast<std::uint32_t>(known.size()));
     std::uint32_t index = 0;
     for (const auto &[id, group] : known) {
-        writeGroup(group.facts, now - group.asOf, ownMark != mark, list[index++]);
+        writeGroup(group.facts, now - group.asOf, ownDigest != knownDigest, list[index++]);
     }
 }
 
@@ -356,10 +358,10 @@
                              Duration held)
 {
     if (pollRequest.wantsGateways) {
-        writeGateways(news, pollRequest.gatewaysMark);
+        writeGateways(news, pollRequest.gatewaysDigest);
     }
     news.setHeldMicros(held.count());
-    writeGroups(news, pollRequest.groupsMark);
+    writeGroups(news, pollRequest.groupsDigest);
     writeCrashes(news, pollRequest.crashCursor);
     writeLimits(news, pollRequest);
     if (!storeView_.hasConfiguration() || !storeView_.confirmed()) {
@@ -367,8 +369,8 @@
     }
     news.setKnown(true);
     news.setAgeMicros(storeView_.age().count());
-    news.setRevision(storeView_.place().revision);
-    news.setEra(storeView_.place().era);
+    news.setRevision(storeView_.position().revision);
+    news.setEra(storeView_.position().era);
     news.setConfigVersion(storeView_.version().value());
     if (storeView_.version() > pollRequest.version) {
         if (compressedVersion_ != storeView_.version()) {
@@ -378,8 +380,8 @@
         news.setConfig(kj::arrayPtr(compressedDocument_.data(), compressedDocument_.size()));
         news.setConfigBytes(static_cast<std::uint32_t>(storeView_.documentText().size()));
     }
-    news.setUpstreamsMark(storeView_.upstreamsMark());
-    if (storeView_.upstreamsMark() != pollRequest.upstreamsMark) {
+    news.setUpstreamsMark(storeView_.upstreamsDigest());
+    if (storeView_.upstreamsDigest() != pollRequest.upstreamsDigest) {
         writeUpstreams(news, pollRequest);
         writeDrainedHalls(storeView_.upstreams().drainedHalls(), news);
     }
@@ -388,18 +390,18 @@
 void GatewayPeers::recordUpstreamList()
 {
     if (storeView_.confirmed()) {
-        history_.recordState(storeView_.upstreamsMark(), storeView_.upstreams().all());
+        history_.recordState(storeView_.upstreamsDigest(), storeView_.upstreams().all());
     }
 }
 
-// Writes the changes since the list whose mark the poller sent, if that list is in the history,
+// Writes the changes since the list whose digest the poller sent, if that list is in the history,
 // else the full list.
 void GatewayPeers::writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest)
 {
     recordUpstreamList();
     std::vector<const UpstreamRecord *> records = storeView_.upstreams().all();
-    const auto changed = pollRequest.takesChanges && pollRequest.upstreamsMark != 0
-                             ? history_.changedSince(pollRequest.upstreamsMark)
+    const auto changed = pollRequest.takesChanges && pollRequest.upstreamsDigest != 0
+                             ? history_.changedSince(pollRequest.upstreamsDigest)
                              : std::nullopt;
     if (changed) {
         std::set<InstanceId> removed = *changed;
@@ -407,7 +409,7 @@
             removed.erase(record->id);
             return !changed->contains(record->id);
         });
-        news.setUpstreamsSince(pollRequest.upstreamsMark);
+        news.setUpstreamsSince(pollRequest.upstreamsDigest);
         auto ids = news.initRemovedUpstreams(static_cast<std::uint32_t>(removed.size()));
         std::uint32_t index = 0;
         for (const InstanceId &id : removed) {
@@ -431,7 +433,7 @@
     if (news.getUpstreamsSince() == 0) {
         return records;
     }
-    if (news.getUpstreamsSince() != storeView_.advertisedMark()) {
+    if (news.getUpstreamsSince() != storeView_.advertisedDigest()) {
         return std::nullopt;
     }
     std::set<InstanceId> removed;
@@ -444,16 +446,16 @@
 void GatewayPeers::tick()
 {
     const TimePoint now = loop_.now();
-    const std::uint64_t groupsMark = groups_.digest();
-    if (storeView_.upstreamsMark() != lastUpstreamsMark_ || storeView_.version() != lastVersion_
-        || groupsMark != lastGroupsMark_ || crashes_.cursor() != lastCrashCursor_
-        || limits_.version() != lastLimitsMark_) {
+    const std::uint64_t groupsDigest = groups_.digest();
+    if (storeView_.upstreamsDigest() != lastUpstreamsDigest_ || storeView_.version() != lastVersion_
+        || groupsDigest != lastGroupsDigest_ || crashes_.cursor() != lastCrashCursor_
+        || limits_.version() != lastLimitsVersion_) {
         recordUpstreamList();
-        lastUpstreamsMark_ = storeView_.upstreamsMark();
+        lastUpstreamsDigest_ = storeView_.upstreamsDigest();
         lastVersion_ = storeView_.version();
-        lastGroupsMark_ = groupsMark;
+        lastGroupsDigest_ = groupsDigest;
         lastCrashCursor_ = crashes_.cursor();
-        lastLimitsMark_ = limits_.version();
+        lastLimitsVersion_ = limits_.version();
         waitingPolls_.wakeAll();
     }
     announce(now);
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -6,7 +6,7 @@
 // The poller subtracts it from the time of its own poll, plus the time that the answer was held
 // back, so it never takes the data for younger than it is.
 //
-// Crashes of upstreams under a request, and the rate limits that upstreams name for all gateways
+// Crashes of upstreams under a request, and the rate limits that upstreams report for all gateways
 // together, cannot wait for the next poll. This gateway notifies the first gateway of each hall at
 // once; that one polls for the update, and the other gateways of its hall have polls waiting there.
 //
@@ -54,7 +54,7 @@
 
     // Listens on the address in the directory's own record. Fails if it cannot be opened.
     static tl::expected<std::unique_ptr<GatewayPeers>, NetError>
-    create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &sharedState,
+    create(EventLoop &loop, GatewayStoreView &storeView, const GossipState &gossip,
            const StoreProtocol &store, GatewayDirectory &directory, StateReceived onStateReceived);
     ~GatewayPeers();
     GatewayPeers(const GatewayPeers &) = delete;
@@ -74,7 +74,7 @@
         InstanceId upstream;
         UpstreamStart start;
         std::uint32_t wanted = 0;          // The number of permits.
-        std::optional<LimitReport> limit;  // Empty if the upstream names none.
+        std::optional<LimitReport> limit;  // Empty if the upstream reports none.
         std::optional<RequestRate> warmUp; // The warm-up limit; empty if the upstream is warm.
     };
     // Requests permits from the gateway `issuer`. Calls `onAnswer` exactly once; with no permits if
@@ -99,30 +99,30 @@
         std::unique_ptr<RpcLink> rpc;
         InstanceId id; // Empty until it has answered.
         bool polling = false;
-        bool pollAgain = false;       // It announced an update during a poll; poll again after it.
-        std::uint64_t groupsMark = 0; // Mark of the groups last received from it, or of those known
-                                      // here at the first poll.
-        std::uint64_t crashCursor = 0; // Its crash record has been received up to this cursor.
-        std::uint64_t limitsMark = 0;  // Mark of the limits last received from it.
-        TimePoint notBefore{};         // It is not polled before this time.
+        bool pollAgain = false; // It announced an update during a poll; poll again after it.
+        std::uint64_t groupsDigest = 0;  // Digest of the groups last received from it, or of those
+                                         // known here at the first poll.
+        std::uint64_t crashCursor = 0;   // Its crash record has been received up to this cursor.
+        std::uint64_t limitsVersion = 0; // Version of the limits last received from it.
+        TimePoint notBefore{};           // It is not polled before this time.
         TimePoint usedAt{};
     };
 
-    GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const GossipState &sharedState,
+    GatewayPeers(EventLoop &loop, GatewayStoreView &storeView, const GossipState &gossip,
                  const StoreProtocol &store, GatewayDirectory &directory,
                  StateReceived onStateReceived);
     tl::expected<void, NetError> open();
 
     Link &linkTo(const SocketAddress &address);
-    void onNews(const SocketAddress &address, TimePoint askedAt, wire::GatewayNews::Reader news);
+    void onNews(const SocketAddress &address, TimePoint sentAt, wire::GatewayNews::Reader news);
     void onFailed(const SocketAddress &address);
-    bool applyNews(TimePoint askedAt, wire::GatewayNews::Reader news);
+    bool applyNews(TimePoint sentAt, wire::GatewayNews::Reader news);
     bool isGatewayListDue(const Link &link, TimePoint now) const;
     void applyGateways(wire::GatewayNews::Reader news, TimePoint now);
-    void writeGateways(wire::GatewayNews::Builder news, std::uint64_t knownMark) const;
-    void applyGroups(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    void applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
-    void applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news);
+    void writeGateways(wire::GatewayNews::Builder news, std::uint64_t knownDigest) const;
+    void applyGroups(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news);
+    void applyCrashes(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news);
+    void applyLimits(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news);
     PermitGrant grantPermits(wire::GatewayPeer::PermitsParams::Reader permitRequest);
     void onHasNews(const GatewayRecord &from);
     // Counts the changes to crashes and limits that this gateway observed itself.
@@ -136,21 +136,21 @@
     struct PollRequest
     {
         ConfigVersion version;
-        std::uint64_t upstreamsMark = 0;
+        std::uint64_t upstreamsDigest = 0;
         bool takesChanges = false; // Earlier software versions accept only full lists.
-        std::uint64_t groupsMark = 0;
+        std::uint64_t groupsDigest = 0;
         std::uint64_t crashCursor = 0;
         bool wantsGateways = false;
-        std::uint64_t gatewaysMark = 0;
+        std::uint64_t gatewaysDigest = 0;
         bool wantsLimits = false; // Earlier software versions do not support limits.
-        std::uint64_t limitsMark = 0;
+        std::uint64_t limitsVersion = 0;
     };
     bool hasNewsFor(const PollRequest &pollRequest) const;
     void writeNews(wire::GatewayNews::Builder news, const PollRequest &pollRequest, Duration held);
     void recordUpstreamList();
     void writeUpstreams(wire::GatewayNews::Builder news, const PollRequest &pollRequest);
     std::optional<std::vector<UpstreamRecord>> readUpstreams(wire::GatewayNews::Reader news) const;
-    void writeGroups(wire::GatewayNews::Builder news, std::uint64_t mark) const;
+    void writeGroups(wire::GatewayNews::Builder news, std::uint64_t knownDigest) const;
     void writeCrashes(wire::GatewayNews::Builder news, std::uint64_t cursor) const;
     void writeLimits(wire::GatewayNews::Builder news, const PollRequest &pollRequest) const;
     void taskFailed(kj::Exception &&exception) override;
@@ -173,11 +173,11 @@
     ConfigVersion compressedVersion_;
     UpstreamHistory history_; // Recent changes of the upstream list, to send them instead of all.
     // The state at the last tick. A difference means that there is an update for waiting polls.
-    std::uint64_t lastUpstreamsMark_ = 0;
+    std::uint64_t lastUpstreamsDigest_ = 0;
     ConfigVersion lastVersion_;
-    std::uint64_t lastGroupsMark_ = 0;
+    std::uint64_t lastGroupsDigest_ = 0;
     std::uint64_t lastCrashCursor_ = 0;
-    std::uint64_t lastLimitsMark_ = 0;
+    std::uint64_t lastLimitsVersion_ = 0;
     std::uint64_t peerCrashChanges_ = 0;     // Changes to `crashes_` received from other gateways.
     std::uint64_t initialOwnEventCount_ = 0; // `ownEventCount` at the start.
     std::uint64_t announcedEventCount_ = 0;  // `ownEventCount` when all halls had acknowledged.
--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -1,5 +1,5 @@
 // The part of GatewayPeers that propagates the requests that crash upstreams, and the rate limits
-// that upstreams name.
+// that upstreams report.
 #include "base/log.h"
 #include "gateway/gatewaypeers.h"
 #include "gateway/gatewaywire.h"
@@ -13,9 +13,9 @@
 
 // Adds the other gateway's changes to the crash record. Their ages count back from when that
 // gateway answered, which is its hold time after it received the poll.
-void GatewayPeers::applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+void GatewayPeers::applyCrashes(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news)
 {
-    const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
+    const TimePoint answeredAt = sentAt + Duration(news.getHeldMicros());
     const std::uint64_t learned = learnSuspects(news.getCrashes(), answeredAt, crashes_);
     link.crashCursor = news.getCrashCursor();
     peerCrashChanges_ += learned;
@@ -26,21 +26,21 @@
 }
 
 // Adds the limits that the other gateway knows. Their ages count back from when it answered.
-void GatewayPeers::applyLimits(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
+void GatewayPeers::applyLimits(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news)
 {
-    const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
+    const TimePoint answeredAt = sentAt + Duration(news.getHeldMicros());
     for (const auto &limit : news.getLimits()) {
-        const LimitReport namedLimit = readLimit(limit, answeredAt);
-        if (limits_.merge(namedLimit, loop_.now())) {
+        const LimitReport report = readLimit(limit, answeredAt);
+        if (limits_.merge(report, loop_.now())) {
             logLine(LogLevel::Info, "limit.heard",
                     {{"from", link.id.value()},
-                     {"upstream", namedLimit.upstream.value()},
-                     {"perSecond", namedLimit.rate ? nlohmann::json(namedLimit.rate->perSecond())
-                                                   : nlohmann::json()},
-                     {"ageMs", toMillis(loop_.now() - namedLimit.reportedAt)}});
+                     {"upstream", report.upstream.value()},
+                     {"perSecond",
+                      report.rate ? nlohmann::json(report.rate->perSecond()) : nlohmann::json()},
+                     {"ageMs", toMillis(loop_.now() - report.reportedAt)}});
         }
     }
-    link.limitsMark = news.getLimitsMark();
+    link.limitsVersion = news.getLimitsMark();
 }
 
 void GatewayPeers::writeLimits(wire::GatewayNews::Builder news,
@@ -50,13 +50,13 @@
         return;
     }
     news.setLimitsMark(limits_.version());
-    if (limits_.version() == pollRequest.limitsMark) {
+    if (limits_.version() == pollRequest.limitsVersion) {
         return;
     }
-    const std::vector<LimitReport> namedLimits = limits_.all();
-    auto list = news.initLimits(static_cast<std::uint32_t>(namedLimits.size()));
+    const std::vector<LimitReport> reports = limits_.all();
+    auto list = news.initLimits(static_cast<std::uint32_t>(reports.size()));
     for (std::uint32_t index = 0; index < list.size(); ++index) {
-        writeLimit(namedLimits[index], loop_.now(), list[index]);
+        writeLimit(reports[index], loop_.now(), list[index]);
     }
 }
 
@@ -72,7 +72,7 @@
 
 // Notifies the first gateway of each hall that there is an update here, and repeats that until it
 // acknowledges. An update here means that upstreams have ended under requests of this gateway, or
-// have told it a changed limit. The other gateways of that hall have polls waiting there.
+// have reported a changed limit to it. The other gateways of that hall have polls waiting there.
 void GatewayPeers::announce(TimePoint now)
 {
     if (announcedEventCount_ == ownEventCount()) {
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -42,11 +42,11 @@
     , store_(store)
     , metrics_(settings.maxAccountSeries)
     , core_(coreSettings(settings))
-    , storeView_(loop, core_.upstreams(), metrics_, settings.times.freshness,
+    , storeView_(loop, core_.upstreams(), metrics_, settings.timings.freshness,
                  [this](const RouteTable &table) { applyConfiguration(table); })
 {
     core_.warmUps().setBounds(settings.bounds.warmUp);
-    core_.upstreams().setLapseGrace(settings.times.lapseGrace);
+    core_.upstreams().setLapseGrace(settings.timings.lapseGrace);
 }
 
 GatewayService::~GatewayService() = default;
@@ -93,16 +93,16 @@
         }
         metricsServer_ = std::move(*metrics);
     }
-    auto sources = StateSynchronizer::create(
+    auto synchronizer = StateSynchronizer::create(
         loop_, *client_, store_, storeView_,
         {core_.groups(), core_.crashes(), core_.limits(), core_.permitIssuer(), core_.warmUps()},
         {settings_.instance, settings_.hall, settings_.peerListen, settings_.seeds,
-         settings_.agentPort, settings_.times.storeBatchWindow});
-    if (!sources) {
-        return tl::unexpected(sources.error());
+         settings_.agentPort, settings_.timings.storeCoalesceDelay});
+    if (!synchronizer) {
+        return tl::unexpected(synchronizer.error());
     }
-    sources_ = std::move(*sources);
-    sources_->tick();
+    synchronizer_ = std::move(*synchronizer);
+    synchronizer_->tick();
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickInterval, [this] { tick(); });
     return {};
 }
@@ -121,16 +121,22 @@
 
 void GatewayService::onRequest(ExchangeId exchange, HttpRequest request)
 {
-    RequestMetadata facts = protocol_.readRequest(request);
-    if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.times.stopDelay) {
+    RequestMetadata metadata = protocol_.readRequest(request);
+    if (stopping_ && loop_.now() - stopStartedAt_ >= settings_.timings.stopDelay) {
         // The balancer has noticed the stop by now, and a new request might not finish in time.
-        refuse(exchange, facts, FailureCode::EntryStopping, Outcome::NotRun, kNotReadyRetryAfter);
+        refuse(exchange, metadata, FailureCode::EntryStopping, Outcome::NotRun,
+               kNotReadyRetryAfter);
         return;
     }
-    const bool early = (!storeView_.hasConfiguration() || early_.size() > 0) && !stopping_;
-    if (early && early_.push(exchange, request, facts.deadline.value_or(Duration{}), loop_.now())) {
+    const bool awaitsConfiguration =
+        (!storeView_.hasConfiguration() || startupQueue_.size() > 0) && !stopping_;
+    if (awaitsConfiguration
+        && startupQueue_.push(exchange, request, metadata.deadline.value_or(Duration{}),
+                              loop_.now())) {
         logLine(LogLevel::Info, "request.held",
-                {{"id", facts.requestId}, {"reason", "no configuration"}, {"held", early_.size()}});
+                {{"id", metadata.requestId},
+                 {"reason", "no configuration"},
+                 {"held", startupQueue_.size()}});
         return;
     }
     admitRequest(exchange, std::move(request), loop_.now());
@@ -138,36 +144,36 @@
 
 // Processes requests that arrived before the first configuration, once there is one. Until then,
 // passes on those that have waited too long, which are refused for the lack of a configuration.
-void GatewayService::processEarlyRequests()
+void GatewayService::processStartupQueue()
 {
     constexpr std::size_t kMaxPerTick = 1;
     if (storeView_.hasConfiguration()) {
-        for (StartupRequestQueue::QueuedRequest &held : early_.popFront(kMaxPerTick)) {
-            admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
+        for (StartupRequestQueue::QueuedRequest &queued : startupQueue_.popFront(kMaxPerTick)) {
+            admitRequest(queued.exchange, std::move(queued.request), queued.arrivedAt);
         }
         return;
     }
-    for (StartupRequestQueue::QueuedRequest &held : early_.popExpired(loop_.now())) {
-        admitRequest(held.exchange, std::move(held.request), held.arrivedAt);
+    for (StartupRequestQueue::QueuedRequest &queued : startupQueue_.popExpired(loop_.now())) {
+        admitRequest(queued.exchange, std::move(queued.request), queued.arrivedAt);
     }
 }
 
 void GatewayService::admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt)
 {
-    RequestMetadata facts = protocol_.readRequest(request);
-    auto admitted = storeView_.admit(request, facts);
+    RequestMetadata metadata = protocol_.readRequest(request);
+    auto admitted = storeView_.admit(request, metadata);
     if (!admitted) {
         const FailureCode code = admitted.error();
         const bool temporary =
             code == FailureCode::EntryNotReady || code == FailureCode::KnowledgeStale;
-        refuse(exchange, facts, code, Outcome::NotRun,
+        refuse(exchange, metadata, code, Outcome::NotRun,
                temporary ? kNotReadyRetryAfter : Duration{});
         return;
     }
     ActiveRequest active;
     active.exchange = exchange;
     active.request = std::move(request);
-    active.facts = std::move(facts);
+    active.metadata = std::move(metadata);
     admitted->age = loop_.now() - arrivedAt;
     admitted->digest = digestOf(active.request, admitted->account);
     active.admitted = *admitted;
@@ -180,18 +186,18 @@
     carryOut(actions);
 }
 
-void GatewayService::refuse(ExchangeId exchange, const RequestMetadata &facts, FailureCode code,
+void GatewayService::refuse(ExchangeId exchange, const RequestMetadata &metadata, FailureCode code,
                             Outcome outcome, Duration retryAfter)
 {
     HttpResponseHead head;
     head.status = httpStatus(code);
-    head.headers = protocol_.refusalHeaders(facts.requestId, outcome, retryAfter);
+    head.headers = protocol_.refusalHeaders(metadata.requestId, outcome, retryAfter);
     const json body = {
         {"error",
          {{"code", toString(code)}, {"message", advice(code)}, {"outcome", toString(outcome)}}}};
     metrics_.count("seamarch_failures_total", toString(code));
     logLine(LogLevel::Info, "request.refused",
-            {{"id", facts.requestId},
+            {{"id", metadata.requestId},
              {"code", toString(code)},
              {"outcome", toString(outcome)},
              {"retryAfterMs", toMillis(retryAfter)},
@@ -202,7 +208,7 @@
 
 void GatewayService::onCallerGone(ExchangeId exchange)
 {
-    if (early_.remove(exchange)) {
+    if (startupQueue_.remove(exchange)) {
         return;
     }
     const auto found = byExchange_.find(exchange);
@@ -245,12 +251,12 @@
     if (action.failure == FailureCode::RequestEndsUpstreams) {
         const RequestDigest &digest = active.admitted.digest;
         logLine(LogLevel::Warning, "request.stopped",
-                {{"id", active.facts.requestId},
+                {{"id", active.metadata.requestId},
                  {"digest", toText(digest)},
                  {"account", active.admitted.account.value()},
                  {"ends", core_.crashes().crashCount(digest)}});
     }
-    refuse(active.exchange, active.facts, action.failure, action.outcome, action.retryAfter);
+    refuse(active.exchange, active.metadata, action.failure, action.outcome, action.retryAfter);
     endRequest(action.request, toString(action.failure));
 }
 
@@ -277,7 +283,7 @@
     metrics_.observe(Stage::Total, active.admitted.account, active.admitted.route->name,
                      now - active.startedAt);
     logLine(LogLevel::Info, "request.ended",
-            {{"id", active.facts.requestId},
+            {{"id", active.metadata.requestId},
              {"result", result},
              {"route", active.admitted.route->name},
              {"account", active.admitted.account.value()},
@@ -296,13 +302,13 @@
 
 void GatewayService::tick()
 {
-    processEarlyRequests();
+    processStartupQueue();
     GatewayActions actions;
-    core_.setGatewayCount(sources_->gateways() + 1);
-    core_.setHallPosition(sources_->place());
+    core_.setGatewayCount(synchronizer_->gateways() + 1);
+    core_.setHallPosition(synchronizer_->hallPosition());
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
-    sources_->tick();
+    synchronizer_->tick();
     if (stopping_) {
         stopIfDrained();
     }
@@ -346,7 +352,7 @@
     return shown;
 }
 
-// Lists the upstreams that have asked this gateway to pause, and the time left of each pause.
+// Lists the upstreams that have asked this gateway for a rest, and the time left of each rest.
 json GatewayService::restingStatus() const
 {
     const TimePoint now = loop_.now();
@@ -362,10 +368,10 @@
 {
     const TimePoint now = loop_.now();
     json shown = json::object();
-    for (const LimitReport &namedLimit : core_.limits().all()) {
-        if (namedLimit.rate) {
-            shown[namedLimit.upstream.value()] = {{"perSecond", namedLimit.rate->perSecond()},
-                                                  {"msAgo", toMillis(now - namedLimit.reportedAt)}};
+    for (const LimitReport &report : core_.limits().all()) {
+        if (report.rate) {
+            shown[report.upstream.value()] = {{"perSecond", report.rate->perSecond()},
+                                              {"msAgo", toMillis(now - report.reportedAt)}};
         }
     }
     return shown;
@@ -383,9 +389,9 @@
             {"configVersion", storeView_.version().value()},
             {"knowledgeAgeMs", storeView_.confirmed() ? toMillis(storeView_.age()) : -1},
             {"storeReachable", storeView_.storeReachable()},
-            {"storeCalls", sources_->storeCalls()},
-            {"followsStore", sources_->followsStore()},
-            {"gateways", sources_->gateways()},
+            {"storeCalls", synchronizer_->storeCalls()},
+            {"followsStore", synchronizer_->followsStore()},
+            {"gateways", synchronizer_->gateways()},
             {"inFlight", activeRequests_.size()},
             {"secondAttempts", core_.secondAttempts()},
             {"connectionsMade", client_->connectionsMade()},
@@ -408,14 +414,14 @@
         logLine(LogLevel::Warning, "settings.need_restart",
                 {{"message", "names and addresses change at the next start"}});
     }
-    storeView_.setFreshness(settings.times.freshness);
-    settings_.times = settings.times;
+    storeView_.setFreshness(settings.timings.freshness);
+    settings_.timings = settings.timings;
     settings_.bounds = settings.bounds;
     core_.setRetryLimits(retryLimits(settings_.bounds));
     core_.warmUps().setBounds(settings_.bounds.warmUp);
     settings_.crashRetention = settings.crashRetention;
     core_.crashes().setRetention(settings_.crashRetention);
-    core_.upstreams().setLapseGrace(settings_.times.lapseGrace);
+    core_.upstreams().setLapseGrace(settings_.timings.lapseGrace);
 }
 
 void GatewayService::stop()
@@ -433,16 +439,16 @@
 {
     const Duration since = loop_.now() - stopStartedAt_;
     // The balancer notices the lost readiness with a delay and sends requests until then.
-    if (since < settings_.times.stopDelay) {
+    if (since < settings_.timings.stopDelay) {
         return;
     }
     server_->closeIdle();
     const bool drained = activeRequests_.empty() && server_->open() == 0;
-    if (!drained && since < settings_.times.stopDeadline) {
+    if (!drained && since < settings_.timings.stopDeadline) {
         return;
     }
     logLine(LogLevel::Info, "gateway.stopped", {{"cutOff", activeRequests_.size()}});
-    sources_->stop();
+    synchronizer_->stop();
     loop_.stop();
 }
 
--- a/src/gateway/gatewayservice.h
+++ b/src/gateway/gatewayservice.h
@@ -50,7 +50,7 @@
     Duration crashRetention = CrashRecord::Settings().retention;
     // Limits from the platform's settings, and the timings derived from them.
     GatewayBounds bounds;
-    GatewayTimings times = deriveTimings(GatewayBounds());
+    GatewayTimings timings = deriveTimings(GatewayBounds());
 };
 
 // Runs one gateway on an event loop.
@@ -82,7 +82,7 @@
     {
         ExchangeId exchange = 0;
         HttpRequest request;
-        RequestMetadata facts;
+        RequestMetadata metadata;
         GatewayRequest admitted;
         HttpCallId call = 0;
         std::uint32_t attempt = 0; // The number of the current attempt.
@@ -129,8 +129,8 @@
     void applyConfiguration(const RouteTable &table);
     // Starts the request if it is admitted, else refuses it. Its times count from `arrivedAt`.
     void admitRequest(ExchangeId exchange, HttpRequest request, TimePoint arrivedAt);
-    void processEarlyRequests();
-    void refuse(ExchangeId exchange, const RequestMetadata &facts, FailureCode code,
+    void processStartupQueue();
+    void refuse(ExchangeId exchange, const RequestMetadata &metadata, FailureCode code,
                 Outcome outcome, Duration retryAfter);
 
     void carryOut(const GatewayActions &actions);
@@ -171,8 +171,8 @@
     std::unique_ptr<HttpServer> server_;
     std::unique_ptr<OperatorServer> operators_;
     std::unique_ptr<OperatorServer> metricsServer_;
-    std::unique_ptr<StateSynchronizer> sources_;
-    StartupRequestQueue early_;
+    std::unique_ptr<StateSynchronizer> synchronizer_;
+    StartupRequestQueue startupQueue_;
     std::unordered_map<RequestNumber, ActiveRequest> activeRequests_;
     std::unordered_map<ExchangeId, RequestNumber> byExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
--- a/src/gateway/gatewayservicenotices.cpp
+++ b/src/gateway/gatewayservicenotices.cpp
@@ -1,4 +1,4 @@
-// The part of GatewayService that processes the notices in upstreams' answers (pauses, leaving,
+// The part of GatewayService that processes the notices in upstreams' answers (rests, leaving,
 // rate limits), and requests permits to send to upstreams.
 #include "base/log.h"
 #include "gateway/gatewayservice.h"
@@ -35,7 +35,7 @@
         return;
     }
     logLine(LogLevel::Info, "upstream.notice",
-            {{"id", active.facts.requestId},
+            {{"id", active.metadata.requestId},
              {"attempt", active.attempt},
              {"upstream", active.upstream.value()},
              {"status", active.head.status},
@@ -74,12 +74,12 @@
     }
     logLine(
         LogLevel::Info, "limit.changed",
-        {{"id", active.facts.requestId},
+        {{"id", active.metadata.requestId},
          {"attempt", active.attempt},
          {"upstream", active.upstream.value()},
          {"change", nameOf(change)},
          {"perSecond", notice.limit ? nlohmann::json(notice.limit->perSecond()) : nlohmann::json()},
-         {"gateways", sources_->gateways()}});
+         {"gateways", synchronizer_->gateways()}});
     metrics_.count("seamarch_limit_changes_total", nameOf(change));
 }
 
@@ -87,17 +87,17 @@
 void GatewayService::requestPermits()
 {
     const TimePoint now = loop_.now();
-    for (const SendPermits::Query &ask : core_.takePermitAsks(now)) {
-        sources_->requestPermits(ask, [this, ask, now](const PermitGrant &answer) {
+    for (const SendPermits::Query &query : core_.takePermitQueries(now)) {
+        synchronizer_->requestPermits(query, [this, query, now](const PermitGrant &answer) {
             logLine(LogLevel::Debug, "permits.answered",
-                    {{"upstream", ask.upstream.value()},
-                     {"wanted", ask.wanted},
+                    {{"upstream", query.upstream.value()},
+                     {"wanted", query.wanted},
                      {"granted", answer.granted},
                      {"askAgainMs", toMillis(answer.retryAfter)},
                      {"ms", toMillis(loop_.now() - now)}});
             metrics_.count("seamarch_send_permits_total", answer.granted > 0 ? "granted" : "none");
             GatewayActions actions;
-            core_.onPermits(ask.upstream, answer, now, loop_.now(), actions);
+            core_.onPermits(query.upstream, answer, now, loop_.now(), actions);
             carryOut(actions);
         });
     }
--- a/src/gateway/gatewaystoreview.cpp
+++ b/src/gateway/gatewaystoreview.cpp
@@ -29,12 +29,12 @@
 
 // Records the time only while the store's document is readable: an unreadable one may have removed
 // a key, so the configuration in force counts as unconfirmed until the next readable document.
-void GatewayStoreView::recordConfirmation(TimePoint askedAt, const StorePosition &place)
+void GatewayStoreView::recordConfirmation(TimePoint sentAt, const StorePosition &position)
 {
-    setPlace(std::max(place_, place));
+    setPosition(std::max(position_, position));
     markStoreReachable();
     if (!routingUnreadable_) {
-        confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, askedAt) : askedAt;
+        confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, sentAt) : sentAt;
     }
 }
 
@@ -43,31 +43,31 @@
     if (!storeReachable_) {
         storeReachable_ = true;
         logLine(LogLevel::Info, "store.reached",
-                {{"revision", place_.revision}, {"era", place_.era}});
+                {{"revision", position_.revision}, {"era", position_.era}});
     }
 }
 
 // Handles a store that was restored from an older copy. Live upstreams that the copy lacks register
 // again soon, as after an outage; until then the table treats them as lapsed, not as removed.
-void GatewayStoreView::handleRollback(const StorePosition &place)
+void GatewayStoreView::handleRollback(const StorePosition &position)
 {
-    if (!wasRolledBack(place_, place)) {
+    if (!wasRolledBack(position_, position)) {
         return;
     }
     logLine(LogLevel::Warning, "store.went_back",
-            {{"era", place.era},
-             {"eraBefore", place_.era},
-             {"revision", place.revision},
-             {"revisionBefore", place_.revision}});
+            {{"era", position.era},
+             {"eraBefore", position_.era},
+             {"revision", position.revision},
+             {"revisionBefore", position_.revision}});
     upstreams_.onStoreRolledBack(loop_.now());
 }
 
-void GatewayStoreView::setPlace(const StorePosition &place)
+void GatewayStoreView::setPosition(const StorePosition &position)
 {
-    if (place.era != place_.era) {
-        metrics_.set("seamarch_store_era", static_cast<double>(place.era));
+    if (position.era != position_.era) {
+        metrics_.set("seamarch_store_era", static_cast<double>(position.era));
     }
-    place_ = place;
+    position_ = position;
 }
 
 void GatewayStoreView::adoptConfiguration(const PeerStoreState &peerState)
@@ -81,43 +81,45 @@
 {
     adoptConfiguration(peerState);
     // Gateways of earlier software versions do not send the era.
-    const StorePosition place{peerState.place.era == 0 ? place_.era : peerState.place.era,
-                              peerState.place.revision};
-    const bool isNewer = place >= place_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
-    const bool isComplete = (peerState.document || peerState.version <= version())
-                            && (peerState.upstreams || peerState.upstreamsMark == advertisedMark());
+    const StorePosition position{peerState.position.era == 0 ? position_.era
+                                                             : peerState.position.era,
+                                 peerState.position.revision};
+    const bool isNewer = position >= position_ && (!confirmedAt_ || confirmedAt > *confirmedAt_);
+    const bool isComplete =
+        (peerState.document || peerState.version <= version())
+        && (peerState.upstreams || peerState.upstreamsDigest == advertisedDigest());
     if (!isNewer || !isComplete) {
         return false;
     }
-    handleRollback(place);
+    handleRollback(position);
     if (peerState.upstreams) {
         upstreams_.mirror(*peerState.upstreams);
         applyDrainedHalls(peerState.drainedHalls);
-        adoptedMark_ = peerState.upstreamsMark;
+        adoptedDigest_ = peerState.upstreamsDigest;
         changesAtAdoption_ = upstreams_.changes();
         logLine(LogLevel::Info, "upstreams.adopted",
-                {{"revision", place.revision},
+                {{"revision", position.revision},
                  {"upstreams", peerState.upstreams->size()},
                  {"confirmedMsAgo", toMillis(loop_.now() - confirmedAt)}});
     }
-    setPlace(place);
+    setPosition(position);
     confirmedAt_ = confirmedAt;
     return true;
 }
 
-std::uint64_t GatewayStoreView::advertisedMark() const
+std::uint64_t GatewayStoreView::advertisedDigest() const
 {
     if (!confirmed()) {
         return 0;
     }
-    const bool adopted = adoptedMark_ != 0 && upstreams_.changes() == changesAtAdoption_;
-    return adopted ? adoptedMark_ : upstreamsMark();
+    const bool adopted = adoptedDigest_ != 0 && upstreams_.changes() == changesAtAdoption_;
+    return adopted ? adoptedDigest_ : upstreamsDigest();
 }
 
-std::uint64_t GatewayStoreView::upstreamsMark() const
+std::uint64_t GatewayStoreView::upstreamsDigest() const
 {
-    if (mark_ != 0 && markedChanges_ == upstreams_.changes()) {
-        return mark_;
+    if (digest_ != 0 && digestedChanges_ == upstreams_.changes()) {
+        return digest_;
     }
     std::string text;
     for (const UpstreamRecord *record : upstreams_.all()) {
@@ -129,10 +131,10 @@
     for (const HallId &hall : upstreams_.drainedHalls()) {
         text += fmt::format("drained|{}\n", hall.value());
     }
-    markedChanges_ = upstreams_.changes();
+    digestedChanges_ = upstreams_.changes();
     // Zero stands for "no list".
-    mark_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
-    return mark_;
+    digest_ = std::max<std::uint64_t>(1, XXH3_64bits(text.data(), text.size()));
+    return digest_;
 }
 
 const std::string &GatewayStoreView::documentText() const
@@ -152,7 +154,7 @@
     return confirmedAt_ ? loop_.now() - *confirmedAt_ : Duration::max();
 }
 
-void GatewayStoreView::onStoreListed(const StoreItems &items, TimePoint askedAt)
+void GatewayStoreView::onStoreListed(const StoreItems &items, TimePoint sentAt)
 {
     std::vector<UpstreamRecord> records;
     std::set<HallId> drained;
@@ -172,17 +174,17 @@
             {{"revision", items.position.revision}, {"upstreams", records.size()}});
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     reportFaults(items.faults);
-    recordConfirmation(askedAt, items.position);
+    recordConfirmation(sentAt, items.position);
 }
 
-void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint askedAt)
+void GatewayStoreView::onStoreChanged(const StoreItems &items, TimePoint sentAt)
 {
     for (const StoreItem &item : items.items) {
         applyItem(item);
     }
     routingUnreadable_ = routingUnreadable_ || items.routingUnreadable;
     reportFaults(items.faults);
-    recordConfirmation(askedAt, items.position);
+    recordConfirmation(sentAt, items.position);
 }
 
 void GatewayStoreView::reportFaults(const std::vector<std::string> &faults)
@@ -228,13 +230,13 @@
              {"service", record->service.value()},
              {"leaving", record->leaving},
              {"warmUpLeftMs", record->warmUpLeft ? json(toMillis(*record->warmUpLeft)) : json()}});
-    } else if (const auto *gone = std::get_if<UpstreamRemoval>(&item)) {
-        if (gone->unreadable) {
-            upstreams_.dropUnreadable(gone->id, loop_.now());
+    } else if (const auto *removal = std::get_if<UpstreamRemoval>(&item)) {
+        if (removal->unreadable) {
+            upstreams_.dropUnreadable(removal->id, loop_.now());
         } else {
-            upstreams_.remove(gone->id, loop_.now());
+            upstreams_.remove(removal->id, loop_.now());
         }
-        logLine(LogLevel::Info, "upstream.gone", {{"upstream", gone->id.value()}});
+        logLine(LogLevel::Info, "upstream.gone", {{"upstream", removal->id.value()}});
     } else if (const auto *drain = std::get_if<HallDrain>(&item)) {
         std::set<HallId> halls = upstreams_.drainedHalls();
         if (drain->cancelled) {
@@ -257,7 +259,7 @@
     }
     logLine(LogLevel::Info, "halls.drained",
             {{"halls", names},
-             {"revision", place_.revision},
+             {"revision", position_.revision},
              {"knowledgeAgeMs", confirmed() ? toMillis(age()) : -1}});
     metrics_.set("seamarch_drained_halls", static_cast<double>(names.size()));
 }
@@ -290,7 +292,7 @@
 }
 
 tl::expected<GatewayRequest, FailureCode>
-GatewayStoreView::admit(const HttpRequest &request, const RequestMetadata &facts) const
+GatewayStoreView::admit(const HttpRequest &request, const RequestMetadata &metadata) const
 {
     if (!table_) {
         return tl::unexpected(FailureCode::EntryNotReady);
@@ -299,7 +301,7 @@
     const bool mayDeny = confirmationAge <= freshness_.deny;
     GatewayRequest admitted;
     admitted.table = table_;
-    admitted.route = table_->match(facts.host, request.path);
+    admitted.route = table_->match(metadata.host, request.path);
     if (admitted.route == nullptr) {
         return tl::unexpected(mayDeny ? FailureCode::NotFound : FailureCode::KnowledgeStale);
     }
@@ -307,11 +309,11 @@
     admitted.residency.restrictTo(admitted.route->regions);
     const Duration defaultDeadline =
         admitted.route->timeout > Duration{} ? admitted.route->timeout : kDefaultDeadline;
-    admitted.deadline = facts.deadline.value_or(defaultDeadline);
+    admitted.deadline = metadata.deadline.value_or(defaultDeadline);
     if (admitted.route->allowsAnonymous || !table_->hasAccounts()) {
         return admitted;
     }
-    const AccountRule *account = table_->accountOf(facts.key);
+    const AccountRule *account = table_->accountOf(metadata.key);
     if (account == nullptr) {
         return tl::unexpected(mayDeny ? FailureCode::Unauthorized : FailureCode::KnowledgeStale);
     }
--- a/src/gateway/gatewaystoreview.h
+++ b/src/gateway/gatewaystoreview.h
@@ -35,11 +35,11 @@
 // are omitted.
 struct PeerStoreState
 {
-    StorePosition place; // The store's era and revision at which the state was read.
+    StorePosition position; // The store's era and revision at which the state was read.
     ConfigVersion version;
     std::optional<RoutingDocument> document;              // Set if the receiver's version is lower.
-    std::uint64_t upstreamsMark = 0;                      // Digest of the sender's upstream list.
-    std::optional<std::vector<UpstreamRecord>> upstreams; // Set if the receiver's mark differs.
+    std::uint64_t upstreamsDigest = 0;                    // Digest of the sender's upstream list.
+    std::optional<std::vector<UpstreamRecord>> upstreams; // Set if the receiver's digest differs.
     std::set<HallId> drainedHalls;                        // Valid if `upstreams` is set.
 };
 
@@ -56,8 +56,8 @@
 
     void setFreshness(const FreshnessBounds &freshness) { freshness_ = freshness; }
 
-    void onStoreListed(const StoreItems &items, TimePoint askedAt) override;
-    void onStoreChanged(const StoreItems &items, TimePoint askedAt) override;
+    void onStoreListed(const StoreItems &items, TimePoint sentAt) override;
+    void onStoreChanged(const StoreItems &items, TimePoint sentAt) override;
     void onStoreFailed(std::string_view cause) override;
 
     // Adopts the state of another gateway, which the store confirmed at `confirmedAt`. Returns
@@ -66,17 +66,17 @@
     bool adopt(const PeerStoreState &peerState, TimePoint confirmedAt);
     // Applies only the configuration of another gateway's state, if its version is higher.
     void adoptConfiguration(const PeerStoreState &peerState);
-    // Returns the mark that stands for the own upstream list in requests to other gateways: the
-    // sender's mark if the list was adopted and is unchanged since, else `upstreamsMark`. The two
-    // may differ, because this gateway may know of a leaving upstream that the sender did not know
-    // of. Returns zero before the first confirmation.
-    std::uint64_t advertisedMark() const;
-    // Returns the mark of the own list, a digest of its contents that is never zero. Equal lists
-    // have equal marks at all gateways, so a gateway that polls a different peer than before does
+    // Returns the digest that stands for the own upstream list in requests to other gateways: the
+    // sender's digest if the list was adopted and is unchanged since, else `upstreamsDigest`. The
+    // two may differ, because this gateway may know of a leaving upstream that the sender did not
+    // know of. Returns zero before the first confirmation.
+    std::uint64_t advertisedDigest() const;
+    // Returns the digest of the contents of the own list, which is never zero. Equal lists have
+    // equal digests at all gateways, so a gateway that polls a different peer than before does
     // not receive the same list again.
-    std::uint64_t upstreamsMark() const;
+    std::uint64_t upstreamsDigest() const;
     // Returns the store's era and revision that the list of upstreams is at.
-    const StorePosition &place() const { return place_; }
+    const StorePosition &position() const { return position_; }
     // Returns the text of the document in force as the store holds it; empty while there is none.
     const std::string &documentText() const;
     const UpstreamTable &upstreams() const { return upstreams_; }
@@ -85,7 +85,7 @@
     // A copy that is too old to accept a key, or to reject a key or path as unknown, refuses with
     // `KnowledgeStale`.
     tl::expected<GatewayRequest, FailureCode> admit(const HttpRequest &request,
-                                                    const RequestMetadata &facts) const;
+                                                    const RequestMetadata &metadata) const;
 
     bool hasConfiguration() const { return table_ != nullptr; }
     // Returns whether the copy is recent enough to accept keys.
@@ -107,9 +107,9 @@
     UpstreamRecord withWarmUpEnd(UpstreamRecord record) const;
     void applyDrainedHalls(std::set<HallId> halls);
     void applyRouting(const RoutingDocument &document);
-    void recordConfirmation(TimePoint askedAt, const StorePosition &place);
-    void setPlace(const StorePosition &place);
-    void handleRollback(const StorePosition &place);
+    void recordConfirmation(TimePoint sentAt, const StorePosition &position);
+    void setPosition(const StorePosition &position);
+    void handleRollback(const StorePosition &position);
     void markStoreReachable();
 
     EventLoop &loop_;
@@ -119,10 +119,10 @@
     ConfigApplied onConfigApplied_;
     std::shared_ptr<const RouteTable> table_;
     std::optional<TimePoint> confirmedAt_;
-    StorePosition place_;            // The era and revision of the list of upstreams.
-    mutable std::uint64_t mark_ = 0; // Cached mark of the list after `markedChanges_` changes.
-    mutable std::uint64_t markedChanges_ = 0;
-    std::uint64_t adoptedMark_ = 0;
+    StorePosition position_;           // The era and revision of the list of upstreams.
+    mutable std::uint64_t digest_ = 0; // Cached digest of the list as of `digestedChanges_`.
+    mutable std::uint64_t digestedChanges_ = 0;
+    std::uint64_t adoptedDigest_ = 0;
     std::uint64_t changesAtAdoption_ = 0; // Change count of the list when it was adopted.
     bool storeReachable_ = false;
     bool routingUnreadable_ = false; // The store holds a newer document that could not be read.
--- a/src/gateway/gatewaywire.h
+++ b/src/gateway/gatewaywire.h
@@ -18,8 +18,9 @@
 
 namespace seamarch {
 
-// `heardAgo` is the time since the gateway was last heard from; `readGateway` does not return it.
-void writeGateway(const GatewayRecord &record, Duration heardAgo, wire::GatewayRecord::Builder to);
+// `lastSeenAge` is the time since the gateway was last seen; `readGateway` does not return it.
+void writeGateway(const GatewayRecord &record, Duration lastSeenAge,
+                  wire::GatewayRecord::Builder to);
 GatewayRecord readGateway(wire::GatewayRecord::Reader from);
 
 // The end of the warm-up is sent as the time remaining at `now`, and counts from `now` when read.
@@ -34,9 +35,9 @@
 void writeGroup(const GroupFacts &facts, Duration age, bool members, wire::GroupNews::Builder to);
 GroupFacts readGroup(wire::GroupNews::Reader from);
 
-// The time at which the upstream named the limit is sent as its age at `now`. `writtenAt` is when
-// the message was written, on the reader's clock.
-void writeLimit(const LimitReport &namedLimit, TimePoint now, wire::UpstreamLimit::Builder to);
+// The time at which the upstream reported the limit is sent as its age at `now`. `writtenAt` is
+// when the message was written, on the reader's clock.
+void writeLimit(const LimitReport &report, TimePoint now, wire::UpstreamLimit::Builder to);
 LimitReport readLimit(wire::UpstreamLimit::Reader from, TimePoint writtenAt);
 
 // Compresses a text with zlib. Configurations are sent compressed, because one with many routes is
--- a/src/gateway/grouppoller.cpp
+++ b/src/gateway/grouppoller.cpp
@@ -18,10 +18,10 @@
 
 } // namespace
 
-GroupPoller::GroupPoller(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
+GroupPoller::GroupPoller(EventLoop &loop, const GatewayStoreView &storeView, GroupTable &groups,
                          int agentPort)
     : loop_(loop)
-    , knowledge_(knowledge)
+    , storeView_(storeView)
     , groups_(groups)
     , agentPort_(agentPort)
     , tasks_(*this)
@@ -33,14 +33,14 @@
 }
 
 tl::expected<std::unique_ptr<GroupPoller>, NetError>
-GroupPoller::create(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
+GroupPoller::create(EventLoop &loop, const GatewayStoreView &storeView, GroupTable &groups,
                     int agentPort)
 {
     auto transport = RawTransport::create(loop);
     if (!transport) {
         return tl::unexpected(transport.error());
     }
-    std::unique_ptr<GroupPoller> poller(new GroupPoller(loop, knowledge, groups, agentPort));
+    std::unique_ptr<GroupPoller> poller(new GroupPoller(loop, storeView, groups, agentPort));
     poller->transport_ = std::move(*transport);
     return poller;
 }
@@ -55,15 +55,15 @@
 // changed.
 void GroupPoller::refreshEngines()
 {
-    const std::uint64_t changes = knowledge_.upstreams().changes();
-    if (changes == engineListChanges_ && knowledge_.version() == engineListVersion_) {
+    const std::uint64_t changes = storeView_.upstreams().changes();
+    if (changes == engineListChanges_ && storeView_.version() == engineListVersion_) {
         return;
     }
     engineListChanges_ = changes;
-    engineListVersion_ = knowledge_.version();
+    engineListVersion_ = storeView_.version();
     engines_.clear();
-    for (const UpstreamRecord *record : knowledge_.upstreams().all()) {
-        if (knowledge_.formsGroups(record->service)) {
+    for (const UpstreamRecord *record : storeView_.upstreams().all()) {
+        if (storeView_.formsGroups(record->service)) {
             engines_.push_back({record->host, record->port});
         }
     }
@@ -74,7 +74,7 @@
     const TimePoint now = loop_.now();
     if (active) {
         refreshEngines();
-        for (const std::string &host : survey_.nextHosts(engines_, groups_, now)) {
+        for (const std::string &host : planner_.nextHosts(engines_, groups_, now)) {
             poll(host);
         }
     }
@@ -92,7 +92,7 @@
     }
     link.lastUsedAt = now;
     auto request = link.rpc->capability().castAs<wire::RankAgent>().groupRequest();
-    request.setMark(link.mark);
+    request.setMark(link.digest);
     request.setWaitMicros(kLongPollWait.count());
     // The poll is settled by the reply or by the timeout, whichever comes first.
     const auto settled = std::make_shared<bool>(false);
@@ -107,7 +107,7 @@
                 onReply(host, now, reply);
             }
         },
-        [this, host, settled](kj::Exception && /*gone*/) {
+        [this, host, settled](kj::Exception && /*exception*/) {
             if (!std::exchange(*settled, true)) {
                 onPollFailed(host);
             }
@@ -123,22 +123,22 @@
         loop_.post([old = std::make_shared<Link>(std::move(found->second))] { old->rpc.reset(); });
         links_.erase(found);
     }
-    survey_.onFailed(host, loop_.now());
+    planner_.onFailed(host, loop_.now());
 }
 
 void GroupPoller::onReply(const std::string &host, TimePoint sentAt,
                           wire::RankAgent::GroupResults::Reader reply)
 {
     if (!reply.getDecides()) {
-        survey_.onReferred(host, reply.getDeciderHost().cStr(), loop_.now());
+        planner_.onReferred(host, reply.getDeciderHost().cStr(), loop_.now());
         return;
     }
     const GroupId group(reply.getGroup().cStr());
-    survey_.onDecider(host, group);
+    planner_.onDecider(host, group);
     Link &link = links_[host];
     const auto groupNews = reply.getNews();
-    const bool unchanged = link.mark == reply.getMark();
-    link.mark = reply.getMark();
+    const bool unchanged = link.digest == reply.getMark();
+    link.digest = reply.getMark();
     const TimePoint asOf = sentAt - Duration(groupNews.getAgeMicros());
     if (unchanged) {
         groups_.renew(group, asOf);
--- a/src/gateway/grouppoller.h
+++ b/src/gateway/grouppoller.h
@@ -34,7 +34,7 @@
     // Creates a poller for agents that listen on `agentPort` at the addresses of their engines.
     // Fails if no transport can be set up.
     static tl::expected<std::unique_ptr<GroupPoller>, NetError>
-    create(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups, int agentPort);
+    create(EventLoop &loop, const GatewayStoreView &storeView, GroupTable &groups, int agentPort);
     ~GroupPoller();
     GroupPoller(const GroupPoller &) = delete;
     GroupPoller &operator=(const GroupPoller &) = delete;
@@ -47,11 +47,11 @@
     struct Link
     {
         std::unique_ptr<RpcLink> rpc;
-        std::uint64_t mark = 0; // Version of the group state that the agent sent last.
+        std::uint64_t digest = 0; // Digest of the group state that the agent sent last.
         TimePoint lastUsedAt{};
     };
 
-    GroupPoller(EventLoop &loop, const GatewayStoreView &knowledge, GroupTable &groups,
+    GroupPoller(EventLoop &loop, const GatewayStoreView &storeView, GroupTable &groups,
                 int agentPort);
     void refreshEngines();
     void poll(const std::string &host);
@@ -61,13 +61,13 @@
     void taskFailed(kj::Exception &&exception) override;
 
     EventLoop &loop_;
-    const GatewayStoreView &knowledge_;
+    const GatewayStoreView &storeView_;
     GroupTable &groups_;
     int agentPort_;
     std::unique_ptr<RawTransport> transport_;
-    GroupPollPlanner survey_;
-    std::vector<GroupPollPlanner::Engine>
-        engines_; // Built from the list and configuration that the next two members identify.
+    GroupPollPlanner planner_;
+    // Built from the list and configuration that the next two members identify.
+    std::vector<GroupPollPlanner::Engine> engines_;
     std::uint64_t engineListChanges_ = 0;
     ConfigVersion engineListVersion_;
     std::map<std::string, Link> links_; // Keyed by host.
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -16,9 +16,9 @@
 constexpr Duration kMaxFreshAge = std::chrono::milliseconds(1200);
 // How long a watch lasts that was started because the state was stale.
 constexpr Duration kFallbackWatchDuration = std::chrono::seconds(3);
-// How long the store is not queried after another gateway has provided newer state.
+// How long the store is not polled after another gateway has provided newer state.
 constexpr Duration kStoreBackoff = std::chrono::seconds(1);
-// How long a new gateway queries only other gateways before it queries the store. The maximum
+// How long a new gateway polls only other gateways before it polls the store. The maximum
 // applies while the others answer that they have no configuration either, as when a whole site
 // starts.
 constexpr Duration kPeerBootstrapWait = std::chrono::milliseconds(700);
@@ -28,14 +28,14 @@
 // is reported to all halls well within the time after which it would be forgotten, and two gateways
 // of one hall that both follow the store discover each other.
 constexpr Duration kListExchangeInterval = std::chrono::seconds(2);
-// Interval between queries to arbitrary gateways while the state is stale.
-constexpr Duration kStaleQueryInterval = std::chrono::milliseconds(150);
+// Interval between polls of arbitrary gateways while the state is stale.
+constexpr Duration kStalePollInterval = std::chrono::milliseconds(150);
 // A gateway that has had no answer from any peer for this long may be partitioned from the others.
 constexpr Duration kPeerContactTimeout = std::chrono::seconds(1);
 // Interval at which the poller checks which agents to poll. Replies arrive when something changes.
 constexpr Duration kGroupPollInterval = std::chrono::milliseconds(50);
-constexpr Duration kSeedQueryInterval = std::chrono::milliseconds(300);
-// How long a new gateway may not know the first gateway of its hall, and queries the seeds instead.
+constexpr Duration kSeedPollInterval = std::chrono::milliseconds(300);
+// How long a new gateway may not know the first gateway of its hall, and polls the seeds instead.
 // When a site starts, the seeds learn of all gateways within one second and distribute the list
 // within two more.
 constexpr Duration kDiscoveryPeriod = std::chrono::seconds(3);
@@ -49,12 +49,12 @@
 } // namespace
 
 StateSynchronizer::StateSynchronizer(EventLoop &loop, HttpClient &client,
-                                     const StoreProtocol &store, GatewayStoreView &knowledge,
+                                     const StoreProtocol &store, GatewayStoreView &storeView,
                                      const GossipState &gossip, const Settings &settings)
     : loop_(loop)
     , client_(client)
     , store_(store)
-    , knowledge_(knowledge)
+    , storeView_(storeView)
     , gossip_(gossip)
     , settings_(settings)
     , directory_(makeRecord(settings), GatewayDirectory::Settings())
@@ -64,11 +64,11 @@
 
 tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
 StateSynchronizer::create(EventLoop &loop, HttpClient &client, const StoreProtocol &store,
-                          GatewayStoreView &knowledge, const GossipState &gossip,
+                          GatewayStoreView &storeView, const GossipState &gossip,
                           const Settings &settings)
 {
     std::unique_ptr<StateSynchronizer> sources(
-        new StateSynchronizer(loop, client, store, knowledge, gossip, settings));
+        new StateSynchronizer(loop, client, store, storeView, gossip, settings));
     if (auto opened = sources->open(); !opened) {
         return tl::unexpected(opened.error());
     }
@@ -78,7 +78,7 @@
 tl::expected<void, NetError> StateSynchronizer::open()
 {
     if (settings_.agentPort) {
-        auto poller = GroupPoller::create(loop_, knowledge_, gossip_.groups, *settings_.agentPort);
+        auto poller = GroupPoller::create(loop_, storeView_, gossip_.groups, *settings_.agentPort);
         if (!poller) {
             return tl::unexpected(poller.error());
         }
@@ -87,10 +87,11 @@
     if (!settings_.peerListen) {
         return {};
     }
-    auto peers = GatewayPeers::create(loop_, knowledge_, gossip_, store_, directory_,
-                                      [this](const PeerStoreState &shared, TimePoint confirmedAt) {
-                                          return onSharedState(shared, confirmedAt);
-                                      });
+    auto peers =
+        GatewayPeers::create(loop_, storeView_, gossip_, store_, directory_,
+                             [this](const PeerStoreState &peerState, TimePoint confirmedAt) {
+                                 return onPeerState(peerState, confirmedAt);
+                             });
     if (!peers) {
         return tl::unexpected(peers.error());
     }
@@ -98,35 +99,37 @@
     return {};
 }
 
-void StateSynchronizer::requestPermits(const SendPermits::Query &ask,
+void StateSynchronizer::requestPermits(const SendPermits::Query &query,
                                        GatewayPeers::PermitsCallback answered)
 {
     const TimePoint now = loop_.now();
-    const UpstreamRecord *upstream = knowledge_.upstreams().find(ask.upstream);
+    const UpstreamRecord *upstream = storeView_.upstreams().find(query.upstream);
     if (upstream == nullptr) {
         answered({}); // The upstream has been removed.
         return;
     }
-    GatewayPeers::PermitRequest question{upstream->id, upstream->start, ask.wanted, {}, {}};
-    if (const LimitReport *statedLimit = gossip_.limits.find(*upstream);
-        statedLimit != nullptr && statedLimit->rate) {
-        question.limit = *statedLimit;
+    GatewayPeers::PermitRequest permitRequest{upstream->id, upstream->start, query.wanted, {}, {}};
+    if (const LimitReport *limitReport = gossip_.limits.find(*upstream);
+        limitReport != nullptr && limitReport->rate) {
+        permitRequest.limit = *limitReport;
     }
-    question.warmUp = gossip_.warmUps.limitOf(*upstream, now);
-    if (!question.limit && !question.warmUp) {
+    permitRequest.warmUp = gossip_.warmUps.limitOf(*upstream, now);
+    if (!permitRequest.limit && !permitRequest.warmUp) {
         answered({}); // The upstream states no limit any more and is warmed up.
         return;
     }
-    const InstanceId issuer = directory_.permitIssuerFor(ask.upstream, upstream->hall, now);
+    const InstanceId issuer = directory_.permitIssuerFor(query.upstream, upstream->hall, now);
     const GatewayRecord *record = directory_.find(issuer);
     if (peers_ == nullptr || record == nullptr) {
         const InstanceId &self = settings_.instance;
-        const RequestRate rate = question.limit ? *question.limit->rate : *question.warmUp;
-        answered(gossip_.permitIssuer.issue(
-            ask.upstream, std::min(rate, question.warmUp.value_or(rate)), self, ask.wanted, now));
+        const RequestRate rate =
+            permitRequest.limit ? *permitRequest.limit->rate : *permitRequest.warmUp;
+        answered(gossip_.permitIssuer.issue(query.upstream,
+                                            std::min(rate, permitRequest.warmUp.value_or(rate)),
+                                            self, query.wanted, now));
         return;
     }
-    peers_->requestPermits(*record, question, std::move(answered));
+    peers_->requestPermits(*record, permitRequest, std::move(answered));
 }
 
 std::uint64_t StateSynchronizer::storeCalls() const
@@ -137,13 +140,13 @@
 // Adopts the state of another gateway unless this gateway's own state is fresh from the store. A
 // running watch would continue from an older list, so it is stopped; it is restarted later if it is
 // still needed.
-bool StateSynchronizer::onSharedState(const PeerStoreState &shared, TimePoint confirmedAt)
+bool StateSynchronizer::onPeerState(const PeerStoreState &peerState, TimePoint confirmedAt)
 {
-    if (watcher_ != nullptr && knowledge_.confirmed() && knowledge_.age() < kMaxFreshAge) {
-        knowledge_.adoptConfiguration(shared);
+    if (watcher_ != nullptr && storeView_.confirmed() && storeView_.age() < kMaxFreshAge) {
+        storeView_.adoptConfiguration(peerState);
         return false;
     }
-    if (!knowledge_.adopt(shared, confirmedAt)) {
+    if (!storeView_.adopt(peerState, confirmedAt)) {
         return false;
     }
     if (watcher_ != nullptr) {
@@ -169,7 +172,7 @@
 // Returns whether this gateway is new and may still receive the configuration from others.
 bool StateSynchronizer::waitsForPeers(TimePoint now) const
 {
-    if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || knowledge_.hasConfiguration()) {
+    if (peers_ == nullptr || settings_.seeds.empty() || isSeed() || storeView_.hasConfiguration()) {
         return false;
     }
     const bool peersLackConfiguration =
@@ -177,31 +180,31 @@
     return now - startedAt_ < (peersLackConfiguration ? kMaxPeerBootstrapWait : kPeerBootstrapWait);
 }
 
-StorePollSchedule StateSynchronizer::times() const
+StorePollSchedule StateSynchronizer::pollSchedule() const
 {
-    const FreshnessBounds &bounds = knowledge_.freshness();
+    const FreshnessBounds &bounds = storeView_.freshness();
     return makeStorePollSchedule({bounds.keys, bounds.deny});
 }
 
-// Returns whether other gateways of the hall query the store on behalf of this one, and this one
+// Returns whether other gateways of the hall poll the store on behalf of this one, and this one
 // receives their answers.
-bool StateSynchronizer::peersQueryStore(TimePoint now) const
+bool StateSynchronizer::peersPollStore(TimePoint now) const
 {
     const bool peersAnswer =
         peers_ != nullptr && now - peers_->lastAnswerAt() < kPeerContactTimeout;
-    return peersAnswer && !mayPollStore(directory_.hallPlace().index);
+    return peersAnswer && !mayPollStore(directory_.hallPosition().index);
 }
 
-// Returns whether this gateway is due to query the store although it follows another gateway.
-bool StateSynchronizer::isStoreQueryDue(TimePoint now) const
+// Returns whether this gateway is due to poll the store although it follows another gateway.
+bool StateSynchronizer::isStorePollDue(TimePoint now) const
 {
-    if (peersQueryStore(now)) {
+    if (peersPollStore(now)) {
         return false;
     }
-    if (!knowledge_.confirmed()) {
+    if (!storeView_.confirmed()) {
         return !waitsForPeers(now);
     }
-    return knowledge_.age() > storePollAge(times(), directory_.hallPlace().index);
+    return storeView_.age() > storePollAge(pollSchedule(), directory_.hallPosition().index);
 }
 
 void StateSynchronizer::stop()
@@ -224,12 +227,12 @@
     directory_.expire(now);
     const InstanceId followed = directory_.localStoreFollower(now);
     const bool followsSelf = followed == settings_.instance;
-    // While a site starts, no gateway knows the first of its hall yet. All gateways query the seeds
+    // While a site starts, no gateway knows the first of its hall yet. All gateways poll the seeds
     // then, so the seeds poll the groups.
     pollGroups(isSeed() && now - startedAt_ < kDiscoveryPeriod ? true
                                                                : followsSelf && !isDiscovering(now),
                now);
-    if (isStoreQueryDue(now)) {
+    if (isStorePollDue(now)) {
         fallbackWatchUntil_ = now + kFallbackWatchDuration;
     }
     if (waitsForPeers(now) || now < storeBackoffUntil_) {
@@ -241,7 +244,7 @@
     } else {
         followStore(false, "another gateway of the hall follows the store");
     }
-    queryPeers(followed, now);
+    pollPeers(followed, now);
     peers_->tick();
 }
 
@@ -253,48 +256,48 @@
     }
 }
 
-void StateSynchronizer::queryPeers(const InstanceId &followed, TimePoint now)
+void StateSynchronizer::pollPeers(const InstanceId &followed, TimePoint now)
 {
     const bool followsSelf = followed == settings_.instance;
     // A follower's state is normally older than that of a gateway that follows the store, so its
     // threshold is higher.
-    const bool stale = !knowledge_.confirmed()
-                       || knowledge_.age() > (followsSelf ? kMaxFreshAge : times().staleAge);
+    const bool stale = !storeView_.confirmed()
+                       || storeView_.age() > (followsSelf ? kMaxFreshAge : pollSchedule().staleAge);
     if (!followsSelf) {
-        queryGateway(followed, kFollowLongPoll);
-    } else if (directory_.size() > 1 && now - listsQueriedAt_ >= kListExchangeInterval) {
-        // A gateway that knows no others, such as a restarted seed, queries the first gateway that
+        pollGateway(followed, kFollowLongPoll);
+    } else if (directory_.size() > 1 && now - listsPolledAt_ >= kListExchangeInterval) {
+        // A gateway that knows no others, such as a restarted seed, polls the first gateway that
         // it learns of at once: it must relearn the gateways that it has forgotten while it still
         // counts as being in contact with its peers.
-        listsQueriedAt_ = now;
-        queryOtherHalls(now);
-        queryGateway(directory_.nextPeer(settings_.instance, now), Duration{},
-                     GatewayPeers::ListRequest::Always);
-        queryNextSeed();
+        listsPolledAt_ = now;
+        pollOtherHalls(now);
+        pollGateway(directory_.nextPeer(settings_.instance, now), Duration{},
+                    GatewayPeers::ListRequest::Always);
+        pollNextSeed();
     }
-    if (stale && now - staleQueriedAt_ >= kStaleQueryInterval) {
-        staleQueriedAt_ = now;
-        queryGateway(followsSelf ? nextRemoteGateway(now) : directory_.nextPeer(followed, now),
-                     Duration{});
+    if (stale && now - stalePolledAt_ >= kStalePollInterval) {
+        stalePolledAt_ = now;
+        pollGateway(followsSelf ? nextRemoteGateway(now) : directory_.nextPeer(followed, now),
+                    Duration{});
     }
-    if (now - seedsQueriedAt_ >= kSeedQueryInterval) {
-        querySeeds(followsSelf && isDiscovering(now), now);
+    if (now - seedsPolledAt_ >= kSeedPollInterval) {
+        pollSeeds(followsSelf && isDiscovering(now), now);
     }
 }
 
-// Queries the seeds. All seeds are queried while few gateways are known. Otherwise a new gateway
-// that knows no gateway to follow (`follows`) queries a single seed, always the same one so that
+// Polls the seeds. All seeds are polled while few gateways are known. Otherwise a new gateway
+// that knows no gateway to follow (`follows`) polls a single seed, always the same one so that
 // the full list is not sent again, and switches to the next when the state is not fresh.
-void StateSynchronizer::querySeeds(bool follows, TimePoint now)
+void StateSynchronizer::pollSeeds(bool follows, TimePoint now)
 {
-    const bool knowsFewGateways = directory_.size() <= settings_.seeds.size();
-    if (!knowsFewGateways && !follows) {
+    const bool fewGatewaysKnown = directory_.size() <= settings_.seeds.size();
+    if (!fewGatewaysKnown && !follows) {
         return;
     }
-    seedsQueriedAt_ = now;
-    nextSeed_ += knowledge_.confirmed() && knowledge_.age() < kMaxFreshAge ? 0 : 1;
+    seedsPolledAt_ = now;
+    nextSeed_ += storeView_.confirmed() && storeView_.age() < kMaxFreshAge ? 0 : 1;
     for (std::size_t index = 0; index < settings_.seeds.size(); ++index) {
-        const bool selected = knowsFewGateways || index == nextSeed_ % settings_.seeds.size();
+        const bool selected = fewGatewaysKnown || index == nextSeed_ % settings_.seeds.size();
         if (selected && settings_.peerListen != settings_.seeds[index]) {
             peers_->poll(settings_.seeds[index], InstanceId(), Duration{});
         }
@@ -319,19 +322,19 @@
     return candidates[nextHall_++ % candidates.size()];
 }
 
-void StateSynchronizer::queryOtherHalls(TimePoint now)
+void StateSynchronizer::pollOtherHalls(TimePoint now)
 {
     for (const HallId &hall : directory_.peerHalls()) {
         if (hall != settings_.hall) {
-            queryGateway(directory_.storeFollowerOf(hall, now), Duration{},
-                         GatewayPeers::ListRequest::Always);
+            pollGateway(directory_.storeFollowerOf(hall, now), Duration{},
+                        GatewayPeers::ListRequest::Always);
         }
     }
 }
 
-// Queries the seeds in round-robin order. A seed that restarts while no other seed is running has
-// no gateway to learn from, and learns of a gateway when that gateway queries it.
-void StateSynchronizer::queryNextSeed()
+// Polls the seeds in round-robin order. A seed that restarts while no other seed is running has
+// no gateway to learn from, and learns of a gateway when that gateway polls it.
+void StateSynchronizer::pollNextSeed()
 {
     if (settings_.seeds.empty()) {
         return;
@@ -342,8 +345,8 @@
     }
 }
 
-void StateSynchronizer::queryGateway(const std::optional<InstanceId> &id, Duration longPollWait,
-                                     GatewayPeers::ListRequest list)
+void StateSynchronizer::pollGateway(const std::optional<InstanceId> &id, Duration longPollWait,
+                                    GatewayPeers::ListRequest list)
 {
     const GatewayRecord *record = id ? directory_.find(*id) : nullptr;
     if (record != nullptr) {
@@ -359,7 +362,7 @@
     logLine(LogLevel::Info, follow ? "store.followed" : "store.left",
             {{"reason", reason},
              {"gateways", directory_.size()},
-             {"knowledgeAgeMs", knowledge_.confirmed() ? toMillis(knowledge_.age()) : -1}});
+             {"knowledgeAgeMs", storeView_.confirmed() ? toMillis(storeView_.age()) : -1}});
     if (!follow) {
         endedWatcherCalls_ += watcher_->calls();
         watcher_.reset();
@@ -367,10 +370,10 @@
     }
     StoreWatcher::Settings watchSettings;
     watchSettings.longPollWait =
-        peers_ == nullptr ? watchSettings.longPollWait : times().watchTimeout;
+        peers_ == nullptr ? watchSettings.longPollWait : pollSchedule().longPollWait;
     watchSettings.coalesceDelay = settings_.storeCoalesceDelay;
     watchSettings.seed = randomIdentity();
-    watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, knowledge_, watchSettings);
+    watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, storeView_, watchSettings);
     watcher_->start();
 }
 
--- a/test/decision/expertmap/expertplanner_test.cpp
+++ b/test/decision/expertmap/expertplanner_test.cpp
@@ -396,9 +396,9 @@
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(5400)).has_value());
 }
 
-// Under light load, passes take about half of the latency goal. Without this rule, every second
+// Under light load, passes take about half of the gap target. Without this rule, every second
 // change of a map copied 2 TB without benefit to any caller.
-TEST(ExpertPlannerTest, KeepsModeratelySkewedMapWhenPassesAreWellWithinGoal)
+TEST(ExpertPlannerTest, KeepsModeratelySkewedMapWhenPassesAreWellWithinGapTarget)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     const double skew = planner.skew({roundRobinPlacement()});
@@ -407,7 +407,7 @@
     CHECK_FALSE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenPassesNearGoal)
+TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenPassesNearGapTarget)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     planner.setPassTimes(std::chrono::milliseconds(100), std::chrono::milliseconds(150));
@@ -423,7 +423,7 @@
     CHECK_TRUE(planner.plan({roundRobinPlacement()}, at(2000)).has_value());
 }
 
-TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenGoalIsUnknown)
+TEST(ExpertPlannerTest, ChangesModeratelySkewedMapWhenGapTargetIsUnknown)
 {
     feedChoices(planner, mildlySkewedShares(), 0, 2000);
     planner.setPassTimes(std::chrono::milliseconds(50), Duration{});
--- a/test/decision/expertmap/groupdecider_test.cpp
+++ b/test/decision/expertmap/groupdecider_test.cpp
@@ -402,10 +402,10 @@
             agents_[of].recordReport(epoch_, engine.prepared);
         }
         report.unarmedVersion = of == to ? agents_[of].unarmedVersion(epoch_) : 0;
-        const TimePoint askedAt = now_;
-        schedule(randomDelay(1, faults_ ? 80 : 10), [this, to, report, askedAt] {
-            onMachine(to, [this, to, report, askedAt] {
-                deciders_[to]->onReport(report, askedAt, now_);
+        const TimePoint requestedAt = now_;
+        schedule(randomDelay(1, faults_ ? 80 : 10), [this, to, report, requestedAt] {
+            onMachine(to, [this, to, report, requestedAt] {
+                deciders_[to]->onReport(report, requestedAt, now_);
             });
         });
     }
@@ -598,21 +598,21 @@
 
 TEST(GroupDeciderTest, ReportOlderThanAnswerDoesNotUndoIt)
 {
-    const TimePoint asked{std::chrono::seconds(10)};
+    const TimePoint requestedAt{std::chrono::seconds(10)};
     GroupDecider decider(GroupDecider::Settings{});
-    reportTwoRanks(decider, asked, std::nullopt);
+    reportTwoRanks(decider, requestedAt, std::nullopt);
     MapOrders orders;
-    decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), asked, orders);
-    const TimePoint answered = asked + std::chrono::milliseconds(30);
-    decider.onAnswer(0, orders.at(0).order, MapOrderAnswer::Copied, answered);
-    RankReport early;
-    early.rank = 0;
-    early.ranks = kTwoRanks;
-    early.epoch = 1;
-    early.open = true;
-    early.step = 7;
-    decider.onReport(early, asked + std::chrono::milliseconds(10), answered);
-    decider.onAnswer(1, orders.at(1).order, MapOrderAnswer::Copied, answered);
+    decider.propose(ExpertMap(1, RankExperts(kTwoRanks, {0})), requestedAt, orders);
+    const TimePoint answeredAt = requestedAt + std::chrono::milliseconds(30);
+    decider.onAnswer(0, orders.at(0).order, MapOrderAnswer::Copied, answeredAt);
+    RankReport earlyReport;
+    earlyReport.rank = 0;
+    earlyReport.ranks = kTwoRanks;
+    earlyReport.epoch = 1;
+    earlyReport.open = true;
+    earlyReport.step = 7;
+    decider.onReport(earlyReport, requestedAt + std::chrono::milliseconds(10), answeredAt);
+    decider.onAnswer(1, orders.at(1).order, MapOrderAnswer::Copied, answeredAt);
     CHECK_TRUE(decider.phase() == GroupDecider::Phase::Holding);
 }
 
--- a/test/decision/gateway/gatewaycore_test.cpp
+++ b/test/decision/gateway/gatewaycore_test.cpp
@@ -348,7 +348,7 @@
     CHECK_TEXT(one <= 10, "expected what sixty requests add to the budget, and one more");
 }
 
-TEST(GatewayCoreTest, QueuedStreamStartsByItsDeadlineWhilePausesAreNearGoal)
+TEST(GatewayCoreTest, QueuedStreamStartsByItsDeadlineWhilePausesAreNearGapTarget)
 {
     RequestNumber running = 0;
     for (int count = 0; count < 4; ++count) {
@@ -366,7 +366,7 @@
     core->onPause(running, std::chrono::milliseconds(100), at(475));
     core->onTick(at(475), actions);
     CHECK_TEXT(first<StartAttempt>(actions) != nullptr,
-               "expected a start before the latency goal at 510 ms");
+               "expected a start before the latency target at 510 ms");
 }
 
 TEST(GatewayCoreTest, QueuedStreamsStartOnceAPauseIsShort)
--- a/test/decision/gateway/groupselector_test.cpp
+++ b/test/decision/gateway/groupselector_test.cpp
@@ -1,6 +1,6 @@
 // Loads of a site whose service has several groups of engines, one in each hall. The figures are
 // published ones of engines: ten streams per rank, passes of about 80 ms when all ranks are full
-// and evenly loaded, a pause goal of 150 ms; 42 or 149 gateways in three halls.
+// and evenly loaded, a gap target of 150 ms; 42 or 149 gateways in three halls.
 #include "decision/gateway/groupselector.h"
 
 #include <CppUTest/TestHarness.h>
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr Duration kGoal = std::chrono::milliseconds(150);
+constexpr Duration kGapTarget = std::chrono::milliseconds(150);
 constexpr Duration kShort = std::chrono::milliseconds(80);
-constexpr Duration kNearGoal = std::chrono::milliseconds(140);
-constexpr Duration kOverGoal = std::chrono::milliseconds(200);
+constexpr Duration kNearGapTarget = std::chrono::milliseconds(140);
+constexpr Duration kOverGapTarget = std::chrono::milliseconds(200);
 
 TimePoint at(int millis)
 {
@@ -76,7 +76,7 @@
     void pass(const GroupId &id, Duration pause, int now)
     {
         selector.tracker(id).onFirstEvent(at(now));
-        selector.tracker(id).onPause(pause, kGoal, at(now));
+        selector.tracker(id).onPause(pause, kGapTarget, at(now));
     }
 
     void stallGroup(const GroupId &id, int now)
@@ -169,12 +169,12 @@
 // After a shift of demand passes are long in every group. A stream that overflowed because of that
 // would add a prompt to passes that the gateways of the other hall hold their own prompts back
 // from.
-TEST(GroupSelectorTest, StreamWaitsForOwnGroupWhilePausesAreNearGoal)
+TEST(GroupSelectorTest, StreamWaitsForOwnGroupWhilePausesAreNearGapTarget)
 {
     for (int count = 0; count < 4; ++count) {
         send(0);
     }
-    pass(group(0), kNearGoal, 10);
+    pass(group(0), kNearGapTarget, 10);
     CHECK_FALSE(send(20).has_value());
 }
 
@@ -209,7 +209,7 @@
 namespace {
 
 // A simulated site: gateways and one group per hall. A group with more streams than slots makes
-// passes that are longer than the goal.
+// passes that are longer than the gap target.
 class Site
 {
 public:
@@ -302,8 +302,8 @@
         });
         for (const Stream &stream : gateway.streams) {
             if (stream.group != down) {
-                const Duration pause = streamsAt(stream.group) > slots_ ? kOverGoal : kShort;
-                gateway.selector->tracker(group(stream.group)).onPause(pause, kGoal, at(now));
+                const Duration pause = streamsAt(stream.group) > slots_ ? kOverGapTarget : kShort;
+                gateway.selector->tracker(group(stream.group)).onPause(pause, kGapTarget, at(now));
             }
         }
         gateway.selector->onTick(static_cast<std::size_t>(gateway.waiting), table_, at(now));
--- a/test/decision/membership/storepollschedule_test.cpp
+++ b/test/decision/membership/storepollschedule_test.cpp
@@ -12,11 +12,11 @@
 constexpr std::size_t kHallSize = 30;
 // A configuration must be in force everywhere within two seconds (small fleet) or four seconds
 // (large fleet), and a removed key must be rejected within five.
-constexpr StalenessLimits kSmallFleet{std::chrono::milliseconds(4700),
+constexpr FreshnessLimits kSmallFleet{std::chrono::milliseconds(4700),
                                       std::chrono::milliseconds(1900)};
-constexpr StalenessLimits kLargeFleet{std::chrono::milliseconds(4700),
+constexpr FreshnessLimits kLargeFleet{std::chrono::milliseconds(4700),
                                       std::chrono::milliseconds(3900)};
-constexpr StalenessLimits kShortLimits{std::chrono::milliseconds(2200),
+constexpr FreshnessLimits kShortLimits{std::chrono::milliseconds(2200),
                                        std::chrono::milliseconds(1400)};
 // The time that a follower's long poll and the transmission add to the age of a watch's data.
 constexpr Duration kFollowerDelay = std::chrono::milliseconds(450);
@@ -27,15 +27,15 @@
 
 TEST(StorePollScheduleTest, StaleAgeExceedsNormalStaleness)
 {
-    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
+    for (const FreshnessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const StorePollSchedule schedule = makeStorePollSchedule(limits);
-        CHECK_TRUE(schedule.watchTimeout + kFollowerDelay < schedule.staleAge);
+        CHECK_TRUE(schedule.longPollWait + kFollowerDelay < schedule.staleAge);
     }
 }
 
-TEST(StorePollScheduleTest, LastPollPrecedesStalenessLimits)
+TEST(StorePollScheduleTest, LastPollPrecedesFreshnessLimits)
 {
-    for (const StalenessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
+    for (const FreshnessLimits &limits : {kSmallFleet, kLargeFleet, kShortLimits}) {
         const Duration lastPollAge = storePollAge(makeStorePollSchedule(limits), kHallSize);
         CHECK_TRUE(lastPollAge <= limits.keyMaxAge - std::chrono::milliseconds(900));
         CHECK_TRUE(lastPollAge < limits.denyMaxAge);
@@ -49,17 +49,17 @@
     CHECK_TRUE(firstPollAge >= schedule.staleAge + std::chrono::milliseconds(500));
     const Duration spreadAge = firstPollAge + std::chrono::milliseconds(250);
     std::size_t polling = 0;
-    for (std::size_t place = 0; place < kHallSize; ++place) {
-        polling += storePollAge(schedule, place) <= spreadAge ? 1 : 0;
+    for (std::size_t hallIndex = 0; hallIndex < kHallSize; ++hallIndex) {
+        polling += storePollAge(schedule, hallIndex) <= spreadAge ? 1 : 0;
     }
     CHECK_TRUE(polling <= 3);
 }
 
-TEST(StorePollScheduleTest, PollAgesIncreaseWithPlaceWhenTimeAllows)
+TEST(StorePollScheduleTest, PollAgesIncreaseWithHallIndexWhenTimeAllows)
 {
     const StorePollSchedule schedule = makeStorePollSchedule(kLargeFleet);
-    for (std::size_t place = 1; mayPollStore(place); ++place) {
-        CHECK_TRUE(storePollAge(schedule, place) > storePollAge(schedule, place - 1));
+    for (std::size_t hallIndex = 1; mayPollStore(hallIndex); ++hallIndex) {
+        CHECK_TRUE(storePollAge(schedule, hallIndex) > storePollAge(schedule, hallIndex - 1));
     }
 }
 
@@ -67,8 +67,8 @@
 {
     for (const std::size_t gateways : {30U, 107U, 222U, 667U}) {
         std::size_t pollers = 0;
-        for (std::size_t place = 0; place < gateways; ++place) {
-            pollers += mayPollStore(place) ? 1 : 0;
+        for (std::size_t hallIndex = 0; hallIndex < gateways; ++hallIndex) {
+            pollers += mayPollStore(hallIndex) ? 1 : 0;
         }
         UNSIGNED_LONGS_EQUAL(12, pollers);
     }
--- a/test/gateway/gatewaystoreview_test.cpp
+++ b/test/gateway/gatewaystoreview_test.cpp
@@ -46,7 +46,7 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now()));
     LONGS_EQUAL(3, view.version().value());
-    LONGS_EQUAL(77, view.advertisedMark());
+    LONGS_EQUAL(77, view.advertisedDigest());
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
     CHECK_TRUE(view.fresh());
 }
@@ -67,7 +67,7 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     PeerStoreState earlier = peerState();
-    earlier.place.revision = 9;
+    earlier.position.revision = 9;
     CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
 
@@ -77,10 +77,10 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState later = peerState();
-    later.place = {2, 4};
+    later.position = {2, 4};
     CHECK_TRUE(view.adopt(later, loop->now() - std::chrono::seconds(1)));
     PeerStoreState earlier = peerState();
-    earlier.place = {1, 99};
+    earlier.position = {1, 99};
     CHECK_FALSE(view.adopt(earlier, loop->now()));
 }
 
@@ -88,9 +88,9 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState without = peerState();
-    without.place = {0, 11};
+    without.position = {0, 11};
     CHECK_TRUE(view.adopt(without, loop->now() - std::chrono::seconds(1)));
-    without.place = {0, 9};
+    without.position = {0, 9};
     CHECK_FALSE(view.adopt(without, loop->now()));
 }
 
@@ -98,12 +98,12 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now()));
     PeerStoreState behind = peerState();
-    behind.place = {1, 2};
+    behind.position = {1, 2};
     behind.version = ConfigVersion(4);
     behind.document = document(4);
     CHECK_FALSE(view.adopt(behind, loop->now() - std::chrono::seconds(1)));
     LONGS_EQUAL(4, view.version().value());
-    LONGS_EQUAL(10, view.place().revision);
+    LONGS_EQUAL(10, view.position().revision);
 }
 
 TEST(GatewayStoreViewTest, StoreRollbackKeepsVersionAndLeavingUpstreams)
@@ -120,7 +120,7 @@
     copy.items.emplace_back(upstream("i-1"));
     view.onStoreListed(copy, loop->now());
     LONGS_EQUAL(4, view.version().value());
-    LONGS_EQUAL(9, view.place().revision);
+    LONGS_EQUAL(9, view.position().revision);
     CHECK_FALSE(upstreams.mayReceive(InstanceId("i-1")));
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-2"))); // It may be alive and register again.
 }
@@ -182,10 +182,10 @@
     changed.items.emplace_back(HallDrain{HallId("south"), false});
     view.onStoreChanged(changed, loop->now() - std::chrono::seconds(1));
     CHECK_TRUE(!drained("north") && drained("south"));
-    PeerStoreState told = peerState();
-    told.place = {1, 22};
-    told.drainedHalls = {HallId("west")};
-    CHECK_TRUE(view.adopt(told, loop->now()));
+    PeerStoreState received = peerState();
+    received.position = {1, 22};
+    received.drainedHalls = {HallId("west")};
+    CHECK_TRUE(view.adopt(received, loop->now()));
     CHECK_TRUE(!drained("south") && drained("west"));
 }
 
@@ -193,26 +193,26 @@
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     PeerStoreState later = peerState();
-    later.place.revision = 11;
+    later.position.revision = 11;
     later.version = ConfigVersion(2);
     later.document = document(2);
     CHECK_TRUE(view.adopt(later, loop->now()));
     LONGS_EQUAL(3, view.version().value());
 }
 
-TEST(GatewayStoreViewTest, OmittedListIsAdoptedOnlyUnderItsMark)
+TEST(GatewayStoreViewTest, OmittedListIsAdoptedOnlyUnderItsDigest)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(2)));
     PeerStoreState same{{1, 11}, ConfigVersion(3), std::nullopt, 77, std::nullopt, {}};
     CHECK_TRUE(view.adopt(same, loop->now() - std::chrono::seconds(1)));
-    same.upstreamsMark = 78;
+    same.upstreamsDigest = 78;
     CHECK_FALSE(view.adopt(same, loop->now()));
 }
 
 // When the gateway that a hall follows becomes unavailable, each of the others polls one gateway
-// after another. If equal lists had different marks, each poll would transfer the full list, which
-// outweighs all other traffic between gateways.
-TEST(GatewayStoreViewTest, EqualListsHaveEqualMarks)
+// after another. If equal lists had different digests, each poll would transfer the full list,
+// which outweighs all other traffic between gateways.
+TEST(GatewayStoreViewTest, EqualListsHaveEqualDigests)
 {
     UpstreamTable otherUpstreams;
     GatewayStoreView other{*loop, otherUpstreams, metrics, view.freshness(),
@@ -222,38 +222,38 @@
     listed.position.revision = 12;
     listed.items.emplace_back(upstream("i-1"));
     other.onStoreListed(listed, loop->now());
-    CHECK_TRUE(view.upstreamsMark() == other.upstreamsMark());
+    CHECK_TRUE(view.upstreamsDigest() == other.upstreamsDigest());
     listed.items.emplace_back(upstream("i-2"));
     other.onStoreListed(listed, loop->now());
-    CHECK_FALSE(view.upstreamsMark() == other.upstreamsMark());
+    CHECK_FALSE(view.upstreamsDigest() == other.upstreamsDigest());
 }
 
-TEST(GatewayStoreViewTest, OwnListChangeReplacesTheAdoptedMark)
+TEST(GatewayStoreViewTest, OwnListChangeReplacesTheAdoptedDigest)
 {
     CHECK_TRUE(view.adopt(peerState(), loop->now() - std::chrono::seconds(1)));
     StoreItems items;
     items.position.revision = 11;
     items.items.emplace_back(upstream("i-1", true));
     view.onStoreChanged(items, loop->now());
-    CHECK_TRUE(view.advertisedMark() == view.upstreamsMark());
-    CHECK_FALSE(view.advertisedMark() == 77);
+    CHECK_TRUE(view.advertisedDigest() == view.upstreamsDigest());
+    CHECK_FALSE(view.advertisedDigest() == 77);
 }
 
 // Guards against a gateway that reads the store itself and polls others without naming its list's
-// mark: it would receive the full list with each answer.
-TEST(GatewayStoreViewTest, StoreListIsAdvertisedByItsMark)
+// digest: it would receive the full list with each answer.
+TEST(GatewayStoreViewTest, StoreListIsAdvertisedByItsDigest)
 {
-    LONGS_EQUAL(0, view.advertisedMark());
+    LONGS_EQUAL(0, view.advertisedDigest());
     StoreItems listed;
     listed.position = {1, 9};
     listed.items.emplace_back(document(3));
     listed.items.emplace_back(upstream("i-1"));
     view.onStoreListed(listed, loop->now() - std::chrono::seconds(2));
-    const std::uint64_t mark = view.advertisedMark();
-    CHECK_TRUE(mark != 0);
-    const PeerStoreState same{{1, 10}, ConfigVersion(3), std::nullopt, mark, std::nullopt, {}};
+    const std::uint64_t digest = view.advertisedDigest();
+    CHECK_TRUE(digest != 0);
+    const PeerStoreState same{{1, 10}, ConfigVersion(3), std::nullopt, digest, std::nullopt, {}};
     CHECK_TRUE(view.adopt(same, loop->now()));
-    LONGS_EQUAL(10, view.place().revision);
+    LONGS_EQUAL(10, view.position().revision);
     CHECK_TRUE(upstreams.mayReceive(InstanceId("i-1")));
 }
 
--- a/test/gateway/halldrain_test.cpp
+++ b/test/gateway/halldrain_test.cpp
@@ -57,7 +57,7 @@
 {
     std::size_t to = 0;
     int incarnation = 0; // Of the receiver when the message was sent; a restart invalidates it.
-    TimePoint askedAt{};
+    TimePoint sentAt{};
     bool fullList = false;
     std::optional<StoreItems> items; // Set if the message is from the store.
     PeerStoreState peerState;        // Set if it is from another gateway.
@@ -141,7 +141,7 @@
     void queryStore(int index, bool fullList)
     {
         const SimulatedGateway &gateway = *gateways_[index];
-        const std::uint64_t since = gateway.view.place().revision;
+        const std::uint64_t since = gateway.view.position().revision;
         Message message{static_cast<std::size_t>(index), incarnations_[index], now_,
                         fullList || since == 0,          StoreItems(),         {}};
         message.items->position = {1, revision_};
@@ -179,12 +179,12 @@
                         std::nullopt,
                         {}};
         PeerStoreState &peerState = message.peerState;
-        peerState.place = sender.view.place();
+        peerState.position = sender.view.position();
         peerState.version = sender.view.version();
         peerState.document.emplace();
         peerState.document->version = peerState.version;
-        peerState.upstreamsMark = sender.view.upstreamsMark();
-        if (peerState.upstreamsMark != gateways_[to]->view.upstreamsMark()) {
+        peerState.upstreamsDigest = sender.view.upstreamsDigest();
+        if (peerState.upstreamsDigest != gateways_[to]->view.upstreamsDigest()) {
             peerState.upstreams.emplace();
             for (const UpstreamRecord *record : sender.upstreams.all()) {
                 peerState.upstreams->push_back(*record);
@@ -213,19 +213,19 @@
     static void applyMessage(SimulatedGateway &gateway, const Message &message)
     {
         if (!message.items) {
-            if (gateway.view.adopt(message.peerState, message.askedAt)) {
-                gateway.confirmedAt = message.askedAt;
+            if (gateway.view.adopt(message.peerState, message.sentAt)) {
+                gateway.confirmedAt = message.sentAt;
             }
             return;
         }
-        if (message.items->position < gateway.view.place()) {
+        if (message.items->position < gateway.view.position()) {
             return; // Not possible with the real store watcher, which makes one call at a time.
         }
-        gateway.confirmedAt = std::max(gateway.confirmedAt, message.askedAt);
+        gateway.confirmedAt = std::max(gateway.confirmedAt, message.sentAt);
         if (message.fullList) {
-            gateway.view.onStoreListed(*message.items, message.askedAt);
+            gateway.view.onStoreListed(*message.items, message.sentAt);
         } else {
-            gateway.view.onStoreChanged(*message.items, message.askedAt);
+            gateway.view.onStoreChanged(*message.items, message.sentAt);
         }
     }
 
@@ -236,7 +236,7 @@
             if (!gateway.view.confirmed()) {
                 continue;
             }
-            const std::uint64_t revision = gateway.view.place().revision;
+            const std::uint64_t revision = gateway.view.position().revision;
             const std::set<HallId> &drained = drainedAt_.at(revision);
             for (int hall = 0; hall < kHallCount; ++hall) {
                 const bool sends =
