--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -45,7 +45,7 @@
                       std::uint64_t callerMark) const;
 
     EventLoop &loop_;
-    WakeList waiters_;
+    ChangeNotifier waiters_;
     std::optional<GroupFacts> facts_; // Empty while this agent is not the decider.
     std::uint64_t mark_ = 0;          // Digest of `facts_`.
     TimePoint asOf_{};                // When `facts_` were last confirmed.
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -165,7 +165,7 @@
     GatewayDirectory &directory_;
     StateReceived onStateReceived_;
     std::unique_ptr<RawTransport> transport_;
-    WakeList waitingPolls_; // The polls of other gateways that wait for an update.
+    ChangeNotifier waitingPolls_; // The polls of other gateways that wait for an update.
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_; // By number of the connection.
     std::uint64_t nextIncoming_ = 1;
     std::map<std::pair<std::string, int>, Link> links_; // By address.
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -45,7 +45,7 @@
     void onInstances(const InstanceList & /*list*/) override { waiting_.wakeAll(); }
 
 private:
-    WakeList waiting_;
+    ChangeNotifier waiting_;
 };
 
 // The answering side of the exchange between processes.
--- a/src/net/wakelist.cpp
+++ b/src/net/wakelist.cpp
@@ -2,7 +2,7 @@
 
 namespace seamarch {
 
-kj::Promise<void> WakeList::wait(Duration longest)
+kj::Promise<void> ChangeNotifier::wait(Duration longest)
 {
     const std::uint64_t id = next_++;
     auto paf = kj::newPromiseAndFulfiller<void>();
@@ -17,7 +17,7 @@
     return kj::mv(paf.promise);
 }
 
-void WakeList::wakeAll()
+void ChangeNotifier::wakeAll()
 {
     for (auto &[id, fulfiller] : waiting_) {
         fulfiller->fulfill();
--- a/src/net/wakelist.h
+++ b/src/net/wakelist.h
@@ -10,14 +10,14 @@
 namespace seamarch {
 
 // One for each matter that calls wait for; it outlives the serving ends. Single-threaded.
-class WakeList
+class ChangeNotifier
 {
 public:
-    explicit WakeList(EventLoop &loop)
+    explicit ChangeNotifier(EventLoop &loop)
         : loop_(loop)
     {}
-    WakeList(const WakeList &) = delete;
-    WakeList &operator=(const WakeList &) = delete;
+    ChangeNotifier(const ChangeNotifier &) = delete;
+    ChangeNotifier &operator=(const ChangeNotifier &) = delete;
 
     // Resolves at the next change, or after `longest`.
     kj::Promise<void> wait(Duration longest);
