--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -7,7 +7,7 @@
 
 #include "decision/gateway/grouptable.h"
 #include "net/eventloop.h"
-#include "net/wakelist.h"
+#include "net/changenotifier.h"
 #include "wire/seamarch.capnp.h"
 
 #include <cstdint>
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -23,7 +23,7 @@
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
 #include "net/rpcpeer.h"
-#include "net/wakelist.h"
+#include "net/changenotifier.h"
 #include "wire/seamarch.capnp.h"
 
 #include <functional>
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -14,7 +14,7 @@
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
-#include "net/wakelist.h"
+#include "net/changenotifier.h"
 #include "wire/seamarch.capnp.h"
 
 #include <kj/async.h>
--- a/src/net/wakelist.cpp
+++ b/src/net/wakelist.cpp
@@ -1,4 +1,4 @@
-#include "net/wakelist.h"
+#include "net/changenotifier.h"
 
 namespace seamarch {
 
