--- a/src/experts/groupreporter.cpp
+++ b/src/experts/groupreporter.cpp
@@ -20,7 +20,7 @@
     }
     facts_ = facts;
     mark_ = digestOf(facts);
-    waiters_.wakeAll();
+    waiters_.notifyAll();
 }
 
 void GroupReporter::referTo(const std::string &host)
@@ -28,7 +28,7 @@
     deciderHost_ = host;
     if (facts_) {
         facts_.reset();
-        waiters_.wakeAll();
+        waiters_.notifyAll();
     }
 }
 
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -454,7 +454,7 @@
         lastGroupsMark_ = groupsMark;
         lastCrashCursor_ = crashes_.cursor();
         lastLimitsMark_ = limits_.version();
-        waitingPolls_.wakeAll();
+        waitingPolls_.notifyAll();
     }
     announce(now);
     std::erase_if(links_, [now](const auto &entry) {
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -11,10 +11,10 @@
 
 #include "decision/retry/crashrecord.h"
 #include "knowledge/knowledge.h"
+#include "net/changenotifier.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
-#include "net/changenotifier.h"
 #include "wire/seamarch.capnp.h"
 
 #include <kj/async.h>
@@ -39,10 +39,10 @@
     kj::Promise<void> wait(Duration longest) { return waiting_.wait(longest); }
 
     // Something else that exchanges wait for has changed.
-    void wake() { waiting_.wakeAll(); }
+    void wake() { waiting_.notifyAll(); }
 
-    void onConfig(const ConfigDocument & /*document*/) override { waiting_.wakeAll(); }
-    void onInstances(const InstanceList & /*list*/) override { waiting_.wakeAll(); }
+    void onConfig(const ConfigDocument & /*document*/) override { waiting_.notifyAll(); }
+    void onInstances(const InstanceList & /*list*/) override { waiting_.notifyAll(); }
 
 private:
     ChangeNotifier waiting_;
--- a/src/net/changenotifier.cpp
+++ b/src/net/changenotifier.cpp
@@ -17,7 +17,7 @@
     return kj::mv(paf.promise);
 }
 
-void ChangeNotifier::wakeAll()
+void ChangeNotifier::notifyAll()
 {
     for (auto &[id, fulfiller] : waiting_) {
         fulfiller->fulfill();
--- a/src/net/changenotifier.h
+++ b/src/net/changenotifier.h
@@ -22,7 +22,7 @@
     // Resolves at the next change, or after `longest`.
     kj::Promise<void> wait(Duration longest);
     // Something has changed.
-    void wakeAll();
+    void notifyAll();
 
 private:
     EventLoop &loop_;
