--- a/src/net/changenotifier.cpp
+++ b/src/net/changenotifier.cpp
@@ -2,12 +2,12 @@
 
 namespace seamarch {
 
-kj::Promise<void> ChangeNotifier::wait(Duration longest)
+kj::Promise<void> ChangeNotifier::wait(Duration timeout)
 {
     const std::uint64_t id = next_++;
     auto paf = kj::newPromiseAndFulfiller<void>();
     waiting_.emplace(id, kj::mv(paf.fulfiller));
-    loop_.schedule(longest, [this, id] {
+    loop_.schedule(timeout, [this, id] {
         const auto found = waiting_.find(id);
         if (found != waiting_.end()) {
             found->second->fulfill();
--- a/src/net/changenotifier.h
+++ b/src/net/changenotifier.h
@@ -20,7 +20,7 @@
     ChangeNotifier &operator=(const ChangeNotifier &) = delete;
 
     // Resolves at the next change, or after `longest`.
-    kj::Promise<void> wait(Duration longest);
+    kj::Promise<void> wait(Duration timeout);
     // Something has changed.
     void notifyAll();
 
