--- a/src/net/changenotifier.cpp
+++ b/src/net/changenotifier.cpp
@@ -4,7 +4,7 @@
 
 kj::Promise<void> ChangeNotifier::wait(Duration timeout)
 {
-    const std::uint64_t id = next_++;
+    const std::uint64_t id = nextId_++;
     auto paf = kj::newPromiseAndFulfiller<void>();
     waiting_.emplace(id, kj::mv(paf.fulfiller));
     loop_.schedule(timeout, [this, id] {
--- a/src/net/changenotifier.h
+++ b/src/net/changenotifier.h
@@ -27,7 +27,7 @@
 private:
     EventLoop &loop_;
     std::map<std::uint64_t, kj::Own<kj::PromiseFulfiller<void>>> waiting_;
-    std::uint64_t next_ = 1;
+    std::uint64_t nextId_ = 1;
 };
 
 } // namespace seamarch
