--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -11,14 +11,14 @@
 
 } // namespace
 
-std::string_view toString(UpstreamState state)
+std::string_view toString(UpstreamProbeResult state)
 {
     switch (state) {
-    case UpstreamState::Lives:
+    case UpstreamProbeResult::Lives:
         return "lives";
-    case UpstreamState::Ended:
+    case UpstreamProbeResult::Ended:
         return "ended";
-    case UpstreamState::Unknown:
+    case UpstreamProbeResult::Unknown:
         return "unknown";
     }
     return "unknown";
@@ -57,23 +57,24 @@
     Question question;
     question.address = address;
     question.answers.push_back(std::move(answer));
-    question.timer =
-        loop_.schedule(kPatience, [this, socket] { conclude(socket, UpstreamState::Unknown); });
+    question.timer = loop_.schedule(
+        kPatience, [this, socket] { conclude(socket, UpstreamProbeResult::Unknown); });
     questions_.emplace(socket, std::move(question));
     byAddress_.emplace(address, socket);
 }
 
 void UpstreamProbe::onConnected(SocketId socket)
 {
-    conclude(socket, UpstreamState::Lives);
+    conclude(socket, UpstreamProbeResult::Lives);
 }
 
 void UpstreamProbe::onEnd(SocketId socket, SocketEnd end)
 {
-    conclude(socket, end == SocketEnd::Refused ? UpstreamState::Ended : UpstreamState::Unknown);
+    conclude(socket,
+             end == SocketEnd::Refused ? UpstreamProbeResult::Ended : UpstreamProbeResult::Unknown);
 }
 
-void UpstreamProbe::conclude(SocketId socket, UpstreamState state)
+void UpstreamProbe::conclude(SocketId socket, UpstreamProbeResult state)
 {
     const auto found = questions_.find(socket);
     if (found == questions_.end()) {
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -21,18 +21,18 @@
 
 namespace seamarch {
 
-enum class UpstreamState {
+enum class UpstreamProbeResult {
     Lives,   // It takes connections.
     Ended,   // Nobody listens at its address.
     Unknown, // Its host says nothing.
 };
 
-std::string_view toString(UpstreamState state);
+std::string_view toString(UpstreamProbeResult state);
 
 class UpstreamProbe final : private SocketListener
 {
 public:
-    using Answer = std::function<void(UpstreamState)>;
+    using Answer = std::function<void(UpstreamProbeResult)>;
 
     static tl::expected<std::unique_ptr<UpstreamProbe>, NetError> create(EventLoop &loop);
     ~UpstreamProbe() override;
@@ -55,7 +55,7 @@
     void onConnected(SocketId socket) override;
     void onBytes(SocketId /*socket*/, std::string_view /*bytes*/) override {}
     void onEnd(SocketId socket, SocketEnd end) override;
-    void conclude(SocketId socket, UpstreamState state);
+    void conclude(SocketId socket, UpstreamProbeResult state);
 
     EventLoop &loop_;
     std::unique_ptr<TcpSockets> sockets_;
--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -75,7 +75,7 @@
 {
     std::unique_ptr<EventLoop> loop;
     std::unique_ptr<UpstreamProbe> probe;
-    std::vector<UpstreamState> answers;
+    std::vector<UpstreamProbeResult> answers;
 
     void setup() override
     {
@@ -94,7 +94,7 @@
     void ask(int port, std::size_t times = 1)
     {
         for (std::size_t count = 0; count < times; ++count) {
-            probe->ask({"127.0.0.1", port}, [this, times](UpstreamState state) {
+            probe->ask({"127.0.0.1", port}, [this, times](UpstreamProbeResult state) {
                 answers.push_back(state);
                 if (answers.size() == times) {
                     loop->stop();
@@ -112,13 +112,13 @@
     const int port = freePort();
     const Listener listener(port, 4);
     ask(port);
-    CHECK_TRUE(answers.front() == UpstreamState::Lives);
+    CHECK_TRUE(answers.front() == UpstreamProbeResult::Lives);
 }
 
 TEST(UpstreamProbeTest, UpstreamWhosePortIsClosedHasEnded)
 {
     ask(freePort());
-    CHECK_TRUE(answers.front() == UpstreamState::Ended);
+    CHECK_TRUE(answers.front() == UpstreamProbeResult::Ended);
 }
 
 TEST(UpstreamProbeTest, HostThatSaysNothingProvesNothing)
@@ -127,7 +127,7 @@
     Listener listener(port, 0);
     listener.fill(port);
     ask(port);
-    CHECK_TRUE(answers.front() == UpstreamState::Unknown);
+    CHECK_TRUE(answers.front() == UpstreamProbeResult::Unknown);
 }
 
 TEST(UpstreamProbeTest, AllThatAskMeanwhileGetTheSameAnswer)
@@ -135,7 +135,7 @@
     const int port = freePort();
     const Listener listener(port, 4);
     ask(port, 3);
-    for (const UpstreamState state : answers) {
-        CHECK_TRUE(state == UpstreamState::Lives);
+    for (const UpstreamProbeResult state : answers) {
+        CHECK_TRUE(state == UpstreamProbeResult::Lives);
     }
 }
