--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -14,7 +14,7 @@
 std::string_view toString(UpstreamProbeResult state)
 {
     switch (state) {
-    case UpstreamProbeResult::Lives:
+    case UpstreamProbeResult::Alive:
         return "lives";
     case UpstreamProbeResult::Ended:
         return "ended";
@@ -65,7 +65,7 @@
 
 void UpstreamProbe::onConnected(SocketId socket)
 {
-    conclude(socket, UpstreamProbeResult::Lives);
+    conclude(socket, UpstreamProbeResult::Alive);
 }
 
 void UpstreamProbe::onEnd(SocketId socket, SocketEnd end)
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -22,7 +22,7 @@
 namespace seamarch {
 
 enum class UpstreamProbeResult {
-    Lives,   // It takes connections.
+    Alive,   // It takes connections.
     Ended,   // Nobody listens at its address.
     Unknown, // Its host says nothing.
 };
--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -112,7 +112,7 @@
     const int port = freePort();
     const Listener listener(port, 4);
     ask(port);
-    CHECK_TRUE(answers.front() == UpstreamProbeResult::Lives);
+    CHECK_TRUE(answers.front() == UpstreamProbeResult::Alive);
 }
 
 TEST(UpstreamProbeTest, UpstreamWhosePortIsClosedHasEnded)
@@ -136,6 +136,6 @@
     const Listener listener(port, 4);
     ask(port, 3);
     for (const UpstreamProbeResult state : answers) {
-        CHECK_TRUE(state == UpstreamProbeResult::Lives);
+        CHECK_TRUE(state == UpstreamProbeResult::Alive);
     }
 }
