--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -467,7 +467,7 @@
 // same request would end the next one as well.
 void AgentService::askAfterUpstream(RequestId id)
 {
-    probe_->ask(settings_.upstream, [this, id](UpstreamProbeResult state) {
+    probe_->probe(settings_.upstream, [this, id](UpstreamProbeResult state) {
         metrics_.count("seamarch_upstreams_that_lost_requests_total", toString(state));
         logLine(LogLevel::Info, "upstream.probed",
                 {{"request", id.counter}, {"entry", id.entry.value()}, {"state", toString(state)}});
--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -325,7 +325,7 @@
     LostAttempt lost{active.facts.requestId, active.admitted.digest, active.admitted.account,
                      active.upstream, loop_.now()};
     const std::uint32_t attempt = active.attempt;
-    probe_->ask(active.address, [this, number, attempt, lost](UpstreamProbeResult state) {
+    probe_->probe(active.address, [this, number, attempt, lost](UpstreamProbeResult state) {
         metrics_.count("seamarch_upstreams_that_lost_requests_total", toString(state));
         logLine(LogLevel::Info, "upstream.probed",
                 {{"id", lost.requestId},
--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -46,7 +46,7 @@
     return probe;
 }
 
-void UpstreamProbe::ask(const SocketAddress &address, Answer answer)
+void UpstreamProbe::probe(const SocketAddress &address, Answer answer)
 {
     const auto asked = byAddress_.find(address);
     if (asked != byAddress_.end()) {
