--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -94,7 +94,7 @@
     void ask(int port, std::size_t times = 1)
     {
         for (std::size_t count = 0; count < times; ++count) {
-            probe->ask({"127.0.0.1", port}, [this, times](UpstreamProbeResult state) {
+            probe->probe({"127.0.0.1", port}, [this, times](UpstreamProbeResult state) {
                 answers.push_back(state);
                 if (answers.size() == times) {
                     loop->stop();
