--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -50,13 +50,13 @@
 {
     const auto asked = byAddress_.find(address);
     if (asked != byAddress_.end()) {
-        questions_.at(asked->second).answers.push_back(std::move(answer));
+        questions_.at(asked->second).callbacks.push_back(std::move(answer));
         return;
     }
     const SocketId socket = sockets_->connect(address, *this);
     Question question;
     question.address = address;
-    question.answers.push_back(std::move(answer));
+    question.callbacks.push_back(std::move(answer));
     question.timer = loop_.schedule(
         kPatience, [this, socket] { conclude(socket, UpstreamProbeResult::Unknown); });
     questions_.emplace(socket, std::move(question));
@@ -85,7 +85,7 @@
     byAddress_.erase(question.address);
     loop_.cancel(question.timer);
     sockets_->close(socket);
-    for (const Answer &answer : question.answers) {
+    for (const Answer &answer : question.callbacks) {
         answer(state);
     }
 }
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -47,7 +47,7 @@
     struct Question
     {
         SocketAddress address;
-        std::vector<Answer> answers;
+        std::vector<Answer> callbacks;
         TimerId timer = 0;
     };
 
