--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -46,17 +46,17 @@
     return probe;
 }
 
-void UpstreamProbe::probe(const SocketAddress &address, Answer answer)
+void UpstreamProbe::probe(const SocketAddress &address, Answer callback)
 {
     const auto asked = byAddress_.find(address);
     if (asked != byAddress_.end()) {
-        questions_.at(asked->second).callbacks.push_back(std::move(answer));
+        questions_.at(asked->second).callbacks.push_back(std::move(callback));
         return;
     }
     const SocketId socket = sockets_->connect(address, *this);
     Question question;
     question.address = address;
-    question.callbacks.push_back(std::move(answer));
+    question.callbacks.push_back(std::move(callback));
     question.timer = loop_.schedule(
         kPatience, [this, socket] { conclude(socket, UpstreamProbeResult::Unknown); });
     questions_.emplace(socket, std::move(question));
@@ -85,8 +85,8 @@
     byAddress_.erase(question.address);
     loop_.cancel(question.timer);
     sockets_->close(socket);
-    for (const Answer &answer : question.callbacks) {
-        answer(state);
+    for (const Answer &callback : question.callbacks) {
+        callback(state);
     }
 }
 
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -41,7 +41,7 @@
 
     // Asks whether anybody listens at `address`. The answer follows soon, never from inside this
     // call; all that ask of one address meanwhile get the same.
-    void probe(const SocketAddress &address, Answer answer);
+    void probe(const SocketAddress &address, Answer callback);
 
 private:
     struct Question
