--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -46,7 +46,7 @@
     return probe;
 }
 
-void UpstreamProbe::probe(const SocketAddress &address, Answer callback)
+void UpstreamProbe::probe(const SocketAddress &address, Callback callback)
 {
     const auto asked = byAddress_.find(address);
     if (asked != byAddress_.end()) {
@@ -85,7 +85,7 @@
     byAddress_.erase(question.address);
     loop_.cancel(question.timer);
     sockets_->close(socket);
-    for (const Answer &callback : question.callbacks) {
+    for (const Callback &callback : question.callbacks) {
         callback(state);
     }
 }
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -32,7 +32,7 @@
 class UpstreamProbe final : private SocketListener
 {
 public:
-    using Answer = std::function<void(UpstreamProbeResult)>;
+    using Callback = std::function<void(UpstreamProbeResult)>;
 
     static tl::expected<std::unique_ptr<UpstreamProbe>, NetError> create(EventLoop &loop);
     ~UpstreamProbe() override;
@@ -41,13 +41,13 @@
 
     // Asks whether anybody listens at `address`. The answer follows soon, never from inside this
     // call; all that ask of one address meanwhile get the same.
-    void probe(const SocketAddress &address, Answer callback);
+    void probe(const SocketAddress &address, Callback callback);
 
 private:
     struct Question
     {
         SocketAddress address;
-        std::vector<Answer> callbacks;
+        std::vector<Callback> callbacks;
         TimerId timer = 0;
     };
 
