--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -54,7 +54,7 @@
         return;
     }
     const SocketId socket = sockets_->connect(address, *this);
-    Question question;
+    PendingProbe question;
     question.address = address;
     question.callbacks.push_back(std::move(callback));
     question.timer = loop_.schedule(
@@ -80,7 +80,7 @@
     if (found == questions_.end()) {
         return;
     }
-    const Question question = std::move(found->second);
+    const PendingProbe question = std::move(found->second);
     questions_.erase(found);
     byAddress_.erase(question.address);
     loop_.cancel(question.timer);
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -44,7 +44,7 @@
     void probe(const SocketAddress &address, Callback callback);
 
 private:
-    struct Question
+    struct PendingProbe
     {
         SocketAddress address;
         std::vector<Callback> callbacks;
@@ -59,7 +59,7 @@
 
     EventLoop &loop_;
     std::unique_ptr<TcpSockets> sockets_;
-    std::map<SocketId, Question> questions_;
+    std::map<SocketId, PendingProbe> questions_;
     std::map<SocketAddress, SocketId> byAddress_;
 };
 
