--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -30,7 +30,7 @@
 
 UpstreamProbe::~UpstreamProbe()
 {
-    for (const auto &[socket, question] : questions_) {
+    for (const auto &[socket, question] : pending_) {
         loop_.cancel(question.timer);
     }
 }
@@ -50,7 +50,7 @@
 {
     const auto asked = byAddress_.find(address);
     if (asked != byAddress_.end()) {
-        questions_.at(asked->second).callbacks.push_back(std::move(callback));
+        pending_.at(asked->second).callbacks.push_back(std::move(callback));
         return;
     }
     const SocketId socket = sockets_->connect(address, *this);
@@ -59,7 +59,7 @@
     question.callbacks.push_back(std::move(callback));
     question.timer = loop_.schedule(
         kPatience, [this, socket] { conclude(socket, UpstreamProbeResult::Unknown); });
-    questions_.emplace(socket, std::move(question));
+    pending_.emplace(socket, std::move(question));
     byAddress_.emplace(address, socket);
 }
 
@@ -76,12 +76,12 @@
 
 void UpstreamProbe::conclude(SocketId socket, UpstreamProbeResult state)
 {
-    const auto found = questions_.find(socket);
-    if (found == questions_.end()) {
+    const auto found = pending_.find(socket);
+    if (found == pending_.end()) {
         return;
     }
     const PendingProbe question = std::move(found->second);
-    questions_.erase(found);
+    pending_.erase(found);
     byAddress_.erase(question.address);
     loop_.cancel(question.timer);
     sockets_->close(socket);
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -59,7 +59,7 @@
 
     EventLoop &loop_;
     std::unique_ptr<TcpSockets> sockets_;
-    std::map<SocketId, PendingProbe> questions_;
+    std::map<SocketId, PendingProbe> pending_;
     std::map<SocketAddress, SocketId> byAddress_;
 };
 
