--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -30,8 +30,8 @@
 
 UpstreamProbe::~UpstreamProbe()
 {
-    for (const auto &[socket, question] : pending_) {
-        loop_.cancel(question.timer);
+    for (const auto &[socket, pending] : pending_) {
+        loop_.cancel(pending.timer);
     }
 }
 
@@ -54,12 +54,12 @@
         return;
     }
     const SocketId socket = sockets_->connect(address, *this);
-    PendingProbe question;
-    question.address = address;
-    question.callbacks.push_back(std::move(callback));
-    question.timer = loop_.schedule(
+    PendingProbe pending;
+    pending.address = address;
+    pending.callbacks.push_back(std::move(callback));
+    pending.timer = loop_.schedule(
         kPatience, [this, socket] { conclude(socket, UpstreamProbeResult::Unknown); });
-    pending_.emplace(socket, std::move(question));
+    pending_.emplace(socket, std::move(pending));
     byAddress_.emplace(address, socket);
 }
 
@@ -80,12 +80,12 @@
     if (found == pending_.end()) {
         return;
     }
-    const PendingProbe question = std::move(found->second);
+    const PendingProbe pending = std::move(found->second);
     pending_.erase(found);
-    byAddress_.erase(question.address);
-    loop_.cancel(question.timer);
+    byAddress_.erase(pending.address);
+    loop_.cancel(pending.timer);
     sockets_->close(socket);
-    for (const Callback &callback : question.callbacks) {
+    for (const Callback &callback : pending.callbacks) {
         callback(state);
     }
 }
