--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -57,24 +57,24 @@
     PendingProbe pending;
     pending.address = address;
     pending.callbacks.push_back(std::move(callback));
-    pending.timer = loop_.schedule(
-        kPatience, [this, socket] { conclude(socket, UpstreamProbeResult::Unknown); });
+    pending.timer =
+        loop_.schedule(kPatience, [this, socket] { finish(socket, UpstreamProbeResult::Unknown); });
     pending_.emplace(socket, std::move(pending));
     byAddress_.emplace(address, socket);
 }
 
 void UpstreamProbe::onConnected(SocketId socket)
 {
-    conclude(socket, UpstreamProbeResult::Alive);
+    finish(socket, UpstreamProbeResult::Alive);
 }
 
 void UpstreamProbe::onEnd(SocketId socket, SocketEnd end)
 {
-    conclude(socket,
-             end == SocketEnd::Refused ? UpstreamProbeResult::Ended : UpstreamProbeResult::Unknown);
+    finish(socket,
+           end == SocketEnd::Refused ? UpstreamProbeResult::Ended : UpstreamProbeResult::Unknown);
 }
 
-void UpstreamProbe::conclude(SocketId socket, UpstreamProbeResult state)
+void UpstreamProbe::finish(SocketId socket, UpstreamProbeResult state)
 {
     const auto found = pending_.find(socket);
     if (found == pending_.end()) {
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -55,7 +55,7 @@
     void onConnected(SocketId socket) override;
     void onBytes(SocketId /*socket*/, std::string_view /*bytes*/) override {}
     void onEnd(SocketId socket, SocketEnd end) override;
-    void conclude(SocketId socket, UpstreamProbeResult state);
+    void finish(SocketId socket, UpstreamProbeResult state);
 
     EventLoop &loop_;
     std::unique_ptr<TcpSockets> sockets_;
