--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -48,9 +48,9 @@
 
 void UpstreamProbe::probe(const SocketAddress &address, Callback callback)
 {
-    const auto asked = byAddress_.find(address);
-    if (asked != byAddress_.end()) {
-        pending_.at(asked->second).callbacks.push_back(std::move(callback));
+    const auto running = byAddress_.find(address);
+    if (running != byAddress_.end()) {
+        pending_.at(running->second).callbacks.push_back(std::move(callback));
         return;
     }
     const SocketId socket = sockets_->connect(address, *this);
