--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -48,8 +48,8 @@
 
 void UpstreamProbe::probe(const SocketAddress &address, Callback callback)
 {
-    const auto running = byAddress_.find(address);
-    if (running != byAddress_.end()) {
+    const auto running = socketByAddress_.find(address);
+    if (running != socketByAddress_.end()) {
         pending_.at(running->second).callbacks.push_back(std::move(callback));
         return;
     }
@@ -60,7 +60,7 @@
     pending.timer =
         loop_.schedule(kPatience, [this, socket] { finish(socket, UpstreamProbeResult::Unknown); });
     pending_.emplace(socket, std::move(pending));
-    byAddress_.emplace(address, socket);
+    socketByAddress_.emplace(address, socket);
 }
 
 void UpstreamProbe::onConnected(SocketId socket)
@@ -82,7 +82,7 @@
     }
     const PendingProbe pending = std::move(found->second);
     pending_.erase(found);
-    byAddress_.erase(pending.address);
+    socketByAddress_.erase(pending.address);
     loop_.cancel(pending.timer);
     sockets_->close(socket);
     for (const Callback &callback : pending.callbacks) {
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -60,7 +60,7 @@
     EventLoop &loop_;
     std::unique_ptr<TcpSockets> sockets_;
     std::map<SocketId, PendingProbe> pending_;
-    std::map<SocketAddress, SocketId> byAddress_;
+    std::map<SocketAddress, SocketId> socketByAddress_;
 };
 
 } // namespace seamarch
