--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -7,7 +7,7 @@
 
 // How long a host may take to answer: many round trips between the halls of a region, and less than
 // a caller notices, because what a broken connection carried waits for the answer.
-constexpr Duration kPatience = std::chrono::milliseconds(150);
+constexpr Duration kProbeTimeout = std::chrono::milliseconds(150);
 
 } // namespace
 
@@ -57,8 +57,8 @@
     PendingProbe pending;
     pending.address = address;
     pending.callbacks.push_back(std::move(callback));
-    pending.timer =
-        loop_.schedule(kPatience, [this, socket] { finish(socket, UpstreamProbeResult::Unknown); });
+    pending.timer = loop_.schedule(
+        kProbeTimeout, [this, socket] { finish(socket, UpstreamProbeResult::Unknown); });
     pending_.emplace(socket, std::move(pending));
     socketByAddress_.emplace(address, socket);
 }
