--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -11,9 +11,9 @@
 
 } // namespace
 
-std::string_view toString(UpstreamProbeResult state)
+std::string_view toString(UpstreamProbeResult result)
 {
-    switch (state) {
+    switch (result) {
     case UpstreamProbeResult::Alive:
         return "lives";
     case UpstreamProbeResult::Ended:
@@ -74,7 +74,7 @@
            end == SocketEnd::Refused ? UpstreamProbeResult::Ended : UpstreamProbeResult::Unknown);
 }
 
-void UpstreamProbe::finish(SocketId socket, UpstreamProbeResult state)
+void UpstreamProbe::finish(SocketId socket, UpstreamProbeResult result)
 {
     const auto found = pending_.find(socket);
     if (found == pending_.end()) {
@@ -86,7 +86,7 @@
     loop_.cancel(pending.timer);
     sockets_->close(socket);
     for (const Callback &callback : pending.callbacks) {
-        callback(state);
+        callback(result);
     }
 }
 
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -27,7 +27,7 @@
     Unknown, // Its host says nothing.
 };
 
-std::string_view toString(UpstreamProbeResult state);
+std::string_view toString(UpstreamProbeResult result);
 
 class UpstreamProbe final : private SocketListener
 {
@@ -55,7 +55,7 @@
     void onConnected(SocketId socket) override;
     void onBytes(SocketId /*socket*/, std::string_view /*bytes*/) override {}
     void onEnd(SocketId socket, SocketEnd end) override;
-    void finish(SocketId socket, UpstreamProbeResult state);
+    void finish(SocketId socket, UpstreamProbeResult result);
 
     EventLoop &loop_;
     std::unique_ptr<TcpSockets> sockets_;
--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -94,8 +94,8 @@
     void ask(int port, std::size_t times = 1)
     {
         for (std::size_t count = 0; count < times; ++count) {
-            probe->probe({"127.0.0.1", port}, [this, times](UpstreamProbeResult state) {
-                answers.push_back(state);
+            probe->probe({"127.0.0.1", port}, [this, times](UpstreamProbeResult result) {
+                answers.push_back(result);
                 if (answers.size() == times) {
                     loop->stop();
                 }
@@ -135,7 +135,7 @@
     const int port = freePort();
     const Listener listener(port, 4);
     ask(port, 3);
-    for (const UpstreamProbeResult state : answers) {
-        CHECK_TRUE(state == UpstreamProbeResult::Alive);
+    for (const UpstreamProbeResult result : answers) {
+        CHECK_TRUE(result == UpstreamProbeResult::Alive);
     }
 }
