--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -129,14 +129,15 @@
 SocketId HttpClient::takeKept(const HttpCallRequest &request)
 {
     const auto found = kept_.find(request.address);
-    if (found == kept_.end() || request.reuse == HttpReuse::Never || found->second.empty()) {
+    if (found == kept_.end() || request.reuse == ConnectionReuse::Never || found->second.empty()) {
         return 0;
     }
     const SocketId socket = found->second.back();
     const Connection &connection = *connections_.at(socket);
     const Duration idle = loop_.now() - connection.idleSince;
-    const Duration limit = request.reuse == HttpReuse::Young ? std::min(kYoung, connection.keepFor)
-                                                             : connection.keepFor;
+    const Duration limit = request.reuse == ConnectionReuse::Young
+                               ? std::min(kYoung, connection.keepFor)
+                               : connection.keepFor;
     if (idle >= limit) {
         return 0;
     }
@@ -162,7 +163,7 @@
         || request.method == "PATCH") {
         fmt::format_to(out, "Content-Length: {}\r\n", request.body.size());
     }
-    if (request.reuse == HttpReuse::Never) {
+    if (request.reuse == ConnectionReuse::Never) {
         text += "Connection: close\r\n";
     }
     text += "\r\n";
@@ -229,7 +230,8 @@
     const SocketId socket = connection.socket;
     std::vector<SocketId> &kept = kept_[connection.address];
     const bool keep = connection.persistent && !surplus && sockets_->queued(socket) == 0
-                      && connection.request.reuse != HttpReuse::Never && kept.size() < kMaxKept;
+                      && connection.request.reuse != ConnectionReuse::Never
+                      && kept.size() < kMaxKept;
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection.receiver);
     calls_.erase(call);
     connection.call = 0;
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -29,7 +29,7 @@
 
 // Which kept connections a call may use. A kept connection may be closing unseen at the other end,
 // so that it is not known whether a request on it was read.
-enum class HttpReuse {
+enum class ConnectionReuse {
     Never, // A new connection, which closes after the call.
     Young, // One that was in use a moment ago.
     Any,   // Any that the peer has not said to be over.
@@ -43,7 +43,7 @@
     std::string contentType = {};
     HttpHeaders headers = {}; // A host header is added when there is none.
     std::string body = {};
-    HttpReuse reuse = HttpReuse::Never;
+    ConnectionReuse reuse = ConnectionReuse::Never;
     Duration connectTimeout = std::chrono::seconds(5);
 };
 
--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -189,11 +189,11 @@
 TEST(HttpStackTest, UsesAConnectionAgain)
 {
     HttpCallRequest request;
-    request.reuse = HttpReuse::Any;
+    request.reuse = ConnectionReuse::Any;
     call(request);
     call(request);
     LONGS_EQUAL(1, client->connectionsMade());
-    request.reuse = HttpReuse::Never;
+    request.reuse = ConnectionReuse::Never;
     call(request);
     LONGS_EQUAL(2, client->connectionsMade());
 }
@@ -235,7 +235,7 @@
 TEST(HttpStackTest, LostKeptConnectionIsToldApart)
 {
     HttpCallRequest request;
-    request.reuse = HttpReuse::Any;
+    request.reuse = ConnectionReuse::Any;
     call(request);
     request.path = "/hold";
     Result result;
