--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -126,7 +126,7 @@
     call.path = active.request.target;
     call.headers = protocol_.upstreamHeaders(active.request, facts);
     call.body = active.request.body;
-    call.reuse = action.mayReuseConnection ? ConnectionReuse::Any : ConnectionReuse::Young;
+    call.reuse = action.mayReuseConnection ? ConnectionReuse::Any : ConnectionReuse::RecentlyUsed;
     call.connectTimeout = kConnectTimeout;
     active.attempt = action.attempt;
     active.upstream = action.upstream.id;
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -135,7 +135,7 @@
     const SocketId socket = found->second.back();
     const Connection &connection = *connections_.at(socket);
     const Duration idle = loop_.now() - connection.idleSince;
-    const Duration limit = request.reuse == ConnectionReuse::Young
+    const Duration limit = request.reuse == ConnectionReuse::RecentlyUsed
                                ? std::min(kYoung, connection.keepFor)
                                : connection.keepFor;
     if (idle >= limit) {
