--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -30,9 +30,9 @@
 // Which kept connections a call may use. A kept connection may be closing unseen at the other end,
 // so that it is not known whether a request on it was read.
 enum class ConnectionReuse {
-    Never, // A new connection, which closes after the call.
-    Young, // One that was in use a moment ago.
-    Any,   // Any that the peer has not said to be over.
+    Never,        // A new connection, which closes after the call.
+    RecentlyUsed, // One that was in use a moment ago.
+    Any,          // Any that the peer has not said to be over.
 };
 
 struct HttpCallRequest
