--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -455,7 +455,7 @@
     if (end == HttpCallEnd::Complete && job.headReady) {
         job.ended = true;
         flushLater(id);
-    } else if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
+    } else if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::ReusedConnectionLost) {
         askAfterUpstream(id);
     } else {
         sendFailure(id, FailureCode::UpstreamFailed, Outcome::Unknown, {});
--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -24,7 +24,7 @@
         return "complete";
     case HttpCallEnd::NotSent:
         return "not sent";
-    case HttpCallEnd::KeptLost:
+    case HttpCallEnd::ReusedConnectionLost:
         return "kept connection lost";
     case HttpCallEnd::Interrupted:
         return "interrupted";
@@ -297,7 +297,7 @@
              {"events", active->events.eventCount()},
              {"ms", toMillis(loop_.now() - active->startedAt)}});
     active->events.discardPartial();
-    if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
+    if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::ReusedConnectionLost) {
         probeUpstream(number, *active);
         return;
     }
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -262,7 +262,7 @@
     } else if (end == SocketEnd::Finished && connection.reader.finishAtEnd()) {
         how = HttpCallEnd::Complete;
     } else if (connection.wasKept && !connection.answered) {
-        how = HttpCallEnd::KeptLost;
+        how = HttpCallEnd::ReusedConnectionLost;
     }
     if (calls_.find(call) == calls_.end()) {
         return;
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -49,11 +49,11 @@
 
 // How a call ended.
 enum class HttpCallEnd {
-    Complete,    // The whole answer arrived.
-    NotSent,     // The connection was never made: nothing was written.
-    KeptLost,    // A kept connection broke before any byte of the answer.
-    Interrupted, // The connection broke after the request may have been written.
-    Unreadable,  // What came is no HTTP answer.
+    Complete,             // The whole answer arrived.
+    NotSent,              // The connection was never made: nothing was written.
+    ReusedConnectionLost, // A kept connection broke before any byte of the answer.
+    Interrupted,          // The connection broke after the request may have been written.
+    Unreadable,           // What came is no HTTP answer.
 };
 
 // Receives the answer of one call. All calls come on the loop's thread.
--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -244,7 +244,7 @@
     runUntil([this] { return echo.requests == 2; });
     server->abort(echo.lastExchange);
     runUntil([&result] { return result.end.has_value(); });
-    CHECK_TRUE(result.end == HttpCallEnd::KeptLost);
+    CHECK_TRUE(result.end == HttpCallEnd::ReusedConnectionLost);
 }
 
 TEST(HttpStackTest, AnswersPipelinedRequestsInOrder)
