--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -28,7 +28,7 @@
         return "kept connection lost";
     case HttpCallEnd::Interrupted:
         return "interrupted";
-    case HttpCallEnd::Unreadable:
+    case HttpCallEnd::MalformedResponse:
         return "unreadable";
     }
     return "unknown";
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -209,7 +209,7 @@
         }
         if (connection.reader.fault()) {
             drop(socket);
-            endCall(call, HttpCallEnd::Unreadable);
+            endCall(call, HttpCallEnd::MalformedResponse);
             return;
         }
         if (!connection.reader.done()) {
