--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -53,7 +53,7 @@
     NotSent,              // The connection was never made: nothing was written.
     ReusedConnectionLost, // A kept connection broke before any byte of the answer.
     Interrupted,          // The connection broke after the request may have been written.
-    Unreadable,           // What came is no HTTP answer.
+    MalformedResponse,    // What came is no HTTP answer.
 };
 
 // Receives the answer of one call. All calls come on the loop's thread.
