--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -339,7 +339,7 @@
            && (connection->second->wasKept || sockets_->wroteAny(found->second));
 }
 
-void HttpClient::forget(const SocketAddress &address)
+void HttpClient::closeIdleConnections(const SocketAddress &address)
 {
     const auto found = kept_.find(address);
     if (found == kept_.end()) {
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -87,7 +87,7 @@
     // Tells whether any byte of the request was handed to the kernel.
     bool wroteAny(HttpCallId call) const;
     // Closes the kept connections to an address that is no longer the same peer.
-    void forget(const SocketAddress &address);
+    void closeIdleConnections(const SocketAddress &address);
 
     std::uint64_t connectionsMade() const { return connectionsMade_; }
 
