--- a/src/experts/engineclient.cpp
+++ b/src/experts/engineclient.cpp
@@ -31,7 +31,7 @@
     auto pending = std::make_shared<PendingQuery>(PendingQuery{engine, query, {}, std::move(done)});
     fetchText(
         loop_, client_, protocol_.reportCall(engine), kCallTimeout,
-        [this, pending](const HttpText &text) {
+        [this, pending](const HttpTextResponse &text) {
             if (!text.complete || text.status != kOk) {
                 pending->done(std::nullopt);
                 return;
@@ -54,7 +54,7 @@
         return;
     }
     fetchText(loop_, client_, protocol_.countsCall(pending->engine), kCallTimeout,
-              [this, pending](const HttpText &text) {
+              [this, pending](const HttpTextResponse &text) {
                   auto counts = protocol_.readCounts(text.body);
                   if (text.complete && text.status == kOk && counts) {
                       pending->facts.counts = std::move(*counts);
@@ -70,7 +70,7 @@
         return;
     }
     fetchText(loop_, client_, protocol_.expertsCall(pending->engine), kCallTimeout,
-              [this, pending](const HttpText &text) {
+              [this, pending](const HttpTextResponse &text) {
                   auto experts = protocol_.readExperts(text.body);
                   if (text.complete && text.status == kOk && experts) {
                       pending->facts.experts = std::move(*experts);
@@ -83,7 +83,7 @@
                              std::function<void(MapOrderAnswer)> done)
 {
     fetchText(loop_, client_, protocol_.orderCall(engine, order), kCallTimeout,
-              [this, done = std::move(done)](const HttpText &text) {
+              [this, done = std::move(done)](const HttpTextResponse &text) {
                   done(text.complete ? protocol_.readOrderAnswer(text.status)
                                      : MapOrderAnswer::Lost);
               });
--- a/src/gateway/storewatcher.cpp
+++ b/src/gateway/storewatcher.cpp
@@ -49,13 +49,14 @@
     ++calls_;
     sentAt_ = loop_.now();
     request.connectTimeout = settings_.answerTimeout;
-    call_ = fetchText(loop_, client_, std::move(request), timeout, [this](const HttpText &text) {
-        if (text.complete) {
-            onAnswer(text);
-        } else {
-            onFailure("no whole answer in time");
-        }
-    });
+    call_ = fetchText(loop_, client_, std::move(request), timeout,
+                      [this](const HttpTextResponse &text) {
+                          if (text.complete) {
+                              onAnswer(text);
+                          } else {
+                              onFailure("no whole answer in time");
+                          }
+                      });
 }
 
 void StoreWatcher::list(const std::string &page)
@@ -78,7 +79,7 @@
 // Adopts the era that an answer reports. Returns false if the answer is unusable: it is from an
 // earlier era, or it is the first of a later era and continues from a state that the store has
 // lost.
-bool StoreWatcher::acceptEra(const HttpText &text)
+bool StoreWatcher::acceptEra(const HttpTextResponse &text)
 {
     const StorePosition reported{store_.readEra(text.headers), 0};
     if (reported.era == 0 || reported.era == position_.era) {
@@ -98,7 +99,7 @@
     return false;
 }
 
-void StoreWatcher::onAnswer(const HttpText &text)
+void StoreWatcher::onAnswer(const HttpTextResponse &text)
 {
     if (!acceptEra(text)) {
         return;
--- a/src/gateway/storewatcher.h
+++ b/src/gateway/storewatcher.h
@@ -74,8 +74,8 @@
     void list(const std::string &page);
     void watch();
     void makeCall(HttpCallRequest request, Duration timeout);
-    void onAnswer(const HttpText &text);
-    bool acceptEra(const HttpText &text);
+    void onAnswer(const HttpTextResponse &text);
+    bool acceptEra(const HttpTextResponse &text);
     void onListed(StoreItems items);
     void onChanged(const StoreItems &items);
     void onError(StoreError error);
--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -13,7 +13,7 @@
 class TextReceiver final : public HttpCallReceiver
 {
 public:
-    TextReceiver(EventLoop &loop, std::function<void(HttpText)> done)
+    TextReceiver(EventLoop &loop, std::function<void(HttpTextResponse)> done)
         : loop_(loop)
         , done_(std::move(done))
     {}
@@ -26,7 +26,7 @@
     {
         timer_ = loop_.schedule(patience, [&client, call, done = done_] {
             client.cancel(call); // Releases this receiver.
-            done(HttpText());
+            done(HttpTextResponse());
         });
     }
 
@@ -51,8 +51,8 @@
 
 private:
     EventLoop &loop_;
-    std::function<void(HttpText)> done_;
-    HttpText text_;
+    std::function<void(HttpTextResponse)> done_;
+    HttpTextResponse text_;
     TimerId timer_ = 0;
     bool tooLong_ = false;
 };
@@ -60,7 +60,7 @@
 } // namespace
 
 HttpCallId fetchText(EventLoop &loop, HttpClient &client, HttpCallRequest request,
-                     Duration patience, std::function<void(HttpText)> done)
+                     Duration patience, std::function<void(HttpTextResponse)> done)
 {
     request.connectTimeout = std::min(request.connectTimeout, patience);
     auto receiver = std::make_unique<TextReceiver>(loop, std::move(done));
--- a/src/net/httpfetch.h
+++ b/src/net/httpfetch.h
@@ -9,7 +9,7 @@
 
 namespace seamarch {
 
-struct HttpText
+struct HttpTextResponse
 {
     bool complete = false; // The whole answer arrived in time; else the fields below mean nothing.
     int status = 0;
@@ -21,6 +21,6 @@
 // takes longer than `patience`, or whose answer is longer than a few megabytes, is broken off.
 // Returns the call, which can be cancelled until then; `done` then hears nothing.
 HttpCallId fetchText(EventLoop &loop, HttpClient &client, HttpCallRequest request,
-                     Duration patience, std::function<void(HttpText)> done);
+                     Duration patience, std::function<void(HttpTextResponse)> done);
 
 } // namespace seamarch
