--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -22,9 +22,9 @@
     TextReceiver &operator=(const TextReceiver &) = delete;
 
     // Breaks the call off after `patience`.
-    void limit(HttpClient &client, HttpCallId call, Duration patience)
+    void limit(HttpClient &client, HttpCallId call, Duration timeout)
     {
-        timer_ = loop_.schedule(patience, [&client, call, done = done_] {
+        timer_ = loop_.schedule(timeout, [&client, call, done = done_] {
             client.cancel(call); // Releases this receiver.
             done(HttpTextResponse());
         });
@@ -59,14 +59,14 @@
 
 } // namespace
 
-HttpCallId fetchText(EventLoop &loop, HttpClient &client, HttpCallRequest request,
-                     Duration patience, std::function<void(HttpTextResponse)> done)
+HttpCallId fetchText(EventLoop &loop, HttpClient &client, HttpCallRequest request, Duration timeout,
+                     std::function<void(HttpTextResponse)> done)
 {
-    request.connectTimeout = std::min(request.connectTimeout, patience);
+    request.connectTimeout = std::min(request.connectTimeout, timeout);
     auto receiver = std::make_unique<TextReceiver>(loop, std::move(done));
     TextReceiver &added = *receiver;
     const HttpCallId call = client.call(std::move(request), std::move(receiver));
-    added.limit(client, call, patience);
+    added.limit(client, call, timeout);
     return call;
 }
 
--- a/src/net/httpfetch.h
+++ b/src/net/httpfetch.h
@@ -20,7 +20,7 @@
 // Makes a call and hands its whole answer to `done`, never from inside this function. A call that
 // takes longer than `patience`, or whose answer is longer than a few megabytes, is broken off.
 // Returns the call, which can be cancelled until then; `done` then hears nothing.
-HttpCallId fetchText(EventLoop &loop, HttpClient &client, HttpCallRequest request,
-                     Duration patience, std::function<void(HttpTextResponse)> done);
+HttpCallId fetchText(EventLoop &loop, HttpClient &client, HttpCallRequest request, Duration timeout,
+                     std::function<void(HttpTextResponse)> done);
 
 } // namespace seamarch
