--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -22,7 +22,7 @@
     TextReceiver &operator=(const TextReceiver &) = delete;
 
     // Breaks the call off after `patience`.
-    void limit(HttpClient &client, HttpCallId call, Duration timeout)
+    void startTimeout(HttpClient &client, HttpCallId call, Duration timeout)
     {
         timer_ = loop_.schedule(timeout, [&client, call, done = done_] {
             client.cancel(call); // Releases this receiver.
@@ -66,7 +66,7 @@
     auto receiver = std::make_unique<TextReceiver>(loop, std::move(done));
     TextReceiver &added = *receiver;
     const HttpCallId call = client.call(std::move(request), std::move(receiver));
-    added.limit(client, call, timeout);
+    added.startTimeout(client, call, timeout);
     return call;
 }
 
