--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -7,7 +7,7 @@
 namespace seamarch {
 namespace {
 
-constexpr std::size_t kMaxBytes = std::size_t{16} * 1024 * 1024;
+constexpr std::size_t kMaxBodyBytes = std::size_t{16} * 1024 * 1024;
 
 // Collects one answer. Its timer ends with it, however the call ends.
 class TextReceiver final : public HttpCallReceiver
@@ -37,7 +37,7 @@
     }
     void onPiece(std::string_view piece) override
     {
-        tooLong_ = tooLong_ || text_.body.size() + piece.size() > kMaxBytes;
+        tooLong_ = tooLong_ || text_.body.size() + piece.size() > kMaxBodyBytes;
         if (!tooLong_) {
             text_.body.append(piece);
         }
