--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -37,14 +37,14 @@
     }
     void onPiece(std::string_view piece) override
     {
-        tooLong_ = tooLong_ || text_.body.size() + piece.size() > kMaxBodyBytes;
-        if (!tooLong_) {
+        tooLarge_ = tooLarge_ || text_.body.size() + piece.size() > kMaxBodyBytes;
+        if (!tooLarge_) {
             text_.body.append(piece);
         }
     }
     void onEnd(HttpCallEnd end) override
     {
-        text_.complete = end == HttpCallEnd::Complete && !tooLong_;
+        text_.complete = end == HttpCallEnd::Complete && !tooLarge_;
         const auto done = std::move(done_);
         done(std::move(text_));
     }
@@ -54,7 +54,7 @@
     std::function<void(HttpTextResponse)> done_;
     HttpTextResponse text_;
     TimerId timer_ = 0;
-    bool tooLong_ = false;
+    bool tooLarge_ = false;
 };
 
 } // namespace
