--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -32,27 +32,27 @@
 
     void onHead(HttpHead head) override
     {
-        text_.status = head.status;
-        text_.headers = std::move(head.headers);
+        response_.status = head.status;
+        response_.headers = std::move(head.headers);
     }
     void onPiece(std::string_view piece) override
     {
-        tooLarge_ = tooLarge_ || text_.body.size() + piece.size() > kMaxBodyBytes;
+        tooLarge_ = tooLarge_ || response_.body.size() + piece.size() > kMaxBodyBytes;
         if (!tooLarge_) {
-            text_.body.append(piece);
+            response_.body.append(piece);
         }
     }
     void onEnd(HttpCallEnd end) override
     {
-        text_.complete = end == HttpCallEnd::Complete && !tooLarge_;
+        response_.complete = end == HttpCallEnd::Complete && !tooLarge_;
         const auto done = std::move(done_);
-        done(std::move(text_));
+        done(std::move(response_));
     }
 
 private:
     EventLoop &loop_;
     std::function<void(HttpTextResponse)> done_;
-    HttpTextResponse text_;
+    HttpTextResponse response_;
     TimerId timer_ = 0;
     bool tooLarge_ = false;
 };
