--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -64,9 +64,9 @@
 {
     request.connectTimeout = std::min(request.connectTimeout, timeout);
     auto receiver = std::make_unique<TextReceiver>(loop, std::move(done));
-    TextReceiver &added = *receiver;
+    TextReceiver &receiverRef = *receiver;
     const HttpCallId call = client.call(std::move(request), std::move(receiver));
-    added.startTimeout(client, call, timeout);
+    receiverRef.startTimeout(client, call, timeout);
     return call;
 }
 
