--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -259,7 +259,7 @@
     HttpCallEnd how = HttpCallEnd::Interrupted;
     if (end == SocketEnd::Unreachable || end == SocketEnd::Refused) {
         how = HttpCallEnd::NotSent;
-    } else if (end == SocketEnd::Finished && connection.reader.finishAtEnd()) {
+    } else if (end == SocketEnd::Finished && connection.reader.finishOnConnectionEnd()) {
         how = HttpCallEnd::Complete;
     } else if (connection.wasKept && !connection.answered) {
         how = HttpCallEnd::ReusedConnectionLost;
--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -273,7 +273,7 @@
     return used + execute(bytes);
 }
 
-bool HttpReader::finishAtEnd()
+bool HttpReader::finishOnConnectionEnd()
 {
     if (done_) {
         return true;
--- a/src/net/httpreader.h
+++ b/src/net/httpreader.h
@@ -76,7 +76,7 @@
     // left over belongs to the next message.
     std::size_t feed(std::string_view bytes);
     // The peer ended the connection in order. Returns whether that completes the message.
-    bool finishAtEnd();
+    bool finishOnConnectionEnd();
 
     // Tells whether any byte of the current message has been read.
     bool started() const { return started_; }
--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -118,7 +118,7 @@
     reader.feed("HTTP/1.1 200 OK\r\nA: b\r\n\r\nsome text");
     CHECK_FALSE(message.head.framed);
     CHECK_FALSE(reader.done());
-    CHECK_TRUE(reader.finishAtEnd());
+    CHECK_TRUE(reader.finishOnConnectionEnd());
     STRCMP_EQUAL("some text", message.body.c_str());
 }
 
@@ -130,7 +130,7 @@
         Message message;
         HttpReader reader(HttpReader::Kind::Response, kLimits, message);
         reader.feed(text);
-        CHECK_FALSE_TEXT(reader.finishAtEnd(), text);
+        CHECK_FALSE_TEXT(reader.finishOnConnectionEnd(), text);
     }
 }
 
