--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -60,8 +60,9 @@
 std::size_t count(const HttpHeaders &headers, std::string_view name)
 {
     return static_cast<std::size_t>(
-        std::count_if(headers.begin(), headers.end(),
-                      [name](const HttpHeader &header) { return sameToken(header.name, name); }));
+        std::count_if(headers.begin(), headers.end(), [name](const HttpHeader &header) {
+            return equalsIgnoreCase(header.name, name);
+        }));
 }
 
 } // namespace
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -43,7 +43,7 @@
         request.headers = std::move(head.headers);
         persistent = head.persistent;
         version10 = head.version10;
-        wantsContinue = sameToken(request.header("expect"), "100-continue");
+        wantsContinue = equalsIgnoreCase(request.header("expect"), "100-continue");
     }
 
     void onBody(std::string_view piece) override { request.body.append(piece); }
--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-bool sameToken(std::string_view left, std::string_view right)
+bool equalsIgnoreCase(std::string_view left, std::string_view right)
 {
     return left.size() == right.size()
            && std::equal(left.begin(), left.end(), right.begin(), [](char a, char b) {
@@ -45,7 +45,7 @@
 {
     static const std::string kNone;
     const auto found = std::find_if(headers.begin(), headers.end(), [name](const HttpHeader &each) {
-        return sameToken(each.name, name);
+        return equalsIgnoreCase(each.name, name);
     });
     return found == headers.end() ? kNone : found->value;
 }
@@ -54,7 +54,7 @@
 {
     while (!list.empty()) {
         const std::size_t comma = list.find(',');
-        if (sameToken(trim(list.substr(0, comma)), token)) {
+        if (equalsIgnoreCase(trim(list.substr(0, comma)), token)) {
             return true;
         }
         list = comma == std::string_view::npos ? std::string_view() : list.substr(comma + 1);
@@ -69,8 +69,9 @@
     const std::string &named = findHeader(headers, "connection");
     for (const HttpHeader &header : headers) {
         const bool singleHop =
-            std::any_of(kSingleHop.begin(), kSingleHop.end(),
-                        [&header](std::string_view name) { return sameToken(name, header.name); });
+            std::any_of(kSingleHop.begin(), kSingleHop.end(), [&header](std::string_view name) {
+                return equalsIgnoreCase(name, header.name);
+            });
         if (!singleHop && !listHolds(named, header.name)) {
             kept.push_back(header);
         }
--- a/src/net/httptypes.h
+++ b/src/net/httptypes.h
@@ -16,7 +16,7 @@
 using HttpHeaders = std::vector<HttpHeader>;
 
 // Tells whether two header names or tokens are the same without regard to case.
-bool sameToken(std::string_view left, std::string_view right);
+bool equalsIgnoreCase(std::string_view left, std::string_view right);
 
 // Returns the value of the first header `name`, or an empty string.
 const std::string &findHeader(const HttpHeaders &headers, std::string_view name);
