--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -50,7 +50,7 @@
     return found == headers.end() ? kNone : found->value;
 }
 
-bool listHolds(std::string_view list, std::string_view token)
+bool listContains(std::string_view list, std::string_view token)
 {
     while (!list.empty()) {
         const std::size_t comma = list.find(',');
@@ -72,7 +72,7 @@
             std::any_of(kSingleHop.begin(), kSingleHop.end(), [&header](std::string_view name) {
                 return equalsIgnoreCase(name, header.name);
             });
-        if (!singleHop && !listHolds(named, header.name)) {
+        if (!singleHop && !listContains(named, header.name)) {
             kept.push_back(header);
         }
     }
--- a/src/net/httptypes.h
+++ b/src/net/httptypes.h
@@ -22,7 +22,7 @@
 const std::string &findHeader(const HttpHeaders &headers, std::string_view name);
 
 // Tells whether a list of tokens such as the value of `Connection` holds `token`.
-bool listHolds(std::string_view list, std::string_view token);
+bool listContains(std::string_view list, std::string_view token);
 
 // Returns the headers that go on to the next hop: all but those that speak of one connection or of
 // how the body is framed on it.
