--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -199,7 +199,7 @@
         head_.status = static_cast<int>(parser.status_code);
         head_.framed = noBody_ || hasLength || chunked || statusHasNoBody(head_.status);
     }
-    head_.version10 = parser.http_major == 1 && parser.http_minor == 0;
+    head_.isHttp10 = parser.http_major == 1 && parser.http_minor == 0;
     head_.persistent = http_should_keep_alive(&parser) != 0;
     if (hasLength) {
         head_.contentLength = parser.content_length;
--- a/src/net/httpreader.h
+++ b/src/net/httpreader.h
@@ -37,7 +37,7 @@
     int status = 0;
     HttpHeaders headers;
     bool persistent = false;                    // The connection may be used again.
-    bool version10 = false;                     // The peer speaks HTTP/1.0: no chunks.
+    bool isHttp10 = false;                      // The peer speaks HTTP/1.0: no chunks.
     bool framed = true;                         // False: the body ends with the connection.
     std::optional<std::uint64_t> contentLength; // Of the body, when the head tells it.
 };
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -42,7 +42,7 @@
         request.target = std::move(head.target);
         request.headers = std::move(head.headers);
         persistent = head.persistent;
-        version10 = head.version10;
+        isHttp10 = head.isHttp10;
         wantsContinue = equalsIgnoreCase(request.header("expect"), "100-continue");
     }
 
@@ -58,7 +58,7 @@
     Framing framing = Framing::Chunked;
     std::uint64_t lengthLeft = 0;
     bool persistent = true;
-    bool version10 = false;
+    bool isHttp10 = false;
     bool wantsContinue = false;
     bool headRequest = false;
     bool headSent = false;
@@ -212,7 +212,7 @@
     const bool bodiless = statusHasNoBody(head.status);
     connection.headSent = true;
     connection.framing = whole || head.contentLength ? Framing::Length : Framing::Chunked;
-    if (connection.framing == Framing::Chunked && connection.version10) {
+    if (connection.framing == Framing::Chunked && connection.isHttp10) {
         connection.framing = Framing::UntilClose;
         connection.persistent = false;
     }
