--- a/src/net/eventloop.h
+++ b/src/net/eventloop.h
@@ -23,7 +23,7 @@
 namespace detail {
 
 // Tells kj that the loop around it is another's: kj never blocks and only notes that it has work.
-class GuestEventPort final : public kj::EventPort
+class NonBlockingEventPort final : public kj::EventPort
 {
 public:
     bool wait() override { return false; }
@@ -84,7 +84,7 @@
     void handleInterrupt();
     static void onTimer(lws_sorted_usec_list_t *entry);
 
-    detail::GuestEventPort port_;
+    detail::NonBlockingEventPort port_;
     kj::EventLoop kjLoop_;
     kj::WaitScope waitScope_;
     lws_context *context_ = nullptr;
