--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -125,7 +125,7 @@
     installSignals(**loop);
     SettingsReload reload(**loop, options,
                           [&](const DaemonOptions &fresh) { apply(**service, fresh); });
-    (*loop)->onInterrupt([&] {
+    (*loop)->setInterruptHandler([&] {
         if (stopAsked != 0) {
             (*service)->stop();
         }
--- a/src/net/eventloop.h
+++ b/src/net/eventloop.h
@@ -68,7 +68,10 @@
     void stop();
 
     // Has `handler` called on the loop's thread soon after interrupt().
-    void onInterrupt(std::function<void()> handler) { interruptHandler_ = std::move(handler); }
+    void setInterruptHandler(std::function<void()> handler)
+    {
+        interruptHandler_ = std::move(handler);
+    }
     // May be called from a signal handler.
     void interrupt();
 
