--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -391,18 +391,18 @@
 void AgentService::takeRestWish(const HttpHead &head)
 {
     const RetryAfter wish = readRetryAfter(head.status, head.headers);
-    if (!wish.rest && !wish.unreadable) {
+    if (!wish.delay && !wish.unreadable) {
         return;
     }
-    metrics_.count("seamarch_upstream_notices_total", wish.rest ? "rest" : "unreadable");
+    metrics_.count("seamarch_upstream_notices_total", wish.delay ? "rest" : "unreadable");
     logLine(LogLevel::Info, "upstream.notice",
             {{"upstream", settings_.instance.value()},
              {"status", head.status},
-             {"restMs", wish.rest ? json(toMillis(*wish.rest)) : json()},
+             {"restMs", wish.delay ? json(toMillis(*wish.delay)) : json()},
              {"restUnreadable", wish.unreadable}});
-    if (wish.rest) {
+    if (wish.delay) {
         AgentActions actions;
-        core_.backOffUntil(loop_.now() + *wish.rest, loop_.now(), actions);
+        core_.backOffUntil(loop_.now() + *wish.delay, loop_.now(), actions);
         carryOut(actions);
     }
 }
