--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -391,7 +391,7 @@
 void AgentService::takeRestWish(const HttpHead &head)
 {
     const RetryAfter wish = readRetryAfter(head.status, head.headers);
-    if (!wish.delay && !wish.unreadable) {
+    if (!wish.delay && !wish.invalid) {
         return;
     }
     metrics_.count("seamarch_upstream_notices_total", wish.delay ? "rest" : "unreadable");
@@ -399,7 +399,7 @@
             {{"upstream", settings_.instance.value()},
              {"status", head.status},
              {"restMs", wish.delay ? json(toMillis(*wish.delay)) : json()},
-             {"restUnreadable", wish.unreadable}});
+             {"restUnreadable", wish.invalid}});
     if (wish.delay) {
         AgentActions actions;
         core_.backOffUntil(loop_.now() + *wish.delay, loop_.now(), actions);
