--- a/src/net/retryafter.cpp
+++ b/src/net/retryafter.cpp
@@ -33,8 +33,8 @@
         return {};
     }
     RetryAfter wish;
-    wish.rest = readSeconds(text);
-    wish.unreadable = !wish.rest;
+    wish.delay = readSeconds(text);
+    wish.unreadable = !wish.delay;
     return wish;
 }
 
--- a/src/net/retryafter.h
+++ b/src/net/retryafter.h
@@ -11,7 +11,7 @@
 // The wish in the head of an answer. The form with a date is not read: it would compare clocks.
 struct RetryAfter
 {
-    std::optional<Duration> rest;
+    std::optional<Duration> delay;
     bool unreadable = false; // There is a wish, but it is no number of seconds.
 };
 
--- a/test/net/retryafter_test.cpp
+++ b/test/net/retryafter_test.cpp
@@ -17,16 +17,16 @@
 
 TEST(RetryAfterTest, SecondsAreReadWithTheirFractions)
 {
-    CHECK_TRUE(read("3").rest == Duration(std::chrono::seconds(3)));
-    CHECK_TRUE(read("1.25").rest == Duration(std::chrono::milliseconds(1250)));
-    CHECK_TRUE(read("0").rest == Duration{});
+    CHECK_TRUE(read("3").delay == Duration(std::chrono::seconds(3)));
+    CHECK_TRUE(read("1.25").delay == Duration(std::chrono::milliseconds(1250)));
+    CHECK_TRUE(read("0").delay == Duration{});
 }
 
 TEST(RetryAfterTest, OnlyAnswersThatTurnAwayAskForRest)
 {
-    CHECK_TRUE(read("3", 429).rest.has_value());
+    CHECK_TRUE(read("3", 429).delay.has_value());
     for (const int status : {200, 301, 408, 421, 500, 502}) {
-        CHECK_FALSE(read("3", status).rest.has_value());
+        CHECK_FALSE(read("3", status).delay.has_value());
         CHECK_FALSE(read("3", status).unreadable);
     }
 }
@@ -35,18 +35,18 @@
 {
     for (const char *text : {"soon", "-1", "3s", "3 ", "nan", "inf", "1e3", "0x3", "3,5",
                              "Wed, 21 Oct 2015 07:28:00 GMT"}) {
-        CHECK_TEXT(!read(text).rest.has_value(), text);
+        CHECK_TEXT(!read(text).delay.has_value(), text);
         CHECK_TEXT(read(text).unreadable, text);
     }
 }
 
 TEST(RetryAfterTest, HugeWishIsTakenForADay)
 {
-    CHECK_TRUE(read("99999999999999999999").rest == Duration(std::chrono::hours(24)));
+    CHECK_TRUE(read("99999999999999999999").delay == Duration(std::chrono::hours(24)));
 }
 
 TEST(RetryAfterTest, NoWishIsNeitherReadNorUnreadable)
 {
-    CHECK_FALSE(readRetryAfter(503, {}).rest.has_value());
+    CHECK_FALSE(readRetryAfter(503, {}).delay.has_value());
     CHECK_FALSE(readRetryAfter(503, {}).unreadable);
 }
