--- a/src/net/retryafter.cpp
+++ b/src/net/retryafter.cpp
@@ -34,7 +34,7 @@
     }
     RetryAfter wish;
     wish.delay = readSeconds(text);
-    wish.unreadable = !wish.delay;
+    wish.invalid = !wish.delay;
     return wish;
 }
 
--- a/src/net/retryafter.h
+++ b/src/net/retryafter.h
@@ -12,7 +12,7 @@
 struct RetryAfter
 {
     std::optional<Duration> delay;
-    bool unreadable = false; // There is a wish, but it is no number of seconds.
+    bool invalid = false; // There is a wish, but it is no number of seconds.
 };
 
 // Returns the wish in an answer with `status`; none where such an answer turns nothing away.
--- a/test/net/retryafter_test.cpp
+++ b/test/net/retryafter_test.cpp
@@ -27,7 +27,7 @@
     CHECK_TRUE(read("3", 429).delay.has_value());
     for (const int status : {200, 301, 408, 421, 500, 502}) {
         CHECK_FALSE(read("3", status).delay.has_value());
-        CHECK_FALSE(read("3", status).unreadable);
+        CHECK_FALSE(read("3", status).invalid);
     }
 }
 
@@ -36,7 +36,7 @@
     for (const char *text : {"soon", "-1", "3s", "3 ", "nan", "inf", "1e3", "0x3", "3,5",
                              "Wed, 21 Oct 2015 07:28:00 GMT"}) {
         CHECK_TEXT(!read(text).delay.has_value(), text);
-        CHECK_TEXT(read(text).unreadable, text);
+        CHECK_TEXT(read(text).invalid, text);
     }
 }
 
@@ -48,5 +48,5 @@
 TEST(RetryAfterTest, NoWishIsNeitherReadNorUnreadable)
 {
     CHECK_FALSE(readRetryAfter(503, {}).delay.has_value());
-    CHECK_FALSE(readRetryAfter(503, {}).unreadable);
+    CHECK_FALSE(readRetryAfter(503, {}).invalid);
 }
