--- a/src/net/retryafter.cpp
+++ b/src/net/retryafter.cpp
@@ -32,10 +32,10 @@
     if (text.empty() || (status != kTooManyRequests && status != kUnavailable)) {
         return {};
     }
-    RetryAfter wish;
-    wish.delay = readSeconds(text);
-    wish.invalid = !wish.delay;
-    return wish;
+    RetryAfter result;
+    result.delay = readSeconds(text);
+    result.invalid = !result.delay;
+    return result;
 }
 
 } // namespace seamarch
