--- a/src/net/retryafter.cpp
+++ b/src/net/retryafter.cpp
@@ -10,7 +10,7 @@
 
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
-constexpr Duration kLongestRest = std::chrono::hours(24);
+constexpr Duration kMaxDelay = std::chrono::hours(24);
 
 std::optional<Duration> readSeconds(std::string_view text)
 {
@@ -21,7 +21,7 @@
     if (!whole || !std::isfinite(seconds) || seconds < 0.0) {
         return std::nullopt;
     }
-    return fromSeconds(std::min(seconds, toSeconds(kLongestRest)));
+    return fromSeconds(std::min(seconds, toSeconds(kMaxDelay)));
 }
 
 } // namespace
