--- a/src/net/retryafter.cpp
+++ b/src/net/retryafter.cpp
@@ -17,8 +17,8 @@
     double seconds = 0.0;
     const char *end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, seconds, std::chars_format::fixed);
-    const bool whole = !text.empty() && error == std::errc() && stop == end;
-    if (!whole || !std::isfinite(seconds) || seconds < 0.0) {
+    const bool parsed = !text.empty() && error == std::errc() && stop == end;
+    if (!parsed || !std::isfinite(seconds) || seconds < 0.0) {
         return std::nullopt;
     }
     return fromSeconds(std::min(seconds, toSeconds(kMaxDelay)));
