--- a/src/net/retryafter.cpp
+++ b/src/net/retryafter.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kTooManyRequests = 429;
-constexpr int kUnavailable = 503;
+constexpr int kServiceUnavailable = 503;
 constexpr Duration kMaxDelay = std::chrono::hours(24);
 
 std::optional<Duration> readSeconds(std::string_view text)
@@ -29,7 +29,7 @@
 RetryAfter readRetryAfter(int status, const HttpHeaders &headers)
 {
     const std::string &text = findHeader(headers, "retry-after");
-    if (text.empty() || (status != kTooManyRequests && status != kUnavailable)) {
+    if (text.empty() || (status != kTooManyRequests && status != kServiceUnavailable)) {
         return {};
     }
     RetryAfter result;
