--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -13,7 +13,7 @@
 constexpr int kMaxHttpHeaderBytes = 16 * 1024;
 constexpr int kNetworkTimeoutSeconds = 20;
 // How long log lines wait for more, so that many go out with one system call.
-constexpr Duration kFlushGap = std::chrono::milliseconds(50);
+constexpr Duration kLogFlushInterval = std::chrono::milliseconds(50);
 
 void writeLibraryLog(int level, const char *line)
 {
@@ -156,7 +156,7 @@
     constexpr int kWait = 0;
     TimePoint flushedAt = now();
     while (!stopping_) {
-        if (now() - flushedAt >= kFlushGap) {
+        if (now() - flushedAt >= kLogFlushInterval) {
             flushLog();
             flushedAt = now();
         }
