--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -111,8 +111,8 @@
     timer->id = nextTimer_++;
     timer->action = std::move(action);
     const TimerId id = timer->id;
-    const Duration shortest(1);
-    lws_sul_schedule(context_, 0, &timer->entry, onTimer, std::max(delay, shortest).count());
+    const Duration minimumDelay(1);
+    lws_sul_schedule(context_, 0, &timer->entry, onTimer, std::max(delay, minimumDelay).count());
     timers_.emplace(id, std::move(timer));
     return id;
 }
