--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -153,7 +153,7 @@
 void EventLoop::run()
 {
     constexpr int kPollOnly = -1;
-    constexpr int kWait = 0;
+    constexpr int kWaitForEvents = 0;
     TimePoint flushedAt = now();
     while (!stopping_) {
         if (now() - flushedAt >= kLogFlushInterval) {
@@ -164,7 +164,7 @@
         runPosted();
         handleInterrupt();
         const bool busy = port_.runnable() || !posted_.empty();
-        if (lws_service(context_, busy ? kPollOnly : kWait) < 0) {
+        if (lws_service(context_, busy ? kPollOnly : kWaitForEvents) < 0) {
             break;
         }
     }
