--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -49,7 +49,7 @@
 };
 
 EventLoop::EventLoop()
-    : kjLoop_(port_)
+    : kjLoop_(eventPort_)
     , waitScope_(kjLoop_)
 {}
 
@@ -163,7 +163,7 @@
         kjLoop_.run();
         runPosted();
         handleInterrupt();
-        const bool busy = port_.runnable() || !posted_.empty();
+        const bool busy = eventPort_.runnable() || !posted_.empty();
         if (lws_service(context_, busy ? kPollOnly : kWaitForEvents) < 0) {
             break;
         }
--- a/src/net/eventloop.h
+++ b/src/net/eventloop.h
@@ -87,7 +87,7 @@
     void handleInterrupt();
     static void onTimer(lws_sorted_usec_list_t *entry);
 
-    detail::NonBlockingEventPort port_;
+    detail::NonBlockingEventPort eventPort_;
     kj::EventLoop kjLoop_;
     kj::WaitScope waitScope_;
     lws_context *context_ = nullptr;
