--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -10,7 +10,7 @@
 namespace seamarch {
 namespace {
 
-constexpr Duration kSweep = std::chrono::milliseconds(250);
+constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
 // How long a connection counts as in use a moment ago: servers close idle ones after seconds.
 constexpr Duration kYoung = std::chrono::milliseconds(900);
 // How long a connection is kept when the peer does not say how long it keeps it.
@@ -97,7 +97,8 @@
     }
     client->sockets_ = std::move(*sockets);
     HttpClient *self = client.get();
-    self->sweepTimer_ = std::make_unique<PeriodicTimer>(loop, kSweep, [self] { self->sweep(); });
+    self->sweepTimer_ =
+        std::make_unique<PeriodicTimer>(loop, kSweepInterval, [self] { self->sweep(); });
     return client;
 }
 
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -12,7 +12,7 @@
 // Bytes that a caller may send ahead of its answers before its connection is no longer read.
 constexpr std::size_t kMaxAhead = 64 * 1024;
 // How often timeouts are checked; they are seconds.
-constexpr Duration kSweep = std::chrono::milliseconds(250);
+constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
 // How long a connection that is being closed is read, so that the answer is not lost to a reset.
 constexpr Duration kLinger = std::chrono::seconds(1);
 
@@ -89,7 +89,8 @@
     if (auto listening = self->sockets_->listen(self->options_.address, accept); !listening) {
         return tl::unexpected(listening.error());
     }
-    self->sweepTimer_ = std::make_unique<PeriodicTimer>(loop, kSweep, [self] { self->sweep(); });
+    self->sweepTimer_ =
+        std::make_unique<PeriodicTimer>(loop, kSweepInterval, [self] { self->sweep(); });
     return server;
 }
 
