--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -12,7 +12,7 @@
 
 constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
 // How long a connection counts as in use a moment ago: servers close idle ones after seconds.
-constexpr Duration kYoung = std::chrono::milliseconds(900);
+constexpr Duration kRecentUseLimit = std::chrono::milliseconds(900);
 // How long a connection is kept when the peer does not say how long it keeps it.
 constexpr Duration kDefaultKeep = std::chrono::seconds(4);
 // Taken off what the peer says: its close may be on its way, and it counts in whole seconds.
@@ -137,7 +137,7 @@
     const Connection &connection = *connections_.at(socket);
     const Duration idle = loop_.now() - connection.idleSince;
     const Duration limit = request.reuse == ConnectionReuse::RecentlyUsed
-                               ? std::min(kYoung, connection.keepFor)
+                               ? std::min(kRecentUseLimit, connection.keepFor)
                                : connection.keepFor;
     if (idle >= limit) {
         return 0;
