--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -14,7 +14,7 @@
 // How long a connection counts as in use a moment ago: servers close idle ones after seconds.
 constexpr Duration kRecentUseLimit = std::chrono::milliseconds(900);
 // How long a connection is kept when the peer does not say how long it keeps it.
-constexpr Duration kDefaultKeep = std::chrono::seconds(4);
+constexpr Duration kDefaultKeepAlive = std::chrono::seconds(4);
 // Taken off what the peer says: its close may be on its way, and it counts in whole seconds.
 constexpr Duration kKeepMargin = std::chrono::milliseconds(700);
 // Kept connections to one address; more are closed.
@@ -29,7 +29,7 @@
     const std::string &value = findHeader(headers, "keep-alive");
     const std::size_t at = value.find(kTimeout);
     if (at == std::string::npos) {
-        return kDefaultKeep;
+        return kDefaultKeepAlive;
     }
     int seconds = 0;
     const char *start = value.data() + at + kTimeout.size();
