--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -16,7 +16,7 @@
 // How long a connection is kept when the peer does not say how long it keeps it.
 constexpr Duration kDefaultKeepAlive = std::chrono::seconds(4);
 // Taken off what the peer says: its close may be on its way, and it counts in whole seconds.
-constexpr Duration kKeepMargin = std::chrono::milliseconds(700);
+constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
 // Kept connections to one address; more are closed.
 constexpr std::size_t kMaxKept = 16;
 constexpr std::size_t kMaxAnswerHead = std::size_t{64} * 1024;
@@ -34,7 +34,7 @@
     int seconds = 0;
     const char *start = value.data() + at + kTimeout.size();
     std::from_chars(start, value.data() + value.size(), seconds);
-    return std::chrono::seconds(seconds) - kKeepMargin;
+    return std::chrono::seconds(seconds) - kKeepAliveMargin;
 }
 
 } // namespace
