--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -18,7 +18,7 @@
 // Taken off what the peer says: its close may be on its way, and it counts in whole seconds.
 constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
 // Kept connections to one address; more are closed.
-constexpr std::size_t kMaxKept = 16;
+constexpr std::size_t kMaxIdlePerAddress = 16;
 constexpr std::size_t kMaxAnswerHead = std::size_t{64} * 1024;
 constexpr int kFirstFinalStatus = 200;
 
@@ -232,7 +232,7 @@
     std::vector<SocketId> &kept = kept_[connection.address];
     const bool keep = connection.persistent && !surplus && sockets_->queued(socket) == 0
                       && connection.request.reuse != ConnectionReuse::Never
-                      && kept.size() < kMaxKept;
+                      && kept.size() < kMaxIdlePerAddress;
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection.receiver);
     calls_.erase(call);
     connection.call = 0;
