--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -19,7 +19,7 @@
 constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
 // Kept connections to one address; more are closed.
 constexpr std::size_t kMaxIdlePerAddress = 16;
-constexpr std::size_t kMaxAnswerHead = std::size_t{64} * 1024;
+constexpr std::size_t kMaxResponseHeadBytes = std::size_t{64} * 1024;
 constexpr int kFirstFinalStatus = 200;
 
 // Returns how long a peer that sent these headers keeps the connection.
@@ -45,7 +45,7 @@
         : socket(id)
         , address(std::move(peer))
         , reader(HttpReader::Kind::Response,
-                 {kMaxAnswerHead, std::numeric_limits<std::size_t>::max()}, *this)
+                 {kMaxResponseHeadBytes, std::numeric_limits<std::size_t>::max()}, *this)
     {}
 
     void onHead(HttpHead head) override
