--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -23,7 +23,7 @@
 constexpr int kFirstFinalStatus = 200;
 
 // Returns how long a peer that sent these headers keeps the connection.
-Duration keepTime(const HttpHeaders &headers)
+Duration keepAliveTime(const HttpHeaders &headers)
 {
     constexpr std::string_view kTimeout = "timeout=";
     const std::string &value = findHeader(headers, "keep-alive");
@@ -55,7 +55,7 @@
             return;
         }
         persistent = head.persistent && head.framed;
-        keepFor = keepTime(head.headers);
+        keepFor = keepAliveTime(head.headers);
         receiver->onHead(std::move(head));
     }
 
