--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -55,7 +55,7 @@
             return;
         }
         persistent = head.persistent && head.framed;
-        keepFor = keepAliveTime(head.headers);
+        keepAlive = keepAliveTime(head.headers);
         receiver->onHead(std::move(head));
     }
 
@@ -74,7 +74,7 @@
     std::unique_ptr<HttpCallReceiver> receiver;
     TimePoint idleSince{};
     TimePoint connectBy{};
-    Duration keepFor{};
+    Duration keepAlive{};
     int status = 0;
     bool connected = false;
     bool persistent = false;
@@ -137,8 +137,8 @@
     const Connection &connection = *connections_.at(socket);
     const Duration idle = loop_.now() - connection.idleSince;
     const Duration limit = request.reuse == ConnectionReuse::RecentlyUsed
-                               ? std::min(kRecentUseLimit, connection.keepFor)
-                               : connection.keepFor;
+                               ? std::min(kRecentUseLimit, connection.keepAlive)
+                               : connection.keepAlive;
     if (idle >= limit) {
         return 0;
     }
@@ -358,7 +358,7 @@
     std::vector<SocketId> old;
     std::vector<HttpCallId> late;
     for (const auto &[socket, connection] : connections_) {
-        if (connection->call == 0 && now - connection->idleSince >= connection->keepFor) {
+        if (connection->call == 0 && now - connection->idleSince >= connection->keepAlive) {
             old.push_back(socket);
         } else if (connection->call != 0 && !connection->connected
                    && now >= connection->connectBy) {
