--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -105,7 +105,7 @@
 HttpCallId HttpClient::call(HttpCallRequest request, std::unique_ptr<HttpCallReceiver> receiver)
 {
     const HttpCallId id = nextCall_++;
-    SocketId socket = takeKept(request);
+    SocketId socket = takeIdleConnection(request);
     const bool kept = socket != 0;
     if (!kept) {
         socket = sockets_->connect(request.address, *this);
@@ -127,7 +127,7 @@
     return id;
 }
 
-SocketId HttpClient::takeKept(const HttpCallRequest &request)
+SocketId HttpClient::takeIdleConnection(const HttpCallRequest &request)
 {
     const auto found = kept_.find(request.address);
     if (found == kept_.end() || request.reuse == ConnectionReuse::Never || found->second.empty()) {
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -99,7 +99,7 @@
     void onBytes(SocketId socket, std::string_view bytes) override;
     void onEnd(SocketId socket, SocketEnd end) override;
 
-    SocketId takeKept(const HttpCallRequest &request);
+    SocketId takeIdleConnection(const HttpCallRequest &request);
     void sendRequest(Connection &connection);
     void read(SocketId socket, std::string_view bytes);
     void onAnswerDone(Connection &connection, bool surplus);
