--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -106,22 +106,22 @@
 {
     const HttpCallId id = nextCall_++;
     SocketId socket = takeIdleConnection(request);
-    const bool kept = socket != 0;
-    if (!kept) {
+    const bool reused = socket != 0;
+    if (!reused) {
         socket = sockets_->connect(request.address, *this);
         connections_.emplace(socket, std::make_unique<Connection>(socket, request.address));
         ++connectionsMade_;
     }
     Connection &connection = *connections_.at(socket);
     connection.call = id;
-    connection.wasKept = kept;
+    connection.wasKept = reused;
     connection.answered = false;
     connection.connectBy = loop_.now() + request.connectTimeout;
     connection.request = std::move(request);
     connection.receiver = std::move(receiver);
     connection.reader.reset();
     calls_.emplace(id, socket);
-    if (kept) {
+    if (reused) {
         sendRequest(connection);
     }
     return id;
