--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -129,8 +129,9 @@
 
 SocketId HttpClient::takeIdleConnection(const HttpCallRequest &request)
 {
-    const auto found = kept_.find(request.address);
-    if (found == kept_.end() || request.reuse == ConnectionReuse::Never || found->second.empty()) {
+    const auto found = idleConnections_.find(request.address);
+    if (found == idleConnections_.end() || request.reuse == ConnectionReuse::Never
+        || found->second.empty()) {
         return 0;
     }
     const SocketId socket = found->second.back();
@@ -229,7 +230,7 @@
 {
     const HttpCallId call = connection.call;
     const SocketId socket = connection.socket;
-    std::vector<SocketId> &kept = kept_[connection.address];
+    std::vector<SocketId> &kept = idleConnections_[connection.address];
     const bool keep = connection.persistent && !surplus && sockets_->queued(socket) == 0
                       && connection.request.reuse != ConnectionReuse::Never
                       && kept.size() < kMaxIdlePerAddress;
@@ -297,11 +298,11 @@
     if (found == connections_.end()) {
         return;
     }
-    const auto kept = kept_.find(found->second->address);
-    if (kept != kept_.end()) {
+    const auto kept = idleConnections_.find(found->second->address);
+    if (kept != idleConnections_.end()) {
         std::erase(kept->second, socket);
         if (kept->second.empty()) {
-            kept_.erase(kept);
+            idleConnections_.erase(kept);
         }
     }
     sockets_->close(socket);
@@ -342,8 +343,8 @@
 
 void HttpClient::closeIdleConnections(const SocketAddress &address)
 {
-    const auto found = kept_.find(address);
-    if (found == kept_.end()) {
+    const auto found = idleConnections_.find(address);
+    if (found == idleConnections_.end()) {
         return;
     }
     const std::vector<SocketId> sockets = found->second;
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -111,7 +111,7 @@
     std::unique_ptr<TcpSockets> sockets_;
     std::unordered_map<SocketId, std::unique_ptr<Connection>> connections_;
     std::unordered_map<HttpCallId, SocketId> calls_;
-    std::map<SocketAddress, std::vector<SocketId>> kept_; // The last was used last.
+    std::map<SocketAddress, std::vector<SocketId>> idleConnections_; // The last was used last.
     std::unique_ptr<PeriodicTimer> sweepTimer_;
     HttpCallId nextCall_ = 1;
     std::uint64_t connectionsMade_ = 0;
