--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -230,16 +230,16 @@
 {
     const HttpCallId call = connection.call;
     const SocketId socket = connection.socket;
-    std::vector<SocketId> &kept = idleConnections_[connection.address];
+    std::vector<SocketId> &idleSockets = idleConnections_[connection.address];
     const bool keep = connection.persistent && !surplus && sockets_->queued(socket) == 0
                       && connection.request.reuse != ConnectionReuse::Never
-                      && kept.size() < kMaxIdlePerAddress;
+                      && idleSockets.size() < kMaxIdlePerAddress;
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection.receiver);
     calls_.erase(call);
     connection.call = 0;
     if (keep) {
         connection.idleSince = loop_.now();
-        kept.push_back(socket);
+        idleSockets.push_back(socket);
     } else {
         drop(socket);
     }
@@ -298,11 +298,11 @@
     if (found == connections_.end()) {
         return;
     }
-    const auto kept = idleConnections_.find(found->second->address);
-    if (kept != idleConnections_.end()) {
-        std::erase(kept->second, socket);
-        if (kept->second.empty()) {
-            idleConnections_.erase(kept);
+    const auto idleSockets = idleConnections_.find(found->second->address);
+    if (idleSockets != idleConnections_.end()) {
+        std::erase(idleSockets->second, socket);
+        if (idleSockets->second.empty()) {
+            idleConnections_.erase(idleSockets);
         }
     }
     sockets_->close(socket);
