--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -78,7 +78,7 @@
     int status = 0;
     bool connected = false;
     bool persistent = false;
-    bool wasKept = false;
+    bool reusedConnection = false;
     bool answered = false; // Any byte of the answer has arrived.
 };
 
@@ -114,7 +114,7 @@
     }
     Connection &connection = *connections_.at(socket);
     connection.call = id;
-    connection.wasKept = reused;
+    connection.reusedConnection = reused;
     connection.answered = false;
     connection.connectBy = loop_.now() + request.connectTimeout;
     connection.request = std::move(request);
@@ -263,7 +263,7 @@
         how = HttpCallEnd::NotSent;
     } else if (end == SocketEnd::Finished && connection.reader.finishOnConnectionEnd()) {
         how = HttpCallEnd::Complete;
-    } else if (connection.wasKept && !connection.answered) {
+    } else if (connection.reusedConnection && !connection.answered) {
         how = HttpCallEnd::ReusedConnectionLost;
     }
     if (calls_.find(call) == calls_.end()) {
@@ -338,7 +338,7 @@
     }
     const auto connection = connections_.find(found->second);
     return connection != connections_.end()
-           && (connection->second->wasKept || sockets_->wroteAny(found->second));
+           && (connection->second->reusedConnection || sockets_->wroteAny(found->second));
 }
 
 void HttpClient::closeIdleConnections(const SocketAddress &address)
