--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -79,7 +79,7 @@
     bool connected = false;
     bool persistent = false;
     bool reusedConnection = false;
-    bool answered = false; // Any byte of the answer has arrived.
+    bool receivedBytes = false; // Any byte of the answer has arrived.
 };
 
 HttpClient::HttpClient(EventLoop &loop)
@@ -115,7 +115,7 @@
     Connection &connection = *connections_.at(socket);
     connection.call = id;
     connection.reusedConnection = reused;
-    connection.answered = false;
+    connection.receivedBytes = false;
     connection.connectBy = loop_.now() + request.connectTimeout;
     connection.request = std::move(request);
     connection.receiver = std::move(receiver);
@@ -195,7 +195,7 @@
         drop(socket); // Bytes that answer nothing.
         return;
     }
-    found->second->answered = true;
+    found->second->receivedBytes = true;
     read(socket, bytes);
 }
 
@@ -263,7 +263,7 @@
         how = HttpCallEnd::NotSent;
     } else if (end == SocketEnd::Finished && connection.reader.finishOnConnectionEnd()) {
         how = HttpCallEnd::Complete;
-    } else if (connection.reusedConnection && !connection.answered) {
+    } else if (connection.reusedConnection && !connection.receivedBytes) {
         how = HttpCallEnd::ReusedConnectionLost;
     }
     if (calls_.find(call) == calls_.end()) {
