--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -73,7 +73,7 @@
     HttpCallRequest request;
     std::unique_ptr<HttpCallReceiver> receiver;
     TimePoint idleSince{};
-    TimePoint connectBy{};
+    TimePoint connectDeadline{};
     Duration keepAlive{};
     int status = 0;
     bool connected = false;
@@ -116,7 +116,7 @@
     connection.call = id;
     connection.reusedConnection = reused;
     connection.receivedBytes = false;
-    connection.connectBy = loop_.now() + request.connectTimeout;
+    connection.connectDeadline = loop_.now() + request.connectTimeout;
     connection.request = std::move(request);
     connection.receiver = std::move(receiver);
     connection.reader.reset();
@@ -362,7 +362,7 @@
         if (connection->call == 0 && now - connection->idleSince >= connection->keepAlive) {
             old.push_back(socket);
         } else if (connection->call != 0 && !connection->connected
-                   && now >= connection->connectBy) {
+                   && now >= connection->connectDeadline) {
             late.push_back(connection->call);
         }
     }
