--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -221,12 +221,12 @@
             connection.reader.reset();
             continue;
         }
-        onAnswerDone(connection, !bytes.empty());
+        onResponseComplete(connection, !bytes.empty());
         return;
     }
 }
 
-void HttpClient::onAnswerDone(Connection &connection, bool surplus)
+void HttpClient::onResponseComplete(Connection &connection, bool surplus)
 {
     const HttpCallId call = connection.call;
     const SocketId socket = connection.socket;
