--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -226,12 +226,12 @@
     }
 }
 
-void HttpClient::onResponseComplete(Connection &connection, bool surplus)
+void HttpClient::onResponseComplete(Connection &connection, bool hasExtraBytes)
 {
     const HttpCallId call = connection.call;
     const SocketId socket = connection.socket;
     std::vector<SocketId> &idleSockets = idleConnections_[connection.address];
-    const bool keep = connection.persistent && !surplus && sockets_->queued(socket) == 0
+    const bool keep = connection.persistent && !hasExtraBytes && sockets_->queued(socket) == 0
                       && connection.request.reuse != ConnectionReuse::Never
                       && idleSockets.size() < kMaxIdlePerAddress;
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection.receiver);
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -102,7 +102,7 @@
     SocketId takeIdleConnection(const HttpCallRequest &request);
     void sendRequest(Connection &connection);
     void read(SocketId socket, std::string_view bytes);
-    void onResponseComplete(Connection &connection, bool surplus);
+    void onResponseComplete(Connection &connection, bool hasExtraBytes);
     void endCall(HttpCallId id, HttpCallEnd how);
     void drop(SocketId socket);
     void sweep();
