--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -192,7 +192,7 @@
         return;
     }
     if (found->second->call == 0) {
-        drop(socket); // Bytes that answer nothing.
+        closeConnection(socket); // Bytes that answer nothing.
         return;
     }
     found->second->receivedBytes = true;
@@ -210,7 +210,7 @@
             return;
         }
         if (connection.reader.fault()) {
-            drop(socket);
+            closeConnection(socket);
             endCall(call, HttpCallEnd::MalformedResponse);
             return;
         }
@@ -241,7 +241,7 @@
         connection.idleSince = loop_.now();
         idleSockets.push_back(socket);
     } else {
-        drop(socket);
+        closeConnection(socket);
     }
     receiver->onEnd(HttpCallEnd::Complete);
 }
@@ -255,7 +255,7 @@
     Connection &connection = *found->second;
     const HttpCallId call = connection.call;
     if (call == 0) {
-        drop(socket);
+        closeConnection(socket);
         return;
     }
     HttpCallEnd how = HttpCallEnd::Interrupted;
@@ -271,7 +271,7 @@
     }
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection.receiver);
     calls_.erase(call);
-    drop(socket);
+    closeConnection(socket);
     receiver->onEnd(how);
 }
 
@@ -287,12 +287,12 @@
         return;
     }
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection->second->receiver);
-    drop(connection->first);
+    closeConnection(connection->first);
     receiver->onEnd(how);
 }
 
 // Closes a connection. One that is feeding its receiver right now is destroyed on the next turn.
-void HttpClient::drop(SocketId socket)
+void HttpClient::closeConnection(SocketId socket)
 {
     const auto found = connections_.find(socket);
     if (found == connections_.end()) {
@@ -319,7 +319,7 @@
     }
     const SocketId socket = found->second;
     calls_.erase(found);
-    drop(socket);
+    closeConnection(socket);
 }
 
 void HttpClient::pause(HttpCallId call, bool paused)
@@ -349,7 +349,7 @@
     }
     const std::vector<SocketId> sockets = found->second;
     for (const SocketId socket : sockets) {
-        drop(socket);
+        closeConnection(socket);
     }
 }
 
@@ -367,7 +367,7 @@
         }
     }
     for (const SocketId socket : old) {
-        drop(socket);
+        closeConnection(socket);
     }
     for (const HttpCallId call : late) {
         endCall(call, HttpCallEnd::NotSent);
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -104,7 +104,7 @@
     void read(SocketId socket, std::string_view bytes);
     void onResponseComplete(Connection &connection, bool hasExtraBytes);
     void endCall(HttpCallId id, HttpCallEnd how);
-    void drop(SocketId socket);
+    void closeConnection(SocketId socket);
     void sweep();
 
     EventLoop &loop_;
