--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -258,13 +258,13 @@
         closeConnection(socket);
         return;
     }
-    HttpCallEnd how = HttpCallEnd::Interrupted;
+    HttpCallEnd callEnd = HttpCallEnd::Interrupted;
     if (end == SocketEnd::Unreachable || end == SocketEnd::Refused) {
-        how = HttpCallEnd::NotSent;
+        callEnd = HttpCallEnd::NotSent;
     } else if (end == SocketEnd::Finished && connection.reader.finishOnConnectionEnd()) {
-        how = HttpCallEnd::Complete;
+        callEnd = HttpCallEnd::Complete;
     } else if (connection.reusedConnection && !connection.receivedBytes) {
-        how = HttpCallEnd::ReusedConnectionLost;
+        callEnd = HttpCallEnd::ReusedConnectionLost;
     }
     if (calls_.find(call) == calls_.end()) {
         return;
@@ -272,10 +272,10 @@
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection.receiver);
     calls_.erase(call);
     closeConnection(socket);
-    receiver->onEnd(how);
+    receiver->onEnd(callEnd);
 }
 
-void HttpClient::endCall(HttpCallId id, HttpCallEnd how)
+void HttpClient::endCall(HttpCallId id, HttpCallEnd callEnd)
 {
     const auto found = calls_.find(id);
     if (found == calls_.end()) {
@@ -288,7 +288,7 @@
     }
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection->second->receiver);
     closeConnection(connection->first);
-    receiver->onEnd(how);
+    receiver->onEnd(callEnd);
 }
 
 // Closes a connection. One that is feeding its receiver right now is destroyed on the next turn.
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -103,7 +103,7 @@
     void sendRequest(Connection &connection);
     void read(SocketId socket, std::string_view bytes);
     void onResponseComplete(Connection &connection, bool hasExtraBytes);
-    void endCall(HttpCallId id, HttpCallEnd how);
+    void endCall(HttpCallId id, HttpCallEnd callEnd);
     void closeConnection(SocketId socket);
     void sweep();
 
