--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -306,9 +306,9 @@
         }
     }
     sockets_->close(socket);
-    std::shared_ptr<Connection> last = std::move(found->second);
+    std::shared_ptr<Connection> retired = std::move(found->second);
     connections_.erase(found);
-    loop_.post([last] {});
+    loop_.post([retired] {});
 }
 
 void HttpClient::cancel(HttpCallId call)
