--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -356,17 +356,17 @@
 void HttpClient::sweep()
 {
     const TimePoint now = loop_.now();
-    std::vector<SocketId> old;
+    std::vector<SocketId> expired;
     std::vector<HttpCallId> late;
     for (const auto &[socket, connection] : connections_) {
         if (connection->call == 0 && now - connection->idleSince >= connection->keepAlive) {
-            old.push_back(socket);
+            expired.push_back(socket);
         } else if (connection->call != 0 && !connection->connected
                    && now >= connection->connectDeadline) {
             late.push_back(connection->call);
         }
     }
-    for (const SocketId socket : old) {
+    for (const SocketId socket : expired) {
         closeConnection(socket);
     }
     for (const HttpCallId call : late) {
