--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -357,19 +357,19 @@
 {
     const TimePoint now = loop_.now();
     std::vector<SocketId> expired;
-    std::vector<HttpCallId> late;
+    std::vector<HttpCallId> timedOut;
     for (const auto &[socket, connection] : connections_) {
         if (connection->call == 0 && now - connection->idleSince >= connection->keepAlive) {
             expired.push_back(socket);
         } else if (connection->call != 0 && !connection->connected
                    && now >= connection->connectDeadline) {
-            late.push_back(connection->call);
+            timedOut.push_back(connection->call);
         }
     }
     for (const SocketId socket : expired) {
         closeConnection(socket);
     }
-    for (const HttpCallId call : late) {
+    for (const HttpCallId call : timedOut) {
         endCall(call, HttpCallEnd::NotSent);
     }
 }
