--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -153,7 +153,7 @@
 {
     http_parser_init(&parser_->state, kind_ == Kind::Request ? HTTP_REQUEST : HTTP_RESPONSE);
     parser_->state.data = this;
-    text_.clear();
+    headText_.clear();
     head_ = {};
     lastWasValue_ = true;
     started_ = false;
@@ -222,17 +222,17 @@
 
 void HttpReader::parseHead()
 {
-    if (!isWellFormed(text_)) {
+    if (!isWellFormed(headText_)) {
         refuse(HttpFault::Malformed);
         return;
     }
-    execute(text_);
+    execute(headText_);
 }
 
 std::size_t HttpReader::feedHead(std::string_view bytes)
 {
     std::size_t skipped = 0;
-    if (text_.empty()) {
+    if (headText_.empty()) {
         // A server should pass over an empty line before a request (RFC 9112 section 2.2).
         while (kind_ == Kind::Request && skipped < bytes.size()
                && (bytes[skipped] == '\r' || bytes[skipped] == '\n')) {
@@ -244,19 +244,19 @@
         return skipped;
     }
     started_ = true;
-    const std::size_t before = text_.size();
+    const std::size_t before = headText_.size();
     const std::size_t room = limits_.headBytes + 1 > before ? limits_.headBytes + 1 - before : 0;
-    text_.append(bytes.substr(0, room));
+    headText_.append(bytes.substr(0, room));
     const std::size_t from = before > kHeadEnd.size() ? before - kHeadEnd.size() : 0;
-    const std::size_t end = text_.find(kHeadEnd, from);
+    const std::size_t end = headText_.find(kHeadEnd, from);
     if (end == std::string::npos) {
-        if (text_.size() > limits_.headBytes) {
+        if (headText_.size() > limits_.headBytes) {
             refuse(HttpFault::HeadTooLarge);
         }
         return skipped + bytes.size();
     }
-    text_.resize(end + kHeadEnd.size());
-    const std::size_t used = text_.size() - before;
+    headText_.resize(end + kHeadEnd.size());
+    const std::size_t used = headText_.size() - before;
     parseHead();
     return skipped + used;
 }
--- a/src/net/httpreader.h
+++ b/src/net/httpreader.h
@@ -98,7 +98,7 @@
     Limits limits_;
     HttpSink &sink_;
     std::unique_ptr<detail::ParserState> parser_;
-    std::string text_; // The head as read so far.
+    std::string headText_; // The head as read so far.
     HttpHead head_;
     bool lastWasValue_ = true;
     bool started_ = false;
