--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -71,7 +71,10 @@
 {
     http_parser state{};
 
-    static HttpReader &of(http_parser *parser) { return *static_cast<HttpReader *>(parser->data); }
+    static HttpReader &readerOf(http_parser *parser)
+    {
+        return *static_cast<HttpReader *>(parser->data);
+    }
     static const http_parser_settings &callbacks();
     static int onUrl(http_parser *parser, const char *at, std::size_t size);
     static int onField(http_parser *parser, const char *at, std::size_t size);
@@ -81,13 +84,13 @@
 
 int detail::ParserState::onUrl(http_parser *parser, const char *at, std::size_t size)
 {
-    of(parser).head_.target.append(at, size);
+    readerOf(parser).head_.target.append(at, size);
     return 0;
 }
 
 int detail::ParserState::onField(http_parser *parser, const char *at, std::size_t size)
 {
-    HttpReader &reader = of(parser);
+    HttpReader &reader = readerOf(parser);
     if (reader.headDone_) {
         return 0; // A trailer.
     }
@@ -101,7 +104,7 @@
 
 int detail::ParserState::onValue(http_parser *parser, const char *at, std::size_t size)
 {
-    HttpReader &reader = of(parser);
+    HttpReader &reader = readerOf(parser);
     if (!reader.headDone_) {
         reader.lastWasValue_ = true;
         reader.head_.headers.back().value.append(at, size);
@@ -111,7 +114,7 @@
 
 int detail::ParserState::onDone(http_parser *parser)
 {
-    of(parser).done_ = true;
+    readerOf(parser).done_ = true;
     http_parser_pause(parser, 1); // The next message waits until the reader is reset.
     return 0;
 }
@@ -127,10 +130,10 @@
         settings.on_header_field = onField;
         settings.on_header_value = onValue;
         settings.on_headers_complete = [](http_parser *parser) {
-            return of(parser).onHeadersComplete();
+            return readerOf(parser).onHeadersComplete();
         };
         settings.on_body = [](http_parser *parser, const char *at, std::size_t size) {
-            return of(parser).onBodyPiece({at, size});
+            return readerOf(parser).onBodyPiece({at, size});
         };
         settings.on_message_complete = onDone;
         return settings;
