--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -12,18 +12,18 @@
 
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
-bool isTokenChar(char letter)
+bool isTokenChar(char character)
 {
     constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
-    return std::isalnum(static_cast<unsigned char>(letter)) != 0
-           || kMarks.find(letter) != std::string_view::npos;
+    return std::isalnum(static_cast<unsigned char>(character)) != 0
+           || kMarks.find(character) != std::string_view::npos;
 }
 
-bool isFieldChar(char letter)
+bool isFieldChar(char character)
 {
     constexpr unsigned char kDelete = 0x7f;
-    const auto code = static_cast<unsigned char>(letter);
-    return letter == '\t' || (code >= ' ' && code != kDelete);
+    const auto code = static_cast<unsigned char>(character);
+    return character == '\t' || (code >= ' ' && code != kDelete);
 }
 
 bool isWellFormedField(std::string_view line)
--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -22,8 +22,8 @@
 // Feeds `text` byte by byte, so that every split of a message is met.
 void feedSlowly(HttpReader &reader, std::string_view text)
 {
-    for (const char &letter : text) {
-        reader.feed({&letter, 1});
+    for (const char &character : text) {
+        reader.feed({&character, 1});
     }
 }
 
