--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -46,9 +46,9 @@
             return false;
         }
         const std::string_view line = head.substr(0, end);
-        const bool good =
+        const bool valid =
             first ? std::all_of(line.begin(), line.end(), isFieldChar) : isWellFormedField(line);
-        if (!good) {
+        if (!valid) {
             return false;
         }
         first = false;
