--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -57,7 +57,7 @@
     return true;
 }
 
-std::size_t count(const HttpHeaders &headers, std::string_view name)
+std::size_t countHeaders(const HttpHeaders &headers, std::string_view name)
 {
     return static_cast<std::size_t>(
         std::count_if(headers.begin(), headers.end(), [name](const HttpHeader &header) {
@@ -191,7 +191,7 @@
     }
     if (kind_ == Kind::Request) {
         head_.method = http_method_str(static_cast<http_method>(parser.method));
-        if (count(head_.headers, "host") > 1 || parser.method == HTTP_CONNECT) {
+        if (countHeaders(head_.headers, "host") > 1 || parser.method == HTTP_CONNECT) {
             return kFail;
         }
         if (hasLength && parser.content_length > limits_.bodyBytes) {
