--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -14,9 +14,9 @@
 
 bool isTokenChar(char character)
 {
-    constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
+    constexpr std::string_view kTokenPunctuation = "!#$%&'*+-.^_`|~";
     return std::isalnum(static_cast<unsigned char>(character)) != 0
-           || kMarks.find(character) != std::string_view::npos;
+           || kTokenPunctuation.find(character) != std::string_view::npos;
 }
 
 bool isFieldChar(char character)
