--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -37,7 +37,7 @@
 }
 
 // Tells whether every line of a head ends in CRLF and is a field that all readers read alike.
-bool isWellFormed(std::string_view head)
+bool isWellFormedHead(std::string_view head)
 {
     bool first = true;
     while (head != "\r\n" && !head.empty()) {
@@ -225,7 +225,7 @@
 
 void HttpReader::parseHead()
 {
-    if (!isWellFormed(headText_)) {
+    if (!isWellFormedHead(headText_)) {
         refuse(HttpFault::Malformed);
         return;
     }
