--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -173,7 +173,7 @@
                                                  bytes.data(), bytes.size());
     const http_errno error = HTTP_PARSER_ERRNO(&parser_->state);
     if (error != HPE_OK && !(error == HPE_PAUSED && done_) && !fault_) {
-        refuse(HttpFault::Malformed);
+        setFault(HttpFault::Malformed);
     }
     return used;
 }
@@ -195,7 +195,7 @@
             return kFail;
         }
         if (hasLength && parser.content_length > limits_.bodyBytes) {
-            refuse(HttpFault::BodyTooLarge);
+            setFault(HttpFault::BodyTooLarge);
             return kFail;
         }
     } else {
@@ -216,7 +216,7 @@
 {
     bodySize_ += piece.size();
     if (kind_ == Kind::Request && bodySize_ > limits_.bodyBytes) {
-        refuse(HttpFault::BodyTooLarge);
+        setFault(HttpFault::BodyTooLarge);
         return -1;
     }
     sink_.onBody(piece);
@@ -226,7 +226,7 @@
 void HttpReader::parseHead()
 {
     if (!isWellFormedHead(headText_)) {
-        refuse(HttpFault::Malformed);
+        setFault(HttpFault::Malformed);
         return;
     }
     execute(headText_);
@@ -254,7 +254,7 @@
     const std::size_t end = headText_.find(kHeadEnd, from);
     if (end == std::string::npos) {
         if (headText_.size() > limits_.headBytes) {
-            refuse(HttpFault::HeadTooLarge);
+            setFault(HttpFault::HeadTooLarge);
         }
         return skipped + bytes.size();
     }
--- a/src/net/httpreader.h
+++ b/src/net/httpreader.h
@@ -87,7 +87,7 @@
 private:
     std::size_t feedHead(std::string_view bytes);
     void parseHead();
-    void refuse(HttpFault fault) { fault_ = fault; }
+    void setFault(HttpFault fault) { fault_ = fault; }
     std::size_t execute(std::string_view bytes);
     int onHeadersComplete();
     int onBodyPiece(std::string_view piece);
