--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -10,7 +10,7 @@
 namespace seamarch {
 namespace {
 
-constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr std::string_view kHeadTerminator = "\r\n\r\n";
 
 bool isTokenChar(char character)
 {
@@ -250,15 +250,15 @@
     const std::size_t before = headText_.size();
     const std::size_t room = limits_.headBytes + 1 > before ? limits_.headBytes + 1 - before : 0;
     headText_.append(bytes.substr(0, room));
-    const std::size_t from = before > kHeadEnd.size() ? before - kHeadEnd.size() : 0;
-    const std::size_t end = headText_.find(kHeadEnd, from);
+    const std::size_t from = before > kHeadTerminator.size() ? before - kHeadTerminator.size() : 0;
+    const std::size_t end = headText_.find(kHeadTerminator, from);
     if (end == std::string::npos) {
         if (headText_.size() > limits_.headBytes) {
             setFault(HttpFault::HeadTooLarge);
         }
         return skipped + bytes.size();
     }
-    headText_.resize(end + kHeadEnd.size());
+    headText_.resize(end + kHeadTerminator.size());
     const std::size_t used = headText_.size() - before;
     parseHead();
     return skipped + used;
