--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -250,8 +250,9 @@
     const std::size_t before = headText_.size();
     const std::size_t room = limits_.headBytes + 1 > before ? limits_.headBytes + 1 - before : 0;
     headText_.append(bytes.substr(0, room));
-    const std::size_t from = before > kHeadTerminator.size() ? before - kHeadTerminator.size() : 0;
-    const std::size_t end = headText_.find(kHeadTerminator, from);
+    const std::size_t searchStart =
+        before > kHeadTerminator.size() ? before - kHeadTerminator.size() : 0;
+    const std::size_t end = headText_.find(kHeadTerminator, searchStart);
     if (end == std::string::npos) {
         if (headText_.size() > limits_.headBytes) {
             setFault(HttpFault::HeadTooLarge);
