--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -247,11 +247,12 @@
         return skipped;
     }
     started_ = true;
-    const std::size_t before = headText_.size();
-    const std::size_t room = limits_.headBytes + 1 > before ? limits_.headBytes + 1 - before : 0;
+    const std::size_t previousSize = headText_.size();
+    const std::size_t room =
+        limits_.headBytes + 1 > previousSize ? limits_.headBytes + 1 - previousSize : 0;
     headText_.append(bytes.substr(0, room));
     const std::size_t searchStart =
-        before > kHeadTerminator.size() ? before - kHeadTerminator.size() : 0;
+        previousSize > kHeadTerminator.size() ? previousSize - kHeadTerminator.size() : 0;
     const std::size_t end = headText_.find(kHeadTerminator, searchStart);
     if (end == std::string::npos) {
         if (headText_.size() > limits_.headBytes) {
@@ -260,7 +261,7 @@
         return skipped + bytes.size();
     }
     headText_.resize(end + kHeadTerminator.size());
-    const std::size_t used = headText_.size() - before;
+    const std::size_t used = headText_.size() - previousSize;
     parseHead();
     return skipped + used;
 }
