--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -248,9 +248,9 @@
     }
     started_ = true;
     const std::size_t previousSize = headText_.size();
-    const std::size_t room =
+    const std::size_t available =
         limits_.headBytes + 1 > previousSize ? limits_.headBytes + 1 - previousSize : 0;
-    headText_.append(bytes.substr(0, room));
+    headText_.append(bytes.substr(0, available));
     const std::size_t searchStart =
         previousSize > kHeadTerminator.size() ? previousSize - kHeadTerminator.size() : 0;
     const std::size_t end = headText_.find(kHeadTerminator, searchStart);
