--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -181,22 +181,22 @@
 int HttpReader::onHeadersComplete()
 {
     constexpr int kSkipBody = 1;
-    constexpr int kFail = -1;
+    constexpr int kAbort = -1;
     http_parser &parser = parser_->state;
     parser.upgrade = 0; // Other protocols are not served; the message is read as plain HTTP.
     const bool hasLength = parser.content_length != std::numeric_limits<std::uint64_t>::max();
     const bool chunked = (parser.flags & F_CHUNKED) != 0;
     if (parser.http_major != 1) {
-        return kFail;
+        return kAbort;
     }
     if (kind_ == Kind::Request) {
         head_.method = http_method_str(static_cast<http_method>(parser.method));
         if (countHeaders(head_.headers, "host") > 1 || parser.method == HTTP_CONNECT) {
-            return kFail;
+            return kAbort;
         }
         if (hasLength && parser.content_length > limits_.bodyBytes) {
             setFault(HttpFault::BodyTooLarge);
-            return kFail;
+            return kAbort;
         }
     } else {
         head_.status = static_cast<int>(parser.status_code);
