--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Bytes that a caller may send ahead of its answers before its connection is no longer read.
-constexpr std::size_t kMaxAhead = 64 * 1024;
+constexpr std::size_t kMaxReadAheadBytes = 64 * 1024;
 // How often timeouts are checked; they are seconds.
 constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
 // How long a connection that is being closed is read, so that the answer is not lost to a reset.
@@ -129,7 +129,7 @@
     connection->activeAt = loop_.now();
     connection->ahead.append(bytes);
     if (connection->exchange != 0) {
-        if (connection->ahead.size() > kMaxAhead) {
+        if (connection->ahead.size() > kMaxReadAheadBytes) {
             sockets_->pause(socket, true);
         }
         return;
