--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -51,7 +51,7 @@
     SocketId socket;
     HttpReader reader;
     HttpRequest request;
-    std::string ahead; // Received, and not yet read.
+    std::string readAhead; // Received, and not yet read.
     ExchangeId exchange = 0;
     TimePoint activeAt;
     TimePoint startedAt{}; // Of the message that is being read.
@@ -127,9 +127,9 @@
         return;
     }
     connection->activeAt = loop_.now();
-    connection->ahead.append(bytes);
+    connection->readAhead.append(bytes);
     if (connection->exchange != 0) {
-        if (connection->ahead.size() > kMaxReadAheadBytes) {
+        if (connection->readAhead.size() > kMaxReadAheadBytes) {
             sockets_->pause(socket, true);
         }
         return;
@@ -141,15 +141,15 @@
 void HttpServer::read(SocketId socket)
 {
     Connection *connection = find(socket);
-    if (connection == nullptr || connection->ahead.empty()) {
+    if (connection == nullptr || connection->readAhead.empty()) {
         return;
     }
     HttpReader &reader = connection->reader;
     if (!reader.started()) {
         connection->startedAt = loop_.now();
     }
-    const std::size_t used = reader.feed(connection->ahead);
-    connection->ahead.erase(0, used);
+    const std::size_t used = reader.feed(connection->readAhead);
+    connection->readAhead.erase(0, used);
     if (reader.fault()) {
         reject(*connection, *reader.fault());
         return;
@@ -310,12 +310,12 @@
     connection.activeAt = loop_.now();
     if (!connection.persistent) {
         connection.lingering = true;
-        connection.ahead.clear();
+        connection.readAhead.clear();
         sockets_->finishWriting(connection.socket);
         return;
     }
     connection.reader.reset();
-    if (!connection.ahead.empty()) {
+    if (!connection.readAhead.empty()) {
         const SocketId socket = connection.socket;
         sockets_->pause(socket, false);
         loop_.post([this, socket] {
