--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -14,7 +14,7 @@
 // How often timeouts are checked; they are seconds.
 constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
 // How long a connection that is being closed is read, so that the answer is not lost to a reset.
-constexpr Duration kLinger = std::chrono::seconds(1);
+constexpr Duration kLingerTime = std::chrono::seconds(1);
 
 constexpr int kBadRequest = 400;
 constexpr int kRequestTimeout = 408;
@@ -406,7 +406,7 @@
                               && now - connection->startedAt > options_.headerTimeout;
         if (headLate || (reading && idle > options_.idleTimeout)) {
             late.push_back(socket);
-        } else if (idle > (connection->lingering ? kLinger : options_.idleTimeout)) {
+        } else if (idle > (connection->lingering ? kLingerTime : options_.idleTimeout)) {
             over.push_back(socket);
         }
     }
