--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -35,10 +35,11 @@
 
     void onHead(HttpHead head) override
     {
-        const std::size_t mark = head.target.find('?');
+        const std::size_t queryStart = head.target.find('?');
         request.method = std::move(head.method);
-        request.path = head.target.substr(0, mark);
-        request.query = mark == std::string::npos ? std::string() : head.target.substr(mark + 1);
+        request.path = head.target.substr(0, queryStart);
+        request.query =
+            queryStart == std::string::npos ? std::string() : head.target.substr(queryStart + 1);
         request.target = std::move(head.target);
         request.headers = std::move(head.headers);
         persistent = head.persistent;
