--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -30,7 +30,7 @@
     Connection(SocketId id, const HttpReader::Limits &limits, TimePoint now)
         : socket(id)
         , reader(HttpReader::Kind::Request, limits, *this)
-        , activeAt(now)
+        , lastActive(now)
     {}
 
     void onHead(HttpHead head) override
@@ -54,7 +54,7 @@
     HttpRequest request;
     std::string readAhead; // Received, and not yet read.
     ExchangeId exchange = 0;
-    TimePoint activeAt;
+    TimePoint lastActive;
     TimePoint startedAt{}; // Of the message that is being read.
     Framing framing = Framing::Chunked;
     std::uint64_t lengthLeft = 0;
@@ -127,7 +127,7 @@
     if (connection == nullptr || connection->lingering) {
         return;
     }
-    connection->activeAt = loop_.now();
+    connection->lastActive = loop_.now();
     connection->readAhead.append(bytes);
     if (connection->exchange != 0) {
         if (connection->readAhead.size() > kMaxReadAheadBytes) {
@@ -271,7 +271,7 @@
     if (connection == nullptr || !connection->headSent || piece.empty()) {
         return;
     }
-    connection->activeAt = loop_.now();
+    connection->lastActive = loop_.now();
     switch (connection->framing) {
     case Framing::Length:
         piece = piece.substr(0, connection->lengthLeft);
@@ -308,7 +308,7 @@
 {
     exchanges_.erase(connection.exchange);
     connection.exchange = 0;
-    connection.activeAt = loop_.now();
+    connection.lastActive = loop_.now();
     if (!connection.persistent) {
         connection.lingering = true;
         connection.readAhead.clear();
@@ -341,7 +341,7 @@
     if (endShows) {
         // What was written still goes out; the missing end shows that the answer is not whole.
         connection->lingering = true;
-        connection->activeAt = loop_.now();
+        connection->lastActive = loop_.now();
         sockets_->finishWriting(socket);
         return;
     }
@@ -401,7 +401,7 @@
         if (connection->exchange != 0) {
             continue;
         }
-        const Duration idle = now - connection->activeAt;
+        const Duration idle = now - connection->lastActive;
         const bool reading = connection->reader.started() && !connection->lingering;
         const bool headLate = reading && !connection->reader.headDone()
                               && now - connection->startedAt > options_.headerTimeout;
