--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -55,7 +55,7 @@
     std::string readAhead; // Received, and not yet read.
     ExchangeId exchange = 0;
     TimePoint lastActive;
-    TimePoint startedAt{}; // Of the message that is being read.
+    TimePoint readingSince{}; // Of the message that is being read.
     Framing framing = Framing::Chunked;
     std::uint64_t lengthLeft = 0;
     bool persistent = true;
@@ -147,7 +147,7 @@
     }
     HttpReader &reader = connection->reader;
     if (!reader.started()) {
-        connection->startedAt = loop_.now();
+        connection->readingSince = loop_.now();
     }
     const std::size_t used = reader.feed(connection->readAhead);
     connection->readAhead.erase(0, used);
@@ -404,7 +404,7 @@
         const Duration idle = now - connection->lastActive;
         const bool reading = connection->reader.started() && !connection->lingering;
         const bool headLate = reading && !connection->reader.headDone()
-                              && now - connection->startedAt > options_.headerTimeout;
+                              && now - connection->readingSince > options_.headerTimeout;
         if (headLate || (reading && idle > options_.idleTimeout)) {
             late.push_back(socket);
         } else if (idle > (connection->lingering ? kLingerTime : options_.idleTimeout)) {
