--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -57,7 +57,7 @@
     TimePoint lastActive;
     TimePoint readingSince{}; // Of the message that is being read.
     Framing framing = Framing::Chunked;
-    std::uint64_t lengthLeft = 0;
+    std::uint64_t bytesLeft = 0;
     bool persistent = true;
     bool isHttp10 = false;
     bool wantsContinue = false;
@@ -218,7 +218,7 @@
         connection.framing = Framing::UntilClose;
         connection.persistent = false;
     }
-    connection.lengthLeft = whole ? body.size() : head.contentLength.value_or(0);
+    connection.bytesLeft = whole ? body.size() : head.contentLength.value_or(0);
     std::string text = fmt::format("HTTP/1.1 {} {}\r\n", head.status, reasonPhrase(head.status));
     const auto out = std::back_inserter(text);
     if (!head.contentType.empty()) {
@@ -228,7 +228,7 @@
         fmt::format_to(out, "{}: {}\r\n", header.name, header.value);
     }
     if (!bodiless && connection.framing == Framing::Length) {
-        fmt::format_to(out, "Content-Length: {}\r\n", connection.lengthLeft);
+        fmt::format_to(out, "Content-Length: {}\r\n", connection.bytesLeft);
     } else if (!bodiless && connection.framing == Framing::Chunked) {
         text += "Transfer-Encoding: chunked\r\n";
     }
@@ -238,10 +238,10 @@
     text += "\r\n";
     if (bodiless || connection.headRequest) {
         connection.framing = Framing::Length;
-        connection.lengthLeft = 0;
+        connection.bytesLeft = 0;
     } else if (whole) {
         text += body;
-        connection.lengthLeft = 0;
+        connection.bytesLeft = 0;
     }
     sockets_->send(connection.socket, text);
 }
@@ -274,8 +274,8 @@
     connection->lastActive = loop_.now();
     switch (connection->framing) {
     case Framing::Length:
-        piece = piece.substr(0, connection->lengthLeft);
-        connection->lengthLeft -= piece.size();
+        piece = piece.substr(0, connection->bytesLeft);
+        connection->bytesLeft -= piece.size();
         sockets_->send(connection->socket, piece);
         return;
     case Framing::Chunked:
@@ -293,7 +293,7 @@
     if (connection == nullptr || !connection->headSent) {
         return;
     }
-    if (connection->framing == Framing::Length && connection->lengthLeft > 0) {
+    if (connection->framing == Framing::Length && connection->bytesLeft > 0) {
         abort(exchange);
         return;
     }
