--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -395,7 +395,7 @@
 void HttpServer::sweep()
 {
     const TimePoint now = loop_.now();
-    std::vector<SocketId> over;
+    std::vector<SocketId> expired;
     std::vector<SocketId> late;
     for (const auto &[socket, connection] : connections_) {
         if (connection->exchange != 0) {
@@ -408,13 +408,13 @@
         if (headLate || (reading && idle > options_.idleTimeout)) {
             late.push_back(socket);
         } else if (idle > (connection->lingering ? kLingerTime : options_.idleTimeout)) {
-            over.push_back(socket);
+            expired.push_back(socket);
         }
     }
     for (const SocketId socket : late) {
         rejectWith(*connections_.at(socket), kRequestTimeout, "request_timeout");
     }
-    for (const SocketId socket : over) {
+    for (const SocketId socket : expired) {
         connections_.erase(socket);
         sockets_->close(socket);
     }
