--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -396,7 +396,7 @@
 {
     const TimePoint now = loop_.now();
     std::vector<SocketId> expired;
-    std::vector<SocketId> late;
+    std::vector<SocketId> timedOut;
     for (const auto &[socket, connection] : connections_) {
         if (connection->exchange != 0) {
             continue;
@@ -406,12 +406,12 @@
         const bool headLate = reading && !connection->reader.headDone()
                               && now - connection->readingSince > options_.headerTimeout;
         if (headLate || (reading && idle > options_.idleTimeout)) {
-            late.push_back(socket);
+            timedOut.push_back(socket);
         } else if (idle > (connection->lingering ? kLingerTime : options_.idleTimeout)) {
             expired.push_back(socket);
         }
     }
-    for (const SocketId socket : late) {
+    for (const SocketId socket : timedOut) {
         rejectWith(*connections_.at(socket), kRequestTimeout, "request_timeout");
     }
     for (const SocketId socket : expired) {
