--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -403,9 +403,9 @@
         }
         const Duration idle = now - connection->lastActive;
         const bool reading = connection->reader.started() && !connection->lingering;
-        const bool headLate = reading && !connection->reader.headDone()
-                              && now - connection->readingSince > options_.headerTimeout;
-        if (headLate || (reading && idle > options_.idleTimeout)) {
+        const bool headTimedOut = reading && !connection->reader.headDone()
+                                  && now - connection->readingSince > options_.headerTimeout;
+        if (headTimedOut || (reading && idle > options_.idleTimeout)) {
             timedOut.push_back(socket);
         } else if (idle > (connection->lingering ? kLingerTime : options_.idleTimeout)) {
             expired.push_back(socket);
