--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -334,11 +334,12 @@
     if (connection == nullptr) {
         return;
     }
-    const bool endShows = connection->headSent && connection->framing != Framing::UntilClose;
+    const bool truncationDetectable =
+        connection->headSent && connection->framing != Framing::UntilClose;
     const SocketId socket = connection->socket;
     exchanges_.erase(exchange);
     connection->exchange = 0;
-    if (endShows) {
+    if (truncationDetectable) {
         // What was written still goes out; the missing end shows that the answer is not whole.
         connection->lingering = true;
         connection->lastActive = loop_.now();
