--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -211,7 +211,7 @@
     if (closing_) {
         connection.persistent = false;
     }
-    const bool bodiless = statusHasNoBody(head.status);
+    const bool withoutBody = statusHasNoBody(head.status);
     connection.headSent = true;
     connection.framing = whole || head.contentLength ? Framing::Length : Framing::Chunked;
     if (connection.framing == Framing::Chunked && connection.isHttp10) {
@@ -227,16 +227,16 @@
     for (const HttpHeader &header : head.headers) {
         fmt::format_to(out, "{}: {}\r\n", header.name, header.value);
     }
-    if (!bodiless && connection.framing == Framing::Length) {
+    if (!withoutBody && connection.framing == Framing::Length) {
         fmt::format_to(out, "Content-Length: {}\r\n", connection.bytesLeft);
-    } else if (!bodiless && connection.framing == Framing::Chunked) {
+    } else if (!withoutBody && connection.framing == Framing::Chunked) {
         text += "Transfer-Encoding: chunked\r\n";
     }
     if (!connection.persistent) {
         text += "Connection: close\r\n";
     }
     text += "\r\n";
-    if (bodiless || connection.headRequest) {
+    if (withoutBody || connection.headRequest) {
         connection.framing = Framing::Length;
         connection.bytesLeft = 0;
     } else if (whole) {
