--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 // RFC 9110 section 7.6.1, and the headers that frame a body, which each hop writes anew.
-constexpr std::array<std::string_view, 10> kSingleHop = {"connection",
-                                                         "keep-alive",
-                                                         "proxy-connection",
-                                                         "proxy-authenticate",
-                                                         "proxy-authorization",
-                                                         "te",
-                                                         "trailer",
-                                                         "transfer-encoding",
-                                                         "upgrade",
-                                                         "content-length"};
+constexpr std::array<std::string_view, 10> kHopByHopHeaders = {"connection",
+                                                               "keep-alive",
+                                                               "proxy-connection",
+                                                               "proxy-authenticate",
+                                                               "proxy-authorization",
+                                                               "te",
+                                                               "trailer",
+                                                               "transfer-encoding",
+                                                               "upgrade",
+                                                               "content-length"};
 
 std::string_view trim(std::string_view text)
 {
@@ -68,10 +68,9 @@
     kept.reserve(headers.size());
     const std::string &named = findHeader(headers, "connection");
     for (const HttpHeader &header : headers) {
-        const bool singleHop =
-            std::any_of(kSingleHop.begin(), kSingleHop.end(), [&header](std::string_view name) {
-                return equalsIgnoreCase(name, header.name);
-            });
+        const bool singleHop = std::any_of(
+            kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
+            [&header](std::string_view name) { return equalsIgnoreCase(name, header.name); });
         if (!singleHop && !listContains(named, header.name)) {
             kept.push_back(header);
         }
