--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -68,10 +68,10 @@
     kept.reserve(headers.size());
     const std::string &named = findHeader(headers, "connection");
     for (const HttpHeader &header : headers) {
-        const bool singleHop = std::any_of(
+        const bool hopByHop = std::any_of(
             kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
             [&header](std::string_view name) { return equalsIgnoreCase(name, header.name); });
-        if (!singleHop && !listContains(named, header.name)) {
+        if (!hopByHop && !listContains(named, header.name)) {
             kept.push_back(header);
         }
     }
