--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -66,12 +66,12 @@
 {
     HttpHeaders kept;
     kept.reserve(headers.size());
-    const std::string &named = findHeader(headers, "connection");
+    const std::string &connectionOptions = findHeader(headers, "connection");
     for (const HttpHeader &header : headers) {
         const bool hopByHop = std::any_of(
             kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
             [&header](std::string_view name) { return equalsIgnoreCase(name, header.name); });
-        if (!hopByHop && !listContains(named, header.name)) {
+        if (!hopByHop && !listContains(connectionOptions, header.name)) {
             kept.push_back(header);
         }
     }
