--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -64,18 +64,18 @@
 
 HttpHeaders endToEndHeaders(const HttpHeaders &headers)
 {
-    HttpHeaders kept;
-    kept.reserve(headers.size());
+    HttpHeaders forwarded;
+    forwarded.reserve(headers.size());
     const std::string &connectionOptions = findHeader(headers, "connection");
     for (const HttpHeader &header : headers) {
         const bool hopByHop = std::any_of(
             kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
             [&header](std::string_view name) { return equalsIgnoreCase(name, header.name); });
         if (!hopByHop && !listContains(connectionOptions, header.name)) {
-            kept.push_back(header);
+            forwarded.push_back(header);
         }
     }
-    return kept;
+    return forwarded;
 }
 
 } // namespace seamarch
