--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -43,11 +43,11 @@
 
 const std::string &findHeader(const HttpHeaders &headers, std::string_view name)
 {
-    static const std::string kNone;
+    static const std::string kEmpty;
     const auto found = std::find_if(headers.begin(), headers.end(), [name](const HttpHeader &each) {
         return equalsIgnoreCase(each.name, name);
     });
-    return found == headers.end() ? kNone : found->value;
+    return found == headers.end() ? kEmpty : found->value;
 }
 
 bool listContains(std::string_view list, std::string_view token)
