--- a/src/net/httpstatus.cpp
+++ b/src/net/httpstatus.cpp
@@ -11,10 +11,10 @@
 
 bool statusHasNoBody(int status)
 {
-    constexpr int kFirstFinal = 200;
+    constexpr int kFirstFinalStatus = 200;
     constexpr int kNoContent = 204;
     constexpr int kNotModified = 304;
-    return status < kFirstFinal || status == kNoContent || status == kNotModified;
+    return status < kFirstFinalStatus || status == kNoContent || status == kNotModified;
 }
 
 } // namespace seamarch
