--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -22,7 +22,7 @@
 // limit also ends connections whose peer lives and only does not read.
 constexpr unsigned int kUserTimeoutMillis = 3000;
 // Keep-alive probes find callers that are gone: after 5 s of silence, three probes 2 s apart.
-constexpr int kProbeIdleSeconds = 5;
+constexpr int kKeepAliveIdleSeconds = 5;
 constexpr int kProbeGapSeconds = 2;
 constexpr int kProbes = 3;
 
@@ -57,7 +57,7 @@
 {
     setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kProbeIdleSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kProbeGapSeconds);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
 }
