--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -23,7 +23,7 @@
 constexpr unsigned int kUserTimeoutMillis = 3000;
 // Keep-alive probes find callers that are gone: after 5 s of silence, three probes 2 s apart.
 constexpr int kKeepAliveIdleSeconds = 5;
-constexpr int kProbeGapSeconds = 2;
+constexpr int kKeepAliveIntervalSeconds = 2;
 constexpr int kProbes = 3;
 
 SocketId idOf(lws *wsi)
@@ -58,7 +58,7 @@
     setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kProbeGapSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalSeconds);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
 }
 
