--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -24,7 +24,7 @@
 // Keep-alive probes find callers that are gone: after 5 s of silence, three probes 2 s apart.
 constexpr int kKeepAliveIdleSeconds = 5;
 constexpr int kKeepAliveIntervalSeconds = 2;
-constexpr int kProbes = 3;
+constexpr int kKeepAliveProbes = 3;
 
 SocketId idOf(lws *wsi)
 {
@@ -59,7 +59,7 @@
     setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
     setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalSeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbes);
 }
 
 void setOutgoingOptions(int descriptor)
