--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr const char *kProtocolName = "tcp";
-constexpr std::size_t kReadBytes = 64 * 1024;
+constexpr std::size_t kReadBufferBytes = 64 * 1024;
 // Connections that wait to be accepted; a full queue makes callers wait for seconds.
 constexpr int kBacklog = 1024;
 // How long bytes written to an upstream may stay unacknowledged, in milliseconds: a machine without
@@ -87,7 +87,7 @@
     static const lws_protocols kProtocols[] = {{kProtocolName, callback, 0, 0, 0, nullptr, 0},
                                                {nullptr, nullptr, 0, 0, 0, nullptr, 0}};
     std::unique_ptr<TcpSockets> sockets(new TcpSockets(loop));
-    sockets->buffer_.resize(kReadBytes);
+    sockets->buffer_.resize(kReadBufferBytes);
     lws_context_creation_info info{};
     info.port = CONTEXT_PORT_NO_LISTEN;
     info.protocols = kProtocols;
