--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -31,7 +31,7 @@
     return reinterpret_cast<SocketId>(lws_get_opaque_user_data(wsi));
 }
 
-void *opaque(SocketId id)
+void *toOpaque(SocketId id)
 {
     return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): an id, never followed
 }
@@ -109,7 +109,7 @@
     lws *wsi =
         lws_adopt_descriptor_vhost(host_, LWS_ADOPT_RAW_FILE_DESC, file, kProtocolName, nullptr);
     if (wsi != nullptr) {
-        lws_set_opaque_user_data(wsi, opaque(id));
+        lws_set_opaque_user_data(wsi, toOpaque(id));
     }
     return wsi;
 }
