--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -69,7 +69,7 @@
     setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof(timeout));
 }
 
-SocketEnd endOf(int connectError)
+SocketEnd endForConnectError(int connectError)
 {
     return connectError == ECONNREFUSED ? SocketEnd::Refused : SocketEnd::Unreachable;
 }
@@ -184,7 +184,7 @@
     const int result =
         ::connect(descriptor, reinterpret_cast<const sockaddr *>(&target), sizeof(target));
     if (result != 0 && errno != EINPROGRESS) {
-        const SocketEnd how = endOf(errno);
+        const SocketEnd how = endForConnectError(errno);
         ::close(descriptor);
         loop_.post([this, id, how] { end(id, how); });
         return id;
@@ -408,7 +408,7 @@
         return false; // Not connected yet.
     }
     if (error != 0) {
-        end(id, endOf(error));
+        end(id, endForConnectError(error));
         return false;
     }
     entry.connecting = false;
