--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -263,10 +263,10 @@
 {
     // What the peer sent before it broke the connection may still be read; the end follows it.
     Entry *entry = find(id);
-    if (entry == nullptr || entry->checking) {
+    if (entry == nullptr || entry->failurePending) {
         return;
     }
-    entry->checking = true;
+    entry->failurePending = true;
     loop_.post([this, id] {
         onReadable(id);
         end(id, SocketEnd::Reset);
--- a/src/net/tcpsockets.h
+++ b/src/net/tcpsockets.h
@@ -87,7 +87,7 @@
         bool connecting = false;
         bool finishing = false; // The sending direction ends when the queue is empty.
         bool wroteAny = false;
-        bool checking = false; // A failed write is being followed up.
+        bool failurePending = false; // A failed write is being followed up.
     };
 
     explicit TcpSockets(EventLoop &loop)
