--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -234,7 +234,7 @@
         }
         if (errno != EAGAIN && errno != EWOULDBLOCK) {
             entry.queue.clear();
-            checkLater(id);
+            endAfterReading(id);
             return;
         }
         break;
@@ -259,7 +259,7 @@
     }
 }
 
-void TcpSockets::checkLater(SocketId id)
+void TcpSockets::endAfterReading(SocketId id)
 {
     // What the peer sent before it broke the connection may still be read; the end follows it.
     Entry *entry = find(id);
--- a/src/net/tcpsockets.h
+++ b/src/net/tcpsockets.h
@@ -100,7 +100,7 @@
     int onReadable(SocketId id);
     int onWriteable(SocketId id);
     void flush(SocketId id, Entry &entry);
-    void checkLater(SocketId id);
+    void endAfterReading(SocketId id);
     void waitWriteable(SocketId id);
     bool finishConnect(SocketId id, Entry &entry);
     void end(SocketId id, SocketEnd how);
