--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -241,7 +241,7 @@
     }
     entry.queue.erase(0, sent);
     if (!entry.queue.empty()) {
-        waitWriteable(id);
+        requestWriteable(id);
     } else if (entry.finishing) {
         ::shutdown(entry.descriptor, SHUT_WR);
     }
@@ -273,7 +273,7 @@
     });
 }
 
-void TcpSockets::waitWriteable(SocketId id)
+void TcpSockets::requestWriteable(SocketId id)
 {
     // The library clears its interest after the callback in which this may be called, so the
     // interest is renewed on the next turn.
@@ -431,7 +431,7 @@
             if (find(id) == nullptr) {
                 return -1;
             }
-            waitWriteable(id);
+            requestWriteable(id);
         }
         return 0;
     }
--- a/src/net/tcpsockets.h
+++ b/src/net/tcpsockets.h
@@ -101,7 +101,7 @@
     int onWriteable(SocketId id);
     void flush(SocketId id, Entry &entry);
     void endAfterReading(SocketId id);
-    void waitWriteable(SocketId id);
+    void requestWriteable(SocketId id);
     bool finishConnect(SocketId id, Entry &entry);
     void end(SocketId id, SocketEnd how);
     void release(SocketId id);
