--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -242,7 +242,7 @@
     entry.queue.erase(0, sent);
     if (!entry.queue.empty()) {
         requestWriteable(id);
-    } else if (entry.finishing) {
+    } else if (entry.shutdownPending) {
         ::shutdown(entry.descriptor, SHUT_WR);
     }
 }
@@ -250,10 +250,10 @@
 void TcpSockets::finishWriting(SocketId socket)
 {
     Entry *entry = find(socket);
-    if (entry == nullptr || entry->finishing) {
+    if (entry == nullptr || entry->shutdownPending) {
         return;
     }
-    entry->finishing = true;
+    entry->shutdownPending = true;
     if (entry->queue.empty() && !entry->connecting) {
         ::shutdown(entry->descriptor, SHUT_WR);
     }
--- a/src/net/tcpsockets.h
+++ b/src/net/tcpsockets.h
@@ -85,7 +85,7 @@
         SocketListener *listener = nullptr;
         std::string queue;
         bool connecting = false;
-        bool finishing = false; // The sending direction ends when the queue is empty.
+        bool shutdownPending = false; // The sending direction ends when the queue is empty.
         bool wroteAny = false;
         bool failurePending = false; // A failed write is being followed up.
     };
