--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -351,8 +351,8 @@
         return;
     }
     SocketListener *listener = entry->listener;
-    const bool neverMade = entry->connecting && how != SocketEnd::Refused;
-    const SocketEnd seen = neverMade ? SocketEnd::Unreachable : how;
+    const bool neverConnected = entry->connecting && how != SocketEnd::Refused;
+    const SocketEnd seen = neverConnected ? SocketEnd::Unreachable : how;
     release(id);
     if (listener != nullptr) {
         listener->onEnd(id, seen);
