--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -352,10 +352,10 @@
     }
     SocketListener *listener = entry->listener;
     const bool neverConnected = entry->connecting && how != SocketEnd::Refused;
-    const SocketEnd seen = neverConnected ? SocketEnd::Unreachable : how;
+    const SocketEnd reported = neverConnected ? SocketEnd::Unreachable : how;
     release(id);
     if (listener != nullptr) {
-        listener->onEnd(id, seen);
+        listener->onEnd(id, reported);
     }
 }
 
