--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -184,9 +184,9 @@
     const int result =
         ::connect(descriptor, reinterpret_cast<const sockaddr *>(&target), sizeof(target));
     if (result != 0 && errno != EINPROGRESS) {
-        const SocketEnd how = endForConnectError(errno);
+        const SocketEnd cause = endForConnectError(errno);
         ::close(descriptor);
-        loop_.post([this, id, how] { end(id, how); });
+        loop_.post([this, id, cause] { end(id, cause); });
         return id;
     }
     added.descriptor = descriptor;
@@ -344,15 +344,15 @@
     release(socket);
 }
 
-void TcpSockets::end(SocketId id, SocketEnd how)
+void TcpSockets::end(SocketId id, SocketEnd cause)
 {
     Entry *entry = find(id);
     if (entry == nullptr) {
         return;
     }
     SocketListener *listener = entry->listener;
-    const bool neverConnected = entry->connecting && how != SocketEnd::Refused;
-    const SocketEnd reported = neverConnected ? SocketEnd::Unreachable : how;
+    const bool neverConnected = entry->connecting && cause != SocketEnd::Refused;
+    const SocketEnd reported = neverConnected ? SocketEnd::Unreachable : cause;
     release(id);
     if (listener != nullptr) {
         listener->onEnd(id, reported);
--- a/src/net/tcpsockets.h
+++ b/src/net/tcpsockets.h
@@ -103,7 +103,7 @@
     void endAfterReading(SocketId id);
     void requestWriteable(SocketId id);
     bool finishConnect(SocketId id, Entry &entry);
-    void end(SocketId id, SocketEnd how);
+    void end(SocketId id, SocketEnd cause);
     void release(SocketId id);
 
     EventLoop &loop_;
