--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -413,9 +413,9 @@
     }
     entry.connecting = false;
     entry.listener->onConnected(id);
-    Entry *still = find(id);
-    if (still != nullptr && !still->queue.empty()) {
-        flush(id, *still);
+    Entry *current = find(id);
+    if (current != nullptr && !current->queue.empty()) {
+        flush(id, *current);
     }
     return true;
 }
