--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -93,8 +93,8 @@
     info.protocols = kProtocols;
     info.user = sockets.get();
     info.vhost_name = "tcp";
-    sockets->host_ = lws_create_vhost(loop.context(), &info);
-    if (sockets->host_ == nullptr) {
+    sockets->vhost_ = lws_create_vhost(loop.context(), &info);
+    if (sockets->vhost_ == nullptr) {
         return tl::unexpected(NetError{NetError::Kind::ContextFailed, "no host for TCP sockets"});
     }
     return sockets;
@@ -107,7 +107,7 @@
     lws_sock_file_fd_type file{};
     file.filefd = descriptor;
     lws *wsi =
-        lws_adopt_descriptor_vhost(host_, LWS_ADOPT_RAW_FILE_DESC, file, kProtocolName, nullptr);
+        lws_adopt_descriptor_vhost(vhost_, LWS_ADOPT_RAW_FILE_DESC, file, kProtocolName, nullptr);
     if (wsi != nullptr) {
         lws_set_opaque_user_data(wsi, toOpaque(id));
     }
--- a/src/net/tcpsockets.h
+++ b/src/net/tcpsockets.h
@@ -107,7 +107,7 @@
     void release(SocketId id);
 
     EventLoop &loop_;
-    lws_vhost *host_ = nullptr;
+    lws_vhost *vhost_ = nullptr;
     std::unordered_map<SocketId, std::unique_ptr<Entry>> entries_;
     std::unordered_map<SocketId, std::pair<int, AcceptHandler>> listening_;
     std::vector<char> buffer_;
