--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -446,8 +446,8 @@
 int TcpSockets::callback(lws *wsi, lws_callback_reasons reason, void * /*user*/, void * /*in*/,
                          size_t /*size*/)
 {
-    lws_vhost *host = wsi == nullptr ? nullptr : lws_get_vhost(wsi);
-    auto *sockets = host == nullptr ? nullptr : static_cast<TcpSockets *>(lws_vhost_user(host));
+    lws_vhost *vhost = wsi == nullptr ? nullptr : lws_get_vhost(wsi);
+    auto *sockets = vhost == nullptr ? nullptr : static_cast<TcpSockets *>(lws_vhost_user(vhost));
     if (sockets == nullptr) {
         return 0;
     }
