--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -20,7 +20,7 @@
 constexpr HttpReader::Limits kLimits{256, 64};
 
 // Feeds `text` byte by byte, so that every split of a message is met.
-void feedSlowly(HttpReader &reader, std::string_view text)
+void feedByteByByte(HttpReader &reader, std::string_view text)
 {
     for (const char &character : text) {
         reader.feed({&character, 1});
@@ -44,7 +44,7 @@
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
-    feedSlowly(reader, "POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc");
+    feedByteByByte(reader, "POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc");
     CHECK_TRUE(reader.done());
     STRCMP_EQUAL("POST", message.head.method.c_str());
     STRCMP_EQUAL("/a/b?c=d", message.head.target.c_str());
@@ -56,8 +56,8 @@
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
-    feedSlowly(reader, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-                       "2;note=1\r\nab\r\n1\r\nc\r\n0\r\nHost: evil\r\n\r\n");
+    feedByteByByte(reader, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+                           "2;note=1\r\nab\r\n1\r\nc\r\n0\r\nHost: evil\r\n\r\n");
     CHECK_TRUE(reader.done());
     STRCMP_EQUAL("abc", message.body.c_str());
     STRCMP_EQUAL("x", findHeader(message.head.headers, "host").c_str());
