--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -40,7 +40,7 @@
 
 TEST_GROUP(HttpReaderTest){};
 
-TEST(HttpReaderTest, ReadsARequestThatArrivesByteByByte)
+TEST(HttpReaderTest, ReadsRequestThatArrivesByteByByte)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
