--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -52,7 +52,7 @@
     CHECK_TRUE(message.head.persistent);
 }
 
-TEST(HttpReaderTest, ReadsChunksAndDropsTheTrailer)
+TEST(HttpReaderTest, DecodesChunkedBodyAndDropsTrailer)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
