--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -63,7 +63,7 @@
     STRCMP_EQUAL("x", findHeader(message.head.headers, "host").c_str());
 }
 
-TEST(HttpReaderTest, LeavesTheNextMessageUnread)
+TEST(HttpReaderTest, StopsAtEndOfMessage)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
