--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -72,7 +72,7 @@
     CHECK_TRUE(reader.done());
 }
 
-TEST(HttpReaderTest, RefusesWhatReadersUnderstandInDifferentWays)
+TEST(HttpReaderTest, RejectsAmbiguousMessages)
 {
     const char *const kMessages[] = {
         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
