--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -92,7 +92,7 @@
     }
 }
 
-TEST(HttpReaderTest, RefusesABadChunkSize)
+TEST(HttpReaderTest, RejectsInvalidChunkSize)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
