--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -101,7 +101,7 @@
     CHECK_TRUE(reader.fault().has_value());
 }
 
-TEST(HttpReaderTest, BoundsHeadsAndBodies)
+TEST(HttpReaderTest, LimitsHeadAndBodySize)
 {
     CHECK_TRUE(faultOf("GET / HTTP/1.1\r\nA: " + std::string(300, 'a')) == HttpFault::HeadTooLarge);
     CHECK_TRUE(faultOf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 65\r\n\r\n")
