--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -111,7 +111,7 @@
                == HttpFault::BodyTooLarge);
 }
 
-TEST(HttpReaderTest, TakesAnAnswerThatEndsWithItsConnection)
+TEST(HttpReaderTest, AcceptsResponseDelimitedByConnectionEnd)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Response, kLimits, message);
