--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -122,7 +122,7 @@
     STRCMP_EQUAL("some text", message.body.c_str());
 }
 
-TEST(HttpReaderTest, NeverTakesAShortAnswerForWhole)
+TEST(HttpReaderTest, RejectsTruncatedResponse)
 {
     for (const char *const text :
          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "HTTP/1.1 200 OK\r\nContent-Le",
