--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -134,7 +134,7 @@
     }
 }
 
-TEST(HttpReaderTest, KnowsThatAnAnswerToHeadHasNoBody)
+TEST(HttpReaderTest, ResponseToHeadRequestHasNoBody)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Response, kLimits, message);
