--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -143,7 +143,7 @@
     CHECK_TRUE(reader.done());
 }
 
-TEST(HttpReaderTest, KeepsBackWhatSpeaksOfOneConnection)
+TEST(HttpReaderTest, EndToEndHeadersDropsHopByHopHeaders)
 {
     const HttpHeaders headers = {
         {"Connection", "close, X-Hop"}, {"X-Hop", "1"}, {"X-End", "2"},
