--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -148,8 +148,8 @@
     const HttpHeaders headers = {
         {"Connection", "close, X-Hop"}, {"X-Hop", "1"}, {"X-End", "2"},
         {"Keep-Alive", "timeout=5"},    {"Host", "x"},  {"Transfer-Encoding", "chunked"}};
-    const HttpHeaders kept = endToEndHeaders(headers);
-    LONGS_EQUAL(2, kept.size());
-    STRCMP_EQUAL("X-End", kept[0].name.c_str());
-    STRCMP_EQUAL("Host", kept[1].name.c_str());
+    const HttpHeaders forwarded = endToEndHeaders(headers);
+    LONGS_EQUAL(2, forwarded.size());
+    STRCMP_EQUAL("X-End", forwarded[0].name.c_str());
+    STRCMP_EQUAL("Host", forwarded[1].name.c_str());
 }
