--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -10,7 +10,7 @@
 
 struct Message final : public HttpSink
 {
-    void onHead(HttpHead read) override { head = std::move(read); }
+    void onHead(HttpHead value) override { head = std::move(value); }
     void onBody(std::string_view piece) override { body.append(piece); }
 
     HttpHead head;
