--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -17,7 +17,7 @@
 constexpr Duration kPatience = std::chrono::seconds(10);
 
 // Answers each request with its body; a path chooses what else happens.
-class Echo final : public HttpHandler
+class EchoHandler final : public HttpHandler
 {
 public:
     void onRequest(ExchangeId exchange, HttpRequest request) override
@@ -93,7 +93,7 @@
 TEST_GROUP(HttpStackTest)
 {
     std::unique_ptr<EventLoop> loop;
-    Echo echo;
+    EchoHandler echo;
     std::unique_ptr<HttpServer> server;
     std::unique_ptr<HttpClient> client;
     SocketAddress address;
