--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -51,14 +51,14 @@
         }
         server->respond(exchange, head, last.body);
     }
-    void onCallerGone(ExchangeId /*exchange*/) override { ++gone; }
+    void onCallerGone(ExchangeId /*exchange*/) override { ++callersGone; }
     void onDrained(ExchangeId /*exchange*/) override {}
 
     HttpServer *server = nullptr;
     HttpRequest last;
     ExchangeId lastExchange = 0;
     int requests = 0;
-    int gone = 0;
+    int callersGone = 0;
 };
 
 struct Result
@@ -228,7 +228,7 @@
     const HttpCallId id = client->call(request, std::make_unique<Receiver>(*loop, result));
     runUntil([this] { return echo.requests == 1; });
     client->cancel(id);
-    runUntil([this] { return echo.gone == 1; });
+    runUntil([this] { return echo.callersGone == 1; });
     CHECK_FALSE(result.end.has_value());
 }
 
