--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Duration kPatience = std::chrono::seconds(10);
+constexpr Duration kTestTimeout = std::chrono::seconds(10);
 
 // Answers each request with its body; a path chooses what else happens.
 class EchoHandler final : public HttpHandler
@@ -121,7 +121,7 @@
     // Runs the loop until `done` holds or the patience ends.
     void runUntil(const std::function<bool()> &done)
     {
-        const TimePoint end = loop->now() + kPatience;
+        const TimePoint end = loop->now() + kTestTimeout;
         while (!done() && loop->now() < end) {
             loop->schedule(std::chrono::milliseconds(5), [this] { loop->stop(); });
             loop->run();
