--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -149,15 +149,15 @@
         LONGS_EQUAL(0, connect(descriptor, reinterpret_cast<sockaddr *>(&target), sizeof(target)));
         LONGS_EQUAL(text.size(), send(descriptor, text.data(), text.size(), MSG_NOSIGNAL));
         std::string answer;
-        bool over = false;
+        bool closed = false;
         runUntil([&] {
             char buffer[4096];
             const ssize_t size = recv(descriptor, buffer, sizeof(buffer), MSG_DONTWAIT);
             if (size > 0) {
                 answer.append(buffer, static_cast<std::size_t>(size));
             }
-            over = over || size == 0;
-            return over;
+            closed = closed || size == 0;
+            return closed;
         });
         close(descriptor);
         return answer;
