--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -24,7 +24,7 @@
     {
         ++requests;
         last = std::move(request);
-        lastExchange = exchange;
+        lastExchange = sendRaw;
         HttpResponseHead head;
         if (last.path == "/hold") {
             return;
@@ -139,7 +139,7 @@
     }
 
     // Sends `text` on a connection of its own and returns all that comes until the end.
-    std::string exchange(const std::string &text)
+    std::string sendRaw(const std::string &text)
     {
         const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in target{};
@@ -249,9 +249,9 @@
 
 TEST(HttpStackTest, AnswersPipelinedRequestsInOrder)
 {
-    const std::string answer = exchange("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n1"
-                                        "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
-                                        "Connection: close\r\n\r\n2");
+    const std::string answer = sendRaw("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n1"
+                                       "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
+                                       "Connection: close\r\n\r\n2");
     LONGS_EQUAL(2, echo.requests);
     CHECK_TRUE(answer.find("\r\n\r\n1HTTP/1.1 200") != std::string::npos);
     STRCMP_EQUAL("2", answer.substr(answer.size() - 1).c_str());
@@ -259,7 +259,7 @@
 
 TEST(HttpStackTest, RefusesWithoutDeliveringAndCloses)
 {
-    STRNCMP_EQUAL("HTTP/1.1 400", exchange("GET / HTTP/1.1\r\nHost : x\r\n\r\n").c_str(), 12);
+    STRNCMP_EQUAL("HTTP/1.1 400", sendRaw("GET / HTTP/1.1\r\nHost : x\r\n\r\n").c_str(), 12);
     STRNCMP_EQUAL("HTTP/1.1 413",
                   exchange("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2000\r\n\r\n").c_str(),
                   12);
@@ -271,7 +271,7 @@
 TEST(HttpStackTest, AnnouncesTheCloseBeforeItCloses)
 {
     server->announceClose();
-    const std::string answer = exchange("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+    const std::string answer = sendRaw("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
     CHECK_TRUE(answer.find("Connection: close") != std::string::npos);
 }
 
