--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -164,7 +164,7 @@
     }
 };
 
-TEST(HttpStackTest, CarriesARequestAndItsAnswer)
+TEST(HttpStackTest, TransfersRequestAndResponse)
 {
     HttpCallRequest request;
     request.method = "POST";
