--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -179,7 +179,7 @@
     STRCMP_EQUAL("value", echo.last.header("x-any-name").c_str());
 }
 
-TEST(HttpStackTest, JoinsPieces)
+TEST(HttpStackTest, ReceivesStreamedBody)
 {
     HttpCallRequest request;
     request.path = "/pieces";
