--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -186,7 +186,7 @@
     STRCMP_EQUAL("one two", call(request).body.c_str());
 }
 
-TEST(HttpStackTest, UsesAConnectionAgain)
+TEST(HttpStackTest, ReusesConnection)
 {
     HttpCallRequest request;
     request.reuse = ConnectionReuse::Any;
