--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -198,7 +198,7 @@
     LONGS_EQUAL(2, client->connectionsMade());
 }
 
-TEST(HttpStackTest, BrokenAnswersAreNeverWhole)
+TEST(HttpStackTest, ReportsTruncatedResponseAsInterrupted)
 {
     for (const char *const path : {"/broken", "/short"}) {
         HttpCallRequest request;
