--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -209,7 +209,7 @@
     }
 }
 
-TEST(HttpStackTest, ReportsAnUnreachablePeerAsNotSent)
+TEST(HttpStackTest, ReportsRefusedConnectionAsNotSent)
 {
     HttpCallRequest request;
     Result result;
