--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -232,7 +232,7 @@
     CHECK_FALSE(result.end.has_value());
 }
 
-TEST(HttpStackTest, LostKeptConnectionIsToldApart)
+TEST(HttpStackTest, ReportsLossOfReusedConnection)
 {
     HttpCallRequest request;
     request.reuse = ConnectionReuse::Any;
