--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -257,7 +257,7 @@
     STRCMP_EQUAL("2", answer.substr(answer.size() - 1).c_str());
 }
 
-TEST(HttpStackTest, RefusesWithoutDeliveringAndCloses)
+TEST(HttpStackTest, RejectsInvalidRequestsWithoutCallingHandler)
 {
     STRNCMP_EQUAL("HTTP/1.1 400", sendRaw("GET / HTTP/1.1\r\nHost : x\r\n\r\n").c_str(), 12);
     STRNCMP_EQUAL("HTTP/1.1 413",
