--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -268,7 +268,7 @@
     LONGS_EQUAL(0, echo.requests);
 }
 
-TEST(HttpStackTest, AnnouncesTheCloseBeforeItCloses)
+TEST(HttpStackTest, SendsConnectionCloseBeforeClosing)
 {
     server->announceClose();
     const std::string answer = sendRaw("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
