--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -277,7 +277,7 @@
 
 TEST_GROUP(EventLoopTest){};
 
-TEST(EventLoopTest, LoopThatHasShutDownTakesNoTimers)
+TEST(EventLoopTest, ScheduleAfterShutDownReturnsZero)
 {
     auto loop = std::move(*EventLoop::create());
     loop->shutDown();
