--- a/test/net/retryafter_test.cpp
+++ b/test/net/retryafter_test.cpp
@@ -15,7 +15,7 @@
 
 TEST_GROUP(RetryAfterTest){};
 
-TEST(RetryAfterTest, SecondsAreReadWithTheirFractions)
+TEST(RetryAfterTest, ParsesSecondsWithFractions)
 {
     CHECK_TRUE(read("3").delay == Duration(std::chrono::seconds(3)));
     CHECK_TRUE(read("1.25").delay == Duration(std::chrono::milliseconds(1250)));
