--- a/test/net/retryafter_test.cpp
+++ b/test/net/retryafter_test.cpp
@@ -22,7 +22,7 @@
     CHECK_TRUE(read("0").delay == Duration{});
 }
 
-TEST(RetryAfterTest, OnlyAnswersThatTurnAwayAskForRest)
+TEST(RetryAfterTest, AppliesOnlyToStatus429And503)
 {
     CHECK_TRUE(read("3", 429).delay.has_value());
     for (const int status : {200, 301, 408, 421, 500, 502}) {
