--- a/test/net/retryafter_test.cpp
+++ b/test/net/retryafter_test.cpp
@@ -31,7 +31,7 @@
     }
 }
 
-TEST(RetryAfterTest, WishThatIsNoNumberOfSecondsIsUnreadable)
+TEST(RetryAfterTest, RejectsValuesThatAreNotSeconds)
 {
     for (const char *text : {"soon", "-1", "3s", "3 ", "nan", "inf", "1e3", "0x3", "3,5",
                              "Wed, 21 Oct 2015 07:28:00 GMT"}) {
