--- a/test/net/retryafter_test.cpp
+++ b/test/net/retryafter_test.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-TEST(RetryAfterTest, HugeWishIsTakenForADay)
+TEST(RetryAfterTest, LimitsDelayToOneDay)
 {
     CHECK_TRUE(read("99999999999999999999").delay == Duration(std::chrono::hours(24)));
 }
