--- a/test/net/retryafter_test.cpp
+++ b/test/net/retryafter_test.cpp
@@ -45,7 +45,7 @@
     CHECK_TRUE(read("99999999999999999999").delay == Duration(std::chrono::hours(24)));
 }
 
-TEST(RetryAfterTest, NoWishIsNeitherReadNorUnreadable)
+TEST(RetryAfterTest, MissingHeaderIsNeitherDelayNorInvalid)
 {
     CHECK_FALSE(readRetryAfter(503, {}).delay.has_value());
     CHECK_FALSE(readRetryAfter(503, {}).invalid);
