--- a/test/net/suspension_test.cpp
+++ b/test/net/suspension_test.cpp
@@ -34,7 +34,7 @@
 }
 ;
 
-TEST(SuspensionTest, LoopCountsTheTimeThatTheMachineWasSuspended)
+TEST(SuspensionTest, NowIncludesSuspendedTime)
 {
     const auto loop = EventLoop::create();
     const TimePoint before = (*loop)->now();
