--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -75,7 +75,7 @@
 {
     std::unique_ptr<EventLoop> loop;
     std::unique_ptr<UpstreamProbe> probe;
-    std::vector<UpstreamProbeResult> answers;
+    std::vector<UpstreamProbeResult> results;
 
     void setup() override
     {
@@ -95,15 +95,15 @@
     {
         for (std::size_t count = 0; count < times; ++count) {
             probe->probe({"127.0.0.1", port}, [this, times](UpstreamProbeResult result) {
-                answers.push_back(result);
-                if (answers.size() == times) {
+                results.push_back(result);
+                if (results.size() == times) {
                     loop->stop();
                 }
             });
         }
         loop->schedule(kPatience, [this] { loop->stop(); });
         loop->run();
-        LONGS_EQUAL(times, answers.size());
+        LONGS_EQUAL(times, results.size());
     }
 };
 
@@ -112,13 +112,13 @@
     const int port = freePort();
     const Listener listener(port, 4);
     ask(port);
-    CHECK_TRUE(answers.front() == UpstreamProbeResult::Alive);
+    CHECK_TRUE(results.front() == UpstreamProbeResult::Alive);
 }
 
 TEST(UpstreamProbeTest, UpstreamWhosePortIsClosedHasEnded)
 {
     ask(freePort());
-    CHECK_TRUE(answers.front() == UpstreamProbeResult::Ended);
+    CHECK_TRUE(results.front() == UpstreamProbeResult::Ended);
 }
 
 TEST(UpstreamProbeTest, HostThatSaysNothingProvesNothing)
@@ -127,7 +127,7 @@
     Listener listener(port, 0);
     listener.fill(port);
     ask(port);
-    CHECK_TRUE(answers.front() == UpstreamProbeResult::Unknown);
+    CHECK_TRUE(results.front() == UpstreamProbeResult::Unknown);
 }
 
 TEST(UpstreamProbeTest, AllThatAskMeanwhileGetTheSameAnswer)
@@ -135,7 +135,7 @@
     const int port = freePort();
     const Listener listener(port, 4);
     ask(port, 3);
-    for (const UpstreamProbeResult result : answers) {
+    for (const UpstreamProbeResult result : results) {
         CHECK_TRUE(result == UpstreamProbeResult::Alive);
     }
 }
