--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -107,7 +107,7 @@
     }
 };
 
-TEST(UpstreamProbeTest, UpstreamThatTakesConnectionsLives)
+TEST(UpstreamProbeTest, ReportsAliveWhenConnectionIsAccepted)
 {
     const int port = freePort();
     const Listener listener(port, 4);
