--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -115,7 +115,7 @@
     CHECK_TRUE(results.front() == UpstreamProbeResult::Alive);
 }
 
-TEST(UpstreamProbeTest, UpstreamWhosePortIsClosedHasEnded)
+TEST(UpstreamProbeTest, ReportsEndedWhenConnectionIsRefused)
 {
     ask(freePort());
     CHECK_TRUE(results.front() == UpstreamProbeResult::Ended);
