--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -121,7 +121,7 @@
     CHECK_TRUE(results.front() == UpstreamProbeResult::Ended);
 }
 
-TEST(UpstreamProbeTest, HostThatSaysNothingProvesNothing)
+TEST(UpstreamProbeTest, ReportsUnknownWhenHostDoesNotAnswer)
 {
     const int port = freePort();
     Listener listener(port, 0);
