--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -130,7 +130,7 @@
     CHECK_TRUE(results.front() == UpstreamProbeResult::Unknown);
 }
 
-TEST(UpstreamProbeTest, AllThatAskMeanwhileGetTheSameAnswer)
+TEST(UpstreamProbeTest, SharesOneProbeAmongConcurrentCallers)
 {
     const int port = freePort();
     const Listener listener(port, 4);
