--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr Duration kPatience = std::chrono::seconds(10);
+constexpr Duration kTestTimeout = std::chrono::seconds(10);
 
 // A listener of which nobody takes connections.
 class Listener
@@ -101,7 +101,7 @@
                 }
             });
         }
-        loop->schedule(kPatience, [this] { loop->stop(); });
+        loop->schedule(kTestTimeout, [this] { loop->stop(); });
         loop->run();
         LONGS_EQUAL(times, results.size());
     }
