--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -43,8 +43,8 @@
     // Fills the queue, so that the kernel drops what comes next, as a host without power does.
     void fill(int port)
     {
-        constexpr int kMoreThanTheQueue = 8;
-        for (int count = 0; count < kMoreThanTheQueue; ++count) {
+        constexpr int kConnections = 8;
+        for (int count = 0; count < kConnections; ++count) {
             const int caller = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
             sockaddr_in address = at(port);
             callers_.push_back(caller);
