--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -32,7 +32,7 @@
     }
     ~Listener()
     {
-        for (const int caller : callers_) {
+        for (const int caller : clients_) {
             close(caller);
         }
         close(descriptor_);
@@ -47,7 +47,7 @@
         for (int count = 0; count < kConnections; ++count) {
             const int caller = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
             sockaddr_in address = at(port);
-            callers_.push_back(caller);
+            clients_.push_back(caller);
             if (connect(caller, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) != 0
                 && errno != EINPROGRESS) {
                 throw std::runtime_error("cannot connect on loopback");
@@ -66,7 +66,7 @@
     }
 
     int descriptor_;
-    std::vector<int> callers_;
+    std::vector<int> clients_;
 };
 
 } // namespace
