--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -32,8 +32,8 @@
     }
     ~Listener()
     {
-        for (const int caller : clients_) {
-            close(caller);
+        for (const int client : clients_) {
+            close(client);
         }
         close(descriptor_);
     }
@@ -45,10 +45,10 @@
     {
         constexpr int kConnections = 8;
         for (int count = 0; count < kConnections; ++count) {
-            const int caller = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+            const int client = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
             sockaddr_in address = at(port);
-            clients_.push_back(caller);
-            if (connect(caller, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) != 0
+            clients_.push_back(client);
+            if (connect(client, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) != 0
                 && errno != EINPROGRESS) {
                 throw std::runtime_error("cannot connect on loopback");
             }
