--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -24,7 +24,7 @@
     {
         ++requests;
         last = std::move(request);
-        lastExchange = sendRaw;
+        lastExchange = exchange;
         HttpResponseHead head;
         if (last.path == "/hold") {
             return;
