--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -44,9 +44,10 @@
 const std::string &findHeader(const HttpHeaders &headers, std::string_view name)
 {
     static const std::string kEmpty;
-    const auto found = std::find_if(headers.begin(), headers.end(), [name](const HttpHeader &each) {
-        return equalsIgnoreCase(each.name, name);
-    });
+    const auto found =
+        std::find_if(headers.begin(), headers.end(), [name](const HttpHeader &header) {
+            return equalsIgnoreCase(header.name, name);
+        });
     return found == headers.end() ? kEmpty : found->value;
 }
 
