--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -43,8 +43,8 @@
     // Fills the queue, so that the kernel drops what comes next, as a host without power does.
     void fill(int port)
     {
-        constexpr int kConnections = 8;
-        for (int count = 0; count < kConnections; ++count) {
+        constexpr int kMoreThanBacklog = 8;
+        for (int count = 0; count < kMoreThanBacklog; ++count) {
             const int client = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
             sockaddr_in address = at(port);
             clients_.push_back(client);
