--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -12,7 +12,8 @@
 
 constexpr int kMaxHttpHeaderBytes = 16 * 1024;
 constexpr int kNetworkTimeoutSeconds = 20;
-// How long log lines wait for more, so that many go out with one system call.
+// The minimum time between two flushes of the log while the loop runs, so that one system call
+// writes many lines.
 constexpr Duration kLogFlushInterval = std::chrono::milliseconds(50);
 
 void writeLibraryLog(int level, const char *line)
@@ -25,8 +26,9 @@
             {{"message", text}});
 }
 
-// The library scans a table of as many entries as the process may open descriptors whenever it
-// opens or closes one, so a limit of what is needed saves a good part of a short request's time.
+// Limits the number of open descriptors. Whenever libwebsockets opens or closes a descriptor it
+// scans a table with one entry for each descriptor that the process may open; with a high limit the
+// scan takes a large part of the time of a short request.
 void limitDescriptors()
 {
     constexpr rlim_t kMaxDescriptors = 8192;
@@ -41,7 +43,7 @@
 
 struct EventLoop::Timer
 {
-    // The list entry comes first, so that the library's pointer to it is a pointer to the timer.
+    // Must be the first member: onTimer() casts a pointer to the entry to a pointer to the timer.
     lws_sorted_usec_list_t entry{};
     EventLoop *loop = nullptr;
     TimerId id = 0;
@@ -64,7 +66,7 @@
         return;
     }
     closed_ = true;
-    // What the timers hold may cancel others when it is released.
+    // Destroying a timer's action may cancel other timers, so `timers_` is emptied first.
     const auto timers = std::exchange(timers_, {});
     for (const auto &[id, timer] : timers) {
         lws_sul_cancel(&timer->entry);
@@ -88,7 +90,7 @@
     loop->context_ = lws_create_context(&info);
     if (loop->context_ == nullptr) {
         return tl::unexpected(
-            NetError{NetError::Kind::ContextFailed, "libwebsockets could not start"});
+            NetError{NetError::Kind::ContextFailed, "cannot create the libwebsockets context"});
     }
     return loop;
 }
@@ -104,7 +106,7 @@
 TimerId EventLoop::schedule(Duration delay, std::function<void()> action)
 {
     if (closed_) {
-        return 0; // Closing connections tell their users, who may try again; the context is gone.
+        return 0; // Users that are notified of a closed connection may retry; the context is gone.
     }
     auto timer = std::make_unique<Timer>();
     timer->loop = this;
--- a/src/net/eventloop.h
+++ b/src/net/eventloop.h
@@ -1,8 +1,8 @@
-// The one loop of a process, on its one thread.
+// The event loop of the process. It runs on a single thread.
 //
-// libwebsockets owns the loop; the kj event loop that Cap'n Proto needs is turned between two calls
-// of `lws_service`. Timers are libwebsockets' own. Everything in the network layer hangs on one
-// EventLoop, which outlives it all.
+// libwebsockets drives the loop; the kj event loop that Cap'n Proto needs runs between two calls of
+// `lws_service`. Timers are libwebsockets timers. All objects of the network layer use the same
+// EventLoop, which must outlive them.
 #pragma once
 
 #include "net/neterror.h"
@@ -22,7 +22,8 @@
 
 namespace detail {
 
-// Tells kj that the loop around it is another's: kj never blocks and only notes that it has work.
+// Embeds kj's event loop in another loop: kj never blocks in it and only records whether it has
+// work.
 class NonBlockingEventPort final : public kj::EventPort
 {
 public:
@@ -39,11 +40,13 @@
 
 using TimerId = std::uint64_t;
 
-// Owns the libwebsockets context, the kj loop and the timers. Not copyable; single-threaded.
+// Runs the libwebsockets context, the kj loop and the timers, all of which it owns.
+// Single-threaded.
 class EventLoop
 {
 public:
-    // Creates the loop. Fails when the context cannot be made, for example for want of memory.
+    // Creates the loop. Fails if the libwebsockets context cannot be created, for example because
+    // memory is exhausted.
     static tl::expected<std::unique_ptr<EventLoop>, NetError> create();
     ~EventLoop();
     EventLoop(const EventLoop &) = delete;
@@ -51,32 +54,33 @@
 
     lws_context *context() const { return context_; }
 
-    // Returns time that never steps back and goes on while the machine is suspended: what was heard
-    // before a suspension must be as old after it as it is.
+    // Returns the monotonic time including time that the machine was suspended, so that data
+    // received before a suspension shows its true age after it.
     TimePoint now() const;
 
-    // Calls `action` once after `delay`. The timer can be cancelled until it has fired. A loop that
-    // is shutting down takes no timers, and returns zero.
+    // Calls `action` once after `delay`, which is raised to 1 us if it is shorter. Returns an id
+    // for cancel(). Schedules nothing and returns 0 once shutDown() has begun.
     TimerId schedule(Duration delay, std::function<void()> action);
+    // Cancels a timer. Has no effect if the timer has fired or `timer` is 0.
     void cancel(TimerId timer);
 
-    // Calls `action` on the next turn of the loop.
+    // Calls `action` in the next iteration of the loop.
     void post(std::function<void()> action);
 
-    // Runs until stop() is called; may be called again after that.
+    // Runs the loop until stop() is called. May be called again after it has returned.
     void run();
     void stop();
 
-    // Has `handler` called on the loop's thread soon after interrupt().
+    // Sets the handler that the loop calls on its thread after interrupt().
     void setInterruptHandler(std::function<void()> handler)
     {
         interruptHandler_ = std::move(handler);
     }
-    // May be called from a signal handler.
+    // Requests a call of the interrupt handler. Safe to call from a signal handler.
     void interrupt();
 
-    // Closes every connection. Called after run() and before the servers, clients and transports of
-    // the loop are destroyed, because the library tells them of each close.
+    // Closes every connection. Call it after run() has returned and before the servers, clients and
+    // transports of the loop are destroyed, because libwebsockets notifies them of each close.
     void shutDown();
 
 private:
@@ -96,11 +100,12 @@
     std::vector<std::function<void()>> posted_;
     std::function<void()> interruptHandler_;
     bool stopping_ = false;
-    bool closed_ = false; // It has shut down, or is about to.
+    bool closed_ = false; // Set when shutDown() begins.
     volatile std::sig_atomic_t interrupted_ = 0;
 };
 
-// Calls `action` again and again, `period` apart, until it is destroyed.
+// Calls `action` every `period` until the timer is destroyed. The first call comes after one
+// period.
 class PeriodicTimer
 {
 public:
