--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -11,18 +11,20 @@
 namespace {
 
 constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
-// How long a connection counts as in use a moment ago: servers close idle ones after seconds.
+// The idle time up to which a connection counts as recently used: servers close idle connections
+// only after seconds.
 constexpr Duration kRecentUseLimit = std::chrono::milliseconds(900);
-// How long a connection is kept when the peer does not say how long it keeps it.
+// The keep-alive time of a connection whose peer does not announce one.
 constexpr Duration kDefaultKeepAlive = std::chrono::seconds(4);
-// Taken off what the peer says: its close may be on its way, and it counts in whole seconds.
+// Subtracted from the keep-alive time that the peer announces: its close may be in transit, and it
+// counts in whole seconds.
 constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
-// Kept connections to one address; more are closed.
+// Idle connections that are kept for one address; further ones are closed.
 constexpr std::size_t kMaxIdlePerAddress = 16;
 constexpr std::size_t kMaxResponseHeadBytes = std::size_t{64} * 1024;
 constexpr int kFirstFinalStatus = 200;
 
-// Returns how long a peer that sent these headers keeps the connection.
+// Returns how long a connection may stay idle after a response with these headers.
 Duration keepAliveTime(const HttpHeaders &headers)
 {
     constexpr std::string_view kTimeout = "timeout=";
@@ -69,7 +71,7 @@
     SocketId socket;
     SocketAddress address;
     HttpReader reader;
-    HttpCallId call = 0; // Zero: the connection is kept, and idle.
+    HttpCallId call = 0; // 0 if the connection is idle.
     HttpCallRequest request;
     std::unique_ptr<HttpCallReceiver> receiver;
     TimePoint idleSince{};
@@ -79,7 +81,7 @@
     bool connected = false;
     bool persistent = false;
     bool reusedConnection = false;
-    bool receivedBytes = false; // Any byte of the answer has arrived.
+    bool receivedBytes = false; // Whether any byte of the response has arrived.
 };
 
 HttpClient::HttpClient(EventLoop &loop)
@@ -192,7 +194,7 @@
         return;
     }
     if (found->second->call == 0) {
-        closeConnection(socket); // Bytes that answer nothing.
+        closeConnection(socket); // Bytes without a request.
         return;
     }
     found->second->receivedBytes = true;
@@ -204,7 +206,7 @@
     while (!bytes.empty()) {
         Connection &connection = *connections_.at(socket);
         const HttpCallId call = connection.call;
-        // The connection stays in the table while its receiver runs, unless that cancels the call.
+        // Feeding calls the receiver, which may cancel the call and so remove the connection.
         bytes.remove_prefix(connection.reader.feed(bytes));
         if (calls_.find(call) == calls_.end()) {
             return;
@@ -291,7 +293,8 @@
     receiver->onEnd(callEnd);
 }
 
-// Closes a connection. One that is feeding its receiver right now is destroyed on the next turn.
+// Closes a connection. The object is destroyed in the next iteration of the loop, because it may be
+// calling its receiver.
 void HttpClient::closeConnection(SocketId socket)
 {
     const auto found = connections_.find(socket);
--- a/src/net/httpclient.h
+++ b/src/net/httpclient.h
@@ -1,11 +1,12 @@
-// The HTTP client: calls to upstreams, to the platform and to engines.
+// An HTTP/1.1 client for calls to upstreams, to the platform and to engines.
 //
-// A call is one request with its answer, addressed by its id. Answers arrive in pieces; a piece
-// that the receiver cannot take is held back by pausing the call.
+// A call is one request with its response, identified by an id. The body of a response is passed on
+// as it arrives; a receiver that cannot keep up pauses the call.
 //
-// Connections are kept after an answer when both sides agree, and used again by calls that allow
-// it. A connection is never kept when anything about its last answer was in doubt: bytes after the
-// end, an answer that came before the request was written, an end that the connection had to mark.
+// The client keeps a connection open after a response if both sides allow it, and reuses it for
+// calls that allow reuse. It closes the connection if the framing of the last response is in doubt:
+// bytes followed its end, it was complete before the request was fully written, or only the end of
+// the connection delimited it.
 #pragma once
 
 #include "net/eventloop.h"
@@ -27,21 +28,21 @@
 
 using HttpCallId = std::uint64_t;
 
-// Which kept connections a call may use. A kept connection may be closing unseen at the other end,
-// so that it is not known whether a request on it was read.
+// The idle connections that a call may reuse. The peer may be closing an idle connection at the
+// same time, in which case it is not known whether the peer read the request.
 enum class ConnectionReuse {
-    Never,        // A new connection, which closes after the call.
-    RecentlyUsed, // One that was in use a moment ago.
-    Any,          // Any that the peer has not said to be over.
+    Never,        // A new connection, which is closed after the call.
+    RecentlyUsed, // A connection that was in use less than 900 ms ago.
+    Any,          // Any connection whose keep-alive time has not expired.
 };
 
 struct HttpCallRequest
 {
     SocketAddress address;
     std::string method = "GET";
-    std::string path = "/"; // The whole target, with the query.
+    std::string path = "/"; // The request target, including the query.
     std::string contentType = {};
-    HttpHeaders headers = {}; // A host header is added when there is none.
+    HttpHeaders headers = {}; // A Host header is added if there is none.
     std::string body = {};
     ConnectionReuse reuse = ConnectionReuse::Never;
     Duration connectTimeout = std::chrono::seconds(5);
@@ -49,26 +50,27 @@
 
 // How a call ended.
 enum class HttpCallEnd {
-    Complete,             // The whole answer arrived.
-    NotSent,              // The connection was never made: nothing was written.
-    ReusedConnectionLost, // A kept connection broke before any byte of the answer.
-    Interrupted,          // The connection broke after the request may have been written.
-    MalformedResponse,    // What came is no HTTP answer.
+    Complete,             // The complete response arrived.
+    NotSent,              // No connection was established; nothing was written.
+    ReusedConnectionLost, // A reused connection broke before any byte of the response.
+    Interrupted,          // The connection broke; the request may have been written.
+    MalformedResponse,    // The peer sent something other than an HTTP response.
 };
 
-// Receives the answer of one call. All calls come on the loop's thread.
+// Receives the response to one call, on the loop's thread.
 class HttpCallReceiver
 {
 public:
     virtual ~HttpCallReceiver() = default;
 
     virtual void onHead(HttpHead head) = 0;
+    // Takes the next part of the body.
     virtual void onPiece(std::string_view piece) = 0;
-    // The last call; the receiver is released after it.
+    // Called last, once; the client destroys the receiver afterwards.
     virtual void onEnd(HttpCallEnd end) = 0;
 };
 
-// Makes calls. The loop outlives it.
+// Makes HTTP calls and keeps idle connections for reuse. The loop must outlive the client.
 class HttpClient final : private SocketListener
 {
 public:
@@ -77,16 +79,16 @@
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    // Starts a call. Its end is always reported, never from inside this call, unless it is
-    // cancelled.
+    // Starts a call. `receiver` is told the end of the call, after this function has returned,
+    // unless the call is cancelled.
     HttpCallId call(HttpCallRequest request, std::unique_ptr<HttpCallReceiver> receiver);
-    // Breaks the call off and closes its connection. The receiver is released and hears no more.
+    // Cancels the call, closes its connection and destroys the receiver without calling it again.
     void cancel(HttpCallId call);
-    // Stops or restarts the reading of the answer.
+    // Stops (`paused` is true) or resumes reading the response.
     void pause(HttpCallId call, bool paused);
-    // Tells whether any byte of the request was handed to the kernel.
+    // Returns whether any byte of the request may have been passed to the kernel.
     bool wroteAny(HttpCallId call) const;
-    // Closes the kept connections to an address that is no longer the same peer.
+    // Closes the idle connections to `address`, for an address that another peer has taken over.
     void closeIdleConnections(const SocketAddress &address);
 
     std::uint64_t connectionsMade() const { return connectionsMade_; }
@@ -111,7 +113,7 @@
     std::unique_ptr<TcpSockets> sockets_;
     std::unordered_map<SocketId, std::unique_ptr<Connection>> connections_;
     std::unordered_map<HttpCallId, SocketId> calls_;
-    std::map<SocketAddress, std::vector<SocketId>> idleConnections_; // The last was used last.
+    std::map<SocketAddress, std::vector<SocketId>> idleConnections_; // Most recently used last.
     std::unique_ptr<PeriodicTimer> sweepTimer_;
     HttpCallId nextCall_ = 1;
     std::uint64_t connectionsMade_ = 0;
--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kMaxBodyBytes = std::size_t{16} * 1024 * 1024;
 
-// Collects one answer. Its timer ends with it, however the call ends.
+// Collects one response. Its destructor cancels the timeout, however the call ends.
 class TextReceiver final : public HttpCallReceiver
 {
 public:
@@ -21,11 +21,11 @@
     TextReceiver(const TextReceiver &) = delete;
     TextReceiver &operator=(const TextReceiver &) = delete;
 
-    // Breaks the call off after `patience`.
+    // Cancels the call after `timeout`.
     void startTimeout(HttpClient &client, HttpCallId call, Duration timeout)
     {
         timer_ = loop_.schedule(timeout, [&client, call, done = done_] {
-            client.cancel(call); // Releases this receiver.
+            client.cancel(call); // Destroys this receiver.
             done(HttpTextResponse());
         });
     }
--- a/src/net/httpfetch.h
+++ b/src/net/httpfetch.h
@@ -1,4 +1,4 @@
-// Calls whose whole answer is wanted as one text.
+// HTTP calls that collect the complete response body in a string.
 #pragma once
 
 #include "net/eventloop.h"
@@ -9,17 +9,18 @@
 
 namespace seamarch {
 
+// A response with its body, or a notice that no complete response arrived in time.
 struct HttpTextResponse
 {
-    bool complete = false; // The whole answer arrived in time; else the fields below mean nothing.
+    bool complete = false; // If false, the other fields are undefined.
     int status = 0;
     HttpHeaders headers;
     std::string body;
 };
 
-// Makes a call and hands its whole answer to `done`, never from inside this function. A call that
-// takes longer than `patience`, or whose answer is longer than a few megabytes, is broken off.
-// Returns the call, which can be cancelled until then; `done` then hears nothing.
+// Makes a call and passes its response to `done`, after this function has returned. The response is
+// incomplete if the call fails, takes longer than `timeout` (it is then cancelled), or has a body
+// of more than 16 MiB. Returns the id of the call; if it is cancelled, `done` is not called.
 HttpCallId fetchText(EventLoop &loop, HttpClient &client, HttpCallRequest request, Duration timeout,
                      std::function<void(HttpTextResponse)> done);
 
