--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -36,7 +36,7 @@
            && std::all_of(line.begin(), line.end(), isFieldChar);
 }
 
-// Tells whether every line of a head ends in CRLF and is a field that all readers read alike.
+// Returns whether every line of a head ends in CRLF and, after the first, is an unambiguous field.
 bool isWellFormedHead(std::string_view head)
 {
     bool first = true;
@@ -92,7 +92,7 @@
 {
     HttpReader &reader = readerOf(parser);
     if (reader.headDone_) {
-        return 0; // A trailer.
+        return 0; // Trailers are dropped.
     }
     if (reader.lastWasValue_) {
         reader.head_.headers.emplace_back();
@@ -115,14 +115,14 @@
 int detail::ParserState::onDone(http_parser *parser)
 {
     readerOf(parser).done_ = true;
-    http_parser_pause(parser, 1); // The next message waits until the reader is reset.
+    http_parser_pause(parser, 1); // Stop here until the reader is reset.
     return 0;
 }
 
 const http_parser_settings &detail::ParserState::callbacks()
 {
     static const http_parser_settings kCallbacks = [] {
-        // The head's own limit is checked before the parser sees it.
+        // feedHead() enforces the limit on the head before the parser sees it.
         http_parser_set_max_header_size(std::numeric_limits<std::uint32_t>::max());
         http_parser_settings settings;
         http_parser_settings_init(&settings);
@@ -183,7 +183,7 @@
     constexpr int kSkipBody = 1;
     constexpr int kAbort = -1;
     http_parser &parser = parser_->state;
-    parser.upgrade = 0; // Other protocols are not served; the message is read as plain HTTP.
+    parser.upgrade = 0; // Upgrades are not supported; the message is read as HTTP.
     const bool hasLength = parser.content_length != std::numeric_limits<std::uint64_t>::max();
     const bool chunked = (parser.flags & F_CHUNKED) != 0;
     if (parser.http_major != 1) {
@@ -236,7 +236,7 @@
 {
     std::size_t skipped = 0;
     if (headText_.empty()) {
-        // A server should pass over an empty line before a request (RFC 9112 section 2.2).
+        // A server should ignore an empty line before a request (RFC 9112 section 2.2).
         while (kind_ == Kind::Request && skipped < bytes.size()
                && (bytes[skipped] == '\r' || bytes[skipped] == '\n')) {
             ++skipped;
--- a/src/net/httpreader.h
+++ b/src/net/httpreader.h
@@ -1,11 +1,11 @@
-// Reads HTTP/1.1 messages from the bytes of one connection, strictly.
+// A strict parser of the HTTP/1.1 messages of one connection.
 //
-// http_parser does the parsing. What it lets pass and what peers are known to read in different
-// ways is refused here before it: folded header lines, bare line feeds, blanks before a colon,
-// more than one host. A message that is refused is never passed on, so no request can be hidden
-// inside another.
+// http_parser does the parsing. This reader rejects constructs that http_parser accepts but that
+// implementations are known to interpret differently: folded header lines, bare line feeds, spaces
+// before a colon, more than one Host header. A rejected message is never passed on, which prevents
+// request smuggling.
 //
-// One reader serves one direction of one connection, message after message. Single-threaded.
+// One reader parses one direction of one connection, message after message. Single-threaded.
 #pragma once
 
 #include "net/httptypes.h"
@@ -19,30 +19,32 @@
 namespace seamarch {
 
 namespace detail {
-// http_parser's state. Its header clashes with libwebsockets' and stays in one source file.
+// Holds the state of http_parser, whose header conflicts with that of libwebsockets and is
+// therefore included in source files only.
 struct ParserState;
 } // namespace detail
 
+// Reasons to reject a message, with the status that a server responds with.
 enum class HttpFault {
-    Malformed,    // Answered with 400.
-    HeadTooLarge, // Answered with 431.
-    BodyTooLarge, // Answered with 413.
+    Malformed,    // Status 400.
+    HeadTooLarge, // Status 431.
+    BodyTooLarge, // Status 413.
 };
 
-// The head of a message. The first three fields are a request's, the status an answer's.
+// The head of a message. `method` and `target` are set in requests, `status` in responses.
 struct HttpHead
 {
     std::string method;
-    std::string target; // As it was written: path and query.
+    std::string target; // As sent: path and query.
     int status = 0;
     HttpHeaders headers;
-    bool persistent = false;                    // The connection may be used again.
-    bool isHttp10 = false;                      // The peer speaks HTTP/1.0: no chunks.
-    bool framed = true;                         // False: the body ends with the connection.
-    std::optional<std::uint64_t> contentLength; // Of the body, when the head tells it.
+    bool persistent = false;                    // The peer allows reuse of the connection.
+    bool isHttp10 = false;                      // The peer uses HTTP/1.0, without chunked coding.
+    bool framed = true;                         // False: the end of the connection ends the body.
+    std::optional<std::uint64_t> contentLength; // Unset if the head does not state it.
 };
 
-// Receives a message as it is read. The reader itself tells when the message is done.
+// Receives a message as it is read. HttpReader::done() reports whether the message is complete.
 class HttpSink
 {
 public:
@@ -52,11 +54,13 @@
     virtual void onBody(std::string_view piece) = 0;
 };
 
+// Parses the messages of one direction of a connection and passes them to a sink.
 class HttpReader
 {
 public:
     enum class Kind { Request, Response };
 
+    // Sizes above which a message is rejected; `bodyBytes` applies to requests only.
     struct Limits
     {
         std::size_t headBytes = std::size_t{16} * 1024;
@@ -68,17 +72,18 @@
     HttpReader(const HttpReader &) = delete;
     HttpReader &operator=(const HttpReader &) = delete;
 
-    // Gets ready for the next message.
+    // Prepares for the next message and clears the fault.
     void reset();
-    // The next answer has no body, whatever its head says: it answers a HEAD request.
+    // Declares that the next response has no body, whatever its head states, because it responds to
+    // a HEAD request.
     void expectNoBody() { noBody_ = true; }
-    // Reads up to the end of the current message and returns how many bytes that took; what is
-    // left over belongs to the next message.
+    // Reads up to the end of the current message and returns the number of bytes consumed. The
+    // remaining bytes belong to the next message.
     std::size_t feed(std::string_view bytes);
-    // The peer ended the connection in order. Returns whether that completes the message.
+    // Handles an orderly end of the connection. Returns whether the message is complete.
     bool finishOnConnectionEnd();
 
-    // Tells whether any byte of the current message has been read.
+    // Returns whether any byte of the current message has been read.
     bool started() const { return started_; }
     bool headDone() const { return headDone_; }
     bool done() const { return done_; }
@@ -98,7 +103,7 @@
     Limits limits_;
     HttpSink &sink_;
     std::unique_ptr<detail::ParserState> parser_;
-    std::string headText_; // The head as read so far.
+    std::string headText_; // The part of the head read so far.
     HttpHead head_;
     bool lastWasValue_ = true;
     bool started_ = false;
