--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -9,11 +9,12 @@
 namespace seamarch {
 namespace {
 
-// Bytes that a caller may send ahead of its answers before its connection is no longer read.
+// Bytes that a caller may send during an exchange before the server stops reading the connection.
 constexpr std::size_t kMaxReadAheadBytes = 64 * 1024;
-// How often timeouts are checked; they are seconds.
+// The interval at which timeouts, which are in seconds, are checked.
 constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
-// How long a connection that is being closed is read, so that the answer is not lost to a reset.
+// How long the server keeps reading a connection that it closes. Closing it with unread data would
+// reset it, and the caller could lose the response.
 constexpr Duration kLingerTime = std::chrono::seconds(1);
 
 constexpr int kBadRequest = 400;
@@ -52,10 +53,10 @@
     SocketId socket;
     HttpReader reader;
     HttpRequest request;
-    std::string readAhead; // Received, and not yet read.
+    std::string readAhead; // Received but not parsed yet.
     ExchangeId exchange = 0;
     TimePoint lastActive;
-    TimePoint readingSince{}; // Of the message that is being read.
+    TimePoint readingSince{}; // When the first byte of the current message arrived.
     Framing framing = Framing::Chunked;
     std::uint64_t bytesLeft = 0;
     bool persistent = true;
@@ -63,7 +64,7 @@
     bool wantsContinue = false;
     bool headRequest = false;
     bool headSent = false;
-    bool lingering = false; // Answered for good; what arrives is dropped.
+    bool lingering = false; // No further response follows; received data is discarded.
 };
 
 HttpServer::HttpServer(EventLoop &loop, HttpHandler &handler, HttpServerOptions options)
@@ -138,7 +139,7 @@
     read(socket);
 }
 
-// Reads one request from what has arrived and delivers it.
+// Parses one request from the received data and delivers it if it is complete.
 void HttpServer::read(SocketId socket)
 {
     Connection *connection = find(socket);
@@ -303,7 +304,7 @@
     endExchange(*connection);
 }
 
-// The answer is whole: the connection goes on with the next request or closes.
+// Ends an exchange whose response is complete. Reads the next request or closes the connection.
 void HttpServer::endExchange(Connection &connection)
 {
     exchanges_.erase(connection.exchange);
@@ -340,7 +341,7 @@
     exchanges_.erase(exchange);
     connection->exchange = 0;
     if (truncationDetectable) {
-        // What was written still goes out; the missing end shows that the answer is not whole.
+        // The data written so far is still sent; the missing end shows the response as incomplete.
         connection->lingering = true;
         connection->lastActive = loop_.now();
         sockets_->finishWriting(socket);
--- a/src/net/httpserver.h
+++ b/src/net/httpserver.h
@@ -1,13 +1,13 @@
-// The HTTP server that callers and operators talk to.
+// An HTTP/1.1 server for callers and operators.
 //
-// One HttpServer listens at one address. It reads whole requests, bounded in size and time, hands
-// them to an HttpHandler and sends what the handler answers, whole or in pieces. An exchange is one
-// request with its answer and is addressed by its id; every call with the id of an exchange that is
-// over has no effect, so a late answer can never reach another caller's connection.
+// One HttpServer listens at one address. It reads complete requests, limits their size and
+// duration, passes them to an HttpHandler and sends the handler's responses, whole or streamed. An
+// exchange is one request with its response, identified by an id. Calls with the id of a finished
+// exchange have no effect, so a late response never reaches the connection of another caller.
 //
-// A request that cannot be read without doubt is answered with 400, 408, 413 or 431 and its
-// connection is closed; the handler never sees it. Requests that a caller sends before its last
-// answer wait in a bounded buffer.
+// A request that is malformed, too large or too slow is rejected with status 400, 408, 413 or 431
+// and its connection is closed; the handler does not receive it. Pipelined requests wait in a
+// bounded buffer.
 #pragma once
 
 #include "net/eventloop.h"
@@ -28,11 +28,11 @@
 
 using ExchangeId = std::uint64_t;
 
-// A whole request.
+// A complete request.
 struct HttpRequest
 {
     std::string method;
-    std::string target; // As it was written.
+    std::string target; // As sent.
     std::string path;   // The target up to the question mark.
     std::string query;  // Without the question mark.
     HttpHeaders headers;
@@ -42,13 +42,14 @@
     const std::string &header(std::string_view name) const { return findHeader(headers, name); }
 };
 
-// The first part of an answer.
+// The status and headers of a response.
 struct HttpResponseHead
 {
     int status = 200;
-    std::string contentType = "application/json"; // Empty: `headers` tells, or there is none.
+    // If empty, no Content-Type is added to `headers`.
+    std::string contentType = "application/json";
     HttpHeaders headers;
-    // The length of the body that follows in pieces, where it is known.
+    // The length of a streamed body, if known.
     std::optional<std::uint64_t> contentLength = std::nullopt;
 };
 
@@ -57,25 +58,28 @@
     SocketAddress address;
     std::size_t maxHeaderBytes = 16U * 1024U;
     std::size_t maxBodyBytes = 8U * 1024U * 1024U;
-    Duration headerTimeout = std::chrono::seconds(10); // From a request's first byte to its head.
-    Duration idleTimeout = std::chrono::seconds(60);   // Between requests, and between body bytes.
+    // From the first byte of a request to the end of its head.
+    Duration headerTimeout = std::chrono::seconds(10);
+    // Between requests, and between parts of a body.
+    Duration idleTimeout = std::chrono::seconds(60);
 };
 
-// Receives requests. All calls come on the loop's thread; calls back into the server are allowed.
+// Handles requests, on the loop's thread. May call the server from within its functions.
 class HttpHandler
 {
 public:
     virtual ~HttpHandler() = default;
 
-    // A whole request has arrived. The exchange stays open until the server is told its end.
+    // Handles a complete request. The exchange stays open until HttpServer::respond(), finish() or
+    // abort() is called.
     virtual void onRequest(ExchangeId exchange, HttpRequest request) = 0;
-    // The caller left before its answer was complete. The exchange is over.
+    // Called if the connection ends before the response is complete. The exchange has ended.
     virtual void onCallerGone(ExchangeId exchange) = 0;
-    // The buffered part of a streamed answer has been sent; more may be written.
+    // Called when the buffered part of a streamed response has been sent; more may be written.
     virtual void onDrained(ExchangeId exchange) = 0;
 };
 
-// Serves one address. The handler and the loop outlive the server.
+// Serves HTTP at one address. The handler and the loop must outlive the server.
 class HttpServer final : private SocketListener
 {
 public:
@@ -85,27 +89,28 @@
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    // Takes new bounds for the requests that begin from now on; the address stays.
+    // Replaces the limits. The timeouts apply at once, the size limits to connections accepted from
+    // now on. Ignores the address.
     void setBounds(const HttpServerOptions &bounds);
 
-    // Answers with a whole body.
+    // Sends a response with a complete body and ends the exchange.
     void respond(ExchangeId exchange, const HttpResponseHead &head, std::string_view body);
-    // Starts an answer that follows in pieces.
+    // Starts a streamed response. Calls of write() and one of finish() follow.
     void begin(ExchangeId exchange, const HttpResponseHead &head);
-    // Adds to a started answer.
+    // Sends a part of the body of a streamed response.
     void write(ExchangeId exchange, std::string_view piece);
-    // Ends a started answer. One that is shorter than its head said is broken off instead.
+    // Ends a streamed response. Aborts it if it is shorter than its content length.
     void finish(ExchangeId exchange);
-    // Breaks the connection, so that the caller sees that its answer is not whole.
+    // Ends the connection in such a way that the caller can tell that the response is incomplete.
     void abort(ExchangeId exchange);
 
-    // Returns how many bytes of the answer wait for the caller to take them.
+    // Returns the number of response bytes that have not been passed to the kernel yet.
     std::size_t buffered(ExchangeId exchange) const;
     // Returns the number of open exchanges.
     std::size_t open() const { return exchanges_.size(); }
-    // From now on each answer says that its connection closes, and closes it.
+    // Makes all further responses carry `Connection: close` and closes their connections.
     void announceClose() { closing_ = true; }
-    // The same, and connections without a request under way close at once.
+    // Does the same and immediately closes connections without a request in progress.
     void closeIdle();
 
 private:
