--- a/src/net/httpstatus.h
+++ b/src/net/httpstatus.h
@@ -1,14 +1,14 @@
-// Names and properties of HTTP status codes.
+// Reason phrases and properties of HTTP status codes.
 #pragma once
 
 #include <string_view>
 
 namespace seamarch {
 
-// Returns the usual reason phrase of a status, or an unspecific one.
+// Returns the standard reason phrase of `status`, or a placeholder for an unknown status.
 std::string_view reasonPhrase(int status);
 
-// Tells whether answers with `status` never carry a body (RFC 9110 section 6.4.1).
+// Returns whether responses with `status` never have a body (RFC 9110 section 6.4.1).
 bool statusHasNoBody(int status);
 
 } // namespace seamarch
--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -7,7 +7,7 @@
 namespace seamarch {
 namespace {
 
-// RFC 9110 section 7.6.1, and the headers that frame a body, which each hop writes anew.
+// The hop-by-hop headers (RFC 9110 section 7.6.1) and those that frame a body, which each hop sets.
 constexpr std::array<std::string_view, 10> kHopByHopHeaders = {"connection",
                                                                "keep-alive",
                                                                "proxy-connection",
--- a/src/net/httptypes.h
+++ b/src/net/httptypes.h
@@ -1,4 +1,4 @@
-// Types that the HTTP server and the HTTP client share.
+// Header types and functions that the HTTP server and the HTTP client share.
 #pragma once
 
 #include <string>
@@ -9,23 +9,23 @@
 
 struct HttpHeader
 {
-    std::string name; // As it was written; compared without regard to case.
+    std::string name; // As sent; compared case-insensitively.
     std::string value;
 };
 
 using HttpHeaders = std::vector<HttpHeader>;
 
-// Tells whether two header names or tokens are the same without regard to case.
+// Compares two header names or tokens case-insensitively, in ASCII.
 bool equalsIgnoreCase(std::string_view left, std::string_view right);
 
-// Returns the value of the first header `name`, or an empty string.
+// Returns the value of the first header named `name`, or an empty string if there is none.
 const std::string &findHeader(const HttpHeaders &headers, std::string_view name);
 
-// Tells whether a list of tokens such as the value of `Connection` holds `token`.
+// Returns whether a comma-separated list, such as the value of `Connection`, contains `token`.
 bool listContains(std::string_view list, std::string_view token);
 
-// Returns the headers that go on to the next hop: all but those that speak of one connection or of
-// how the body is framed on it.
+// Returns the headers that are forwarded to the next hop: all except hop-by-hop headers and those
+// that frame the body.
 HttpHeaders endToEndHeaders(const HttpHeaders &headers);
 
 } // namespace seamarch
--- a/src/net/retryafter.h
+++ b/src/net/retryafter.h
@@ -1,4 +1,4 @@
-// Reads for how long a server that turned a request away wants nothing more.
+// Parses the Retry-After header: the delay that a server asks for when it rejects a request.
 #pragma once
 
 #include "net/httptypes.h"
@@ -8,16 +8,17 @@
 
 namespace seamarch {
 
-// The wish in the head of an answer. The form with a date is not read: it would compare clocks.
+// The Retry-After header of a response. The date form is invalid here, because it would require
+// synchronized clocks.
 struct RetryAfter
 {
     std::optional<Duration> delay;
-    bool invalid = false; // There is a wish, but it is no number of seconds.
+    bool invalid = false; // The header is present but not a number of seconds.
 };
 
-// Returns the wish in an answer with `status`; none where such an answer turns nothing away.
-// Seconds may have fractions. More than a day is taken for a day, so that times can be reckoned
-// with it.
+// Returns the Retry-After header of a response with `status`. Both fields keep their defaults if
+// the header is absent or `status` is not 429 or 503. Accepts fractions of seconds. Limits the
+// delay to one day, so that it can be added to a time without overflow.
 RetryAfter readRetryAfter(int status, const HttpHeaders &headers);
 
 } // namespace seamarch
