--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -15,13 +15,13 @@
 
 constexpr const char *kProtocolName = "tcp";
 constexpr std::size_t kReadBufferBytes = 64 * 1024;
-// Connections that wait to be accepted; a full queue makes callers wait for seconds.
+// Connections that may wait to be accepted. A full queue delays callers by seconds.
 constexpr int kBacklog = 1024;
-// How long bytes written to an upstream may stay unacknowledged, in milliseconds: a machine without
-// power says nothing, and the kernel's own limit is many minutes. Callers are exempt, because the
-// limit also ends connections whose peer lives and only does not read.
+// How long data sent on an outgoing connection may stay unacknowledged. A machine that lost power
+// does not respond, and the kernel's default limit is many minutes. Connections of callers have no
+// such limit, because it also ends connections whose peer is alive but does not read.
 constexpr unsigned int kUserTimeoutMillis = 3000;
-// Keep-alive probes find callers that are gone: after 5 s of silence, three probes 2 s apart.
+// TCP keep-alive detects callers that are gone: three probes 2 s apart after 5 s without traffic.
 constexpr int kKeepAliveIdleSeconds = 5;
 constexpr int kKeepAliveIntervalSeconds = 2;
 constexpr int kKeepAliveProbes = 3;
@@ -33,7 +33,7 @@
 
 void *toOpaque(SocketId id)
 {
-    return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): an id, never followed
+    return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): an opaque id
 }
 
 bool toSockaddr(const SocketAddress &address, sockaddr_in &out)
@@ -95,7 +95,8 @@
     info.vhost_name = "tcp";
     sockets->vhost_ = lws_create_vhost(loop.context(), &info);
     if (sockets->vhost_ == nullptr) {
-        return tl::unexpected(NetError{NetError::Kind::ContextFailed, "no host for TCP sockets"});
+        return tl::unexpected(NetError{NetError::Kind::ContextFailed,
+                                       "cannot create the libwebsockets vhost for TCP sockets"});
     }
     return sockets;
 }
@@ -261,7 +262,8 @@
 
 void TcpSockets::endAfterReading(SocketId id)
 {
-    // What the peer sent before it broke the connection may still be read; the end follows it.
+    // Data that the peer sent before the connection failed may still be readable; report the end
+    // after it.
     Entry *entry = find(id);
     if (entry == nullptr || entry->failurePending) {
         return;
@@ -275,8 +277,8 @@
 
 void TcpSockets::requestWriteable(SocketId id)
 {
-    // The library clears its interest after the callback in which this may be called, so the
-    // interest is renewed on the next turn.
+    // libwebsockets clears the request for writability after the callback in which this function
+    // may run, so the request is made in the next iteration of the loop.
     loop_.post([this, id] {
         Entry *entry = find(id);
         if (entry != nullptr && entry->wsi != nullptr) {
@@ -314,7 +316,7 @@
     lws *wsi = found->second->wsi;
     entries_.erase(found);
     if (wsi != nullptr) {
-        // The library closes the descriptor.
+        // libwebsockets closes the descriptor.
         lws_set_timeout(wsi, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
     }
 }
--- a/src/net/tcpsockets.h
+++ b/src/net/tcpsockets.h
@@ -1,11 +1,11 @@
-// Non-blocking TCP sockets on the loop.
+// Non-blocking TCP sockets on the event loop.
 //
-// libwebsockets polls the descriptors; reading, writing and connecting are done here, because HTTP
-// needs to know what the library does not tell: whether a peer ended a connection in order or reset
-// it, and whether any byte of a request has been handed to the kernel.
+// libwebsockets polls the descriptors. This class reads, writes and connects itself, because HTTP
+// needs information that the library does not provide: whether a peer closed a connection in order
+// or reset it, and whether any byte of a request has been passed to the kernel.
 //
-// A socket is addressed by its id. Calls with the id of a socket that is gone have no effect. All
-// events come on the loop's thread; a listener may close the socket from inside an event.
+// A socket is identified by an id. Calls with the id of a closed socket have no effect. All events
+// are reported on the loop's thread; a listener may close the socket while it handles an event.
 #pragma once
 
 #include "net/eventloop.h"
@@ -26,13 +26,13 @@
 
 // How a connection ended.
 enum class SocketEnd {
-    Unreachable, // It was never made.
-    Refused,     // It was never made: the peer's host says that nobody listens there.
-    Finished,    // The peer ended its direction in order.
-    Reset,       // It broke: reset, timed out, or closed with an error.
+    Unreachable, // It was not established.
+    Refused,     // It was not established: the peer's host refused it, as nothing listens there.
+    Finished,    // The peer closed its sending direction in order.
+    Reset,       // It failed: reset, timed out, or closed with an error.
 };
 
-// Receives the events of sockets. Outlives them.
+// Receives the events of sockets. Must outlive them.
 class SocketListener
 {
 public:
@@ -40,17 +40,17 @@
 
     virtual void onConnected(SocketId /*socket*/) {}
     virtual void onBytes(SocketId socket, std::string_view bytes) = 0;
-    // Everything that was queued has been handed to the kernel.
+    // Called when all queued data has been passed to the kernel.
     virtual void onWritten(SocketId /*socket*/) {}
-    // The last event of a socket, which is gone already.
+    // The last event of a socket. Its id is no longer valid.
     virtual void onEnd(SocketId socket, SocketEnd end) = 0;
 };
 
-// Owns all plain TCP sockets of a process. The loop outlives it.
+// Owns a set of TCP sockets, both listening and connected. The loop must outlive it.
 class TcpSockets
 {
 public:
-    // Returns the listener of a connection that was accepted.
+    // Returns the listener for an accepted connection.
     using AcceptHandler = std::function<SocketListener &(SocketId)>;
 
     static tl::expected<std::unique_ptr<TcpSockets>, NetError> create(EventLoop &loop);
@@ -58,22 +58,25 @@
     TcpSockets(const TcpSockets &) = delete;
     TcpSockets &operator=(const TcpSockets &) = delete;
 
+    // Listens at `address` and calls `handler` for each accepted connection.
     tl::expected<void, NetError> listen(const SocketAddress &address, AcceptHandler handler);
-    // Starts to connect. onConnected() or onEnd() follows, never from inside this call.
+    // Starts to connect. Calls onConnected() or onEnd() of `listener` after this function has
+    // returned.
     SocketId connect(const SocketAddress &address, SocketListener &listener);
 
-    // Sends now what the kernel takes and queues the rest.
+    // Sends as much as the kernel accepts and queues the remaining bytes.
     void send(SocketId socket, std::string_view bytes);
+    // Returns the number of queued bytes.
     std::size_t queued(SocketId socket) const;
-    // Tells whether any byte was ever handed to the kernel.
+    // Returns whether any byte has been passed to the kernel.
     bool wroteAny(SocketId socket) const;
-    // Stops or restarts reading.
+    // Stops (`paused` is true) or resumes reading.
     void pause(SocketId socket, bool paused);
-    // Ends the sending direction in order once all that is queued has been sent.
+    // Closes the sending direction in order once all queued data has been sent.
     void finishWriting(SocketId socket);
-    // Ends the connection in order; what is queued is dropped. No event follows.
+    // Closes the connection in order and discards queued data. No event follows.
     void close(SocketId socket);
-    // Resets the connection, so that the peer sees that it broke. No event follows.
+    // Resets the connection, so that the peer sees a failure. No event follows.
     void reset(SocketId socket);
     std::size_t open() const { return entries_.size(); }
 
@@ -85,9 +88,9 @@
         SocketListener *listener = nullptr;
         std::string queue;
         bool connecting = false;
-        bool shutdownPending = false; // The sending direction ends when the queue is empty.
+        bool shutdownPending = false; // Close the sending direction when the queue is empty.
         bool wroteAny = false;
-        bool failurePending = false; // A failed write is being followed up.
+        bool failurePending = false; // A write failed; endAfterReading() is posted.
     };
 
     explicit TcpSockets(EventLoop &loop)
