--- a/src/net/changenotifier.h
+++ b/src/net/changenotifier.h
@@ -1,4 +1,4 @@
-// Calls of other processes that wait for a change here.
+// Notifies pending remote calls of a change (long polling).
 #pragma once
 
 #include "net/eventloop.h"
@@ -9,7 +9,8 @@
 
 namespace seamarch {
 
-// One for each matter that calls wait for; it outlives the serving ends. Single-threaded.
+// Holds the promises of calls that wait for a change. Each kind of change has its own notifier.
+// Must outlive the RPC servers whose calls wait on it. Single-threaded.
 class ChangeNotifier
 {
 public:
@@ -19,9 +20,9 @@
     ChangeNotifier(const ChangeNotifier &) = delete;
     ChangeNotifier &operator=(const ChangeNotifier &) = delete;
 
-    // Resolves at the next change, or after `longest`.
+    // Returns a promise that resolves at the next notifyAll() or after `timeout`.
     kj::Promise<void> wait(Duration timeout);
-    // Something has changed.
+    // Resolves all pending promises.
     void notifyAll();
 
 private:
--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -5,8 +5,8 @@
 namespace seamarch {
 namespace {
 
-// How long a host may take to answer: many round trips between the halls of a region, and less than
-// a caller notices, because what a broken connection carried waits for the answer.
+// How long a host may take to respond: many round trips between the halls of a region, but less
+// than a caller notices, because the requests of the broken connection wait for the result.
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(150);
 
 } // namespace
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -1,12 +1,12 @@
-// Tells whether an upstream whose connection broke has ended.
+// Determines whether the process of an upstream has ended after a connection to it broke.
 //
-// A connection breaks for many reasons: the upstream's process ended, its group stood still and cut
-// what it ran, it refuses more connections, the way to it was cut. Only when its process has ended
-// does its host refuse a new connection at once; an upstream that lives takes one, and a host that
-// lost power or is cut off says nothing. So one connection is tried for each upstream that lost
-// requests, however many it lost at the moment, and closed again.
+// A connection breaks for several reasons: the upstream's process ended, its group stalled and
+// aborted its requests, it refuses further connections, or the network failed. Its host refuses
+// a new connection at once only if its process has ended. A running upstream accepts it, and a host
+// that lost power or is disconnected does not respond. The probe therefore makes one connection to
+// an upstream that lost requests, however many it lost at that time, and closes it.
 //
-// Single-threaded. The loop outlives the object.
+// Single-threaded. The loop must outlive the object.
 #pragma once
 
 #include "net/eventloop.h"
@@ -21,14 +21,17 @@
 
 namespace seamarch {
 
+// What a probe found out about an upstream.
 enum class UpstreamProbeResult {
-    Alive,   // It takes connections.
-    Ended,   // Nobody listens at its address.
-    Unknown, // Its host says nothing.
+    Alive,   // It accepts connections.
+    Ended,   // Its host refuses connections to its address.
+    Unknown, // Its host did not respond in time, or connecting failed otherwise.
 };
 
+// Returns the name of a result as it is logged.
 std::string_view toString(UpstreamProbeResult result);
 
+// Probes upstreams by connecting to them.
 class UpstreamProbe final : private SocketListener
 {
 public:
@@ -39,8 +42,8 @@
     UpstreamProbe(const UpstreamProbe &) = delete;
     UpstreamProbe &operator=(const UpstreamProbe &) = delete;
 
-    // Asks whether anybody listens at `address`. The answer follows soon, never from inside this
-    // call; all that ask of one address meanwhile get the same.
+    // Probes `address` and passes the result to `callback` within 150 ms, after this function has
+    // returned. Concurrent calls for the same address share one probe.
     void probe(const SocketAddress &address, Callback callback);
 
 private:
