--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr HttpReader::Limits kLimits{256, 64};
 
-// Feeds `text` byte by byte, so that every split of a message is met.
+// Feeds `text` byte by byte, so that the message is split at every position.
 void feedByteByByte(HttpReader &reader, std::string_view text)
 {
     for (const char &character : text) {
@@ -32,7 +32,7 @@
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
     reader.feed(text);
-    CHECK_TEXT(reader.fault().has_value(), "expected a refusal, found none; the reader is too lax");
+    CHECK_TEXT(reader.fault().has_value(), "the reader accepted a message that it must reject");
     return reader.fault().value_or(HttpFault::Malformed);
 }
 
--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server and client against each other and against raw sockets, on loopback.
+// Tests the HTTP server and client with each other and with raw sockets, over loopback.
 #include "freeport.h"
 #include "net/httpclient.h"
 #include "net/httpserver.h"
@@ -16,7 +16,7 @@
 
 constexpr Duration kTestTimeout = std::chrono::seconds(10);
 
-// Answers each request with its body; a path chooses what else happens.
+// Responds to each request with its body. Some paths select a different behavior.
 class EchoHandler final : public HttpHandler
 {
 public:
@@ -118,7 +118,7 @@
         loop.reset();
     }
 
-    // Runs the loop until `done` holds or the patience ends.
+    // Runs the loop until `done` returns true. Fails after kTestTimeout.
     void runUntil(const std::function<bool()> &done)
     {
         const TimePoint end = loop->now() + kTestTimeout;
@@ -126,7 +126,7 @@
             loop->schedule(std::chrono::milliseconds(5), [this] { loop->stop(); });
             loop->run();
         }
-        CHECK_TEXT(done(), "waited 10 s in vain; a message was lost");
+        CHECK_TEXT(done(), "condition not met within 10 s; a message may be lost");
     }
 
     Result call(HttpCallRequest request)
@@ -138,7 +138,7 @@
         return result;
     }
 
-    // Sends `text` on a connection of its own and returns all that comes until the end.
+    // Sends `text` on a new connection and returns all data received until the server closes it.
     std::string sendRaw(const std::string &text)
     {
         const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
--- a/test/net/suspension_test.cpp
+++ b/test/net/suspension_test.cpp
@@ -1,6 +1,6 @@
-// A machine may be suspended for seconds. Its steady clock does not count that time, so what was
-// heard before would look young after it: keys that were revoked meanwhile would be good, leases
-// that ran out would hold. The clock of this test jumps between two events.
+// The steady clock does not count the time that a machine is suspended, so data received before a
+// suspension would look recent after it: revoked keys would be accepted and expired leases would
+// still hold. This test replaces clock_gettime() and advances the clock by the suspended time.
 #include "net/eventloop.h"
 
 #include <sys/syscall.h>
@@ -19,7 +19,7 @@
 
 } // namespace
 
-// Stands in for the C library's: the kernel's clocks, as of a machine that was suspended.
+// Replaces the C library's function and adds the suspended time to the clocks that count it.
 extern "C" int clock_gettime(clockid_t clock, timespec *time) noexcept
 {
     const long result = syscall(SYS_clock_gettime, clock, time);
--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr Duration kTestTimeout = std::chrono::seconds(10);
 
-// A listener of which nobody takes connections.
+// A listening socket whose connections are never accepted.
 class Listener
 {
 public:
@@ -40,7 +40,7 @@
     Listener(const Listener &) = delete;
     Listener &operator=(const Listener &) = delete;
 
-    // Fills the queue, so that the kernel drops what comes next, as a host without power does.
+    // Fills the backlog, so that the kernel ignores further connections like a host without power.
     void fill(int port)
     {
         constexpr int kMoreThanBacklog = 8;
@@ -90,7 +90,7 @@
         loop.reset();
     }
 
-    // Asks `times` times at once and waits for as many answers.
+    // Starts `times` probes of `port` at once and waits for all results.
     void ask(int port, std::size_t times = 1)
     {
         for (std::size_t count = 0; count < times; ++count) {
