--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -48,9 +48,9 @@
 
 void UpstreamProbe::probe(const SocketAddress &address, Callback callback)
 {
-    const auto running = socketByAddress_.find(address);
-    if (running != socketByAddress_.end()) {
-        pending_.at(running->second).callbacks.push_back(std::move(callback));
+    const auto existing = socketByAddress_.find(address);
+    if (existing != socketByAddress_.end()) {
+        pending_.at(existing->second).callbacks.push_back(std::move(callback));
         return;
     }
     const SocketId socket = sockets_->connect(address, *this);
