--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -64,9 +64,9 @@
 {
     request.connectTimeout = std::min(request.connectTimeout, timeout);
     auto receiver = std::make_unique<TextReceiver>(loop, std::move(done));
-    TextReceiver &receiverRef = *receiver;
+    TextReceiver &textReceiver = *receiver;
     const HttpCallId call = client.call(std::move(request), std::move(receiver));
-    receiverRef.startTimeout(client, call, timeout);
+    textReceiver.startTimeout(client, call, timeout);
     return call;
 }
 
