--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -6,8 +6,8 @@
 #pragma once
 
 #include "decision/gateway/grouptable.h"
-#include "net/eventloop.h"
 #include "net/changenotifier.h"
+#include "net/eventloop.h"
 #include "wire/seamarch.capnp.h"
 
 #include <cstdint>
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -19,11 +19,11 @@
 #include "gateway/gatewaystoreview.h"
 #include "gateway/gossipstate.h"
 #include "gateway/storeprotocol.h"
+#include "net/changenotifier.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
 #include "net/rpcpeer.h"
-#include "net/changenotifier.h"
 #include "wire/seamarch.capnp.h"
 
 #include <functional>
