--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -667,7 +667,7 @@
         return;
     }
     server_->closeIdle();
-    const bool drained = flights_.empty() && server_->open() == 0;
+    const bool drained = flights_.empty() && server_->openExchanges() == 0;
     if (!drained && since < settings_.stopDeadline) {
         return;
     }
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -437,7 +437,7 @@
         return;
     }
     server_->closeIdle();
-    const bool drained = activeRequests_.empty() && server_->open() == 0;
+    const bool drained = activeRequests_.empty() && server_->openExchanges() == 0;
     if (!drained && since < settings_.times.stopDeadline) {
         return;
     }
--- a/src/net/httpserver.h
+++ b/src/net/httpserver.h
@@ -107,7 +107,7 @@
     // Returns the number of response bytes that have not been passed to the kernel yet.
     std::size_t buffered(ExchangeId exchange) const;
     // Returns the number of open exchanges.
-    std::size_t open() const { return exchanges_.size(); }
+    std::size_t openExchanges() const { return exchanges_.size(); }
     // Makes all further responses carry `Connection: close` and closes their connections.
     void announceClose() { closing_ = true; }
     // Does the same and immediately closes connections without a request in progress.
