--- a/src/net/tcpsockets.h
+++ b/src/net/tcpsockets.h
@@ -78,7 +78,7 @@
     void close(SocketId socket);
     // Resets the connection, so that the peer sees a failure. No event follows.
     void reset(SocketId socket);
-    std::size_t open() const { return entries_.size(); }
+    std::size_t openSockets() const { return entries_.size(); }
 
 private:
     struct Entry
