--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -666,7 +666,7 @@
     if (since < settings_.stopDelay) {
         return;
     }
-    server_->closeIdle();
+    server_->closeIdleConnections();
     const bool drained = flights_.empty() && server_->openExchanges() == 0;
     if (!drained && since < settings_.stopDeadline) {
         return;
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -436,7 +436,7 @@
     if (since < settings_.times.stopDelay) {
         return;
     }
-    server_->closeIdle();
+    server_->closeIdleConnections();
     const bool drained = activeRequests_.empty() && server_->openExchanges() == 0;
     if (!drained && since < settings_.times.stopDeadline) {
         return;
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -379,7 +379,7 @@
     }
 }
 
-void HttpServer::closeIdle()
+void HttpServer::closeIdleConnections()
 {
     closing_ = true;
     std::vector<SocketId> idle;
--- a/src/net/httpserver.h
+++ b/src/net/httpserver.h
@@ -111,7 +111,7 @@
     // Makes all further responses carry `Connection: close` and closes their connections.
     void announceClose() { closing_ = true; }
     // Does the same and immediately closes connections without a request in progress.
-    void closeIdle();
+    void closeIdleConnections();
 
 private:
     struct Connection;
