--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -91,7 +91,7 @@
     }
 
     // Starts `times` probes of `port` at once and waits for all results.
-    void ask(int port, std::size_t times = 1)
+    void runProbes(int port, std::size_t times = 1)
     {
         for (std::size_t count = 0; count < times; ++count) {
             probe->probe({"127.0.0.1", port}, [this, times](UpstreamProbeResult result) {
@@ -111,13 +111,13 @@
 {
     const int port = freePort();
     const Listener listener(port, 4);
-    ask(port);
+    runProbes(port);
     CHECK_TRUE(results.front() == UpstreamProbeResult::Alive);
 }
 
 TEST(UpstreamProbeTest, ReportsEndedWhenConnectionIsRefused)
 {
-    ask(freePort());
+    runProbes(freePort());
     CHECK_TRUE(results.front() == UpstreamProbeResult::Ended);
 }
 
@@ -126,7 +126,7 @@
     const int port = freePort();
     Listener listener(port, 0);
     listener.fill(port);
-    ask(port);
+    runProbes(port);
     CHECK_TRUE(results.front() == UpstreamProbeResult::Unknown);
 }
 
@@ -134,7 +134,7 @@
 {
     const int port = freePort();
     const Listener listener(port, 4);
-    ask(port, 3);
+    runProbes(port, 3);
     for (const UpstreamProbeResult result : results) {
         CHECK_TRUE(result == UpstreamProbeResult::Alive);
     }
