--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -148,19 +148,19 @@
         target.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         LONGS_EQUAL(0, connect(descriptor, reinterpret_cast<sockaddr *>(&target), sizeof(target)));
         LONGS_EQUAL(text.size(), send(descriptor, text.data(), text.size(), MSG_NOSIGNAL));
-        std::string answer;
+        std::string received;
         bool closed = false;
         runUntil([&] {
             char buffer[4096];
             const ssize_t size = recv(descriptor, buffer, sizeof(buffer), MSG_DONTWAIT);
             if (size > 0) {
-                answer.append(buffer, static_cast<std::size_t>(size));
+                received.append(buffer, static_cast<std::size_t>(size));
             }
             closed = closed || size == 0;
             return closed;
         });
         close(descriptor);
-        return answer;
+        return received;
     }
 };
 
@@ -249,12 +249,12 @@
 
 TEST(HttpStackTest, AnswersPipelinedRequestsInOrder)
 {
-    const std::string answer = sendRaw("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n1"
-                                       "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
-                                       "Connection: close\r\n\r\n2");
+    const std::string received = sendRaw("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n1"
+                                         "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
+                                         "Connection: close\r\n\r\n2");
     LONGS_EQUAL(2, echo.requests);
-    CHECK_TRUE(answer.find("\r\n\r\n1HTTP/1.1 200") != std::string::npos);
-    STRCMP_EQUAL("2", answer.substr(answer.size() - 1).c_str());
+    CHECK_TRUE(received.find("\r\n\r\n1HTTP/1.1 200") != std::string::npos);
+    STRCMP_EQUAL("2", received.substr(received.size() - 1).c_str());
 }
 
 TEST(HttpStackTest, RejectsInvalidRequestsWithoutCallingHandler)
@@ -271,8 +271,8 @@
 TEST(HttpStackTest, SendsConnectionCloseBeforeClosing)
 {
     server->announceClose();
-    const std::string answer = sendRaw("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    CHECK_TRUE(answer.find("Connection: close") != std::string::npos);
+    const std::string received = sendRaw("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+    CHECK_TRUE(received.find("Connection: close") != std::string::npos);
 }
 
 TEST_GROUP(EventLoopTest){};
