--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -207,19 +207,19 @@
 }
 
 void HttpServer::sendHead(Connection &connection, const HttpResponseHead &head,
-                          std::string_view body, bool whole)
+                          std::string_view body, bool hasFullBody)
 {
     if (closing_) {
         connection.persistent = false;
     }
     const bool withoutBody = statusHasNoBody(head.status);
     connection.headSent = true;
-    connection.framing = whole || head.contentLength ? Framing::Length : Framing::Chunked;
+    connection.framing = hasFullBody || head.contentLength ? Framing::Length : Framing::Chunked;
     if (connection.framing == Framing::Chunked && connection.isHttp10) {
         connection.framing = Framing::UntilClose;
         connection.persistent = false;
     }
-    connection.bytesLeft = whole ? body.size() : head.contentLength.value_or(0);
+    connection.bytesLeft = hasFullBody ? body.size() : head.contentLength.value_or(0);
     std::string text = fmt::format("HTTP/1.1 {} {}\r\n", head.status, reasonPhrase(head.status));
     const auto out = std::back_inserter(text);
     if (!head.contentType.empty()) {
@@ -240,7 +240,7 @@
     if (withoutBody || connection.headRequest) {
         connection.framing = Framing::Length;
         connection.bytesLeft = 0;
-    } else if (whole) {
+    } else if (hasFullBody) {
         text += body;
         connection.bytesLeft = 0;
     }
--- a/src/net/httpserver.h
+++ b/src/net/httpserver.h
@@ -128,7 +128,7 @@
     void deliver(Connection &connection);
     void endExchange(Connection &connection);
     void sendHead(Connection &connection, const HttpResponseHead &head, std::string_view body,
-                  bool whole);
+                  bool hasFullBody);
     Connection *connectionOf(ExchangeId exchange);
     Connection *find(SocketId socket);
     void sweep();
