--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -391,18 +391,18 @@
 void AgentService::takeRestWish(const HttpHead &head)
 {
     const RetryAfter wish = readRetryAfter(head.status, head.headers);
-    if (!wish.rest && !wish.unreadable) {
+    if (!wish.delay && !wish.invalid) {
         return;
     }
-    metrics_.count("seamarch_upstream_notices_total", wish.rest ? "rest" : "unreadable");
+    metrics_.count("seamarch_upstream_notices_total", wish.delay ? "rest" : "unreadable");
     logLine(LogLevel::Info, "upstream.notice",
             {{"upstream", settings_.instance.value()},
              {"status", head.status},
-             {"restMs", wish.rest ? json(toMillis(*wish.rest)) : json()},
-             {"restUnreadable", wish.unreadable}});
-    if (wish.rest) {
+             {"restMs", wish.delay ? json(toMillis(*wish.delay)) : json()},
+             {"restUnreadable", wish.invalid}});
+    if (wish.delay) {
         AgentActions actions;
-        core_.backOffUntil(loop_.now() + *wish.rest, loop_.now(), actions);
+        core_.backOffUntil(loop_.now() + *wish.delay, loop_.now(), actions);
         carryOut(actions);
     }
 }
@@ -455,7 +455,7 @@
     if (end == HttpCallEnd::Complete && job.headReady) {
         job.ended = true;
         flushLater(id);
-    } else if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
+    } else if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::ReusedConnectionLost) {
         askAfterUpstream(id);
     } else {
         sendFailure(id, FailureCode::UpstreamFailed, Outcome::Unknown, {});
@@ -467,11 +467,11 @@
 // same request would end the next one as well.
 void AgentService::askAfterUpstream(RequestId id)
 {
-    probe_->ask(settings_.upstream, [this, id](UpstreamState state) {
+    probe_->probe(settings_.upstream, [this, id](UpstreamProbeResult state) {
         metrics_.count("seamarch_upstreams_that_lost_requests_total", toString(state));
         logLine(LogLevel::Info, "upstream.probed",
                 {{"request", id.counter}, {"entry", id.entry.value()}, {"state", toString(state)}});
-        const bool ended = state == UpstreamState::Ended;
+        const bool ended = state == UpstreamProbeResult::Ended;
         sendFailure(id, ended ? FailureCode::UpstreamEnded : FailureCode::UpstreamFailed,
                     Outcome::Unknown, {});
     });
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -666,8 +666,8 @@
     if (since < settings_.stopDelay) {
         return;
     }
-    server_->closeIdle();
-    const bool drained = flights_.empty() && server_->open() == 0;
+    server_->closeIdleConnections();
+    const bool drained = flights_.empty() && server_->openExchanges() == 0;
     if (!drained && since < settings_.stopDeadline) {
         return;
     }
--- a/src/experts/groupreporter.h
+++ b/src/experts/groupreporter.h
@@ -6,8 +6,8 @@
 #pragma once
 
 #include "decision/gateway/grouptable.h"
+#include "net/changenotifier.h"
 #include "net/eventloop.h"
-#include "net/wakelist.h"
 #include "wire/seamarch.capnp.h"
 
 #include <cstdint>
@@ -45,7 +45,7 @@
                       std::uint64_t callerDigest) const;
 
     EventLoop &loop_;
-    WakeList waiters_;
+    ChangeNotifier waiters_;
     std::optional<GroupFacts> facts_; // Empty while this agent is not the decider.
     std::uint64_t digest_ = 0;        // Digest of `facts_`.
     TimePoint asOf_{};                // When `facts_` were last confirmed.
--- a/src/gateway/gatewaypeers.cpp
+++ b/src/gateway/gatewaypeers.cpp
@@ -456,7 +456,7 @@
         lastGroupsDigest_ = groupsDigest;
         lastCrashCursor_ = crashes_.cursor();
         lastLimitsVersion_ = limits_.version();
-        waitingPolls_.wakeAll();
+        waitingPolls_.notifyAll();
     }
     announce(now);
     std::erase_if(links_, [now](const auto &entry) {
--- a/src/gateway/gatewaypeers.h
+++ b/src/gateway/gatewaypeers.h
@@ -19,11 +19,11 @@
 #include "gateway/gatewaystoreview.h"
 #include "gateway/gossipstate.h"
 #include "gateway/storeprotocol.h"
+#include "net/changenotifier.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
 #include "net/rpcpeer.h"
-#include "net/wakelist.h"
 #include "wire/seamarch.capnp.h"
 
 #include <functional>
@@ -165,7 +165,7 @@
     GatewayDirectory &directory_;
     StateReceived onStateReceived_;
     std::unique_ptr<RawTransport> transport_;
-    WakeList waitingPolls_; // The polls of other gateways that wait for an update.
+    ChangeNotifier waitingPolls_; // The polls of other gateways that wait for an update.
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_; // By number of the connection.
     std::uint64_t nextIncoming_ = 1;
     std::map<std::pair<std::string, int>, Link> links_; // By address.
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -442,8 +442,8 @@
     if (since < settings_.timings.stopDelay) {
         return;
     }
-    server_->closeIdle();
-    const bool drained = activeRequests_.empty() && server_->open() == 0;
+    server_->closeIdleConnections();
+    const bool drained = activeRequests_.empty() && server_->openExchanges() == 0;
     if (!drained && since < settings_.timings.stopDeadline) {
         return;
     }
--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -24,11 +24,11 @@
         return "complete";
     case HttpCallEnd::NotSent:
         return "not sent";
-    case HttpCallEnd::KeptLost:
+    case HttpCallEnd::ReusedConnectionLost:
         return "kept connection lost";
     case HttpCallEnd::Interrupted:
         return "interrupted";
-    case HttpCallEnd::Unreadable:
+    case HttpCallEnd::MalformedResponse:
         return "unreadable";
     }
     return "unknown";
@@ -126,7 +126,7 @@
     call.path = active.request.target;
     call.headers = protocol_.upstreamHeaders(active.request, metadata);
     call.body = active.request.body;
-    call.reuse = action.mayReuseConnection ? HttpReuse::Any : HttpReuse::Young;
+    call.reuse = action.mayReuseConnection ? ConnectionReuse::Any : ConnectionReuse::RecentlyUsed;
     call.connectTimeout = kConnectTimeout;
     active.attempt = action.attempt;
     active.upstream = action.upstream.id;
@@ -297,7 +297,7 @@
              {"events", active->events.eventCount()},
              {"ms", toMillis(loop_.now() - active->startedAt)}});
     active->events.discardPartial();
-    if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
+    if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::ReusedConnectionLost) {
         probeUpstream(number, *active);
         return;
     }
@@ -325,7 +325,7 @@
     LostAttempt lost{active.metadata.requestId, active.admitted.digest, active.admitted.account,
                      active.upstream, loop_.now()};
     const std::uint32_t attempt = active.attempt;
-    probe_->ask(active.address, [this, number, attempt, lost](UpstreamState state) {
+    probe_->probe(active.address, [this, number, attempt, lost](UpstreamProbeResult state) {
         metrics_.count("seamarch_upstreams_that_lost_requests_total", toString(state));
         logLine(LogLevel::Info, "upstream.probed",
                 {{"id", lost.requestId},
@@ -333,7 +333,7 @@
                  {"state", toString(state)},
                  {"digest", toText(lost.digest)},
                  {"ms", toMillis(loop_.now() - lost.at)}});
-        if (state == UpstreamState::Ended) {
+        if (state == UpstreamProbeResult::Ended) {
             GatewayActions actions;
             core_.onUpstreamEnded(lost.digest, lost.account, lost.upstream, lost.at, loop_.now(),
                                   actions);
--- a/src/net/wakelist.cpp
+++ b/src/net/changenotifier.cpp
@@ -1,13 +1,13 @@
-#include "net/wakelist.h"
+#include "net/changenotifier.h"
 
 namespace seamarch {
 
-kj::Promise<void> WakeList::wait(Duration longest)
+kj::Promise<void> ChangeNotifier::wait(Duration timeout)
 {
-    const std::uint64_t id = next_++;
+    const std::uint64_t id = nextId_++;
     auto paf = kj::newPromiseAndFulfiller<void>();
     waiting_.emplace(id, kj::mv(paf.fulfiller));
-    loop_.schedule(longest, [this, id] {
+    loop_.schedule(timeout, [this, id] {
         const auto found = waiting_.find(id);
         if (found != waiting_.end()) {
             found->second->fulfill();
@@ -17,7 +17,7 @@
     return kj::mv(paf.promise);
 }
 
-void WakeList::wakeAll()
+void ChangeNotifier::notifyAll()
 {
     for (auto &[id, fulfiller] : waiting_) {
         fulfiller->fulfill();
--- a/src/net/eventloop.cpp
+++ b/src/net/eventloop.cpp
@@ -12,8 +12,9 @@
 
 constexpr int kMaxHttpHeaderBytes = 16 * 1024;
 constexpr int kNetworkTimeoutSeconds = 20;
-// How long log lines wait for more, so that many go out with one system call.
-constexpr Duration kFlushGap = std::chrono::milliseconds(50);
+// The minimum time between two flushes of the log while the loop runs, so that one system call
+// writes many lines.
+constexpr Duration kLogFlushInterval = std::chrono::milliseconds(50);
 
 void writeLibraryLog(int level, const char *line)
 {
@@ -25,8 +26,9 @@
             {{"message", text}});
 }
 
-// The library scans a table of as many entries as the process may open descriptors whenever it
-// opens or closes one, so a limit of what is needed saves a good part of a short request's time.
+// Limits the number of open descriptors. Whenever libwebsockets opens or closes a descriptor it
+// scans a table with one entry for each descriptor that the process may open; with a high limit the
+// scan takes a large part of the time of a short request.
 void limitDescriptors()
 {
     constexpr rlim_t kMaxDescriptors = 8192;
@@ -41,7 +43,7 @@
 
 struct EventLoop::Timer
 {
-    // The list entry comes first, so that the library's pointer to it is a pointer to the timer.
+    // Must be the first member: onTimer() casts a pointer to the entry to a pointer to the timer.
     lws_sorted_usec_list_t entry{};
     EventLoop *loop = nullptr;
     TimerId id = 0;
@@ -49,7 +51,7 @@
 };
 
 EventLoop::EventLoop()
-    : kjLoop_(port_)
+    : kjLoop_(eventPort_)
     , waitScope_(kjLoop_)
 {}
 
@@ -64,7 +66,7 @@
         return;
     }
     closed_ = true;
-    // What the timers hold may cancel others when it is released.
+    // Destroying a timer's action may cancel other timers, so `timers_` is emptied first.
     const auto timers = std::exchange(timers_, {});
     for (const auto &[id, timer] : timers) {
         lws_sul_cancel(&timer->entry);
@@ -88,7 +90,7 @@
     loop->context_ = lws_create_context(&info);
     if (loop->context_ == nullptr) {
         return tl::unexpected(
-            NetError{NetError::Kind::ContextFailed, "libwebsockets could not start"});
+            NetError{NetError::Kind::ContextFailed, "cannot create the libwebsockets context"});
     }
     return loop;
 }
@@ -104,15 +106,15 @@
 TimerId EventLoop::schedule(Duration delay, std::function<void()> action)
 {
     if (closed_) {
-        return 0; // Closing connections tell their users, who may try again; the context is gone.
+        return 0; // Users that are notified of a closed connection may retry; the context is gone.
     }
     auto timer = std::make_unique<Timer>();
     timer->loop = this;
     timer->id = nextTimer_++;
     timer->action = std::move(action);
     const TimerId id = timer->id;
-    const Duration shortest(1);
-    lws_sul_schedule(context_, 0, &timer->entry, onTimer, std::max(delay, shortest).count());
+    const Duration minimumDelay(1);
+    lws_sul_schedule(context_, 0, &timer->entry, onTimer, std::max(delay, minimumDelay).count());
     timers_.emplace(id, std::move(timer));
     return id;
 }
@@ -153,18 +155,18 @@
 void EventLoop::run()
 {
     constexpr int kPollOnly = -1;
-    constexpr int kWait = 0;
+    constexpr int kWaitForEvents = 0;
     TimePoint flushedAt = now();
     while (!stopping_) {
-        if (now() - flushedAt >= kFlushGap) {
+        if (now() - flushedAt >= kLogFlushInterval) {
             flushLog();
             flushedAt = now();
         }
         kjLoop_.run();
         runPosted();
         handleInterrupt();
-        const bool busy = port_.runnable() || !posted_.empty();
-        if (lws_service(context_, busy ? kPollOnly : kWait) < 0) {
+        const bool busy = eventPort_.runnable() || !posted_.empty();
+        if (lws_service(context_, busy ? kPollOnly : kWaitForEvents) < 0) {
             break;
         }
     }
--- a/src/net/httpclient.cpp
+++ b/src/net/httpclient.cpp
@@ -10,31 +10,33 @@
 namespace seamarch {
 namespace {
 
-constexpr Duration kSweep = std::chrono::milliseconds(250);
-// How long a connection counts as in use a moment ago: servers close idle ones after seconds.
-constexpr Duration kYoung = std::chrono::milliseconds(900);
-// How long a connection is kept when the peer does not say how long it keeps it.
-constexpr Duration kDefaultKeep = std::chrono::seconds(4);
-// Taken off what the peer says: its close may be on its way, and it counts in whole seconds.
-constexpr Duration kKeepMargin = std::chrono::milliseconds(700);
-// Kept connections to one address; more are closed.
-constexpr std::size_t kMaxKept = 16;
-constexpr std::size_t kMaxAnswerHead = std::size_t{64} * 1024;
+constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
+// The idle time up to which a connection counts as recently used: servers close idle connections
+// only after seconds.
+constexpr Duration kRecentUseLimit = std::chrono::milliseconds(900);
+// The keep-alive time of a connection whose peer does not announce one.
+constexpr Duration kDefaultKeepAlive = std::chrono::seconds(4);
+// Subtracted from the keep-alive time that the peer announces: its close may be in transit, and it
+// counts in whole seconds.
+constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
+// Idle connections that are kept for one address; further ones are closed.
+constexpr std::size_t kMaxIdlePerAddress = 16;
+constexpr std::size_t kMaxResponseHeadBytes = std::size_t{64} * 1024;
 constexpr int kFirstFinalStatus = 200;
 
-// Returns how long a peer that sent these headers keeps the connection.
-Duration keepTime(const HttpHeaders &headers)
+// Returns how long a connection may stay idle after a response with these headers.
+Duration keepAliveTime(const HttpHeaders &headers)
 {
     constexpr std::string_view kTimeout = "timeout=";
     const std::string &value = findHeader(headers, "keep-alive");
     const std::size_t at = value.find(kTimeout);
     if (at == std::string::npos) {
-        return kDefaultKeep;
+        return kDefaultKeepAlive;
     }
     int seconds = 0;
     const char *start = value.data() + at + kTimeout.size();
     std::from_chars(start, value.data() + value.size(), seconds);
-    return std::chrono::seconds(seconds) - kKeepMargin;
+    return std::chrono::seconds(seconds) - kKeepAliveMargin;
 }
 
 } // namespace
@@ -45,7 +47,7 @@
         : socket(id)
         , address(std::move(peer))
         , reader(HttpReader::Kind::Response,
-                 {kMaxAnswerHead, std::numeric_limits<std::size_t>::max()}, *this)
+                 {kMaxResponseHeadBytes, std::numeric_limits<std::size_t>::max()}, *this)
     {}
 
     void onHead(HttpHead head) override
@@ -55,7 +57,7 @@
             return;
         }
         persistent = head.persistent && head.framed;
-        keepFor = keepTime(head.headers);
+        keepAlive = keepAliveTime(head.headers);
         receiver->onHead(std::move(head));
     }
 
@@ -69,17 +71,17 @@
     SocketId socket;
     SocketAddress address;
     HttpReader reader;
-    HttpCallId call = 0; // Zero: the connection is kept, and idle.
+    HttpCallId call = 0; // 0 if the connection is idle.
     HttpCallRequest request;
     std::unique_ptr<HttpCallReceiver> receiver;
     TimePoint idleSince{};
-    TimePoint connectBy{};
-    Duration keepFor{};
+    TimePoint connectDeadline{};
+    Duration keepAlive{};
     int status = 0;
     bool connected = false;
     bool persistent = false;
-    bool wasKept = false;
-    bool answered = false; // Any byte of the answer has arrived.
+    bool reusedConnection = false;
+    bool receivedBytes = false; // Whether any byte of the response has arrived.
 };
 
 HttpClient::HttpClient(EventLoop &loop)
@@ -97,46 +99,49 @@
     }
     client->sockets_ = std::move(*sockets);
     HttpClient *self = client.get();
-    self->sweepTimer_ = std::make_unique<PeriodicTimer>(loop, kSweep, [self] { self->sweep(); });
+    self->sweepTimer_ =
+        std::make_unique<PeriodicTimer>(loop, kSweepInterval, [self] { self->sweep(); });
     return client;
 }
 
 HttpCallId HttpClient::call(HttpCallRequest request, std::unique_ptr<HttpCallReceiver> receiver)
 {
     const HttpCallId id = nextCall_++;
-    SocketId socket = takeKept(request);
-    const bool kept = socket != 0;
-    if (!kept) {
+    SocketId socket = takeIdleConnection(request);
+    const bool reused = socket != 0;
+    if (!reused) {
         socket = sockets_->connect(request.address, *this);
         connections_.emplace(socket, std::make_unique<Connection>(socket, request.address));
         ++connectionsMade_;
     }
     Connection &connection = *connections_.at(socket);
     connection.call = id;
-    connection.wasKept = kept;
-    connection.answered = false;
-    connection.connectBy = loop_.now() + request.connectTimeout;
+    connection.reusedConnection = reused;
+    connection.receivedBytes = false;
+    connection.connectDeadline = loop_.now() + request.connectTimeout;
     connection.request = std::move(request);
     connection.receiver = std::move(receiver);
     connection.reader.reset();
     calls_.emplace(id, socket);
-    if (kept) {
+    if (reused) {
         sendRequest(connection);
     }
     return id;
 }
 
-SocketId HttpClient::takeKept(const HttpCallRequest &request)
+SocketId HttpClient::takeIdleConnection(const HttpCallRequest &request)
 {
-    const auto found = kept_.find(request.address);
-    if (found == kept_.end() || request.reuse == HttpReuse::Never || found->second.empty()) {
+    const auto found = idleConnections_.find(request.address);
+    if (found == idleConnections_.end() || request.reuse == ConnectionReuse::Never
+        || found->second.empty()) {
         return 0;
     }
     const SocketId socket = found->second.back();
     const Connection &connection = *connections_.at(socket);
     const Duration idle = loop_.now() - connection.idleSince;
-    const Duration limit = request.reuse == HttpReuse::Young ? std::min(kYoung, connection.keepFor)
-                                                             : connection.keepFor;
+    const Duration limit = request.reuse == ConnectionReuse::RecentlyUsed
+                               ? std::min(kRecentUseLimit, connection.keepAlive)
+                               : connection.keepAlive;
     if (idle >= limit) {
         return 0;
     }
@@ -162,7 +167,7 @@
         || request.method == "PATCH") {
         fmt::format_to(out, "Content-Length: {}\r\n", request.body.size());
     }
-    if (request.reuse == HttpReuse::Never) {
+    if (request.reuse == ConnectionReuse::Never) {
         text += "Connection: close\r\n";
     }
     text += "\r\n";
@@ -189,10 +194,10 @@
         return;
     }
     if (found->second->call == 0) {
-        drop(socket); // Bytes that answer nothing.
+        closeConnection(socket); // Bytes without a request.
         return;
     }
-    found->second->answered = true;
+    found->second->receivedBytes = true;
     read(socket, bytes);
 }
 
@@ -201,14 +206,14 @@
     while (!bytes.empty()) {
         Connection &connection = *connections_.at(socket);
         const HttpCallId call = connection.call;
-        // The connection stays in the table while its receiver runs, unless that cancels the call.
+        // Feeding calls the receiver, which may cancel the call and so remove the connection.
         bytes.remove_prefix(connection.reader.feed(bytes));
         if (calls_.find(call) == calls_.end()) {
             return;
         }
         if (connection.reader.fault()) {
-            drop(socket);
-            endCall(call, HttpCallEnd::Unreadable);
+            closeConnection(socket);
+            endCall(call, HttpCallEnd::MalformedResponse);
             return;
         }
         if (!connection.reader.done()) {
@@ -218,26 +223,27 @@
             connection.reader.reset();
             continue;
         }
-        onAnswerDone(connection, !bytes.empty());
+        onResponseComplete(connection, !bytes.empty());
         return;
     }
 }
 
-void HttpClient::onAnswerDone(Connection &connection, bool surplus)
+void HttpClient::onResponseComplete(Connection &connection, bool hasExtraBytes)
 {
     const HttpCallId call = connection.call;
     const SocketId socket = connection.socket;
-    std::vector<SocketId> &kept = kept_[connection.address];
-    const bool keep = connection.persistent && !surplus && sockets_->queued(socket) == 0
-                      && connection.request.reuse != HttpReuse::Never && kept.size() < kMaxKept;
+    std::vector<SocketId> &idleSockets = idleConnections_[connection.address];
+    const bool keep = connection.persistent && !hasExtraBytes && sockets_->queued(socket) == 0
+                      && connection.request.reuse != ConnectionReuse::Never
+                      && idleSockets.size() < kMaxIdlePerAddress;
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection.receiver);
     calls_.erase(call);
     connection.call = 0;
     if (keep) {
         connection.idleSince = loop_.now();
-        kept.push_back(socket);
+        idleSockets.push_back(socket);
     } else {
-        drop(socket);
+        closeConnection(socket);
     }
     receiver->onEnd(HttpCallEnd::Complete);
 }
@@ -251,27 +257,27 @@
     Connection &connection = *found->second;
     const HttpCallId call = connection.call;
     if (call == 0) {
-        drop(socket);
+        closeConnection(socket);
         return;
     }
-    HttpCallEnd how = HttpCallEnd::Interrupted;
+    HttpCallEnd callEnd = HttpCallEnd::Interrupted;
     if (end == SocketEnd::Unreachable || end == SocketEnd::Refused) {
-        how = HttpCallEnd::NotSent;
-    } else if (end == SocketEnd::Finished && connection.reader.finishAtEnd()) {
-        how = HttpCallEnd::Complete;
-    } else if (connection.wasKept && !connection.answered) {
-        how = HttpCallEnd::KeptLost;
+        callEnd = HttpCallEnd::NotSent;
+    } else if (end == SocketEnd::Finished && connection.reader.finishOnConnectionEnd()) {
+        callEnd = HttpCallEnd::Complete;
+    } else if (connection.reusedConnection && !connection.receivedBytes) {
+        callEnd = HttpCallEnd::ReusedConnectionLost;
     }
     if (calls_.find(call) == calls_.end()) {
         return;
     }
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection.receiver);
     calls_.erase(call);
-    drop(socket);
-    receiver->onEnd(how);
+    closeConnection(socket);
+    receiver->onEnd(callEnd);
 }
 
-void HttpClient::endCall(HttpCallId id, HttpCallEnd how)
+void HttpClient::endCall(HttpCallId id, HttpCallEnd callEnd)
 {
     const auto found = calls_.find(id);
     if (found == calls_.end()) {
@@ -283,28 +289,29 @@
         return;
     }
     const std::unique_ptr<HttpCallReceiver> receiver = std::move(connection->second->receiver);
-    drop(connection->first);
-    receiver->onEnd(how);
+    closeConnection(connection->first);
+    receiver->onEnd(callEnd);
 }
 
-// Closes a connection. One that is feeding its receiver right now is destroyed on the next turn.
-void HttpClient::drop(SocketId socket)
+// Closes a connection. The object is destroyed in the next iteration of the loop, because it may be
+// calling its receiver.
+void HttpClient::closeConnection(SocketId socket)
 {
     const auto found = connections_.find(socket);
     if (found == connections_.end()) {
         return;
     }
-    const auto kept = kept_.find(found->second->address);
-    if (kept != kept_.end()) {
-        std::erase(kept->second, socket);
-        if (kept->second.empty()) {
-            kept_.erase(kept);
+    const auto idleSockets = idleConnections_.find(found->second->address);
+    if (idleSockets != idleConnections_.end()) {
+        std::erase(idleSockets->second, socket);
+        if (idleSockets->second.empty()) {
+            idleConnections_.erase(idleSockets);
         }
     }
     sockets_->close(socket);
-    std::shared_ptr<Connection> last = std::move(found->second);
+    std::shared_ptr<Connection> retired = std::move(found->second);
     connections_.erase(found);
-    loop_.post([last] {});
+    loop_.post([retired] {});
 }
 
 void HttpClient::cancel(HttpCallId call)
@@ -315,7 +322,7 @@
     }
     const SocketId socket = found->second;
     calls_.erase(found);
-    drop(socket);
+    closeConnection(socket);
 }
 
 void HttpClient::pause(HttpCallId call, bool paused)
@@ -334,38 +341,38 @@
     }
     const auto connection = connections_.find(found->second);
     return connection != connections_.end()
-           && (connection->second->wasKept || sockets_->wroteAny(found->second));
+           && (connection->second->reusedConnection || sockets_->wroteAny(found->second));
 }
 
-void HttpClient::forget(const SocketAddress &address)
+void HttpClient::closeIdleConnections(const SocketAddress &address)
 {
-    const auto found = kept_.find(address);
-    if (found == kept_.end()) {
+    const auto found = idleConnections_.find(address);
+    if (found == idleConnections_.end()) {
         return;
     }
     const std::vector<SocketId> sockets = found->second;
     for (const SocketId socket : sockets) {
-        drop(socket);
+        closeConnection(socket);
     }
 }
 
 void HttpClient::sweep()
 {
     const TimePoint now = loop_.now();
-    std::vector<SocketId> old;
-    std::vector<HttpCallId> late;
+    std::vector<SocketId> expired;
+    std::vector<HttpCallId> timedOut;
     for (const auto &[socket, connection] : connections_) {
-        if (connection->call == 0 && now - connection->idleSince >= connection->keepFor) {
-            old.push_back(socket);
+        if (connection->call == 0 && now - connection->idleSince >= connection->keepAlive) {
+            expired.push_back(socket);
         } else if (connection->call != 0 && !connection->connected
-                   && now >= connection->connectBy) {
-            late.push_back(connection->call);
+                   && now >= connection->connectDeadline) {
+            timedOut.push_back(connection->call);
         }
     }
-    for (const SocketId socket : old) {
-        drop(socket);
+    for (const SocketId socket : expired) {
+        closeConnection(socket);
     }
-    for (const HttpCallId call : late) {
+    for (const HttpCallId call : timedOut) {
         endCall(call, HttpCallEnd::NotSent);
     }
 }
--- a/src/net/httpfetch.cpp
+++ b/src/net/httpfetch.cpp
@@ -7,13 +7,13 @@
 namespace seamarch {
 namespace {
 
-constexpr std::size_t kMaxBytes = std::size_t{16} * 1024 * 1024;
+constexpr std::size_t kMaxBodyBytes = std::size_t{16} * 1024 * 1024;
 
-// Collects one answer. Its timer ends with it, however the call ends.
+// Collects one response. Its destructor cancels the timeout, however the call ends.
 class TextReceiver final : public HttpCallReceiver
 {
 public:
-    TextReceiver(EventLoop &loop, std::function<void(HttpText)> done)
+    TextReceiver(EventLoop &loop, std::function<void(HttpTextResponse)> done)
         : loop_(loop)
         , done_(std::move(done))
     {}
@@ -21,52 +21,52 @@
     TextReceiver(const TextReceiver &) = delete;
     TextReceiver &operator=(const TextReceiver &) = delete;
 
-    // Breaks the call off after `patience`.
-    void limit(HttpClient &client, HttpCallId call, Duration patience)
+    // Cancels the call after `timeout`.
+    void startTimeout(HttpClient &client, HttpCallId call, Duration timeout)
     {
-        timer_ = loop_.schedule(patience, [&client, call, done = done_] {
-            client.cancel(call); // Releases this receiver.
-            done(HttpText());
+        timer_ = loop_.schedule(timeout, [&client, call, done = done_] {
+            client.cancel(call); // Destroys this receiver.
+            done(HttpTextResponse());
         });
     }
 
     void onHead(HttpHead head) override
     {
-        text_.status = head.status;
-        text_.headers = std::move(head.headers);
+        response_.status = head.status;
+        response_.headers = std::move(head.headers);
     }
     void onPiece(std::string_view piece) override
     {
-        tooLong_ = tooLong_ || text_.body.size() + piece.size() > kMaxBytes;
-        if (!tooLong_) {
-            text_.body.append(piece);
+        tooLarge_ = tooLarge_ || response_.body.size() + piece.size() > kMaxBodyBytes;
+        if (!tooLarge_) {
+            response_.body.append(piece);
         }
     }
     void onEnd(HttpCallEnd end) override
     {
-        text_.complete = end == HttpCallEnd::Complete && !tooLong_;
+        response_.complete = end == HttpCallEnd::Complete && !tooLarge_;
         const auto done = std::move(done_);
-        done(std::move(text_));
+        done(std::move(response_));
     }
 
 private:
     EventLoop &loop_;
-    std::function<void(HttpText)> done_;
-    HttpText text_;
+    std::function<void(HttpTextResponse)> done_;
+    HttpTextResponse response_;
     TimerId timer_ = 0;
-    bool tooLong_ = false;
+    bool tooLarge_ = false;
 };
 
 } // namespace
 
-HttpCallId fetchText(EventLoop &loop, HttpClient &client, HttpCallRequest request,
-                     Duration patience, std::function<void(HttpText)> done)
+HttpCallId fetchText(EventLoop &loop, HttpClient &client, HttpCallRequest request, Duration timeout,
+                     std::function<void(HttpTextResponse)> done)
 {
-    request.connectTimeout = std::min(request.connectTimeout, patience);
+    request.connectTimeout = std::min(request.connectTimeout, timeout);
     auto receiver = std::make_unique<TextReceiver>(loop, std::move(done));
-    TextReceiver &added = *receiver;
+    TextReceiver &textReceiver = *receiver;
     const HttpCallId call = client.call(std::move(request), std::move(receiver));
-    added.limit(client, call, patience);
+    textReceiver.startTimeout(client, call, timeout);
     return call;
 }
 
--- a/src/net/httpreader.cpp
+++ b/src/net/httpreader.cpp
@@ -10,20 +10,20 @@
 namespace seamarch {
 namespace {
 
-constexpr std::string_view kHeadEnd = "\r\n\r\n";
+constexpr std::string_view kHeadTerminator = "\r\n\r\n";
 
-bool isTokenChar(char letter)
+bool isTokenChar(char character)
 {
-    constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
-    return std::isalnum(static_cast<unsigned char>(letter)) != 0
-           || kMarks.find(letter) != std::string_view::npos;
+    constexpr std::string_view kTokenPunctuation = "!#$%&'*+-.^_`|~";
+    return std::isalnum(static_cast<unsigned char>(character)) != 0
+           || kTokenPunctuation.find(character) != std::string_view::npos;
 }
 
-bool isFieldChar(char letter)
+bool isFieldChar(char character)
 {
     constexpr unsigned char kDelete = 0x7f;
-    const auto code = static_cast<unsigned char>(letter);
-    return letter == '\t' || (code >= ' ' && code != kDelete);
+    const auto code = static_cast<unsigned char>(character);
+    return character == '\t' || (code >= ' ' && code != kDelete);
 }
 
 bool isWellFormedField(std::string_view line)
@@ -36,8 +36,8 @@
            && std::all_of(line.begin(), line.end(), isFieldChar);
 }
 
-// Tells whether every line of a head ends in CRLF and is a field that all readers read alike.
-bool isWellFormed(std::string_view head)
+// Returns whether every line of a head ends in CRLF and, after the first, is an unambiguous field.
+bool isWellFormedHead(std::string_view head)
 {
     bool first = true;
     while (head != "\r\n" && !head.empty()) {
@@ -46,9 +46,9 @@
             return false;
         }
         const std::string_view line = head.substr(0, end);
-        const bool good =
+        const bool valid =
             first ? std::all_of(line.begin(), line.end(), isFieldChar) : isWellFormedField(line);
-        if (!good) {
+        if (!valid) {
             return false;
         }
         first = false;
@@ -57,11 +57,12 @@
     return true;
 }
 
-std::size_t count(const HttpHeaders &headers, std::string_view name)
+std::size_t countHeaders(const HttpHeaders &headers, std::string_view name)
 {
     return static_cast<std::size_t>(
-        std::count_if(headers.begin(), headers.end(),
-                      [name](const HttpHeader &header) { return sameToken(header.name, name); }));
+        std::count_if(headers.begin(), headers.end(), [name](const HttpHeader &header) {
+            return equalsIgnoreCase(header.name, name);
+        }));
 }
 
 } // namespace
@@ -70,7 +71,10 @@
 {
     http_parser state{};
 
-    static HttpReader &of(http_parser *parser) { return *static_cast<HttpReader *>(parser->data); }
+    static HttpReader &readerOf(http_parser *parser)
+    {
+        return *static_cast<HttpReader *>(parser->data);
+    }
     static const http_parser_settings &callbacks();
     static int onUrl(http_parser *parser, const char *at, std::size_t size);
     static int onField(http_parser *parser, const char *at, std::size_t size);
@@ -80,15 +84,15 @@
 
 int detail::ParserState::onUrl(http_parser *parser, const char *at, std::size_t size)
 {
-    of(parser).head_.target.append(at, size);
+    readerOf(parser).head_.target.append(at, size);
     return 0;
 }
 
 int detail::ParserState::onField(http_parser *parser, const char *at, std::size_t size)
 {
-    HttpReader &reader = of(parser);
+    HttpReader &reader = readerOf(parser);
     if (reader.headDone_) {
-        return 0; // A trailer.
+        return 0; // Trailers are dropped.
     }
     if (reader.lastWasValue_) {
         reader.head_.headers.emplace_back();
@@ -100,7 +104,7 @@
 
 int detail::ParserState::onValue(http_parser *parser, const char *at, std::size_t size)
 {
-    HttpReader &reader = of(parser);
+    HttpReader &reader = readerOf(parser);
     if (!reader.headDone_) {
         reader.lastWasValue_ = true;
         reader.head_.headers.back().value.append(at, size);
@@ -110,15 +114,15 @@
 
 int detail::ParserState::onDone(http_parser *parser)
 {
-    of(parser).done_ = true;
-    http_parser_pause(parser, 1); // The next message waits until the reader is reset.
+    readerOf(parser).done_ = true;
+    http_parser_pause(parser, 1); // Stop here until the reader is reset.
     return 0;
 }
 
 const http_parser_settings &detail::ParserState::callbacks()
 {
     static const http_parser_settings kCallbacks = [] {
-        // The head's own limit is checked before the parser sees it.
+        // feedHead() enforces the limit on the head before the parser sees it.
         http_parser_set_max_header_size(std::numeric_limits<std::uint32_t>::max());
         http_parser_settings settings;
         http_parser_settings_init(&settings);
@@ -126,10 +130,10 @@
         settings.on_header_field = onField;
         settings.on_header_value = onValue;
         settings.on_headers_complete = [](http_parser *parser) {
-            return of(parser).onHeadersComplete();
+            return readerOf(parser).onHeadersComplete();
         };
         settings.on_body = [](http_parser *parser, const char *at, std::size_t size) {
-            return of(parser).onBodyPiece({at, size});
+            return readerOf(parser).onBodyPiece({at, size});
         };
         settings.on_message_complete = onDone;
         return settings;
@@ -152,7 +156,7 @@
 {
     http_parser_init(&parser_->state, kind_ == Kind::Request ? HTTP_REQUEST : HTTP_RESPONSE);
     parser_->state.data = this;
-    text_.clear();
+    headText_.clear();
     head_ = {};
     lastWasValue_ = true;
     started_ = false;
@@ -169,7 +173,7 @@
                                                  bytes.data(), bytes.size());
     const http_errno error = HTTP_PARSER_ERRNO(&parser_->state);
     if (error != HPE_OK && !(error == HPE_PAUSED && done_) && !fault_) {
-        refuse(HttpFault::Malformed);
+        setFault(HttpFault::Malformed);
     }
     return used;
 }
@@ -177,28 +181,28 @@
 int HttpReader::onHeadersComplete()
 {
     constexpr int kSkipBody = 1;
-    constexpr int kFail = -1;
+    constexpr int kAbort = -1;
     http_parser &parser = parser_->state;
-    parser.upgrade = 0; // Other protocols are not served; the message is read as plain HTTP.
+    parser.upgrade = 0; // Upgrades are not supported; the message is read as HTTP.
     const bool hasLength = parser.content_length != std::numeric_limits<std::uint64_t>::max();
     const bool chunked = (parser.flags & F_CHUNKED) != 0;
     if (parser.http_major != 1) {
-        return kFail;
+        return kAbort;
     }
     if (kind_ == Kind::Request) {
         head_.method = http_method_str(static_cast<http_method>(parser.method));
-        if (count(head_.headers, "host") > 1 || parser.method == HTTP_CONNECT) {
-            return kFail;
+        if (countHeaders(head_.headers, "host") > 1 || parser.method == HTTP_CONNECT) {
+            return kAbort;
         }
         if (hasLength && parser.content_length > limits_.bodyBytes) {
-            refuse(HttpFault::BodyTooLarge);
-            return kFail;
+            setFault(HttpFault::BodyTooLarge);
+            return kAbort;
         }
     } else {
         head_.status = static_cast<int>(parser.status_code);
         head_.framed = noBody_ || hasLength || chunked || statusHasNoBody(head_.status);
     }
-    head_.version10 = parser.http_major == 1 && parser.http_minor == 0;
+    head_.isHttp10 = parser.http_major == 1 && parser.http_minor == 0;
     head_.persistent = http_should_keep_alive(&parser) != 0;
     if (hasLength) {
         head_.contentLength = parser.content_length;
@@ -212,7 +216,7 @@
 {
     bodySize_ += piece.size();
     if (kind_ == Kind::Request && bodySize_ > limits_.bodyBytes) {
-        refuse(HttpFault::BodyTooLarge);
+        setFault(HttpFault::BodyTooLarge);
         return -1;
     }
     sink_.onBody(piece);
@@ -221,18 +225,18 @@
 
 void HttpReader::parseHead()
 {
-    if (!isWellFormed(text_)) {
-        refuse(HttpFault::Malformed);
+    if (!isWellFormedHead(headText_)) {
+        setFault(HttpFault::Malformed);
         return;
     }
-    execute(text_);
+    execute(headText_);
 }
 
 std::size_t HttpReader::feedHead(std::string_view bytes)
 {
     std::size_t skipped = 0;
-    if (text_.empty()) {
-        // A server should pass over an empty line before a request (RFC 9112 section 2.2).
+    if (headText_.empty()) {
+        // A server should ignore an empty line before a request (RFC 9112 section 2.2).
         while (kind_ == Kind::Request && skipped < bytes.size()
                && (bytes[skipped] == '\r' || bytes[skipped] == '\n')) {
             ++skipped;
@@ -243,19 +247,21 @@
         return skipped;
     }
     started_ = true;
-    const std::size_t before = text_.size();
-    const std::size_t room = limits_.headBytes + 1 > before ? limits_.headBytes + 1 - before : 0;
-    text_.append(bytes.substr(0, room));
-    const std::size_t from = before > kHeadEnd.size() ? before - kHeadEnd.size() : 0;
-    const std::size_t end = text_.find(kHeadEnd, from);
+    const std::size_t previousSize = headText_.size();
+    const std::size_t available =
+        limits_.headBytes + 1 > previousSize ? limits_.headBytes + 1 - previousSize : 0;
+    headText_.append(bytes.substr(0, available));
+    const std::size_t searchStart =
+        previousSize > kHeadTerminator.size() ? previousSize - kHeadTerminator.size() : 0;
+    const std::size_t end = headText_.find(kHeadTerminator, searchStart);
     if (end == std::string::npos) {
-        if (text_.size() > limits_.headBytes) {
-            refuse(HttpFault::HeadTooLarge);
+        if (headText_.size() > limits_.headBytes) {
+            setFault(HttpFault::HeadTooLarge);
         }
         return skipped + bytes.size();
     }
-    text_.resize(end + kHeadEnd.size());
-    const std::size_t used = text_.size() - before;
+    headText_.resize(end + kHeadTerminator.size());
+    const std::size_t used = headText_.size() - previousSize;
     parseHead();
     return skipped + used;
 }
@@ -273,7 +279,7 @@
     return used + execute(bytes);
 }
 
-bool HttpReader::finishAtEnd()
+bool HttpReader::finishOnConnectionEnd()
 {
     if (done_) {
         return true;
--- a/src/net/httpserver.cpp
+++ b/src/net/httpserver.cpp
@@ -9,12 +9,13 @@
 namespace seamarch {
 namespace {
 
-// Bytes that a caller may send ahead of its answers before its connection is no longer read.
-constexpr std::size_t kMaxAhead = 64 * 1024;
-// How often timeouts are checked; they are seconds.
-constexpr Duration kSweep = std::chrono::milliseconds(250);
-// How long a connection that is being closed is read, so that the answer is not lost to a reset.
-constexpr Duration kLinger = std::chrono::seconds(1);
+// Bytes that a caller may send during an exchange before the server stops reading the connection.
+constexpr std::size_t kMaxReadAheadBytes = 64 * 1024;
+// The interval at which timeouts, which are in seconds, are checked.
+constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
+// How long the server keeps reading a connection that it closes. Closing it with unread data would
+// reset it, and the caller could lose the response.
+constexpr Duration kLingerTime = std::chrono::seconds(1);
 
 constexpr int kBadRequest = 400;
 constexpr int kRequestTimeout = 408;
@@ -30,20 +31,21 @@
     Connection(SocketId id, const HttpReader::Limits &limits, TimePoint now)
         : socket(id)
         , reader(HttpReader::Kind::Request, limits, *this)
-        , activeAt(now)
+        , lastActive(now)
     {}
 
     void onHead(HttpHead head) override
     {
-        const std::size_t mark = head.target.find('?');
+        const std::size_t queryStart = head.target.find('?');
         request.method = std::move(head.method);
-        request.path = head.target.substr(0, mark);
-        request.query = mark == std::string::npos ? std::string() : head.target.substr(mark + 1);
+        request.path = head.target.substr(0, queryStart);
+        request.query =
+            queryStart == std::string::npos ? std::string() : head.target.substr(queryStart + 1);
         request.target = std::move(head.target);
         request.headers = std::move(head.headers);
         persistent = head.persistent;
-        version10 = head.version10;
-        wantsContinue = sameToken(request.header("expect"), "100-continue");
+        isHttp10 = head.isHttp10;
+        wantsContinue = equalsIgnoreCase(request.header("expect"), "100-continue");
     }
 
     void onBody(std::string_view piece) override { request.body.append(piece); }
@@ -51,18 +53,18 @@
     SocketId socket;
     HttpReader reader;
     HttpRequest request;
-    std::string ahead; // Received, and not yet read.
+    std::string readAhead; // Received but not parsed yet.
     ExchangeId exchange = 0;
-    TimePoint activeAt;
-    TimePoint startedAt{}; // Of the message that is being read.
+    TimePoint lastActive;
+    TimePoint readingSince{}; // When the first byte of the current message arrived.
     Framing framing = Framing::Chunked;
-    std::uint64_t lengthLeft = 0;
+    std::uint64_t bytesLeft = 0;
     bool persistent = true;
-    bool version10 = false;
+    bool isHttp10 = false;
     bool wantsContinue = false;
     bool headRequest = false;
     bool headSent = false;
-    bool lingering = false; // Answered for good; what arrives is dropped.
+    bool lingering = false; // No further response follows; received data is discarded.
 };
 
 HttpServer::HttpServer(EventLoop &loop, HttpHandler &handler, HttpServerOptions options)
@@ -89,7 +91,8 @@
     if (auto listening = self->sockets_->listen(self->options_.address, accept); !listening) {
         return tl::unexpected(listening.error());
     }
-    self->sweepTimer_ = std::make_unique<PeriodicTimer>(loop, kSweep, [self] { self->sweep(); });
+    self->sweepTimer_ =
+        std::make_unique<PeriodicTimer>(loop, kSweepInterval, [self] { self->sweep(); });
     return server;
 }
 
@@ -125,10 +128,10 @@
     if (connection == nullptr || connection->lingering) {
         return;
     }
-    connection->activeAt = loop_.now();
-    connection->ahead.append(bytes);
+    connection->lastActive = loop_.now();
+    connection->readAhead.append(bytes);
     if (connection->exchange != 0) {
-        if (connection->ahead.size() > kMaxAhead) {
+        if (connection->readAhead.size() > kMaxReadAheadBytes) {
             sockets_->pause(socket, true);
         }
         return;
@@ -136,19 +139,19 @@
     read(socket);
 }
 
-// Reads one request from what has arrived and delivers it.
+// Parses one request from the received data and delivers it if it is complete.
 void HttpServer::read(SocketId socket)
 {
     Connection *connection = find(socket);
-    if (connection == nullptr || connection->ahead.empty()) {
+    if (connection == nullptr || connection->readAhead.empty()) {
         return;
     }
     HttpReader &reader = connection->reader;
     if (!reader.started()) {
-        connection->startedAt = loop_.now();
+        connection->readingSince = loop_.now();
     }
-    const std::size_t used = reader.feed(connection->ahead);
-    connection->ahead.erase(0, used);
+    const std::size_t used = reader.feed(connection->readAhead);
+    connection->readAhead.erase(0, used);
     if (reader.fault()) {
         reject(*connection, *reader.fault());
         return;
@@ -204,19 +207,19 @@
 }
 
 void HttpServer::sendHead(Connection &connection, const HttpResponseHead &head,
-                          std::string_view body, bool whole)
+                          std::string_view body, bool hasFullBody)
 {
     if (closing_) {
         connection.persistent = false;
     }
-    const bool bodiless = statusHasNoBody(head.status);
+    const bool withoutBody = statusHasNoBody(head.status);
     connection.headSent = true;
-    connection.framing = whole || head.contentLength ? Framing::Length : Framing::Chunked;
-    if (connection.framing == Framing::Chunked && connection.version10) {
+    connection.framing = hasFullBody || head.contentLength ? Framing::Length : Framing::Chunked;
+    if (connection.framing == Framing::Chunked && connection.isHttp10) {
         connection.framing = Framing::UntilClose;
         connection.persistent = false;
     }
-    connection.lengthLeft = whole ? body.size() : head.contentLength.value_or(0);
+    connection.bytesLeft = hasFullBody ? body.size() : head.contentLength.value_or(0);
     std::string text = fmt::format("HTTP/1.1 {} {}\r\n", head.status, reasonPhrase(head.status));
     const auto out = std::back_inserter(text);
     if (!head.contentType.empty()) {
@@ -225,21 +228,21 @@
     for (const HttpHeader &header : head.headers) {
         fmt::format_to(out, "{}: {}\r\n", header.name, header.value);
     }
-    if (!bodiless && connection.framing == Framing::Length) {
-        fmt::format_to(out, "Content-Length: {}\r\n", connection.lengthLeft);
-    } else if (!bodiless && connection.framing == Framing::Chunked) {
+    if (!withoutBody && connection.framing == Framing::Length) {
+        fmt::format_to(out, "Content-Length: {}\r\n", connection.bytesLeft);
+    } else if (!withoutBody && connection.framing == Framing::Chunked) {
         text += "Transfer-Encoding: chunked\r\n";
     }
     if (!connection.persistent) {
         text += "Connection: close\r\n";
     }
     text += "\r\n";
-    if (bodiless || connection.headRequest) {
+    if (withoutBody || connection.headRequest) {
         connection.framing = Framing::Length;
-        connection.lengthLeft = 0;
-    } else if (whole) {
+        connection.bytesLeft = 0;
+    } else if (hasFullBody) {
         text += body;
-        connection.lengthLeft = 0;
+        connection.bytesLeft = 0;
     }
     sockets_->send(connection.socket, text);
 }
@@ -269,11 +272,11 @@
     if (connection == nullptr || !connection->headSent || piece.empty()) {
         return;
     }
-    connection->activeAt = loop_.now();
+    connection->lastActive = loop_.now();
     switch (connection->framing) {
     case Framing::Length:
-        piece = piece.substr(0, connection->lengthLeft);
-        connection->lengthLeft -= piece.size();
+        piece = piece.substr(0, connection->bytesLeft);
+        connection->bytesLeft -= piece.size();
         sockets_->send(connection->socket, piece);
         return;
     case Framing::Chunked:
@@ -291,7 +294,7 @@
     if (connection == nullptr || !connection->headSent) {
         return;
     }
-    if (connection->framing == Framing::Length && connection->lengthLeft > 0) {
+    if (connection->framing == Framing::Length && connection->bytesLeft > 0) {
         abort(exchange);
         return;
     }
@@ -301,20 +304,20 @@
     endExchange(*connection);
 }
 
-// The answer is whole: the connection goes on with the next request or closes.
+// Ends an exchange whose response is complete. Reads the next request or closes the connection.
 void HttpServer::endExchange(Connection &connection)
 {
     exchanges_.erase(connection.exchange);
     connection.exchange = 0;
-    connection.activeAt = loop_.now();
+    connection.lastActive = loop_.now();
     if (!connection.persistent) {
         connection.lingering = true;
-        connection.ahead.clear();
+        connection.readAhead.clear();
         sockets_->finishWriting(connection.socket);
         return;
     }
     connection.reader.reset();
-    if (!connection.ahead.empty()) {
+    if (!connection.readAhead.empty()) {
         const SocketId socket = connection.socket;
         sockets_->pause(socket, false);
         loop_.post([this, socket] {
@@ -332,14 +335,15 @@
     if (connection == nullptr) {
         return;
     }
-    const bool endShows = connection->headSent && connection->framing != Framing::UntilClose;
+    const bool truncationDetectable =
+        connection->headSent && connection->framing != Framing::UntilClose;
     const SocketId socket = connection->socket;
     exchanges_.erase(exchange);
     connection->exchange = 0;
-    if (endShows) {
-        // What was written still goes out; the missing end shows that the answer is not whole.
+    if (truncationDetectable) {
+        // The data written so far is still sent; the missing end shows the response as incomplete.
         connection->lingering = true;
-        connection->activeAt = loop_.now();
+        connection->lastActive = loop_.now();
         sockets_->finishWriting(socket);
         return;
     }
@@ -375,7 +379,7 @@
     }
 }
 
-void HttpServer::closeIdle()
+void HttpServer::closeIdleConnections()
 {
     closing_ = true;
     std::vector<SocketId> idle;
@@ -393,26 +397,26 @@
 void HttpServer::sweep()
 {
     const TimePoint now = loop_.now();
-    std::vector<SocketId> over;
-    std::vector<SocketId> late;
+    std::vector<SocketId> expired;
+    std::vector<SocketId> timedOut;
     for (const auto &[socket, connection] : connections_) {
         if (connection->exchange != 0) {
             continue;
         }
-        const Duration idle = now - connection->activeAt;
+        const Duration idle = now - connection->lastActive;
         const bool reading = connection->reader.started() && !connection->lingering;
-        const bool headLate = reading && !connection->reader.headDone()
-                              && now - connection->startedAt > options_.headerTimeout;
-        if (headLate || (reading && idle > options_.idleTimeout)) {
-            late.push_back(socket);
-        } else if (idle > (connection->lingering ? kLinger : options_.idleTimeout)) {
-            over.push_back(socket);
+        const bool headTimedOut = reading && !connection->reader.headDone()
+                                  && now - connection->readingSince > options_.headerTimeout;
+        if (headTimedOut || (reading && idle > options_.idleTimeout)) {
+            timedOut.push_back(socket);
+        } else if (idle > (connection->lingering ? kLingerTime : options_.idleTimeout)) {
+            expired.push_back(socket);
         }
     }
-    for (const SocketId socket : late) {
+    for (const SocketId socket : timedOut) {
         rejectWith(*connections_.at(socket), kRequestTimeout, "request_timeout");
     }
-    for (const SocketId socket : over) {
+    for (const SocketId socket : expired) {
         connections_.erase(socket);
         sockets_->close(socket);
     }
--- a/src/net/httptypes.cpp
+++ b/src/net/httptypes.cpp
@@ -7,17 +7,17 @@
 namespace seamarch {
 namespace {
 
-// RFC 9110 section 7.6.1, and the headers that frame a body, which each hop writes anew.
-constexpr std::array<std::string_view, 10> kSingleHop = {"connection",
-                                                         "keep-alive",
-                                                         "proxy-connection",
-                                                         "proxy-authenticate",
-                                                         "proxy-authorization",
-                                                         "te",
-                                                         "trailer",
-                                                         "transfer-encoding",
-                                                         "upgrade",
-                                                         "content-length"};
+// The hop-by-hop headers (RFC 9110 section 7.6.1) and those that frame a body, which each hop sets.
+constexpr std::array<std::string_view, 10> kHopByHopHeaders = {"connection",
+                                                               "keep-alive",
+                                                               "proxy-connection",
+                                                               "proxy-authenticate",
+                                                               "proxy-authorization",
+                                                               "te",
+                                                               "trailer",
+                                                               "transfer-encoding",
+                                                               "upgrade",
+                                                               "content-length"};
 
 std::string_view trim(std::string_view text)
 {
@@ -32,7 +32,7 @@
 
 } // namespace
 
-bool sameToken(std::string_view left, std::string_view right)
+bool equalsIgnoreCase(std::string_view left, std::string_view right)
 {
     return left.size() == right.size()
            && std::equal(left.begin(), left.end(), right.begin(), [](char a, char b) {
@@ -43,18 +43,19 @@
 
 const std::string &findHeader(const HttpHeaders &headers, std::string_view name)
 {
-    static const std::string kNone;
-    const auto found = std::find_if(headers.begin(), headers.end(), [name](const HttpHeader &each) {
-        return sameToken(each.name, name);
-    });
-    return found == headers.end() ? kNone : found->value;
+    static const std::string kEmpty;
+    const auto found =
+        std::find_if(headers.begin(), headers.end(), [name](const HttpHeader &header) {
+            return equalsIgnoreCase(header.name, name);
+        });
+    return found == headers.end() ? kEmpty : found->value;
 }
 
-bool listHolds(std::string_view list, std::string_view token)
+bool listContains(std::string_view list, std::string_view token)
 {
     while (!list.empty()) {
         const std::size_t comma = list.find(',');
-        if (sameToken(trim(list.substr(0, comma)), token)) {
+        if (equalsIgnoreCase(trim(list.substr(0, comma)), token)) {
             return true;
         }
         list = comma == std::string_view::npos ? std::string_view() : list.substr(comma + 1);
@@ -64,18 +65,18 @@
 
 HttpHeaders endToEndHeaders(const HttpHeaders &headers)
 {
-    HttpHeaders kept;
-    kept.reserve(headers.size());
-    const std::string &named = findHeader(headers, "connection");
+    HttpHeaders forwarded;
+    forwarded.reserve(headers.size());
+    const std::string &connectionOptions = findHeader(headers, "connection");
     for (const HttpHeader &header : headers) {
-        const bool singleHop =
-            std::any_of(kSingleHop.begin(), kSingleHop.end(),
-                        [&header](std::string_view name) { return sameToken(name, header.name); });
-        if (!singleHop && !listHolds(named, header.name)) {
-            kept.push_back(header);
+        const bool hopByHop = std::any_of(
+            kHopByHopHeaders.begin(), kHopByHopHeaders.end(),
+            [&header](std::string_view name) { return equalsIgnoreCase(name, header.name); });
+        if (!hopByHop && !listContains(connectionOptions, header.name)) {
+            forwarded.push_back(header);
         }
     }
-    return kept;
+    return forwarded;
 }
 
 } // namespace seamarch
--- a/src/net/retryafter.cpp
+++ b/src/net/retryafter.cpp
@@ -9,19 +9,19 @@
 namespace {
 
 constexpr int kTooManyRequests = 429;
-constexpr int kUnavailable = 503;
-constexpr Duration kLongestRest = std::chrono::hours(24);
+constexpr int kServiceUnavailable = 503;
+constexpr Duration kMaxDelay = std::chrono::hours(24);
 
 std::optional<Duration> readSeconds(std::string_view text)
 {
     double seconds = 0.0;
     const char *end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data(), end, seconds, std::chars_format::fixed);
-    const bool whole = !text.empty() && error == std::errc() && stop == end;
-    if (!whole || !std::isfinite(seconds) || seconds < 0.0) {
+    const bool parsed = !text.empty() && error == std::errc() && stop == end;
+    if (!parsed || !std::isfinite(seconds) || seconds < 0.0) {
         return std::nullopt;
     }
-    return fromSeconds(std::min(seconds, toSeconds(kLongestRest)));
+    return fromSeconds(std::min(seconds, toSeconds(kMaxDelay)));
 }
 
 } // namespace
@@ -29,13 +29,13 @@
 RetryAfter readRetryAfter(int status, const HttpHeaders &headers)
 {
     const std::string &text = findHeader(headers, "retry-after");
-    if (text.empty() || (status != kTooManyRequests && status != kUnavailable)) {
+    if (text.empty() || (status != kTooManyRequests && status != kServiceUnavailable)) {
         return {};
     }
-    RetryAfter wish;
-    wish.rest = readSeconds(text);
-    wish.unreadable = !wish.rest;
-    return wish;
+    RetryAfter result;
+    result.delay = readSeconds(text);
+    result.invalid = !result.delay;
+    return result;
 }
 
 } // namespace seamarch
--- a/src/net/tcpsockets.cpp
+++ b/src/net/tcpsockets.cpp
@@ -14,26 +14,26 @@
 namespace {
 
 constexpr const char *kProtocolName = "tcp";
-constexpr std::size_t kReadBytes = 64 * 1024;
-// Connections that wait to be accepted; a full queue makes callers wait for seconds.
+constexpr std::size_t kReadBufferBytes = 64 * 1024;
+// Connections that may wait to be accepted. A full queue delays callers by seconds.
 constexpr int kBacklog = 1024;
-// How long bytes written to an upstream may stay unacknowledged, in milliseconds: a machine without
-// power says nothing, and the kernel's own limit is many minutes. Callers are exempt, because the
-// limit also ends connections whose peer lives and only does not read.
+// How long data sent on an outgoing connection may stay unacknowledged. A machine that lost power
+// does not respond, and the kernel's default limit is many minutes. Connections of callers have no
+// such limit, because it also ends connections whose peer is alive but does not read.
 constexpr unsigned int kUserTimeoutMillis = 3000;
-// Keep-alive probes find callers that are gone: after 5 s of silence, three probes 2 s apart.
-constexpr int kProbeIdleSeconds = 5;
-constexpr int kProbeGapSeconds = 2;
-constexpr int kProbes = 3;
+// TCP keep-alive detects callers that are gone: three probes 2 s apart after 5 s without traffic.
+constexpr int kKeepAliveIdleSeconds = 5;
+constexpr int kKeepAliveIntervalSeconds = 2;
+constexpr int kKeepAliveProbes = 3;
 
 SocketId idOf(lws *wsi)
 {
     return reinterpret_cast<SocketId>(lws_get_opaque_user_data(wsi));
 }
 
-void *opaque(SocketId id)
+void *toOpaque(SocketId id)
 {
-    return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): an id, never followed
+    return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): an opaque id
 }
 
 bool toSockaddr(const SocketAddress &address, sockaddr_in &out)
@@ -57,9 +57,9 @@
 {
     setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kProbeIdleSeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kProbeGapSeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbes);
 }
 
 void setOutgoingOptions(int descriptor)
@@ -69,7 +69,7 @@
     setsockopt(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof(timeout));
 }
 
-SocketEnd endOf(int connectError)
+SocketEnd endForConnectError(int connectError)
 {
     return connectError == ECONNREFUSED ? SocketEnd::Refused : SocketEnd::Unreachable;
 }
@@ -87,15 +87,16 @@
     static const lws_protocols kProtocols[] = {{kProtocolName, callback, 0, 0, 0, nullptr, 0},
                                                {nullptr, nullptr, 0, 0, 0, nullptr, 0}};
     std::unique_ptr<TcpSockets> sockets(new TcpSockets(loop));
-    sockets->buffer_.resize(kReadBytes);
+    sockets->buffer_.resize(kReadBufferBytes);
     lws_context_creation_info info{};
     info.port = CONTEXT_PORT_NO_LISTEN;
     info.protocols = kProtocols;
     info.user = sockets.get();
     info.vhost_name = "tcp";
-    sockets->host_ = lws_create_vhost(loop.context(), &info);
-    if (sockets->host_ == nullptr) {
-        return tl::unexpected(NetError{NetError::Kind::ContextFailed, "no host for TCP sockets"});
+    sockets->vhost_ = lws_create_vhost(loop.context(), &info);
+    if (sockets->vhost_ == nullptr) {
+        return tl::unexpected(NetError{NetError::Kind::ContextFailed,
+                                       "cannot create the libwebsockets vhost for TCP sockets"});
     }
     return sockets;
 }
@@ -107,9 +108,9 @@
     lws_sock_file_fd_type file{};
     file.filefd = descriptor;
     lws *wsi =
-        lws_adopt_descriptor_vhost(host_, LWS_ADOPT_RAW_FILE_DESC, file, kProtocolName, nullptr);
+        lws_adopt_descriptor_vhost(vhost_, LWS_ADOPT_RAW_FILE_DESC, file, kProtocolName, nullptr);
     if (wsi != nullptr) {
-        lws_set_opaque_user_data(wsi, opaque(id));
+        lws_set_opaque_user_data(wsi, toOpaque(id));
     }
     return wsi;
 }
@@ -184,9 +185,9 @@
     const int result =
         ::connect(descriptor, reinterpret_cast<const sockaddr *>(&target), sizeof(target));
     if (result != 0 && errno != EINPROGRESS) {
-        const SocketEnd how = endOf(errno);
+        const SocketEnd cause = endForConnectError(errno);
         ::close(descriptor);
-        loop_.post([this, id, how] { end(id, how); });
+        loop_.post([this, id, cause] { end(id, cause); });
         return id;
     }
     added.descriptor = descriptor;
@@ -234,15 +235,15 @@
         }
         if (errno != EAGAIN && errno != EWOULDBLOCK) {
             entry.queue.clear();
-            checkLater(id);
+            endAfterReading(id);
             return;
         }
         break;
     }
     entry.queue.erase(0, sent);
     if (!entry.queue.empty()) {
-        waitWriteable(id);
-    } else if (entry.finishing) {
+        requestWriteable(id);
+    } else if (entry.shutdownPending) {
         ::shutdown(entry.descriptor, SHUT_WR);
     }
 }
@@ -250,33 +251,34 @@
 void TcpSockets::finishWriting(SocketId socket)
 {
     Entry *entry = find(socket);
-    if (entry == nullptr || entry->finishing) {
+    if (entry == nullptr || entry->shutdownPending) {
         return;
     }
-    entry->finishing = true;
+    entry->shutdownPending = true;
     if (entry->queue.empty() && !entry->connecting) {
         ::shutdown(entry->descriptor, SHUT_WR);
     }
 }
 
-void TcpSockets::checkLater(SocketId id)
+void TcpSockets::endAfterReading(SocketId id)
 {
-    // What the peer sent before it broke the connection may still be read; the end follows it.
+    // Data that the peer sent before the connection failed may still be readable; report the end
+    // after it.
     Entry *entry = find(id);
-    if (entry == nullptr || entry->checking) {
+    if (entry == nullptr || entry->failurePending) {
         return;
     }
-    entry->checking = true;
+    entry->failurePending = true;
     loop_.post([this, id] {
         onReadable(id);
         end(id, SocketEnd::Reset);
     });
 }
 
-void TcpSockets::waitWriteable(SocketId id)
+void TcpSockets::requestWriteable(SocketId id)
 {
-    // The library clears its interest after the callback in which this may be called, so the
-    // interest is renewed on the next turn.
+    // libwebsockets clears the request for writability after the callback in which this function
+    // may run, so the request is made in the next iteration of the loop.
     loop_.post([this, id] {
         Entry *entry = find(id);
         if (entry != nullptr && entry->wsi != nullptr) {
@@ -314,7 +316,7 @@
     lws *wsi = found->second->wsi;
     entries_.erase(found);
     if (wsi != nullptr) {
-        // The library closes the descriptor.
+        // libwebsockets closes the descriptor.
         lws_set_timeout(wsi, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
     }
 }
@@ -344,18 +346,18 @@
     release(socket);
 }
 
-void TcpSockets::end(SocketId id, SocketEnd how)
+void TcpSockets::end(SocketId id, SocketEnd cause)
 {
     Entry *entry = find(id);
     if (entry == nullptr) {
         return;
     }
     SocketListener *listener = entry->listener;
-    const bool neverMade = entry->connecting && how != SocketEnd::Refused;
-    const SocketEnd seen = neverMade ? SocketEnd::Unreachable : how;
+    const bool neverConnected = entry->connecting && cause != SocketEnd::Refused;
+    const SocketEnd reported = neverConnected ? SocketEnd::Unreachable : cause;
     release(id);
     if (listener != nullptr) {
-        listener->onEnd(id, seen);
+        listener->onEnd(id, reported);
     }
 }
 
@@ -408,14 +410,14 @@
         return false; // Not connected yet.
     }
     if (error != 0) {
-        end(id, endOf(error));
+        end(id, endForConnectError(error));
         return false;
     }
     entry.connecting = false;
     entry.listener->onConnected(id);
-    Entry *still = find(id);
-    if (still != nullptr && !still->queue.empty()) {
-        flush(id, *still);
+    Entry *current = find(id);
+    if (current != nullptr && !current->queue.empty()) {
+        flush(id, *current);
     }
     return true;
 }
@@ -431,7 +433,7 @@
             if (find(id) == nullptr) {
                 return -1;
             }
-            waitWriteable(id);
+            requestWriteable(id);
         }
         return 0;
     }
@@ -446,8 +448,8 @@
 int TcpSockets::callback(lws *wsi, lws_callback_reasons reason, void * /*user*/, void * /*in*/,
                          size_t /*size*/)
 {
-    lws_vhost *host = wsi == nullptr ? nullptr : lws_get_vhost(wsi);
-    auto *sockets = host == nullptr ? nullptr : static_cast<TcpSockets *>(lws_vhost_user(host));
+    lws_vhost *vhost = wsi == nullptr ? nullptr : lws_get_vhost(wsi);
+    auto *sockets = vhost == nullptr ? nullptr : static_cast<TcpSockets *>(lws_vhost_user(vhost));
     if (sockets == nullptr) {
         return 0;
     }
--- a/src/net/upstreamprobe.cpp
+++ b/src/net/upstreamprobe.cpp
@@ -5,20 +5,20 @@
 namespace seamarch {
 namespace {
 
-// How long a host may take to answer: many round trips between the halls of a region, and less than
-// a caller notices, because what a broken connection carried waits for the answer.
-constexpr Duration kPatience = std::chrono::milliseconds(150);
+// How long a host may take to respond: many round trips between the halls of a region, but less
+// than a caller notices, because the requests of the broken connection wait for the result.
+constexpr Duration kProbeTimeout = std::chrono::milliseconds(150);
 
 } // namespace
 
-std::string_view toString(UpstreamState state)
+std::string_view toString(UpstreamProbeResult result)
 {
-    switch (state) {
-    case UpstreamState::Lives:
+    switch (result) {
+    case UpstreamProbeResult::Alive:
         return "lives";
-    case UpstreamState::Ended:
+    case UpstreamProbeResult::Ended:
         return "ended";
-    case UpstreamState::Unknown:
+    case UpstreamProbeResult::Unknown:
         return "unknown";
     }
     return "unknown";
@@ -30,8 +30,8 @@
 
 UpstreamProbe::~UpstreamProbe()
 {
-    for (const auto &[socket, question] : questions_) {
-        loop_.cancel(question.timer);
+    for (const auto &[socket, pending] : pending_) {
+        loop_.cancel(pending.timer);
     }
 }
 
@@ -46,46 +46,47 @@
     return probe;
 }
 
-void UpstreamProbe::ask(const SocketAddress &address, Answer answer)
+void UpstreamProbe::probe(const SocketAddress &address, Callback callback)
 {
-    const auto asked = byAddress_.find(address);
-    if (asked != byAddress_.end()) {
-        questions_.at(asked->second).answers.push_back(std::move(answer));
+    const auto existing = socketByAddress_.find(address);
+    if (existing != socketByAddress_.end()) {
+        pending_.at(existing->second).callbacks.push_back(std::move(callback));
         return;
     }
     const SocketId socket = sockets_->connect(address, *this);
-    Question question;
-    question.address = address;
-    question.answers.push_back(std::move(answer));
-    question.timer =
-        loop_.schedule(kPatience, [this, socket] { conclude(socket, UpstreamState::Unknown); });
-    questions_.emplace(socket, std::move(question));
-    byAddress_.emplace(address, socket);
+    PendingProbe pending;
+    pending.address = address;
+    pending.callbacks.push_back(std::move(callback));
+    pending.timer = loop_.schedule(
+        kProbeTimeout, [this, socket] { finish(socket, UpstreamProbeResult::Unknown); });
+    pending_.emplace(socket, std::move(pending));
+    socketByAddress_.emplace(address, socket);
 }
 
 void UpstreamProbe::onConnected(SocketId socket)
 {
-    conclude(socket, UpstreamState::Lives);
+    finish(socket, UpstreamProbeResult::Alive);
 }
 
 void UpstreamProbe::onEnd(SocketId socket, SocketEnd end)
 {
-    conclude(socket, end == SocketEnd::Refused ? UpstreamState::Ended : UpstreamState::Unknown);
+    finish(socket,
+           end == SocketEnd::Refused ? UpstreamProbeResult::Ended : UpstreamProbeResult::Unknown);
 }
 
-void UpstreamProbe::conclude(SocketId socket, UpstreamState state)
+void UpstreamProbe::finish(SocketId socket, UpstreamProbeResult result)
 {
-    const auto found = questions_.find(socket);
-    if (found == questions_.end()) {
+    const auto found = pending_.find(socket);
+    if (found == pending_.end()) {
         return;
     }
-    const Question question = std::move(found->second);
-    questions_.erase(found);
-    byAddress_.erase(question.address);
-    loop_.cancel(question.timer);
+    const PendingProbe pending = std::move(found->second);
+    pending_.erase(found);
+    socketByAddress_.erase(pending.address);
+    loop_.cancel(pending.timer);
     sockets_->close(socket);
-    for (const Answer &answer : question.answers) {
-        answer(state);
+    for (const Callback &callback : pending.callbacks) {
+        callback(result);
     }
 }
 
--- a/src/net/upstreamprobe.h
+++ b/src/net/upstreamprobe.h
@@ -1,12 +1,12 @@
-// Tells whether an upstream whose connection broke has ended.
+// Determines whether the process of an upstream has ended after a connection to it broke.
 //
-// A connection breaks for many reasons: the upstream's process ended, its group stood still and cut
-// what it ran, it refuses more connections, the way to it was cut. Only when its process has ended
-// does its host refuse a new connection at once; an upstream that lives takes one, and a host that
-// lost power or is cut off says nothing. So one connection is tried for each upstream that lost
-// requests, however many it lost at the moment, and closed again.
+// A connection breaks for several reasons: the upstream's process ended, its group stalled and
+// aborted its requests, it refuses further connections, or the network failed. Its host refuses
+// a new connection at once only if its process has ended. A running upstream accepts it, and a host
+// that lost power or is disconnected does not respond. The probe therefore makes one connection to
+// an upstream that lost requests, however many it lost at that time, and closes it.
 //
-// Single-threaded. The loop outlives the object.
+// Single-threaded. The loop must outlive the object.
 #pragma once
 
 #include "net/eventloop.h"
@@ -21,33 +21,36 @@
 
 namespace seamarch {
 
-enum class UpstreamState {
-    Lives,   // It takes connections.
-    Ended,   // Nobody listens at its address.
-    Unknown, // Its host says nothing.
+// What a probe found out about an upstream.
+enum class UpstreamProbeResult {
+    Alive,   // It accepts connections.
+    Ended,   // Its host refuses connections to its address.
+    Unknown, // Its host did not respond in time, or connecting failed otherwise.
 };
 
-std::string_view toString(UpstreamState state);
+// Returns the name of a result as it is logged.
+std::string_view toString(UpstreamProbeResult result);
 
+// Probes upstreams by connecting to them.
 class UpstreamProbe final : private SocketListener
 {
 public:
-    using Answer = std::function<void(UpstreamState)>;
+    using Callback = std::function<void(UpstreamProbeResult)>;
 
     static tl::expected<std::unique_ptr<UpstreamProbe>, NetError> create(EventLoop &loop);
     ~UpstreamProbe() override;
     UpstreamProbe(const UpstreamProbe &) = delete;
     UpstreamProbe &operator=(const UpstreamProbe &) = delete;
 
-    // Asks whether anybody listens at `address`. The answer follows soon, never from inside this
-    // call; all that ask of one address meanwhile get the same.
-    void ask(const SocketAddress &address, Answer answer);
+    // Probes `address` and passes the result to `callback` within 150 ms, after this function has
+    // returned. Concurrent calls for the same address share one probe.
+    void probe(const SocketAddress &address, Callback callback);
 
 private:
-    struct Question
+    struct PendingProbe
     {
         SocketAddress address;
-        std::vector<Answer> answers;
+        std::vector<Callback> callbacks;
         TimerId timer = 0;
     };
 
@@ -55,12 +58,12 @@
     void onConnected(SocketId socket) override;
     void onBytes(SocketId /*socket*/, std::string_view /*bytes*/) override {}
     void onEnd(SocketId socket, SocketEnd end) override;
-    void conclude(SocketId socket, UpstreamState state);
+    void finish(SocketId socket, UpstreamProbeResult result);
 
     EventLoop &loop_;
     std::unique_ptr<TcpSockets> sockets_;
-    std::map<SocketId, Question> questions_;
-    std::map<SocketAddress, SocketId> byAddress_;
+    std::map<SocketId, PendingProbe> pending_;
+    std::map<SocketAddress, SocketId> socketByAddress_;
 };
 
 } // namespace seamarch
--- a/test/net/httpreader_test.cpp
+++ b/test/net/httpreader_test.cpp
@@ -10,7 +10,7 @@
 
 struct Message final : public HttpSink
 {
-    void onHead(HttpHead read) override { head = std::move(read); }
+    void onHead(HttpHead value) override { head = std::move(value); }
     void onBody(std::string_view piece) override { body.append(piece); }
 
     HttpHead head;
@@ -19,11 +19,11 @@
 
 constexpr HttpReader::Limits kLimits{256, 64};
 
-// Feeds `text` byte by byte, so that every split of a message is met.
-void feedSlowly(HttpReader &reader, std::string_view text)
+// Feeds `text` byte by byte, so that the message is split at every position.
+void feedByteByByte(HttpReader &reader, std::string_view text)
 {
-    for (const char &letter : text) {
-        reader.feed({&letter, 1});
+    for (const char &character : text) {
+        reader.feed({&character, 1});
     }
 }
 
@@ -32,7 +32,7 @@
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
     reader.feed(text);
-    CHECK_TEXT(reader.fault().has_value(), "expected a refusal, found none; the reader is too lax");
+    CHECK_TEXT(reader.fault().has_value(), "the reader accepted a message that it must reject");
     return reader.fault().value_or(HttpFault::Malformed);
 }
 
@@ -40,11 +40,11 @@
 
 TEST_GROUP(HttpReaderTest){};
 
-TEST(HttpReaderTest, ReadsARequestThatArrivesByteByByte)
+TEST(HttpReaderTest, ReadsRequestThatArrivesByteByByte)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
-    feedSlowly(reader, "POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc");
+    feedByteByByte(reader, "POST /a/b?c=d HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc");
     CHECK_TRUE(reader.done());
     STRCMP_EQUAL("POST", message.head.method.c_str());
     STRCMP_EQUAL("/a/b?c=d", message.head.target.c_str());
@@ -52,18 +52,18 @@
     CHECK_TRUE(message.head.persistent);
 }
 
-TEST(HttpReaderTest, ReadsChunksAndDropsTheTrailer)
+TEST(HttpReaderTest, DecodesChunkedBodyAndDropsTrailer)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
-    feedSlowly(reader, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-                       "2;note=1\r\nab\r\n1\r\nc\r\n0\r\nHost: evil\r\n\r\n");
+    feedByteByByte(reader, "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+                           "2;note=1\r\nab\r\n1\r\nc\r\n0\r\nHost: evil\r\n\r\n");
     CHECK_TRUE(reader.done());
     STRCMP_EQUAL("abc", message.body.c_str());
     STRCMP_EQUAL("x", findHeader(message.head.headers, "host").c_str());
 }
 
-TEST(HttpReaderTest, LeavesTheNextMessageUnread)
+TEST(HttpReaderTest, StopsAtEndOfMessage)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
@@ -72,7 +72,7 @@
     CHECK_TRUE(reader.done());
 }
 
-TEST(HttpReaderTest, RefusesWhatReadersUnderstandInDifferentWays)
+TEST(HttpReaderTest, RejectsAmbiguousMessages)
 {
     const char *const kMessages[] = {
         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab",
@@ -92,7 +92,7 @@
     }
 }
 
-TEST(HttpReaderTest, RefusesABadChunkSize)
+TEST(HttpReaderTest, RejectsInvalidChunkSize)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Request, kLimits, message);
@@ -101,7 +101,7 @@
     CHECK_TRUE(reader.fault().has_value());
 }
 
-TEST(HttpReaderTest, BoundsHeadsAndBodies)
+TEST(HttpReaderTest, LimitsHeadAndBodySize)
 {
     CHECK_TRUE(faultOf("GET / HTTP/1.1\r\nA: " + std::string(300, 'a')) == HttpFault::HeadTooLarge);
     CHECK_TRUE(faultOf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 65\r\n\r\n")
@@ -111,18 +111,18 @@
                == HttpFault::BodyTooLarge);
 }
 
-TEST(HttpReaderTest, TakesAnAnswerThatEndsWithItsConnection)
+TEST(HttpReaderTest, AcceptsResponseDelimitedByConnectionEnd)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Response, kLimits, message);
     reader.feed("HTTP/1.1 200 OK\r\nA: b\r\n\r\nsome text");
     CHECK_FALSE(message.head.framed);
     CHECK_FALSE(reader.done());
-    CHECK_TRUE(reader.finishAtEnd());
+    CHECK_TRUE(reader.finishOnConnectionEnd());
     STRCMP_EQUAL("some text", message.body.c_str());
 }
 
-TEST(HttpReaderTest, NeverTakesAShortAnswerForWhole)
+TEST(HttpReaderTest, RejectsTruncatedResponse)
 {
     for (const char *const text :
          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", "HTTP/1.1 200 OK\r\nContent-Le",
@@ -130,11 +130,11 @@
         Message message;
         HttpReader reader(HttpReader::Kind::Response, kLimits, message);
         reader.feed(text);
-        CHECK_FALSE_TEXT(reader.finishAtEnd(), text);
+        CHECK_FALSE_TEXT(reader.finishOnConnectionEnd(), text);
     }
 }
 
-TEST(HttpReaderTest, KnowsThatAnAnswerToHeadHasNoBody)
+TEST(HttpReaderTest, ResponseToHeadRequestHasNoBody)
 {
     Message message;
     HttpReader reader(HttpReader::Kind::Response, kLimits, message);
@@ -143,13 +143,13 @@
     CHECK_TRUE(reader.done());
 }
 
-TEST(HttpReaderTest, KeepsBackWhatSpeaksOfOneConnection)
+TEST(HttpReaderTest, EndToEndHeadersDropsHopByHopHeaders)
 {
     const HttpHeaders headers = {
         {"Connection", "close, X-Hop"}, {"X-Hop", "1"}, {"X-End", "2"},
         {"Keep-Alive", "timeout=5"},    {"Host", "x"},  {"Transfer-Encoding", "chunked"}};
-    const HttpHeaders kept = endToEndHeaders(headers);
-    LONGS_EQUAL(2, kept.size());
-    STRCMP_EQUAL("X-End", kept[0].name.c_str());
-    STRCMP_EQUAL("Host", kept[1].name.c_str());
+    const HttpHeaders forwarded = endToEndHeaders(headers);
+    LONGS_EQUAL(2, forwarded.size());
+    STRCMP_EQUAL("X-End", forwarded[0].name.c_str());
+    STRCMP_EQUAL("Host", forwarded[1].name.c_str());
 }
--- a/test/net/httpstack_test.cpp
+++ b/test/net/httpstack_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server and client against each other and against raw sockets, on loopback.
+// Tests the HTTP server and client with each other and with raw sockets, over loopback.
 #include "freeport.h"
 #include "net/httpclient.h"
 #include "net/httpserver.h"
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr Duration kPatience = std::chrono::seconds(10);
+constexpr Duration kTestTimeout = std::chrono::seconds(10);
 
-// Answers each request with its body; a path chooses what else happens.
-class Echo final : public HttpHandler
+// Responds to each request with its body. Some paths select a different behavior.
+class EchoHandler final : public HttpHandler
 {
 public:
     void onRequest(ExchangeId exchange, HttpRequest request) override
@@ -51,14 +51,14 @@
         }
         server->respond(exchange, head, last.body);
     }
-    void onCallerGone(ExchangeId /*exchange*/) override { ++gone; }
+    void onCallerGone(ExchangeId /*exchange*/) override { ++callersGone; }
     void onDrained(ExchangeId /*exchange*/) override {}
 
     HttpServer *server = nullptr;
     HttpRequest last;
     ExchangeId lastExchange = 0;
     int requests = 0;
-    int gone = 0;
+    int callersGone = 0;
 };
 
 struct Result
@@ -93,7 +93,7 @@
 TEST_GROUP(HttpStackTest)
 {
     std::unique_ptr<EventLoop> loop;
-    Echo echo;
+    EchoHandler echo;
     std::unique_ptr<HttpServer> server;
     std::unique_ptr<HttpClient> client;
     SocketAddress address;
@@ -118,15 +118,15 @@
         loop.reset();
     }
 
-    // Runs the loop until `done` holds or the patience ends.
+    // Runs the loop until `done` returns true. Fails after kTestTimeout.
     void runUntil(const std::function<bool()> &done)
     {
-        const TimePoint end = loop->now() + kPatience;
+        const TimePoint end = loop->now() + kTestTimeout;
         while (!done() && loop->now() < end) {
             loop->schedule(std::chrono::milliseconds(5), [this] { loop->stop(); });
             loop->run();
         }
-        CHECK_TEXT(done(), "waited 10 s in vain; a message was lost");
+        CHECK_TEXT(done(), "condition not met within 10 s; a message may be lost");
     }
 
     Result call(HttpCallRequest request)
@@ -138,8 +138,8 @@
         return result;
     }
 
-    // Sends `text` on a connection of its own and returns all that comes until the end.
-    std::string exchange(const std::string &text)
+    // Sends `text` on a new connection and returns all data received until the server closes it.
+    std::string sendRaw(const std::string &text)
     {
         const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
         sockaddr_in target{};
@@ -148,23 +148,23 @@
         target.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         LONGS_EQUAL(0, connect(descriptor, reinterpret_cast<sockaddr *>(&target), sizeof(target)));
         LONGS_EQUAL(text.size(), send(descriptor, text.data(), text.size(), MSG_NOSIGNAL));
-        std::string answer;
-        bool over = false;
+        std::string received;
+        bool closed = false;
         runUntil([&] {
             char buffer[4096];
             const ssize_t size = recv(descriptor, buffer, sizeof(buffer), MSG_DONTWAIT);
             if (size > 0) {
-                answer.append(buffer, static_cast<std::size_t>(size));
+                received.append(buffer, static_cast<std::size_t>(size));
             }
-            over = over || size == 0;
-            return over;
+            closed = closed || size == 0;
+            return closed;
         });
         close(descriptor);
-        return answer;
+        return received;
     }
 };
 
-TEST(HttpStackTest, CarriesARequestAndItsAnswer)
+TEST(HttpStackTest, TransfersRequestAndResponse)
 {
     HttpCallRequest request;
     request.method = "POST";
@@ -179,26 +179,26 @@
     STRCMP_EQUAL("value", echo.last.header("x-any-name").c_str());
 }
 
-TEST(HttpStackTest, JoinsPieces)
+TEST(HttpStackTest, ReceivesStreamedBody)
 {
     HttpCallRequest request;
     request.path = "/pieces";
     STRCMP_EQUAL("one two", call(request).body.c_str());
 }
 
-TEST(HttpStackTest, UsesAConnectionAgain)
+TEST(HttpStackTest, ReusesConnection)
 {
     HttpCallRequest request;
-    request.reuse = HttpReuse::Any;
+    request.reuse = ConnectionReuse::Any;
     call(request);
     call(request);
     LONGS_EQUAL(1, client->connectionsMade());
-    request.reuse = HttpReuse::Never;
+    request.reuse = ConnectionReuse::Never;
     call(request);
     LONGS_EQUAL(2, client->connectionsMade());
 }
 
-TEST(HttpStackTest, BrokenAnswersAreNeverWhole)
+TEST(HttpStackTest, ReportsTruncatedResponseAsInterrupted)
 {
     for (const char *const path : {"/broken", "/short"}) {
         HttpCallRequest request;
@@ -209,7 +209,7 @@
     }
 }
 
-TEST(HttpStackTest, ReportsAnUnreachablePeerAsNotSent)
+TEST(HttpStackTest, ReportsRefusedConnectionAsNotSent)
 {
     HttpCallRequest request;
     Result result;
@@ -228,14 +228,14 @@
     const HttpCallId id = client->call(request, std::make_unique<Receiver>(*loop, result));
     runUntil([this] { return echo.requests == 1; });
     client->cancel(id);
-    runUntil([this] { return echo.gone == 1; });
+    runUntil([this] { return echo.callersGone == 1; });
     CHECK_FALSE(result.end.has_value());
 }
 
-TEST(HttpStackTest, LostKeptConnectionIsToldApart)
+TEST(HttpStackTest, ReportsLossOfReusedConnection)
 {
     HttpCallRequest request;
-    request.reuse = HttpReuse::Any;
+    request.reuse = ConnectionReuse::Any;
     call(request);
     request.path = "/hold";
     Result result;
@@ -244,40 +244,40 @@
     runUntil([this] { return echo.requests == 2; });
     server->abort(echo.lastExchange);
     runUntil([&result] { return result.end.has_value(); });
-    CHECK_TRUE(result.end == HttpCallEnd::KeptLost);
+    CHECK_TRUE(result.end == HttpCallEnd::ReusedConnectionLost);
 }
 
 TEST(HttpStackTest, AnswersPipelinedRequestsInOrder)
 {
-    const std::string answer = exchange("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n1"
-                                        "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
-                                        "Connection: close\r\n\r\n2");
+    const std::string received = sendRaw("POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n1"
+                                         "POST /b HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n"
+                                         "Connection: close\r\n\r\n2");
     LONGS_EQUAL(2, echo.requests);
-    CHECK_TRUE(answer.find("\r\n\r\n1HTTP/1.1 200") != std::string::npos);
-    STRCMP_EQUAL("2", answer.substr(answer.size() - 1).c_str());
+    CHECK_TRUE(received.find("\r\n\r\n1HTTP/1.1 200") != std::string::npos);
+    STRCMP_EQUAL("2", received.substr(received.size() - 1).c_str());
 }
 
-TEST(HttpStackTest, RefusesWithoutDeliveringAndCloses)
+TEST(HttpStackTest, RejectsInvalidRequestsWithoutCallingHandler)
 {
-    STRNCMP_EQUAL("HTTP/1.1 400", exchange("GET / HTTP/1.1\r\nHost : x\r\n\r\n").c_str(), 12);
+    STRNCMP_EQUAL("HTTP/1.1 400", sendRaw("GET / HTTP/1.1\r\nHost : x\r\n\r\n").c_str(), 12);
     STRNCMP_EQUAL("HTTP/1.1 413",
-                  exchange("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2000\r\n\r\n").c_str(),
+                  sendRaw("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2000\r\n\r\n").c_str(),
                   12);
     STRNCMP_EQUAL("HTTP/1.1 431",
-                  exchange("GET / HTTP/1.1\r\nA: " + std::string(20000, 'a')).c_str(), 12);
+                  sendRaw("GET / HTTP/1.1\r\nA: " + std::string(20000, 'a')).c_str(), 12);
     LONGS_EQUAL(0, echo.requests);
 }
 
-TEST(HttpStackTest, AnnouncesTheCloseBeforeItCloses)
+TEST(HttpStackTest, SendsConnectionCloseBeforeClosing)
 {
     server->announceClose();
-    const std::string answer = exchange("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    CHECK_TRUE(answer.find("Connection: close") != std::string::npos);
+    const std::string received = sendRaw("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+    CHECK_TRUE(received.find("Connection: close") != std::string::npos);
 }
 
 TEST_GROUP(EventLoopTest){};
 
-TEST(EventLoopTest, LoopThatHasShutDownTakesNoTimers)
+TEST(EventLoopTest, ScheduleAfterShutDownReturnsZero)
 {
     auto loop = std::move(*EventLoop::create());
     loop->shutDown();
--- a/test/net/upstreamprobe_test.cpp
+++ b/test/net/upstreamprobe_test.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr Duration kPatience = std::chrono::seconds(10);
+constexpr Duration kTestTimeout = std::chrono::seconds(10);
 
-// A listener of which nobody takes connections.
+// A listening socket whose connections are never accepted.
 class Listener
 {
 public:
@@ -32,23 +32,23 @@
     }
     ~Listener()
     {
-        for (const int caller : callers_) {
-            close(caller);
+        for (const int client : clients_) {
+            close(client);
         }
         close(descriptor_);
     }
     Listener(const Listener &) = delete;
     Listener &operator=(const Listener &) = delete;
 
-    // Fills the queue, so that the kernel drops what comes next, as a host without power does.
+    // Fills the backlog, so that the kernel ignores further connections like a host without power.
     void fill(int port)
     {
-        constexpr int kMoreThanTheQueue = 8;
-        for (int count = 0; count < kMoreThanTheQueue; ++count) {
-            const int caller = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+        constexpr int kMoreThanBacklog = 8;
+        for (int count = 0; count < kMoreThanBacklog; ++count) {
+            const int client = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
             sockaddr_in address = at(port);
-            callers_.push_back(caller);
-            if (connect(caller, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) != 0
+            clients_.push_back(client);
+            if (connect(client, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) != 0
                 && errno != EINPROGRESS) {
                 throw std::runtime_error("cannot connect on loopback");
             }
@@ -66,7 +66,7 @@
     }
 
     int descriptor_;
-    std::vector<int> callers_;
+    std::vector<int> clients_;
 };
 
 } // namespace
@@ -75,7 +75,7 @@
 {
     std::unique_ptr<EventLoop> loop;
     std::unique_ptr<UpstreamProbe> probe;
-    std::vector<UpstreamState> answers;
+    std::vector<UpstreamProbeResult> results;
 
     void setup() override
     {
@@ -90,52 +90,52 @@
         loop.reset();
     }
 
-    // Asks `times` times at once and waits for as many answers.
-    void ask(int port, std::size_t times = 1)
+    // Starts `times` probes of `port` at once and waits for all results.
+    void runProbes(int port, std::size_t times = 1)
     {
         for (std::size_t count = 0; count < times; ++count) {
-            probe->ask({"127.0.0.1", port}, [this, times](UpstreamState state) {
-                answers.push_back(state);
-                if (answers.size() == times) {
+            probe->probe({"127.0.0.1", port}, [this, times](UpstreamProbeResult result) {
+                results.push_back(result);
+                if (results.size() == times) {
                     loop->stop();
                 }
             });
         }
-        loop->schedule(kPatience, [this] { loop->stop(); });
+        loop->schedule(kTestTimeout, [this] { loop->stop(); });
         loop->run();
-        LONGS_EQUAL(times, answers.size());
+        LONGS_EQUAL(times, results.size());
     }
 };
 
-TEST(UpstreamProbeTest, UpstreamThatTakesConnectionsLives)
+TEST(UpstreamProbeTest, ReportsAliveWhenConnectionIsAccepted)
 {
     const int port = freePort();
     const Listener listener(port, 4);
-    ask(port);
-    CHECK_TRUE(answers.front() == UpstreamState::Lives);
+    runProbes(port);
+    CHECK_TRUE(results.front() == UpstreamProbeResult::Alive);
 }
 
-TEST(UpstreamProbeTest, UpstreamWhosePortIsClosedHasEnded)
+TEST(UpstreamProbeTest, ReportsEndedWhenConnectionIsRefused)
 {
-    ask(freePort());
-    CHECK_TRUE(answers.front() == UpstreamState::Ended);
+    runProbes(freePort());
+    CHECK_TRUE(results.front() == UpstreamProbeResult::Ended);
 }
 
-TEST(UpstreamProbeTest, HostThatSaysNothingProvesNothing)
+TEST(UpstreamProbeTest, ReportsUnknownWhenHostDoesNotAnswer)
 {
     const int port = freePort();
     Listener listener(port, 0);
     listener.fill(port);
-    ask(port);
-    CHECK_TRUE(answers.front() == UpstreamState::Unknown);
+    runProbes(port);
+    CHECK_TRUE(results.front() == UpstreamProbeResult::Unknown);
 }
 
-TEST(UpstreamProbeTest, AllThatAskMeanwhileGetTheSameAnswer)
+TEST(UpstreamProbeTest, SharesOneProbeAmongConcurrentCallers)
 {
     const int port = freePort();
     const Listener listener(port, 4);
-    ask(port, 3);
-    for (const UpstreamState state : answers) {
-        CHECK_TRUE(state == UpstreamState::Lives);
+    runProbes(port, 3);
+    for (const UpstreamProbeResult result : results) {
+        CHECK_TRUE(result == UpstreamProbeResult::Alive);
     }
 }
