--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -52,7 +52,7 @@
     }
 }
 
-size_t RawStream::takeReceived(kj::byte *buffer, size_t maxBytes)
+size_t RawStream::consumeReceived(kj::byte *buffer, size_t maxBytes)
 {
     const size_t size = std::min(maxBytes, received());
     std::memcpy(buffer, received_.data() + receivedOffset_, size);
@@ -72,7 +72,7 @@
 {
     auto *bytes = static_cast<kj::byte *>(buffer);
     if (received() >= minBytes || closed_) {
-        return takeReceived(bytes, maxBytes);
+        return consumeReceived(bytes, maxBytes);
     }
     auto paf = kj::newPromiseAndFulfiller<size_t>();
     pendingRead_ = PendingRead{bytes, minBytes, maxBytes, kj::mv(paf.fulfiller)};
@@ -85,7 +85,7 @@
         if (received() < read->minBytes && !closed_) {
             return;
         }
-        const size_t size = takeReceived(read->buffer, read->maxBytes);
+        const size_t size = consumeReceived(read->buffer, read->maxBytes);
         auto fulfiller = kj::mv(read->fulfiller);
         pendingRead_ = nullptr;
         fulfiller->fulfill(kj::cp(size));
--- a/src/net/rawtransport.h
+++ b/src/net/rawtransport.h
@@ -59,7 +59,7 @@
         kj::Own<kj::PromiseFulfiller<size_t>> fulfiller;
     };
 
-    size_t takeReceived(kj::byte *buffer, size_t maxBytes);
+    size_t consumeReceived(kj::byte *buffer, size_t maxBytes);
     size_t received() const { return received_.size() - receivedOffset_; }
     void serveRead();
     kj::Promise<void> afterQueued();
