--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -79,7 +79,7 @@
     return kj::mv(paf.promise);
 }
 
-void RawStream::serveRead()
+void RawStream::completePendingRead()
 {
     KJ_IF_MAYBE (read, pendingRead_) {
         if (received() < read->minBytes && !closed_) {
@@ -146,7 +146,7 @@
 {
     received_.append(static_cast<const char *>(data), size);
     transport_.bytesIn_ += size;
-    serveRead();
+    completePendingRead();
     if (received() >= kReceiveHighWater && !receivePaused_) {
         receivePaused_ = true;
         lws_rx_flow_control(wsi_, 0);
@@ -199,7 +199,7 @@
 {
     wsi_ = nullptr;
     closed_ = true;
-    serveRead();
+    completePendingRead();
     for (auto &fulfiller : pendingWrites_) {
         fulfiller->reject(disconnected());
     }
--- a/src/net/rawtransport.h
+++ b/src/net/rawtransport.h
@@ -61,7 +61,7 @@
 
     size_t consumeReceived(kj::byte *buffer, size_t maxBytes);
     size_t received() const { return received_.size() - receivedOffset_; }
-    void serveRead();
+    void completePendingRead();
     kj::Promise<void> afterQueued();
     void onReceive(const void *data, size_t size);
     void onWriteable(lws *wsi);
