--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -92,7 +92,7 @@
     }
 }
 
-kj::Promise<void> RawStream::afterQueued()
+kj::Promise<void> RawStream::scheduleWrite()
 {
     if (wsi_ != nullptr) {
         lws_callback_on_writable(wsi_);
@@ -111,7 +111,7 @@
         return disconnected();
     }
     queued_.append(static_cast<const char *>(buffer), size);
-    return afterQueued();
+    return scheduleWrite();
 }
 
 kj::Promise<void> RawStream::write(kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces)
@@ -122,7 +122,7 @@
     for (const auto &piece : pieces) {
         queued_.append(reinterpret_cast<const char *>(piece.begin()), piece.size());
     }
-    return afterQueued();
+    return scheduleWrite();
 }
 
 kj::Promise<void> RawStream::whenWriteDisconnected()
--- a/src/net/rawtransport.h
+++ b/src/net/rawtransport.h
@@ -62,7 +62,7 @@
     size_t consumeReceived(kj::byte *buffer, size_t maxBytes);
     size_t received() const { return received_.size() - receivedOffset_; }
     void completePendingRead();
-    kj::Promise<void> afterQueued();
+    kj::Promise<void> scheduleWrite();
     void onReceive(const void *data, size_t size);
     void onWriteable(lws *wsi);
     void onConnected(lws *wsi);
