--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -278,7 +278,7 @@
     return found == streams_.end() ? nullptr : found->second;
 }
 
-void RawTransport::adopt(lws *wsi)
+void RawTransport::acceptConnection(lws *wsi)
 {
     const auto handler = acceptHandlers_.find(lws_get_vhost(wsi));
     if (handler == acceptHandlers_.end()) {
@@ -302,7 +302,7 @@
     }
     if (reason == LWS_CALLBACK_RAW_ADOPT) {
         if (transport->find(wsi) == nullptr) {
-            transport->adopt(wsi);
+            transport->acceptConnection(wsi);
         }
         return 0;
     }
