--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -45,7 +45,7 @@
 
 RawStream::~RawStream() noexcept(false)
 {
-    transport_.release(id_);
+    transport_.removeStream(id_);
     if (wsi_ != nullptr) {
         lws_set_opaque_user_data(wsi_, nullptr);
         lws_set_timeout(wsi_, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
--- a/src/net/rawtransport.h
+++ b/src/net/rawtransport.h
@@ -113,7 +113,7 @@
     static int callback(lws *wsi, lws_callback_reasons reason, void *user, void *in, size_t size);
     RawStream *find(lws *wsi);
     void acceptConnection(lws *wsi);
-    void release(ConnectionId id) { streams_.erase(id); }
+    void removeStream(ConnectionId id) { streams_.erase(id); }
 
     EventLoop &loop_;
     lws_vhost *clientHost_ = nullptr;
