--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -16,7 +16,7 @@
 constexpr size_t kWriteChunk = 64 * 1024;
 constexpr const char *kProtocolName = "seamarch-rpc";
 
-ConnectionId idOf(lws *wsi)
+ConnectionId connectionIdOf(lws *wsi)
 {
     return reinterpret_cast<ConnectionId>(lws_get_opaque_user_data(wsi));
 }
@@ -274,7 +274,7 @@
 
 RawStream *RawTransport::find(lws *wsi)
 {
-    const auto found = streams_.find(idOf(wsi));
+    const auto found = streams_.find(connectionIdOf(wsi));
     return found == streams_.end() ? nullptr : found->second;
 }
 
