--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -21,7 +21,7 @@
     return reinterpret_cast<ConnectionId>(lws_get_opaque_user_data(wsi));
 }
 
-void *opaque(ConnectionId id)
+void *toOpaqueData(ConnectionId id)
 {
     return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): an id, never followed
 }
@@ -262,7 +262,7 @@
     info.host = info.address;
     info.method = "RAW";
     info.local_protocol_name = kProtocolName;
-    info.opaque_user_data = opaque(id);
+    info.opaque_user_data = toOpaqueData(id);
     if (lws_client_connect_via_info(&info) == nullptr) {
         const auto found = streams_.find(id);
         if (found != streams_.end() && !found->second->closed_) {
@@ -287,7 +287,7 @@
     const ConnectionId id = nextId_++;
     auto stream = kj::heap<RawStream>(*this, id);
     streams_.emplace(id, stream.get());
-    lws_set_opaque_user_data(wsi, opaque(id));
+    lws_set_opaque_user_data(wsi, toOpaqueData(id));
     stream->onConnected(wsi);
     handler->second(kj::mv(stream));
 }
