--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -26,7 +26,7 @@
     return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): an id, never followed
 }
 
-kj::Exception disconnected()
+kj::Exception disconnectedException()
 {
     return KJ_EXCEPTION(DISCONNECTED, "connection closed");
 }
@@ -108,7 +108,7 @@
 kj::Promise<void> RawStream::write(const void *buffer, size_t size)
 {
     if (closed_) {
-        return disconnected();
+        return disconnectedException();
     }
     queued_.append(static_cast<const char *>(buffer), size);
     return scheduleWrite();
@@ -117,7 +117,7 @@
 kj::Promise<void> RawStream::write(kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces)
 {
     if (closed_) {
-        return disconnected();
+        return disconnectedException();
     }
     for (const auto &piece : pieces) {
         queued_.append(reinterpret_cast<const char *>(piece.begin()), piece.size());
@@ -201,7 +201,7 @@
     closed_ = true;
     completePendingRead();
     for (auto &fulfiller : pendingWrites_) {
-        fulfiller->reject(disconnected());
+        fulfiller->reject(disconnectedException());
     }
     pendingWrites_.clear();
     closedFulfiller_->fulfill();
