--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -54,14 +54,14 @@
 
 size_t RawStream::consumeReceived(kj::byte *buffer, size_t maxBytes)
 {
-    const size_t size = std::min(maxBytes, received());
+    const size_t size = std::min(maxBytes, receivedSize());
     std::memcpy(buffer, received_.data() + receivedOffset_, size);
     receivedOffset_ += size;
     if (receivedOffset_ == received_.size()) {
         received_.clear();
         receivedOffset_ = 0;
     }
-    if (receivePaused_ && wsi_ != nullptr && received() < kReceiveHighWater / 2) {
+    if (receivePaused_ && wsi_ != nullptr && receivedSize() < kReceiveHighWater / 2) {
         receivePaused_ = false;
         lws_rx_flow_control(wsi_, 1);
     }
@@ -71,7 +71,7 @@
 kj::Promise<size_t> RawStream::tryRead(void *buffer, size_t minBytes, size_t maxBytes)
 {
     auto *bytes = static_cast<kj::byte *>(buffer);
-    if (received() >= minBytes || closed_) {
+    if (receivedSize() >= minBytes || closed_) {
         return consumeReceived(bytes, maxBytes);
     }
     auto paf = kj::newPromiseAndFulfiller<size_t>();
@@ -82,7 +82,7 @@
 void RawStream::completePendingRead()
 {
     KJ_IF_MAYBE (read, pendingRead_) {
-        if (received() < read->minBytes && !closed_) {
+        if (receivedSize() < read->minBytes && !closed_) {
             return;
         }
         const size_t size = consumeReceived(read->buffer, read->maxBytes);
@@ -147,7 +147,7 @@
     received_.append(static_cast<const char *>(data), size);
     transport_.bytesIn_ += size;
     completePendingRead();
-    if (received() >= kReceiveHighWater && !receivePaused_) {
+    if (receivedSize() >= kReceiveHighWater && !receivePaused_) {
         receivePaused_ = true;
         lws_rx_flow_control(wsi_, 0);
     }
--- a/src/net/rawtransport.h
+++ b/src/net/rawtransport.h
@@ -60,7 +60,7 @@
     };
 
     size_t consumeReceived(kj::byte *buffer, size_t maxBytes);
-    size_t received() const { return received_.size() - receivedOffset_; }
+    size_t receivedSize() const { return received_.size() - receivedOffset_; }
     void completePendingRead();
     kj::Promise<void> scheduleWrite();
     void onReceive(const void *data, size_t size);
