--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -11,7 +11,7 @@
 namespace seamarch {
 namespace {
 
-constexpr size_t kReceiveHighWater = 1024 * 1024;
+constexpr size_t kReceiveHighWaterBytes = 1024 * 1024;
 constexpr size_t kWriteHighWater = 256 * 1024;
 constexpr size_t kWriteChunk = 64 * 1024;
 constexpr const char *kProtocolName = "seamarch-rpc";
@@ -61,7 +61,7 @@
         received_.clear();
         receivedOffset_ = 0;
     }
-    if (receivePaused_ && wsi_ != nullptr && receivedSize() < kReceiveHighWater / 2) {
+    if (receivePaused_ && wsi_ != nullptr && receivedSize() < kReceiveHighWaterBytes / 2) {
         receivePaused_ = false;
         lws_rx_flow_control(wsi_, 1);
     }
@@ -147,7 +147,7 @@
     received_.append(static_cast<const char *>(data), size);
     transport_.bytesIn_ += size;
     completePendingRead();
-    if (receivedSize() >= kReceiveHighWater && !receivePaused_) {
+    if (receivedSize() >= kReceiveHighWaterBytes && !receivePaused_) {
         receivePaused_ = true;
         lws_rx_flow_control(wsi_, 0);
     }
