--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr size_t kReceiveHighWaterBytes = 1024 * 1024;
-constexpr size_t kWriteHighWater = 256 * 1024;
+constexpr size_t kWriteHighWaterBytes = 256 * 1024;
 constexpr size_t kWriteChunk = 64 * 1024;
 constexpr const char *kProtocolName = "seamarch-rpc";
 
@@ -97,7 +97,7 @@
     if (wsi_ != nullptr) {
         lws_callback_on_writable(wsi_);
     }
-    if (queued_.size() < kWriteHighWater) {
+    if (queued_.size() < kWriteHighWaterBytes) {
         return kj::READY_NOW;
     }
     auto paf = kj::newPromiseAndFulfiller<void>();
@@ -167,7 +167,7 @@
     }
     queued_.erase(0, size);
     transport_.bytesOut_ += size;
-    if (queued_.size() < kWriteHighWater) {
+    if (queued_.size() < kWriteHighWaterBytes) {
         for (auto &fulfiller : pendingWrites_) {
             fulfiller->fulfill();
         }
