--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -13,7 +13,7 @@
 
 constexpr size_t kReceiveHighWaterBytes = 1024 * 1024;
 constexpr size_t kWriteHighWaterBytes = 256 * 1024;
-constexpr size_t kWriteChunk = 64 * 1024;
+constexpr size_t kMaxWriteBytes = 64 * 1024;
 constexpr const char *kProtocolName = "seamarch-rpc";
 
 ConnectionId connectionIdOf(lws *wsi)
@@ -158,7 +158,7 @@
     if (queued_.empty()) {
         return;
     }
-    const size_t size = std::min(queued_.size(), kWriteChunk);
+    const size_t size = std::min(queued_.size(), kMaxWriteBytes);
     std::vector<unsigned char> buffer(LWS_PRE + size);
     std::memcpy(buffer.data() + LWS_PRE, queued_.data(), size);
     *wroteAny_ = true;
