--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -188,8 +188,8 @@
 
 std::string RawStream::peerHost() const
 {
-    constexpr std::size_t kLongestNumber = 64; // Of an IP number as text.
-    std::array<char, kLongestNumber> host{};
+    constexpr std::size_t kMaxAddressLength = 64; // Of an IP number as text.
+    std::array<char, kMaxAddressLength> host{};
     const bool known = wsi_ != nullptr && !closed_;
     const char *found = known ? lws_get_peer_simple(wsi_, host.data(), host.size()) : nullptr;
     return found == nullptr ? std::string() : std::string(found);
