--- a/src/net/crashwire.cpp
+++ b/src/net/crashwire.cpp
@@ -17,26 +17,27 @@
     }
 }
 
-CrashSuspect readSuspect(wire::CrashSuspect::Reader from, TimePoint toldAt)
+CrashSuspect readSuspect(wire::CrashSuspect::Reader from, TimePoint referenceTime)
 {
     CrashSuspect suspect;
     suspect.digest = RequestDigest(from.getDigest());
     suspect.account = from.getAccount();
     for (const auto &end : from.getEnds()) {
-        suspect.crashes.push_back({end.getUpstream(), toldAt - Duration(end.getMicrosAgo())});
+        suspect.crashes.push_back(
+            {end.getUpstream(), referenceTime - Duration(end.getMicrosAgo())});
     }
     if (from.getSurvived()) {
-        suspect.lastCompletedAt = toldAt - Duration(from.getSurvivedMicrosAgo());
+        suspect.lastCompletedAt = referenceTime - Duration(from.getSurvivedMicrosAgo());
     }
     return suspect;
 }
 
-std::uint64_t learnSuspects(capnp::List<wire::CrashSuspect>::Reader from, TimePoint toldAt,
+std::uint64_t learnSuspects(capnp::List<wire::CrashSuspect>::Reader from, TimePoint referenceTime,
                             CrashRecord &record)
 {
     const std::uint64_t before = record.cursor();
     for (const auto &suspect : from) {
-        record.merge(readSuspect(suspect, toldAt));
+        record.merge(readSuspect(suspect, referenceTime));
     }
     return record.cursor() - before;
 }
--- a/src/net/crashwire.h
+++ b/src/net/crashwire.h
@@ -8,11 +8,11 @@
 namespace seamarch {
 
 void writeSuspect(const CrashSuspect &suspect, TimePoint now, wire::CrashSuspect::Builder to);
-// `toldAt` is the moment from which the message counts back.
-CrashSuspect readSuspect(wire::CrashSuspect::Reader from, TimePoint toldAt);
+// `referenceTime` is the moment from which the message counts back.
+CrashSuspect readSuspect(wire::CrashSuspect::Reader from, TimePoint referenceTime);
 
 // Takes all of a message into `record`. Returns how many of them were news.
-std::uint64_t learnSuspects(capnp::List<wire::CrashSuspect>::Reader from, TimePoint toldAt,
+std::uint64_t learnSuspects(capnp::List<wire::CrashSuspect>::Reader from, TimePoint referenceTime,
                             CrashRecord &record);
 
 // Requests that end upstreams in one message: some 20 KB; the rest comes with the next.
