--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -16,7 +16,7 @@
 void GatewayPeers::applyCrashes(Link &link, TimePoint askedAt, wire::GatewayNews::Reader news)
 {
     const TimePoint answeredAt = askedAt + Duration(news.getHeldMicros());
-    const std::uint64_t learned = learnSuspects(news.getCrashes(), answeredAt, crashes_);
+    const std::uint64_t learned = mergeSuspects(news.getCrashes(), answeredAt, crashes_);
     link.crashCursor = news.getCrashCursor();
     peerCrashChanges_ += learned;
     if (learned > 0) {
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -88,7 +88,7 @@
 kj::Promise<void> PeerServer::warn(WarnContext context)
 {
     if (CrashRecord *record = crashes()) {
-        learnSuspects(context.getParams().getCrashes(), loop_.now(), *record);
+        mergeSuspects(context.getParams().getCrashes(), loop_.now(), *record);
     }
     return kj::READY_NOW;
 }
@@ -253,7 +253,7 @@
 void PeerNetwork::takeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer)
 {
     const bool allTold = warnedOf_ == crashes_.cursor();
-    learnSuspects(answer.getCrashes(), loop_.now(), crashes_);
+    mergeSuspects(answer.getCrashes(), loop_.now(), crashes_);
     link.crashCursor = answer.getCrashCursor();
     if (allTold) {
         warnedOf_ = crashes_.cursor();
--- a/src/net/crashwire.cpp
+++ b/src/net/crashwire.cpp
@@ -32,7 +32,7 @@
     return suspect;
 }
 
-std::uint64_t learnSuspects(capnp::List<wire::CrashSuspect>::Reader from, TimePoint referenceTime,
+std::uint64_t mergeSuspects(capnp::List<wire::CrashSuspect>::Reader from, TimePoint referenceTime,
                             CrashRecord &record)
 {
     const std::uint64_t before = record.cursor();
--- a/src/net/crashwire.h
+++ b/src/net/crashwire.h
@@ -12,7 +12,7 @@
 CrashSuspect readSuspect(wire::CrashSuspect::Reader from, TimePoint referenceTime);
 
 // Takes all of a message into `record`. Returns how many of them were news.
-std::uint64_t learnSuspects(capnp::List<wire::CrashSuspect>::Reader from, TimePoint referenceTime,
+std::uint64_t mergeSuspects(capnp::List<wire::CrashSuspect>::Reader from, TimePoint referenceTime,
                             CrashRecord &record);
 
 // Requests that end upstreams in one message: some 20 KB; the rest comes with the next.
