--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -135,7 +135,7 @@
 
 void GatewayPeers::writeCrashes(wire::GatewayNews::Builder news, std::uint64_t cursor) const
 {
-    const CrashRecord::Changes changes = crashes_.changedSince(cursor, kMostSuspects);
+    const CrashRecord::Changes changes = crashes_.changedSince(cursor, kMaxSuspectsPerMessage);
     news.setCrashCursor(changes.cursor);
     auto list = news.initCrashes(static_cast<std::uint32_t>(changes.suspects.size()));
     for (std::uint32_t index = 0; index < list.size(); ++index) {
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -76,7 +76,7 @@
         return;
     }
     const CrashRecord::Changes changes =
-        record->changedSince(context.getParams().getCrashCursor(), kMostSuspects);
+        record->changedSince(context.getParams().getCrashCursor(), kMaxSuspectsPerMessage);
     auto results = context.getResults();
     results.setCrashCursor(changes.cursor);
     auto list = results.initCrashes(static_cast<std::uint32_t>(changes.suspects.size()));
@@ -267,7 +267,7 @@
         return;
     }
     const std::uint64_t before = warnedOf_;
-    const CrashRecord::Changes changes = crashes_.changedSince(before, kMostSuspects);
+    const CrashRecord::Changes changes = crashes_.changedSince(before, kMaxSuspectsPerMessage);
     warnTries_ = changes.cursor > warnedUpTo_ ? 0 : warnTries_;
     warnedOf_ = changes.cursor;
     warnedUpTo_ = std::max(warnedUpTo_, changes.cursor);
--- a/src/net/crashwire.h
+++ b/src/net/crashwire.h
@@ -16,6 +16,6 @@
                             CrashRecord &record);
 
 // Requests that end upstreams in one message: some 20 KB; the rest comes with the next.
-inline constexpr std::size_t kMostSuspects = 256;
+inline constexpr std::size_t kMaxSuspectsPerMessage = 256;
 
 } // namespace seamarch
