--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -42,7 +42,7 @@
     Duration stopDeadline = std::chrono::seconds(120);
 };
 
-class AgentService final : private KnowledgeListener,
+class AgentService final : private ClusterStateListener,
                            private StatusSource,
                            private OrderHost,
                            private kj::TaskSet::ErrorHandler
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -45,7 +45,7 @@
 
 class EntryService final : private HttpHandler,
                            private AgentLinkListener,
-                           private KnowledgeListener,
+                           private ClusterStateListener,
                            private StatusSource
 {
 public:
--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -45,7 +45,7 @@
     }
     announced_ = config_.version();
     logLine(LogLevel::Info, "config.in-force", {{"version", announced_}});
-    for (KnowledgeListener *listener : listeners_) {
+    for (ClusterStateListener *listener : listeners_) {
         listener->onConfig(configDocument_);
     }
 }
@@ -66,7 +66,7 @@
     list_ = std::move(next);
     listConfirmedAt_.reset();
     instanceList_ = std::move(*list);
-    for (KnowledgeListener *listener : listeners_) {
+    for (ClusterStateListener *listener : listeners_) {
         listener->onInstances(instanceList_);
     }
     return result;
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -20,10 +20,10 @@
 namespace seamarch {
 
 // Hears of documents that come into force.
-class KnowledgeListener
+class ClusterStateListener
 {
 public:
-    virtual ~KnowledgeListener() = default;
+    virtual ~ClusterStateListener() = default;
     virtual void onConfig(const ConfigDocument &document) = 0;
     virtual void onInstances(const InstanceList &list) = 0;
 };
@@ -48,7 +48,7 @@
 class Knowledge
 {
 public:
-    void listen(KnowledgeListener &listener) { listeners_.push_back(&listener); }
+    void listen(ClusterStateListener &listener) { listeners_.push_back(&listener); }
 
     // Takes a document from the platform.
     UpdateResult acceptConfig(const std::string &text);
@@ -90,7 +90,7 @@
     std::optional<TimePoint> listConfirmedAt_;
     std::uint64_t announced_ = 0;
     std::uint64_t conflicts_ = 0;
-    std::vector<KnowledgeListener *> listeners_;
+    std::vector<ClusterStateListener *> listeners_;
 };
 
 } // namespace seamarch
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -28,7 +28,7 @@
 
 // Lets exchanges wait for a change of what this process knows. One per process; it outlives the
 // serving ends.
-class ChangeSignal final : public KnowledgeListener
+class ChangeSignal final : public ClusterStateListener
 {
 public:
     explicit ChangeSignal(EventLoop &loop)
