--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -630,7 +630,7 @@
 json AgentService::status() const
 {
     const AgentReport report = core_.report();
-    const KnownVersions versions = knowledge_.versions();
+    const DocumentVersions versions = knowledge_.versions();
     return {{"role", "agent"},
             {"instance", settings_.instance.value()},
             {"hall", settings_.hall.value()},
--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -89,7 +89,7 @@
 void AgentLink::onExchange(wire::Status::Reader status, wire::Update::Reader config,
                            wire::Update::Reader list, TimePoint askedAt)
 {
-    const KnownVersions known = readVersions(status);
+    const DocumentVersions known = readVersions(status);
     agentClock_ = status.getClockMicros();
     context_.knowledge.hear(known);
     context_.knowledge.apply({readUpdate(config), readUpdate(list)});
@@ -99,7 +99,7 @@
     context_.listener.onHeartbeat(id_, readReport(status), askedAt);
 }
 
-void AgentLink::offer(const KnownVersions &peer)
+void AgentLink::offer(const DocumentVersions &peer)
 {
     const KnowledgeUpdates updates = context_.knowledge.updatesFor(peer);
     auto request = agent().offerRequest();
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -85,7 +85,7 @@
     void onClosed();
     void onExchange(wire::Status::Reader status, wire::Update::Reader config,
                     wire::Update::Reader list, TimePoint askedAt);
-    void offer(const KnownVersions &peer);
+    void offer(const DocumentVersions &peer);
     void taskFailed(kj::Exception &&exception) override;
 
     Context context_;
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -616,7 +616,7 @@
 {
     std::string reason;
     const bool isReady = ready(reason);
-    const KnownVersions versions = knowledge_.versions();
+    const DocumentVersions versions = knowledge_.versions();
     json agents = json::object();
     const TimePoint now = loop_.now();
     for (const auto &[id, member] : core_.members().members()) {
--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -103,7 +103,7 @@
     }
 }
 
-void Knowledge::hear(const KnownVersions &peer)
+void Knowledge::hear(const DocumentVersions &peer)
 {
     config_.raiseFloor(std::max(peer.config, peer.configFloor));
     if (peer.config == config_.version() && peer.config != 0
@@ -122,17 +122,17 @@
     return listConfirmedAt_ ? now - *listConfirmedAt_ : Duration(-1);
 }
 
-KnownVersions Knowledge::versions() const
+DocumentVersions Knowledge::versions() const
 {
     return {config_.version(), config_.digest(), config_.floor(), list_.version(), list_.digest()};
 }
 
-KnowledgeUpdates Knowledge::updatesFor(const KnownVersions &peer) const
+KnowledgeUpdates Knowledge::updatesFor(const DocumentVersions &peer) const
 {
     return {config_.updateFor(peer.config), list_.updateFor(peer.list)};
 }
 
-bool Knowledge::lags(const KnownVersions &peer) const
+bool Knowledge::lags(const DocumentVersions &peer) const
 {
     return peer.config > config_.version() || peer.list > list_.version();
 }
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -29,7 +29,7 @@
 };
 
 // The versions that two processes compare.
-struct KnownVersions
+struct DocumentVersions
 {
     std::uint64_t config = 0;
     std::uint64_t configDigest = 0;
@@ -56,18 +56,18 @@
     // Takes what a peer hands over.
     void apply(const KnowledgeUpdates &updates);
     // Learns what a peer knows; only the floor follows from it.
-    void hear(const KnownVersions &peer);
+    void hear(const DocumentVersions &peer);
 
     // The platform was asked at `askedAt` or later and confirmed the list that is held.
     void confirmList(TimePoint askedAt);
     // Returns how long ago the platform confirmed the list; negative when it never did.
     Duration listAge(TimePoint now) const;
 
-    KnownVersions versions() const;
+    DocumentVersions versions() const;
     // Returns what a peer with `peer` lacks.
-    KnowledgeUpdates updatesFor(const KnownVersions &peer) const;
+    KnowledgeUpdates updatesFor(const DocumentVersions &peer) const;
     // Tells whether a peer with `peer` knows more than this process.
-    bool lags(const KnownVersions &peer) const;
+    bool lags(const DocumentVersions &peer) const;
 
     bool configInForce() const { return config_.inForce(); }
     const ConfigDocument &config() const { return configDocument_; }
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -31,7 +31,7 @@
 
 kj::Promise<void> PeerServer::exchange(ExchangeContext context)
 {
-    const KnownVersions peer = readVersions(context.getParams().getStatus());
+    const DocumentVersions peer = readVersions(context.getParams().getStatus());
     knowledge_.hear(peer);
     onPeerStatus(context.getParams().getStatus());
     const Duration wait(context.getParams().getWaitMicros());
@@ -48,7 +48,7 @@
     });
 }
 
-void PeerServer::answer(ExchangeContext context, const KnownVersions &peer)
+void PeerServer::answer(ExchangeContext context, const DocumentVersions &peer)
 {
     auto results = context.getResults();
     const KnowledgeUpdates updates = knowledge_.updatesFor(peer);
@@ -93,7 +93,7 @@
     return kj::READY_NOW;
 }
 
-bool PeerServer::wantsUpdate(const KnownVersions &peer)
+bool PeerServer::wantsUpdate(const DocumentVersions &peer)
 {
     // Many peers show the same new version; one of them is asked for it at a time.
     const TimePoint now = loop_.now();
@@ -350,7 +350,7 @@
         takeCrashes(found->second, answer);
     }
     order_.onAnswer(entry, askedAt);
-    const KnownVersions known = readVersions(answer.getStatus());
+    const DocumentVersions known = readVersions(answer.getStatus());
     knowledge_.hear(known);
     const Duration listAge(answer.getStatus().getListAgeMicros());
     if (listAge >= Duration{} && known.list == knowledge_.versions().list) {
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -71,10 +71,10 @@
     virtual CrashRecord *crashes() { return nullptr; }
 
 private:
-    void answer(ExchangeContext context, const KnownVersions &peer);
+    void answer(ExchangeContext context, const DocumentVersions &peer);
     void writeCrashes(ExchangeContext context);
     bool hasCrashesFor(std::uint64_t cursor);
-    bool wantsUpdate(const KnownVersions &peer);
+    bool wantsUpdate(const DocumentVersions &peer);
 
     Knowledge &knowledge_;
     ChangeSignal &changes_;
--- a/src/net/wireconvert.cpp
+++ b/src/net/wireconvert.cpp
@@ -13,13 +13,13 @@
     builder.setCounter(id.counter);
 }
 
-KnownVersions readVersions(wire::Status::Reader reader)
+DocumentVersions readVersions(wire::Status::Reader reader)
 {
     return {reader.getConfigVersion(), reader.getConfigDigest(), reader.getConfigFloor(),
             reader.getListVersion(), reader.getListDigest()};
 }
 
-void writeVersions(const KnownVersions &versions, wire::Status::Builder builder)
+void writeVersions(const DocumentVersions &versions, wire::Status::Builder builder)
 {
     builder.setConfigVersion(versions.config);
     builder.setConfigDigest(versions.configDigest);
--- a/src/net/wireconvert.h
+++ b/src/net/wireconvert.h
@@ -16,8 +16,8 @@
 RequestId readRequestId(wire::RequestId::Reader reader);
 void writeRequestId(const RequestId &id, wire::RequestId::Builder builder);
 
-KnownVersions readVersions(wire::Status::Reader reader);
-void writeVersions(const KnownVersions &versions, wire::Status::Builder builder);
+DocumentVersions readVersions(wire::Status::Reader reader);
+void writeVersions(const DocumentVersions &versions, wire::Status::Builder builder);
 
 AgentReport readReport(wire::Status::Reader reader);
 void writeReport(const AgentReport &report, wire::Status::Builder builder);
