--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -101,7 +101,7 @@
 
 void AgentLink::offer(const DocumentVersions &peer)
 {
-    const KnowledgeUpdates updates = context_.knowledge.updatesFor(peer);
+    const DocumentUpdates updates = context_.knowledge.updatesFor(peer);
     auto request = agent().offerRequest();
     writeUpdate(updates.config, request.initConfig());
     writeUpdate(updates.list, request.initList());
--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -93,7 +93,7 @@
     return takeList(list_, [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
 }
 
-void Knowledge::apply(const KnowledgeUpdates &updates)
+void Knowledge::apply(const DocumentUpdates &updates)
 {
     if (updates.config && updates.config->to > config_.version()) {
         takeConfig(config_, [&](VersionedDocument &next) { return next.apply(*updates.config); });
@@ -127,7 +127,7 @@
     return {config_.version(), config_.digest(), config_.floor(), list_.version(), list_.digest()};
 }
 
-KnowledgeUpdates Knowledge::updatesFor(const DocumentVersions &peer) const
+DocumentUpdates Knowledge::updatesFor(const DocumentVersions &peer) const
 {
     return {config_.updateFor(peer.config), list_.updateFor(peer.list)};
 }
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -39,7 +39,7 @@
 };
 
 // What one process hands another after comparing.
-struct KnowledgeUpdates
+struct DocumentUpdates
 {
     std::optional<VersionedUpdate> config;
     std::optional<VersionedUpdate> list;
@@ -54,7 +54,7 @@
     UpdateResult acceptConfig(const std::string &text);
     UpdateResult acceptList(const std::string &text);
     // Takes what a peer hands over.
-    void apply(const KnowledgeUpdates &updates);
+    void apply(const DocumentUpdates &updates);
     // Learns what a peer knows; only the floor follows from it.
     void hear(const DocumentVersions &peer);
 
@@ -65,7 +65,7 @@
 
     DocumentVersions versions() const;
     // Returns what a peer with `peer` lacks.
-    KnowledgeUpdates updatesFor(const DocumentVersions &peer) const;
+    DocumentUpdates updatesFor(const DocumentVersions &peer) const;
     // Tells whether a peer with `peer` knows more than this process.
     bool lags(const DocumentVersions &peer) const;
 
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -35,7 +35,7 @@
     knowledge_.hear(peer);
     onPeerStatus(context.getParams().getStatus());
     const Duration wait(context.getParams().getWaitMicros());
-    const KnowledgeUpdates updates = knowledge_.updatesFor(peer);
+    const DocumentUpdates updates = knowledge_.updatesFor(peer);
     const bool nothingNew = !updates.config && !updates.list && !knowledge_.lags(peer)
                             && !hasCrashesFor(context.getParams().getCrashCursor());
     if (wait <= Duration{} || !nothingNew) {
@@ -51,7 +51,7 @@
 void PeerServer::answer(ExchangeContext context, const DocumentVersions &peer)
 {
     auto results = context.getResults();
-    const KnowledgeUpdates updates = knowledge_.updatesFor(peer);
+    const DocumentUpdates updates = knowledge_.updatesFor(peer);
     writeUpdate(updates.config, results.initConfig());
     writeUpdate(updates.list, results.initList());
     auto status = results.initStatus();
@@ -359,7 +359,7 @@
     // Applying a list may change the links, so nothing of this link is used after it.
     const bool wants = answer.getStatus().getWantsUpdate();
     if (wants && found != links_.end()) {
-        const KnowledgeUpdates updates = knowledge_.updatesFor(known);
+        const DocumentUpdates updates = knowledge_.updatesFor(known);
         auto request = found->second.rpc->capability().castAs<wire::Peer>().offerRequest();
         writeUpdate(updates.config, request.initConfig());
         writeUpdate(updates.list, request.initList());
