--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -134,7 +134,7 @@
     AgentSettings settings_;
     Incarnation incarnation_;
     Metrics metrics_;
-    Knowledge knowledge_;
+    ClusterState knowledge_;
     ChangeSignal changes_;
     AgentCore core_;
     std::unique_ptr<RawTransport> transport_;
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -57,7 +57,7 @@
     {
         EventLoop &loop;
         RawTransport &transport;
-        Knowledge &knowledge;
+        ClusterState &knowledge;
         AgentLinkListener &listener;
         InstanceId self;
         Incarnation incarnation;
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -61,7 +61,7 @@
 class EntryService::PeerEnd final : public PeerServer
 {
 public:
-    PeerEnd(EntryService &service, Knowledge &knowledge, EventLoop &loop)
+    PeerEnd(EntryService &service, ClusterState &knowledge, EventLoop &loop)
         : PeerServer(knowledge, service.changes_, loop)
         , service_(service)
     {}
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -130,7 +130,7 @@
     EntrySettings settings_;
     Incarnation incarnation_;
     Metrics metrics_;
-    Knowledge knowledge_;
+    ClusterState knowledge_;
     ChangeSignal changes_;
     CallerDirectory directory_;
     std::vector<std::unique_ptr<RequestFilter>> filters_;
--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-UpdateResult Knowledge::note(UpdateResult result, const char *what)
+UpdateResult ClusterState::note(UpdateResult result, const char *what)
 {
     if (result == UpdateResult::Conflict) {
         ++conflicts_;
@@ -20,7 +20,7 @@
 }
 
 template <typename Take>
-UpdateResult Knowledge::takeConfig(VersionedDocument next, Take take)
+UpdateResult ClusterState::takeConfig(VersionedDocument next, Take take)
 {
     const UpdateResult result = note(take(next), "config");
     if (result != UpdateResult::Applied) {
@@ -38,7 +38,7 @@
     return result;
 }
 
-void Knowledge::announceConfig()
+void ClusterState::announceConfig()
 {
     if (!config_.inForce() || announced_ == config_.version()) {
         return;
@@ -51,7 +51,7 @@
 }
 
 template <typename Take>
-UpdateResult Knowledge::takeList(VersionedDocument next, Take take)
+UpdateResult ClusterState::takeList(VersionedDocument next, Take take)
 {
     const UpdateResult result = note(take(next), "instances");
     if (result != UpdateResult::Applied) {
@@ -72,7 +72,7 @@
     return result;
 }
 
-UpdateResult Knowledge::acceptConfig(const std::string &text)
+UpdateResult ClusterState::acceptConfig(const std::string &text)
 {
     auto value = parseJson(text);
     if (!value) {
@@ -83,7 +83,7 @@
                       [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
 }
 
-UpdateResult Knowledge::acceptList(const std::string &text)
+UpdateResult ClusterState::acceptList(const std::string &text)
 {
     auto value = parseJson(text);
     if (!value) {
@@ -93,7 +93,7 @@
     return takeList(list_, [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
 }
 
-void Knowledge::apply(const DocumentUpdates &updates)
+void ClusterState::apply(const DocumentUpdates &updates)
 {
     if (updates.config && updates.config->to > config_.version()) {
         takeConfig(config_, [&](VersionedDocument &next) { return next.apply(*updates.config); });
@@ -103,7 +103,7 @@
     }
 }
 
-void Knowledge::hear(const DocumentVersions &peer)
+void ClusterState::hear(const DocumentVersions &peer)
 {
     config_.raiseFloor(std::max(peer.config, peer.configFloor));
     if (peer.config == config_.version() && peer.config != 0
@@ -112,27 +112,27 @@
     }
 }
 
-void Knowledge::confirmList(TimePoint askedAt)
+void ClusterState::confirmList(TimePoint askedAt)
 {
     listConfirmedAt_ = std::max(listConfirmedAt_.value_or(askedAt), askedAt);
 }
 
-Duration Knowledge::listAge(TimePoint now) const
+Duration ClusterState::listAge(TimePoint now) const
 {
     return listConfirmedAt_ ? now - *listConfirmedAt_ : Duration(-1);
 }
 
-DocumentVersions Knowledge::versions() const
+DocumentVersions ClusterState::versions() const
 {
     return {config_.version(), config_.digest(), config_.floor(), list_.version(), list_.digest()};
 }
 
-DocumentUpdates Knowledge::updatesFor(const DocumentVersions &peer) const
+DocumentUpdates ClusterState::updatesFor(const DocumentVersions &peer) const
 {
     return {config_.updateFor(peer.config), list_.updateFor(peer.list)};
 }
 
-bool Knowledge::lags(const DocumentVersions &peer) const
+bool ClusterState::lags(const DocumentVersions &peer) const
 {
     return peer.config > config_.version() || peer.list > list_.version();
 }
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -45,7 +45,7 @@
     std::optional<VersionedUpdate> list;
 };
 
-class Knowledge
+class ClusterState
 {
 public:
     void listen(ClusterStateListener &listener) { listeners_.push_back(&listener); }
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -179,7 +179,7 @@
     });
 }
 
-PeerNetwork::PeerNetwork(EventLoop &loop, RawTransport &transport, Knowledge &knowledge,
+PeerNetwork::PeerNetwork(EventLoop &loop, RawTransport &transport, ClusterState &knowledge,
                          CrashRecord &crashes, const Settings &settings)
     : loop_(loop)
     , transport_(transport)
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -52,7 +52,7 @@
 class PeerServer : public virtual wire::Peer::Server
 {
 public:
-    PeerServer(Knowledge &knowledge, ChangeSignal &changes, EventLoop &loop)
+    PeerServer(ClusterState &knowledge, ChangeSignal &changes, EventLoop &loop)
         : knowledge_(knowledge)
         , changes_(changes)
         , loop_(loop)
@@ -76,7 +76,7 @@
     bool hasCrashesFor(std::uint64_t cursor);
     bool wantsUpdate(const DocumentVersions &peer);
 
-    Knowledge &knowledge_;
+    ClusterState &knowledge_;
     ChangeSignal &changes_;
     EventLoop &loop_;
     TimePoint askAgainAt_{};
@@ -137,7 +137,7 @@
         Duration lease = std::chrono::seconds(3);
     };
 
-    PeerNetwork(EventLoop &loop, RawTransport &transport, Knowledge &knowledge,
+    PeerNetwork(EventLoop &loop, RawTransport &transport, ClusterState &knowledge,
                 CrashRecord &crashes, const Settings &settings);
     ~PeerNetwork();
     PeerNetwork(const PeerNetwork &) = delete;
@@ -172,7 +172,7 @@
 
     EventLoop &loop_;
     RawTransport &transport_;
-    Knowledge &knowledge_;
+    ClusterState &knowledge_;
     CrashRecord &crashes_;
     std::uint64_t warnedOf_;       // A cursor of that record.
     std::uint64_t warnedUpTo_ = 0; // The highest that it ever was.
--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -134,7 +134,7 @@
 
 } // namespace detail
 
-PlatformWatcher::PlatformWatcher(EventLoop &loop, HttpClient &client, Knowledge &knowledge,
+PlatformWatcher::PlatformWatcher(EventLoop &loop, HttpClient &client, ClusterState &knowledge,
                                  const SocketAddress &platform, std::uint64_t seed)
     : knowledge_(knowledge)
     , config_(loop, client, platform, "/config", seed,
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -68,7 +68,7 @@
 class PlatformWatcher
 {
 public:
-    PlatformWatcher(EventLoop &loop, HttpClient &client, Knowledge &knowledge,
+    PlatformWatcher(EventLoop &loop, HttpClient &client, ClusterState &knowledge,
                     const SocketAddress &platform, std::uint64_t seed);
 
     // Starts or stops watching.
@@ -83,7 +83,7 @@
     std::uint64_t takeConfig(const std::string &text);
     std::uint64_t takeList(const std::string &text, TimePoint askedAt);
 
-    Knowledge &knowledge_;
+    ClusterState &knowledge_;
     detail::Watch config_;
     detail::Watch list_;
 };
