--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -179,11 +179,11 @@
     });
 }
 
-PeerNetwork::PeerNetwork(EventLoop &loop, RawTransport &transport, ClusterState &knowledge,
+PeerNetwork::PeerNetwork(EventLoop &loop, RawTransport &transport, ClusterState &clusterState,
                          CrashRecord &crashes, const Settings &settings)
     : loop_(loop)
     , transport_(transport)
-    , knowledge_(knowledge)
+    , knowledge_(clusterState)
     , crashes_(crashes)
     , warnedOf_(crashes.cursor())
     , settings_(settings)
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -52,8 +52,8 @@
 class PeerServer : public virtual wire::Peer::Server
 {
 public:
-    PeerServer(ClusterState &knowledge, ChangeSignal &changes, EventLoop &loop)
-        : knowledge_(knowledge)
+    PeerServer(ClusterState &clusterState, ChangeSignal &changes, EventLoop &loop)
+        : knowledge_(clusterState)
         , changes_(changes)
         , loop_(loop)
     {}
@@ -137,7 +137,7 @@
         Duration lease = std::chrono::seconds(3);
     };
 
-    PeerNetwork(EventLoop &loop, RawTransport &transport, ClusterState &knowledge,
+    PeerNetwork(EventLoop &loop, RawTransport &transport, ClusterState &clusterState,
                 CrashRecord &crashes, const Settings &settings);
     ~PeerNetwork();
     PeerNetwork(const PeerNetwork &) = delete;
--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -134,9 +134,9 @@
 
 } // namespace detail
 
-PlatformWatcher::PlatformWatcher(EventLoop &loop, HttpClient &client, ClusterState &knowledge,
+PlatformWatcher::PlatformWatcher(EventLoop &loop, HttpClient &client, ClusterState &clusterState,
                                  const SocketAddress &platform, std::uint64_t seed)
-    : knowledge_(knowledge)
+    : knowledge_(clusterState)
     , config_(loop, client, platform, "/config", seed,
               [this](const std::string &text, TimePoint /*askedAt*/) { return takeConfig(text); })
     , list_(loop, client, platform, "/instances", seed + 1,
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -68,7 +68,7 @@
 class PlatformWatcher
 {
 public:
-    PlatformWatcher(EventLoop &loop, HttpClient &client, ClusterState &knowledge,
+    PlatformWatcher(EventLoop &loop, HttpClient &client, ClusterState &clusterState,
                     const SocketAddress &platform, std::uint64_t seed);
 
     // Starts or stops watching.
