--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -32,11 +32,11 @@
 kj::Promise<void> PeerServer::exchange(ExchangeContext context)
 {
     const DocumentVersions peer = readVersions(context.getParams().getStatus());
-    knowledge_.hear(peer);
+    clusterState_.hear(peer);
     onPeerStatus(context.getParams().getStatus());
     const Duration wait(context.getParams().getWaitMicros());
-    const DocumentUpdates updates = knowledge_.updatesFor(peer);
-    const bool nothingNew = !updates.config && !updates.list && !knowledge_.lags(peer)
+    const DocumentUpdates updates = clusterState_.updatesFor(peer);
+    const bool nothingNew = !updates.config && !updates.list && !clusterState_.lags(peer)
                             && !hasCrashesFor(context.getParams().getCrashCursor());
     if (wait <= Duration{} || !nothingNew) {
         answer(context, peer);
@@ -51,13 +51,13 @@
 void PeerServer::answer(ExchangeContext context, const DocumentVersions &peer)
 {
     auto results = context.getResults();
-    const DocumentUpdates updates = knowledge_.updatesFor(peer);
+    const DocumentUpdates updates = clusterState_.updatesFor(peer);
     writeUpdate(updates.config, results.initConfig());
     writeUpdate(updates.list, results.initList());
     auto status = results.initStatus();
-    writeVersions(knowledge_.versions(), status);
+    writeVersions(clusterState_.versions(), status);
     status.setClockMicros(loop_.now().time_since_epoch().count());
-    status.setListAgeMicros(knowledge_.listAge(loop_.now()).count());
+    status.setListAgeMicros(clusterState_.listAge(loop_.now()).count());
     status.setWantsUpdate(wantsUpdate(peer));
     fillStatus(status);
     writeCrashes(context);
@@ -97,7 +97,7 @@
 {
     // Many peers show the same new version; one of them is asked for it at a time.
     const TimePoint now = loop_.now();
-    if (!knowledge_.lags(peer) || now < askAgainAt_) {
+    if (!clusterState_.lags(peer) || now < askAgainAt_) {
         return false;
     }
     askAgainAt_ = now + kAskAgain;
@@ -107,9 +107,9 @@
 kj::Promise<void> PeerServer::offer(OfferContext context)
 {
     const auto params = context.getParams();
-    knowledge_.apply({readUpdate(params.getConfig()), readUpdate(params.getList())});
+    clusterState_.apply({readUpdate(params.getConfig()), readUpdate(params.getList())});
     auto status = context.getResults().initStatus();
-    writeVersions(knowledge_.versions(), status);
+    writeVersions(clusterState_.versions(), status);
     fillStatus(status);
     return kj::READY_NOW;
 }
@@ -183,7 +183,7 @@
                          CrashRecord &crashes, const Settings &settings)
     : loop_(loop)
     , transport_(transport)
-    , knowledge_(clusterState)
+    , clusterState_(clusterState)
     , crashes_(crashes)
     , warnedOf_(crashes.cursor())
     , settings_(settings)
@@ -326,7 +326,7 @@
     auto status = request.initStatus();
     status.setInstance(settings_.self.value());
     status.setIncarnation(settings_.incarnation.value());
-    writeVersions(knowledge_.versions(), status);
+    writeVersions(clusterState_.versions(), status);
     request.setCrashCursor(link.crashCursor);
     request.setWaitMicros(hallHeard() ? kWaitForChange.count() : 0);
     tasks_.add(request.send().then(
@@ -351,21 +351,21 @@
     }
     order_.onAnswer(entry, askedAt);
     const DocumentVersions known = readVersions(answer.getStatus());
-    knowledge_.hear(known);
+    clusterState_.hear(known);
     const Duration listAge(answer.getStatus().getListAgeMicros());
-    if (listAge >= Duration{} && known.list == knowledge_.versions().list) {
-        knowledge_.confirmList(askedAt - listAge);
+    if (listAge >= Duration{} && known.list == clusterState_.versions().list) {
+        clusterState_.confirmList(askedAt - listAge);
     }
     // Applying a list may change the links, so nothing of this link is used after it.
     const bool wants = answer.getStatus().getWantsUpdate();
     if (wants && found != links_.end()) {
-        const DocumentUpdates updates = knowledge_.updatesFor(known);
+        const DocumentUpdates updates = clusterState_.updatesFor(known);
         auto request = found->second.rpc->capability().castAs<wire::Peer>().offerRequest();
         writeUpdate(updates.config, request.initConfig());
         writeUpdate(updates.list, request.initList());
         tasks_.add(request.send().ignoreResult());
     }
-    knowledge_.apply({readUpdate(answer.getConfig()), readUpdate(answer.getList())});
+    clusterState_.apply({readUpdate(answer.getConfig()), readUpdate(answer.getList())});
 }
 
 } // namespace seamarch
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -53,7 +53,7 @@
 {
 public:
     PeerServer(ClusterState &clusterState, ChangeSignal &changes, EventLoop &loop)
-        : knowledge_(clusterState)
+        : clusterState_(clusterState)
         , changes_(changes)
         , loop_(loop)
     {}
@@ -76,7 +76,7 @@
     bool hasCrashesFor(std::uint64_t cursor);
     bool wantsUpdate(const DocumentVersions &peer);
 
-    ClusterState &knowledge_;
+    ClusterState &clusterState_;
     ChangeSignal &changes_;
     EventLoop &loop_;
     TimePoint askAgainAt_{};
@@ -172,7 +172,7 @@
 
     EventLoop &loop_;
     RawTransport &transport_;
-    ClusterState &knowledge_;
+    ClusterState &clusterState_;
     CrashRecord &crashes_;
     std::uint64_t warnedOf_;       // A cursor of that record.
     std::uint64_t warnedUpTo_ = 0; // The highest that it ever was.
--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -136,7 +136,7 @@
 
 PlatformWatcher::PlatformWatcher(EventLoop &loop, HttpClient &client, ClusterState &clusterState,
                                  const SocketAddress &platform, std::uint64_t seed)
-    : knowledge_(clusterState)
+    : clusterState_(clusterState)
     , config_(loop, client, platform, "/config", seed,
               [this](const std::string &text, TimePoint /*askedAt*/) { return takeConfig(text); })
     , list_(loop, client, platform, "/instances", seed + 1,
@@ -146,18 +146,18 @@
 std::uint64_t PlatformWatcher::takeConfig(const std::string &text)
 {
     if (!text.empty()) {
-        knowledge_.acceptConfig(text);
+        clusterState_.acceptConfig(text);
     }
-    return knowledge_.versions().config;
+    return clusterState_.versions().config;
 }
 
 std::uint64_t PlatformWatcher::takeList(const std::string &text, TimePoint askedAt)
 {
-    const bool confirmed = text.empty() || knowledge_.acceptList(text) == UpdateResult::Applied;
+    const bool confirmed = text.empty() || clusterState_.acceptList(text) == UpdateResult::Applied;
     if (confirmed) {
-        knowledge_.confirmList(askedAt);
+        clusterState_.confirmList(askedAt);
     }
-    return knowledge_.versions().list;
+    return clusterState_.versions().list;
 }
 
 void PlatformWatcher::setActive(bool active)
@@ -167,8 +167,8 @@
         list_.stop();
         return;
     }
-    config_.start(knowledge_.versions().config);
-    list_.start(knowledge_.versions().list);
+    config_.start(clusterState_.versions().config);
+    list_.start(clusterState_.versions().list);
 }
 
 } // namespace seamarch
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -83,7 +83,7 @@
     std::uint64_t takeConfig(const std::string &text);
     std::uint64_t takeList(const std::string &text, TimePoint askedAt);
 
-    ClusterState &knowledge_;
+    ClusterState &clusterState_;
     detail::Watch config_;
     detail::Watch list_;
 };
