--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -91,7 +91,7 @@
 {
     const DocumentVersions known = readVersions(status);
     agentClock_ = status.getClockMicros();
-    context_.knowledge.hear(known);
+    context_.knowledge.observePeerVersions(known);
     context_.knowledge.apply({readUpdate(config), readUpdate(list)});
     if (status.getWantsUpdate()) {
         offer(known);
--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -103,7 +103,7 @@
     }
 }
 
-void ClusterState::hear(const DocumentVersions &peer)
+void ClusterState::observePeerVersions(const DocumentVersions &peer)
 {
     config_.raiseFloor(std::max(peer.config, peer.configFloor));
     if (peer.config == config_.version() && peer.config != 0
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -32,7 +32,7 @@
 kj::Promise<void> PeerServer::exchange(ExchangeContext context)
 {
     const DocumentVersions peer = readVersions(context.getParams().getStatus());
-    clusterState_.hear(peer);
+    clusterState_.observePeerVersions(peer);
     onPeerStatus(context.getParams().getStatus());
     const Duration wait(context.getParams().getWaitMicros());
     const DocumentUpdates updates = clusterState_.updatesFor(peer);
@@ -351,7 +351,7 @@
     }
     order_.onAnswer(entry, askedAt);
     const DocumentVersions known = readVersions(answer.getStatus());
-    clusterState_.hear(known);
+    clusterState_.observePeerVersions(known);
     const Duration listAge(answer.getStatus().getListAgeMicros());
     if (listAge >= Duration{} && known.list == clusterState_.versions().list) {
         clusterState_.confirmList(askedAt - listAge);
