--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -56,7 +56,7 @@
     // Takes what a peer hands over.
     void apply(const DocumentUpdates &updates);
     // Learns what a peer knows; only the floor follows from it.
-    void hear(const DocumentVersions &peer);
+    void observePeerVersions(const DocumentVersions &peer);
 
     // The platform was asked at `askedAt` or later and confirmed the list that is held.
     void confirmList(TimePoint askedAt);
