--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -132,7 +132,7 @@
     return {config_.updateFor(peer.config), list_.updateFor(peer.list)};
 }
 
-bool ClusterState::lags(const DocumentVersions &peer) const
+bool ClusterState::isBehind(const DocumentVersions &peer) const
 {
     return peer.config > config_.version() || peer.list > list_.version();
 }
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -36,7 +36,7 @@
     onPeerStatus(context.getParams().getStatus());
     const Duration wait(context.getParams().getWaitMicros());
     const DocumentUpdates updates = clusterState_.updatesFor(peer);
-    const bool nothingNew = !updates.config && !updates.list && !clusterState_.lags(peer)
+    const bool nothingNew = !updates.config && !updates.list && !clusterState_.isBehind(peer)
                             && !hasCrashesFor(context.getParams().getCrashCursor());
     if (wait <= Duration{} || !nothingNew) {
         answer(context, peer);
@@ -97,7 +97,7 @@
 {
     // Many peers show the same new version; one of them is asked for it at a time.
     const TimePoint now = loop_.now();
-    if (!clusterState_.lags(peer) || now < askAgainAt_) {
+    if (!clusterState_.isBehind(peer) || now < askAgainAt_) {
         return false;
     }
     askAgainAt_ = now + kAskAgain;
