--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -67,7 +67,7 @@
     // Returns what a peer with `peer` lacks.
     DocumentUpdates updatesFor(const DocumentVersions &peer) const;
     // Tells whether a peer with `peer` knows more than this process.
-    bool lags(const DocumentVersions &peer) const;
+    bool isBehind(const DocumentVersions &peer) const;
 
     bool configInForce() const { return config_.inForce(); }
     const ConfigDocument &config() const { return configDocument_; }
