--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -186,8 +186,8 @@
     , random_(incarnation_.value())
     , tasks_(*this)
 {
-    knowledge_.listen(*this);
-    knowledge_.listen(changes_);
+    knowledge_.addListener(*this);
+    knowledge_.addListener(changes_);
 }
 
 AgentService::~AgentService() noexcept = default;
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -87,8 +87,8 @@
     , filters_(makeCallerFilters(directory_))
     , core_(coreSettings(settings_, incarnation_), std::make_unique<ExpectedWaitRouter>())
 {
-    knowledge_.listen(*this);
-    knowledge_.listen(changes_);
+    knowledge_.addListener(*this);
+    knowledge_.addListener(changes_);
 }
 
 EntryService::~EntryService() = default;
