--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -48,7 +48,7 @@
 class ClusterState
 {
 public:
-    void listen(ClusterStateListener &listener) { listeners_.push_back(&listener); }
+    void addListener(ClusterStateListener &listener) { listeners_.push_back(&listener); }
 
     // Takes a document from the platform.
     UpdateResult acceptConfig(const std::string &text);
