--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-UpdateResult ClusterState::note(UpdateResult result, const char *what)
+UpdateResult ClusterState::countConflict(UpdateResult result, const char *what)
 {
     if (result == UpdateResult::Conflict) {
         ++conflicts_;
@@ -22,7 +22,7 @@
 template <typename Take>
 UpdateResult ClusterState::takeConfig(VersionedDocument next, Take take)
 {
-    const UpdateResult result = note(take(next), "config");
+    const UpdateResult result = countConflict(take(next), "config");
     if (result != UpdateResult::Applied) {
         return result;
     }
@@ -53,7 +53,7 @@
 template <typename Take>
 UpdateResult ClusterState::takeList(VersionedDocument next, Take take)
 {
-    const UpdateResult result = note(take(next), "instances");
+    const UpdateResult result = countConflict(take(next), "instances");
     if (result != UpdateResult::Applied) {
         return result;
     }
@@ -108,7 +108,7 @@
     config_.raiseFloor(std::max(peer.config, peer.configFloor));
     if (peer.config == config_.version() && peer.config != 0
         && peer.configDigest != config_.digest()) {
-        note(UpdateResult::Conflict, "config");
+        countConflict(UpdateResult::Conflict, "config");
     }
 }
 
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -81,7 +81,7 @@
     template <typename Take>
     UpdateResult takeList(VersionedDocument next, Take take);
     void announceConfig();
-    UpdateResult note(UpdateResult result, const char *what);
+    UpdateResult countConflict(UpdateResult result, const char *what);
 
     VersionedDocument config_;
     VersionedDocument list_;
