--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -20,7 +20,7 @@
 }
 
 template <typename Take>
-UpdateResult ClusterState::takeConfig(VersionedDocument next, Take take)
+UpdateResult ClusterState::updateConfig(VersionedDocument next, Take take)
 {
     const UpdateResult result = countConflict(take(next), "config");
     if (result != UpdateResult::Applied) {
@@ -79,8 +79,8 @@
         logLine(LogLevel::Error, "config.refused", {{"faults", describe(value.error())}});
         return UpdateResult::Damaged;
     }
-    return takeConfig(config_,
-                      [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
+    return updateConfig(config_,
+                        [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
 }
 
 UpdateResult ClusterState::acceptList(const std::string &text)
@@ -96,7 +96,7 @@
 void ClusterState::apply(const DocumentUpdates &updates)
 {
     if (updates.config && updates.config->to > config_.version()) {
-        takeConfig(config_, [&](VersionedDocument &next) { return next.apply(*updates.config); });
+        updateConfig(config_, [&](VersionedDocument &next) { return next.apply(*updates.config); });
     }
     if (updates.list && updates.list->to > list_.version()) {
         takeList(list_, [&](VersionedDocument &next) { return next.apply(*updates.list); });
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -77,7 +77,7 @@
 
 private:
     template <typename Take>
-    UpdateResult takeConfig(VersionedDocument next, Take take);
+    UpdateResult updateConfig(VersionedDocument next, Take take);
     template <typename Take>
     UpdateResult takeList(VersionedDocument next, Take take);
     void announceConfig();
