--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -51,7 +51,7 @@
 }
 
 template <typename Take>
-UpdateResult ClusterState::takeList(VersionedDocument next, Take take)
+UpdateResult ClusterState::updateList(VersionedDocument next, Take take)
 {
     const UpdateResult result = countConflict(take(next), "instances");
     if (result != UpdateResult::Applied) {
@@ -90,7 +90,8 @@
         logLine(LogLevel::Error, "instances.refused", {{"faults", describe(value.error())}});
         return UpdateResult::Damaged;
     }
-    return takeList(list_, [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
+    return updateList(list_,
+                      [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
 }
 
 void ClusterState::apply(const DocumentUpdates &updates)
@@ -99,7 +100,7 @@
         updateConfig(config_, [&](VersionedDocument &next) { return next.apply(*updates.config); });
     }
     if (updates.list && updates.list->to > list_.version()) {
-        takeList(list_, [&](VersionedDocument &next) { return next.apply(*updates.list); });
+        updateList(list_, [&](VersionedDocument &next) { return next.apply(*updates.list); });
     }
 }
 
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -79,7 +79,7 @@
     template <typename Take>
     UpdateResult updateConfig(VersionedDocument next, Take take);
     template <typename Take>
-    UpdateResult takeList(VersionedDocument next, Take take);
+    UpdateResult updateList(VersionedDocument next, Take take);
     void announceConfig();
     UpdateResult countConflict(UpdateResult result, const char *what);
 
