--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -19,8 +19,8 @@
     return result;
 }
 
-template <typename Take>
-UpdateResult ClusterState::updateConfig(VersionedDocument next, Take take)
+template <typename UpdateFunction>
+UpdateResult ClusterState::updateConfig(VersionedDocument next, UpdateFunction take)
 {
     const UpdateResult result = countConflict(take(next), "config");
     if (result != UpdateResult::Applied) {
@@ -50,8 +50,8 @@
     }
 }
 
-template <typename Take>
-UpdateResult ClusterState::updateList(VersionedDocument next, Take take)
+template <typename UpdateFunction>
+UpdateResult ClusterState::updateList(VersionedDocument next, UpdateFunction take)
 {
     const UpdateResult result = countConflict(take(next), "instances");
     if (result != UpdateResult::Applied) {
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -76,10 +76,10 @@
     std::uint64_t conflicts() const { return conflicts_; }
 
 private:
-    template <typename Take>
-    UpdateResult updateConfig(VersionedDocument next, Take take);
-    template <typename Take>
-    UpdateResult updateList(VersionedDocument next, Take take);
+    template <typename UpdateFunction>
+    UpdateResult updateConfig(VersionedDocument next, UpdateFunction take);
+    template <typename UpdateFunction>
+    UpdateResult updateList(VersionedDocument next, UpdateFunction take);
     void announceConfig();
     UpdateResult countConflict(UpdateResult result, const char *what);
 
