--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -20,9 +20,9 @@
 }
 
 template <typename UpdateFunction>
-UpdateResult ClusterState::updateConfig(VersionedDocument next, UpdateFunction take)
+UpdateResult ClusterState::updateConfig(VersionedDocument next, UpdateFunction update)
 {
-    const UpdateResult result = countConflict(take(next), "config");
+    const UpdateResult result = countConflict(update(next), "config");
     if (result != UpdateResult::Applied) {
         return result;
     }
@@ -51,9 +51,9 @@
 }
 
 template <typename UpdateFunction>
-UpdateResult ClusterState::updateList(VersionedDocument next, UpdateFunction take)
+UpdateResult ClusterState::updateList(VersionedDocument next, UpdateFunction update)
 {
-    const UpdateResult result = countConflict(take(next), "instances");
+    const UpdateResult result = countConflict(update(next), "instances");
     if (result != UpdateResult::Applied) {
         return result;
     }
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -77,9 +77,9 @@
 
 private:
     template <typename UpdateFunction>
-    UpdateResult updateConfig(VersionedDocument next, UpdateFunction take);
+    UpdateResult updateConfig(VersionedDocument next, UpdateFunction update);
     template <typename UpdateFunction>
-    UpdateResult updateList(VersionedDocument next, UpdateFunction take);
+    UpdateResult updateList(VersionedDocument next, UpdateFunction update);
     void announceConfig();
     UpdateResult countConflict(UpdateResult result, const char *what);
 
