--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -34,11 +34,11 @@
     }
     config_ = std::move(next);
     configDocument_ = std::move(*document);
-    announceConfig();
+    notifyConfigListeners();
     return result;
 }
 
-void ClusterState::announceConfig()
+void ClusterState::notifyConfigListeners()
 {
     if (!config_.inForce() || announced_ == config_.version()) {
         return;
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -80,7 +80,7 @@
     UpdateResult updateConfig(VersionedDocument next, UpdateFunction update);
     template <typename UpdateFunction>
     UpdateResult updateList(VersionedDocument next, UpdateFunction update);
-    void announceConfig();
+    void notifyConfigListeners();
     UpdateResult countConflict(UpdateResult result, const char *what);
 
     VersionedDocument config_;
