--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -40,11 +40,11 @@
 
 void ClusterState::notifyConfigListeners()
 {
-    if (!config_.inForce() || announced_ == config_.version()) {
+    if (!config_.inForce() || notifiedConfigVersion_ == config_.version()) {
         return;
     }
-    announced_ = config_.version();
-    logLine(LogLevel::Info, "config.in-force", {{"version", announced_}});
+    notifiedConfigVersion_ = config_.version();
+    logLine(LogLevel::Info, "config.in-force", {{"version", notifiedConfigVersion_}});
     for (ClusterStateListener *listener : listeners_) {
         listener->onConfig(configDocument_);
     }
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -88,7 +88,7 @@
     ConfigDocument configDocument_;
     InstanceList instanceList_;
     std::optional<TimePoint> listConfirmedAt_;
-    std::uint64_t announced_ = 0;
+    std::uint64_t notifiedConfigVersion_ = 0;
     std::uint64_t conflicts_ = 0;
     std::vector<ClusterStateListener *> listeners_;
 };
