--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -37,7 +37,7 @@
     const Duration wait(context.getParams().getWaitMicros());
     const DocumentUpdates updates = clusterState_.updatesFor(peer);
     const bool nothingNew = !updates.config && !updates.list && !clusterState_.isBehind(peer)
-                            && !hasCrashesFor(context.getParams().getCrashCursor());
+                            && !hasCrashesSince(context.getParams().getCrashCursor());
     if (wait <= Duration{} || !nothingNew) {
         answer(context, peer);
         return kj::READY_NOW;
@@ -63,7 +63,7 @@
     writeCrashes(context);
 }
 
-bool PeerServer::hasCrashesFor(std::uint64_t cursor)
+bool PeerServer::hasCrashesSince(std::uint64_t cursor)
 {
     const CrashRecord *record = crashes();
     return record != nullptr && record->hasChangedSince(cursor);
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -73,7 +73,7 @@
 private:
     void answer(ExchangeContext context, const DocumentVersions &peer);
     void writeCrashes(ExchangeContext context);
-    bool hasCrashesFor(std::uint64_t cursor);
+    bool hasCrashesSince(std::uint64_t cursor);
     bool wantsUpdate(const DocumentVersions &peer);
 
     ClusterState &clusterState_;
