--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -58,7 +58,7 @@
     writeVersions(clusterState_.versions(), status);
     status.setClockMicros(loop_.now().time_since_epoch().count());
     status.setListAgeMicros(clusterState_.listAge(loop_.now()).count());
-    status.setWantsUpdate(wantsUpdate(peer));
+    status.setWantsUpdate(shouldRequestUpdate(peer));
     fillStatus(status);
     writeCrashes(context);
 }
@@ -93,7 +93,7 @@
     return kj::READY_NOW;
 }
 
-bool PeerServer::wantsUpdate(const DocumentVersions &peer)
+bool PeerServer::shouldRequestUpdate(const DocumentVersions &peer)
 {
     // Many peers show the same new version; one of them is asked for it at a time.
     const TimePoint now = loop_.now();
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -74,7 +74,7 @@
     void answer(ExchangeContext context, const DocumentVersions &peer);
     void writeCrashes(ExchangeContext context);
     bool hasCrashesSince(std::uint64_t cursor);
-    bool wantsUpdate(const DocumentVersions &peer);
+    bool shouldRequestUpdate(const DocumentVersions &peer);
 
     ClusterState &clusterState_;
     ChangeSignal &changes_;
