--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -97,10 +97,10 @@
 {
     // Many peers show the same new version; one of them is asked for it at a time.
     const TimePoint now = loop_.now();
-    if (!clusterState_.isBehind(peer) || now < askAgainAt_) {
+    if (!clusterState_.isBehind(peer) || now < nextUpdateRequestAt_) {
         return false;
     }
-    askAgainAt_ = now + kAskAgain;
+    nextUpdateRequestAt_ = now + kAskAgain;
     return true;
 }
 
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -79,7 +79,7 @@
     ClusterState &clusterState_;
     ChangeSignal &changes_;
     EventLoop &loop_;
-    TimePoint askAgainAt_{};
+    TimePoint nextUpdateRequestAt_{};
 };
 
 // Decides who among the entries of a hall should be asked, in order.
