--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -36,7 +36,7 @@
     {}
 
     // Resolves at the next change, or after `longest`.
-    kj::Promise<void> wait(Duration longest) { return waiting_.wait(longest); }
+    kj::Promise<void> wait(Duration timeout) { return waiting_.wait(timeout); }
 
     // Something else that exchanges wait for has changed.
     void wake() { waiting_.wakeAll(); }
