--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -73,7 +73,7 @@
         status.setIncarnation(service_.incarnation_.value());
         status.setLeaving(service_.stopping_);
     }
-    CrashRecord *crashes() override { return &service_.core_.crashes(); }
+    CrashRecord *crashRecord() override { return &service_.core_.crashes(); }
 
     EntryService &service_;
 };
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -68,7 +68,7 @@
     // Fills what is particular to the process; versions are filled already.
     virtual void fillStatus(wire::Status::Builder status) = 0;
     // What the process knows of requests that end upstreams; nothing: it keeps no record of them.
-    virtual CrashRecord *crashes() { return nullptr; }
+    virtual CrashRecord *crashRecord() { return nullptr; }
 
 private:
     void answer(ExchangeContext context, const DocumentVersions &peer);
