--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -65,13 +65,13 @@
 
 bool PeerServer::hasCrashesSince(std::uint64_t cursor)
 {
-    const CrashRecord *record = crashes();
+    const CrashRecord *record = crashRecord();
     return record != nullptr && record->hasChangedSince(cursor);
 }
 
 void PeerServer::writeCrashes(ExchangeContext context)
 {
-    const CrashRecord *record = crashes();
+    const CrashRecord *record = crashRecord();
     if (record == nullptr) {
         return;
     }
@@ -87,7 +87,7 @@
 
 kj::Promise<void> PeerServer::warn(WarnContext context)
 {
-    if (CrashRecord *record = crashes()) {
+    if (CrashRecord *record = crashRecord()) {
         mergeSuspects(context.getParams().getCrashes(), loop_.now(), *record);
     }
     return kj::READY_NOW;
