--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -114,7 +114,7 @@
     return kj::READY_NOW;
 }
 
-void WatchOrder::setEntries(std::vector<InstanceId> entries)
+void WatcherSelector::setEntries(std::vector<InstanceId> entries)
 {
     order_ = std::move(entries);
     std::sort(order_.begin(), order_.end(), [](const InstanceId &left, const InstanceId &right) {
@@ -125,7 +125,7 @@
     });
 }
 
-void WatchOrder::onAsked(const InstanceId &entry, TimePoint now)
+void WatcherSelector::onAsked(const InstanceId &entry, TimePoint now)
 {
     Heard &heard = heard_[entry];
     if (!heard.asked) {
@@ -134,14 +134,14 @@
     }
 }
 
-void WatchOrder::onAnswer(const InstanceId &entry, TimePoint askedAt)
+void WatcherSelector::onAnswer(const InstanceId &entry, TimePoint askedAt)
 {
     Heard &heard = heard_[entry];
     heard.everAnswered = true;
     heard.answered = std::max(heard.answered, askedAt);
 }
 
-bool WatchOrder::silent(const InstanceId &entry, TimePoint now) const
+bool WatcherSelector::silent(const InstanceId &entry, TimePoint now) const
 {
     const auto found = heard_.find(entry);
     if (found == heard_.end() || !found->second.asked) {
@@ -152,7 +152,7 @@
     return now - since > lease_;
 }
 
-std::vector<InstanceId> WatchOrder::watchers(std::size_t count, TimePoint now) const
+std::vector<InstanceId> WatcherSelector::watchers(std::size_t count, TimePoint now) const
 {
     std::vector<InstanceId> found;
     for (const InstanceId &entry : order_) {
@@ -163,7 +163,7 @@
     return found;
 }
 
-bool WatchOrder::unheard(const InstanceId &entry, TimePoint now) const
+bool WatcherSelector::unheard(const InstanceId &entry, TimePoint now) const
 {
     const auto found = heard_.find(entry);
     if (found == heard_.end() || !found->second.asked) {
@@ -172,7 +172,7 @@
     return !found->second.everAnswered && now - found->second.firstAsked <= startLease_;
 }
 
-bool WatchOrder::allHeard(TimePoint now) const
+bool WatcherSelector::allHeard(TimePoint now) const
 {
     return std::all_of(order_.begin(), order_.end(), [&](const InstanceId &entry) {
         return entry == self_ || !unheard(entry, now);
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -83,13 +83,13 @@
 };
 
 // Decides who among the entries of a hall should be asked, in order.
-class WatchOrder
+class WatcherSelector
 {
 public:
     // A watcher is silent when it has not answered for `lease`. At the start an entry that has
     // never answered counts as heard after `startLease`, so that a dead one does not hold the start
     // up.
-    WatchOrder(InstanceId self, Duration lease, Duration startLease)
+    WatcherSelector(InstanceId self, Duration lease, Duration startLease)
         : self_(std::move(self))
         , lease_(lease)
         , startLease_(startLease)
@@ -179,7 +179,7 @@
     int warnTries_ = 0;            // That failed, since there was news.
     TimePoint warnNotBefore_{};
     Settings settings_;
-    WatchOrder order_;
+    WatcherSelector order_;
     std::map<InstanceId, Link> links_;
     std::vector<InstanceId> hallPeers_;
     std::vector<InstanceId> farPeers_; // One of each other hall.
