--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -127,7 +127,7 @@
 
 void WatcherSelector::onAsked(const InstanceId &entry, TimePoint now)
 {
-    Heard &heard = heard_[entry];
+    RequestHistory &heard = heard_[entry];
     if (!heard.asked) {
         heard.asked = true;
         heard.firstAsked = now;
@@ -136,7 +136,7 @@
 
 void WatcherSelector::onAnswer(const InstanceId &entry, TimePoint askedAt)
 {
-    Heard &heard = heard_[entry];
+    RequestHistory &heard = heard_[entry];
     heard.everAnswered = true;
     heard.answered = std::max(heard.answered, askedAt);
 }
@@ -147,7 +147,7 @@
     if (found == heard_.end() || !found->second.asked) {
         return false;
     }
-    const Heard &heard = found->second;
+    const RequestHistory &heard = found->second;
     const TimePoint since = heard.everAnswered ? heard.answered : heard.firstAsked;
     return now - since > lease_;
 }
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -107,7 +107,7 @@
     bool allHeard(TimePoint now) const;
 
 private:
-    struct Heard
+    struct RequestHistory
     {
         TimePoint firstAsked{};
         TimePoint answered{};
@@ -122,7 +122,7 @@
     Duration lease_;
     Duration startLease_;
     std::vector<InstanceId> order_;
-    std::map<InstanceId, Heard> heard_;
+    std::map<InstanceId, RequestHistory> heard_;
 };
 
 // The asking side: exchanges with peer entries every period.
