--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -120,14 +120,14 @@
     std::sort(order_.begin(), order_.end(), [](const InstanceId &left, const InstanceId &right) {
         return std::pair(orderHash(left), left) < std::pair(orderHash(right), right);
     });
-    std::erase_if(heard_, [this](const auto &entry) {
+    std::erase_if(histories_, [this](const auto &entry) {
         return std::find(order_.begin(), order_.end(), entry.first) == order_.end();
     });
 }
 
 void WatcherSelector::onAsked(const InstanceId &entry, TimePoint now)
 {
-    RequestHistory &heard = heard_[entry];
+    RequestHistory &heard = histories_[entry];
     if (!heard.asked) {
         heard.asked = true;
         heard.firstAsked = now;
@@ -136,15 +136,15 @@
 
 void WatcherSelector::onAnswer(const InstanceId &entry, TimePoint askedAt)
 {
-    RequestHistory &heard = heard_[entry];
+    RequestHistory &heard = histories_[entry];
     heard.everAnswered = true;
     heard.answered = std::max(heard.answered, askedAt);
 }
 
 bool WatcherSelector::silent(const InstanceId &entry, TimePoint now) const
 {
-    const auto found = heard_.find(entry);
-    if (found == heard_.end() || !found->second.asked) {
+    const auto found = histories_.find(entry);
+    if (found == histories_.end() || !found->second.asked) {
         return false;
     }
     const RequestHistory &heard = found->second;
@@ -165,8 +165,8 @@
 
 bool WatcherSelector::unheard(const InstanceId &entry, TimePoint now) const
 {
-    const auto found = heard_.find(entry);
-    if (found == heard_.end() || !found->second.asked) {
+    const auto found = histories_.find(entry);
+    if (found == histories_.end() || !found->second.asked) {
         return true;
     }
     return !found->second.everAnswered && now - found->second.firstAsked <= startLease_;
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -122,7 +122,7 @@
     Duration lease_;
     Duration startLease_;
     std::vector<InstanceId> order_;
-    std::map<InstanceId, RequestHistory> heard_;
+    std::map<InstanceId, RequestHistory> histories_;
 };
 
 // The asking side: exchanges with peer entries every period.
