--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -127,18 +127,18 @@
 
 void WatcherSelector::onAsked(const InstanceId &entry, TimePoint now)
 {
-    RequestHistory &heard = histories_[entry];
-    if (!heard.asked) {
-        heard.asked = true;
-        heard.firstAsked = now;
+    RequestHistory &history = histories_[entry];
+    if (!history.asked) {
+        history.asked = true;
+        history.firstAsked = now;
     }
 }
 
 void WatcherSelector::onAnswer(const InstanceId &entry, TimePoint askedAt)
 {
-    RequestHistory &heard = histories_[entry];
-    heard.everAnswered = true;
-    heard.answered = std::max(heard.answered, askedAt);
+    RequestHistory &history = histories_[entry];
+    history.everAnswered = true;
+    history.answered = std::max(history.answered, askedAt);
 }
 
 bool WatcherSelector::silent(const InstanceId &entry, TimePoint now) const
@@ -147,8 +147,8 @@
     if (found == histories_.end() || !found->second.asked) {
         return false;
     }
-    const RequestHistory &heard = found->second;
-    const TimePoint since = heard.everAnswered ? heard.answered : heard.firstAsked;
+    const RequestHistory &history = found->second;
+    const TimePoint since = history.everAnswered ? history.answered : history.firstAsked;
     return now - since > lease_;
 }
 
