--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -130,7 +130,7 @@
     RequestHistory &history = histories_[entry];
     if (!history.asked) {
         history.asked = true;
-        history.firstAsked = now;
+        history.firstRequestAt = now;
     }
 }
 
@@ -148,7 +148,7 @@
         return false;
     }
     const RequestHistory &history = found->second;
-    const TimePoint since = history.everAnswered ? history.answered : history.firstAsked;
+    const TimePoint since = history.everAnswered ? history.answered : history.firstRequestAt;
     return now - since > lease_;
 }
 
@@ -169,7 +169,7 @@
     if (found == histories_.end() || !found->second.asked) {
         return true;
     }
-    return !found->second.everAnswered && now - found->second.firstAsked <= startLease_;
+    return !found->second.everAnswered && now - found->second.firstRequestAt <= startLease_;
 }
 
 bool WatcherSelector::allHeard(TimePoint now) const
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -109,7 +109,7 @@
 private:
     struct RequestHistory
     {
-        TimePoint firstAsked{};
+        TimePoint firstRequestAt{};
         TimePoint answered{};
         bool asked = false;
         bool everAnswered = false;
