--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -138,7 +138,7 @@
 {
     RequestHistory &history = histories_[entry];
     history.everAnswered = true;
-    history.answered = std::max(history.answered, askedAt);
+    history.lastAnsweredRequestAt = std::max(history.lastAnsweredRequestAt, askedAt);
 }
 
 bool WatcherSelector::silent(const InstanceId &entry, TimePoint now) const
@@ -148,7 +148,8 @@
         return false;
     }
     const RequestHistory &history = found->second;
-    const TimePoint since = history.everAnswered ? history.answered : history.firstRequestAt;
+    const TimePoint since =
+        history.everAnswered ? history.lastAnsweredRequestAt : history.firstRequestAt;
     return now - since > lease_;
 }
 
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -110,7 +110,7 @@
     struct RequestHistory
     {
         TimePoint firstRequestAt{};
-        TimePoint answered{};
+        TimePoint lastAnsweredRequestAt{};
         bool asked = false;
         bool everAnswered = false;
     };
