--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -128,8 +128,8 @@
 void WatcherSelector::onAsked(const InstanceId &entry, TimePoint now)
 {
     RequestHistory &history = histories_[entry];
-    if (!history.asked) {
-        history.asked = true;
+    if (!history.requested) {
+        history.requested = true;
         history.firstRequestAt = now;
     }
 }
@@ -144,7 +144,7 @@
 bool WatcherSelector::silent(const InstanceId &entry, TimePoint now) const
 {
     const auto found = histories_.find(entry);
-    if (found == histories_.end() || !found->second.asked) {
+    if (found == histories_.end() || !found->second.requested) {
         return false;
     }
     const RequestHistory &history = found->second;
@@ -167,7 +167,7 @@
 bool WatcherSelector::unheard(const InstanceId &entry, TimePoint now) const
 {
     const auto found = histories_.find(entry);
-    if (found == histories_.end() || !found->second.asked) {
+    if (found == histories_.end() || !found->second.requested) {
         return true;
     }
     return !found->second.everAnswered && now - found->second.firstRequestAt <= startLease_;
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -111,7 +111,7 @@
     {
         TimePoint firstRequestAt{};
         TimePoint lastAnsweredRequestAt{};
-        bool asked = false;
+        bool requested = false;
         bool everAnswered = false;
     };
 
