--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -137,7 +137,7 @@
 void WatcherSelector::onAnswer(const InstanceId &entry, TimePoint askedAt)
 {
     RequestHistory &history = histories_[entry];
-    history.everAnswered = true;
+    history.hasAnswered = true;
     history.lastAnsweredRequestAt = std::max(history.lastAnsweredRequestAt, askedAt);
 }
 
@@ -149,7 +149,7 @@
     }
     const RequestHistory &history = found->second;
     const TimePoint since =
-        history.everAnswered ? history.lastAnsweredRequestAt : history.firstRequestAt;
+        history.hasAnswered ? history.lastAnsweredRequestAt : history.firstRequestAt;
     return now - since > lease_;
 }
 
@@ -170,7 +170,7 @@
     if (found == histories_.end() || !found->second.requested) {
         return true;
     }
-    return !found->second.everAnswered && now - found->second.firstRequestAt <= startLease_;
+    return !found->second.hasAnswered && now - found->second.firstRequestAt <= startLease_;
 }
 
 bool WatcherSelector::allHeard(TimePoint now) const
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -112,7 +112,7 @@
         TimePoint firstRequestAt{};
         TimePoint lastAnsweredRequestAt{};
         bool requested = false;
-        bool everAnswered = false;
+        bool hasAnswered = false;
     };
 
     bool silent(const InstanceId &entry, TimePoint now) const;
