--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -125,7 +125,7 @@
     });
 }
 
-void WatcherSelector::onAsked(const InstanceId &entry, TimePoint now)
+void WatcherSelector::onRequestSent(const InstanceId &entry, TimePoint now)
 {
     RequestHistory &history = histories_[entry];
     if (!history.requested) {
@@ -321,7 +321,7 @@
     }
     Link &link = found->second;
     const TimePoint askedAt = loop_.now();
-    order_.onAsked(entry, askedAt);
+    order_.onRequestSent(entry, askedAt);
     link.inFlight = true;
     auto request = link.rpc->capability().castAs<wire::Peer>().exchangeRequest();
     auto status = request.initStatus();
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -102,7 +102,7 @@
     // enough to be found silent. The entry itself counts as one that answers.
     std::vector<InstanceId> watchers(std::size_t count, TimePoint now) const;
     // Notes that `entry` is asked at `now`; it is found silent if it does not answer in a lease.
-    void onAsked(const InstanceId &entry, TimePoint now);
+    void onRequestSent(const InstanceId &entry, TimePoint now);
     // Tells whether every listed entry has answered once, or was found silent.
     bool allHeard(TimePoint now) const;
 
