--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -141,7 +141,7 @@
     history.lastAnsweredRequestAt = std::max(history.lastAnsweredRequestAt, askedAt);
 }
 
-bool WatcherSelector::silent(const InstanceId &entry, TimePoint now) const
+bool WatcherSelector::isUnresponsive(const InstanceId &entry, TimePoint now) const
 {
     const auto found = histories_.find(entry);
     if (found == histories_.end() || !found->second.requested) {
@@ -157,7 +157,7 @@
 {
     std::vector<InstanceId> found;
     for (const InstanceId &entry : order_) {
-        if (found.size() < count && (entry == self_ || !silent(entry, now))) {
+        if (found.size() < count && (entry == self_ || !isUnresponsive(entry, now))) {
             found.push_back(entry);
         }
     }
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -115,7 +115,7 @@
         bool hasAnswered = false;
     };
 
-    bool silent(const InstanceId &entry, TimePoint now) const;
+    bool isUnresponsive(const InstanceId &entry, TimePoint now) const;
     bool unheard(const InstanceId &entry, TimePoint now) const;
 
     InstanceId self_;
