--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -164,7 +164,7 @@
     return found;
 }
 
-bool WatcherSelector::unheard(const InstanceId &entry, TimePoint now) const
+bool WatcherSelector::isAwaitingFirstAnswer(const InstanceId &entry, TimePoint now) const
 {
     const auto found = histories_.find(entry);
     if (found == histories_.end() || !found->second.requested) {
@@ -176,7 +176,7 @@
 bool WatcherSelector::allHeard(TimePoint now) const
 {
     return std::all_of(order_.begin(), order_.end(), [&](const InstanceId &entry) {
-        return entry == self_ || !unheard(entry, now);
+        return entry == self_ || !isAwaitingFirstAnswer(entry, now);
     });
 }
 
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -116,7 +116,7 @@
     };
 
     bool isUnresponsive(const InstanceId &entry, TimePoint now) const;
-    bool unheard(const InstanceId &entry, TimePoint now) const;
+    bool isAwaitingFirstAnswer(const InstanceId &entry, TimePoint now) const;
 
     InstanceId self_;
     Duration lease_;
