--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -173,7 +173,7 @@
     return !found->second.hasAnswered && now - found->second.firstRequestAt <= startLease_;
 }
 
-bool WatcherSelector::allHeard(TimePoint now) const
+bool WatcherSelector::allContacted(TimePoint now) const
 {
     return std::all_of(order_.begin(), order_.end(), [&](const InstanceId &entry) {
         return entry == self_ || !isAwaitingFirstAnswer(entry, now);
@@ -310,7 +310,7 @@
 
 bool PeerNetwork::hallHeard() const
 {
-    return listed_ && order_.allHeard(loop_.now());
+    return listed_ && order_.allContacted(loop_.now());
 }
 
 void PeerNetwork::exchangeWith(const InstanceId &entry)
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -104,7 +104,7 @@
     // Notes that `entry` is asked at `now`; it is found silent if it does not answer in a lease.
     void onRequestSent(const InstanceId &entry, TimePoint now);
     // Tells whether every listed entry has answered once, or was found silent.
-    bool allHeard(TimePoint now) const;
+    bool allContacted(TimePoint now) const;
 
 private:
     struct RequestHistory
