--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -605,7 +605,7 @@
         reason = "no configuration that is known to be the highest";
         return false;
     }
-    if (!peers_->hallHeard()) {
+    if (!peers_->hallContacted()) {
         reason = "peers of the hall have not been heard";
         return false;
     }
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -239,7 +239,7 @@
     const TimePoint now = loop_.now();
     // At start everyone in the hall is asked, because any of them may know the highest version.
     std::vector<InstanceId> turn =
-        hallHeard() ? order_.watchers(kWatchersPerHall, now) : hallPeers_;
+        hallContacted() ? order_.watchers(kWatchersPerHall, now) : hallPeers_;
     if (shouldWatch()) {
         turn.insert(turn.end(), farPeers_.begin(), farPeers_.end());
     }
@@ -308,7 +308,7 @@
     return std::find(watchers.begin(), watchers.end(), settings_.self) != watchers.end();
 }
 
-bool PeerNetwork::hallHeard() const
+bool PeerNetwork::hallContacted() const
 {
     return listed_ && order_.allContacted(loop_.now());
 }
@@ -329,7 +329,7 @@
     status.setIncarnation(settings_.incarnation.value());
     writeVersions(clusterState_.versions(), status);
     request.setCrashCursor(link.crashCursor);
-    request.setWaitMicros(hallHeard() ? kWaitForChange.count() : 0);
+    request.setWaitMicros(hallContacted() ? kWaitForChange.count() : 0);
     tasks_.add(request.send().then(
         [this, entry, askedAt](capnp::Response<wire::Peer::ExchangeResults> &&answer) {
             onAnswer(entry, answer, askedAt);
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -153,7 +153,7 @@
     // Tells whether this entry should watch the platform.
     bool shouldWatch() const;
     // Tells whether the peers of the hall have been asked, so that the highest version is known.
-    bool hallHeard() const;
+    bool hallContacted() const;
 
 private:
     struct Link
