--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -87,12 +87,12 @@
 {
 public:
     // A watcher is silent when it has not answered for `lease`. At the start an entry that has
-    // never answered counts as heard after `startLease`, so that a dead one does not hold the start
-    // up.
-    WatcherSelector(InstanceId self, Duration lease, Duration startLease)
+    // never answered counts as heard after `startupLease`, so that a dead one does not hold the
+    // start up.
+    WatcherSelector(InstanceId self, Duration lease, Duration startupLease)
         : self_(std::move(self))
         , lease_(lease)
-        , startLease_(startLease)
+        , startLease_(startupLease)
     {}
 
     // Takes the entries of the hall, this one included or not.
