--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -251,7 +251,7 @@
 }
 
 // Those whom this entry asks hand on what they have told it themselves.
-void PeerNetwork::takeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer)
+void PeerNetwork::mergeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer)
 {
     const bool allTold = warnedOf_ == crashes_.cursor();
     mergeSuspects(answer.getCrashes(), loop_.now(), crashes_);
@@ -348,7 +348,7 @@
     const auto found = links_.find(entry);
     if (found != links_.end()) {
         found->second.inFlight = false;
-        takeCrashes(found->second, answer);
+        mergeCrashes(found->second, answer);
     }
     order_.onAnswer(entry, askedAt);
     const DocumentVersions known = readVersions(answer.getStatus());
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -165,7 +165,7 @@
 
     void exchangeWith(const InstanceId &entry);
     void onWarnFailed(std::uint64_t before);
-    void takeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer);
+    void mergeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer);
     void onAnswer(const InstanceId &entry, wire::Peer::ExchangeResults::Reader answer,
                   TimePoint askedAt);
     void taskFailed(kj::Exception &&exception) override;
