--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -186,7 +186,7 @@
     , transport_(transport)
     , clusterState_(clusterState)
     , crashes_(crashes)
-    , warnedOf_(crashes.cursor())
+    , sentCrashCursor_(crashes.cursor())
     , settings_(settings)
     , order_(settings.self, kWatcherLease, settings.lease)
     , tasks_(*this)
@@ -253,24 +253,24 @@
 // Those whom this entry asks hand on what they have told it themselves.
 void PeerNetwork::mergeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer)
 {
-    const bool allTold = warnedOf_ == crashes_.cursor();
+    const bool allTold = sentCrashCursor_ == crashes_.cursor();
     mergeSuspects(answer.getCrashes(), loop_.now(), crashes_);
     link.crashCursor = answer.getCrashCursor();
     if (allTold) {
-        warnedOf_ = crashes_.cursor();
+        sentCrashCursor_ = crashes_.cursor();
     }
 }
 
 void PeerNetwork::warn()
 {
     const TimePoint now = loop_.now();
-    if (!listed_ || now < warnNotBefore_ || !crashes_.hasChangedSince(warnedOf_)) {
+    if (!listed_ || now < warnNotBefore_ || !crashes_.hasChangedSince(sentCrashCursor_)) {
         return;
     }
-    const std::uint64_t before = warnedOf_;
+    const std::uint64_t before = sentCrashCursor_;
     const CrashRecord::Changes changes = crashes_.changedSince(before, kMaxSuspectsPerMessage);
     warnTries_ = changes.cursor > warnedUpTo_ ? 0 : warnTries_;
-    warnedOf_ = changes.cursor;
+    sentCrashCursor_ = changes.cursor;
     warnedUpTo_ = std::max(warnedUpTo_, changes.cursor);
     std::vector<InstanceId> told = order_.watchers(kWatchersPerHall, now);
     told.insert(told.end(), farPeers_.begin(), farPeers_.end());
@@ -294,7 +294,7 @@
 {
     if (warnTries_ < kWarnTries) {
         ++warnTries_;
-        warnedOf_ = std::min(warnedOf_, before);
+        sentCrashCursor_ = std::min(sentCrashCursor_, before);
         warnNotBefore_ = loop_.now() + kWarnPause;
     }
 }
