--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -269,9 +269,9 @@
     }
     const std::uint64_t before = sentCrashCursor_;
     const CrashRecord::Changes changes = crashes_.changedSince(before, kMaxSuspectsPerMessage);
-    warnTries_ = changes.cursor > warnedUpTo_ ? 0 : warnTries_;
+    warnTries_ = changes.cursor > maxSentCrashCursor_ ? 0 : warnTries_;
     sentCrashCursor_ = changes.cursor;
-    warnedUpTo_ = std::max(warnedUpTo_, changes.cursor);
+    maxSentCrashCursor_ = std::max(maxSentCrashCursor_, changes.cursor);
     std::vector<InstanceId> told = order_.watchers(kWatchersPerHall, now);
     told.insert(told.end(), farPeers_.begin(), farPeers_.end());
     for (const InstanceId &entry : told) {
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -174,9 +174,9 @@
     RawTransport &transport_;
     ClusterState &clusterState_;
     CrashRecord &crashes_;
-    std::uint64_t sentCrashCursor_; // A cursor of that record.
-    std::uint64_t warnedUpTo_ = 0;  // The highest that it ever was.
-    int warnTries_ = 0;             // That failed, since there was news.
+    std::uint64_t sentCrashCursor_;        // A cursor of that record.
+    std::uint64_t maxSentCrashCursor_ = 0; // The highest that it ever was.
+    int warnTries_ = 0;                    // That failed, since there was news.
     TimePoint warnNotBefore_{};
     Settings settings_;
     WatcherSelector order_;
