--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -269,7 +269,7 @@
     }
     const std::uint64_t before = sentCrashCursor_;
     const CrashRecord::Changes changes = crashes_.changedSince(before, kMaxSuspectsPerMessage);
-    warnTries_ = changes.cursor > maxSentCrashCursor_ ? 0 : warnTries_;
+    failedWarnings_ = changes.cursor > maxSentCrashCursor_ ? 0 : failedWarnings_;
     sentCrashCursor_ = changes.cursor;
     maxSentCrashCursor_ = std::max(maxSentCrashCursor_, changes.cursor);
     std::vector<InstanceId> told = order_.watchers(kWatchersPerHall, now);
@@ -292,8 +292,8 @@
 // Another entry may take the place of one that is gone; those that have heard lose nothing.
 void PeerNetwork::onWarnFailed(std::uint64_t before)
 {
-    if (warnTries_ < kWarnTries) {
-        ++warnTries_;
+    if (failedWarnings_ < kWarnTries) {
+        ++failedWarnings_;
         sentCrashCursor_ = std::min(sentCrashCursor_, before);
         warnNotBefore_ = loop_.now() + kWarnPause;
     }
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -176,7 +176,7 @@
     CrashRecord &crashes_;
     std::uint64_t sentCrashCursor_;        // A cursor of that record.
     std::uint64_t maxSentCrashCursor_ = 0; // The highest that it ever was.
-    int warnTries_ = 0;                    // That failed, since there was news.
+    int failedWarnings_ = 0;               // That failed, since there was news.
     TimePoint warnNotBefore_{};
     Settings settings_;
     WatcherSelector order_;
