--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -264,7 +264,7 @@
 void PeerNetwork::warn()
 {
     const TimePoint now = loop_.now();
-    if (!listed_ || now < warnNotBefore_ || !crashes_.hasChangedSince(sentCrashCursor_)) {
+    if (!listed_ || now < nextWarningAt_ || !crashes_.hasChangedSince(sentCrashCursor_)) {
         return;
     }
     const std::uint64_t before = sentCrashCursor_;
@@ -295,7 +295,7 @@
     if (failedWarnings_ < kWarnTries) {
         ++failedWarnings_;
         sentCrashCursor_ = std::min(sentCrashCursor_, before);
-        warnNotBefore_ = loop_.now() + kWarnPause;
+        nextWarningAt_ = loop_.now() + kWarnPause;
     }
 }
 
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -177,7 +177,7 @@
     std::uint64_t sentCrashCursor_;        // A cursor of that record.
     std::uint64_t maxSentCrashCursor_ = 0; // The highest that it ever was.
     int failedWarnings_ = 0;               // That failed, since there was news.
-    TimePoint warnNotBefore_{};
+    TimePoint nextWarningAt_{};
     Settings settings_;
     WatcherSelector order_;
     std::map<InstanceId, Link> links_;
