--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -203,7 +203,7 @@
 {
     listed_ = true;
     hallPeers_.clear();
-    farPeers_.clear();
+    remoteHallPeers_.clear();
     std::set<HallId> farHalls;
     std::set<InstanceId> kept;
     std::vector<InstanceId> hallEntries;
@@ -218,7 +218,7 @@
         if (record.id == settings_.self || (!near && !farHalls.insert(record.hall).second)) {
             continue;
         }
-        (near ? hallPeers_ : farPeers_).push_back(record.id);
+        (near ? hallPeers_ : remoteHallPeers_).push_back(record.id);
         kept.insert(record.id);
         const SocketAddress address{record.address, record.port};
         Link &link = links_[record.id];
@@ -241,7 +241,7 @@
     std::vector<InstanceId> turn =
         hallContacted() ? order_.watchers(kWatchersPerHall, now) : hallPeers_;
     if (shouldWatch()) {
-        turn.insert(turn.end(), farPeers_.begin(), farPeers_.end());
+        turn.insert(turn.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
     }
     for (const InstanceId &entry : turn) {
         if (entry != settings_.self) {
@@ -273,7 +273,7 @@
     sentCrashCursor_ = changes.cursor;
     maxSentCrashCursor_ = std::max(maxSentCrashCursor_, changes.cursor);
     std::vector<InstanceId> told = order_.watchers(kWatchersPerHall, now);
-    told.insert(told.end(), farPeers_.begin(), farPeers_.end());
+    told.insert(told.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
     for (const InstanceId &entry : told) {
         const auto link = links_.find(entry);
         if (link == links_.end()) {
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -182,7 +182,7 @@
     WatcherSelector order_;
     std::map<InstanceId, Link> links_;
     std::vector<InstanceId> hallPeers_;
-    std::vector<InstanceId> farPeers_; // One of each other hall.
+    std::vector<InstanceId> remoteHallPeers_; // One of each other hall.
     bool listed_ = false;
     bool askedAll_ = false;
     kj::TaskSet tasks_;
