--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -202,7 +202,7 @@
 void PeerNetwork::setInstances(const InstanceList &list)
 {
     listed_ = true;
-    hallPeers_.clear();
+    localHallPeers_.clear();
     remoteHallPeers_.clear();
     std::set<HallId> farHalls;
     std::set<InstanceId> kept;
@@ -218,7 +218,7 @@
         if (record.id == settings_.self || (!near && !farHalls.insert(record.hall).second)) {
             continue;
         }
-        (near ? hallPeers_ : remoteHallPeers_).push_back(record.id);
+        (near ? localHallPeers_ : remoteHallPeers_).push_back(record.id);
         kept.insert(record.id);
         const SocketAddress address{record.address, record.port};
         Link &link = links_[record.id];
@@ -239,7 +239,7 @@
     const TimePoint now = loop_.now();
     // At start everyone in the hall is asked, because any of them may know the highest version.
     std::vector<InstanceId> turn =
-        hallContacted() ? order_.watchers(kWatchersPerHall, now) : hallPeers_;
+        hallContacted() ? order_.watchers(kWatchersPerHall, now) : localHallPeers_;
     if (shouldWatch()) {
         turn.insert(turn.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
     }
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -181,7 +181,7 @@
     Settings settings_;
     WatcherSelector order_;
     std::map<InstanceId, Link> links_;
-    std::vector<InstanceId> hallPeers_;
+    std::vector<InstanceId> localHallPeers_;
     std::vector<InstanceId> remoteHallPeers_; // One of each other hall.
     bool listed_ = false;
     bool askedAll_ = false;
