--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -204,7 +204,7 @@
     listed_ = true;
     localHallPeers_.clear();
     remoteHallPeers_.clear();
-    std::set<HallId> farHalls;
+    std::set<HallId> remoteHalls;
     std::set<InstanceId> kept;
     std::vector<InstanceId> hallEntries;
     for (const InstanceRecord &record : list.instances) {
@@ -215,7 +215,7 @@
         if (near) {
             hallEntries.push_back(record.id);
         }
-        if (record.id == settings_.self || (!near && !farHalls.insert(record.hall).second)) {
+        if (record.id == settings_.self || (!near && !remoteHalls.insert(record.hall).second)) {
             continue;
         }
         (near ? localHallPeers_ : remoteHallPeers_).push_back(record.id);
