--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -211,14 +211,14 @@
         if (record.role != InstanceRole::Entry || record.state == InstanceState::Leaving) {
             continue;
         }
-        const bool near = record.hall == settings_.hall;
-        if (near) {
+        const bool isLocal = record.hall == settings_.hall;
+        if (isLocal) {
             hallEntries.push_back(record.id);
         }
-        if (record.id == settings_.self || (!near && !remoteHalls.insert(record.hall).second)) {
+        if (record.id == settings_.self || (!isLocal && !remoteHalls.insert(record.hall).second)) {
             continue;
         }
-        (near ? localHallPeers_ : remoteHallPeers_).push_back(record.id);
+        (isLocal ? localHallPeers_ : remoteHallPeers_).push_back(record.id);
         kept.insert(record.id);
         const SocketAddress address{record.address, record.port};
         Link &link = links_[record.id];
