--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -201,7 +201,7 @@
 
 void PeerNetwork::setInstances(const InstanceList &list)
 {
-    listed_ = true;
+    hasInstanceList_ = true;
     localHallPeers_.clear();
     remoteHallPeers_.clear();
     std::set<HallId> remoteHalls;
@@ -233,7 +233,7 @@
 
 void PeerNetwork::tick()
 {
-    if (!listed_) {
+    if (!hasInstanceList_) {
         return;
     }
     const TimePoint now = loop_.now();
@@ -264,7 +264,7 @@
 void PeerNetwork::warn()
 {
     const TimePoint now = loop_.now();
-    if (!listed_ || now < nextWarningAt_ || !crashes_.hasChangedSince(sentCrashCursor_)) {
+    if (!hasInstanceList_ || now < nextWarningAt_ || !crashes_.hasChangedSince(sentCrashCursor_)) {
         return;
     }
     const std::uint64_t before = sentCrashCursor_;
@@ -301,7 +301,7 @@
 
 bool PeerNetwork::shouldWatch() const
 {
-    if (!listed_) {
+    if (!hasInstanceList_) {
         return true;
     }
     const auto watchers = order_.watchers(kWatchersPerHall, loop_.now());
@@ -310,7 +310,7 @@
 
 bool PeerNetwork::hallContacted() const
 {
-    return listed_ && order_.allContacted(loop_.now());
+    return hasInstanceList_ && order_.allContacted(loop_.now());
 }
 
 void PeerNetwork::exchangeWith(const InstanceId &entry)
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -183,7 +183,7 @@
     std::map<InstanceId, Link> links_;
     std::vector<InstanceId> localHallPeers_;
     std::vector<InstanceId> remoteHallPeers_; // One of each other hall.
-    bool listed_ = false;
+    bool hasInstanceList_ = false;
     bool askedAll_ = false;
     kj::TaskSet tasks_;
 };
