--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -241,7 +241,7 @@
         toldCrashes_ = core_.crashes().cursor();
         changes_.wake();
     }
-    peers_->warn();
+    peers_->sendCrashWarnings();
 }
 
 void EntryService::onRequest(ExchangeId exchange, HttpRequest request)
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -261,7 +261,7 @@
     }
 }
 
-void PeerNetwork::warn()
+void PeerNetwork::sendCrashWarnings()
 {
     const TimePoint now = loop_.now();
     if (!hasInstanceList_ || now < nextWarningAt_ || !crashes_.hasChangedSince(sentCrashCursor_)) {
