--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -228,7 +228,7 @@
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
     tellOfCrashes();
-    watcher_->setActive(peers_->shouldWatch());
+    watcher_->setActive(peers_->shouldWatchPlatform());
     if (stopping_) {
         stopIfDrained();
     }
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -240,7 +240,7 @@
     // At start everyone in the hall is asked, because any of them may know the highest version.
     std::vector<InstanceId> turn =
         hallContacted() ? order_.watchers(kWatchersPerHall, now) : localHallPeers_;
-    if (shouldWatch()) {
+    if (shouldWatchPlatform()) {
         turn.insert(turn.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
     }
     for (const InstanceId &entry : turn) {
@@ -299,7 +299,7 @@
     }
 }
 
-bool PeerNetwork::shouldWatch() const
+bool PeerNetwork::shouldWatchPlatform() const
 {
     if (!hasInstanceList_) {
         return true;
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -151,7 +151,7 @@
     // end upstreams, unless they told it. Call it often.
     void warn();
     // Tells whether this entry should watch the platform.
-    bool shouldWatch() const;
+    bool shouldWatchPlatform() const;
     // Tells whether the peers of the hall have been asked, so that the highest version is known.
     bool hallContacted() const;
 
