--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -238,12 +238,12 @@
     }
     const TimePoint now = loop_.now();
     // At start everyone in the hall is asked, because any of them may know the highest version.
-    std::vector<InstanceId> turn =
+    std::vector<InstanceId> targets =
         hallContacted() ? order_.watchers(kWatchersPerHall, now) : localHallPeers_;
     if (shouldWatchPlatform()) {
-        turn.insert(turn.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
+        targets.insert(targets.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
     }
-    for (const InstanceId &entry : turn) {
+    for (const InstanceId &entry : targets) {
         if (entry != settings_.self) {
             exchangeWith(entry);
         }
