--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -253,10 +253,10 @@
 // Those whom this entry asks hand on what they have told it themselves.
 void PeerNetwork::mergeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer)
 {
-    const bool allTold = sentCrashCursor_ == crashes_.cursor();
+    const bool allSent = sentCrashCursor_ == crashes_.cursor();
     mergeSuspects(answer.getCrashes(), loop_.now(), crashes_);
     link.crashCursor = answer.getCrashCursor();
-    if (allTold) {
+    if (allSent) {
         sentCrashCursor_ = crashes_.cursor();
     }
 }
