--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -358,8 +358,8 @@
         clusterState_.confirmList(askedAt - listAge);
     }
     // Applying a list may change the links, so nothing of this link is used after it.
-    const bool wants = answer.getStatus().getWantsUpdate();
-    if (wants && found != links_.end()) {
+    const bool wantsUpdate = answer.getStatus().getWantsUpdate();
+    if (wantsUpdate && found != links_.end()) {
         const DocumentUpdates updates = clusterState_.updatesFor(known);
         auto request = found->second.rpc->capability().castAs<wire::Peer>().offerRequest();
         writeUpdate(updates.config, request.initConfig());
