--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -22,7 +22,7 @@
 constexpr int kWarnTries = 8;
 constexpr Duration kAskAgain = std::chrono::milliseconds(300);
 
-std::uint64_t orderHash(const InstanceId &entry)
+std::uint64_t selectionHash(const InstanceId &entry)
 {
     return XXH3_64bits(entry.value().data(), entry.value().size());
 }
@@ -118,7 +118,7 @@
 {
     order_ = std::move(entries);
     std::sort(order_.begin(), order_.end(), [](const InstanceId &left, const InstanceId &right) {
-        return std::pair(orderHash(left), left) < std::pair(orderHash(right), right);
+        return std::pair(selectionHash(left), left) < std::pair(selectionHash(right), right);
     });
     std::erase_if(histories_, [this](const auto &entry) {
         return std::find(order_.begin(), order_.end(), entry.first) == order_.end();
