--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kWatchersPerHall = 2;
 // An exchange with a watcher waits for a change, so that few of them carry it at once.
-constexpr Duration kWaitForChange = std::chrono::seconds(5);
+constexpr Duration kExchangeWait = std::chrono::seconds(5);
 constexpr Duration kLongestWait = std::chrono::seconds(10);
 constexpr Duration kWatcherLease = std::chrono::seconds(12);
 // A warning that did not arrive is sent again after a pause, for some seconds in all: by then a
@@ -329,7 +329,7 @@
     status.setIncarnation(settings_.incarnation.value());
     writeVersions(clusterState_.versions(), status);
     request.setCrashCursor(link.crashCursor);
-    request.setWaitMicros(hallContacted() ? kWaitForChange.count() : 0);
+    request.setWaitMicros(hallContacted() ? kExchangeWait.count() : 0);
     tasks_.add(request.send().then(
         [this, entry, askedAt](capnp::Response<wire::Peer::ExchangeResults> &&answer) {
             onAnswer(entry, answer, askedAt);
