--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kWatchersPerHall = 2;
 // An exchange with a watcher waits for a change, so that few of them carry it at once.
 constexpr Duration kExchangeWait = std::chrono::seconds(5);
-constexpr Duration kLongestWait = std::chrono::seconds(10);
+constexpr Duration kMaxExchangeWait = std::chrono::seconds(10);
 constexpr Duration kWatcherLease = std::chrono::seconds(12);
 // A warning that did not arrive is sent again after a pause, for some seconds in all: by then a
 // watcher that is gone has been replaced or is asked by nobody.
@@ -43,7 +43,7 @@
         return kj::READY_NOW;
     }
     // The connection may be gone by then; its calls are dropped with it.
-    return changes_.wait(std::min(wait, kLongestWait)).then([this, context, peer]() mutable {
+    return changes_.wait(std::min(wait, kMaxExchangeWait)).then([this, context, peer]() mutable {
         answer(context, peer);
     });
 }
