--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kWatcherLease = std::chrono::seconds(12);
 // A warning that did not arrive is sent again after a pause, for some seconds in all: by then a
 // watcher that is gone has been replaced or is asked by nobody.
-constexpr Duration kWarnPause = std::chrono::milliseconds(500);
+constexpr Duration kWarningRetryDelay = std::chrono::milliseconds(500);
 constexpr int kWarnTries = 8;
 constexpr Duration kAskAgain = std::chrono::milliseconds(300);
 
@@ -295,7 +295,7 @@
     if (failedWarnings_ < kWarnTries) {
         ++failedWarnings_;
         sentCrashCursor_ = std::min(sentCrashCursor_, before);
-        nextWarningAt_ = loop_.now() + kWarnPause;
+        nextWarningAt_ = loop_.now() + kWarningRetryDelay;
     }
 }
 
