--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -19,7 +19,7 @@
 // A warning that did not arrive is sent again after a pause, for some seconds in all: by then a
 // watcher that is gone has been replaced or is asked by nobody.
 constexpr Duration kWarningRetryDelay = std::chrono::milliseconds(500);
-constexpr int kWarnTries = 8;
+constexpr int kMaxWarningRetries = 8;
 constexpr Duration kAskAgain = std::chrono::milliseconds(300);
 
 std::uint64_t selectionHash(const InstanceId &entry)
@@ -292,7 +292,7 @@
 // Another entry may take the place of one that is gone; those that have heard lose nothing.
 void PeerNetwork::onWarnFailed(std::uint64_t before)
 {
-    if (failedWarnings_ < kWarnTries) {
+    if (failedWarnings_ < kMaxWarningRetries) {
         ++failedWarnings_;
         sentCrashCursor_ = std::min(sentCrashCursor_, before);
         nextWarningAt_ = loop_.now() + kWarningRetryDelay;
