--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -20,7 +20,7 @@
 // watcher that is gone has been replaced or is asked by nobody.
 constexpr Duration kWarningRetryDelay = std::chrono::milliseconds(500);
 constexpr int kMaxWarningRetries = 8;
-constexpr Duration kAskAgain = std::chrono::milliseconds(300);
+constexpr Duration kUpdateRequestInterval = std::chrono::milliseconds(300);
 
 std::uint64_t selectionHash(const InstanceId &entry)
 {
@@ -100,7 +100,7 @@
     if (!clusterState_.isBehind(peer) || now < nextUpdateRequestAt_) {
         return false;
     }
-    nextUpdateRequestAt_ = now + kAskAgain;
+    nextUpdateRequestAt_ = now + kUpdateRequestInterval;
     return true;
 }
 
