--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -53,7 +53,7 @@
 };
 
 Watch::Watch(EventLoop &loop, HttpClient &client, SocketAddress platform, std::string path,
-             std::uint64_t seed, Deliver deliver)
+             std::uint64_t seed, DocumentHandler deliver)
     : loop_(loop)
     , client_(client)
     , platform_(std::move(platform))
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -23,10 +23,10 @@
 public:
     // Hands a document over, or an empty text when nothing has changed, with the time at which the
     // service was asked; returns the version that is then held.
-    using Deliver = std::function<std::uint64_t(const std::string &, TimePoint)>;
+    using DocumentHandler = std::function<std::uint64_t(const std::string &, TimePoint)>;
 
     Watch(EventLoop &loop, HttpClient &client, SocketAddress platform, std::string path,
-          std::uint64_t seed, Deliver deliver);
+          std::uint64_t seed, DocumentHandler deliver);
     ~Watch();
     Watch(const Watch &) = delete;
     Watch &operator=(const Watch &) = delete;
@@ -51,7 +51,7 @@
     SocketAddress platform_;
     std::string path_;
     std::mt19937_64 random_;
-    Deliver deliver_;
+    DocumentHandler deliver_;
     std::uint64_t version_ = 0;
     std::uint64_t calls_ = 0;
     TimePoint askedAt_{};
