--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -59,7 +59,7 @@
     , platform_(std::move(platform))
     , path_(std::move(path))
     , random_(seed)
-    , deliver_(std::move(deliver))
+    , documentHandler_(std::move(deliver))
 {}
 
 Watch::~Watch()
@@ -108,9 +108,9 @@
     reachable_ = true;
     const std::uint64_t before = version_;
     if (status == kStatusOk) {
-        version_ = std::max(version_, deliver_(body, askedAt_));
+        version_ = std::max(version_, documentHandler_(body, askedAt_));
     } else {
-        deliver_({}, askedAt_);
+        documentHandler_({}, askedAt_);
     }
     if (status == kStatusOk && version_ == before) {
         // An old or faulty document: asking again at once would turn in a tight loop.
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -51,7 +51,7 @@
     SocketAddress platform_;
     std::string path_;
     std::mt19937_64 random_;
-    DocumentHandler deliver_;
+    DocumentHandler documentHandler_;
     std::uint64_t version_ = 0;
     std::uint64_t calls_ = 0;
     TimePoint askedAt_{};
