--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -53,13 +53,13 @@
 };
 
 Watch::Watch(EventLoop &loop, HttpClient &client, SocketAddress platform, std::string path,
-             std::uint64_t seed, DocumentHandler deliver)
+             std::uint64_t seed, DocumentHandler documentHandler)
     : loop_(loop)
     , client_(client)
     , platform_(std::move(platform))
     , path_(std::move(path))
     , random_(seed)
-    , documentHandler_(std::move(deliver))
+    , documentHandler_(std::move(documentHandler))
 {}
 
 Watch::~Watch()
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -26,7 +26,7 @@
     using DocumentHandler = std::function<std::uint64_t(const std::string &, TimePoint)>;
 
     Watch(EventLoop &loop, HttpClient &client, SocketAddress platform, std::string path,
-          std::uint64_t seed, DocumentHandler deliver);
+          std::uint64_t seed, DocumentHandler documentHandler);
     ~Watch();
     Watch(const Watch &) = delete;
     Watch &operator=(const Watch &) = delete;
