--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -75,7 +75,7 @@
     running_ = true;
     version_ = version;
     failures_ = 0;
-    ask();
+    sendRequest();
 }
 
 void Watch::stop()
@@ -88,7 +88,7 @@
     }
 }
 
-void Watch::ask()
+void Watch::sendRequest()
 {
     ++calls_;
     askedAt_ = loop_.now();
@@ -118,7 +118,7 @@
         return;
     }
     failures_ = 0;
-    timer_ = loop_.schedule(std::chrono::milliseconds(1), [this] { ask(); });
+    timer_ = loop_.schedule(std::chrono::milliseconds(1), [this] { sendRequest(); });
 }
 
 void Watch::onFailure()
@@ -129,7 +129,7 @@
     const double pause =
         std::min(kLongestPauseSeconds, kFirstPauseSeconds * std::exp2(std::min(failures_, 10)));
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
-    timer_ = loop_.schedule(fromSeconds(pause * jitter(random_)), [this] { ask(); });
+    timer_ = loop_.schedule(fromSeconds(pause * jitter(random_)), [this] { sendRequest(); });
 }
 
 } // namespace detail
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -42,7 +42,7 @@
 private:
     class Receiver;
 
-    void ask();
+    void sendRequest();
     void onAnswer(int status, const std::string &body);
     void onFailure();
 
