--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -37,7 +37,7 @@
     std::uint64_t calls() const { return calls_; }
     bool reachable() const { return reachable_; }
     // Tells whether the service has answered, or failed to, since the start.
-    bool asked() const { return asked_; }
+    bool hasOutcome() const { return asked_; }
 
 private:
     class Receiver;
@@ -76,7 +76,7 @@
     bool active() const { return config_.running(); }
     bool reachable() const { return config_.reachable(); }
     // Tells whether both watches have had a first answer or failure.
-    bool asked() const { return config_.asked() && list_.asked(); }
+    bool hasOutcome() const { return config_.hasOutcome() && list_.hasOutcome(); }
     std::uint64_t calls() const { return config_.calls() + list_.calls(); }
 
 private:
