--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -104,7 +104,7 @@
         onFailure();
         return;
     }
-    asked_ = true;
+    hasOutcome_ = true;
     reachable_ = true;
     const std::uint64_t before = version_;
     if (status == kStatusOk) {
@@ -123,7 +123,7 @@
 
 void Watch::onFailure()
 {
-    asked_ = true;
+    hasOutcome_ = true;
     reachable_ = false;
     ++failures_;
     const double pause =
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -37,7 +37,7 @@
     std::uint64_t calls() const { return calls_; }
     bool reachable() const { return reachable_; }
     // Tells whether the service has answered, or failed to, since the start.
-    bool hasOutcome() const { return asked_; }
+    bool hasOutcome() const { return hasOutcome_; }
 
 private:
     class Receiver;
@@ -60,7 +60,7 @@
     int failures_ = 0;
     bool running_ = false;
     bool reachable_ = false;
-    bool asked_ = false;
+    bool hasOutcome_ = false;
 };
 
 } // namespace detail
