--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -11,7 +11,7 @@
 constexpr int kStatusOk = 200;
 constexpr int kStatusNoChange = 304;
 constexpr double kInitialBackoffSeconds = 0.1;
-constexpr double kLongestPauseSeconds = 3.0;
+constexpr double kMaxBackoffSeconds = 3.0;
 
 } // namespace
 
@@ -127,7 +127,7 @@
     reachable_ = false;
     ++failures_;
     const double pause =
-        std::min(kLongestPauseSeconds, kInitialBackoffSeconds * std::exp2(std::min(failures_, 10)));
+        std::min(kMaxBackoffSeconds, kInitialBackoffSeconds * std::exp2(std::min(failures_, 10)));
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
     timer_ = loop_.schedule(fromSeconds(pause * jitter(random_)), [this] { sendRequest(); });
 }
