--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kStatusOk = 200;
-constexpr int kStatusNoChange = 304;
+constexpr int kStatusNotModified = 304;
 constexpr double kInitialBackoffSeconds = 0.1;
 constexpr double kMaxBackoffSeconds = 3.0;
 
@@ -100,7 +100,7 @@
 
 void Watch::onAnswer(int status, const std::string &body)
 {
-    if (status != kStatusOk && status != kStatusNoChange) {
+    if (status != kStatusOk && status != kStatusNotModified) {
         onFailure();
         return;
     }
