--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -126,10 +126,11 @@
     hasOutcome_ = true;
     reachable_ = false;
     ++failures_;
-    const double pause =
+    const double backoffSeconds =
         std::min(kMaxBackoffSeconds, kInitialBackoffSeconds * std::exp2(std::min(failures_, 10)));
     std::uniform_real_distribution<double> jitter(0.5, 1.0);
-    timer_ = loop_.schedule(fromSeconds(pause * jitter(random_)), [this] { sendRequest(); });
+    timer_ =
+        loop_.schedule(fromSeconds(backoffSeconds * jitter(random_)), [this] { sendRequest(); });
 }
 
 } // namespace detail
