--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -106,13 +106,13 @@
     }
     hasOutcome_ = true;
     reachable_ = true;
-    const std::uint64_t before = version_;
+    const std::uint64_t versionBefore = version_;
     if (status == kStatusOk) {
         version_ = std::max(version_, documentHandler_(body, askedAt_));
     } else {
         documentHandler_({}, askedAt_);
     }
-    if (status == kStatusOk && version_ == before) {
+    if (status == kStatusOk && version_ == versionBefore) {
         // An old or faulty document: asking again at once would turn in a tight loop.
         onFailure();
         return;
