--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -31,14 +31,14 @@
         if (body_.size() + piece.size() <= kMaxDocumentBytes) {
             body_ += piece;
         } else {
-            tooLarge_ = true;
+            exceedsLimit_ = true;
         }
     }
 
     void onEnd(HttpCallEnd end) override
     {
         watch_.call_ = 0;
-        if (end == HttpCallEnd::Complete && !tooLarge_) {
+        if (end == HttpCallEnd::Complete && !exceedsLimit_) {
             watch_.onAnswer(status_, body_);
         } else {
             watch_.onFailure();
@@ -48,7 +48,7 @@
 private:
     Watch &watch_;
     int status_ = 0;
-    bool tooLarge_ = false;
+    bool exceedsLimit_ = false;
     std::string body_;
 };
 
