--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -149,7 +149,7 @@
     void tick();
     // Tells those whom others ask, in the own hall and elsewhere, what has changed of requests that
     // end upstreams, unless they told it. Call it often.
-    void warn();
+    void sendCrashWarnings();
     // Tells whether this entry should watch the platform.
     bool shouldWatchPlatform() const;
     // Tells whether the peers of the hall have been asked, so that the highest version is known.
