--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -272,9 +272,9 @@
     failedWarnings_ = changes.cursor > maxSentCrashCursor_ ? 0 : failedWarnings_;
     sentCrashCursor_ = changes.cursor;
     maxSentCrashCursor_ = std::max(maxSentCrashCursor_, changes.cursor);
-    std::vector<InstanceId> told = order_.watchers(kWatchersPerHall, now);
-    told.insert(told.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
-    for (const InstanceId &entry : told) {
+    std::vector<InstanceId> targets = order_.watchers(kWatchersPerHall, now);
+    targets.insert(targets.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
+    for (const InstanceId &entry : targets) {
         const auto link = links_.find(entry);
         if (link == links_.end()) {
             continue; // It is this entry.
