--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -139,12 +139,12 @@
                                  const SocketAddress &platform, std::uint64_t seed)
     : clusterState_(clusterState)
     , config_(loop, client, platform, "/config", seed,
-              [this](const std::string &text, TimePoint /*askedAt*/) { return takeConfig(text); })
+              [this](const std::string &text, TimePoint /*askedAt*/) { return handleConfig(text); })
     , list_(loop, client, platform, "/instances", seed + 1,
             [this](const std::string &text, TimePoint askedAt) { return takeList(text, askedAt); })
 {}
 
-std::uint64_t PlatformWatcher::takeConfig(const std::string &text)
+std::uint64_t PlatformWatcher::handleConfig(const std::string &text)
 {
     if (!text.empty()) {
         clusterState_.acceptConfig(text);
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -80,7 +80,7 @@
     std::uint64_t calls() const { return config_.calls() + list_.calls(); }
 
 private:
-    std::uint64_t takeConfig(const std::string &text);
+    std::uint64_t handleConfig(const std::string &text);
     std::uint64_t takeList(const std::string &text, TimePoint askedAt);
 
     ClusterState &clusterState_;
