--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -140,8 +140,9 @@
     : clusterState_(clusterState)
     , config_(loop, client, platform, "/config", seed,
               [this](const std::string &text, TimePoint /*askedAt*/) { return handleConfig(text); })
-    , list_(loop, client, platform, "/instances", seed + 1,
-            [this](const std::string &text, TimePoint askedAt) { return takeList(text, askedAt); })
+    , list_(
+          loop, client, platform, "/instances", seed + 1,
+          [this](const std::string &text, TimePoint askedAt) { return handleList(text, askedAt); })
 {}
 
 std::uint64_t PlatformWatcher::handleConfig(const std::string &text)
@@ -152,7 +153,7 @@
     return clusterState_.versions().config;
 }
 
-std::uint64_t PlatformWatcher::takeList(const std::string &text, TimePoint askedAt)
+std::uint64_t PlatformWatcher::handleList(const std::string &text, TimePoint askedAt)
 {
     const bool confirmed = text.empty() || clusterState_.acceptList(text) == UpdateResult::Applied;
     if (confirmed) {
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -81,7 +81,7 @@
 
 private:
     std::uint64_t handleConfig(const std::string &text);
-    std::uint64_t takeList(const std::string &text, TimePoint askedAt);
+    std::uint64_t handleList(const std::string &text, TimePoint askedAt);
 
     ClusterState &clusterState_;
     detail::Watch config_;
