--- a/src/net/rpclink.cpp
+++ b/src/net/rpclink.cpp
@@ -31,10 +31,10 @@
     const std::uint64_t generation = ++*generation_;
     peer_ = RpcPeer::client(transport_.connect(address_));
     capability_ = peer_->bootstrap();
-    const std::weak_ptr<std::uint64_t> alive = generation_;
-    peer_->onClosed([this, alive, generation] {
-        loop_.post([this, alive, generation] {
-            const auto current = alive.lock();
+    const std::weak_ptr<std::uint64_t> weakGeneration = generation_;
+    peer_->onClosed([this, weakGeneration, generation] {
+        loop_.post([this, weakGeneration, generation] {
+            const auto current = weakGeneration.lock();
             if (current == nullptr || *current != generation) {
                 return;
             }
