--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -8,7 +8,7 @@
 #include "agent/grantnetwork.h"
 #include "agent/orderdriver.h"
 #include "decision/dispatch/agentcore.h"
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "knowledge/peernetwork.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -6,7 +6,7 @@
 
 #include "decision/dispatch/admissionresult.h"
 #include "decision/dispatch/entrycore.h"
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -7,7 +7,7 @@
 #include "decision/dispatch/entrycore.h"
 #include "entry/agentlink.h"
 #include "entry/callerfilters.h"
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "knowledge/peernetwork.h"
 #include "knowledge/watcher.h"
 #include "net/eventloop.h"
--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -1,4 +1,4 @@
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 
 #include "base/log.h"
 
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -10,7 +10,7 @@
 #pragma once
 
 #include "decision/retry/crashrecord.h"
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
--- a/src/knowledge/watcher.h
+++ b/src/knowledge/watcher.h
@@ -5,7 +5,7 @@
 // not met by all watchers together.
 #pragma once
 
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
 
--- a/src/net/wireconvert.h
+++ b/src/net/wireconvert.h
@@ -3,7 +3,7 @@
 
 #include "decision/dispatch/agentcore.h"
 #include "decision/membership/membertable.h"
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "wire/seamarch.capnp.h"
 
 namespace seamarch {
