--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -9,7 +9,7 @@
 #include "entry/callerfilters.h"
 #include "knowledge/clusterstate.h"
 #include "knowledge/peernetwork.h"
-#include "knowledge/watcher.h"
+#include "knowledge/platformwatcher.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
 #include "net/httpserver.h"
--- a/src/knowledge/watcher.cpp
+++ b/src/knowledge/watcher.cpp
@@ -1,4 +1,4 @@
-#include "knowledge/watcher.h"
+#include "knowledge/platformwatcher.h"
 
 #include <algorithm>
 #include <cmath>
