--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -11,8 +11,11 @@
 namespace seamarch {
 namespace {
 
+// Receiving pauses when this many bytes are unread, and resumes below half of it.
 constexpr size_t kReceiveHighWaterBytes = 1024 * 1024;
+// Write promises stay unresolved while this many bytes or more are queued.
 constexpr size_t kWriteHighWaterBytes = 256 * 1024;
+// The maximum size of one write to the socket.
 constexpr size_t kMaxWriteBytes = 64 * 1024;
 constexpr const char *kProtocolName = "seamarch-rpc";
 
@@ -23,7 +26,7 @@
 
 void *toOpaqueData(ConnectionId id)
 {
-    return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): an id, never followed
+    return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): never dereferenced
 }
 
 kj::Exception disconnectedException()
@@ -188,7 +191,7 @@
 
 std::string RawStream::peerHost() const
 {
-    constexpr std::size_t kMaxAddressLength = 64; // Of an IP number as text.
+    constexpr std::size_t kMaxAddressLength = 64; // Of an IP address as text.
     std::array<char, kMaxAddressLength> host{};
     const bool known = wsi_ != nullptr && !closed_;
     const char *found = known ? lws_get_peer_simple(wsi_, host.data(), host.size()) : nullptr;
@@ -219,7 +222,8 @@
     info.vhost_name = "rpc-client";
     transport->clientHost_ = lws_create_vhost(loop.context(), &info);
     if (transport->clientHost_ == nullptr) {
-        return tl::unexpected(NetError{NetError::Kind::ContextFailed, "no RPC client host"});
+        return tl::unexpected(
+            NetError{NetError::Kind::ContextFailed, "cannot create the vhost for RPC clients"});
     }
     return transport;
 }
--- a/src/net/rawtransport.h
+++ b/src/net/rawtransport.h
@@ -1,9 +1,9 @@
 // Byte streams for Cap'n Proto RPC over raw libwebsockets connections.
 //
-// A RawStream is a `kj::AsyncIoStream`, so that the RPC system runs on it unchanged. Reads are
-// served from a buffer that the library's receive callback fills; writes are queued, joined and
-// sent when the socket takes them. Both directions push back: receiving stops while the reader
-// lags, and a write promise stays open while the peer lags.
+// A RawStream implements `kj::AsyncIoStream`, so the RPC system runs on it unchanged. Reads are
+// served from a buffer that the libwebsockets receive callback fills. Writes are queued, merged and
+// sent when the socket is writable. Both directions apply backpressure: receiving pauses while the
+// receive buffer is full, and a write promise stays unresolved while the write queue is full.
 #pragma once
 
 #include "net/eventloop.h"
@@ -25,7 +25,8 @@
 
 class RawTransport;
 
-// One connection. Owned by its user; closing happens on destruction.
+// A byte stream over one connection. The destructor closes the connection. It must not outlive the
+// transport. Single-threaded.
 class RawStream final : public kj::AsyncIoStream
 {
 public:
@@ -39,13 +40,15 @@
     kj::Promise<void> whenWriteDisconnected() override;
     void shutdownWrite() override;
 
-    // Resolves when the connection is closed by either side.
+    // Resolves when either side has closed the connection, or it could not be established.
     kj::Promise<void> onClosed();
 
     ConnectionId id() const { return id_; }
-    // Returns the IP number of the other end; empty once the connection is closed.
+    // Returns the IP address of the peer, or an empty string before the connection is established
+    // and after it is closed.
     std::string peerHost() const;
-    // Tells whether any byte was handed to the socket; may be asked after the stream is gone.
+    // Returns a flag that is true once any byte was passed to the socket. The flag stays valid
+    // after the stream is destroyed.
     std::shared_ptr<const bool> wroteAny() const { return wroteAny_; }
 
 private:
@@ -83,7 +86,7 @@
     kj::ForkedPromise<void> closedPromise_;
 };
 
-// Makes raw connections, outgoing and accepted. One per process.
+// Creates outgoing raw connections and accepts incoming ones. There is one per process.
 class RawTransport
 {
 public:
@@ -94,14 +97,15 @@
     RawTransport(const RawTransport &) = delete;
     RawTransport &operator=(const RawTransport &) = delete;
 
-    // Listens at `address` and hands each accepted connection to `handler`.
+    // Listens at `address` and passes each accepted connection to `handler`.
     tl::expected<void, NetError> listen(const SocketAddress &address, AcceptHandler handler);
 
-    // Bytes of all connections since the start.
+    // Return the bytes received and sent on all connections since the transport was created.
     std::uint64_t bytesIn() const { return bytesIn_; }
     std::uint64_t bytesOut() const { return bytesOut_; }
 
-    // Starts to connect. The stream is usable at once; it closes when the connection fails.
+    // Starts to connect to `address`. The stream can be used immediately: writes are queued until
+    // the connection is established. It is closed if the connection fails.
     kj::Own<RawStream> connect(const SocketAddress &address);
 
 private:
