--- a/src/net/rpclink.h
+++ b/src/net/rpclink.h
@@ -1,4 +1,5 @@
-// A connection to a process that is made when it is first used and anew after every break.
+// An RPC connection to another process, established on first use and re-established on the next use
+// after it is lost.
 #pragma once
 
 #include "net/eventloop.h"
@@ -12,8 +13,8 @@
 
 namespace seamarch {
 
-// Owns the connection. Calls `onClosed` from the loop, never inside an RPC callback, so the owner
-// may destroy the link there. Single-threaded.
+// An RPC client connection that reconnects on demand. Calls `onClosed` from the event loop, never
+// inside an RPC callback, so the owner may destroy the link in it. Single-threaded.
 class RpcLink
 {
 public:
@@ -22,12 +23,14 @@
     RpcLink(const RpcLink &) = delete;
     RpcLink &operator=(const RpcLink &) = delete;
 
-    // Calls `onOpened` for each new connection and `onClosed` after each break.
+    // Sets the handlers. `onOpened` is called each time a connection attempt starts, `onClosed`
+    // each time a connection is closed or an attempt fails.
     void setHandlers(std::function<void()> onOpened, std::function<void()> onClosed);
 
-    // Returns what the other end offers; connects if there is no connection.
+    // Returns the bootstrap capability of the peer. Connects first if there is no connection.
     capnp::Capability::Client capability();
-    // Tells whether any byte of the current connection was handed to the socket.
+    // Returns a flag that is true once any byte of the current connection was passed to the socket.
+    // Must only be called while there is a connection.
     std::shared_ptr<const bool> wroteAny() const { return peer_->wroteAny(); }
     const SocketAddress &address() const { return address_; }
 
@@ -41,7 +44,8 @@
     std::function<void()> onClosed_;
     std::unique_ptr<RpcPeer> peer_;
     capnp::Capability::Client capability_{nullptr};
-    // Posted work asks whether the link still exists and which connection it speaks of.
+    // The number of the current connection. Posted tasks hold a weak pointer to it and do nothing
+    // if the link is destroyed or has reconnected.
     std::shared_ptr<std::uint64_t> generation_ = std::make_shared<std::uint64_t>(0);
 };
 
--- a/src/net/rpcpeer.h
+++ b/src/net/rpcpeer.h
@@ -1,4 +1,4 @@
-// One end of a Cap'n Proto RPC connection over a raw stream.
+// One endpoint of a Cap'n Proto RPC connection over a raw stream.
 #pragma once
 
 #include "net/rawtransport.h"
@@ -10,25 +10,26 @@
 
 namespace seamarch {
 
-// Owns the stream and the RPC system on it. It must not be destroyed inside one of its own
-// callbacks; owners post the destruction to the loop.
+// An RPC endpoint that owns its stream and the RPC system on it. It must not be destroyed inside
+// one of its own callbacks; owners post the destruction to the event loop.
 class RpcPeer
 {
 public:
-    // Makes the calling end.
+    // Creates the client endpoint.
     static std::unique_ptr<RpcPeer> client(kj::Own<RawStream> stream);
-    // Makes the serving end, which offers `bootstrap`.
+    // Creates the server endpoint, which exports `bootstrap` to the client.
     static std::unique_ptr<RpcPeer> server(kj::Own<RawStream> stream,
                                            capnp::Capability::Client bootstrap);
 
     RpcPeer(const RpcPeer &) = delete;
     RpcPeer &operator=(const RpcPeer &) = delete;
 
-    // Returns the capability that the other end offers.
+    // Returns the bootstrap capability that the peer exports.
     capnp::Capability::Client bootstrap();
-    // Calls `action` once when the connection is closed.
+    // Sets the action that is called once when the connection is closed. Replaces an earlier one.
     void onClosed(std::function<void()> action);
-    // Tells whether any byte was handed to the socket; may be asked after the connection is gone.
+    // Returns a flag that is true once any byte was passed to the socket. The flag stays valid
+    // after the endpoint is destroyed.
     std::shared_ptr<const bool> wroteAny() const { return stream_->wroteAny(); }
 
 private:
