--- a/src/net/crashwire.h
+++ b/src/net/crashwire.h
@@ -1,5 +1,5 @@
-// Converts what processes tell each other of requests that end upstreams from and to its form on
-// the wire.
+// Converts records of requests that were running when upstreams crashed to and from Cap'n Proto
+// messages. The clocks of two processes are not comparable, so times are sent as ages.
 #pragma once
 
 #include "decision/retry/crashrecord.h"
@@ -7,15 +7,16 @@
 
 namespace seamarch {
 
+// Writes the times in `suspect` as ages at `now`.
 void writeSuspect(const CrashSuspect &suspect, TimePoint now, wire::CrashSuspect::Builder to);
-// `referenceTime` is the moment from which the message counts back.
+// `referenceTime` is the time on the reader's clock that the ages in the message refer to.
 CrashSuspect readSuspect(wire::CrashSuspect::Reader from, TimePoint referenceTime);
 
-// Takes all of a message into `record`. Returns how many of them were news.
+// Merges all entries of a message into `record`. Returns the number of changes to `record`.
 std::uint64_t mergeSuspects(capnp::List<wire::CrashSuspect>::Reader from, TimePoint referenceTime,
                             CrashRecord &record);
 
-// Requests that end upstreams in one message: some 20 KB; the rest comes with the next.
+// The maximum number of entries in one message, about 20 KB. The remaining ones follow in the next.
 inline constexpr std::size_t kMaxSuspectsPerMessage = 256;
 
 } // namespace seamarch
--- a/src/net/neterror.h
+++ b/src/net/neterror.h
@@ -1,11 +1,11 @@
-// Errors of the network layer.
+// The error and address types of the network layer.
 #pragma once
 
 #include <string>
 
 namespace seamarch {
 
-// What went wrong in the network layer, in words for a log line.
+// An error of the network layer. `message` is a readable text for a log line.
 struct NetError
 {
     enum class Kind { ContextFailed, ListenFailed, ConnectFailed };
@@ -14,7 +14,8 @@
     std::string message;
 };
 
-// An IP address and a port. Host names are refused: addresses come from settings as IP numbers.
+// A numeric IP address and a port. Host names are not supported, because addresses come from
+// settings as numeric IP addresses.
 struct SocketAddress
 {
     std::string host;
--- a/src/net/wireconvert.h
+++ b/src/net/wireconvert.h
@@ -1,4 +1,5 @@
-// Turns wire structures into the types of the decisions and back.
+// Converts Cap'n Proto structures to the types of the decision layer and back. The read functions
+// return what a message holds; the write functions fill one.
 #pragma once
 
 #include "decision/dispatch/agentcore.h"
@@ -20,9 +21,12 @@
 void writeVersions(const DocumentVersions &versions, wire::Status::Builder builder);
 
 AgentReport readReport(wire::Status::Reader reader);
+// Does not write `configVersion`; `writeVersions` does.
 void writeReport(const AgentReport &report, wire::Status::Builder builder);
 
+// Returns nothing if the message holds no update, which is encoded as `to` = 0.
 std::optional<VersionedUpdate> readUpdate(wire::Update::Reader reader);
+// Leaves the message empty if there is no update.
 void writeUpdate(const std::optional<VersionedUpdate> &update, wire::Update::Builder builder);
 
 } // namespace seamarch
