--- a/src/knowledge/clusterstate.cpp
+++ b/src/knowledge/clusterstate.cpp
@@ -12,9 +12,10 @@
 {
     if (result == UpdateResult::Conflict) {
         ++conflicts_;
-        logLine(LogLevel::Error, "knowledge.conflict",
-                {{"document", what},
-                 {"message", "two documents carry one version; publish a higher one"}});
+        logLine(
+            LogLevel::Error, "knowledge.conflict",
+            {{"document", what},
+             {"message", "two different documents have the same version; publish a higher one"}});
     }
     return result;
 }
--- a/src/knowledge/clusterstate.h
+++ b/src/knowledge/clusterstate.h
@@ -1,10 +1,10 @@
-// What a process knows of the configuration and of the instance list, from wherever it heard it.
+// The configuration and the instance list that a process holds.
 //
-// The platform's service, peers and offers all end here. A document is validated before it is held,
-// so a faulty one is never put in force and never passed on. Listeners hear of a document when it
-// comes into force.
+// Documents arrive from the platform's service and from peers. A document is validated before it is
+// stored, so an invalid one is never put in force and never forwarded. Listeners are notified when
+// a document comes into force.
 //
-// Single-threaded; does no input or output. Listeners outlive the object.
+// Single-threaded; does no I/O except for log lines. Listeners must outlive the object.
 #pragma once
 
 #include "config/parse.h"
@@ -19,7 +19,7 @@
 
 namespace seamarch {
 
-// Hears of documents that come into force.
+// Is notified of documents that come into force.
 class ClusterStateListener
 {
 public:
@@ -28,51 +28,57 @@
     virtual void onInstances(const InstanceList &list) = 0;
 };
 
-// The versions that two processes compare.
+// The versions and digests that two processes compare. Zero means that no document is held.
 struct DocumentVersions
 {
     std::uint64_t config = 0;
     std::uint64_t configDigest = 0;
-    std::uint64_t configFloor = 0;
+    std::uint64_t configFloor = 0; // The highest configuration version known to exist.
     std::uint64_t list = 0;
     std::uint64_t listDigest = 0;
 };
 
-// What one process hands another after comparing.
+// The updates that a process sends to a peer with older versions. Empty where there is none.
 struct DocumentUpdates
 {
     std::optional<VersionedUpdate> config;
     std::optional<VersionedUpdate> list;
 };
 
+// Holds the highest valid version of each document that the process has received.
 class ClusterState
 {
 public:
     void addListener(ClusterStateListener &listener) { listeners_.push_back(&listener); }
 
-    // Takes a document from the platform.
+    // Validate and store a whole document from the platform.
     UpdateResult acceptConfig(const std::string &text);
     UpdateResult acceptList(const std::string &text);
-    // Takes what a peer hands over.
+    // Validates and stores updates from a peer. Ignores those that are not higher than the held
+    // version.
     void apply(const DocumentUpdates &updates);
-    // Learns what a peer knows; only the floor follows from it.
+    // Raises the configuration floor to the versions of a peer. Counts a conflict if the peer holds
+    // the same configuration version with a different digest.
     void observePeerVersions(const DocumentVersions &peer);
 
-    // The platform was asked at `askedAt` or later and confirmed the list that is held.
+    // Records that the platform confirmed the held list in answer to a request sent at `askedAt` or
+    // later.
     void confirmList(TimePoint askedAt);
-    // Returns how long ago the platform confirmed the list; negative when it never did.
+    // Returns the time since the platform confirmed the held list, or a negative value if it has
+    // not.
     Duration listAge(TimePoint now) const;
 
     DocumentVersions versions() const;
-    // Returns what a peer with `peer` lacks.
+    // Returns the updates that a peer with the versions `peer` needs to reach the held versions.
     DocumentUpdates updatesFor(const DocumentVersions &peer) const;
-    // Tells whether a peer with `peer` knows more than this process.
+    // Returns whether a peer with the versions `peer` holds a higher version of either document.
     bool isBehind(const DocumentVersions &peer) const;
 
+    // Returns whether a configuration is held whose version is not below the floor.
     bool configInForce() const { return config_.inForce(); }
     const ConfigDocument &config() const { return configDocument_; }
     const InstanceList &list() const { return instanceList_; }
-    // Returns the number of documents under one version with different contents that were met.
+    // Returns how often a document with the held version but different contents was seen.
     std::uint64_t conflicts() const { return conflicts_; }
 
 private:
