--- a/src/knowledge/platformwatcher.cpp
+++ b/src/knowledge/platformwatcher.cpp
@@ -113,7 +113,8 @@
         documentHandler_({}, askedAt_);
     }
     if (status == kStatusOk && version_ == versionBefore) {
-        // An old or faulty document: asking again at once would turn in a tight loop.
+        // The document is old or invalid, so the same one would be returned again at once. Backs
+        // off to avoid a tight loop.
         onFailure();
         return;
     }
--- a/src/knowledge/platformwatcher.h
+++ b/src/knowledge/platformwatcher.h
@@ -1,8 +1,8 @@
-// Reads the platform's service: a waiting watch on the configuration and one on the instance list.
+// Long polls of the platform's service for the configuration and the instance list.
 //
-// The service is only ever read. Each answer leads to the next call at once; a failure leads to a
-// call after a pause that doubles, with jitter, up to a limit, so that a service that comes back is
-// not met by all watchers together.
+// The service is never written to. Each answer is followed immediately by the next request. A
+// failure is followed by a request after an exponential backoff with jitter and an upper limit, so
+// that the watchers do not all call at once when the service recovers.
 #pragma once
 
 #include "knowledge/clusterstate.h"
@@ -17,12 +17,12 @@
 
 namespace detail {
 
-// One watch on one path of the service.
+// Polls one path of the service and passes each new document to a handler.
 class Watch
 {
 public:
-    // Hands a document over, or an empty text when nothing has changed, with the time at which the
-    // service was asked; returns the version that is then held.
+    // Receives a document, or an empty text if the held version is still current, and the time at
+    // which the request was sent. Returns the version that is held afterwards.
     using DocumentHandler = std::function<std::uint64_t(const std::string &, TimePoint)>;
 
     Watch(EventLoop &loop, HttpClient &client, SocketAddress platform, std::string path,
@@ -31,12 +31,16 @@
     Watch(const Watch &) = delete;
     Watch &operator=(const Watch &) = delete;
 
+    // Starts to request versions after `version`. Does nothing if it is running.
     void start(std::uint64_t version);
+    // Cancels the current request and the pending retry.
     void stop();
     bool running() const { return running_; }
+    // Returns the number of requests sent.
     std::uint64_t calls() const { return calls_; }
+    // Returns whether the last finished request succeeded.
     bool reachable() const { return reachable_; }
-    // Tells whether the service has answered, or failed to, since the start.
+    // Returns whether any request has succeeded or failed.
     bool hasOutcome() const { return hasOutcome_; }
 
 private:
@@ -65,17 +69,19 @@
 
 } // namespace detail
 
+// Keeps a ClusterState up to date with the platform's service while active.
 class PlatformWatcher
 {
 public:
     PlatformWatcher(EventLoop &loop, HttpClient &client, ClusterState &clusterState,
                     const SocketAddress &platform, std::uint64_t seed);
 
-    // Starts or stops watching.
+    // Starts or stops both polls.
     void setActive(bool active);
     bool active() const { return config_.running(); }
+    // Returns whether the last finished request for the configuration succeeded.
     bool reachable() const { return config_.reachable(); }
-    // Tells whether both watches have had a first answer or failure.
+    // Returns whether at least one request of each poll has succeeded or failed.
     bool hasOutcome() const { return config_.hasOutcome() && list_.hasOutcome(); }
     std::uint64_t calls() const { return config_.calls() + list_.calls(); }
 
