--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -12,12 +12,13 @@
 namespace {
 
 constexpr std::size_t kWatchersPerHall = 2;
-// An exchange with a watcher waits for a change, so that few of them carry it at once.
+// An exchange with a watcher is held until something changes, so that changes spread at once with
+// few exchanges.
 constexpr Duration kExchangeWait = std::chrono::seconds(5);
 constexpr Duration kMaxExchangeWait = std::chrono::seconds(10);
 constexpr Duration kWatcherLease = std::chrono::seconds(12);
-// A warning that did not arrive is sent again after a pause, for some seconds in all: by then a
-// watcher that is gone has been replaced or is asked by nobody.
+// A crash warning that failed is retried every 500 ms for a few seconds. By then a watcher that
+// is gone has been replaced, or no entry calls it any more.
 constexpr Duration kWarningRetryDelay = std::chrono::milliseconds(500);
 constexpr int kMaxWarningRetries = 8;
 constexpr Duration kUpdateRequestInterval = std::chrono::milliseconds(300);
@@ -42,7 +43,7 @@
         answer(context, peer);
         return kj::READY_NOW;
     }
-    // The connection may be gone by then; its calls are dropped with it.
+    // If the connection closes while the exchange waits, the call is dropped with it.
     return changes_.wait(std::min(wait, kMaxExchangeWait)).then([this, context, peer]() mutable {
         answer(context, peer);
     });
@@ -95,7 +96,7 @@
 
 bool PeerServer::shouldRequestUpdate(const DocumentVersions &peer)
 {
-    // Many peers show the same new version; one of them is asked for it at a time.
+    // Many peers report the same new version; only one request for it is made per interval.
     const TimePoint now = loop_.now();
     if (!clusterState_.isBehind(peer) || now < nextUpdateRequestAt_) {
         return false;
@@ -237,7 +238,8 @@
         return;
     }
     const TimePoint now = loop_.now();
-    // At start everyone in the hall is asked, because any of them may know the highest version.
+    // At the start, all peers of the hall are called, because any of them may have the highest
+    // version.
     std::vector<InstanceId> targets =
         hallContacted() ? order_.watchers(kWatchersPerHall, now) : localHallPeers_;
     if (shouldWatchPlatform()) {
@@ -250,7 +252,8 @@
     }
 }
 
-// Those whom this entry asks hand on what they have told it themselves.
+// Merges the crashes of an answer. If nothing else is unsent, marks them as sent, because the peers
+// that this entry calls distribute them themselves.
 void PeerNetwork::mergeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer)
 {
     const bool allSent = sentCrashCursor_ == crashes_.cursor();
@@ -277,7 +280,7 @@
     for (const InstanceId &entry : targets) {
         const auto link = links_.find(entry);
         if (link == links_.end()) {
-            continue; // It is this entry.
+            continue; // This entry itself.
         }
         auto request = link->second.rpc->capability().castAs<wire::Peer>().warnRequest();
         auto list = request.initCrashes(static_cast<std::uint32_t>(changes.suspects.size()));
@@ -289,7 +292,8 @@
     }
 }
 
-// Another entry may take the place of one that is gone; those that have heard lose nothing.
+// Schedules a retry from `before`. It may reach another entry that has replaced one that is gone;
+// entries that already have the changes merge them without effect.
 void PeerNetwork::onWarnFailed(std::uint64_t before)
 {
     if (failedWarnings_ < kMaxWarningRetries) {
@@ -357,7 +361,7 @@
     if (listAge >= Duration{} && known.list == clusterState_.versions().list) {
         clusterState_.confirmList(askedAt - listAge);
     }
-    // Applying a list may change the links, so nothing of this link is used after it.
+    // `apply` comes last, because a new instance list may remove links and invalidate `found`.
     const bool wantsUpdate = answer.getStatus().getWantsUpdate();
     if (wantsUpdate && found != links_.end()) {
         const DocumentUpdates updates = clusterState_.updatesFor(known);
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -1,12 +1,13 @@
-// What entries tell each other, and which of them watch the platform.
+// The exchange of versions, documents and crash records between entries, and the choice of the
+// entries that watch the platform.
 //
-// The entries of a hall are put in an order by rendezvous hash. Each entry exchanges versions every
-// period with the first entries of that order that answer; those are the hall's watchers, and an
-// entry that finds itself among them watches the platform. Two entries with different views may
-// both watch or both take another for the watcher; a double watcher is harmless, since it only
-// reads, and a silent one is skipped after its lease. Watchers also exchange with one entry of each
-// other hall, so that a hall that is cut off from the platform but not from its neighbours still
-// learns.
+// The entries of a hall are ordered by a hash of their ids. In every period, each entry exchanges
+// versions with the first responsive entries of that order. Those are the watchers of the hall, and
+// an entry that is one of them polls the platform. Entries with different views may choose
+// different watchers, so a hall may briefly have too many or none. A superfluous watcher is
+// harmless because it only reads, and an unresponsive one is skipped when its lease expires.
+// Watchers also exchange with one entry of each other hall, so a hall that has lost the platform
+// but can reach another hall still gets updates.
 #pragma once
 
 #include "decision/retry/crashrecord.h"
@@ -26,8 +27,8 @@
 
 namespace seamarch {
 
-// Lets exchanges wait for a change of what this process knows. One per process; it outlives the
-// serving ends.
+// Wakes exchanges that wait for a change of the cluster state or of the crash record. There is one
+// per process, and it must outlive the PeerServers.
 class ChangeSignal final : public ClusterStateListener
 {
 public:
@@ -35,10 +36,10 @@
         : waiting_(loop)
     {}
 
-    // Resolves at the next change, or after `longest`.
+    // Resolves at the next change or after `timeout`, whichever comes first.
     kj::Promise<void> wait(Duration timeout) { return waiting_.wait(timeout); }
 
-    // Something else that exchanges wait for has changed.
+    // Wakes the waiting exchanges because of a change other than that of a document.
     void wake() { waiting_.wakeAll(); }
 
     void onConfig(const ConfigDocument & /*document*/) override { waiting_.wakeAll(); }
@@ -48,7 +49,7 @@
     WakeList waiting_;
 };
 
-// The answering side of the exchange between processes.
+// Serves the `Peer` interface: exchanges, offered documents and crash warnings.
 class PeerServer : public virtual wire::Peer::Server
 {
 public:
@@ -63,11 +64,11 @@
     kj::Promise<void> warn(WarnContext context) override;
 
 protected:
-    // A peer has told its status.
+    // Is called with the status of the peer at the start of each exchange.
     virtual void onPeerStatus(wire::Status::Reader /*status*/) {}
-    // Fills what is particular to the process; versions are filled already.
+    // Fills in the fields that depend on the kind of process. The versions are already set.
     virtual void fillStatus(wire::Status::Builder status) = 0;
-    // What the process knows of requests that end upstreams; nothing: it keeps no record of them.
+    // Returns the record of requests that crash upstreams, or null if the process keeps none.
     virtual CrashRecord *crashRecord() { return nullptr; }
 
 private:
@@ -82,28 +83,30 @@
     TimePoint nextUpdateRequestAt_{};
 };
 
-// Decides who among the entries of a hall should be asked, in order.
+// Selects the watchers of a hall: the first responsive entries in the order of a hash of their ids.
 class WatcherSelector
 {
 public:
-    // A watcher is silent when it has not answered for `lease`. At the start an entry that has
-    // never answered counts as heard after `startupLease`, so that a dead one does not hold the
-    // start up.
+    // An entry is unresponsive if it has not answered for `lease`. An entry that has never answered
+    // counts as contacted `startupLease` after the first request to it, so that a dead entry does
+    // not delay the start.
     WatcherSelector(InstanceId self, Duration lease, Duration startupLease)
         : self_(std::move(self))
         , lease_(lease)
         , startLease_(startupLease)
     {}
 
-    // Takes the entries of the hall, this one included or not.
+    // Sets the entries of the hall. The list may or may not include this entry.
     void setEntries(std::vector<InstanceId> entries);
+    // Records that `entry` answered a request that was sent at `askedAt`.
     void onAnswer(const InstanceId &entry, TimePoint askedAt);
-    // Returns the first `count` entries of the order that answer, or have not been asked long
-    // enough to be found silent. The entry itself counts as one that answers.
+    // Returns the first `count` entries of the order that are not known to be unresponsive. An
+    // entry without a request yet, and this entry itself, count as responsive.
     std::vector<InstanceId> watchers(std::size_t count, TimePoint now) const;
-    // Notes that `entry` is asked at `now`; it is found silent if it does not answer in a lease.
+    // Records that a request was sent to `entry` at `now`. If it never answers, its lease runs from
+    // the first request.
     void onRequestSent(const InstanceId &entry, TimePoint now);
-    // Tells whether every listed entry has answered once, or was found silent.
+    // Returns whether every other entry has answered once or exceeded `startupLease`.
     bool allContacted(TimePoint now) const;
 
 private:
@@ -125,7 +128,8 @@
     std::map<InstanceId, RequestHistory> histories_;
 };
 
-// The asking side: exchanges with peer entries every period.
+// The client side of the exchange: calls the watchers of this hall and, if this entry is a watcher,
+// one entry of each other hall.
 class PeerNetwork final : private kj::TaskSet::ErrorHandler
 {
 public:
@@ -134,6 +138,7 @@
         InstanceId self;
         HallId hall;
         Incarnation incarnation;
+        // How long the start waits for a peer that never answers.
         Duration lease = std::chrono::seconds(3);
     };
 
@@ -143,16 +148,18 @@
     PeerNetwork(const PeerNetwork &) = delete;
     PeerNetwork &operator=(const PeerNetwork &) = delete;
 
-    // Takes the instance list.
+    // Updates the links to peers from the instance list.
     void setInstances(const InstanceList &list);
-    // Exchanges with those whose turn it is.
+    // Starts an exchange with each selected peer that has none in progress. Called once per period.
     void tick();
-    // Tells those whom others ask, in the own hall and elsewhere, what has changed of requests that
-    // end upstreams, unless they told it. Call it often.
+    // Sends changes of the crash record to the watchers of this hall and to one entry of each other
+    // hall, except changes that came from an exchange. Also retries, so it must be called often.
     void sendCrashWarnings();
-    // Tells whether this entry should watch the platform.
+    // Returns whether this entry should watch the platform: it is a watcher, or there is no list
+    // yet.
     bool shouldWatchPlatform() const;
-    // Tells whether the peers of the hall have been asked, so that the highest version is known.
+    // Returns whether every peer of the hall has answered once or exceeded `Settings::lease`, so
+    // that the highest version in the hall is known.
     bool hallContacted() const;
 
 private:
@@ -160,7 +167,7 @@
     {
         std::unique_ptr<RpcLink> rpc;
         bool inFlight = false;
-        std::uint64_t crashCursor = 0; // Of what it has told of requests that end upstreams.
+        std::uint64_t crashCursor = 0; // Position in the crash record of the peer.
     };
 
     void exchangeWith(const InstanceId &entry);
@@ -174,15 +181,15 @@
     RawTransport &transport_;
     ClusterState &clusterState_;
     CrashRecord &crashes_;
-    std::uint64_t sentCrashCursor_;        // A cursor of that record.
-    std::uint64_t maxSentCrashCursor_ = 0; // The highest that it ever was.
-    int failedWarnings_ = 0;               // That failed, since there was news.
+    std::uint64_t sentCrashCursor_;        // Changes of `crashes_` up to here have been sent.
+    std::uint64_t maxSentCrashCursor_ = 0; // The highest value of `sentCrashCursor_` so far.
+    int failedWarnings_ = 0;               // Failed sends since the last new change.
     TimePoint nextWarningAt_{};
     Settings settings_;
     WatcherSelector order_;
     std::map<InstanceId, Link> links_;
     std::vector<InstanceId> localHallPeers_;
-    std::vector<InstanceId> remoteHallPeers_; // One of each other hall.
+    std::vector<InstanceId> remoteHallPeers_; // One entry of each other hall.
     bool hasInstanceList_ = false;
     bool askedAll_ = false;
     kj::TaskSet tasks_;
