--- a/src/knowledge/clusterstate.cpp
+++ b/src/knowledge/clusterstate.cpp
@@ -8,13 +8,13 @@
 
 using nlohmann::json;
 
-UpdateResult ClusterState::countConflict(UpdateResult result, const char *what)
+UpdateResult ClusterState::countConflict(UpdateResult result, const char *documentName)
 {
     if (result == UpdateResult::Conflict) {
         ++conflicts_;
         logLine(
             LogLevel::Error, "knowledge.conflict",
-            {{"document", what},
+            {{"document", documentName},
              {"message", "two different documents have the same version; publish a higher one"}});
     }
     return result;
--- a/src/knowledge/clusterstate.h
+++ b/src/knowledge/clusterstate.h
@@ -87,7 +87,7 @@
     template <typename UpdateFunction>
     UpdateResult updateList(VersionedDocument next, UpdateFunction update);
     void notifyConfigListeners();
-    UpdateResult countConflict(UpdateResult result, const char *what);
+    UpdateResult countConflict(UpdateResult result, const char *documentName);
 
     VersionedDocument config_;
     VersionedDocument list_;
