--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -212,14 +212,15 @@
         if (record.role != InstanceRole::Entry || record.state == InstanceState::Leaving) {
             continue;
         }
-        const bool isLocal = record.hall == settings_.hall;
-        if (isLocal) {
+        const bool isInOwnHall = record.hall == settings_.hall;
+        if (isInOwnHall) {
             hallEntries.push_back(record.id);
         }
-        if (record.id == settings_.self || (!isLocal && !remoteHalls.insert(record.hall).second)) {
+        if (record.id == settings_.self
+            || (!isInOwnHall && !remoteHalls.insert(record.hall).second)) {
             continue;
         }
-        (isLocal ? localHallPeers_ : remoteHallPeers_).push_back(record.id);
+        (isInOwnHall ? localHallPeers_ : remoteHallPeers_).push_back(record.id);
         kept.insert(record.id);
         const SocketAddress address{record.address, record.port};
         Link &link = links_[record.id];
