--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -206,7 +206,7 @@
     localHallPeers_.clear();
     remoteHallPeers_.clear();
     std::set<HallId> remoteHalls;
-    std::set<InstanceId> kept;
+    std::set<InstanceId> keptEntries;
     std::vector<InstanceId> hallEntries;
     for (const InstanceRecord &record : list.instances) {
         if (record.role != InstanceRole::Entry || record.state == InstanceState::Leaving) {
@@ -221,7 +221,7 @@
             continue;
         }
         (isInOwnHall ? localHallPeers_ : remoteHallPeers_).push_back(record.id);
-        kept.insert(record.id);
+        keptEntries.insert(record.id);
         const SocketAddress address{record.address, record.port};
         Link &link = links_[record.id];
         if (link.rpc == nullptr || link.rpc->address() != address) {
@@ -230,7 +230,8 @@
         }
     }
     order_.setEntries(std::move(hallEntries));
-    std::erase_if(links_, [&kept](const auto &entry) { return !kept.contains(entry.first); });
+    std::erase_if(links_,
+                  [&keptEntries](const auto &entry) { return !keptEntries.contains(entry.first); });
 }
 
 void PeerNetwork::tick()
