--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -171,7 +171,7 @@
     if (found == histories_.end() || !found->second.requested) {
         return true;
     }
-    return !found->second.hasAnswered && now - found->second.firstRequestAt <= startLease_;
+    return !found->second.hasAnswered && now - found->second.firstRequestAt <= startupLease_;
 }
 
 bool WatcherSelector::allContacted(TimePoint now) const
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -93,7 +93,7 @@
     WatcherSelector(InstanceId self, Duration lease, Duration startupLease)
         : self_(std::move(self))
         , lease_(lease)
-        , startLease_(startupLease)
+        , startupLease_(startupLease)
     {}
 
     // Sets the entries of the hall. The list may or may not include this entry.
@@ -123,7 +123,7 @@
 
     InstanceId self_;
     Duration lease_;
-    Duration startLease_;
+    Duration startupLease_;
     std::vector<InstanceId> order_;
     std::map<InstanceId, RequestHistory> histories_;
 };
