--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -290,13 +290,13 @@
             writeSuspect(changes.suspects[index], now, list[index]);
         }
         tasks_.add(request.send().ignoreResult().catch_(
-            [this, before](kj::Exception && /*error*/) { onWarnFailed(before); }));
+            [this, before](kj::Exception && /*error*/) { onWarningFailed(before); }));
     }
 }
 
 // Schedules a retry from `before`. It may reach another entry that has replaced one that is gone;
 // entries that already have the changes merge them without effect.
-void PeerNetwork::onWarnFailed(std::uint64_t before)
+void PeerNetwork::onWarningFailed(std::uint64_t before)
 {
     if (failedWarnings_ < kMaxWarningRetries) {
         ++failedWarnings_;
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -171,7 +171,7 @@
     };
 
     void exchangeWith(const InstanceId &entry);
-    void onWarnFailed(std::uint64_t before);
+    void onWarningFailed(std::uint64_t before);
     void mergeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer);
     void onAnswer(const InstanceId &entry, wire::Peer::ExchangeResults::Reader answer,
                   TimePoint askedAt);
