--- a/src/knowledge/platformwatcher.h
+++ b/src/knowledge/platformwatcher.h
@@ -41,7 +41,7 @@
     // Returns whether the last finished request succeeded.
     bool reachable() const { return reachable_; }
     // Returns whether any request has succeeded or failed.
-    bool hasOutcome() const { return hasOutcome_; }
+    bool hasFinishedRequest() const { return hasOutcome_; }
 
 private:
     class Receiver;
@@ -82,7 +82,10 @@
     // Returns whether the last finished request for the configuration succeeded.
     bool reachable() const { return config_.reachable(); }
     // Returns whether at least one request of each poll has succeeded or failed.
-    bool hasOutcome() const { return config_.hasOutcome() && list_.hasOutcome(); }
+    bool hasFinishedRequest() const
+    {
+        return config_.hasFinishedRequest() && list_.hasFinishedRequest();
+    }
     std::uint64_t calls() const { return config_.calls() + list_.calls(); }
 
 private:
