--- a/src/knowledge/platformwatcher.cpp
+++ b/src/knowledge/platformwatcher.cpp
@@ -104,7 +104,7 @@
         onFailure();
         return;
     }
-    hasOutcome_ = true;
+    hasFinishedRequest_ = true;
     reachable_ = true;
     const std::uint64_t versionBefore = version_;
     if (status == kStatusOk) {
@@ -124,7 +124,7 @@
 
 void Watch::onFailure()
 {
-    hasOutcome_ = true;
+    hasFinishedRequest_ = true;
     reachable_ = false;
     ++failures_;
     const double backoffSeconds =
--- a/src/knowledge/platformwatcher.h
+++ b/src/knowledge/platformwatcher.h
@@ -41,7 +41,7 @@
     // Returns whether the last finished request succeeded.
     bool reachable() const { return reachable_; }
     // Returns whether any request has succeeded or failed.
-    bool hasFinishedRequest() const { return hasOutcome_; }
+    bool hasFinishedRequest() const { return hasFinishedRequest_; }
 
 private:
     class Receiver;
@@ -64,7 +64,7 @@
     int failures_ = 0;
     bool running_ = false;
     bool reachable_ = false;
-    bool hasOutcome_ = false;
+    bool hasFinishedRequest_ = false;
 };
 
 } // namespace detail
