--- a/src/knowledge/platformwatcher.cpp
+++ b/src/knowledge/platformwatcher.cpp
@@ -17,10 +17,10 @@
 
 namespace detail {
 
-class Watch::Receiver final : public HttpCallReceiver
+class DocumentPoller::Receiver final : public HttpCallReceiver
 {
 public:
-    explicit Receiver(Watch &watch)
+    explicit Receiver(DocumentPoller &watch)
         : watch_(watch)
     {}
 
@@ -46,14 +46,15 @@
     }
 
 private:
-    Watch &watch_;
+    DocumentPoller &watch_;
     int status_ = 0;
     bool exceedsLimit_ = false;
     std::string body_;
 };
 
-Watch::Watch(EventLoop &loop, HttpClient &client, SocketAddress platform, std::string path,
-             std::uint64_t seed, DocumentHandler documentHandler)
+DocumentPoller::DocumentPoller(EventLoop &loop, HttpClient &client, SocketAddress platform,
+                               std::string path, std::uint64_t seed,
+                               DocumentHandler documentHandler)
     : loop_(loop)
     , client_(client)
     , platform_(std::move(platform))
@@ -62,12 +63,12 @@
     , documentHandler_(std::move(documentHandler))
 {}
 
-Watch::~Watch()
+DocumentPoller::~DocumentPoller()
 {
     stop();
 }
 
-void Watch::start(std::uint64_t version)
+void DocumentPoller::start(std::uint64_t version)
 {
     if (running_) {
         return;
@@ -78,7 +79,7 @@
     sendRequest();
 }
 
-void Watch::stop()
+void DocumentPoller::stop()
 {
     running_ = false;
     loop_.cancel(timer_);
@@ -88,7 +89,7 @@
     }
 }
 
-void Watch::sendRequest()
+void DocumentPoller::sendRequest()
 {
     ++calls_;
     askedAt_ = loop_.now();
@@ -98,7 +99,7 @@
     call_ = client_.call(std::move(request), std::make_unique<Receiver>(*this));
 }
 
-void Watch::onAnswer(int status, const std::string &body)
+void DocumentPoller::onAnswer(int status, const std::string &body)
 {
     if (status != kStatusOk && status != kStatusNotModified) {
         onFailure();
@@ -122,7 +123,7 @@
     timer_ = loop_.schedule(std::chrono::milliseconds(1), [this] { sendRequest(); });
 }
 
-void Watch::onFailure()
+void DocumentPoller::onFailure()
 {
     hasFinishedRequest_ = true;
     reachable_ = false;
--- a/src/knowledge/platformwatcher.h
+++ b/src/knowledge/platformwatcher.h
@@ -18,18 +18,18 @@
 namespace detail {
 
 // Polls one path of the service and passes each new document to a handler.
-class Watch
+class DocumentPoller
 {
 public:
     // Receives a document, or an empty text if the held version is still current, and the time at
     // which the request was sent. Returns the version that is held afterwards.
     using DocumentHandler = std::function<std::uint64_t(const std::string &, TimePoint)>;
 
-    Watch(EventLoop &loop, HttpClient &client, SocketAddress platform, std::string path,
-          std::uint64_t seed, DocumentHandler documentHandler);
-    ~Watch();
-    Watch(const Watch &) = delete;
-    Watch &operator=(const Watch &) = delete;
+    DocumentPoller(EventLoop &loop, HttpClient &client, SocketAddress platform, std::string path,
+                   std::uint64_t seed, DocumentHandler documentHandler);
+    ~DocumentPoller();
+    DocumentPoller(const DocumentPoller &) = delete;
+    DocumentPoller &operator=(const DocumentPoller &) = delete;
 
     // Starts to request versions after `version`. Does nothing if it is running.
     void start(std::uint64_t version);
@@ -93,8 +93,8 @@
     std::uint64_t handleList(const std::string &text, TimePoint askedAt);
 
     ClusterState &clusterState_;
-    detail::Watch config_;
-    detail::Watch list_;
+    detail::DocumentPoller config_;
+    detail::DocumentPoller list_;
 };
 
 } // namespace seamarch
