--- a/src/knowledge/platformwatcher.cpp
+++ b/src/knowledge/platformwatcher.cpp
@@ -20,8 +20,8 @@
 class DocumentPoller::Receiver final : public HttpCallReceiver
 {
 public:
-    explicit Receiver(DocumentPoller &watch)
-        : watch_(watch)
+    explicit Receiver(DocumentPoller &poller)
+        : watch_(poller)
     {}
 
     void onHead(HttpHead head) override { status_ = head.status; }
