--- a/src/knowledge/platformwatcher.cpp
+++ b/src/knowledge/platformwatcher.cpp
@@ -21,7 +21,7 @@
 {
 public:
     explicit Receiver(DocumentPoller &poller)
-        : watch_(poller)
+        : poller_(poller)
     {}
 
     void onHead(HttpHead head) override { status_ = head.status; }
@@ -37,16 +37,16 @@
 
     void onEnd(HttpCallEnd end) override
     {
-        watch_.call_ = 0;
+        poller_.call_ = 0;
         if (end == HttpCallEnd::Complete && !exceedsLimit_) {
-            watch_.onAnswer(status_, body_);
+            poller_.onAnswer(status_, body_);
         } else {
-            watch_.onFailure();
+            poller_.onFailure();
         }
     }
 
 private:
-    DocumentPoller &watch_;
+    DocumentPoller &poller_;
     int status_ = 0;
     bool exceedsLimit_ = false;
     std::string body_;
