--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -220,8 +220,8 @@
     info.protocols = kProtocols;
     info.user = transport.get();
     info.vhost_name = "rpc-client";
-    transport->clientHost_ = lws_create_vhost(loop.context(), &info);
-    if (transport->clientHost_ == nullptr) {
+    transport->clientVhost_ = lws_create_vhost(loop.context(), &info);
+    if (transport->clientVhost_ == nullptr) {
         return tl::unexpected(
             NetError{NetError::Kind::ContextFailed, "cannot create the vhost for RPC clients"});
     }
@@ -260,7 +260,7 @@
     streams_.emplace(id, stream.get());
     lws_client_connect_info info{};
     info.context = loop_.context();
-    info.vhost = clientHost_;
+    info.vhost = clientVhost_;
     info.address = address.host.c_str();
     info.port = address.port;
     info.host = info.address;
--- a/src/net/rawtransport.h
+++ b/src/net/rawtransport.h
@@ -120,7 +120,7 @@
     void removeStream(ConnectionId id) { streams_.erase(id); }
 
     EventLoop &loop_;
-    lws_vhost *clientHost_ = nullptr;
+    lws_vhost *clientVhost_ = nullptr;
     std::map<lws_vhost *, AcceptHandler> acceptHandlers_;
     std::map<ConnectionId, RawStream *> streams_;
     ConnectionId nextId_ = 1;
