--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -186,7 +186,7 @@
     int failedWarnings_ = 0;               // Failed sends since the last new change.
     TimePoint nextWarningAt_{};
     Settings settings_;
-    WatcherSelector order_;
+    WatcherSelector watcherSelector_;
     std::map<InstanceId, Link> links_;
     std::vector<InstanceId> localHallPeers_;
     std::vector<InstanceId> remoteHallPeers_; // One entry of each other hall.
