--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -189,7 +189,7 @@
     , crashes_(crashes)
     , sentCrashCursor_(crashes.cursor())
     , settings_(settings)
-    , order_(settings.self, kWatcherLease, settings.lease)
+    , watcherSelector_(settings.self, kWatcherLease, settings.lease)
     , tasks_(*this)
 {}
 
@@ -229,7 +229,7 @@
             link.inFlight = false;
         }
     }
-    order_.setEntries(std::move(hallEntries));
+    watcherSelector_.setEntries(std::move(hallEntries));
     std::erase_if(links_,
                   [&keptEntries](const auto &entry) { return !keptEntries.contains(entry.first); });
 }
@@ -243,7 +243,7 @@
     // At the start, all peers of the hall are called, because any of them may have the highest
     // version.
     std::vector<InstanceId> targets =
-        hallContacted() ? order_.watchers(kWatchersPerHall, now) : localHallPeers_;
+        hallContacted() ? watcherSelector_.watchers(kWatchersPerHall, now) : localHallPeers_;
     if (shouldWatchPlatform()) {
         targets.insert(targets.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
     }
@@ -277,7 +277,7 @@
     failedWarnings_ = changes.cursor > maxSentCrashCursor_ ? 0 : failedWarnings_;
     sentCrashCursor_ = changes.cursor;
     maxSentCrashCursor_ = std::max(maxSentCrashCursor_, changes.cursor);
-    std::vector<InstanceId> targets = order_.watchers(kWatchersPerHall, now);
+    std::vector<InstanceId> targets = watcherSelector_.watchers(kWatchersPerHall, now);
     targets.insert(targets.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
     for (const InstanceId &entry : targets) {
         const auto link = links_.find(entry);
@@ -310,13 +310,13 @@
     if (!hasInstanceList_) {
         return true;
     }
-    const auto watchers = order_.watchers(kWatchersPerHall, loop_.now());
+    const auto watchers = watcherSelector_.watchers(kWatchersPerHall, loop_.now());
     return std::find(watchers.begin(), watchers.end(), settings_.self) != watchers.end();
 }
 
 bool PeerNetwork::hallContacted() const
 {
-    return hasInstanceList_ && order_.allContacted(loop_.now());
+    return hasInstanceList_ && watcherSelector_.allContacted(loop_.now());
 }
 
 void PeerNetwork::exchangeWith(const InstanceId &entry)
@@ -327,7 +327,7 @@
     }
     Link &link = found->second;
     const TimePoint askedAt = loop_.now();
-    order_.onRequestSent(entry, askedAt);
+    watcherSelector_.onRequestSent(entry, askedAt);
     link.inFlight = true;
     auto request = link.rpc->capability().castAs<wire::Peer>().exchangeRequest();
     auto status = request.initStatus();
@@ -356,7 +356,7 @@
         found->second.inFlight = false;
         mergeCrashes(found->second, answer);
     }
-    order_.onAnswer(entry, askedAt);
+    watcherSelector_.onAnswer(entry, askedAt);
     const DocumentVersions known = readVersions(answer.getStatus());
     clusterState_.observePeerVersions(known);
     const Duration listAge(answer.getStatus().getListAgeMicros());
