--- a/src/knowledge/clusterstate.h
+++ b/src/knowledge/clusterstate.h
@@ -64,8 +64,7 @@
     // Records that the platform confirmed the held list in answer to a request sent at `askedAt` or
     // later.
     void confirmList(TimePoint askedAt);
-    // Returns the time since the platform confirmed the held list, or a negative value if it has
-    // not.
+    // Returns the time since the platform confirmed the held list; negative if it never did.
     Duration listAge(TimePoint now) const;
 
     DocumentVersions versions() const;
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -294,8 +294,8 @@
     }
 }
 
-// Schedules a retry from `before`. It may reach another entry that has replaced one that is gone;
-// entries that already have the changes merge them without effect.
+// Schedules a retry from the cursor `before`. The retry may reach an entry that has replaced one
+// that is gone; entries that already have the changes merge them without effect.
 void PeerNetwork::onWarningFailed(std::uint64_t before)
 {
     if (failedWarnings_ < kMaxWarningRetries) {
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -39,7 +39,7 @@
     // Resolves at the next change or after `timeout`, whichever comes first.
     kj::Promise<void> wait(Duration timeout) { return waiting_.wait(timeout); }
 
-    // Wakes the waiting exchanges because of a change other than that of a document.
+    // Wakes the waiting exchanges after a change of something other than a document.
     void wake() { waiting_.wakeAll(); }
 
     void onConfig(const ConfigDocument & /*document*/) override { waiting_.wakeAll(); }
@@ -49,7 +49,7 @@
     WakeList waiting_;
 };
 
-// Serves the `Peer` interface: exchanges, offered documents and crash warnings.
+// Serves the `Peer` interface: exchanges, offered documents and crash warnings. Single-threaded.
 class PeerServer : public virtual wire::Peer::Server
 {
 public:
@@ -155,8 +155,8 @@
     // Sends changes of the crash record to the watchers of this hall and to one entry of each other
     // hall, except changes that came from an exchange. Also retries, so it must be called often.
     void sendCrashWarnings();
-    // Returns whether this entry should watch the platform: it is a watcher, or there is no list
-    // yet.
+    // Returns whether this entry should watch the platform, because it is a watcher or there is no
+    // instance list yet.
     bool shouldWatchPlatform() const;
     // Returns whether every peer of the hall has answered once or exceeded `Settings::lease`, so
     // that the highest version in the hall is known.
--- a/src/net/rpclink.h
+++ b/src/net/rpclink.h
@@ -1,5 +1,4 @@
-// An RPC connection to another process, established on first use and re-established on the next use
-// after it is lost.
+// An RPC connection that is established on first use, and again on the next use after it is lost.
 #pragma once
 
 #include "net/eventloop.h"
@@ -13,8 +12,8 @@
 
 namespace seamarch {
 
-// An RPC client connection that reconnects on demand. Calls `onClosed` from the event loop, never
-// inside an RPC callback, so the owner may destroy the link in it. Single-threaded.
+// An RPC client that owns its connection and reconnects on demand. Calls `onClosed` from the event
+// loop, never inside an RPC callback, so the owner may destroy the link in it. Single-threaded.
 class RpcLink
 {
 public:
