--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -117,12 +117,15 @@
 
 void WatcherSelector::setEntries(std::vector<InstanceId> entries)
 {
-    order_ = std::move(entries);
-    std::sort(order_.begin(), order_.end(), [](const InstanceId &left, const InstanceId &right) {
-        return std::pair(selectionHash(left), left) < std::pair(selectionHash(right), right);
-    });
+    orderedEntries_ = std::move(entries);
+    std::sort(orderedEntries_.begin(), orderedEntries_.end(),
+              [](const InstanceId &left, const InstanceId &right) {
+                  return std::pair(selectionHash(left), left)
+                         < std::pair(selectionHash(right), right);
+              });
     std::erase_if(histories_, [this](const auto &entry) {
-        return std::find(order_.begin(), order_.end(), entry.first) == order_.end();
+        return std::find(orderedEntries_.begin(), orderedEntries_.end(), entry.first)
+               == orderedEntries_.end();
     });
 }
 
@@ -157,7 +160,7 @@
 std::vector<InstanceId> WatcherSelector::watchers(std::size_t count, TimePoint now) const
 {
     std::vector<InstanceId> found;
-    for (const InstanceId &entry : order_) {
+    for (const InstanceId &entry : orderedEntries_) {
         if (found.size() < count && (entry == self_ || !isUnresponsive(entry, now))) {
             found.push_back(entry);
         }
@@ -176,9 +179,10 @@
 
 bool WatcherSelector::allContacted(TimePoint now) const
 {
-    return std::all_of(order_.begin(), order_.end(), [&](const InstanceId &entry) {
-        return entry == self_ || !isAwaitingFirstAnswer(entry, now);
-    });
+    return std::all_of(orderedEntries_.begin(), orderedEntries_.end(),
+                       [&](const InstanceId &entry) {
+                           return entry == self_ || !isAwaitingFirstAnswer(entry, now);
+                       });
 }
 
 PeerNetwork::PeerNetwork(EventLoop &loop, RawTransport &transport, ClusterState &clusterState,
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -124,7 +124,7 @@
     InstanceId self_;
     Duration lease_;
     Duration startupLease_;
-    std::vector<InstanceId> order_;
+    std::vector<InstanceId> orderedEntries_;
     std::map<InstanceId, RequestHistory> histories_;
 };
 
