--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -186,8 +186,8 @@
     , random_(incarnation_.value())
     , tasks_(*this)
 {
-    knowledge_.listen(*this);
-    knowledge_.listen(changes_);
+    knowledge_.addListener(*this);
+    knowledge_.addListener(changes_);
 }
 
 AgentService::~AgentService() noexcept = default;
@@ -630,7 +630,7 @@
 json AgentService::status() const
 {
     const AgentReport report = core_.report();
-    const KnownVersions versions = knowledge_.versions();
+    const DocumentVersions versions = knowledge_.versions();
     return {{"role", "agent"},
             {"instance", settings_.instance.value()},
             {"hall", settings_.hall.value()},
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -8,7 +8,7 @@
 #include "agent/grantnetwork.h"
 #include "agent/orderdriver.h"
 #include "decision/dispatch/agentcore.h"
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "knowledge/peernetwork.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
@@ -42,7 +42,7 @@
     Duration stopDeadline = std::chrono::seconds(120);
 };
 
-class AgentService final : private KnowledgeListener,
+class AgentService final : private ClusterStateListener,
                            private StatusSource,
                            private OrderHost,
                            private kj::TaskSet::ErrorHandler
@@ -134,7 +134,7 @@
     AgentSettings settings_;
     Incarnation incarnation_;
     Metrics metrics_;
-    Knowledge knowledge_;
+    ClusterState knowledge_;
     ChangeSignal changes_;
     AgentCore core_;
     std::unique_ptr<RawTransport> transport_;
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -6,7 +6,7 @@
 
 #include "decision/dispatch/admissionresult.h"
 #include "decision/dispatch/entrycore.h"
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
 #include "net/rpclink.h"
@@ -57,7 +57,7 @@
     {
         EventLoop &loop;
         RawTransport &transport;
-        Knowledge &knowledge;
+        ClusterState &knowledge;
         AgentLinkListener &listener;
         InstanceId self;
         Incarnation incarnation;
@@ -85,7 +85,7 @@
     void onClosed();
     void onExchange(wire::Status::Reader status, wire::Update::Reader config,
                     wire::Update::Reader list, TimePoint askedAt);
-    void offer(const KnownVersions &peer);
+    void offer(const DocumentVersions &peer);
     void taskFailed(kj::Exception &&exception) override;
 
     Context context_;
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -61,7 +61,7 @@
 class EntryService::PeerEnd final : public PeerServer
 {
 public:
-    PeerEnd(EntryService &service, Knowledge &knowledge, EventLoop &loop)
+    PeerEnd(EntryService &service, ClusterState &knowledge, EventLoop &loop)
         : PeerServer(knowledge, service.changes_, loop)
         , service_(service)
     {}
@@ -73,7 +73,7 @@
         status.setIncarnation(service_.incarnation_.value());
         status.setLeaving(service_.stopping_);
     }
-    CrashRecord *crashes() override { return &service_.core_.crashes(); }
+    CrashRecord *crashRecord() override { return &service_.core_.crashes(); }
 
     EntryService &service_;
 };
@@ -87,8 +87,8 @@
     , filters_(makeCallerFilters(directory_))
     , core_(coreSettings(settings_, incarnation_), std::make_unique<ExpectedWaitRouter>())
 {
-    knowledge_.listen(*this);
-    knowledge_.listen(changes_);
+    knowledge_.addListener(*this);
+    knowledge_.addListener(changes_);
 }
 
 EntryService::~EntryService() = default;
@@ -228,7 +228,7 @@
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
     tellOfCrashes();
-    watcher_->setActive(peers_->shouldWatch());
+    watcher_->setActive(peers_->shouldWatchPlatform());
     if (stopping_) {
         stopIfDrained();
     }
@@ -241,7 +241,7 @@
         toldCrashes_ = core_.crashes().cursor();
         changes_.wake();
     }
-    peers_->warn();
+    peers_->sendCrashWarnings();
 }
 
 void EntryService::onRequest(ExchangeId exchange, HttpRequest request)
@@ -605,7 +605,7 @@
         reason = "no configuration that is known to be the highest";
         return false;
     }
-    if (!peers_->hallHeard()) {
+    if (!peers_->hallContacted()) {
         reason = "peers of the hall have not been heard";
         return false;
     }
@@ -616,7 +616,7 @@
 {
     std::string reason;
     const bool isReady = ready(reason);
-    const KnownVersions versions = knowledge_.versions();
+    const DocumentVersions versions = knowledge_.versions();
     json agents = json::object();
     const TimePoint now = loop_.now();
     for (const auto &[id, member] : core_.members().members()) {
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -7,9 +7,9 @@
 #include "decision/dispatch/entrycore.h"
 #include "entry/agentlink.h"
 #include "entry/callerfilters.h"
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "knowledge/peernetwork.h"
-#include "knowledge/watcher.h"
+#include "knowledge/platformwatcher.h"
 #include "net/eventloop.h"
 #include "net/httpclient.h"
 #include "net/httpserver.h"
@@ -45,7 +45,7 @@
 
 class EntryService final : private HttpHandler,
                            private AgentLinkListener,
-                           private KnowledgeListener,
+                           private ClusterStateListener,
                            private StatusSource
 {
 public:
@@ -130,7 +130,7 @@
     EntrySettings settings_;
     Incarnation incarnation_;
     Metrics metrics_;
-    Knowledge knowledge_;
+    ClusterState knowledge_;
     ChangeSignal changes_;
     CallerDirectory directory_;
     std::vector<std::unique_ptr<RequestFilter>> filters_;
--- a/src/gateway/gatewaypeersannouncements.cpp
+++ b/src/gateway/gatewaypeersannouncements.cpp
@@ -16,7 +16,7 @@
 void GatewayPeers::applyCrashes(Link &link, TimePoint sentAt, wire::GatewayNews::Reader news)
 {
     const TimePoint answeredAt = sentAt + Duration(news.getHeldMicros());
-    const std::uint64_t learned = learnSuspects(news.getCrashes(), answeredAt, crashes_);
+    const std::uint64_t learned = mergeSuspects(news.getCrashes(), answeredAt, crashes_);
     link.crashCursor = news.getCrashCursor();
     peerCrashChanges_ += learned;
     if (learned > 0) {
@@ -135,7 +135,7 @@
 
 void GatewayPeers::writeCrashes(wire::GatewayNews::Builder news, std::uint64_t cursor) const
 {
-    const CrashRecord::Changes changes = crashes_.changedSince(cursor, kMostSuspects);
+    const CrashRecord::Changes changes = crashes_.changedSince(cursor, kMaxSuspectsPerMessage);
     news.setCrashCursor(changes.cursor);
     auto list = news.initCrashes(static_cast<std::uint32_t>(changes.suspects.size()));
     for (std::uint32_t index = 0; index < list.size(); ++index) {
--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/clusterstate.cpp
@@ -1,4 +1,4 @@
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 
 #include "base/log.h"
 
@@ -8,21 +8,22 @@
 
 using nlohmann::json;
 
-UpdateResult Knowledge::note(UpdateResult result, const char *what)
+UpdateResult ClusterState::countConflict(UpdateResult result, const char *documentName)
 {
     if (result == UpdateResult::Conflict) {
         ++conflicts_;
-        logLine(LogLevel::Error, "knowledge.conflict",
-                {{"document", what},
-                 {"message", "two documents carry one version; publish a higher one"}});
+        logLine(
+            LogLevel::Error, "knowledge.conflict",
+            {{"document", documentName},
+             {"message", "two different documents have the same version; publish a higher one"}});
     }
     return result;
 }
 
-template <typename Take>
-UpdateResult Knowledge::takeConfig(VersionedDocument next, Take take)
+template <typename UpdateFunction>
+UpdateResult ClusterState::updateConfig(VersionedDocument next, UpdateFunction update)
 {
-    const UpdateResult result = note(take(next), "config");
+    const UpdateResult result = countConflict(update(next), "config");
     if (result != UpdateResult::Applied) {
         return result;
     }
@@ -34,26 +35,26 @@
     }
     config_ = std::move(next);
     configDocument_ = std::move(*document);
-    announceConfig();
+    notifyConfigListeners();
     return result;
 }
 
-void Knowledge::announceConfig()
+void ClusterState::notifyConfigListeners()
 {
-    if (!config_.inForce() || announced_ == config_.version()) {
+    if (!config_.inForce() || notifiedConfigVersion_ == config_.version()) {
         return;
     }
-    announced_ = config_.version();
-    logLine(LogLevel::Info, "config.in-force", {{"version", announced_}});
-    for (KnowledgeListener *listener : listeners_) {
+    notifiedConfigVersion_ = config_.version();
+    logLine(LogLevel::Info, "config.in-force", {{"version", notifiedConfigVersion_}});
+    for (ClusterStateListener *listener : listeners_) {
         listener->onConfig(configDocument_);
     }
 }
 
-template <typename Take>
-UpdateResult Knowledge::takeList(VersionedDocument next, Take take)
+template <typename UpdateFunction>
+UpdateResult ClusterState::updateList(VersionedDocument next, UpdateFunction update)
 {
-    const UpdateResult result = note(take(next), "instances");
+    const UpdateResult result = countConflict(update(next), "instances");
     if (result != UpdateResult::Applied) {
         return result;
     }
@@ -66,73 +67,74 @@
     list_ = std::move(next);
     listConfirmedAt_.reset();
     instanceList_ = std::move(*list);
-    for (KnowledgeListener *listener : listeners_) {
+    for (ClusterStateListener *listener : listeners_) {
         listener->onInstances(instanceList_);
     }
     return result;
 }
 
-UpdateResult Knowledge::acceptConfig(const std::string &text)
+UpdateResult ClusterState::acceptConfig(const std::string &text)
 {
     auto value = parseJson(text);
     if (!value) {
         logLine(LogLevel::Error, "config.refused", {{"faults", describe(value.error())}});
         return UpdateResult::Damaged;
     }
-    return takeConfig(config_,
-                      [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
+    return updateConfig(config_,
+                        [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
 }
 
-UpdateResult Knowledge::acceptList(const std::string &text)
+UpdateResult ClusterState::acceptList(const std::string &text)
 {
     auto value = parseJson(text);
     if (!value) {
         logLine(LogLevel::Error, "instances.refused", {{"faults", describe(value.error())}});
         return UpdateResult::Damaged;
     }
-    return takeList(list_, [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
+    return updateList(list_,
+                      [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
 }
 
-void Knowledge::apply(const KnowledgeUpdates &updates)
+void ClusterState::apply(const DocumentUpdates &updates)
 {
     if (updates.config && updates.config->to > config_.version()) {
-        takeConfig(config_, [&](VersionedDocument &next) { return next.apply(*updates.config); });
+        updateConfig(config_, [&](VersionedDocument &next) { return next.apply(*updates.config); });
     }
     if (updates.list && updates.list->to > list_.version()) {
-        takeList(list_, [&](VersionedDocument &next) { return next.apply(*updates.list); });
+        updateList(list_, [&](VersionedDocument &next) { return next.apply(*updates.list); });
     }
 }
 
-void Knowledge::hear(const KnownVersions &peer)
+void ClusterState::observePeerVersions(const DocumentVersions &peer)
 {
     config_.raiseFloor(std::max(peer.config, peer.configFloor));
     if (peer.config == config_.version() && peer.config != 0
         && peer.configDigest != config_.digest()) {
-        note(UpdateResult::Conflict, "config");
+        countConflict(UpdateResult::Conflict, "config");
     }
 }
 
-void Knowledge::confirmList(TimePoint askedAt)
+void ClusterState::confirmList(TimePoint askedAt)
 {
     listConfirmedAt_ = std::max(listConfirmedAt_.value_or(askedAt), askedAt);
 }
 
-Duration Knowledge::listAge(TimePoint now) const
+Duration ClusterState::listAge(TimePoint now) const
 {
     return listConfirmedAt_ ? now - *listConfirmedAt_ : Duration(-1);
 }
 
-KnownVersions Knowledge::versions() const
+DocumentVersions ClusterState::versions() const
 {
     return {config_.version(), config_.digest(), config_.floor(), list_.version(), list_.digest()};
 }
 
-KnowledgeUpdates Knowledge::updatesFor(const KnownVersions &peer) const
+DocumentUpdates ClusterState::updatesFor(const DocumentVersions &peer) const
 {
     return {config_.updateFor(peer.config), list_.updateFor(peer.list)};
 }
 
-bool Knowledge::lags(const KnownVersions &peer) const
+bool ClusterState::isBehind(const DocumentVersions &peer) const
 {
     return peer.config > config_.version() || peer.list > list_.version();
 }
--- a/src/knowledge/peernetwork.cpp
+++ b/src/knowledge/peernetwork.cpp
@@ -12,17 +12,18 @@
 namespace {
 
 constexpr std::size_t kWatchersPerHall = 2;
-// An exchange with a watcher waits for a change, so that few of them carry it at once.
-constexpr Duration kWaitForChange = std::chrono::seconds(5);
-constexpr Duration kLongestWait = std::chrono::seconds(10);
+// An exchange with a watcher is held until something changes, so that changes spread at once with
+// few exchanges.
+constexpr Duration kExchangeWait = std::chrono::seconds(5);
+constexpr Duration kMaxExchangeWait = std::chrono::seconds(10);
 constexpr Duration kWatcherLease = std::chrono::seconds(12);
-// A warning that did not arrive is sent again after a pause, for some seconds in all: by then a
-// watcher that is gone has been replaced or is asked by nobody.
-constexpr Duration kWarnPause = std::chrono::milliseconds(500);
-constexpr int kWarnTries = 8;
-constexpr Duration kAskAgain = std::chrono::milliseconds(300);
+// A crash warning that failed is retried every 500 ms for a few seconds. By then a watcher that
+// is gone has been replaced, or no entry calls it any more.
+constexpr Duration kWarningRetryDelay = std::chrono::milliseconds(500);
+constexpr int kMaxWarningRetries = 8;
+constexpr Duration kUpdateRequestInterval = std::chrono::milliseconds(300);
 
-std::uint64_t orderHash(const InstanceId &entry)
+std::uint64_t selectionHash(const InstanceId &entry)
 {
     return XXH3_64bits(entry.value().data(), entry.value().size());
 }
@@ -31,52 +32,52 @@
 
 kj::Promise<void> PeerServer::exchange(ExchangeContext context)
 {
-    const KnownVersions peer = readVersions(context.getParams().getStatus());
-    knowledge_.hear(peer);
+    const DocumentVersions peer = readVersions(context.getParams().getStatus());
+    clusterState_.observePeerVersions(peer);
     onPeerStatus(context.getParams().getStatus());
     const Duration wait(context.getParams().getWaitMicros());
-    const KnowledgeUpdates updates = knowledge_.updatesFor(peer);
-    const bool nothingNew = !updates.config && !updates.list && !knowledge_.lags(peer)
-                            && !hasCrashesFor(context.getParams().getCrashCursor());
+    const DocumentUpdates updates = clusterState_.updatesFor(peer);
+    const bool nothingNew = !updates.config && !updates.list && !clusterState_.isBehind(peer)
+                            && !hasCrashesSince(context.getParams().getCrashCursor());
     if (wait <= Duration{} || !nothingNew) {
         answer(context, peer);
         return kj::READY_NOW;
     }
-    // The connection may be gone by then; its calls are dropped with it.
-    return changes_.wait(std::min(wait, kLongestWait)).then([this, context, peer]() mutable {
+    // If the connection closes while the exchange waits, the call is dropped with it.
+    return changes_.wait(std::min(wait, kMaxExchangeWait)).then([this, context, peer]() mutable {
         answer(context, peer);
     });
 }
 
-void PeerServer::answer(ExchangeContext context, const KnownVersions &peer)
+void PeerServer::answer(ExchangeContext context, const DocumentVersions &peer)
 {
     auto results = context.getResults();
-    const KnowledgeUpdates updates = knowledge_.updatesFor(peer);
+    const DocumentUpdates updates = clusterState_.updatesFor(peer);
     writeUpdate(updates.config, results.initConfig());
     writeUpdate(updates.list, results.initList());
     auto status = results.initStatus();
-    writeVersions(knowledge_.versions(), status);
+    writeVersions(clusterState_.versions(), status);
     status.setClockMicros(loop_.now().time_since_epoch().count());
-    status.setListAgeMicros(knowledge_.listAge(loop_.now()).count());
-    status.setWantsUpdate(wantsUpdate(peer));
+    status.setListAgeMicros(clusterState_.listAge(loop_.now()).count());
+    status.setWantsUpdate(shouldRequestUpdate(peer));
     fillStatus(status);
     writeCrashes(context);
 }
 
-bool PeerServer::hasCrashesFor(std::uint64_t cursor)
+bool PeerServer::hasCrashesSince(std::uint64_t cursor)
 {
-    const CrashRecord *record = crashes();
+    const CrashRecord *record = crashRecord();
     return record != nullptr && record->hasChangedSince(cursor);
 }
 
 void PeerServer::writeCrashes(ExchangeContext context)
 {
-    const CrashRecord *record = crashes();
+    const CrashRecord *record = crashRecord();
     if (record == nullptr) {
         return;
     }
     const CrashRecord::Changes changes =
-        record->changedSince(context.getParams().getCrashCursor(), kMostSuspects);
+        record->changedSince(context.getParams().getCrashCursor(), kMaxSuspectsPerMessage);
     auto results = context.getResults();
     results.setCrashCursor(changes.cursor);
     auto list = results.initCrashes(static_cast<std::uint32_t>(changes.suspects.size()));
@@ -87,107 +88,112 @@
 
 kj::Promise<void> PeerServer::warn(WarnContext context)
 {
-    if (CrashRecord *record = crashes()) {
-        learnSuspects(context.getParams().getCrashes(), loop_.now(), *record);
+    if (CrashRecord *record = crashRecord()) {
+        mergeSuspects(context.getParams().getCrashes(), loop_.now(), *record);
     }
     return kj::READY_NOW;
 }
 
-bool PeerServer::wantsUpdate(const KnownVersions &peer)
+bool PeerServer::shouldRequestUpdate(const DocumentVersions &peer)
 {
-    // Many peers show the same new version; one of them is asked for it at a time.
+    // Many peers report the same new version; only one request for it is made per interval.
     const TimePoint now = loop_.now();
-    if (!knowledge_.lags(peer) || now < askAgainAt_) {
+    if (!clusterState_.isBehind(peer) || now < nextUpdateRequestAt_) {
         return false;
     }
-    askAgainAt_ = now + kAskAgain;
+    nextUpdateRequestAt_ = now + kUpdateRequestInterval;
     return true;
 }
 
 kj::Promise<void> PeerServer::offer(OfferContext context)
 {
     const auto params = context.getParams();
-    knowledge_.apply({readUpdate(params.getConfig()), readUpdate(params.getList())});
+    clusterState_.apply({readUpdate(params.getConfig()), readUpdate(params.getList())});
     auto status = context.getResults().initStatus();
-    writeVersions(knowledge_.versions(), status);
+    writeVersions(clusterState_.versions(), status);
     fillStatus(status);
     return kj::READY_NOW;
 }
 
-void WatchOrder::setEntries(std::vector<InstanceId> entries)
+void WatcherSelector::setEntries(std::vector<InstanceId> entries)
 {
-    order_ = std::move(entries);
-    std::sort(order_.begin(), order_.end(), [](const InstanceId &left, const InstanceId &right) {
-        return std::pair(orderHash(left), left) < std::pair(orderHash(right), right);
-    });
-    std::erase_if(heard_, [this](const auto &entry) {
-        return std::find(order_.begin(), order_.end(), entry.first) == order_.end();
+    orderedEntries_ = std::move(entries);
+    std::sort(orderedEntries_.begin(), orderedEntries_.end(),
+              [](const InstanceId &left, const InstanceId &right) {
+                  return std::pair(selectionHash(left), left)
+                         < std::pair(selectionHash(right), right);
+              });
+    std::erase_if(histories_, [this](const auto &entry) {
+        return std::find(orderedEntries_.begin(), orderedEntries_.end(), entry.first)
+               == orderedEntries_.end();
     });
 }
 
-void WatchOrder::onAsked(const InstanceId &entry, TimePoint now)
+void WatcherSelector::onRequestSent(const InstanceId &entry, TimePoint now)
 {
-    Heard &heard = heard_[entry];
-    if (!heard.asked) {
-        heard.asked = true;
-        heard.firstAsked = now;
+    RequestHistory &history = histories_[entry];
+    if (!history.requested) {
+        history.requested = true;
+        history.firstRequestAt = now;
     }
 }
 
-void WatchOrder::onAnswer(const InstanceId &entry, TimePoint askedAt)
+void WatcherSelector::onAnswer(const InstanceId &entry, TimePoint askedAt)
 {
-    Heard &heard = heard_[entry];
-    heard.everAnswered = true;
-    heard.answered = std::max(heard.answered, askedAt);
+    RequestHistory &history = histories_[entry];
+    history.hasAnswered = true;
+    history.lastAnsweredRequestAt = std::max(history.lastAnsweredRequestAt, askedAt);
 }
 
-bool WatchOrder::silent(const InstanceId &entry, TimePoint now) const
+bool WatcherSelector::isUnresponsive(const InstanceId &entry, TimePoint now) const
 {
-    const auto found = heard_.find(entry);
-    if (found == heard_.end() || !found->second.asked) {
+    const auto found = histories_.find(entry);
+    if (found == histories_.end() || !found->second.requested) {
         return false;
     }
-    const Heard &heard = found->second;
-    const TimePoint since = heard.everAnswered ? heard.answered : heard.firstAsked;
+    const RequestHistory &history = found->second;
+    const TimePoint since =
+        history.hasAnswered ? history.lastAnsweredRequestAt : history.firstRequestAt;
     return now - since > lease_;
 }
 
-std::vector<InstanceId> WatchOrder::watchers(std::size_t count, TimePoint now) const
+std::vector<InstanceId> WatcherSelector::watchers(std::size_t count, TimePoint now) const
 {
     std::vector<InstanceId> found;
-    for (const InstanceId &entry : order_) {
-        if (found.size() < count && (entry == self_ || !silent(entry, now))) {
+    for (const InstanceId &entry : orderedEntries_) {
+        if (found.size() < count && (entry == self_ || !isUnresponsive(entry, now))) {
             found.push_back(entry);
         }
     }
     return found;
 }
 
-bool WatchOrder::unheard(const InstanceId &entry, TimePoint now) const
+bool WatcherSelector::isAwaitingFirstAnswer(const InstanceId &entry, TimePoint now) const
 {
-    const auto found = heard_.find(entry);
-    if (found == heard_.end() || !found->second.asked) {
+    const auto found = histories_.find(entry);
+    if (found == histories_.end() || !found->second.requested) {
         return true;
     }
-    return !found->second.everAnswered && now - found->second.firstAsked <= startLease_;
+    return !found->second.hasAnswered && now - found->second.firstRequestAt <= startupLease_;
 }
 
-bool WatchOrder::allHeard(TimePoint now) const
+bool WatcherSelector::allContacted(TimePoint now) const
 {
-    return std::all_of(order_.begin(), order_.end(), [&](const InstanceId &entry) {
-        return entry == self_ || !unheard(entry, now);
-    });
+    return std::all_of(orderedEntries_.begin(), orderedEntries_.end(),
+                       [&](const InstanceId &entry) {
+                           return entry == self_ || !isAwaitingFirstAnswer(entry, now);
+                       });
 }
 
-PeerNetwork::PeerNetwork(EventLoop &loop, RawTransport &transport, Knowledge &knowledge,
+PeerNetwork::PeerNetwork(EventLoop &loop, RawTransport &transport, ClusterState &clusterState,
                          CrashRecord &crashes, const Settings &settings)
     : loop_(loop)
     , transport_(transport)
-    , knowledge_(knowledge)
+    , clusterState_(clusterState)
     , crashes_(crashes)
-    , warnedOf_(crashes.cursor())
+    , sentCrashCursor_(crashes.cursor())
     , settings_(settings)
-    , order_(settings.self, kWatcherLease, settings.lease)
+    , watcherSelector_(settings.self, kWatcherLease, settings.lease)
     , tasks_(*this)
 {}
 
@@ -200,25 +206,26 @@
 
 void PeerNetwork::setInstances(const InstanceList &list)
 {
-    listed_ = true;
-    hallPeers_.clear();
-    farPeers_.clear();
-    std::set<HallId> farHalls;
-    std::set<InstanceId> kept;
+    hasInstanceList_ = true;
+    localHallPeers_.clear();
+    remoteHallPeers_.clear();
+    std::set<HallId> remoteHalls;
+    std::set<InstanceId> keptEntries;
     std::vector<InstanceId> hallEntries;
     for (const InstanceRecord &record : list.instances) {
         if (record.role != InstanceRole::Entry || record.state == InstanceState::Leaving) {
             continue;
         }
-        const bool near = record.hall == settings_.hall;
-        if (near) {
+        const bool isInOwnHall = record.hall == settings_.hall;
+        if (isInOwnHall) {
             hallEntries.push_back(record.id);
         }
-        if (record.id == settings_.self || (!near && !farHalls.insert(record.hall).second)) {
+        if (record.id == settings_.self
+            || (!isInOwnHall && !remoteHalls.insert(record.hall).second)) {
             continue;
         }
-        (near ? hallPeers_ : farPeers_).push_back(record.id);
-        kept.insert(record.id);
+        (isInOwnHall ? localHallPeers_ : remoteHallPeers_).push_back(record.id);
+        keptEntries.insert(record.id);
         const SocketAddress address{record.address, record.port};
         Link &link = links_[record.id];
         if (link.rpc == nullptr || link.rpc->address() != address) {
@@ -226,57 +233,60 @@
             link.inFlight = false;
         }
     }
-    order_.setEntries(std::move(hallEntries));
-    std::erase_if(links_, [&kept](const auto &entry) { return !kept.contains(entry.first); });
+    watcherSelector_.setEntries(std::move(hallEntries));
+    std::erase_if(links_,
+                  [&keptEntries](const auto &entry) { return !keptEntries.contains(entry.first); });
 }
 
 void PeerNetwork::tick()
 {
-    if (!listed_) {
+    if (!hasInstanceList_) {
         return;
     }
     const TimePoint now = loop_.now();
-    // At start everyone in the hall is asked, because any of them may know the highest version.
-    std::vector<InstanceId> turn =
-        hallHeard() ? order_.watchers(kWatchersPerHall, now) : hallPeers_;
-    if (shouldWatch()) {
-        turn.insert(turn.end(), farPeers_.begin(), farPeers_.end());
+    // At the start, all peers of the hall are called, because any of them may have the highest
+    // version.
+    std::vector<InstanceId> targets =
+        hallContacted() ? watcherSelector_.watchers(kWatchersPerHall, now) : localHallPeers_;
+    if (shouldWatchPlatform()) {
+        targets.insert(targets.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
     }
-    for (const InstanceId &entry : turn) {
+    for (const InstanceId &entry : targets) {
         if (entry != settings_.self) {
             exchangeWith(entry);
         }
     }
 }
 
-// Those whom this entry asks hand on what they have told it themselves.
-void PeerNetwork::takeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer)
+// Merges the crashes of an answer. If nothing else is unsent, marks them as sent, because the peers
+// that this entry calls distribute them themselves.
+void PeerNetwork::mergeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer)
 {
-    const bool allTold = warnedOf_ == crashes_.cursor();
-    learnSuspects(answer.getCrashes(), loop_.now(), crashes_);
+    const bool allSent = sentCrashCursor_ == crashes_.cursor();
+    mergeSuspects(answer.getCrashes(), loop_.now(), crashes_);
     link.crashCursor = answer.getCrashCursor();
-    if (allTold) {
-        warnedOf_ = crashes_.cursor();
+    if (allSent) {
+        sentCrashCursor_ = crashes_.cursor();
     }
 }
 
-void PeerNetwork::warn()
+void PeerNetwork::sendCrashWarnings()
 {
     const TimePoint now = loop_.now();
-    if (!listed_ || now < warnNotBefore_ || !crashes_.hasChangedSince(warnedOf_)) {
+    if (!hasInstanceList_ || now < nextWarningAt_ || !crashes_.hasChangedSince(sentCrashCursor_)) {
         return;
     }
-    const std::uint64_t before = warnedOf_;
-    const CrashRecord::Changes changes = crashes_.changedSince(before, kMostSuspects);
-    warnTries_ = changes.cursor > warnedUpTo_ ? 0 : warnTries_;
-    warnedOf_ = changes.cursor;
-    warnedUpTo_ = std::max(warnedUpTo_, changes.cursor);
-    std::vector<InstanceId> told = order_.watchers(kWatchersPerHall, now);
-    told.insert(told.end(), farPeers_.begin(), farPeers_.end());
-    for (const InstanceId &entry : told) {
+    const std::uint64_t before = sentCrashCursor_;
+    const CrashRecord::Changes changes = crashes_.changedSince(before, kMaxSuspectsPerMessage);
+    failedWarnings_ = changes.cursor > maxSentCrashCursor_ ? 0 : failedWarnings_;
+    sentCrashCursor_ = changes.cursor;
+    maxSentCrashCursor_ = std::max(maxSentCrashCursor_, changes.cursor);
+    std::vector<InstanceId> targets = watcherSelector_.watchers(kWatchersPerHall, now);
+    targets.insert(targets.end(), remoteHallPeers_.begin(), remoteHallPeers_.end());
+    for (const InstanceId &entry : targets) {
         const auto link = links_.find(entry);
         if (link == links_.end()) {
-            continue; // It is this entry.
+            continue; // This entry itself.
         }
         auto request = link->second.rpc->capability().castAs<wire::Peer>().warnRequest();
         auto list = request.initCrashes(static_cast<std::uint32_t>(changes.suspects.size()));
@@ -284,32 +294,33 @@
             writeSuspect(changes.suspects[index], now, list[index]);
         }
         tasks_.add(request.send().ignoreResult().catch_(
-            [this, before](kj::Exception && /*error*/) { onWarnFailed(before); }));
+            [this, before](kj::Exception && /*error*/) { onWarningFailed(before); }));
     }
 }
 
-// Another entry may take the place of one that is gone; those that have heard lose nothing.
-void PeerNetwork::onWarnFailed(std::uint64_t before)
+// Schedules a retry from the cursor `before`. The retry may reach an entry that has replaced one
+// that is gone; entries that already have the changes merge them without effect.
+void PeerNetwork::onWarningFailed(std::uint64_t before)
 {
-    if (warnTries_ < kWarnTries) {
-        ++warnTries_;
-        warnedOf_ = std::min(warnedOf_, before);
-        warnNotBefore_ = loop_.now() + kWarnPause;
+    if (failedWarnings_ < kMaxWarningRetries) {
+        ++failedWarnings_;
+        sentCrashCursor_ = std::min(sentCrashCursor_, before);
+        nextWarningAt_ = loop_.now() + kWarningRetryDelay;
     }
 }
 
-bool PeerNetwork::shouldWatch() const
+bool PeerNetwork::shouldWatchPlatform() const
 {
-    if (!listed_) {
+    if (!hasInstanceList_) {
         return true;
     }
-    const auto watchers = order_.watchers(kWatchersPerHall, loop_.now());
+    const auto watchers = watcherSelector_.watchers(kWatchersPerHall, loop_.now());
     return std::find(watchers.begin(), watchers.end(), settings_.self) != watchers.end();
 }
 
-bool PeerNetwork::hallHeard() const
+bool PeerNetwork::hallContacted() const
 {
-    return listed_ && order_.allHeard(loop_.now());
+    return hasInstanceList_ && watcherSelector_.allContacted(loop_.now());
 }
 
 void PeerNetwork::exchangeWith(const InstanceId &entry)
@@ -320,15 +331,15 @@
     }
     Link &link = found->second;
     const TimePoint askedAt = loop_.now();
-    order_.onAsked(entry, askedAt);
+    watcherSelector_.onRequestSent(entry, askedAt);
     link.inFlight = true;
     auto request = link.rpc->capability().castAs<wire::Peer>().exchangeRequest();
     auto status = request.initStatus();
     status.setInstance(settings_.self.value());
     status.setIncarnation(settings_.incarnation.value());
-    writeVersions(knowledge_.versions(), status);
+    writeVersions(clusterState_.versions(), status);
     request.setCrashCursor(link.crashCursor);
-    request.setWaitMicros(hallHeard() ? kWaitForChange.count() : 0);
+    request.setWaitMicros(hallContacted() ? kExchangeWait.count() : 0);
     tasks_.add(request.send().then(
         [this, entry, askedAt](capnp::Response<wire::Peer::ExchangeResults> &&answer) {
             onAnswer(entry, answer, askedAt);
@@ -347,25 +358,25 @@
     const auto found = links_.find(entry);
     if (found != links_.end()) {
         found->second.inFlight = false;
-        takeCrashes(found->second, answer);
+        mergeCrashes(found->second, answer);
     }
-    order_.onAnswer(entry, askedAt);
-    const KnownVersions known = readVersions(answer.getStatus());
-    knowledge_.hear(known);
+    watcherSelector_.onAnswer(entry, askedAt);
+    const DocumentVersions known = readVersions(answer.getStatus());
+    clusterState_.observePeerVersions(known);
     const Duration listAge(answer.getStatus().getListAgeMicros());
-    if (listAge >= Duration{} && known.list == knowledge_.versions().list) {
-        knowledge_.confirmList(askedAt - listAge);
+    if (listAge >= Duration{} && known.list == clusterState_.versions().list) {
+        clusterState_.confirmList(askedAt - listAge);
     }
-    // Applying a list may change the links, so nothing of this link is used after it.
-    const bool wants = answer.getStatus().getWantsUpdate();
-    if (wants && found != links_.end()) {
-        const KnowledgeUpdates updates = knowledge_.updatesFor(known);
+    // `apply` comes last, because a new instance list may remove links and invalidate `found`.
+    const bool wantsUpdate = answer.getStatus().getWantsUpdate();
+    if (wantsUpdate && found != links_.end()) {
+        const DocumentUpdates updates = clusterState_.updatesFor(known);
         auto request = found->second.rpc->capability().castAs<wire::Peer>().offerRequest();
         writeUpdate(updates.config, request.initConfig());
         writeUpdate(updates.list, request.initList());
         tasks_.add(request.send().ignoreResult());
     }
-    knowledge_.apply({readUpdate(answer.getConfig()), readUpdate(answer.getList())});
+    clusterState_.apply({readUpdate(answer.getConfig()), readUpdate(answer.getList())});
 }
 
 } // namespace seamarch
--- a/src/knowledge/peernetwork.h
+++ b/src/knowledge/peernetwork.h
@@ -1,16 +1,17 @@
-// What entries tell each other, and which of them watch the platform.
+// The exchange of versions, documents and crash records between entries, and the choice of the
+// entries that watch the platform.
 //
-// The entries of a hall are put in an order by rendezvous hash. Each entry exchanges versions every
-// period with the first entries of that order that answer; those are the hall's watchers, and an
-// entry that finds itself among them watches the platform. Two entries with different views may
-// both watch or both take another for the watcher; a double watcher is harmless, since it only
-// reads, and a silent one is skipped after its lease. Watchers also exchange with one entry of each
-// other hall, so that a hall that is cut off from the platform but not from its neighbours still
-// learns.
+// The entries of a hall are ordered by a hash of their ids. In every period, each entry exchanges
+// versions with the first responsive entries of that order. Those are the watchers of the hall, and
+// an entry that is one of them polls the platform. Entries with different views may choose
+// different watchers, so a hall may briefly have too many or none. A superfluous watcher is
+// harmless because it only reads, and an unresponsive one is skipped when its lease expires.
+// Watchers also exchange with one entry of each other hall, so a hall that has lost the platform
+// but can reach another hall still gets updates.
 #pragma once
 
 #include "decision/retry/crashrecord.h"
-#include "knowledge/knowledge.h"
+#include "knowledge/clusterstate.h"
 #include "net/changenotifier.h"
 #include "net/eventloop.h"
 #include "net/rawtransport.h"
@@ -26,19 +27,19 @@
 
 namespace seamarch {
 
-// Lets exchanges wait for a change of what this process knows. One per process; it outlives the
-// serving ends.
-class ChangeSignal final : public KnowledgeListener
+// Wakes exchanges that wait for a change of the cluster state or of the crash record. There is one
+// per process, and it must outlive the PeerServers.
+class ChangeSignal final : public ClusterStateListener
 {
 public:
     explicit ChangeSignal(EventLoop &loop)
         : waiting_(loop)
     {}
 
-    // Resolves at the next change, or after `longest`.
-    kj::Promise<void> wait(Duration longest) { return waiting_.wait(longest); }
+    // Resolves at the next change or after `timeout`, whichever comes first.
+    kj::Promise<void> wait(Duration timeout) { return waiting_.wait(timeout); }
 
-    // Something else that exchanges wait for has changed.
+    // Wakes the waiting exchanges after a change of something other than a document.
     void wake() { waiting_.notifyAll(); }
 
     void onConfig(const ConfigDocument & /*document*/) override { waiting_.notifyAll(); }
@@ -48,12 +49,12 @@
     ChangeNotifier waiting_;
 };
 
-// The answering side of the exchange between processes.
+// Serves the `Peer` interface: exchanges, offered documents and crash warnings. Single-threaded.
 class PeerServer : public virtual wire::Peer::Server
 {
 public:
-    PeerServer(Knowledge &knowledge, ChangeSignal &changes, EventLoop &loop)
-        : knowledge_(knowledge)
+    PeerServer(ClusterState &clusterState, ChangeSignal &changes, EventLoop &loop)
+        : clusterState_(clusterState)
         , changes_(changes)
         , loop_(loop)
     {}
@@ -63,69 +64,72 @@
     kj::Promise<void> warn(WarnContext context) override;
 
 protected:
-    // A peer has told its status.
+    // Is called with the status of the peer at the start of each exchange.
     virtual void onPeerStatus(wire::Status::Reader /*status*/) {}
-    // Fills what is particular to the process; versions are filled already.
+    // Fills in the fields that depend on the kind of process. The versions are already set.
     virtual void fillStatus(wire::Status::Builder status) = 0;
-    // What the process knows of requests that end upstreams; nothing: it keeps no record of them.
-    virtual CrashRecord *crashes() { return nullptr; }
+    // Returns the record of requests that crash upstreams, or null if the process keeps none.
+    virtual CrashRecord *crashRecord() { return nullptr; }
 
 private:
-    void answer(ExchangeContext context, const KnownVersions &peer);
+    void answer(ExchangeContext context, const DocumentVersions &peer);
     void writeCrashes(ExchangeContext context);
-    bool hasCrashesFor(std::uint64_t cursor);
-    bool wantsUpdate(const KnownVersions &peer);
+    bool hasCrashesSince(std::uint64_t cursor);
+    bool shouldRequestUpdate(const DocumentVersions &peer);
 
-    Knowledge &knowledge_;
+    ClusterState &clusterState_;
     ChangeSignal &changes_;
     EventLoop &loop_;
-    TimePoint askAgainAt_{};
+    TimePoint nextUpdateRequestAt_{};
 };
 
-// Decides who among the entries of a hall should be asked, in order.
-class WatchOrder
+// Selects the watchers of a hall: the first responsive entries in the order of a hash of their ids.
+class WatcherSelector
 {
 public:
-    // A watcher is silent when it has not answered for `lease`. At the start an entry that has
-    // never answered counts as heard after `startLease`, so that a dead one does not hold the start
-    // up.
-    WatchOrder(InstanceId self, Duration lease, Duration startLease)
+    // An entry is unresponsive if it has not answered for `lease`. An entry that has never answered
+    // counts as contacted `startupLease` after the first request to it, so that a dead entry does
+    // not delay the start.
+    WatcherSelector(InstanceId self, Duration lease, Duration startupLease)
         : self_(std::move(self))
         , lease_(lease)
-        , startLease_(startLease)
+        , startupLease_(startupLease)
     {}
 
-    // Takes the entries of the hall, this one included or not.
+    // Sets the entries of the hall. The list may or may not include this entry.
     void setEntries(std::vector<InstanceId> entries);
+    // Records that `entry` answered a request that was sent at `askedAt`.
     void onAnswer(const InstanceId &entry, TimePoint askedAt);
-    // Returns the first `count` entries of the order that answer, or have not been asked long
-    // enough to be found silent. The entry itself counts as one that answers.
+    // Returns the first `count` entries of the order that are not known to be unresponsive. An
+    // entry without a request yet, and this entry itself, count as responsive.
     std::vector<InstanceId> watchers(std::size_t count, TimePoint now) const;
-    // Notes that `entry` is asked at `now`; it is found silent if it does not answer in a lease.
-    void onAsked(const InstanceId &entry, TimePoint now);
-    // Tells whether every listed entry has answered once, or was found silent.
-    bool allHeard(TimePoint now) const;
+    // Records that a request was sent to `entry` at `now`. If it never answers, its lease runs from
+    // the first request.
+    void onRequestSent(const InstanceId &entry, TimePoint now);
+    // Returns whether every other entry has answered once or exceeded `startupLease`.
+    bool allContacted(TimePoint now) const;
 
 private:
-    struct Heard
+    struct RequestHistory
     {
-        TimePoint firstAsked{};
-        TimePoint answered{};
-        bool asked = false;
-        bool everAnswered = false;
+        TimePoint firstRequestAt{};
+        TimePoint lastAnsweredRequestAt{};
+        bool requested = false;
+        bool hasAnswered = false;
     };
 
-    bool silent(const InstanceId &entry, TimePoint now) const;
-    bool unheard(const InstanceId &entry, TimePoint now) const;
+    bool isUnresponsive(const InstanceId &entry, TimePoint now) const;
+    bool isAwaitingFirstAnswer(const InstanceId &entry, TimePoint now) const;
 
     InstanceId self_;
     Duration lease_;
-    Duration startLease_;
-    std::vector<InstanceId> order_;
-    std::map<InstanceId, Heard> heard_;
+    Duration startupLease_;
+    std::vector<InstanceId> orderedEntries_;
+    std::map<InstanceId, RequestHistory> histories_;
 };
 
-// The asking side: exchanges with peer entries every period.
+// The client side of the exchange: calls the watchers of this hall and, if this entry is a watcher,
+// one entry of each other hall.
 class PeerNetwork final : private kj::TaskSet::ErrorHandler
 {
 public:
@@ -134,56 +138,59 @@
         InstanceId self;
         HallId hall;
         Incarnation incarnation;
+        // How long the start waits for a peer that never answers.
         Duration lease = std::chrono::seconds(3);
     };
 
-    PeerNetwork(EventLoop &loop, RawTransport &transport, Knowledge &knowledge,
+    PeerNetwork(EventLoop &loop, RawTransport &transport, ClusterState &clusterState,
                 CrashRecord &crashes, const Settings &settings);
     ~PeerNetwork();
     PeerNetwork(const PeerNetwork &) = delete;
     PeerNetwork &operator=(const PeerNetwork &) = delete;
 
-    // Takes the instance list.
+    // Updates the links to peers from the instance list.
     void setInstances(const InstanceList &list);
-    // Exchanges with those whose turn it is.
+    // Starts an exchange with each selected peer that has none in progress. Called once per period.
     void tick();
-    // Tells those whom others ask, in the own hall and elsewhere, what has changed of requests that
-    // end upstreams, unless they told it. Call it often.
-    void warn();
-    // Tells whether this entry should watch the platform.
-    bool shouldWatch() const;
-    // Tells whether the peers of the hall have been asked, so that the highest version is known.
-    bool hallHeard() const;
+    // Sends changes of the crash record to the watchers of this hall and to one entry of each other
+    // hall, except changes that came from an exchange. Also retries, so it must be called often.
+    void sendCrashWarnings();
+    // Returns whether this entry should watch the platform, because it is a watcher or there is no
+    // instance list yet.
+    bool shouldWatchPlatform() const;
+    // Returns whether every peer of the hall has answered once or exceeded `Settings::lease`, so
+    // that the highest version in the hall is known.
+    bool hallContacted() const;
 
 private:
     struct Link
     {
         std::unique_ptr<RpcLink> rpc;
         bool inFlight = false;
-        std::uint64_t crashCursor = 0; // Of what it has told of requests that end upstreams.
+        std::uint64_t crashCursor = 0; // Position in the crash record of the peer.
     };
 
     void exchangeWith(const InstanceId &entry);
-    void onWarnFailed(std::uint64_t before);
-    void takeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer);
+    void onWarningFailed(std::uint64_t before);
+    void mergeCrashes(Link &link, wire::Peer::ExchangeResults::Reader answer);
     void onAnswer(const InstanceId &entry, wire::Peer::ExchangeResults::Reader answer,
                   TimePoint askedAt);
     void taskFailed(kj::Exception &&exception) override;
 
     EventLoop &loop_;
     RawTransport &transport_;
-    Knowledge &knowledge_;
+    ClusterState &clusterState_;
     CrashRecord &crashes_;
-    std::uint64_t warnedOf_;       // A cursor of that record.
-    std::uint64_t warnedUpTo_ = 0; // The highest that it ever was.
-    int warnTries_ = 0;            // That failed, since there was news.
-    TimePoint warnNotBefore_{};
+    std::uint64_t sentCrashCursor_;        // Changes of `crashes_` up to here have been sent.
+    std::uint64_t maxSentCrashCursor_ = 0; // The highest value of `sentCrashCursor_` so far.
+    int failedWarnings_ = 0;               // Failed sends since the last new change.
+    TimePoint nextWarningAt_{};
     Settings settings_;
-    WatchOrder order_;
+    WatcherSelector watcherSelector_;
     std::map<InstanceId, Link> links_;
-    std::vector<InstanceId> hallPeers_;
-    std::vector<InstanceId> farPeers_; // One of each other hall.
-    bool listed_ = false;
+    std::vector<InstanceId> localHallPeers_;
+    std::vector<InstanceId> remoteHallPeers_; // One entry of each other hall.
+    bool hasInstanceList_ = false;
     bool askedAll_ = false;
     kj::TaskSet tasks_;
 };
--- a/src/net/rawtransport.cpp
+++ b/src/net/rawtransport.cpp
@@ -11,22 +11,25 @@
 namespace seamarch {
 namespace {
 
-constexpr size_t kReceiveHighWater = 1024 * 1024;
-constexpr size_t kWriteHighWater = 256 * 1024;
-constexpr size_t kWriteChunk = 64 * 1024;
+// Receiving pauses when this many bytes are unread, and resumes below half of it.
+constexpr size_t kReceiveHighWaterBytes = 1024 * 1024;
+// Write promises stay unresolved while this many bytes or more are queued.
+constexpr size_t kWriteHighWaterBytes = 256 * 1024;
+// The maximum size of one write to the socket.
+constexpr size_t kMaxWriteBytes = 64 * 1024;
 constexpr const char *kProtocolName = "seamarch-rpc";
 
-ConnectionId idOf(lws *wsi)
+ConnectionId connectionIdOf(lws *wsi)
 {
     return reinterpret_cast<ConnectionId>(lws_get_opaque_user_data(wsi));
 }
 
-void *opaque(ConnectionId id)
+void *toOpaqueData(ConnectionId id)
 {
-    return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): an id, never followed
+    return reinterpret_cast<void *>(id); // NOLINT(performance-no-int-to-ptr): never dereferenced
 }
 
-kj::Exception disconnected()
+kj::Exception disconnectedException()
 {
     return KJ_EXCEPTION(DISCONNECTED, "connection closed");
 }
@@ -45,23 +48,23 @@
 
 RawStream::~RawStream() noexcept(false)
 {
-    transport_.release(id_);
+    transport_.removeStream(id_);
     if (wsi_ != nullptr) {
         lws_set_opaque_user_data(wsi_, nullptr);
         lws_set_timeout(wsi_, PENDING_TIMEOUT_USER_OK, LWS_TO_KILL_ASYNC);
     }
 }
 
-size_t RawStream::takeReceived(kj::byte *buffer, size_t maxBytes)
+size_t RawStream::consumeReceived(kj::byte *buffer, size_t maxBytes)
 {
-    const size_t size = std::min(maxBytes, received());
+    const size_t size = std::min(maxBytes, receivedSize());
     std::memcpy(buffer, received_.data() + receivedOffset_, size);
     receivedOffset_ += size;
     if (receivedOffset_ == received_.size()) {
         received_.clear();
         receivedOffset_ = 0;
     }
-    if (receivePaused_ && wsi_ != nullptr && received() < kReceiveHighWater / 2) {
+    if (receivePaused_ && wsi_ != nullptr && receivedSize() < kReceiveHighWaterBytes / 2) {
         receivePaused_ = false;
         lws_rx_flow_control(wsi_, 1);
     }
@@ -71,33 +74,33 @@
 kj::Promise<size_t> RawStream::tryRead(void *buffer, size_t minBytes, size_t maxBytes)
 {
     auto *bytes = static_cast<kj::byte *>(buffer);
-    if (received() >= minBytes || closed_) {
-        return takeReceived(bytes, maxBytes);
+    if (receivedSize() >= minBytes || closed_) {
+        return consumeReceived(bytes, maxBytes);
     }
     auto paf = kj::newPromiseAndFulfiller<size_t>();
     pendingRead_ = PendingRead{bytes, minBytes, maxBytes, kj::mv(paf.fulfiller)};
     return kj::mv(paf.promise);
 }
 
-void RawStream::serveRead()
+void RawStream::completePendingRead()
 {
     KJ_IF_MAYBE (read, pendingRead_) {
-        if (received() < read->minBytes && !closed_) {
+        if (receivedSize() < read->minBytes && !closed_) {
             return;
         }
-        const size_t size = takeReceived(read->buffer, read->maxBytes);
+        const size_t size = consumeReceived(read->buffer, read->maxBytes);
         auto fulfiller = kj::mv(read->fulfiller);
         pendingRead_ = nullptr;
         fulfiller->fulfill(kj::cp(size));
     }
 }
 
-kj::Promise<void> RawStream::afterQueued()
+kj::Promise<void> RawStream::scheduleWrite()
 {
     if (wsi_ != nullptr) {
         lws_callback_on_writable(wsi_);
     }
-    if (queued_.size() < kWriteHighWater) {
+    if (queued_.size() < kWriteHighWaterBytes) {
         return kj::READY_NOW;
     }
     auto paf = kj::newPromiseAndFulfiller<void>();
@@ -108,21 +111,21 @@
 kj::Promise<void> RawStream::write(const void *buffer, size_t size)
 {
     if (closed_) {
-        return disconnected();
+        return disconnectedException();
     }
     queued_.append(static_cast<const char *>(buffer), size);
-    return afterQueued();
+    return scheduleWrite();
 }
 
 kj::Promise<void> RawStream::write(kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces)
 {
     if (closed_) {
-        return disconnected();
+        return disconnectedException();
     }
     for (const auto &piece : pieces) {
         queued_.append(reinterpret_cast<const char *>(piece.begin()), piece.size());
     }
-    return afterQueued();
+    return scheduleWrite();
 }
 
 kj::Promise<void> RawStream::whenWriteDisconnected()
@@ -146,8 +149,8 @@
 {
     received_.append(static_cast<const char *>(data), size);
     transport_.bytesIn_ += size;
-    serveRead();
-    if (received() >= kReceiveHighWater && !receivePaused_) {
+    completePendingRead();
+    if (receivedSize() >= kReceiveHighWaterBytes && !receivePaused_) {
         receivePaused_ = true;
         lws_rx_flow_control(wsi_, 0);
     }
@@ -158,7 +161,7 @@
     if (queued_.empty()) {
         return;
     }
-    const size_t size = std::min(queued_.size(), kWriteChunk);
+    const size_t size = std::min(queued_.size(), kMaxWriteBytes);
     std::vector<unsigned char> buffer(LWS_PRE + size);
     std::memcpy(buffer.data() + LWS_PRE, queued_.data(), size);
     *wroteAny_ = true;
@@ -167,7 +170,7 @@
     }
     queued_.erase(0, size);
     transport_.bytesOut_ += size;
-    if (queued_.size() < kWriteHighWater) {
+    if (queued_.size() < kWriteHighWaterBytes) {
         for (auto &fulfiller : pendingWrites_) {
             fulfiller->fulfill();
         }
@@ -188,8 +191,8 @@
 
 std::string RawStream::peerHost() const
 {
-    constexpr std::size_t kLongestNumber = 64; // Of an IP number as text.
-    std::array<char, kLongestNumber> host{};
+    constexpr std::size_t kMaxAddressLength = 64; // Of an IP address as text.
+    std::array<char, kMaxAddressLength> host{};
     const bool known = wsi_ != nullptr && !closed_;
     const char *found = known ? lws_get_peer_simple(wsi_, host.data(), host.size()) : nullptr;
     return found == nullptr ? std::string() : std::string(found);
@@ -199,9 +202,9 @@
 {
     wsi_ = nullptr;
     closed_ = true;
-    serveRead();
+    completePendingRead();
     for (auto &fulfiller : pendingWrites_) {
-        fulfiller->reject(disconnected());
+        fulfiller->reject(disconnectedException());
     }
     pendingWrites_.clear();
     closedFulfiller_->fulfill();
@@ -217,9 +220,10 @@
     info.protocols = kProtocols;
     info.user = transport.get();
     info.vhost_name = "rpc-client";
-    transport->clientHost_ = lws_create_vhost(loop.context(), &info);
-    if (transport->clientHost_ == nullptr) {
-        return tl::unexpected(NetError{NetError::Kind::ContextFailed, "no RPC client host"});
+    transport->clientVhost_ = lws_create_vhost(loop.context(), &info);
+    if (transport->clientVhost_ == nullptr) {
+        return tl::unexpected(
+            NetError{NetError::Kind::ContextFailed, "cannot create the vhost for RPC clients"});
     }
     return transport;
 }
@@ -256,13 +260,13 @@
     streams_.emplace(id, stream.get());
     lws_client_connect_info info{};
     info.context = loop_.context();
-    info.vhost = clientHost_;
+    info.vhost = clientVhost_;
     info.address = address.host.c_str();
     info.port = address.port;
     info.host = info.address;
     info.method = "RAW";
     info.local_protocol_name = kProtocolName;
-    info.opaque_user_data = opaque(id);
+    info.opaque_user_data = toOpaqueData(id);
     if (lws_client_connect_via_info(&info) == nullptr) {
         const auto found = streams_.find(id);
         if (found != streams_.end() && !found->second->closed_) {
@@ -274,11 +278,11 @@
 
 RawStream *RawTransport::find(lws *wsi)
 {
-    const auto found = streams_.find(idOf(wsi));
+    const auto found = streams_.find(connectionIdOf(wsi));
     return found == streams_.end() ? nullptr : found->second;
 }
 
-void RawTransport::adopt(lws *wsi)
+void RawTransport::acceptConnection(lws *wsi)
 {
     const auto handler = acceptHandlers_.find(lws_get_vhost(wsi));
     if (handler == acceptHandlers_.end()) {
@@ -287,7 +291,7 @@
     const ConnectionId id = nextId_++;
     auto stream = kj::heap<RawStream>(*this, id);
     streams_.emplace(id, stream.get());
-    lws_set_opaque_user_data(wsi, opaque(id));
+    lws_set_opaque_user_data(wsi, toOpaqueData(id));
     stream->onConnected(wsi);
     handler->second(kj::mv(stream));
 }
@@ -302,7 +306,7 @@
     }
     if (reason == LWS_CALLBACK_RAW_ADOPT) {
         if (transport->find(wsi) == nullptr) {
-            transport->adopt(wsi);
+            transport->acceptConnection(wsi);
         }
         return 0;
     }
