--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -77,7 +77,7 @@
 class AuthenticateFilter final : public RequestFilter
 {
 public:
-    explicit AuthenticateFilter(const CallerDirectory &directory)
+    explicit AuthenticateFilter(const ConfigIndex &directory)
         : directory_(directory)
     {}
 
@@ -96,14 +96,14 @@
     }
 
 private:
-    const CallerDirectory &directory_;
+    const ConfigIndex &directory_;
 };
 
 // Reads what the body asks for: the model, the lengths, the prompt's prefix.
 class BodyFilter final : public RequestFilter
 {
 public:
-    explicit BodyFilter(const CallerDirectory &directory)
+    explicit BodyFilter(const ConfigIndex &directory)
         : directory_(directory)
     {}
 
@@ -253,7 +253,7 @@
         return std::nullopt;
     }
 
-    const CallerDirectory &directory_;
+    const ConfigIndex &directory_;
 };
 
 // Reads the headers that say how the request is to be run.
@@ -345,7 +345,7 @@
 
 } // namespace
 
-void CallerDirectory::applyConfig(const ConfigDocument &document)
+void ConfigIndex::applyConfig(const ConfigDocument &document)
 {
     document_ = document;
     accountByDigest_.clear();
@@ -364,25 +364,25 @@
     }
 }
 
-const AccountConfig *CallerDirectory::accountOfKey(const std::string &bearerKey) const
+const AccountConfig *ConfigIndex::accountOfKey(const std::string &bearerKey) const
 {
     const auto found = accountByDigest_.find(sha256Hex(bearerKey));
     return found == accountByDigest_.end() ? nullptr : &document_.accounts[found->second];
 }
 
-const ModelConfig *CallerDirectory::model(const TargetName &name) const
+const ModelConfig *ConfigIndex::model(const TargetName &name) const
 {
     const auto found = modelByName_.find(name);
     return found == modelByName_.end() ? nullptr : &document_.models[found->second];
 }
 
-const ServiceConfig *CallerDirectory::service(const TargetName &name) const
+const ServiceConfig *ConfigIndex::service(const TargetName &name) const
 {
     const auto found = serviceByName_.find(name);
     return found == serviceByName_.end() ? nullptr : &document_.services[found->second];
 }
 
-std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const CallerDirectory &directory)
+std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const ConfigIndex &directory)
 {
     std::vector<std::unique_ptr<RequestFilter>> filters;
     filters.push_back(std::make_unique<RouteFilter>());
--- a/src/entry/callerfilters.h
+++ b/src/entry/callerfilters.h
@@ -42,7 +42,7 @@
 };
 
 // The configuration in the form that the filters look things up in.
-class CallerDirectory
+class ConfigIndex
 {
 public:
     void applyConfig(const ConfigDocument &document);
@@ -67,6 +67,6 @@
 };
 
 // Returns the row of filters. `directory` outlives them.
-std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const CallerDirectory &directory);
+std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const ConfigIndex &directory);
 
 } // namespace seamarch
--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -16,9 +16,9 @@
 
 using namespace seamarch;
 
-const CallerDirectory &directory()
+const ConfigIndex &directory()
 {
-    static const CallerDirectory kDirectory = [] {
+    static const ConfigIndex kDirectory = [] {
         ConfigDocument document;
         AccountConfig account;
         account.id = AccountId("bids");
@@ -33,7 +33,7 @@
         service.name = TargetName("portal");
         service.routes = {{"POST", "/", false}};
         document.services.push_back(service);
-        CallerDirectory made;
+        ConfigIndex made;
         made.applyConfig(document);
         return made;
     }();
