--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -78,7 +78,7 @@
 {
 public:
     explicit AuthenticateFilter(const ConfigIndex &directory)
-        : directory_(directory)
+        : configIndex_(directory)
     {}
 
     std::optional<FilterFailure> apply(CallerContext &context) const override
@@ -87,7 +87,7 @@
         if (!header.starts_with(kBearer)) {
             return FilterFailure{FailureCode::Unauthorized, "found no bearer key"};
         }
-        context.account = directory_.accountOfKey(header.substr(kBearer.size()));
+        context.account = configIndex_.accountOfKey(header.substr(kBearer.size()));
         if (context.account == nullptr) {
             return FilterFailure{FailureCode::Unauthorized, "the key belongs to no client account"};
         }
@@ -96,7 +96,7 @@
     }
 
 private:
-    const ConfigIndex &directory_;
+    const ConfigIndex &configIndex_;
 };
 
 // Reads what the body asks for: the model, the lengths, the prompt's prefix.
@@ -104,7 +104,7 @@
 {
 public:
     explicit BodyFilter(const ConfigIndex &directory)
-        : directory_(directory)
+        : configIndex_(directory)
     {}
 
     std::optional<FilterFailure> apply(CallerContext &context) const override
@@ -138,7 +138,7 @@
         if (model == body.end() || !model->is_string()) {
             return bad("expected the field 'model' to be a string");
         }
-        const ModelConfig *config = directory_.model(TargetName(model->get<std::string>()));
+        const ModelConfig *config = configIndex_.model(TargetName(model->get<std::string>()));
         if (config == nullptr) {
             return FilterFailure{FailureCode::NotFound,
                                  fmt::format("no model '{}'", model->get<std::string>())};
@@ -216,7 +216,7 @@
     {
         const std::string rest = context.http.path.substr(kServicePrefix.size());
         const std::string name = rest.substr(0, rest.find('/'));
-        const ServiceConfig *service = directory_.service(TargetName(name));
+        const ServiceConfig *service = configIndex_.service(TargetName(name));
         if (service == nullptr) {
             return FilterFailure{FailureCode::NotFound, fmt::format("no service '{}'", name)};
         }
@@ -245,7 +245,7 @@
             return bad("expected a JSON object with the string 'target'");
         }
         const TargetName name(target->get<std::string>());
-        if (directory_.model(name) == nullptr && directory_.service(name) == nullptr) {
+        if (configIndex_.model(name) == nullptr && configIndex_.service(name) == nullptr) {
             return FilterFailure{FailureCode::NotFound,
                                  fmt::format("no model or service '{}'", name.value())};
         }
@@ -253,7 +253,7 @@
         return std::nullopt;
     }
 
-    const ConfigIndex &directory_;
+    const ConfigIndex &configIndex_;
 };
 
 // Reads the headers that say how the request is to be run.
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -84,7 +84,7 @@
     , incarnation_(randomIdentity())
     , metrics_(settings_.maxAccountSeries)
     , changes_(loop)
-    , filters_(makeCallerFilters(directory_))
+    , filters_(makeCallerFilters(configIndex_))
     , core_(coreSettings(settings_, incarnation_), std::make_unique<ExpectedWaitRouter>())
 {
     knowledge_.listen(*this);
@@ -144,7 +144,7 @@
 
 void EntryService::onConfig(const ConfigDocument &document)
 {
-    directory_.applyConfig(document);
+    configIndex_.applyConfig(document);
     core_.applyConfig(document);
     metrics_.set("seamarch_config_version", static_cast<double>(document.version.value()));
 }
@@ -276,7 +276,7 @@
 void EntryService::serveModels(ExchangeId exchange)
 {
     json models = json::array();
-    for (const ModelConfig &model : directory_.models()) {
+    for (const ModelConfig &model : configIndex_.models()) {
         models.push_back({{"id", model.name.value()},
                           {"object", "model"},
                           {"created", 0},
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -132,7 +132,7 @@
     Metrics metrics_;
     Knowledge knowledge_;
     ChangeSignal changes_;
-    ConfigIndex directory_;
+    ConfigIndex configIndex_;
     std::vector<std::unique_ptr<RequestFilter>> filters_;
     EntryCore core_;
     std::unique_ptr<RawTransport> transport_;
