--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -77,8 +77,8 @@
 class AuthenticateFilter final : public RequestFilter
 {
 public:
-    explicit AuthenticateFilter(const ConfigIndex &directory)
-        : configIndex_(directory)
+    explicit AuthenticateFilter(const ConfigIndex &configIndex)
+        : configIndex_(configIndex)
     {}
 
     std::optional<FilterFailure> apply(CallerContext &context) const override
@@ -103,8 +103,8 @@
 class BodyFilter final : public RequestFilter
 {
 public:
-    explicit BodyFilter(const ConfigIndex &directory)
-        : configIndex_(directory)
+    explicit BodyFilter(const ConfigIndex &configIndex)
+        : configIndex_(configIndex)
     {}
 
     std::optional<FilterFailure> apply(CallerContext &context) const override
@@ -382,12 +382,12 @@
     return found == serviceByName_.end() ? nullptr : &document_.services[found->second];
 }
 
-std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const ConfigIndex &directory)
+std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const ConfigIndex &configIndex)
 {
     std::vector<std::unique_ptr<RequestFilter>> filters;
     filters.push_back(std::make_unique<RouteFilter>());
-    filters.push_back(std::make_unique<AuthenticateFilter>(directory));
-    filters.push_back(std::make_unique<BodyFilter>(directory));
+    filters.push_back(std::make_unique<AuthenticateFilter>(configIndex));
+    filters.push_back(std::make_unique<BodyFilter>(configIndex));
     filters.push_back(std::make_unique<ClassifyFilter>());
     return filters;
 }
--- a/src/entry/callerfilters.h
+++ b/src/entry/callerfilters.h
@@ -67,6 +67,6 @@
 };
 
 // Returns the row of filters. `directory` outlives them.
-std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const ConfigIndex &directory);
+std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const ConfigIndex &configIndex);
 
 } // namespace seamarch
