--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -134,7 +134,7 @@
 void GrantNetwork::ask(const InstanceId &member, RpcLink &link)
 {
     const std::uint64_t set = context_.core.keyMembers().hash;
-    const TimePoint askedAt = context_.loop.now();
+    const TimePoint requestedAt = context_.loop.now();
     auto request = link.capability().castAs<wire::Agent>().grantRequest();
     request.setMemberSet(set);
     request.setInstance(context_.self.value());
@@ -143,9 +143,9 @@
     request.setTurnsReleased(turns.released);
     request.setHoldsTurn(turns.holds);
     tasks_.add(request.send().then(
-        [this, member, set, askedAt](capnp::Response<wire::Agent::GrantResults> &&answer) {
+        [this, member, set, requestedAt](capnp::Response<wire::Agent::GrantResults> &&answer) {
             if (answer.getGranted()) {
-                context_.core.onGranted(member, set, askedAt, context_.loop.now(), wallNow());
+                context_.core.onGranted(member, set, requestedAt, context_.loop.now(), wallNow());
             }
         },
         [](kj::Exception && /*error*/) {}));
--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -74,20 +74,20 @@
     auto status = request.initStatus();
     status.setInstance(context_.self.value());
     status.setIncarnation(context_.incarnation.value());
-    const TimePoint askedAt = context_.loop.now();
+    const TimePoint requestedAt = context_.loop.now();
     writeVersions(context_.knowledge.versions(), status);
-    status.setListAgeMicros(context_.knowledge.listAge(askedAt).count());
+    status.setListAgeMicros(context_.knowledge.listAge(requestedAt).count());
     status.setEchoMicros(agentClock_);
     tasks_.add(request.send().then(
-        [this, askedAt](capnp::Response<wire::Peer::ExchangeResults> &&answer) {
+        [this, requestedAt](capnp::Response<wire::Peer::ExchangeResults> &&answer) {
             heartbeatInFlight_ = false;
-            onExchange(answer.getStatus(), answer.getConfig(), answer.getList(), askedAt);
+            onExchange(answer.getStatus(), answer.getConfig(), answer.getList(), requestedAt);
         },
         [this](kj::Exception && /*error*/) { heartbeatInFlight_ = false; }));
 }
 
 void AgentLink::onExchange(wire::Status::Reader status, wire::Update::Reader config,
-                           wire::Update::Reader list, TimePoint askedAt)
+                           wire::Update::Reader list, TimePoint requestedAt)
 {
     const KnownVersions known = readVersions(status);
     agentClock_ = status.getClockMicros();
@@ -96,7 +96,7 @@
     if (status.getWantsUpdate()) {
         offer(known);
     }
-    context_.listener.onHeartbeat(id_, readReport(status), askedAt);
+    context_.listener.onHeartbeat(id_, readReport(status), requestedAt);
 }
 
 void AgentLink::offer(const KnownVersions &peer)
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -34,7 +34,7 @@
 public:
     virtual ~AgentLinkListener() = default;
     virtual void onHeartbeat(const InstanceId &agent, const AgentReport &report,
-                             TimePoint askedAt) = 0;
+                             TimePoint requestedAt) = 0;
     virtual void onVerdict(RequestId id, const AdmissionResult &verdict) = 0;
     // A call ended without a verdict. `written` tells whether it may have reached the agent.
     virtual void onCallFailed(RequestId id, bool written) = 0;
@@ -84,7 +84,7 @@
     void onOpened();
     void onClosed();
     void onExchange(wire::Status::Reader status, wire::Update::Reader config,
-                    wire::Update::Reader list, TimePoint askedAt);
+                    wire::Update::Reader list, TimePoint requestedAt);
     void offer(const KnownVersions &peer);
     void taskFailed(kj::Exception &&exception) override;
 
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -459,10 +459,10 @@
 }
 
 void EntryService::onHeartbeat(const InstanceId &agent, const AgentReport &report,
-                               TimePoint askedAt)
+                               TimePoint requestedAt)
 {
     EntryActions actions;
-    core_.onReport(agent, report, askedAt, loop_.now(), actions);
+    core_.onReport(agent, report, requestedAt, loop_.now(), actions);
     carryOut(actions);
 }
 
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -86,7 +86,7 @@
     void onDrained(ExchangeId exchange) override;
 
     void onHeartbeat(const InstanceId &agent, const AgentReport &report,
-                     TimePoint askedAt) override;
+                     TimePoint requestedAt) override;
     void onVerdict(RequestId id, const AdmissionResult &verdict) override;
     void onCallFailed(RequestId id, bool written) override;
     void onCancelVerdict(RequestId id, bool notRun) override;
