--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -135,9 +135,10 @@
         [this, id](capnp::Response<wire::Agent::StartResults> &&answer) {
             const auto verdict = answer.getVerdict();
             const Outcome outcome = verdict.getNotRun() ? Outcome::NotRun : Outcome::Unknown;
-            context_.listener.onVerdict(id, {verdict.getAccepted(), verdict.getStarted(),
-                                             static_cast<FailureCode>(verdict.getFailure()),
-                                             outcome, Duration(verdict.getRetryAfterMicros())});
+            context_.listener.onAdmissionResult(id,
+                                                {verdict.getAccepted(), verdict.getStarted(),
+                                                 static_cast<FailureCode>(verdict.getFailure()),
+                                                 outcome, Duration(verdict.getRetryAfterMicros())});
         },
         [this, id, wroteAny = link_.wroteAny()](kj::Exception && /*error*/) {
             context_.listener.onCallFailed(id, *wroteAny);
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -466,7 +466,7 @@
     carryOut(actions);
 }
 
-void EntryService::onVerdict(RequestId id, const AdmissionResult &verdict)
+void EntryService::onAdmissionResult(RequestId id, const AdmissionResult &verdict)
 {
     if (verdict.accepted) {
         core_.onAccepted(id, verdict.started);
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -87,7 +87,7 @@
 
     void onHeartbeat(const InstanceId &agent, const AgentReport &report,
                      TimePoint requestedAt) override;
-    void onVerdict(RequestId id, const AdmissionResult &verdict) override;
+    void onAdmissionResult(RequestId id, const AdmissionResult &verdict) override;
     void onCallFailed(RequestId id, bool written) override;
     void onCancelVerdict(RequestId id, bool notRun) override;
     void onWithdrawVerdict(RequestId id, const InstanceId &agent, bool notRun) override;
