--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -153,9 +153,9 @@
     const RequestId id = cancel.id;
     tasks_.add(message.send().then(
         [this, id](capnp::Response<wire::Agent::CancelResults> &&answer) {
-            context_.listener.onCancelVerdict(id, answer.getNotRun());
+            context_.listener.onCancelResult(id, answer.getNotRun());
         },
-        [this, id](kj::Exception && /*error*/) { context_.listener.onCancelVerdict(id, false); }));
+        [this, id](kj::Exception && /*error*/) { context_.listener.onCancelResult(id, false); }));
 }
 
 void AgentLink::withdraw(const SendWithdraw &withdrawal)
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -38,7 +38,7 @@
     virtual void onAdmissionResult(RequestId id, const AdmissionResult &verdict) = 0;
     // A call ended without a verdict. `written` tells whether it may have reached the agent.
     virtual void onCallFailed(RequestId id, bool written) = 0;
-    virtual void onCancelVerdict(RequestId id, bool notRun) = 0;
+    virtual void onCancelResult(RequestId id, bool notRun) = 0;
     virtual void onWithdrawVerdict(RequestId id, const InstanceId &agent, bool notRun) = 0;
     // The agent has a free slot and nothing that waits for it.
     virtual void onFree(const InstanceId &agent, const AgentReport &report) = 0;
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -357,7 +357,7 @@
 {
     AgentLink *agent = link(action.agent);
     if (agent == nullptr) {
-        loop_.post([this, id = action.id] { onCancelVerdict(id, false); });
+        loop_.post([this, id = action.id] { onCancelResult(id, false); });
         return;
     }
     agent->cancel(action);
@@ -488,7 +488,7 @@
     carryOut(actions);
 }
 
-void EntryService::onCancelVerdict(RequestId id, bool notRun)
+void EntryService::onCancelResult(RequestId id, bool notRun)
 {
     EntryActions actions;
     core_.onCancelled(id, notRun, loop_.now(), actions);
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -89,7 +89,7 @@
                      TimePoint requestedAt) override;
     void onAdmissionResult(RequestId id, const AdmissionResult &verdict) override;
     void onCallFailed(RequestId id, bool written) override;
-    void onCancelVerdict(RequestId id, bool notRun) override;
+    void onCancelResult(RequestId id, bool notRun) override;
     void onWithdrawVerdict(RequestId id, const InstanceId &agent, bool notRun) override;
     void onFree(const InstanceId &agent, const AgentReport &report) override;
     void onLinkClosed(const InstanceId &agent) override;
