--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -166,10 +166,10 @@
     const RequestId id = withdrawal.id;
     tasks_.add(message.send().then(
         [this, id](capnp::Response<wire::Agent::WithdrawResults> &&answer) {
-            context_.listener.onWithdrawVerdict(id, id_, answer.getNotRun());
+            context_.listener.onWithdrawResult(id, id_, answer.getNotRun());
         },
         [this, id](kj::Exception && /*error*/) {
-            context_.listener.onWithdrawVerdict(id, id_, false);
+            context_.listener.onWithdrawResult(id, id_, false);
         }));
 }
 
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -39,7 +39,7 @@
     // A call ended without a verdict. `written` tells whether it may have reached the agent.
     virtual void onCallFailed(RequestId id, bool written) = 0;
     virtual void onCancelResult(RequestId id, bool notRun) = 0;
-    virtual void onWithdrawVerdict(RequestId id, const InstanceId &agent, bool notRun) = 0;
+    virtual void onWithdrawResult(RequestId id, const InstanceId &agent, bool notRun) = 0;
     // The agent has a free slot and nothing that waits for it.
     virtual void onFree(const InstanceId &agent, const AgentReport &report) = 0;
     // The connection broke; calls that were accepted over it get no more parts.
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -367,7 +367,7 @@
 {
     AgentLink *agent = link(action.agent);
     if (agent == nullptr) {
-        loop_.post([this, action] { onWithdrawVerdict(action.id, action.agent, false); });
+        loop_.post([this, action] { onWithdrawResult(action.id, action.agent, false); });
         return;
     }
     agent->withdraw(action);
@@ -495,7 +495,7 @@
     carryOut(actions);
 }
 
-void EntryService::onWithdrawVerdict(RequestId id, const InstanceId &agent, bool notRun)
+void EntryService::onWithdrawResult(RequestId id, const InstanceId &agent, bool notRun)
 {
     EntryActions actions;
     core_.onWithdrawn(id, agent, notRun, loop_.now(), actions);
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -90,7 +90,7 @@
     void onAdmissionResult(RequestId id, const AdmissionResult &verdict) override;
     void onCallFailed(RequestId id, bool written) override;
     void onCancelResult(RequestId id, bool notRun) override;
-    void onWithdrawVerdict(RequestId id, const InstanceId &agent, bool notRun) override;
+    void onWithdrawResult(RequestId id, const InstanceId &agent, bool notRun) override;
     void onFree(const InstanceId &agent, const AgentReport &report) override;
     void onLinkClosed(const InstanceId &agent) override;
     kj::Promise<void> onPart(const InstanceId &agent, RequestId id,
