--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -24,7 +24,7 @@
 
     kj::Promise<void> free(FreeContext context) override
     {
-        listener_.onFree(agent_, readReport(context.getParams().getStatus()));
+        listener_.onFreeSlot(agent_, readReport(context.getParams().getStatus()));
         return kj::READY_NOW;
     }
 
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -41,7 +41,7 @@
     virtual void onCancelResult(RequestId id, bool notRun) = 0;
     virtual void onWithdrawResult(RequestId id, const InstanceId &agent, bool notRun) = 0;
     // The agent has a free slot and nothing that waits for it.
-    virtual void onFree(const InstanceId &agent, const AgentReport &report) = 0;
+    virtual void onFreeSlot(const InstanceId &agent, const AgentReport &report) = 0;
     // The connection broke; calls that were accepted over it get no more parts.
     virtual void onLinkClosed(const InstanceId &agent) = 0;
     // A part of an answer. The promise resolves when the request can take more.
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -502,7 +502,7 @@
     carryOut(actions);
 }
 
-void EntryService::onFree(const InstanceId &agent, const AgentReport &report)
+void EntryService::onFreeSlot(const InstanceId &agent, const AgentReport &report)
 {
     EntryActions actions;
     core_.onFree(agent, report, loop_.now(), actions);
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -91,7 +91,7 @@
     void onCallFailed(RequestId id, bool written) override;
     void onCancelResult(RequestId id, bool notRun) override;
     void onWithdrawResult(RequestId id, const InstanceId &agent, bool notRun) override;
-    void onFree(const InstanceId &agent, const AgentReport &report) override;
+    void onFreeSlot(const InstanceId &agent, const AgentReport &report) override;
     void onLinkClosed(const InstanceId &agent) override;
     kj::Promise<void> onPart(const InstanceId &agent, RequestId id,
                              wire::Part::Reader part) override;
