--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -70,14 +70,13 @@
 
     kj::Promise<void> start(StartContext context) override
     {
-        const AdmissionResult verdict =
-            service_.onStart(connection_, context.getParams().getCall());
+        const AdmissionResult result = service_.onStart(connection_, context.getParams().getCall());
         auto builder = context.getResults().initVerdict();
-        builder.setAccepted(verdict.accepted);
-        builder.setFailure(static_cast<std::uint16_t>(verdict.failure));
-        builder.setNotRun(verdict.outcome == Outcome::NotRun);
-        builder.setRetryAfterMicros(verdict.retryAfter.count());
-        builder.setStarted(verdict.started);
+        builder.setAccepted(result.accepted);
+        builder.setFailure(static_cast<std::uint16_t>(result.failure));
+        builder.setNotRun(result.outcome == Outcome::NotRun);
+        builder.setRetryAfterMicros(result.retryAfter.count());
+        builder.setStarted(result.started);
         return kj::READY_NOW;
     }
 
@@ -279,11 +278,11 @@
         decided.ticket = parseTicket(toString(call.getTicket()));
     }
     AgentActions actions;
-    const AdmissionResult verdict = core_.onCall(decided, loop_.now(), wallNow(), actions);
+    const AdmissionResult result = core_.onCall(decided, loop_.now(), wallNow(), actions);
     metrics_.count("seamarch_agent_calls_total",
-                   verdict.accepted ? "accepted" : toString(verdict.failure));
-    if (!verdict.accepted) {
-        return verdict;
+                   result.accepted ? "accepted" : toString(result.failure));
+    if (!result.accepted) {
+        return result;
     }
     Job &job = jobs_[decided.id];
     job.connection = connection;
@@ -296,7 +295,7 @@
     const auto body = call.getBody();
     job.call.body.assign(reinterpret_cast<const char *>(body.begin()), body.size());
     carryOut(actions);
-    return verdict;
+    return result;
 }
 
 bool AgentService::onCancel(RequestId id, Incarnation meant)
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -466,14 +466,14 @@
     carryOut(actions);
 }
 
-void EntryService::onAdmissionResult(RequestId id, const AdmissionResult &verdict)
+void EntryService::onAdmissionResult(RequestId id, const AdmissionResult &result)
 {
-    if (verdict.accepted) {
-        core_.onAccepted(id, verdict.started);
+    if (result.accepted) {
+        core_.onAccepted(id, result.started);
         return;
     }
     EntryActions actions;
-    core_.onRefused(id, verdict.failure, verdict.outcome, verdict.retryAfter, loop_.now(), actions);
+    core_.onRefused(id, result.failure, result.outcome, result.retryAfter, loop_.now(), actions);
     carryOut(actions);
 }
 
