--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -35,7 +35,7 @@
     virtual ~AgentLinkListener() = default;
     virtual void onHeartbeat(const InstanceId &agent, const AgentReport &report,
                              TimePoint requestedAt) = 0;
-    virtual void onAdmissionResult(RequestId id, const AdmissionResult &verdict) = 0;
+    virtual void onAdmissionResult(RequestId id, const AdmissionResult &result) = 0;
     // A call ended without a verdict. `written` tells whether it may have reached the agent.
     virtual void onCallFailed(RequestId id, bool written) = 0;
     virtual void onCancelResult(RequestId id, bool notRun) = 0;
