--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -77,7 +77,7 @@
     const TimePoint requestedAt = context_.loop.now();
     writeVersions(context_.knowledge.versions(), status);
     status.setListAgeMicros(context_.knowledge.listAge(requestedAt).count());
-    status.setEchoMicros(agentClock_);
+    status.setEchoMicros(agentClockMicros_);
     tasks_.add(request.send().then(
         [this, requestedAt](capnp::Response<wire::Peer::ExchangeResults> &&answer) {
             heartbeatInFlight_ = false;
@@ -90,7 +90,7 @@
                            wire::Update::Reader list, TimePoint requestedAt)
 {
     const KnownVersions known = readVersions(status);
-    agentClock_ = status.getClockMicros();
+    agentClockMicros_ = status.getClockMicros();
     context_.knowledge.hear(known);
     context_.knowledge.apply({readUpdate(config), readUpdate(list)});
     if (status.getWantsUpdate()) {
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -92,7 +92,7 @@
     InstanceId id_;
     RpcLink link_;
     bool heartbeatInFlight_ = false;
-    std::int64_t agentClock_ =
+    std::int64_t agentClockMicros_ =
         0; // As last heard; echoed, so that the agent can date what it hears.
     kj::TaskSet tasks_;
 };
