--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -173,10 +173,10 @@
         }));
 }
 
-void AgentLink::issueTicket(std::function<void(std::string)> done)
+void AgentLink::issueTicket(std::function<void(std::string)> callback)
 {
     auto message = agent().issueTicketRequest();
-    auto shared = std::make_shared<std::function<void(std::string)>>(std::move(done));
+    auto shared = std::make_shared<std::function<void(std::string)>>(std::move(callback));
     tasks_.add(message.send().then(
         [shared](capnp::Response<wire::Agent::IssueTicketResults> &&answer) {
             (*shared)(toString(answer.getTicket()));
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -73,7 +73,7 @@
     void cancel(const SendCancel &cancel);
     void withdraw(const SendWithdraw &withdrawal);
     // Asks for a ticket; `done` gets an empty text when the agent cannot be reached.
-    void issueTicket(std::function<void(std::string)> done);
+    void issueTicket(std::function<void(std::string)> callback);
 
     const SocketAddress &address() const { return link_.address(); }
 
