--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -176,12 +176,12 @@
 void AgentLink::issueTicket(std::function<void(std::string)> callback)
 {
     auto message = agent().issueTicketRequest();
-    auto shared = std::make_shared<std::function<void(std::string)>>(std::move(callback));
+    auto sharedCallback = std::make_shared<std::function<void(std::string)>>(std::move(callback));
     tasks_.add(message.send().then(
-        [shared](capnp::Response<wire::Agent::IssueTicketResults> &&answer) {
-            (*shared)(toString(answer.getTicket()));
+        [sharedCallback](capnp::Response<wire::Agent::IssueTicketResults> &&answer) {
+            (*sharedCallback)(toString(answer.getTicket()));
         },
-        [shared](kj::Exception && /*error*/) { (*shared)({}); }));
+        [sharedCallback](kj::Exception && /*error*/) { (*sharedCallback)({}); }));
 }
 
 } // namespace seamarch
