--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -87,7 +87,7 @@
         if (!header.starts_with(kBearer)) {
             return FilterFailure{FailureCode::Unauthorized, "found no bearer key"};
         }
-        context.account = configIndex_.accountOfKey(header.substr(kBearer.size()));
+        context.account = configIndex_.accountForKey(header.substr(kBearer.size()));
         if (context.account == nullptr) {
             return FilterFailure{FailureCode::Unauthorized, "the key belongs to no client account"};
         }
@@ -364,7 +364,7 @@
     }
 }
 
-const AccountConfig *ConfigIndex::accountOfKey(const std::string &bearerKey) const
+const AccountConfig *ConfigIndex::accountForKey(const std::string &bearerKey) const
 {
     const auto found = accountByDigest_.find(sha256Hex(bearerKey));
     return found == accountByDigest_.end() ? nullptr : &document_.accounts[found->second];
--- a/src/entry/callerfilters.h
+++ b/src/entry/callerfilters.h
@@ -47,7 +47,7 @@
 public:
     void applyConfig(const ConfigDocument &document);
 
-    const AccountConfig *accountOfKey(const std::string &bearerKey) const;
+    const AccountConfig *accountForKey(const std::string &bearerKey) const;
     const ModelConfig *model(const TargetName &name) const;
     const ServiceConfig *service(const TargetName &name) const;
     const std::vector<ModelConfig> &models() const { return document_.models; }
