--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -123,7 +123,7 @@
     }
 
 private:
-    static std::optional<FilterFailure> bad(std::string detail)
+    static std::optional<FilterFailure> badRequest(std::string detail)
     {
         return FilterFailure{FailureCode::BadRequest, std::move(detail)};
     }
@@ -132,11 +132,11 @@
     {
         const json body = json::parse(context.http.body, nullptr, false);
         if (!body.is_object()) {
-            return bad("expected a JSON object as the body");
+            return badRequest("expected a JSON object as the body");
         }
         const auto model = body.find("model");
         if (model == body.end() || !model->is_string()) {
-            return bad("expected the field 'model' to be a string");
+            return badRequest("expected the field 'model' to be a string");
         }
         const ModelConfig *config = configIndex_.model(TargetName(model->get<std::string>()));
         if (config == nullptr) {
@@ -162,7 +162,7 @@
             return std::nullopt;
         }
         if (!stream->is_boolean()) {
-            return bad("expected the field 'stream' to be true or false");
+            return badRequest("expected the field 'stream' to be true or false");
         }
         context.streamed = stream->get<bool>();
         return std::nullopt;
@@ -179,8 +179,8 @@
             const bool valid = field->is_number_unsigned() && field->get<std::uint64_t>() >= 1
                                && field->get<std::uint64_t>() <= kMaxAnswerTokens;
             if (!valid) {
-                return bad(fmt::format("expected '{}' to be a whole number from 1 to {}", name,
-                                       kMaxAnswerTokens));
+                return badRequest(fmt::format("expected '{}' to be a whole number from 1 to {}",
+                                              name, kMaxAnswerTokens));
             }
             context.request.answerTokens = field->get<std::uint64_t>();
             return std::nullopt;
@@ -197,8 +197,8 @@
                            && (chat ? prompt->is_array() && !prompt->empty()
                                     : prompt->is_string() || prompt->is_array());
         if (!valid) {
-            return bad(fmt::format("expected the field '{}' to be {}", name,
-                                   chat ? "a non-empty array" : "a string or an array"));
+            return badRequest(fmt::format("expected the field '{}' to be {}", name,
+                                          chat ? "a non-empty array" : "a string or an array"));
         }
         const std::string text = prompt->dump(-1, ' ', false, json::error_handler_t::replace);
         context.request.promptTokens = text.size() / kBytesPerToken + 1;
@@ -242,7 +242,7 @@
         const json body = json::parse(context.http.body, nullptr, false);
         const auto target = body.is_object() ? body.find("target") : body.end();
         if (!body.is_object() || target == body.end() || !target->is_string()) {
-            return bad("expected a JSON object with the string 'target'");
+            return badRequest("expected a JSON object with the string 'target'");
         }
         const TargetName name(target->get<std::string>());
         if (configIndex_.model(name) == nullptr && configIndex_.service(name) == nullptr) {
@@ -280,7 +280,7 @@
     }
 
 private:
-    static std::optional<FilterFailure> bad(std::string detail)
+    static std::optional<FilterFailure> badRequest(std::string detail)
     {
         return FilterFailure{FailureCode::BadRequest, std::move(detail)};
     }
@@ -292,8 +292,8 @@
         if (!text.empty()) {
             const auto value = parseNumber(text);
             if (!value || *value > context.account->priority) {
-                return bad(fmt::format("expected Seamarch-Priority from 0 to {}, found '{}'",
-                                       context.account->priority, text));
+                return badRequest(fmt::format("expected Seamarch-Priority from 0 to {}, found '{}'",
+                                              context.account->priority, text));
             }
             context.request.priority = static_cast<std::uint8_t>(*value);
         }
@@ -309,8 +309,8 @@
         }
         const auto value = parseNumber(text);
         if (!value || *value == 0 || *value > kMaxDeadlineMs) {
-            return bad(fmt::format("expected Seamarch-Deadline-Ms from 1 to {}, found '{}'",
-                                   kMaxDeadlineMs, text));
+            return badRequest(fmt::format("expected Seamarch-Deadline-Ms from 1 to {}, found '{}'",
+                                          kMaxDeadlineMs, text));
         }
         context.request.deadline = std::chrono::milliseconds(*value);
         return std::nullopt;
@@ -321,21 +321,21 @@
         const std::string &ticket = context.http.header("seamarch-ticket");
         const std::string &key = context.http.header("idempotency-key");
         if (!ticket.empty() && !key.empty()) {
-            return bad("expected Seamarch-Ticket or Idempotency-Key, found both");
+            return badRequest("expected Seamarch-Ticket or Idempotency-Key, found both");
         }
         if (!ticket.empty()) {
             context.request.ticket = parseTicket(ticket);
             if (!context.request.ticket) {
-                return bad("Seamarch-Ticket is not a ticket; get one from POST /v1/tickets");
+                return badRequest("Seamarch-Ticket is not a ticket; get one from POST /v1/tickets");
             }
         }
         if (!key.empty()) {
             if (key.size() > kMaxKeyLength || !uuidV7Time(key)) {
-                return bad("expected Idempotency-Key to be a version 7 UUID (RFC 9562)");
+                return badRequest("expected Idempotency-Key to be a version 7 UUID (RFC 9562)");
             }
             // The key is the caller's own: two accounts may use the same one.
             if (context.account->homeHall.value().empty()) {
-                return bad("the client account has no homeHall, so keys cannot be honoured");
+                return badRequest("the client account has no homeHall, so keys cannot be honoured");
             }
             context.request.callerKey = key;
         }
