--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -268,7 +268,7 @@
         if (auto failure = readDeadline(context)) {
             return failure;
         }
-        if (auto failure = readProof(context)) {
+        if (auto failure = readIdempotencyHeaders(context)) {
             return failure;
         }
         const std::string &query = context.http.query;
@@ -316,7 +316,7 @@
         return std::nullopt;
     }
 
-    static std::optional<FilterFailure> readProof(CallerContext &context)
+    static std::optional<FilterFailure> readIdempotencyHeaders(CallerContext &context)
     {
         const std::string &ticket = context.http.header("seamarch-ticket");
         const std::string &key = context.http.header("idempotency-key");
