--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -15,7 +15,7 @@
 using nlohmann::json;
 
 constexpr std::string_view kServicePrefix = "/services/";
-constexpr std::string_view kBearer = "Bearer ";
+constexpr std::string_view kBearerPrefix = "Bearer ";
 constexpr Tokens kServiceCost = 100; // What a call to a plain service counts in fair queueing.
 constexpr Tokens kDefaultAnswerTokens = 256;
 constexpr Tokens kMaxAnswerTokens = 1'000'000;
@@ -84,10 +84,10 @@
     std::optional<FilterFailure> apply(CallerContext &context) const override
     {
         const std::string &header = context.http.header("authorization");
-        if (!header.starts_with(kBearer)) {
+        if (!header.starts_with(kBearerPrefix)) {
             return FilterFailure{FailureCode::Unauthorized, "found no bearer key"};
         }
-        context.account = configIndex_.accountForKey(header.substr(kBearer.size()));
+        context.account = configIndex_.accountForKey(header.substr(kBearerPrefix.size()));
         if (context.account == nullptr) {
             return FilterFailure{FailureCode::Unauthorized, "the key belongs to no client account"};
         }
