--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kBytesPerToken = 4; // A usual ratio for text; corrected as tokens arrive.
 constexpr std::size_t kPrefixBytes = 1024;
 constexpr std::size_t kMinPrefixBytes = 256;
-constexpr std::size_t kMaxKeyLength = 128;
+constexpr std::size_t kMaxIdempotencyKeyLength = 128;
 constexpr std::uint64_t kMaxDeadlineMs = 24ULL * 3600 * 1000;
 
 std::optional<std::uint64_t> parseNumber(const std::string &text)
@@ -330,7 +330,7 @@
             }
         }
         if (!key.empty()) {
-            if (key.size() > kMaxKeyLength || !uuidV7Time(key)) {
+            if (key.size() > kMaxIdempotencyKeyLength || !uuidV7Time(key)) {
                 return badRequest("expected Idempotency-Key to be a version 7 UUID (RFC 9562)");
             }
             // The key is the caller's own: two accounts may use the same one.
