--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -220,15 +220,15 @@
         if (service == nullptr) {
             return FilterFailure{FailureCode::NotFound, fmt::format("no service '{}'", name)};
         }
-        const std::string below = rest.substr(name.size());
+        const std::string subpath = rest.substr(name.size());
         const auto route = std::find_if(
             service->routes.begin(), service->routes.end(), [&](const RouteConfig &each) {
-                return each.method == context.http.method && below.starts_with(each.path);
+                return each.method == context.http.method && subpath.starts_with(each.path);
             });
         if (route == service->routes.end()) {
             return FilterFailure{
                 FailureCode::NotFound,
-                fmt::format("service '{}' has no route {} {}", name, context.http.method, below)};
+                fmt::format("service '{}' has no route {} {}", name, context.http.method, subpath)};
         }
         context.request.target = service->name;
         context.request.deadline = service->deadline;
