--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -313,7 +313,7 @@
 
 void EntryService::beginFlight(ExchangeId exchange, CallerContext &context)
 {
-    Flight flight;
+    ActiveRequest flight;
     flight.exchange = exchange;
     flight.request = context.request;
     flight.payload = std::move(context.payload);
@@ -379,7 +379,7 @@
     if (found == flights_.end()) {
         return;
     }
-    const Flight &flight = found->second;
+    const ActiveRequest &flight = found->second;
     metrics_.count("seamarch_failures_total", toString(action.failure));
     metrics_.count("seamarch_outcomes_total", toString(action.outcome));
     if (action.failure == FailureCode::RequestEndsUpstreams) {
@@ -408,7 +408,7 @@
     server_->respond(exchange, head, errorBody(code, outcome, detail).dump());
 }
 
-void EntryService::breakOffStream(const Flight &flight, FailureCode code, Outcome outcome)
+void EntryService::breakOffStream(const ActiveRequest &flight, FailureCode code, Outcome outcome)
 {
     if (flight.streamed) {
         const json body = errorBody(code, outcome, {});
@@ -451,7 +451,7 @@
     if (found == byExchange_.end()) {
         return;
     }
-    Flight &flight = flights_.at(found->second);
+    ActiveRequest &flight = flights_.at(found->second);
     KJ_IF_MAYBE (waiting, flight.waiting) {
         (*waiting)->fulfill();
     }
@@ -546,7 +546,7 @@
     return relay(id, found->second, part);
 }
 
-void EntryService::onPieceTimes(Flight &flight)
+void EntryService::onPieceTimes(ActiveRequest &flight)
 {
     const TimePoint now = loop_.now();
     const bool first = flight.lastPieceAt == TimePoint{};
@@ -556,7 +556,7 @@
     flight.lastPieceAt = now;
 }
 
-kj::Promise<void> EntryService::relay(RequestId id, Flight &flight, wire::Part::Reader part)
+kj::Promise<void> EntryService::relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part)
 {
     const std::string_view body = view(part.getBody());
     HttpResponseHead head;
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -62,7 +62,7 @@
 
 private:
     // A caller's request on its way.
-    struct Flight
+    struct ActiveRequest
     {
         ExchangeId exchange = 0;
         EntryRequest request;
@@ -114,9 +114,9 @@
     void addLink(const InstanceId &agent);
     void answerFailure(ExchangeId exchange, FailureCode code, Outcome outcome, Duration retryAfter,
                        const std::string &detail);
-    void breakOffStream(const Flight &flight, FailureCode code, Outcome outcome);
-    kj::Promise<void> relay(RequestId id, Flight &flight, wire::Part::Reader part);
-    void onPieceTimes(Flight &flight);
+    void breakOffStream(const ActiveRequest &flight, FailureCode code, Outcome outcome);
+    kj::Promise<void> relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part);
+    void onPieceTimes(ActiveRequest &flight);
     void endFlight(RequestId id);
     AgentLink *link(const InstanceId &agent);
     void updateLinks();
@@ -143,7 +143,7 @@
     std::unique_ptr<PeerNetwork> peers_;
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
     std::map<InstanceId, std::unique_ptr<AgentLink>> links_;
-    std::unordered_map<RequestId, Flight> flights_;
+    std::unordered_map<RequestId, ActiveRequest> flights_;
     std::unordered_map<ExchangeId, RequestId> byExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
     std::unique_ptr<PeriodicTimer> peerTimer_;
