--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -169,9 +169,9 @@
     }
     // A link with requests in flight outlives the listing of its agent: no answer is cut off.
     std::erase_if(links_, [&](const auto &entry) {
-        const bool busy = std::any_of(flights_.begin(), flights_.end(), [&](const auto &flight) {
-            return flight.second.agent == entry.first;
-        });
+        const bool busy =
+            std::any_of(activeRequests_.begin(), activeRequests_.end(),
+                        [&](const auto &flight) { return flight.second.agent == entry.first; });
         return !chosen.contains(entry.first) && !busy;
     });
 }
@@ -327,7 +327,7 @@
     const RequestId id = core_.begin(flight.request, flight.startedAt, actions);
     metrics_.count("seamarch_requests_total", "received");
     byExchange_[exchange] = id;
-    flights_.emplace(id, std::move(flight));
+    activeRequests_.emplace(id, std::move(flight));
     carryOut(actions);
 }
 
@@ -340,8 +340,8 @@
 
 void EntryService::carryOut(const SendCall &action)
 {
-    const auto flight = flights_.find(action.id);
-    if (flight == flights_.end()) {
+    const auto flight = activeRequests_.find(action.id);
+    if (flight == activeRequests_.end()) {
         return;
     }
     flight->second.agent = action.agent;
@@ -375,8 +375,8 @@
 
 void EntryService::carryOut(const FailRequest &action)
 {
-    const auto found = flights_.find(action.id);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(action.id);
+    if (found == activeRequests_.end()) {
         return;
     }
     const ActiveRequest &flight = found->second;
@@ -420,15 +420,15 @@
 
 void EntryService::endFlight(RequestId id)
 {
-    const auto found = flights_.find(id);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
     KJ_IF_MAYBE (waiting, found->second.waiting) {
         (*waiting)->fulfill();
     }
     byExchange_.erase(found->second.exchange);
-    flights_.erase(found);
+    activeRequests_.erase(found);
 }
 
 void EntryService::onCallerGone(ExchangeId exchange)
@@ -451,7 +451,7 @@
     if (found == byExchange_.end()) {
         return;
     }
-    ActiveRequest &flight = flights_.at(found->second);
+    ActiveRequest &flight = activeRequests_.at(found->second);
     KJ_IF_MAYBE (waiting, flight.waiting) {
         (*waiting)->fulfill();
     }
@@ -512,7 +512,7 @@
 void EntryService::onLinkClosed(const InstanceId &agent)
 {
     std::vector<RequestId> lost;
-    for (const auto &[id, flight] : flights_) {
+    for (const auto &[id, flight] : activeRequests_) {
         if (flight.agent == agent) {
             lost.push_back(id);
         }
@@ -527,9 +527,9 @@
 kj::Promise<void> EntryService::onPart(const InstanceId &agent, RequestId id,
                                        wire::Part::Reader part)
 {
-    const auto found = flights_.find(id);
+    const auto found = activeRequests_.find(id);
     if (part.getFailed()) {
-        if (found == flights_.end() || found->second.agent != agent) {
+        if (found == activeRequests_.end() || found->second.agent != agent) {
             return kj::READY_NOW;
         }
         EntryActions actions;
@@ -539,7 +539,7 @@
         carryOut(actions);
         return kj::READY_NOW;
     }
-    if (!core_.onAnswer(id, agent) || found == flights_.end()) {
+    if (!core_.onAnswer(id, agent) || found == activeRequests_.end()) {
         metrics_.count("seamarch_requests_total", "dropped_part");
         return kj::READY_NOW;
     }
@@ -638,7 +638,7 @@
             {"watchesPlatform", watcher_->active()},
             {"platformReachable", watcher_->reachable()},
             {"platformCalls", watcher_->calls()},
-            {"inFlight", flights_.size()},
+            {"inFlight", activeRequests_.size()},
             {"answered", answered_},
             {"retries", core_.retries()},
             {"moves", core_.moves()},
@@ -656,7 +656,7 @@
     }
     stopping_ = true;
     stopStartedAt_ = loop_.now();
-    logLine(LogLevel::Info, "entry.stopping", {{"inFlight", flights_.size()}});
+    logLine(LogLevel::Info, "entry.stopping", {{"inFlight", activeRequests_.size()}});
 }
 
 void EntryService::stopIfDrained()
@@ -667,11 +667,11 @@
         return;
     }
     server_->closeIdle();
-    const bool drained = flights_.empty() && server_->open() == 0;
+    const bool drained = activeRequests_.empty() && server_->open() == 0;
     if (!drained && since < settings_.stopDeadline) {
         return;
     }
-    logLine(LogLevel::Info, "entry.stopped", {{"cutOff", flights_.size()}});
+    logLine(LogLevel::Info, "entry.stopped", {{"cutOff", activeRequests_.size()}});
     loop_.stop();
 }
 
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -143,7 +143,7 @@
     std::unique_ptr<PeerNetwork> peers_;
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
     std::map<InstanceId, std::unique_ptr<AgentLink>> links_;
-    std::unordered_map<RequestId, ActiveRequest> flights_;
+    std::unordered_map<RequestId, ActiveRequest> activeRequests_;
     std::unordered_map<ExchangeId, RequestId> byExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
     std::unique_ptr<PeriodicTimer> peerTimer_;
