--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -268,7 +268,7 @@
         return;
     case CallerRoute::Completion:
     case CallerRoute::Service:
-        beginFlight(exchange, context);
+        beginRequest(exchange, context);
         return;
     }
 }
@@ -311,7 +311,7 @@
     });
 }
 
-void EntryService::beginFlight(ExchangeId exchange, CallerContext &context)
+void EntryService::beginRequest(ExchangeId exchange, CallerContext &context)
 {
     ActiveRequest flight;
     flight.exchange = exchange;
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -102,7 +102,7 @@
     bool ready(std::string &reason) const override;
     nlohmann::json status() const override;
 
-    void beginFlight(ExchangeId exchange, CallerContext &context);
+    void beginRequest(ExchangeId exchange, CallerContext &context);
     void serveModels(ExchangeId exchange);
     void serveTicket(ExchangeId exchange, const EntryRequest &request);
     void carryOut(const EntryActions &actions);
