--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -393,7 +393,7 @@
     } else {
         answerFailure(flight.exchange, action.failure, action.outcome, action.retryAfter, {});
     }
-    endFlight(action.id);
+    endRequest(action.id);
 }
 
 void EntryService::answerFailure(ExchangeId exchange, FailureCode code, Outcome outcome,
@@ -418,7 +418,7 @@
     server_->abort(flight.exchange);
 }
 
-void EntryService::endFlight(RequestId id)
+void EntryService::endRequest(RequestId id)
 {
     const auto found = activeRequests_.find(id);
     if (found == activeRequests_.end()) {
@@ -441,7 +441,7 @@
     metrics_.count("seamarch_requests_total", "caller_gone");
     EntryActions actions;
     core_.onCallerGone(id, actions);
-    endFlight(id);
+    endRequest(id);
     carryOut(actions);
 }
 
@@ -584,7 +584,7 @@
         metrics_.count("seamarch_requests_total", "answered");
         ++answered_;
         core_.onComplete(id, flight.agent, loop_.now());
-        endFlight(id);
+        endRequest(id);
         return kj::READY_NOW;
     }
     if (server_->buffered(flight.exchange) < kBufferedHighWater) {
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -117,7 +117,7 @@
     void breakOffStream(const ActiveRequest &flight, FailureCode code, Outcome outcome);
     kj::Promise<void> relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part);
     void onPieceTimes(ActiveRequest &flight);
-    void endFlight(RequestId id);
+    void endRequest(RequestId id);
     AgentLink *link(const InstanceId &agent);
     void updateLinks();
     void tick();
