--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -58,10 +58,10 @@
 } // namespace
 
 // The serving end for peer entries.
-class EntryService::PeerEnd final : public PeerServer
+class EntryService::PeerRpcServer final : public PeerServer
 {
 public:
-    PeerEnd(EntryService &service, Knowledge &knowledge, EventLoop &loop)
+    PeerRpcServer(EntryService &service, Knowledge &knowledge, EventLoop &loop)
         : PeerServer(knowledge, service.changes_, loop)
         , service_(service)
     {}
@@ -122,7 +122,8 @@
     server_ = std::move(*server);
     auto listening = transport_->listen(settings_.peerListen, [this](kj::Own<RawStream> stream) {
         const std::uint64_t id = nextIncoming_++;
-        auto peer = RpcPeer::server(kj::mv(stream), kj::heap<PeerEnd>(*this, knowledge_, loop_));
+        auto peer =
+            RpcPeer::server(kj::mv(stream), kj::heap<PeerRpcServer>(*this, knowledge_, loop_));
         peer->onClosed([this, id] { loop_.post([this, id] { incoming_.erase(id); }); });
         incoming_.emplace(id, std::move(peer));
     });
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -76,7 +76,7 @@
         kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> waiting; // Held while the caller lags.
     };
 
-    class PeerEnd;
+    class PeerRpcServer;
 
     EntryService(EventLoop &loop, EntrySettings settings);
     tl::expected<void, NetError> open();
