--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -228,7 +228,7 @@
     EntryActions actions;
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
-    tellOfCrashes();
+    announceCrashes();
     watcher_->setActive(peers_->shouldWatch());
     if (stopping_) {
         stopIfDrained();
@@ -236,7 +236,7 @@
 }
 
 // Others of the site wait for news of requests that end upstreams.
-void EntryService::tellOfCrashes()
+void EntryService::announceCrashes()
 {
     if (core_.crashes().cursor() != toldCrashes_) {
         toldCrashes_ = core_.crashes().cursor();
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -123,7 +123,7 @@
     void tick();
     void heartbeatAll();
     void armHeartbeat();
-    void tellOfCrashes();
+    void announceCrashes();
     void stopIfDrained();
 
     EventLoop &loop_;
