--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -238,8 +238,8 @@
 // Others of the site wait for news of requests that end upstreams.
 void EntryService::announceCrashes()
 {
-    if (core_.crashes().cursor() != toldCrashes_) {
-        toldCrashes_ = core_.crashes().cursor();
+    if (core_.crashes().cursor() != announcedCrashCursor_) {
+        announcedCrashCursor_ = core_.crashes().cursor();
         changes_.wake();
     }
     peers_->warn();
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -152,7 +152,8 @@
     bool stopping_ = false;
     TimePoint stopStartedAt_{};
     std::uint64_t answered_ = 0;
-    std::uint64_t toldCrashes_ = 0; // A cursor of the record of requests that end upstreams.
+    std::uint64_t announcedCrashCursor_ =
+        0; // A cursor of the record of requests that end upstreams.
 };
 
 } // namespace seamarch
