--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -390,7 +390,7 @@
                  {"ends", core_.crashes().crashCount(flight.request.digest)}});
     }
     if (flight.headSent) {
-        breakOffStream(flight, action.failure, action.outcome);
+        abortStream(flight, action.failure, action.outcome);
     } else {
         answerFailure(flight.exchange, action.failure, action.outcome, action.retryAfter, {});
     }
@@ -409,7 +409,7 @@
     server_->respond(exchange, head, errorBody(code, outcome, detail).dump());
 }
 
-void EntryService::breakOffStream(const ActiveRequest &flight, FailureCode code, Outcome outcome)
+void EntryService::abortStream(const ActiveRequest &flight, FailureCode code, Outcome outcome)
 {
     if (flight.streamed) {
         const json body = errorBody(code, outcome, {});
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -114,7 +114,7 @@
     void addLink(const InstanceId &agent);
     void answerFailure(ExchangeId exchange, FailureCode code, Outcome outcome, Duration retryAfter,
                        const std::string &detail);
-    void breakOffStream(const ActiveRequest &flight, FailureCode code, Outcome outcome);
+    void abortStream(const ActiveRequest &flight, FailureCode code, Outcome outcome);
     kj::Promise<void> relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part);
     void onPieceTimes(ActiveRequest &flight);
     void endRequest(RequestId id);
