--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -249,14 +249,14 @@
 {
     std::string reason;
     if (!knowledge_.configInForce()) {
-        answerFailure(exchange, FailureCode::EntryNotReady, Outcome::NotRun,
-                      std::chrono::seconds(1), {});
+        respondFailure(exchange, FailureCode::EntryNotReady, Outcome::NotRun,
+                       std::chrono::seconds(1), {});
         return;
     }
     CallerContext context{request, CallerRoute::Completion, nullptr, {}, {}, false, {}};
     for (const auto &filter : filters_) {
         if (const auto failure = filter->apply(context)) {
-            answerFailure(exchange, failure->code, Outcome::NotRun, {}, failure->detail);
+            respondFailure(exchange, failure->code, Outcome::NotRun, {}, failure->detail);
             return;
         }
     }
@@ -291,21 +291,21 @@
 {
     const auto candidates = core_.members().candidates(request.target, loop_.now());
     if (candidates.empty()) {
-        answerFailure(exchange, FailureCode::NoUpstream, Outcome::NotRun, std::chrono::seconds(1),
-                      {});
+        respondFailure(exchange, FailureCode::NoUpstream, Outcome::NotRun, std::chrono::seconds(1),
+                       {});
         return;
     }
     const std::size_t index = exchange % candidates.size();
     AgentLink *agent = link(candidates[index]->record.id);
     if (agent == nullptr) {
-        answerFailure(exchange, FailureCode::NoUpstream, Outcome::NotRun, std::chrono::seconds(1),
-                      {});
+        respondFailure(exchange, FailureCode::NoUpstream, Outcome::NotRun, std::chrono::seconds(1),
+                       {});
         return;
     }
     agent->issueTicket([this, exchange](const std::string &ticket) {
         if (ticket.empty()) {
-            answerFailure(exchange, FailureCode::UpstreamUnreachable, Outcome::NotRun,
-                          std::chrono::seconds(1), {});
+            respondFailure(exchange, FailureCode::UpstreamUnreachable, Outcome::NotRun,
+                           std::chrono::seconds(1), {});
             return;
         }
         server_->respond(exchange, {}, json{{"ticket", ticket}}.dump());
@@ -392,13 +392,13 @@
     if (flight.headSent) {
         abortStream(flight, action.failure, action.outcome);
     } else {
-        answerFailure(flight.exchange, action.failure, action.outcome, action.retryAfter, {});
+        respondFailure(flight.exchange, action.failure, action.outcome, action.retryAfter, {});
     }
     endRequest(action.id);
 }
 
-void EntryService::answerFailure(ExchangeId exchange, FailureCode code, Outcome outcome,
-                                 Duration retryAfter, const std::string &detail)
+void EntryService::respondFailure(ExchangeId exchange, FailureCode code, Outcome outcome,
+                                  Duration retryAfter, const std::string &detail)
 {
     HttpResponseHead head;
     head.status = httpStatus(code);
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -112,8 +112,8 @@
     void carryOut(const FailRequest &action);
     void carryOut(const ConnectAgent &action);
     void addLink(const InstanceId &agent);
-    void answerFailure(ExchangeId exchange, FailureCode code, Outcome outcome, Duration retryAfter,
-                       const std::string &detail);
+    void respondFailure(ExchangeId exchange, FailureCode code, Outcome outcome, Duration retryAfter,
+                        const std::string &detail);
     void abortStream(const ActiveRequest &flight, FailureCode code, Outcome outcome);
     kj::Promise<void> relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part);
     void onPieceTimes(ActiveRequest &flight);
