--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -124,8 +124,8 @@
         const std::uint64_t id = nextIncoming_++;
         auto peer =
             RpcPeer::server(kj::mv(stream), kj::heap<PeerRpcServer>(*this, knowledge_, loop_));
-        peer->onClosed([this, id] { loop_.post([this, id] { incoming_.erase(id); }); });
-        incoming_.emplace(id, std::move(peer));
+        peer->onClosed([this, id] { loop_.post([this, id] { peerConnections_.erase(id); }); });
+        peerConnections_.emplace(id, std::move(peer));
     });
     if (!listening) {
         return listening;
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -141,7 +141,7 @@
     std::unique_ptr<OperatorServer> operators_;
     std::unique_ptr<PlatformWatcher> watcher_;
     std::unique_ptr<PeerNetwork> peers_;
-    std::map<std::uint64_t, std::unique_ptr<RpcPeer>> incoming_;
+    std::map<std::uint64_t, std::unique_ptr<RpcPeer>> peerConnections_;
     std::map<InstanceId, std::unique_ptr<AgentLink>> links_;
     std::unordered_map<RequestId, ActiveRequest> activeRequests_;
     std::unordered_map<ExchangeId, RequestId> byExchange_;
