--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -121,7 +121,7 @@
     }
     server_ = std::move(*server);
     auto listening = transport_->listen(settings_.peerListen, [this](kj::Own<RawStream> stream) {
-        const std::uint64_t id = nextIncoming_++;
+        const std::uint64_t id = nextPeerConnection_++;
         auto peer =
             RpcPeer::server(kj::mv(stream), kj::heap<PeerRpcServer>(*this, knowledge_, loop_));
         peer->onClosed([this, id] { loop_.post([this, id] { peerConnections_.erase(id); }); });
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -148,7 +148,7 @@
     std::unique_ptr<PeriodicTimer> tickTimer_;
     std::unique_ptr<PeriodicTimer> peerTimer_;
     TimerId heartbeatTimer_ = 0;
-    std::uint64_t nextIncoming_ = 1;
+    std::uint64_t nextPeerConnection_ = 1;
     bool stopping_ = false;
     TimePoint stopStartedAt_{};
     std::uint64_t answered_ = 0;
