--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -327,7 +327,7 @@
     EntryActions actions;
     const RequestId id = core_.begin(flight.request, flight.startedAt, actions);
     metrics_.count("seamarch_requests_total", "received");
-    byExchange_[exchange] = id;
+    requestByExchange_[exchange] = id;
     activeRequests_.emplace(id, std::move(flight));
     carryOut(actions);
 }
@@ -428,14 +428,14 @@
     KJ_IF_MAYBE (waiting, found->second.waiting) {
         (*waiting)->fulfill();
     }
-    byExchange_.erase(found->second.exchange);
+    requestByExchange_.erase(found->second.exchange);
     activeRequests_.erase(found);
 }
 
 void EntryService::onCallerGone(ExchangeId exchange)
 {
-    const auto found = byExchange_.find(exchange);
-    if (found == byExchange_.end()) {
+    const auto found = requestByExchange_.find(exchange);
+    if (found == requestByExchange_.end()) {
         return;
     }
     const RequestId id = found->second;
@@ -448,8 +448,8 @@
 
 void EntryService::onDrained(ExchangeId exchange)
 {
-    const auto found = byExchange_.find(exchange);
-    if (found == byExchange_.end()) {
+    const auto found = requestByExchange_.find(exchange);
+    if (found == requestByExchange_.end()) {
         return;
     }
     ActiveRequest &flight = activeRequests_.at(found->second);
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -144,7 +144,7 @@
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> peerConnections_;
     std::map<InstanceId, std::unique_ptr<AgentLink>> links_;
     std::unordered_map<RequestId, ActiveRequest> activeRequests_;
-    std::unordered_map<ExchangeId, RequestId> byExchange_;
+    std::unordered_map<ExchangeId, RequestId> requestByExchange_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
     std::unique_ptr<PeriodicTimer> peerTimer_;
     TimerId heartbeatTimer_ = 0;
