--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -17,7 +17,7 @@
 using nlohmann::json;
 
 constexpr int kGrantsPerLease = 3;
-constexpr Duration kTick = std::chrono::milliseconds(100);
+constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
 constexpr std::size_t kFreeNotices = 4; // Entries that hear of a free slot.
 // What may wait for an entry that lags; beyond it the upstream is not read.
 constexpr std::size_t kPendingHighWater = 64 * 1024;
@@ -230,7 +230,7 @@
         grants_->askTurn();
         orders_->tick();
     });
-    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
+    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickPeriod, [this] { tick(); });
     return {};
 }
 
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-constexpr Duration kTick = std::chrono::milliseconds(100);
+constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
 // What a slow caller may have waiting here; the agent holds back the rest.
 constexpr std::size_t kBufferedHighWater = 32 * 1024;
 
@@ -135,7 +135,7 @@
     peers_ = std::make_unique<PeerNetwork>(
         loop_, *transport_, knowledge_, core_.crashes(),
         PeerNetwork::Settings{settings_.instance, settings_.hall, incarnation_, settings_.lease});
-    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
+    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickPeriod, [this] { tick(); });
     peerTimer_ =
         std::make_unique<PeriodicTimer>(loop_, settings_.heartbeat, [this] { peers_->tick(); });
     armHeartbeat();
