--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -18,7 +18,7 @@
 
 constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
 // What a slow caller may have waiting here; the agent holds back the rest.
-constexpr std::size_t kBufferedHighWater = 32 * 1024;
+constexpr std::size_t kBufferHighWaterBytes = 32 * 1024;
 
 EntryCore::Settings coreSettings(const EntrySettings &settings, Incarnation incarnation)
 {
@@ -588,7 +588,7 @@
         endRequest(id);
         return kj::READY_NOW;
     }
-    if (server_->buffered(flight.exchange) < kBufferedHighWater) {
+    if (server_->buffered(flight.exchange) < kBufferHighWaterBytes) {
         return kj::READY_NOW;
     }
     auto paf = kj::newPromiseAndFulfiller<void>();
