--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -214,7 +214,7 @@
         return tl::unexpected(probe.error());
     }
     probe_ = std::move(*probe);
-    operators_ = std::move(net->operators);
+    operatorServer_ = std::move(net->operators);
     auto listening = transport_->listen(
         settings_.listen, [this](kj::Own<RawStream> stream) { accept(kj::mv(stream)); });
     if (!listening) {
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -140,7 +140,7 @@
     std::unique_ptr<RawTransport> transport_;
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<UpstreamProbe> probe_;
-    std::unique_ptr<OperatorServer> operators_;
+    std::unique_ptr<OperatorServer> operatorServer_;
     std::map<ConnectionId, Connection> connections_;
     std::unordered_map<RequestId, Job> jobs_;
     ReloadPermitIssuer turnBook_;
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -111,7 +111,7 @@
     }
     transport_ = std::move(net->transport);
     client_ = std::move(net->client);
-    operators_ = std::move(net->operators);
+    operatorServer_ = std::move(net->operators);
     HttpServerOptions options;
     options.address = settings_.listen;
     options.maxBodyBytes = settings_.maxBodyBytes;
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -138,7 +138,7 @@
     std::unique_ptr<RawTransport> transport_;
     std::unique_ptr<HttpClient> client_;
     std::unique_ptr<HttpServer> server_;
-    std::unique_ptr<OperatorServer> operators_;
+    std::unique_ptr<OperatorServer> operatorServer_;
     std::unique_ptr<PlatformWatcher> watcher_;
     std::unique_ptr<PeerNetwork> peers_;
     std::map<std::uint64_t, std::unique_ptr<RpcPeer>> peerConnections_;
