--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -138,7 +138,7 @@
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickPeriod, [this] { tick(); });
     peerTimer_ =
         std::make_unique<PeriodicTimer>(loop_, settings_.heartbeat, [this] { peers_->tick(); });
-    armHeartbeat();
+    scheduleHeartbeat();
     watcher_->setActive(true);
     return {};
 }
@@ -214,11 +214,11 @@
     }
 }
 
-void EntryService::armHeartbeat()
+void EntryService::scheduleHeartbeat()
 {
     const Duration period = heartbeatPeriod(links_.size(), settings_.heartbeat, {});
     heartbeatTimer_ = loop_.schedule(period, [this] {
-        armHeartbeat();
+        scheduleHeartbeat();
         heartbeatAll();
     });
 }
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -122,7 +122,7 @@
     void updateLinks();
     void tick();
     void heartbeatAll();
-    void armHeartbeat();
+    void scheduleHeartbeat();
     void announceCrashes();
     void stopIfDrained();
 
