--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -547,7 +547,7 @@
     return relay(id, found->second, part);
 }
 
-void EntryService::onPieceTimes(ActiveRequest &flight)
+void EntryService::recordChunkLatency(ActiveRequest &flight)
 {
     const TimePoint now = loop_.now();
     const bool first = flight.lastPieceAt == TimePoint{};
@@ -567,7 +567,7 @@
         flight.payload = {};
     }
     if (!body.empty()) {
-        onPieceTimes(flight);
+        recordChunkLatency(flight);
     }
     if (part.getHasHead() && part.getEnd()) {
         server_->respond(flight.exchange, head, std::string(body));
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -116,7 +116,7 @@
                         const std::string &detail);
     void abortStream(const ActiveRequest &flight, FailureCode code, Outcome outcome);
     kj::Promise<void> relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part);
-    void onPieceTimes(ActiveRequest &flight);
+    void recordChunkLatency(ActiveRequest &flight);
     void endRequest(RequestId id);
     AgentLink *link(const InstanceId &agent);
     void updateLinks();
