--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -550,11 +550,11 @@
 void EntryService::recordChunkLatency(ActiveRequest &flight)
 {
     const TimePoint now = loop_.now();
-    const bool first = flight.lastPieceAt == TimePoint{};
+    const bool first = flight.lastChunkAt == TimePoint{};
     const Stage stage = first ? Stage::FirstToken : Stage::BetweenTokens;
-    const TimePoint since = first ? flight.startedAt : flight.lastPieceAt;
+    const TimePoint since = first ? flight.startedAt : flight.lastChunkAt;
     metrics_.observe(stage, flight.request.account, flight.requestClass, now - since);
-    flight.lastPieceAt = now;
+    flight.lastChunkAt = now;
 }
 
 kj::Promise<void> EntryService::relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part)
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -72,7 +72,7 @@
         bool streamed = false;
         bool headSent = false;
         TimePoint startedAt{};
-        TimePoint lastPieceAt{};
+        TimePoint lastChunkAt{};
         kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> waiting; // Held while the caller lags.
     };
 
