--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -425,8 +425,8 @@
     if (found == activeRequests_.end()) {
         return;
     }
-    KJ_IF_MAYBE (waiting, found->second.waiting) {
-        (*waiting)->fulfill();
+    KJ_IF_MAYBE (drainFulfiller, found->second.drainFulfiller) {
+        (*drainFulfiller)->fulfill();
     }
     requestByExchange_.erase(found->second.exchange);
     activeRequests_.erase(found);
@@ -453,10 +453,10 @@
         return;
     }
     ActiveRequest &flight = activeRequests_.at(found->second);
-    KJ_IF_MAYBE (waiting, flight.waiting) {
-        (*waiting)->fulfill();
+    KJ_IF_MAYBE (drainFulfiller, flight.drainFulfiller) {
+        (*drainFulfiller)->fulfill();
     }
-    flight.waiting = nullptr;
+    flight.drainFulfiller = nullptr;
 }
 
 void EntryService::onHeartbeat(const InstanceId &agent, const AgentReport &report,
@@ -592,7 +592,7 @@
         return kj::READY_NOW;
     }
     auto paf = kj::newPromiseAndFulfiller<void>();
-    flight.waiting = kj::mv(paf.fulfiller);
+    flight.drainFulfiller = kj::mv(paf.fulfiller);
     return kj::mv(paf.promise);
 }
 
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -73,7 +73,8 @@
         bool headSent = false;
         TimePoint startedAt{};
         TimePoint lastChunkAt{};
-        kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> waiting; // Held while the caller lags.
+        kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>>
+            drainFulfiller; // Held while the caller lags.
     };
 
     class PeerRpcServer;
