--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -50,7 +50,7 @@
               {"outcome", toString(outcome)}}}};
 }
 
-std::string_view view(capnp::Data::Reader data)
+std::string_view asStringView(capnp::Data::Reader data)
 {
     return {reinterpret_cast<const char *>(data.begin()), data.size()};
 }
@@ -559,7 +559,7 @@
 
 kj::Promise<void> EntryService::relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part)
 {
-    const std::string_view body = view(part.getBody());
+    const std::string_view body = asStringView(part.getBody());
     HttpResponseHead head;
     if (part.getHasHead()) {
         head.status = part.getStatus();
