--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -48,10 +48,10 @@
 } // namespace
 
 // The serving end for one entry.
-class AgentService::AgentEnd final : public wire::Agent::Server, public PeerServer
+class AgentService::AgentRpcServer final : public wire::Agent::Server, public PeerServer
 {
 public:
-    AgentEnd(AgentService &service, ConnectionId connection)
+    AgentRpcServer(AgentService &service, ConnectionId connection)
         : PeerServer(service.knowledge_, service.changes_, service.loop_)
         , service_(service)
         , connection_(connection)
@@ -238,7 +238,7 @@
 {
     const ConnectionId id = nextConnection_++;
     Connection &connection = connections_[id];
-    connection.peer = RpcPeer::server(kj::mv(stream), kj::heap<AgentEnd>(*this, id));
+    connection.peer = RpcPeer::server(kj::mv(stream), kj::heap<AgentRpcServer>(*this, id));
     connection.peer->onClosed([this, id] { loop_.post([this, id] { onConnectionClosed(id); }); });
 }
 
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -89,7 +89,7 @@
         Incarnation entry;
     };
 
-    class AgentEnd;
+    class AgentRpcServer;
     class UpstreamReceiver;
 
     AgentService(EventLoop &loop, AgentSettings settings);
