--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -16,7 +16,7 @@
 
 using nlohmann::json;
 
-constexpr int kGrantsPerLease = 3;
+constexpr int kGrantRequestsPerLease = 3;
 constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
 constexpr std::size_t kFreeNotices = 4; // Entries that hear of a free slot.
 // What may wait for an entry that lags; beyond it the upstream is not read.
@@ -225,11 +225,12 @@
     grants_ = std::make_unique<GrantNetwork>(
         GrantNetwork::Context{loop_, *transport_, core_, turnBook_, orders_->turns(),
                               settings_.instance, incarnation_, settings_.hall});
-    grantTimer_ = std::make_unique<PeriodicTimer>(loop_, settings_.lease / kGrantsPerLease, [this] {
-        grants_->tick();
-        grants_->askTurn();
-        orders_->tick();
-    });
+    grantTimer_ =
+        std::make_unique<PeriodicTimer>(loop_, settings_.lease / kGrantRequestsPerLease, [this] {
+            grants_->tick();
+            grants_->askTurn();
+            orders_->tick();
+        });
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickPeriod, [this] { tick(); });
     return {};
 }
