--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -18,7 +18,7 @@
 
 constexpr int kGrantRequestsPerLease = 3;
 constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
-constexpr std::size_t kFreeNotices = 4; // Entries that hear of a free slot.
+constexpr std::size_t kFreeSlotNotices = 4; // Entries that hear of a free slot.
 // What may wait for an entry that lags; beyond it the upstream is not read.
 constexpr std::size_t kPendingHighWater = 64 * 1024;
 constexpr std::string_view kEventPrefix = "data: ";
@@ -361,7 +361,7 @@
             entries.push_back(&connection);
         }
     }
-    for (std::size_t notice = 0; notice < kFreeNotices && !entries.empty(); ++notice) {
+    for (std::size_t notice = 0; notice < kFreeSlotNotices && !entries.empty(); ++notice) {
         std::uniform_int_distribution<std::size_t> draw(0, entries.size() - 1);
         const std::size_t index = draw(random_);
         KJ_IF_MAYBE (sink, entries[index]->sink) {
