--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -20,7 +20,7 @@
 constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
 constexpr std::size_t kFreeSlotNotices = 4; // Entries that hear of a free slot.
 // What may wait for an entry that lags; beyond it the upstream is not read.
-constexpr std::size_t kPendingHighWater = 64 * 1024;
+constexpr std::size_t kPendingHighWaterBytes = 64 * 1024;
 constexpr std::string_view kEventPrefix = "data: ";
 constexpr std::string_view kEventStream = "text/event-stream";
 
@@ -418,7 +418,7 @@
     if (job.streamed) {
         core_.onTokens(id, countEvents(piece));
     }
-    if (job.pending.size() > kPendingHighWater && !job.paused) {
+    if (job.pending.size() > kPendingHighWaterBytes && !job.paused) {
         job.paused = true;
         client_->pause(job.httpCall, true);
     }
