--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -299,20 +299,20 @@
     return result;
 }
 
-bool AgentService::onCancel(RequestId id, Incarnation meant)
+bool AgentService::onCancel(RequestId id, Incarnation expectedIncarnation)
 {
     AgentActions actions;
-    const bool notRun = core_.onCancel(id, meant, loop_.now(), actions);
+    const bool notRun = core_.onCancel(id, expectedIncarnation, loop_.now(), actions);
     carryOut(actions);
-    if (meant == incarnation_) {
+    if (expectedIncarnation == incarnation_) {
         jobs_.erase(id);
     }
     return notRun;
 }
 
-bool AgentService::onWithdraw(RequestId id, Incarnation meant)
+bool AgentService::onWithdraw(RequestId id, Incarnation expectedIncarnation)
 {
-    const bool notRun = core_.onWithdraw(id, meant);
+    const bool notRun = core_.onWithdraw(id, expectedIncarnation);
     if (notRun) {
         jobs_.erase(id);
     }
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -98,8 +98,8 @@
     void onConnectionClosed(ConnectionId connection);
 
     AdmissionResult onStart(ConnectionId connection, wire::Call::Reader call);
-    bool onCancel(RequestId id, Incarnation meant);
-    bool onWithdraw(RequestId id, Incarnation meant);
+    bool onCancel(RequestId id, Incarnation expectedIncarnation);
+    bool onWithdraw(RequestId id, Incarnation expectedIncarnation);
 
     void onUpstreamHead(RequestId id, const HttpHead &head);
     void takeRestWish(const HttpHead &head);
