--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -375,7 +375,7 @@
 
 void AgentService::onUpstreamHead(RequestId id, const HttpHead &head)
 {
-    takeRestWish(head);
+    applyRetryAfter(head);
     const auto found = jobs_.find(id);
     if (found == jobs_.end()) {
         return;
@@ -388,7 +388,7 @@
 }
 
 // The upstream may ask for rest in an answer. The answer itself goes to its caller like any other.
-void AgentService::takeRestWish(const HttpHead &head)
+void AgentService::applyRetryAfter(const HttpHead &head)
 {
     const RetryAfter wish = readRetryAfter(head.status, head.headers);
     if (!wish.rest && !wish.unreadable) {
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -102,7 +102,7 @@
     bool onWithdraw(RequestId id, Incarnation expectedIncarnation);
 
     void onUpstreamHead(RequestId id, const HttpHead &head);
-    void takeRestWish(const HttpHead &head);
+    void applyRetryAfter(const HttpHead &head);
     void onUpstreamPiece(RequestId id, std::string_view piece);
     void onUpstreamEnd(RequestId id, HttpCallEnd end);
     void askAfterUpstream(RequestId id);
