--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -390,19 +390,19 @@
 // The upstream may ask for rest in an answer. The answer itself goes to its caller like any other.
 void AgentService::applyRetryAfter(const HttpHead &head)
 {
-    const RetryAfter wish = readRetryAfter(head.status, head.headers);
-    if (!wish.rest && !wish.unreadable) {
+    const RetryAfter retryAfter = readRetryAfter(head.status, head.headers);
+    if (!retryAfter.rest && !retryAfter.unreadable) {
         return;
     }
-    metrics_.count("seamarch_upstream_notices_total", wish.rest ? "rest" : "unreadable");
+    metrics_.count("seamarch_upstream_notices_total", retryAfter.rest ? "rest" : "unreadable");
     logLine(LogLevel::Info, "upstream.notice",
             {{"upstream", settings_.instance.value()},
              {"status", head.status},
-             {"restMs", wish.rest ? json(toMillis(*wish.rest)) : json()},
-             {"restUnreadable", wish.unreadable}});
-    if (wish.rest) {
+             {"restMs", retryAfter.rest ? json(toMillis(*retryAfter.rest)) : json()},
+             {"restUnreadable", retryAfter.unreadable}});
+    if (retryAfter.rest) {
         AgentActions actions;
-        core_.backOffUntil(loop_.now() + *wish.rest, loop_.now(), actions);
+        core_.backOffUntil(loop_.now() + *retryAfter.rest, loop_.now(), actions);
         carryOut(actions);
     }
 }
