--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -456,7 +456,7 @@
         job.ended = true;
         flushLater(id);
     } else if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
-        askAfterUpstream(id);
+        probeUpstream(id);
     } else {
         sendFailure(id, FailureCode::UpstreamFailed, Outcome::Unknown, {});
     }
@@ -465,7 +465,7 @@
 
 // An entry must know whether the upstream broke off this request or ended with all that it had: the
 // same request would end the next one as well.
-void AgentService::askAfterUpstream(RequestId id)
+void AgentService::probeUpstream(RequestId id)
 {
     probe_->ask(settings_.upstream, [this, id](UpstreamState state) {
         metrics_.count("seamarch_upstreams_that_lost_requests_total", toString(state));
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -105,7 +105,7 @@
     void applyRetryAfter(const HttpHead &head);
     void onUpstreamPiece(RequestId id, std::string_view piece);
     void onUpstreamEnd(RequestId id, HttpCallEnd end);
-    void askAfterUpstream(RequestId id);
+    void probeUpstream(RequestId id);
 
     void carryOut(const AgentActions &actions);
     void carryOut(const StartUpstream &action);
