--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -425,7 +425,7 @@
     flushLater(id);
 }
 
-void AgentService::countWholeAnswer(RequestId id, const Job &job)
+void AgentService::countUsageTokens(RequestId id, const Job &job)
 {
     const json answer = json::parse(job.pending, nullptr, false);
     const auto usage = answer.is_object() ? answer.find("usage") : answer.end();
@@ -448,7 +448,7 @@
         return;
     }
     if (end == HttpCallEnd::Complete && !job.streamed) {
-        countWholeAnswer(id, job);
+        countUsageTokens(id, job);
     }
     core_.onEnded(id, loop_.now(), actions);
     ++finished_;
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -116,7 +116,7 @@
     void flushLater(RequestId id);
     void flush(RequestId id);
     void onPartTaken(RequestId id);
-    void countWholeAnswer(RequestId id, const Job &job);
+    void countUsageTokens(RequestId id, const Job &job);
 
     void onConfig(const ConfigDocument &document) override;
     void onInstances(const InstanceList &list) override;
