--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -543,12 +543,12 @@
         job.partInFlight = true;
         tasks_.add(request.send().then(
             [this, id](capnp::Response<wire::AnswerSink::PartResults> && /*answer*/) {
-                onPartTaken(id);
+                onPartAcknowledged(id);
             }));
     }
 }
 
-void AgentService::onPartTaken(RequestId id)
+void AgentService::onPartAcknowledged(RequestId id)
 {
     const auto found = jobs_.find(id);
     if (found == jobs_.end()) {
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -115,7 +115,7 @@
     void sendFailure(RequestId id, FailureCode failure, Outcome outcome, Duration retryAfter);
     void flushLater(RequestId id);
     void flush(RequestId id);
-    void onPartTaken(RequestId id);
+    void onPartAcknowledged(RequestId id);
     void countUsageTokens(RequestId id, const Job &job);
 
     void onConfig(const ConfigDocument &document) override;
