--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -422,7 +422,7 @@
         job.paused = true;
         client_->pause(job.httpCall, true);
     }
-    flushLater(id);
+    scheduleFlush(id);
 }
 
 void AgentService::countUsageTokens(RequestId id, const Job &job)
@@ -454,7 +454,7 @@
     ++finished_;
     if (end == HttpCallEnd::Complete && job.headReady) {
         job.ended = true;
-        flushLater(id);
+        scheduleFlush(id);
     } else if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
         probeUpstream(id);
     } else {
@@ -501,7 +501,7 @@
     }
 }
 
-void AgentService::flushLater(RequestId id)
+void AgentService::scheduleFlush(RequestId id)
 {
     // Head, body and end of a short answer arrive in one turn and leave as one part.
     loop_.post([this, id] { flush(id); });
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -113,7 +113,7 @@
     void carryOut(const ReportNotRun &action);
     void carryOut(const AnnounceFreeSlot &action);
     void sendFailure(RequestId id, FailureCode failure, Outcome outcome, Duration retryAfter);
-    void flushLater(RequestId id);
+    void scheduleFlush(RequestId id);
     void flush(RequestId id);
     void onPartAcknowledged(RequestId id);
     void countUsageTokens(RequestId id, const Job &job);
