--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -265,29 +265,29 @@
 
 AdmissionResult AgentService::onStart(ConnectionId connection, wire::Call::Reader call)
 {
-    AgentCall decided;
-    decided.id = readRequestId(call.getId());
-    decided.account = AccountId(toString(call.getAccount()));
-    decided.target = TargetName(toString(call.getTarget()));
-    decided.priority = call.getPriority();
-    decided.promptTokens = call.getPromptTokens();
-    decided.answerTokens = call.getMaxTokens();
-    decided.deadline = Duration(call.getDeadlineMicros());
-    decided.agentIncarnation = Incarnation(call.getAgentIncarnation());
-    decided.callerKey = toString(call.getCallerKey());
+    AgentCall agentCall;
+    agentCall.id = readRequestId(call.getId());
+    agentCall.account = AccountId(toString(call.getAccount()));
+    agentCall.target = TargetName(toString(call.getTarget()));
+    agentCall.priority = call.getPriority();
+    agentCall.promptTokens = call.getPromptTokens();
+    agentCall.answerTokens = call.getMaxTokens();
+    agentCall.deadline = Duration(call.getDeadlineMicros());
+    agentCall.agentIncarnation = Incarnation(call.getAgentIncarnation());
+    agentCall.callerKey = toString(call.getCallerKey());
     if (call.getTicket().size() > 0) {
-        decided.ticket = parseTicket(toString(call.getTicket()));
+        agentCall.ticket = parseTicket(toString(call.getTicket()));
     }
     AgentActions actions;
-    const AdmissionResult result = core_.onCall(decided, loop_.now(), wallNow(), actions);
+    const AdmissionResult result = core_.onCall(agentCall, loop_.now(), wallNow(), actions);
     metrics_.count("seamarch_agent_calls_total",
                    result.accepted ? "accepted" : toString(result.failure));
     if (!result.accepted) {
         return result;
     }
-    Job &job = jobs_[decided.id];
+    Job &job = jobs_[agentCall.id];
     job.connection = connection;
-    job.account = decided.account;
+    job.account = agentCall.account;
     job.arrivedAt = loop_.now();
     job.call.address = settings_.upstream;
     job.call.method = toString(call.getMethod());
