--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -682,8 +682,8 @@
 {
     const Duration since = loop_.now() - stopStartedAt_;
     // Entries hear that it is leaving with the next heartbeat, and their last calls are answered.
-    const bool told = since >= settings_.lease;
-    const bool drained = told && core_.idle() && jobs_.empty();
+    const bool announced = since >= settings_.lease;
+    const bool drained = announced && core_.idle() && jobs_.empty();
     if (!drained && since < settings_.stopDeadline) {
         return;
     }
