--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -107,17 +107,17 @@
     kj::Promise<void> turn(TurnContext context) override
     {
         const auto params = context.getParams();
-        context.getResults().setGiven(
-            service_.turnBook_.tryIssue(InstanceId(toString(params.getInstance())),
-                                        Incarnation(params.getIncarnation()), params.getNumber()));
+        context.getResults().setGiven(service_.permitIssuer_.tryIssue(
+            InstanceId(toString(params.getInstance())), Incarnation(params.getIncarnation()),
+            params.getNumber()));
         return kj::READY_NOW;
     }
 
     kj::Promise<void> releaseTurn(ReleaseTurnContext context) override
     {
         const auto params = context.getParams();
-        service_.turnBook_.release(InstanceId(toString(params.getInstance())),
-                                   Incarnation(params.getIncarnation()), params.getNumber());
+        service_.permitIssuer_.release(InstanceId(toString(params.getInstance())),
+                                       Incarnation(params.getIncarnation()), params.getNumber());
         return kj::READY_NOW;
     }
 
@@ -125,9 +125,9 @@
     {
         const auto params = context.getParams();
         const std::uint64_t set = params.getMemberSet();
-        service_.turnBook_.onMemberState(InstanceId(toString(params.getInstance())),
-                                         {Incarnation(params.getIncarnation()),
-                                          params.getTurnsReleased(), params.getHoldsTurn()});
+        service_.permitIssuer_.onMemberState(InstanceId(toString(params.getInstance())),
+                                             {Incarnation(params.getIncarnation()),
+                                              params.getTurnsReleased(), params.getHoldsTurn()});
         context.getResults().setGranted(service_.core_.onGrantRequest(set, service_.loop_.now()));
         return kj::READY_NOW;
     }
@@ -181,7 +181,7 @@
     , metrics_(settings_.maxAccountSeries)
     , changes_(loop)
     , core_(coreSettings(settings_, incarnation_), loop.now())
-    , turnBook_(settings_.instance)
+    , permitIssuer_(settings_.instance)
     , random_(incarnation_.value())
     , tasks_(*this)
 {
@@ -223,7 +223,7 @@
     orders_ = std::make_unique<OrderDriver>(loop_, *client_, static_cast<OrderHost &>(*this),
                                             settings_.instance, settings_.upstream);
     grants_ = std::make_unique<GrantNetwork>(
-        GrantNetwork::Context{loop_, *transport_, core_, turnBook_, orders_->turns(),
+        GrantNetwork::Context{loop_, *transport_, core_, permitIssuer_, orders_->turns(),
                               settings_.instance, incarnation_, settings_.hall});
     grantTimer_ =
         std::make_unique<PeriodicTimer>(loop_, settings_.lease / kGrantRequestsPerLease, [this] {
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -143,7 +143,7 @@
     std::unique_ptr<OperatorServer> operatorServer_;
     std::map<ConnectionId, Connection> connections_;
     std::unordered_map<RequestId, Job> jobs_;
-    ReloadPermitIssuer turnBook_;
+    ReloadPermitIssuer permitIssuer_;
     std::unique_ptr<OrderDriver> orders_;
     std::unique_ptr<GrantNetwork> grants_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
