--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -222,13 +222,13 @@
     }
     orders_ = std::make_unique<OrderDriver>(loop_, *client_, static_cast<OrderHost &>(*this),
                                             settings_.instance, settings_.upstream);
-    grants_ = std::make_unique<GrantNetwork>(
+    grantNetwork_ = std::make_unique<GrantNetwork>(
         GrantNetwork::Context{loop_, *transport_, core_, permitIssuer_, orders_->turns(),
                               settings_.instance, incarnation_, settings_.hall});
     grantTimer_ =
         std::make_unique<PeriodicTimer>(loop_, settings_.lease / kGrantRequestsPerLease, [this] {
-            grants_->tick();
-            grants_->askTurn();
+            grantNetwork_->tick();
+            grantNetwork_->askTurn();
             orders_->tick();
         });
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickPeriod, [this] { tick(); });
@@ -572,7 +572,7 @@
 
 void AgentService::releaseTurn(const InstanceId &member)
 {
-    grants_->releaseTurn(member);
+    grantNetwork_->releaseTurn(member);
 }
 
 void AgentService::updateTarget()
@@ -587,7 +587,7 @@
     for (const ModelConfig &model : knowledge_.config().models) {
         if (model.name == self->serves.front()) {
             orders_->setTarget(model.version, knowledge_.config().version);
-            grants_->setFloor(model.minServing);
+            grantNetwork_->setFloor(model.minServing);
         }
     }
 }
@@ -603,7 +603,7 @@
 {
     // Links must not be taken away inside one of their own callbacks.
     loop_.post([this] {
-        grants_->setInstances(knowledge_.list());
+        grantNetwork_->setInstances(knowledge_.list());
         updateTarget();
     });
     const auto self = std::find_if(
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -145,7 +145,7 @@
     std::unordered_map<RequestId, Job> jobs_;
     ReloadPermitIssuer permitIssuer_;
     std::unique_ptr<OrderDriver> orders_;
-    std::unique_ptr<GrantNetwork> grants_;
+    std::unique_ptr<GrantNetwork> grantNetwork_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
     std::unique_ptr<PeriodicTimer> grantTimer_;
     ConnectionId nextConnection_ = 1;
