--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -220,16 +220,16 @@
     if (!listening) {
         return listening;
     }
-    orders_ = std::make_unique<OrderDriver>(loop_, *client_, static_cast<OrderHost &>(*this),
-                                            settings_.instance, settings_.upstream);
+    engineReloader_ = std::make_unique<OrderDriver>(
+        loop_, *client_, static_cast<OrderHost &>(*this), settings_.instance, settings_.upstream);
     grantNetwork_ = std::make_unique<GrantNetwork>(
-        GrantNetwork::Context{loop_, *transport_, core_, permitIssuer_, orders_->turns(),
+        GrantNetwork::Context{loop_, *transport_, core_, permitIssuer_, engineReloader_->turns(),
                               settings_.instance, incarnation_, settings_.hall});
     grantTimer_ =
         std::make_unique<PeriodicTimer>(loop_, settings_.lease / kGrantRequestsPerLease, [this] {
             grantNetwork_->tick();
             grantNetwork_->askTurn();
-            orders_->tick();
+            engineReloader_->tick();
         });
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickPeriod, [this] { tick(); });
     return {};
@@ -586,7 +586,7 @@
     }
     for (const ModelConfig &model : knowledge_.config().models) {
         if (model.name == self->serves.front()) {
-            orders_->setTarget(model.version, knowledge_.config().version);
+            engineReloader_->setTarget(model.version, knowledge_.config().version);
             grantNetwork_->setFloor(model.minServing);
         }
     }
@@ -645,8 +645,8 @@
             {"rpcBytesIn", transport_->bytesIn()},
             {"rpcBytesOut", transport_->bytesOut()},
             {"keyHome", core_.holdsAllGrants(loop_.now())},
-            {"engineVersion", orders_->engineVersion()},
-            {"reloading", orders_->reloading()},
+            {"engineVersion", engineReloader_->engineVersion()},
+            {"reloading", engineReloader_->reloading()},
             {"finished", finished_}};
 }
 
