--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -144,7 +144,7 @@
     std::map<ConnectionId, Connection> connections_;
     std::unordered_map<RequestId, Job> jobs_;
     ReloadPermitIssuer permitIssuer_;
-    std::unique_ptr<OrderDriver> engineReloader_;
+    std::unique_ptr<EngineReloader> engineReloader_;
     std::unique_ptr<GrantNetwork> grantNetwork_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
     std::unique_ptr<PeriodicTimer> grantTimer_;
--- a/src/agent/orderdriver.cpp
+++ b/src/agent/orderdriver.cpp
@@ -31,10 +31,10 @@
 } // namespace
 
 // Reads the engine's answer to a question or an order; both are its state.
-class OrderDriver::Receiver final : public HttpCallReceiver
+class EngineReloader::Receiver final : public HttpCallReceiver
 {
 public:
-    explicit Receiver(OrderDriver &driver)
+    explicit Receiver(EngineReloader &driver)
         : driver_(driver)
     {}
 
@@ -49,13 +49,13 @@
     }
 
 private:
-    OrderDriver &driver_;
+    EngineReloader &driver_;
     int status_ = 0;
     std::string body_;
 };
 
-OrderDriver::OrderDriver(EventLoop &loop, HttpClient &client, OrderHost &host, InstanceId self,
-                         SocketAddress engine)
+EngineReloader::EngineReloader(EventLoop &loop, HttpClient &client, OrderHost &host,
+                               InstanceId self, SocketAddress engine)
     : loop_(loop)
     , client_(client)
     , host_(host)
@@ -63,13 +63,13 @@
     , address_(std::move(engine))
 {}
 
-void OrderDriver::setTarget(std::string version, ConfigVersion config)
+void EngineReloader::setTarget(std::string version, ConfigVersion config)
 {
     target_ = std::move(version);
     config_ = config;
 }
 
-void OrderDriver::ask()
+void EngineReloader::ask()
 {
     inFlight_ = true;
     HttpCallRequest request;
@@ -78,7 +78,7 @@
     client_.call(std::move(request), std::make_unique<Receiver>(*this));
 }
 
-void OrderDriver::order()
+void EngineReloader::order()
 {
     inFlight_ = true;
     HttpCallRequest request;
@@ -91,7 +91,7 @@
     logLine(LogLevel::Info, "order.given", {{"version", target_}, {"fence", config_.value()}});
 }
 
-void OrderDriver::onState(const std::optional<EngineState> &state)
+void EngineReloader::onState(const std::optional<EngineState> &state)
 {
     if (!state) {
         return;
@@ -108,7 +108,7 @@
     }
 }
 
-void OrderDriver::tick()
+void EngineReloader::tick()
 {
     if (inFlight_ || unable_ || target_.empty()) {
         return;
@@ -125,7 +125,7 @@
     advance();
 }
 
-void OrderDriver::advance()
+void EngineReloader::advance()
 {
     const bool due = engine_.version != target_ && engine_.fence < config_.value();
     switch (step_) {
@@ -167,21 +167,21 @@
     }
 }
 
-void OrderDriver::collect()
+void EngineReloader::collect()
 {
     turns_.startCollecting();
     collectingSince_ = loop_.now();
     step_ = Step::Collecting;
 }
 
-void OrderDriver::giveTurnsBack()
+void EngineReloader::giveTurnsBack()
 {
     for (const InstanceId &member : turns_.releaseAll()) {
         host_.releaseTurn(member);
     }
 }
 
-void OrderDriver::finish()
+void EngineReloader::finish()
 {
     step_ = Step::Resting;
     host_.setServing(true);
--- a/src/agent/orderdriver.h
+++ b/src/agent/orderdriver.h
@@ -43,13 +43,13 @@
     virtual void releaseTurn(const InstanceId &member) = 0;
 };
 
-class OrderDriver
+class EngineReloader
 {
 public:
-    OrderDriver(EventLoop &loop, HttpClient &client, OrderHost &host, InstanceId self,
-                SocketAddress engine);
-    OrderDriver(const OrderDriver &) = delete;
-    OrderDriver &operator=(const OrderDriver &) = delete;
+    EngineReloader(EventLoop &loop, HttpClient &client, OrderHost &host, InstanceId self,
+                   SocketAddress engine);
+    EngineReloader(const EngineReloader &) = delete;
+    EngineReloader &operator=(const EngineReloader &) = delete;
 
     // Takes the version that the engine should have, from a configuration.
     void setTarget(std::string version, ConfigVersion config);
