--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -220,8 +220,9 @@
     if (!listening) {
         return listening;
     }
-    engineReloader_ = std::make_unique<EngineReloader>(
-        loop_, *client_, static_cast<OrderHost &>(*this), settings_.instance, settings_.upstream);
+    engineReloader_ =
+        std::make_unique<EngineReloader>(loop_, *client_, static_cast<EngineReloaderHost &>(*this),
+                                         settings_.instance, settings_.upstream);
     grantNetwork_ = std::make_unique<GrantNetwork>(
         GrantNetwork::Context{loop_, *transport_, core_, permitIssuer_, engineReloader_->turns(),
                               settings_.instance, incarnation_, settings_.hall});
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -44,7 +44,7 @@
 
 class AgentService final : private KnowledgeListener,
                            private StatusSource,
-                           private OrderHost,
+                           private EngineReloaderHost,
                            private kj::TaskSet::ErrorHandler
 {
 public:
--- a/src/agent/orderdriver.cpp
+++ b/src/agent/orderdriver.cpp
@@ -54,7 +54,7 @@
     std::string body_;
 };
 
-EngineReloader::EngineReloader(EventLoop &loop, HttpClient &client, OrderHost &host,
+EngineReloader::EngineReloader(EventLoop &loop, HttpClient &client, EngineReloaderHost &host,
                                InstanceId self, SocketAddress engine)
     : loop_(loop)
     , client_(client)
--- a/src/agent/orderdriver.h
+++ b/src/agent/orderdriver.h
@@ -31,10 +31,10 @@
 };
 
 // What the driver needs of the agent around it.
-class OrderHost
+class EngineReloaderHost
 {
 public:
-    virtual ~OrderHost() = default;
+    virtual ~EngineReloaderHost() = default;
     // Takes no new work, or takes it again.
     virtual void setServing(bool serving) = 0;
     // Tells whether nothing runs or waits at the upstream.
@@ -46,7 +46,7 @@
 class EngineReloader
 {
 public:
-    EngineReloader(EventLoop &loop, HttpClient &client, OrderHost &host, InstanceId self,
+    EngineReloader(EventLoop &loop, HttpClient &client, EngineReloaderHost &host, InstanceId self,
                    SocketAddress engine);
     EngineReloader(const EngineReloader &) = delete;
     EngineReloader &operator=(const EngineReloader &) = delete;
@@ -75,7 +75,7 @@
 
     EventLoop &loop_;
     HttpClient &client_;
-    OrderHost &host_;
+    EngineReloaderHost &host_;
     InstanceId self_;
     SocketAddress address_;
     ReloadPermitCollector turns_;
