--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "agent/grantnetwork.h"
-#include "agent/orderdriver.h"
+#include "agent/enginereloader.h"
 #include "decision/dispatch/agentcore.h"
 #include "knowledge/knowledge.h"
 #include "knowledge/peernetwork.h"
--- a/src/agent/orderdriver.cpp
+++ b/src/agent/orderdriver.cpp
@@ -1,4 +1,4 @@
-#include "agent/orderdriver.h"
+#include "agent/enginereloader.h"
 
 #include "base/log.h"
 
