--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -172,7 +172,7 @@
     std::erase_if(links_, [&](const auto &entry) {
         const bool busy =
             std::any_of(activeRequests_.begin(), activeRequests_.end(),
-                        [&](const auto &flight) { return flight.second.agent == entry.first; });
+                        [&](const auto &active) { return active.second.agent == entry.first; });
         return !chosen.contains(entry.first) && !busy;
     });
 }
@@ -314,21 +314,21 @@
 
 void EntryService::beginRequest(ExchangeId exchange, CallerContext &context)
 {
-    ActiveRequest flight;
-    flight.exchange = exchange;
-    flight.request = context.request;
-    flight.payload = std::move(context.payload);
-    flight.requestClass = std::move(context.requestClass);
-    flight.streamed = context.streamed;
-    flight.startedAt = loop_.now();
-    flight.request.digest =
-        RequestDigest(sha256Of({flight.payload.method, flight.payload.path,
-                                flight.request.account.value(), flight.payload.body}));
+    ActiveRequest active;
+    active.exchange = exchange;
+    active.request = context.request;
+    active.payload = std::move(context.payload);
+    active.requestClass = std::move(context.requestClass);
+    active.streamed = context.streamed;
+    active.startedAt = loop_.now();
+    active.request.digest =
+        RequestDigest(sha256Of({active.payload.method, active.payload.path,
+                                active.request.account.value(), active.payload.body}));
     EntryActions actions;
-    const RequestId id = core_.begin(flight.request, flight.startedAt, actions);
+    const RequestId id = core_.begin(active.request, active.startedAt, actions);
     metrics_.count("seamarch_requests_total", "received");
     requestByExchange_[exchange] = id;
-    activeRequests_.emplace(id, std::move(flight));
+    activeRequests_.emplace(id, std::move(active));
     carryOut(actions);
 }
 
@@ -341,17 +341,17 @@
 
 void EntryService::carryOut(const SendCall &action)
 {
-    const auto flight = activeRequests_.find(action.id);
-    if (flight == activeRequests_.end()) {
+    const auto active = activeRequests_.find(action.id);
+    if (active == activeRequests_.end()) {
         return;
     }
-    flight->second.agent = action.agent;
+    active->second.agent = action.agent;
     AgentLink *agent = link(action.agent);
     if (agent == nullptr) {
         loop_.post([this, id = action.id] { onCallFailed(id, false); });
         return;
     }
-    agent->start(action, flight->second.request, flight->second.payload);
+    agent->start(action, active->second.request, active->second.payload);
 }
 
 void EntryService::carryOut(const SendCancel &action)
@@ -380,19 +380,19 @@
     if (found == activeRequests_.end()) {
         return;
     }
-    const ActiveRequest &flight = found->second;
+    const ActiveRequest &active = found->second;
     metrics_.count("seamarch_failures_total", toString(action.failure));
     metrics_.count("seamarch_outcomes_total", toString(action.outcome));
     if (action.failure == FailureCode::RequestEndsUpstreams) {
         logLine(LogLevel::Warning, "request.stopped",
-                {{"digest", fmt::format("{:016x}", flight.request.digest.value())},
-                 {"account", flight.request.account.value()},
-                 {"ends", core_.crashes().crashCount(flight.request.digest)}});
+                {{"digest", fmt::format("{:016x}", active.request.digest.value())},
+                 {"account", active.request.account.value()},
+                 {"ends", core_.crashes().crashCount(active.request.digest)}});
     }
-    if (flight.headSent) {
-        abortStream(flight, action.failure, action.outcome);
+    if (active.headSent) {
+        abortStream(active, action.failure, action.outcome);
     } else {
-        respondFailure(flight.exchange, action.failure, action.outcome, action.retryAfter, {});
+        respondFailure(active.exchange, action.failure, action.outcome, action.retryAfter, {});
     }
     endRequest(action.id);
 }
@@ -409,14 +409,14 @@
     server_->respond(exchange, head, errorBody(code, outcome, detail).dump());
 }
 
-void EntryService::abortStream(const ActiveRequest &flight, FailureCode code, Outcome outcome)
+void EntryService::abortStream(const ActiveRequest &active, FailureCode code, Outcome outcome)
 {
-    if (flight.streamed) {
+    if (active.streamed) {
         const json body = errorBody(code, outcome, {});
-        server_->write(flight.exchange, fmt::format("data: {}\n\n", body.dump()));
+        server_->write(active.exchange, fmt::format("data: {}\n\n", body.dump()));
     }
     // Without the closing chunk the caller's library sees that the answer is not whole.
-    server_->abort(flight.exchange);
+    server_->abort(active.exchange);
 }
 
 void EntryService::endRequest(RequestId id)
@@ -452,11 +452,11 @@
     if (found == requestByExchange_.end()) {
         return;
     }
-    ActiveRequest &flight = activeRequests_.at(found->second);
-    KJ_IF_MAYBE (drainFulfiller, flight.drainFulfiller) {
+    ActiveRequest &active = activeRequests_.at(found->second);
+    KJ_IF_MAYBE (drainFulfiller, active.drainFulfiller) {
         (*drainFulfiller)->fulfill();
     }
-    flight.drainFulfiller = nullptr;
+    active.drainFulfiller = nullptr;
 }
 
 void EntryService::onHeartbeat(const InstanceId &agent, const AgentReport &report,
@@ -513,8 +513,8 @@
 void EntryService::onLinkClosed(const InstanceId &agent)
 {
     std::vector<RequestId> lost;
-    for (const auto &[id, flight] : activeRequests_) {
-        if (flight.agent == agent) {
+    for (const auto &[id, active] : activeRequests_) {
+        if (active.agent == agent) {
             lost.push_back(id);
         }
     }
@@ -547,52 +547,52 @@
     return relay(id, found->second, part);
 }
 
-void EntryService::recordChunkLatency(ActiveRequest &flight)
+void EntryService::recordChunkLatency(ActiveRequest &active)
 {
     const TimePoint now = loop_.now();
-    const bool first = flight.lastChunkAt == TimePoint{};
+    const bool first = active.lastChunkAt == TimePoint{};
     const Stage stage = first ? Stage::FirstToken : Stage::BetweenTokens;
-    const TimePoint since = first ? flight.startedAt : flight.lastChunkAt;
-    metrics_.observe(stage, flight.request.account, flight.requestClass, now - since);
-    flight.lastChunkAt = now;
+    const TimePoint since = first ? active.startedAt : active.lastChunkAt;
+    metrics_.observe(stage, active.request.account, active.requestClass, now - since);
+    active.lastChunkAt = now;
 }
 
-kj::Promise<void> EntryService::relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part)
+kj::Promise<void> EntryService::relay(RequestId id, ActiveRequest &active, wire::Part::Reader part)
 {
     const std::string_view body = asStringView(part.getBody());
     HttpResponseHead head;
     if (part.getHasHead()) {
         head.status = part.getStatus();
         head.contentType = toString(part.getContentType());
-        flight.payload = {};
+        active.payload = {};
     }
     if (!body.empty()) {
-        recordChunkLatency(flight);
+        recordChunkLatency(active);
     }
     if (part.getHasHead() && part.getEnd()) {
-        server_->respond(flight.exchange, head, std::string(body));
+        server_->respond(active.exchange, head, std::string(body));
     } else {
         if (part.getHasHead()) {
-            server_->begin(flight.exchange, head);
-            flight.headSent = true;
+            server_->begin(active.exchange, head);
+            active.headSent = true;
         }
-        server_->write(flight.exchange, body);
+        server_->write(active.exchange, body);
     }
     if (part.getEnd()) {
-        server_->finish(flight.exchange);
-        metrics_.observe(Stage::Total, flight.request.account, flight.requestClass,
-                         loop_.now() - flight.startedAt);
+        server_->finish(active.exchange);
+        metrics_.observe(Stage::Total, active.request.account, active.requestClass,
+                         loop_.now() - active.startedAt);
         metrics_.count("seamarch_requests_total", "answered");
         ++answered_;
-        core_.onComplete(id, flight.agent, loop_.now());
+        core_.onComplete(id, active.agent, loop_.now());
         endRequest(id);
         return kj::READY_NOW;
     }
-    if (server_->buffered(flight.exchange) < kBufferHighWaterBytes) {
+    if (server_->buffered(active.exchange) < kBufferHighWaterBytes) {
         return kj::READY_NOW;
     }
     auto paf = kj::newPromiseAndFulfiller<void>();
-    flight.drainFulfiller = kj::mv(paf.fulfiller);
+    active.drainFulfiller = kj::mv(paf.fulfiller);
     return kj::mv(paf.promise);
 }
 
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -115,9 +115,9 @@
     void addLink(const InstanceId &agent);
     void respondFailure(ExchangeId exchange, FailureCode code, Outcome outcome, Duration retryAfter,
                         const std::string &detail);
-    void abortStream(const ActiveRequest &flight, FailureCode code, Outcome outcome);
-    kj::Promise<void> relay(RequestId id, ActiveRequest &flight, wire::Part::Reader part);
-    void recordChunkLatency(ActiveRequest &flight);
+    void abortStream(const ActiveRequest &active, FailureCode code, Outcome outcome);
+    kj::Promise<void> relay(RequestId id, ActiveRequest &active, wire::Part::Reader part);
+    void recordChunkLatency(ActiveRequest &active);
     void endRequest(RequestId id);
     AgentLink *link(const InstanceId &agent);
     void updateLinks();
