--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -571,9 +571,9 @@
     carryOut(actions);
 }
 
-void AgentService::releaseTurn(const InstanceId &member)
+void AgentService::releasePermit(const InstanceId &member)
 {
-    grantNetwork_->releaseTurn(member);
+    grantNetwork_->releasePermit(member);
 }
 
 void AgentService::updateTarget()
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -5,8 +5,8 @@
 // that pieces that arrive meanwhile are joined and a slow caller holds up only its own request.
 #pragma once
 
-#include "agent/grantnetwork.h"
 #include "agent/enginereloader.h"
+#include "agent/grantnetwork.h"
 #include "decision/dispatch/agentcore.h"
 #include "knowledge/knowledge.h"
 #include "knowledge/peernetwork.h"
@@ -124,7 +124,7 @@
     nlohmann::json status() const override;
     void setServing(bool serving) override;
     bool upstreamIdle() const override { return core_.idle(); }
-    void releaseTurn(const InstanceId &member) override;
+    void releasePermit(const InstanceId &member) override;
     void updateTarget();
     void taskFailed(kj::Exception &&exception) override;
     void tick();
--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -177,7 +177,7 @@
 void EngineReloader::giveTurnsBack()
 {
     for (const InstanceId &member : turns_.releaseAll()) {
-        host_.releaseTurn(member);
+        host_.releasePermit(member);
     }
 }
 
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -40,7 +40,7 @@
     // Tells whether nothing runs or waits at the upstream.
     virtual bool upstreamIdle() const = 0;
     // Gives a turn back to a member of the pool.
-    virtual void releaseTurn(const InstanceId &member) = 0;
+    virtual void releasePermit(const InstanceId &member) = 0;
 };
 
 class EngineReloader
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -101,7 +101,7 @@
         [](kj::Exception && /*error*/) {}));
 }
 
-void GrantNetwork::releaseTurn(const InstanceId &member)
+void GrantNetwork::releasePermit(const InstanceId &member)
 {
     const std::uint64_t released = context_.taker.state(context_.incarnation).released;
     const auto link = links_.find(member);
--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -46,7 +46,7 @@
     void tick();
     // Asks for the next turn that is wanted.
     void askTurn();
-    void releaseTurn(const InstanceId &member);
+    void releasePermit(const InstanceId &member);
 
 private:
     void ask(const InstanceId &member, RpcLink &link);
