--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -229,7 +229,7 @@
     grantTimer_ =
         std::make_unique<PeriodicTimer>(loop_, settings_.lease / kGrantRequestsPerLease, [this] {
             grantNetwork_->tick();
-            grantNetwork_->askTurn();
+            grantNetwork_->requestPermit();
             engineReloader_->tick();
         });
     tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickPeriod, [this] { tick(); });
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -68,7 +68,7 @@
     context_.taker.setPool(members);
 }
 
-void GrantNetwork::askTurn()
+void GrantNetwork::requestPermit()
 {
     const auto member = context_.taker.nextMember();
     if (!member) {
@@ -78,7 +78,7 @@
         if (context_.book.tryIssue(context_.self, context_.incarnation,
                                    context_.taker.permitNumber())) {
             context_.taker.onIssued(context_.self);
-            askTurn();
+            requestPermit();
         }
         return;
     }
@@ -95,7 +95,7 @@
             capnp::Response<wire::Agent::TurnResults> &&answer) {
             if (answer.getGiven() && number == context_.taker.permitNumber()) {
                 context_.taker.onIssued(asked);
-                askTurn();
+                requestPermit();
             }
         },
         [](kj::Exception && /*error*/) {}));
--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -45,7 +45,7 @@
     // Asks every member for its grant, this agent included.
     void tick();
     // Asks for the next turn that is wanted.
-    void askTurn();
+    void requestPermit();
     void releasePermit(const InstanceId &member);
 
 private:
