--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -127,11 +127,11 @@
         context_.core.onGranted(context_.self, set, now, now, wallNow());
     }
     for (const auto &[member, link] : links_) {
-        ask(member, *link);
+        requestGrant(member, *link);
     }
 }
 
-void GrantNetwork::ask(const InstanceId &member, RpcLink &link)
+void GrantNetwork::requestGrant(const InstanceId &member, RpcLink &link)
 {
     const std::uint64_t set = context_.core.keyMembers().hash;
     const TimePoint requestedAt = context_.loop.now();
--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -49,7 +49,7 @@
     void releasePermit(const InstanceId &member);
 
 private:
-    void ask(const InstanceId &member, RpcLink &link);
+    void requestGrant(const InstanceId &member, RpcLink &link);
     void taskFailed(kj::Exception &&exception) override;
 
     void updatePool();
