--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -91,10 +91,10 @@
     request.setIncarnation(context_.incarnation.value());
     request.setNumber(context_.taker.permitNumber());
     tasks_.add(request.send().then(
-        [this, asked = *member, number = context_.taker.permitNumber()](
+        [this, issuer = *member, number = context_.taker.permitNumber()](
             capnp::Response<wire::Agent::TurnResults> &&answer) {
             if (answer.getGiven() && number == context_.taker.permitNumber()) {
-                context_.taker.onIssued(asked);
+                context_.taker.onIssued(issuer);
                 requestPermit();
             }
         },
