--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -588,7 +588,7 @@
     for (const ModelConfig &model : knowledge_.config().models) {
         if (model.name == self->serves.front()) {
             engineReloader_->setTarget(model.version, knowledge_.config().version);
-            grantNetwork_->setFloor(model.minServing);
+            grantNetwork_->setMinServing(model.minServing);
         }
     }
 }
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -54,7 +54,7 @@
     updatePool();
 }
 
-void GrantNetwork::setFloor(std::uint32_t minServing)
+void GrantNetwork::setMinServing(std::uint32_t minServing)
 {
     minServing_ = minServing;
     updatePool();
--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -41,7 +41,7 @@
     // Takes the list: the members are the agents that serve the same first target in this hall.
     void setInstances(const InstanceList &list);
     // Sets how many upstreams of the pool must stay in service.
-    void setFloor(std::uint32_t minServing);
+    void setMinServing(std::uint32_t minServing);
     // Asks every member for its grant, this agent included.
     void tick();
     // Asks for the next turn that is wanted.
