--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -64,7 +64,7 @@
 {
     const MemberSet &members = context_.core.keyMembers();
     const auto size = static_cast<std::uint32_t>(members.members.size());
-    context_.book.setPool(members, size > minServing_ ? size - minServing_ : 0);
+    context_.permitIssuer.setPool(members, size > minServing_ ? size - minServing_ : 0);
     context_.taker.setPool(members);
 }
 
@@ -75,8 +75,8 @@
         return;
     }
     if (*member == context_.self) {
-        if (context_.book.tryIssue(context_.self, context_.incarnation,
-                                   context_.taker.permitNumber())) {
+        if (context_.permitIssuer.tryIssue(context_.self, context_.incarnation,
+                                           context_.taker.permitNumber())) {
             context_.taker.onIssued(context_.self);
             requestPermit();
         }
@@ -106,7 +106,7 @@
     const std::uint64_t released = context_.taker.state(context_.incarnation).released;
     const auto link = links_.find(member);
     if (member == context_.self || link == links_.end()) {
-        context_.book.release(member, context_.incarnation, released);
+        context_.permitIssuer.release(member, context_.incarnation, released);
         return;
     }
     auto request = link->second->capability().castAs<wire::Agent>().releaseTurnRequest();
--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -26,7 +26,7 @@
         EventLoop &loop;
         RawTransport &transport;
         AgentCore &core;
-        ReloadPermitIssuer &book;
+        ReloadPermitIssuer &permitIssuer;
         ReloadPermitCollector &taker;
         InstanceId self;
         Incarnation incarnation;
