--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -65,19 +65,19 @@
     const MemberSet &members = context_.core.keyMembers();
     const auto size = static_cast<std::uint32_t>(members.members.size());
     context_.permitIssuer.setPool(members, size > minServing_ ? size - minServing_ : 0);
-    context_.taker.setPool(members);
+    context_.permitCollector.setPool(members);
 }
 
 void GrantNetwork::requestPermit()
 {
-    const auto member = context_.taker.nextMember();
+    const auto member = context_.permitCollector.nextMember();
     if (!member) {
         return;
     }
     if (*member == context_.self) {
         if (context_.permitIssuer.tryIssue(context_.self, context_.incarnation,
-                                           context_.taker.permitNumber())) {
-            context_.taker.onIssued(context_.self);
+                                           context_.permitCollector.permitNumber())) {
+            context_.permitCollector.onIssued(context_.self);
             requestPermit();
         }
         return;
@@ -89,12 +89,12 @@
     auto request = link->second->capability().castAs<wire::Agent>().turnRequest();
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    request.setNumber(context_.taker.permitNumber());
+    request.setNumber(context_.permitCollector.permitNumber());
     tasks_.add(request.send().then(
-        [this, issuer = *member, number = context_.taker.permitNumber()](
+        [this, issuer = *member, number = context_.permitCollector.permitNumber()](
             capnp::Response<wire::Agent::TurnResults> &&answer) {
-            if (answer.getGiven() && number == context_.taker.permitNumber()) {
-                context_.taker.onIssued(issuer);
+            if (answer.getGiven() && number == context_.permitCollector.permitNumber()) {
+                context_.permitCollector.onIssued(issuer);
                 requestPermit();
             }
         },
@@ -103,7 +103,7 @@
 
 void GrantNetwork::releasePermit(const InstanceId &member)
 {
-    const std::uint64_t released = context_.taker.state(context_.incarnation).released;
+    const std::uint64_t released = context_.permitCollector.state(context_.incarnation).released;
     const auto link = links_.find(member);
     if (member == context_.self || link == links_.end()) {
         context_.permitIssuer.release(member, context_.incarnation, released);
@@ -139,7 +139,7 @@
     request.setMemberSet(set);
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    const ReloadPermitState turns = context_.taker.state(context_.incarnation);
+    const ReloadPermitState turns = context_.permitCollector.state(context_.incarnation);
     request.setTurnsReleased(turns.released);
     request.setHoldsTurn(turns.holds);
     tasks_.add(request.send().then(
--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -27,7 +27,7 @@
         RawTransport &transport;
         AgentCore &core;
         ReloadPermitIssuer &permitIssuer;
-        ReloadPermitCollector &taker;
+        ReloadPermitCollector &permitCollector;
         InstanceId self;
         Incarnation incarnation;
         HallId hall;
