--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -139,9 +139,9 @@
     request.setMemberSet(set);
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    const ReloadPermitState turns = context_.permitCollector.state(context_.incarnation);
-    request.setTurnsReleased(turns.released);
-    request.setHoldsTurn(turns.holds);
+    const ReloadPermitState permitState = context_.permitCollector.state(context_.incarnation);
+    request.setTurnsReleased(permitState.released);
+    request.setHoldsTurn(permitState.holds);
     tasks_.add(request.send().then(
         [this, member, set, requestedAt](capnp::Response<wire::Agent::GrantResults> &&answer) {
             if (answer.getGranted()) {
