--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -223,9 +223,9 @@
     engineReloader_ =
         std::make_unique<EngineReloader>(loop_, *client_, static_cast<EngineReloaderHost &>(*this),
                                          settings_.instance, settings_.upstream);
-    grantNetwork_ = std::make_unique<GrantNetwork>(
-        GrantNetwork::Context{loop_, *transport_, core_, permitIssuer_, engineReloader_->turns(),
-                              settings_.instance, incarnation_, settings_.hall});
+    grantNetwork_ = std::make_unique<GrantNetwork>(GrantNetwork::Context{
+        loop_, *transport_, core_, permitIssuer_, engineReloader_->permitCollector(),
+        settings_.instance, incarnation_, settings_.hall});
     grantTimer_ =
         std::make_unique<PeriodicTimer>(loop_, settings_.lease / kGrantRequestsPerLease, [this] {
             grantNetwork_->tick();
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -53,7 +53,7 @@
 
     // Takes the version that the engine should have, from a configuration.
     void setTarget(std::string version, ConfigVersion config);
-    ReloadPermitCollector &turns() { return turns_; }
+    ReloadPermitCollector &permitCollector() { return turns_; }
     // Time has passed: takes the next step.
     void tick();
 
