--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -101,8 +101,8 @@
     engine_ = *state;
     if (first && engine_.loading) {
         // The life of this agent before this one ordered it and died: its turn is this one's.
-        turns_.startCollecting();
-        turns_.onIssued(self_);
+        permits_.startCollecting();
+        permits_.onIssued(self_);
         host_.setServing(false);
         step_ = Step::Loading;
     }
@@ -137,7 +137,7 @@
     case Step::Collecting:
         if (!due) {
             finish();
-        } else if (turns_.holdsAll()) {
+        } else if (permits_.holdsAll()) {
             host_.setServing(false);
             step_ = Step::Draining;
         } else if (loop_.now() - collectingSince_ > kCollectTime) {
@@ -169,14 +169,14 @@
 
 void EngineReloader::collect()
 {
-    turns_.startCollecting();
+    permits_.startCollecting();
     collectingSince_ = loop_.now();
     step_ = Step::Collecting;
 }
 
 void EngineReloader::giveTurnsBack()
 {
-    for (const InstanceId &member : turns_.releaseAll()) {
+    for (const InstanceId &member : permits_.releaseAll()) {
         host_.releasePermit(member);
     }
 }
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -53,7 +53,7 @@
 
     // Takes the version that the engine should have, from a configuration.
     void setTarget(std::string version, ConfigVersion config);
-    ReloadPermitCollector &permitCollector() { return turns_; }
+    ReloadPermitCollector &permitCollector() { return permits_; }
     // Time has passed: takes the next step.
     void tick();
 
@@ -78,7 +78,7 @@
     EngineReloaderHost &host_;
     InstanceId self_;
     SocketAddress address_;
-    ReloadPermitCollector turns_;
+    ReloadPermitCollector permits_;
     Step step_ = Step::Resting;
     EngineState engine_;
     std::string target_;
