--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -69,7 +69,7 @@
     config_ = config;
 }
 
-void EngineReloader::ask()
+void EngineReloader::queryState()
 {
     inFlight_ = true;
     HttpCallRequest request;
@@ -118,7 +118,7 @@
             advance();
         }
         if (!inFlight_) {
-            ask();
+            queryState();
         }
         return;
     }
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -65,7 +65,7 @@
 
     class Receiver;
 
-    void ask();
+    void queryState();
     void order();
     void onState(const std::optional<EngineState> &state);
     void advance();
