--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -78,7 +78,7 @@
     client_.call(std::move(request), std::make_unique<Receiver>(*this));
 }
 
-void EngineReloader::order()
+void EngineReloader::sendOrder()
 {
     inFlight_ = true;
     HttpCallRequest request;
@@ -153,7 +153,7 @@
         return;
     case Step::Ordering:
         if (due) {
-            order();
+            sendOrder();
             step_ = Step::Loading;
         } else {
             finish();
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -66,7 +66,7 @@
     class Receiver;
 
     void queryState();
-    void order();
+    void sendOrder();
     void onState(const std::optional<EngineState> &state);
     void advance();
     void finish();
