--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -45,7 +45,7 @@
         driver_.inFlight_ = false;
         driver_.unable_ = status_ == kStatusNotFound;
         const bool good = end == HttpCallEnd::Complete && status_ == kStatusOk;
-        driver_.onState(good ? readState(body_) : std::nullopt);
+        driver_.onEngineState(good ? readState(body_) : std::nullopt);
     }
 
 private:
@@ -91,7 +91,7 @@
     logLine(LogLevel::Info, "order.given", {{"version", target_}, {"fence", config_.value()}});
 }
 
-void EngineReloader::onState(const std::optional<EngineState> &state)
+void EngineReloader::onEngineState(const std::optional<EngineState> &state)
 {
     if (!state) {
         return;
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -67,7 +67,7 @@
 
     void queryState();
     void sendOrder();
-    void onState(const std::optional<EngineState> &state);
+    void onEngineState(const std::optional<EngineState> &state);
     void advance();
     void finish();
     void giveTurnsBack();
