--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -43,7 +43,7 @@
     void onEnd(HttpCallEnd end) override
     {
         driver_.inFlight_ = false;
-        driver_.unable_ = status_ == kStatusNotFound;
+        driver_.ordersUnsupported_ = status_ == kStatusNotFound;
         const bool good = end == HttpCallEnd::Complete && status_ == kStatusOk;
         driver_.onEngineState(good ? readState(body_) : std::nullopt);
     }
@@ -110,7 +110,7 @@
 
 void EngineReloader::tick()
 {
-    if (inFlight_ || unable_ || target_.empty()) {
+    if (inFlight_ || ordersUnsupported_ || target_.empty()) {
         return;
     }
     if (!asked_ || step_ == Step::Ordering || step_ == Step::Loading) {
