--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -96,8 +96,8 @@
     if (!state) {
         return;
     }
-    const bool first = !asked_;
-    asked_ = true;
+    const bool first = !stateKnown_;
+    stateKnown_ = true;
     engine_ = *state;
     if (first && engine_.loading) {
         // The life of this agent before this one ordered it and died: its turn is this one's.
@@ -113,8 +113,8 @@
     if (inFlight_ || ordersUnsupported_ || target_.empty()) {
         return;
     }
-    if (!asked_ || step_ == Step::Ordering || step_ == Step::Loading) {
-        if (asked_) {
+    if (!stateKnown_ || step_ == Step::Ordering || step_ == Step::Loading) {
+        if (stateKnown_) {
             advance();
         }
         if (!inFlight_) {
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -84,7 +84,7 @@
     std::string target_;
     ConfigVersion config_;
     TimePoint collectingSince_{};
-    bool asked_ = false;             // The engine has told its state at least once.
+    bool stateKnown_ = false;        // The engine has told its state at least once.
     bool inFlight_ = false;          // A call to the engine is under way.
     bool ordersUnsupported_ = false; // The engine takes no orders.
 };
