--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -11,7 +11,8 @@
 using nlohmann::json;
 
 constexpr int kStatusOk = 200;
-constexpr Duration kCollectTime = std::chrono::seconds(30); // Beyond it the turns are given back.
+constexpr Duration kPermitCollectTimeout =
+    std::chrono::seconds(30); // Beyond it the turns are given back.
 constexpr int kStatusNotFound = 404;
 constexpr const char *kOrdersPath = "/v1/orders";
 
@@ -140,7 +141,7 @@
         } else if (permits_.holdsAll()) {
             host_.setServing(false);
             step_ = Step::Draining;
-        } else if (loop_.now() - collectingSince_ > kCollectTime) {
+        } else if (loop_.now() - collectingSince_ > kPermitCollectTimeout) {
             giveTurnsBack();
             collect();
         }
