--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -142,7 +142,7 @@
             host_.setServing(false);
             step_ = Step::Draining;
         } else if (loop_.now() - collectingSince_ > kPermitCollectTimeout) {
-            giveTurnsBack();
+            releasePermits();
             collect();
         }
         return;
@@ -175,7 +175,7 @@
     step_ = Step::Collecting;
 }
 
-void EngineReloader::giveTurnsBack()
+void EngineReloader::releasePermits()
 {
     for (const InstanceId &member : permits_.releaseAll()) {
         host_.releasePermit(member);
@@ -186,7 +186,7 @@
 {
     step_ = Step::Resting;
     host_.setServing(true);
-    giveTurnsBack();
+    releasePermits();
     logLine(LogLevel::Info, "order.done", {{"version", engine_.version}});
 }
 
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -70,7 +70,7 @@
     void onEngineState(const std::optional<EngineState> &state);
     void advance();
     void finish();
-    void giveTurnsBack();
+    void releasePermits();
     void collect();
 
     EventLoop &loop_;
