--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -132,7 +132,7 @@
     switch (step_) {
     case Step::Resting:
         if (due) {
-            collect();
+            collectPermits();
         }
         return;
     case Step::Collecting:
@@ -143,7 +143,7 @@
             step_ = Step::Draining;
         } else if (loop_.now() - collectingSince_ > kPermitCollectTimeout) {
             releasePermits();
-            collect();
+            collectPermits();
         }
         return;
     case Step::Draining:
@@ -168,7 +168,7 @@
     }
 }
 
-void EngineReloader::collect()
+void EngineReloader::collectPermits()
 {
     permits_.startCollecting();
     collectingSince_ = loop_.now();
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -71,7 +71,7 @@
     void advance();
     void finish();
     void releasePermits();
-    void collect();
+    void collectPermits();
 
     EventLoop &loop_;
     HttpClient &client_;
