--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -137,7 +137,7 @@
         return;
     case Step::Collecting:
         if (!due) {
-            finish();
+            finishReload();
         } else if (permits_.holdsAll()) {
             host_.setServing(false);
             step_ = Step::Draining;
@@ -157,12 +157,12 @@
             sendOrder();
             step_ = Step::Loading;
         } else {
-            finish();
+            finishReload();
         }
         return;
     case Step::Loading:
         if (!engine_.loading && !due) {
-            finish();
+            finishReload();
         }
         return;
     }
@@ -182,7 +182,7 @@
     }
 }
 
-void EngineReloader::finish()
+void EngineReloader::finishReload()
 {
     step_ = Step::Resting;
     host_.setServing(true);
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -69,7 +69,7 @@
     void sendOrder();
     void onEngineState(const std::optional<EngineState> &state);
     void advance();
-    void finish();
+    void finishReload();
     void releasePermits();
     void collectPermits();
 
