--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -130,7 +130,7 @@
 {
     const bool due = engine_.version != target_ && engine_.fence < config_.value();
     switch (step_) {
-    case Step::Resting:
+    case Step::Idle:
         if (due) {
             collectPermits();
         }
@@ -184,7 +184,7 @@
 
 void EngineReloader::finishReload()
 {
-    step_ = Step::Resting;
+    step_ = Step::Idle;
     host_.setServing(true);
     releasePermits();
     logLine(LogLevel::Info, "order.done", {{"version", engine_.version}});
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -58,10 +58,10 @@
     void tick();
 
     const std::string &engineVersion() const { return engine_.version; }
-    bool reloading() const { return step_ != Step::Resting; }
+    bool reloading() const { return step_ != Step::Idle; }
 
 private:
-    enum class Step { Resting, Collecting, Draining, Ordering, Loading };
+    enum class Step { Idle, Collecting, Draining, Ordering, Loading };
 
     class Receiver;
 
@@ -79,7 +79,7 @@
     InstanceId self_;
     SocketAddress address_;
     ReloadPermitCollector permits_;
-    Step step_ = Step::Resting;
+    Step step_ = Step::Idle;
     EngineState engine_;
     std::string target_;
     ConfigVersion config_;
