--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -45,8 +45,8 @@
     {
         driver_.inFlight_ = false;
         driver_.ordersUnsupported_ = status_ == kStatusNotFound;
-        const bool good = end == HttpCallEnd::Complete && status_ == kStatusOk;
-        driver_.onEngineState(good ? readState(body_) : std::nullopt);
+        const bool succeeded = end == HttpCallEnd::Complete && status_ == kStatusOk;
+        driver_.onEngineState(succeeded ? readState(body_) : std::nullopt);
     }
 
 private:
