--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -128,15 +128,15 @@
 
 void EngineReloader::advance()
 {
-    const bool due = engine_.version != target_ && engine_.fence < config_.value();
+    const bool reloadDue = engine_.version != target_ && engine_.fence < config_.value();
     switch (step_) {
     case Step::Idle:
-        if (due) {
+        if (reloadDue) {
             collectPermits();
         }
         return;
     case Step::Collecting:
-        if (!due) {
+        if (!reloadDue) {
             finishReload();
         } else if (permits_.holdsAll()) {
             host_.setServing(false);
@@ -153,7 +153,7 @@
         }
         return;
     case Step::Ordering:
-        if (due) {
+        if (reloadDue) {
             sendOrder();
             step_ = Step::Loading;
         } else {
@@ -161,7 +161,7 @@
         }
         return;
     case Step::Loading:
-        if (!engine_.loading && !due) {
+        if (!engine_.loading && !reloadDue) {
             finishReload();
         }
         return;
