--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -66,7 +66,7 @@
 
 void EngineReloader::setTarget(std::string version, ConfigVersion config)
 {
-    target_ = std::move(version);
+    targetVersion_ = std::move(version);
     config_ = config;
 }
 
@@ -87,9 +87,10 @@
     request.method = "POST";
     request.path = kOrdersPath;
     request.contentType = "application/json";
-    request.body = json{{"fence", config_.value()}, {"version", target_}}.dump();
+    request.body = json{{"fence", config_.value()}, {"version", targetVersion_}}.dump();
     client_.call(std::move(request), std::make_unique<Receiver>(*this));
-    logLine(LogLevel::Info, "order.given", {{"version", target_}, {"fence", config_.value()}});
+    logLine(LogLevel::Info, "order.given",
+            {{"version", targetVersion_}, {"fence", config_.value()}});
 }
 
 void EngineReloader::onEngineState(const std::optional<EngineState> &state)
@@ -111,7 +112,7 @@
 
 void EngineReloader::tick()
 {
-    if (inFlight_ || ordersUnsupported_ || target_.empty()) {
+    if (inFlight_ || ordersUnsupported_ || targetVersion_.empty()) {
         return;
     }
     if (!stateKnown_ || step_ == Step::Ordering || step_ == Step::Loading) {
@@ -128,7 +129,7 @@
 
 void EngineReloader::advance()
 {
-    const bool reloadDue = engine_.version != target_ && engine_.fence < config_.value();
+    const bool reloadDue = engine_.version != targetVersion_ && engine_.fence < config_.value();
     switch (step_) {
     case Step::Idle:
         if (reloadDue) {
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -81,7 +81,7 @@
     ReloadPermitCollector permits_;
     Step step_ = Step::Idle;
     EngineState engine_;
-    std::string target_;
+    std::string targetVersion_;
     ConfigVersion config_;
     TimePoint collectingSince_{};
     bool stateKnown_ = false;        // The engine has told its state at least once.
