--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -67,7 +67,7 @@
 void EngineReloader::setTarget(std::string version, ConfigVersion config)
 {
     targetVersion_ = std::move(version);
-    config_ = config;
+    configVersion_ = config;
 }
 
 void EngineReloader::queryState()
@@ -87,10 +87,10 @@
     request.method = "POST";
     request.path = kOrdersPath;
     request.contentType = "application/json";
-    request.body = json{{"fence", config_.value()}, {"version", targetVersion_}}.dump();
+    request.body = json{{"fence", configVersion_.value()}, {"version", targetVersion_}}.dump();
     client_.call(std::move(request), std::make_unique<Receiver>(*this));
     logLine(LogLevel::Info, "order.given",
-            {{"version", targetVersion_}, {"fence", config_.value()}});
+            {{"version", targetVersion_}, {"fence", configVersion_.value()}});
 }
 
 void EngineReloader::onEngineState(const std::optional<EngineState> &state)
@@ -129,7 +129,8 @@
 
 void EngineReloader::advance()
 {
-    const bool reloadDue = engine_.version != targetVersion_ && engine_.fence < config_.value();
+    const bool reloadDue =
+        engine_.version != targetVersion_ && engine_.fence < configVersion_.value();
     switch (step_) {
     case Step::Idle:
         if (reloadDue) {
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -82,7 +82,7 @@
     Step step_ = Step::Idle;
     EngineState engine_;
     std::string targetVersion_;
-    ConfigVersion config_;
+    ConfigVersion configVersion_;
     TimePoint collectingSince_{};
     bool stateKnown_ = false;        // The engine has told its state at least once.
     bool inFlight_ = false;          // A call to the engine is under way.
