--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -61,7 +61,7 @@
     , client_(client)
     , host_(host)
     , self_(std::move(self))
-    , address_(std::move(engine))
+    , engineAddress_(std::move(engine))
 {}
 
 void EngineReloader::setTarget(std::string version, ConfigVersion config)
@@ -74,7 +74,7 @@
 {
     inFlight_ = true;
     HttpCallRequest request;
-    request.address = address_;
+    request.address = engineAddress_;
     request.path = kOrdersPath;
     client_.call(std::move(request), std::make_unique<Receiver>(*this));
 }
@@ -83,7 +83,7 @@
 {
     inFlight_ = true;
     HttpCallRequest request;
-    request.address = address_;
+    request.address = engineAddress_;
     request.method = "POST";
     request.path = kOrdersPath;
     request.contentType = "application/json";
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -77,7 +77,7 @@
     HttpClient &client_;
     EngineReloaderHost &host_;
     InstanceId self_;
-    SocketAddress address_;
+    SocketAddress engineAddress_;
     ReloadPermitCollector permits_;
     Step step_ = Step::Idle;
     EngineState engine_;
