--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -16,7 +16,7 @@
 constexpr int kStatusNotFound = 404;
 constexpr const char *kOrdersPath = "/v1/orders";
 
-std::optional<EngineState> readState(const std::string &body)
+std::optional<EngineState> parseEngineState(const std::string &body)
 {
     const json value = json::parse(body, nullptr, false);
     if (!value.is_object() || !value.contains("version") || !value["version"].is_string()) {
@@ -46,7 +46,7 @@
         driver_.inFlight_ = false;
         driver_.ordersUnsupported_ = status_ == kStatusNotFound;
         const bool succeeded = end == HttpCallEnd::Complete && status_ == kStatusOk;
-        driver_.onEngineState(succeeded ? readState(body_) : std::nullopt);
+        driver_.onEngineState(succeeded ? parseEngineState(body_) : std::nullopt);
     }
 
 private:
