--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -24,13 +24,14 @@
 
 void GrantNetwork::setInstances(const InstanceList &list)
 {
-    const auto own =
+    const auto selfRecord =
         std::find_if(list.instances.begin(), list.instances.end(),
                      [this](const InstanceRecord &each) { return each.id == context_.self; });
     std::vector<InstanceId> members;
     std::set<InstanceId> kept;
-    const TargetName target =
-        own == list.instances.end() || own->serves.empty() ? TargetName() : own->serves.front();
+    const TargetName target = selfRecord == list.instances.end() || selfRecord->serves.empty()
+                                  ? TargetName()
+                                  : selfRecord->serves.front();
     for (const InstanceRecord &record : list.instances) {
         const auto &serves = record.serves;
         const bool member = record.hall == context_.hall && !target.value().empty()
