--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -27,7 +27,7 @@
 AgentCore::Settings coreSettings(const AgentSettings &settings, Incarnation incarnation)
 {
     AgentCore::Settings core;
-    core.self = settings.instance;
+    core.selfRecord = settings.instance;
     core.incarnation = incarnation;
     core.seed = randomIdentity();
     core.slots = settings.slots;
@@ -579,14 +579,15 @@
 void AgentService::updateTarget()
 {
     const auto &instances = knowledge_.list().instances;
-    const auto self = std::find_if(instances.begin(), instances.end(), [this](const auto &record) {
-        return record.id == settings_.instance;
-    });
-    if (self == instances.end() || self->serves.empty() || !knowledge_.configInForce()) {
+    const auto selfRecord =
+        std::find_if(instances.begin(), instances.end(),
+                     [this](const auto &record) { return record.id == settings_.instance; });
+    if (selfRecord == instances.end() || selfRecord->serves.empty()
+        || !knowledge_.configInForce()) {
         return;
     }
     for (const ModelConfig &model : knowledge_.config().models) {
-        if (model.name == self->serves.front()) {
+        if (model.name == selfRecord->serves.front()) {
             engineReloader_->setTarget(model.version, knowledge_.config().version);
             grantNetwork_->setMinServing(model.minServing);
         }
@@ -607,10 +608,11 @@
         grantNetwork_->setInstances(knowledge_.list());
         updateTarget();
     });
-    const auto self = std::find_if(
+    const auto selfRecord = std::find_if(
         list.instances.begin(), list.instances.end(),
         [this](const InstanceRecord &record) { return record.id == settings_.instance; });
-    const bool leaving = self != list.instances.end() && self->state == InstanceState::Leaving;
+    const bool leaving =
+        selfRecord != list.instances.end() && selfRecord->state == InstanceState::Leaving;
     if (!leaving || core_.leaving()) {
         return;
     }
