--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -27,7 +27,7 @@
 AgentCore::Settings coreSettings(const AgentSettings &settings, Incarnation incarnation)
 {
     AgentCore::Settings core;
-    core.selfRecord = settings.instance;
+    core.self = settings.instance;
     core.incarnation = incarnation;
     core.seed = randomIdentity();
     core.slots = settings.slots;
