--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -286,7 +286,7 @@
     if (!result.accepted) {
         return result;
     }
-    Job &job = jobs_[agentCall.id];
+    ActiveRequest &job = jobs_[agentCall.id];
     job.connection = connection;
     job.account = agentCall.account;
     job.arrivedAt = loop_.now();
@@ -333,7 +333,7 @@
     if (found == jobs_.end()) {
         return;
     }
-    Job &job = found->second;
+    ActiveRequest &job = found->second;
     metrics_.observe(Stage::QueueWait, job.account, "all", loop_.now() - job.arrivedAt);
     job.httpCall =
         client_->call(std::move(job.call), std::make_unique<UpstreamReceiver>(*this, action.id));
@@ -381,7 +381,7 @@
     if (found == jobs_.end()) {
         return;
     }
-    Job &job = found->second;
+    ActiveRequest &job = found->second;
     job.headReady = true;
     job.status = head.status;
     job.contentType = findHeader(head.headers, "content-type");
@@ -414,7 +414,7 @@
     if (found == jobs_.end()) {
         return;
     }
-    Job &job = found->second;
+    ActiveRequest &job = found->second;
     job.pending += piece;
     if (job.streamed) {
         core_.onTokens(id, countEvents(piece));
@@ -426,7 +426,7 @@
     scheduleFlush(id);
 }
 
-void AgentService::countUsageTokens(RequestId id, const Job &job)
+void AgentService::countUsageTokens(RequestId id, const ActiveRequest &job)
 {
     const json answer = json::parse(job.pending, nullptr, false);
     const auto usage = answer.is_object() ? answer.find("usage") : answer.end();
@@ -441,7 +441,7 @@
     if (found == jobs_.end()) {
         return;
     }
-    Job &job = found->second;
+    ActiveRequest &job = found->second;
     AgentActions actions;
     if (end == HttpCallEnd::NotSent) {
         core_.onNotStarted(id, loop_.now(), actions);
@@ -514,7 +514,7 @@
     if (found == jobs_.end() || found->second.partInFlight || !found->second.headReady) {
         return;
     }
-    Job &job = found->second;
+    ActiveRequest &job = found->second;
     if (job.headSent && job.pending.empty() && !job.ended) {
         return;
     }
@@ -555,7 +555,7 @@
     if (found == jobs_.end()) {
         return;
     }
-    Job &job = found->second;
+    ActiveRequest &job = found->second;
     job.partInFlight = false;
     if (job.paused) {
         job.paused = false;
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -62,7 +62,7 @@
     using ConnectionId = std::uint64_t;
 
     // A request that was accepted.
-    struct Job
+    struct ActiveRequest
     {
         ConnectionId connection = 0;
         HttpCallRequest call;
@@ -116,7 +116,7 @@
     void scheduleFlush(RequestId id);
     void flush(RequestId id);
     void onPartAcknowledged(RequestId id);
-    void countUsageTokens(RequestId id, const Job &job);
+    void countUsageTokens(RequestId id, const ActiveRequest &job);
 
     void onConfig(const ConfigDocument &document) override;
     void onInstances(const InstanceList &list) override;
@@ -142,7 +142,7 @@
     std::unique_ptr<UpstreamProbe> probe_;
     std::unique_ptr<OperatorServer> operatorServer_;
     std::map<ConnectionId, Connection> connections_;
-    std::unordered_map<RequestId, Job> jobs_;
+    std::unordered_map<RequestId, ActiveRequest> jobs_;
     ReloadPermitIssuer permitIssuer_;
     std::unique_ptr<EngineReloader> engineReloader_;
     std::unique_ptr<GrantNetwork> grantNetwork_;
