--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -251,7 +251,7 @@
     // not started is withdrawn. One that runs is broken off: its caller's connection ended at the
     // entry, or the entry will hear 'may have run'.
     std::vector<RequestId> orphans;
-    for (const auto &[id, job] : jobs_) {
+    for (const auto &[id, job] : activeRequests_) {
         if (job.connection == connection) {
             orphans.push_back(id);
         }
@@ -260,7 +260,7 @@
         AgentActions actions;
         core_.onCancel(id, incarnation_, loop_.now(), actions);
         carryOut(actions);
-        jobs_.erase(id);
+        activeRequests_.erase(id);
     }
 }
 
@@ -286,7 +286,7 @@
     if (!result.accepted) {
         return result;
     }
-    ActiveRequest &job = jobs_[agentCall.id];
+    ActiveRequest &job = activeRequests_[agentCall.id];
     job.connection = connection;
     job.account = agentCall.account;
     job.arrivedAt = loop_.now();
@@ -306,7 +306,7 @@
     const bool notRun = core_.onCancel(id, expectedIncarnation, loop_.now(), actions);
     carryOut(actions);
     if (expectedIncarnation == incarnation_) {
-        jobs_.erase(id);
+        activeRequests_.erase(id);
     }
     return notRun;
 }
@@ -315,7 +315,7 @@
 {
     const bool notRun = core_.onWithdraw(id, expectedIncarnation);
     if (notRun) {
-        jobs_.erase(id);
+        activeRequests_.erase(id);
     }
     return notRun;
 }
@@ -329,8 +329,8 @@
 
 void AgentService::carryOut(const StartUpstream &action)
 {
-    const auto found = jobs_.find(action.id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(action.id);
+    if (found == activeRequests_.end()) {
         return;
     }
     ActiveRequest &job = found->second;
@@ -342,8 +342,8 @@
 
 void AgentService::carryOut(const AbortUpstream &action)
 {
-    const auto found = jobs_.find(action.id);
-    if (found != jobs_.end() && found->second.httpCall != 0) {
+    const auto found = activeRequests_.find(action.id);
+    if (found != activeRequests_.end() && found->second.httpCall != 0) {
         client_->cancel(found->second.httpCall);
     }
 }
@@ -377,8 +377,8 @@
 void AgentService::onUpstreamHead(RequestId id, const HttpHead &head)
 {
     applyRetryAfter(head);
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
     ActiveRequest &job = found->second;
@@ -410,8 +410,8 @@
 
 void AgentService::onUpstreamPiece(RequestId id, std::string_view piece)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
     ActiveRequest &job = found->second;
@@ -437,8 +437,8 @@
 
 void AgentService::onUpstreamEnd(RequestId id, HttpCallEnd end)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
     ActiveRequest &job = found->second;
@@ -481,12 +481,12 @@
 void AgentService::sendFailure(RequestId id, FailureCode failure, Outcome outcome,
                                Duration retryAfter)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
     const auto connection = connections_.find(found->second.connection);
-    jobs_.erase(found);
+    activeRequests_.erase(found);
     if (connection == connections_.end()) {
         return;
     }
@@ -510,8 +510,8 @@
 
 void AgentService::flush(RequestId id)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end() || found->second.partInFlight || !found->second.headReady) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end() || found->second.partInFlight || !found->second.headReady) {
         return;
     }
     ActiveRequest &job = found->second;
@@ -537,7 +537,7 @@
         job.headSent = true;
         job.pending.clear();
         if (job.ended) {
-            jobs_.erase(found);
+            activeRequests_.erase(found);
             tasks_.add(request.send().ignoreResult());
             return;
         }
@@ -551,8 +551,8 @@
 
 void AgentService::onPartAcknowledged(RequestId id)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
     ActiveRequest &job = found->second;
@@ -675,7 +675,7 @@
     }
     stopping_ = true;
     stopStartedAt_ = loop_.now();
-    logLine(LogLevel::Info, "agent.stopping", {{"inFlight", jobs_.size()}});
+    logLine(LogLevel::Info, "agent.stopping", {{"inFlight", activeRequests_.size()}});
     AgentActions actions;
     core_.leave(actions);
     carryOut(actions);
@@ -686,11 +686,11 @@
     const Duration since = loop_.now() - stopStartedAt_;
     // Entries hear that it is leaving with the next heartbeat, and their last calls are answered.
     const bool announced = since >= settings_.lease;
-    const bool drained = announced && core_.idle() && jobs_.empty();
+    const bool drained = announced && core_.idle() && activeRequests_.empty();
     if (!drained && since < settings_.stopDeadline) {
         return;
     }
-    logLine(LogLevel::Info, "agent.stopped", {{"cutOff", jobs_.size()}});
+    logLine(LogLevel::Info, "agent.stopped", {{"cutOff", activeRequests_.size()}});
     loop_.stop();
 }
 
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -142,7 +142,7 @@
     std::unique_ptr<UpstreamProbe> probe_;
     std::unique_ptr<OperatorServer> operatorServer_;
     std::map<ConnectionId, Connection> connections_;
-    std::unordered_map<RequestId, ActiveRequest> jobs_;
+    std::unordered_map<RequestId, ActiveRequest> activeRequests_;
     ReloadPermitIssuer permitIssuer_;
     std::unique_ptr<EngineReloader> engineReloader_;
     std::unique_ptr<GrantNetwork> grantNetwork_;
