--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -251,8 +251,8 @@
     // not started is withdrawn. One that runs is broken off: its caller's connection ended at the
     // entry, or the entry will hear 'may have run'.
     std::vector<RequestId> orphans;
-    for (const auto &[id, job] : activeRequests_) {
-        if (job.connection == connection) {
+    for (const auto &[id, active] : activeRequests_) {
+        if (active.connection == connection) {
             orphans.push_back(id);
         }
     }
@@ -286,16 +286,16 @@
     if (!result.accepted) {
         return result;
     }
-    ActiveRequest &job = activeRequests_[agentCall.id];
-    job.connection = connection;
-    job.account = agentCall.account;
-    job.arrivedAt = loop_.now();
-    job.call.address = settings_.upstream;
-    job.call.method = toString(call.getMethod());
-    job.call.path = toString(call.getPath());
-    job.call.contentType = toString(call.getContentType());
+    ActiveRequest &active = activeRequests_[agentCall.id];
+    active.connection = connection;
+    active.account = agentCall.account;
+    active.arrivedAt = loop_.now();
+    active.call.address = settings_.upstream;
+    active.call.method = toString(call.getMethod());
+    active.call.path = toString(call.getPath());
+    active.call.contentType = toString(call.getContentType());
     const auto body = call.getBody();
-    job.call.body.assign(reinterpret_cast<const char *>(body.begin()), body.size());
+    active.call.body.assign(reinterpret_cast<const char *>(body.begin()), body.size());
     carryOut(actions);
     return result;
 }
@@ -333,11 +333,11 @@
     if (found == activeRequests_.end()) {
         return;
     }
-    ActiveRequest &job = found->second;
-    metrics_.observe(Stage::QueueWait, job.account, "all", loop_.now() - job.arrivedAt);
-    job.httpCall =
-        client_->call(std::move(job.call), std::make_unique<UpstreamReceiver>(*this, action.id));
-    job.call = HttpCallRequest();
+    ActiveRequest &active = found->second;
+    metrics_.observe(Stage::QueueWait, active.account, "all", loop_.now() - active.arrivedAt);
+    active.httpCall =
+        client_->call(std::move(active.call), std::make_unique<UpstreamReceiver>(*this, action.id));
+    active.call = HttpCallRequest();
 }
 
 void AgentService::carryOut(const AbortUpstream &action)
@@ -381,11 +381,11 @@
     if (found == activeRequests_.end()) {
         return;
     }
-    ActiveRequest &job = found->second;
-    job.headReady = true;
-    job.status = head.status;
-    job.contentType = findHeader(head.headers, "content-type");
-    job.streamed = job.contentType.starts_with(kEventStream);
+    ActiveRequest &active = found->second;
+    active.headReady = true;
+    active.status = head.status;
+    active.contentType = findHeader(head.headers, "content-type");
+    active.streamed = active.contentType.starts_with(kEventStream);
 }
 
 // The upstream may ask for rest in an answer. The answer itself goes to its caller like any other.
@@ -414,21 +414,21 @@
     if (found == activeRequests_.end()) {
         return;
     }
-    ActiveRequest &job = found->second;
-    job.pending += piece;
-    if (job.streamed) {
+    ActiveRequest &active = found->second;
+    active.pending += piece;
+    if (active.streamed) {
         core_.onTokens(id, countEvents(piece));
     }
-    if (job.pending.size() > kPendingHighWaterBytes && !job.paused) {
-        job.paused = true;
-        client_->pause(job.httpCall, true);
+    if (active.pending.size() > kPendingHighWaterBytes && !active.paused) {
+        active.paused = true;
+        client_->pause(active.httpCall, true);
     }
     scheduleFlush(id);
 }
 
-void AgentService::countUsageTokens(RequestId id, const ActiveRequest &job)
+void AgentService::countUsageTokens(RequestId id, const ActiveRequest &active)
 {
-    const json answer = json::parse(job.pending, nullptr, false);
+    const json answer = json::parse(active.pending, nullptr, false);
     const auto usage = answer.is_object() ? answer.find("usage") : answer.end();
     if (answer.is_object() && usage != answer.end() && usage->is_object()) {
         core_.onTokens(id, usage->value("completion_tokens", 0U));
@@ -441,20 +441,20 @@
     if (found == activeRequests_.end()) {
         return;
     }
-    ActiveRequest &job = found->second;
+    ActiveRequest &active = found->second;
     AgentActions actions;
     if (end == HttpCallEnd::NotSent) {
         core_.onNotStarted(id, loop_.now(), actions);
         carryOut(actions);
         return;
     }
-    if (end == HttpCallEnd::Complete && !job.streamed) {
-        countUsageTokens(id, job);
+    if (end == HttpCallEnd::Complete && !active.streamed) {
+        countUsageTokens(id, active);
     }
     core_.onEnded(id, loop_.now(), actions);
     ++finished_;
-    if (end == HttpCallEnd::Complete && job.headReady) {
-        job.ended = true;
+    if (end == HttpCallEnd::Complete && active.headReady) {
+        active.ended = true;
         scheduleFlush(id);
     } else if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
         probeUpstream(id);
@@ -514,11 +514,11 @@
     if (found == activeRequests_.end() || found->second.partInFlight || !found->second.headReady) {
         return;
     }
-    ActiveRequest &job = found->second;
-    if (job.headSent && job.pending.empty() && !job.ended) {
+    ActiveRequest &active = found->second;
+    if (active.headSent && active.pending.empty() && !active.ended) {
         return;
     }
-    const auto connection = connections_.find(job.connection);
+    const auto connection = connections_.find(active.connection);
     if (connection == connections_.end()) {
         return;
     }
@@ -526,22 +526,22 @@
         auto request = sink->partRequest();
         writeRequestId(id, request.initId());
         auto part = request.initPart();
-        if (!job.headSent) {
+        if (!active.headSent) {
             part.setHasHead(true);
-            part.setStatus(static_cast<std::uint16_t>(job.status));
-            part.setContentType(job.contentType);
+            part.setStatus(static_cast<std::uint16_t>(active.status));
+            part.setContentType(active.contentType);
         }
-        part.setBody(kj::arrayPtr(reinterpret_cast<const kj::byte *>(job.pending.data()),
-                                  job.pending.size()));
-        part.setEnd(job.ended);
-        job.headSent = true;
-        job.pending.clear();
-        if (job.ended) {
+        part.setBody(kj::arrayPtr(reinterpret_cast<const kj::byte *>(active.pending.data()),
+                                  active.pending.size()));
+        part.setEnd(active.ended);
+        active.headSent = true;
+        active.pending.clear();
+        if (active.ended) {
             activeRequests_.erase(found);
             tasks_.add(request.send().ignoreResult());
             return;
         }
-        job.partInFlight = true;
+        active.partInFlight = true;
         tasks_.add(request.send().then(
             [this, id](capnp::Response<wire::AnswerSink::PartResults> && /*answer*/) {
                 onPartAcknowledged(id);
@@ -555,11 +555,11 @@
     if (found == activeRequests_.end()) {
         return;
     }
-    ActiveRequest &job = found->second;
-    job.partInFlight = false;
-    if (job.paused) {
-        job.paused = false;
-        client_->pause(job.httpCall, false);
+    ActiveRequest &active = found->second;
+    active.partInFlight = false;
+    if (active.paused) {
+        active.paused = false;
+        client_->pause(active.httpCall, false);
     }
     flush(id);
 }
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -116,7 +116,7 @@
     void scheduleFlush(RequestId id);
     void flush(RequestId id);
     void onPartAcknowledged(RequestId id);
-    void countUsageTokens(RequestId id, const ActiveRequest &job);
+    void countUsageTokens(RequestId id, const ActiveRequest &active);
 
     void onConfig(const ConfigDocument &document) override;
     void onInstances(const InstanceList &list) override;
