--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -7,7 +7,8 @@
 
 namespace seamarch {
 
-// Receives the parts of answers and hands them to the listener with the agent's name.
+// The RPC object to which the agent sends answer parts and announcements of free slots. Passes them
+// to the listener together with the agent's id.
 class AgentLink::Sink final : public wire::AnswerSink::Server
 {
 public:
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -1,7 +1,7 @@
-// An entry's connection to one agent: heartbeats, calls and cancels.
+// An entry's connection to one agent, for heartbeats, requests, cancels and withdrawals.
 //
-// The link connects when it is first used and anew after every break. It reports what it hears to
-// its listener and decides nothing.
+// The link connects on first use and reconnects on the next use after a break. It makes no
+// decisions; it passes everything that it receives to its listener.
 #pragma once
 
 #include "decision/dispatch/admissionresult.h"
@@ -19,7 +19,7 @@
 
 namespace seamarch {
 
-// What a request carries besides what the decisions look at.
+// The HTTP contents of a request, passed on to the upstream. Decisions use EntryRequest instead.
 struct CallPayload
 {
     std::string method;
@@ -28,31 +28,40 @@
     std::string body;
 };
 
-// Hears what happens on a link. All calls come on the loop's thread.
+// Receives the events of a link. All functions are called on the event loop's thread.
 class AgentLinkListener
 {
 public:
     virtual ~AgentLinkListener() = default;
+    // Called with the agent's report in answer to the heartbeat sent at `requestedAt`.
     virtual void onHeartbeat(const InstanceId &agent, const AgentReport &report,
                              TimePoint requestedAt) = 0;
+    // Called with the agent's decision on a request.
     virtual void onAdmissionResult(RequestId id, const AdmissionResult &result) = 0;
-    // A call ended without a verdict. `written` tells whether it may have reached the agent.
+    // Called when a request failed without a decision. `written` is true if it may have reached the
+    // agent.
     virtual void onCallFailed(RequestId id, bool written) = 0;
+    // Called at the end of a cancel. `notRun` is true if the agent reported that the request has
+    // not run and will not run; false also if the cancel failed.
     virtual void onCancelResult(RequestId id, bool notRun) = 0;
+    // Called at the end of a withdrawal; `notRun` is as for onCancelResult().
     virtual void onWithdrawResult(RequestId id, const InstanceId &agent, bool notRun) = 0;
-    // The agent has a free slot and nothing that waits for it.
+    // Called when the agent announces that it has a free slot and an empty queue.
     virtual void onFreeSlot(const InstanceId &agent, const AgentReport &report) = 0;
-    // The connection broke; calls that were accepted over it get no more parts.
+    // Called when the connection broke. Requests accepted over it receive no further parts.
     virtual void onLinkClosed(const InstanceId &agent) = 0;
-    // A part of an answer. The promise resolves when the request can take more.
+    // Called with a part of an answer. The returned promise resolves when the request can take the
+    // next part; the agent sends none before.
     virtual kj::Promise<void> onPart(const InstanceId &agent, RequestId id,
                                      wire::Part::Reader part) = 0;
 };
 
+// Owns the connection to one agent and the calls in flight on it. Single-threaded.
 class AgentLink final : private kj::TaskSet::ErrorHandler
 {
 public:
-    // What every link of an entry shares. All of it outlives the links.
+    // The objects and identity that all links of an entry share. The referenced objects must
+    // outlive the links.
     struct Context
     {
         EventLoop &loop;
@@ -68,11 +77,13 @@
     AgentLink(const AgentLink &) = delete;
     AgentLink &operator=(const AgentLink &) = delete;
 
+    // Exchanges versions with the agent and requests its report, unless a heartbeat is in flight.
     void heartbeat();
+    // Sends a request to the agent.
     void start(const SendCall &call, const EntryRequest &request, const CallPayload &payload);
     void cancel(const SendCancel &cancel);
     void withdraw(const SendWithdraw &withdrawal);
-    // Asks for a ticket; `done` gets an empty text when the agent cannot be reached.
+    // Requests a ticket. Calls `callback` with an empty string if the agent cannot be reached.
     void issueTicket(std::function<void(std::string)> callback);
 
     const SocketAddress &address() const { return link_.address(); }
@@ -92,8 +103,9 @@
     InstanceId id_;
     RpcLink link_;
     bool heartbeatInFlight_ = false;
-    std::int64_t agentClockMicros_ =
-        0; // As last heard; echoed, so that the agent can date what it hears.
+    // The agent's clock as last received. Each heartbeat echoes it, which tells the agent the
+    // earliest time, on its own clock, at which the heartbeat was sent.
+    std::int64_t agentClockMicros_ = 0;
     kj::TaskSet tasks_;
 };
 
