--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -16,12 +16,12 @@
 
 constexpr std::string_view kServicePrefix = "/services/";
 constexpr std::string_view kBearerPrefix = "Bearer ";
-constexpr Tokens kServiceCost = 100; // What a call to a plain service counts in fair queueing.
-constexpr Tokens kDefaultAnswerTokens = 256;
+constexpr Tokens kServiceCost = 100;         // The cost of a service request in fair queueing.
+constexpr Tokens kDefaultAnswerTokens = 256; // For requests that set no limit.
 constexpr Tokens kMaxAnswerTokens = 1'000'000;
-constexpr std::size_t kBytesPerToken = 4; // A usual ratio for text; corrected as tokens arrive.
-constexpr std::size_t kPrefixBytes = 1024;
-constexpr std::size_t kMinPrefixBytes = 256;
+constexpr std::size_t kBytesPerToken = 4;    // Typical of text; corrected as tokens arrive.
+constexpr std::size_t kPrefixBytes = 1024;   // The part of a prompt that is hashed.
+constexpr std::size_t kMinPrefixBytes = 256; // Shorter prompts are not hashed.
 constexpr std::size_t kMaxIdempotencyKeyLength = 128;
 constexpr std::uint64_t kMaxDeadlineMs = 24ULL * 3600 * 1000;
 
@@ -35,7 +35,7 @@
     return value;
 }
 
-// Finds out which interface the path and the method name.
+// Determines the route from the path and checks the method.
 class RouteFilter final : public RequestFilter
 {
 public:
@@ -73,7 +73,7 @@
     }
 };
 
-// Finds the client account of the bearer key.
+// Looks up the client account of the bearer key.
 class AuthenticateFilter final : public RequestFilter
 {
 public:
@@ -99,7 +99,7 @@
     const ConfigIndex &configIndex_;
 };
 
-// Reads what the body asks for: the model, the lengths, the prompt's prefix.
+// Parses the body: the target, the prompt and answer lengths, and the prompt's prefix.
 class BodyFilter final : public RequestFilter
 {
 public:
@@ -204,7 +204,8 @@
         context.request.promptTokens = text.size() / kBytesPerToken + 1;
         if (text.size() >= kMinPrefixBytes) {
             const std::size_t size = std::min(text.size(), kPrefixBytes);
-            // Accounts never share a prefix: a hit would tell one what another asks.
+            // The hash is seeded with the account so that accounts never share a prefix; a cache
+            // hit would reveal to one account what another asked.
             const std::string &account = context.request.account.value();
             const std::uint64_t seed = XXH3_64bits(account.data(), account.size());
             context.request.prefixHash = XXH3_64bits_withSeed(text.data(), size, seed);
@@ -256,7 +257,7 @@
     const ConfigIndex &configIndex_;
 };
 
-// Reads the headers that say how the request is to be run.
+// Reads the headers for priority, deadline and idempotency, and copies the request's contents.
 class ClassifyFilter final : public RequestFilter
 {
 public:
@@ -333,7 +334,8 @@
             if (key.size() > kMaxIdempotencyKeyLength || !uuidV7Time(key)) {
                 return badRequest("expected Idempotency-Key to be a version 7 UUID (RFC 9562)");
             }
-            // The key is the caller's own: two accounts may use the same one.
+            // Keys are scoped to the account, since two accounts may use the same key. The agent
+            // that checks a key is in the account's home hall.
             if (context.account->homeHall.value().empty()) {
                 return badRequest("the client account has no homeHall, so keys cannot be honoured");
             }
