--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -17,7 +17,8 @@
 using nlohmann::json;
 
 constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
-// What a slow caller may have waiting here; the agent holds back the rest.
+// When at least this much is buffered for a slow caller, the agent waits before it sends the next
+// part.
 constexpr std::size_t kBufferHighWaterBytes = 32 * 1024;
 
 EntryCore::Settings coreSettings(const EntrySettings &settings, Incarnation incarnation)
@@ -57,7 +58,7 @@
 
 } // namespace
 
-// The serving end for peer entries.
+// Serves the RPC calls of peer entries.
 class EntryService::PeerRpcServer final : public PeerServer
 {
 public:
@@ -153,7 +154,7 @@
 void EntryService::onInstances(const InstanceList &list)
 {
     core_.applyList(list);
-    // Links must not be taken away inside one of their own callbacks.
+    // Deferred, since a link must not be destroyed in one of its own callbacks.
     loop_.post([this] {
         peers_->setInstances(knowledge_.list());
         updateLinks();
@@ -168,7 +169,8 @@
     for (const InstanceId &agent : chosen) {
         addLink(agent);
     }
-    // A link with requests in flight outlives the listing of its agent: no answer is cut off.
+    // A link with active requests is kept even if its agent is no longer chosen, so that no answer
+    // is interrupted.
     std::erase_if(links_, [&](const auto &entry) {
         const bool busy =
             std::any_of(activeRequests_.begin(), activeRequests_.end(),
@@ -235,7 +237,8 @@
     }
 }
 
-// Others of the site wait for news of requests that end upstreams.
+// Sends changes of the crash record to the peers: completes their pending exchanges with this entry
+// and warns the entries that the others exchange with.
 void EntryService::announceCrashes()
 {
     if (core_.crashes().cursor() != announcedCrashCursor_) {
@@ -415,7 +418,7 @@
         const json body = errorBody(code, outcome, {});
         server_->write(active.exchange, fmt::format("data: {}\n\n", body.dump()));
     }
-    // Without the closing chunk the caller's library sees that the answer is not whole.
+    // The missing final chunk shows the caller's HTTP library that the answer is incomplete.
     server_->abort(active.exchange);
 }
 
@@ -663,7 +666,8 @@
 void EntryService::stopIfDrained()
 {
     const Duration since = loop_.now() - stopStartedAt_;
-    // The balancer lags behind the readiness, so new requests are served for a while.
+    // The load balancer in front reacts to readiness with a delay, so new requests are still
+    // served for `stopDelay`.
     if (since < settings_.stopDelay) {
         return;
     }
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -1,7 +1,7 @@
-// An entry: takes callers' requests, has EntryCore decide, and relays the answers.
+// The entry process: accepts callers' HTTP requests, sends them to agents and relays the answers.
 //
-// The service is the shell around EntryCore. It owns the connections to the agents, the callers'
-// exchanges and the peers, and decides nothing about requests itself.
+// EntryService performs the I/O for EntryCore, which makes all decisions about requests. It owns
+// the connections to agents, callers and peer entries.
 #pragma once
 
 #include "decision/dispatch/entrycore.h"
@@ -27,6 +27,7 @@
 
 namespace seamarch {
 
+// The settings of an entry process.
 struct EntrySettings
 {
     InstanceId instance;
@@ -36,45 +37,50 @@
     SocketAddress operatorListen; // For operators.
     SocketAddress platform;
     std::size_t maxBodyBytes = 8U * 1024U * 1024U;
-    std::size_t maxAccountSeries = 300;
+    std::size_t maxAccountSeries = 300; // Accounts with metric series of their own.
+    // The minimum interval between heartbeats to one agent, and the interval between exchanges with
+    // peer entries.
     Duration heartbeat = std::chrono::milliseconds(500);
+    // How long an agent or a peer entry that has stopped answering counts as reachable.
     Duration lease = std::chrono::seconds(5);
-    Duration stopDelay = std::chrono::seconds(2);
-    Duration stopDeadline = std::chrono::seconds(120);
+    Duration stopDelay = std::chrono::seconds(2);      // The minimum time from stop to end.
+    Duration stopDeadline = std::chrono::seconds(120); // The maximum time from stop to end.
 };
 
+// Runs an entry on an event loop. Single-threaded; the loop must outlive the service.
 class EntryService final : private HttpHandler,
                            private AgentLinkListener,
                            private KnowledgeListener,
                            private StatusSource
 {
 public:
-    // Opens all addresses. Fails when one of them cannot be opened.
+    // Opens all addresses and starts serving. Fails if one of them cannot be opened.
     static tl::expected<std::unique_ptr<EntryService>, NetError> create(EventLoop &loop,
                                                                         EntrySettings settings);
     ~EntryService() override;
     EntryService(const EntryService &) = delete;
     EntryService &operator=(const EntryService &) = delete;
 
-    // Starts a planned stop: readiness goes down, requests go on, and the loop stops when the last
-    // answer is out or at the deadline.
+    // Starts a planned stop: the entry reports that it is not ready, continues to serve requests,
+    // and stops the loop when the last answer has been sent or at the deadline.
     void stop();
 
 private:
-    // A caller's request on its way.
+    // A caller's request that has not ended.
     struct ActiveRequest
     {
         ExchangeId exchange = 0;
         EntryRequest request;
         CallPayload payload;
-        InstanceId agent;
+        InstanceId agent; // The agent to which it was last sent.
         std::string requestClass;
         bool streamed = false;
         bool headSent = false;
         TimePoint startedAt{};
         TimePoint lastChunkAt{};
-        kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>>
-            drainFulfiller; // Held while the caller lags.
+        // Set while a slow caller's buffer is full. Fulfilled when the buffer has drained, which
+        // lets the agent send the next part.
+        kj::Maybe<kj::Own<kj::PromiseFulfiller<void>>> drainFulfiller;
     };
 
     class PeerRpcServer;
@@ -112,13 +118,17 @@
     void carryOut(const SendWithdraw &action);
     void carryOut(const FailRequest &action);
     void carryOut(const ConnectAgent &action);
+    // Adds a link to a listed agent; replaces the link if the agent's address has changed.
     void addLink(const InstanceId &agent);
     void respondFailure(ExchangeId exchange, FailureCode code, Outcome outcome, Duration retryAfter,
                         const std::string &detail);
+    // Aborts an answer whose head has been sent. An event stream first gets an error event.
     void abortStream(const ActiveRequest &active, FailureCode code, Outcome outcome);
+    // Sends a part to the caller. The promise resolves when the caller can take more.
     kj::Promise<void> relay(RequestId id, ActiveRequest &active, wire::Part::Reader part);
     void recordChunkLatency(ActiveRequest &active);
     void endRequest(RequestId id);
+    // Returns the link to the agent, or null if there is none.
     AgentLink *link(const InstanceId &agent);
     void updateLinks();
     void tick();
@@ -153,8 +163,7 @@
     bool stopping_ = false;
     TimePoint stopStartedAt_{};
     std::uint64_t answered_ = 0;
-    std::uint64_t announcedCrashCursor_ =
-        0; // A cursor of the record of requests that end upstreams.
+    std::uint64_t announcedCrashCursor_ = 0; // The crash record's cursor at the last announcement.
 };
 
 } // namespace seamarch
