--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -18,8 +18,8 @@
 
 constexpr int kGrantRequestsPerLease = 3;
 constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
-constexpr std::size_t kFreeSlotNotices = 4; // Entries that hear of a free slot.
-// What may wait for an entry that lags; beyond it the upstream is not read.
+constexpr std::size_t kFreeSlotNotices = 4; // The number of entries told of a free slot.
+// The pending answer size of one request above which reading from the upstream is paused.
 constexpr std::size_t kPendingHighWaterBytes = 64 * 1024;
 constexpr std::string_view kEventPrefix = "data: ";
 constexpr std::string_view kEventStream = "text/event-stream";
@@ -47,7 +47,7 @@
 
 } // namespace
 
-// The serving end for one entry.
+// Serves the RPC calls on one connection, of an entry or of another agent.
 class AgentService::AgentRpcServer final : public wire::Agent::Server, public PeerServer
 {
 public:
@@ -135,8 +135,9 @@
 private:
     void onPeerStatus(wire::Status::Reader status) override
     {
-        // The list was confirmed `age` before the peer sent this, and it sent this after it heard
-        // the clock that it echoes; so the confirmation is no older than that.
+        // The platform confirmed the list `age` before the peer sent this status. The peer sent it
+        // after receiving the clock value that it echoes, so the confirmation happened no earlier
+        // than the echoed time minus `age`.
         const Duration age(status.getListAgeMicros());
         const bool same = status.getListVersion() == service_.knowledge_.versions().list;
         if (same && age >= Duration{} && status.getEchoMicros() != 0) {
@@ -154,7 +155,7 @@
     ConnectionId connection_;
 };
 
-// Hands the upstream's answer to the service under the request's id.
+// Passes the upstream's answer to the service with the request's id.
 class AgentService::UpstreamReceiver final : public HttpCallReceiver
 {
 public:
@@ -247,9 +248,9 @@
 void AgentService::onConnectionClosed(ConnectionId connection)
 {
     connections_.erase(connection);
-    // The entry is gone or will ask anew; nobody is left to take these answers. A request that has
-    // not started is withdrawn. One that runs is broken off: its caller's connection ended at the
-    // entry, or the entry will hear 'may have run'.
+    // The entry has ended or will send its requests again, so nobody receives these answers. Queued
+    // requests are removed. Running ones are aborted: either their callers' connections to the
+    // entry have closed, or the entry learns that they may have run.
     std::vector<RequestId> orphans;
     for (const auto &[id, active] : activeRequests_) {
         if (active.connection == connection) {
@@ -355,7 +356,7 @@
 
 void AgentService::carryOut(const AnnounceFreeSlot & /*action*/)
 {
-    // A few entries drawn at random hear of it: enough that one of them has a request that waits.
+    // Notifies a few random entries, enough that one of them has a waiting request.
     std::vector<Connection *> entries;
     for (auto &[id, connection] : connections_) {
         if (connection.sink != nullptr) {
@@ -388,7 +389,8 @@
     active.streamed = active.contentType.starts_with(kEventStream);
 }
 
-// The upstream may ask for rest in an answer. The answer itself goes to its caller like any other.
+// Starts a backoff if the answer's head asks for one. The answer itself is relayed to its caller
+// like any other.
 void AgentService::applyRetryAfter(const HttpHead &head)
 {
     const RetryAfter retryAfter = readRetryAfter(head.status, head.headers);
@@ -464,8 +466,9 @@
     carryOut(actions);
 }
 
-// An entry must know whether the upstream broke off this request or ended with all that it had: the
-// same request would end the next one as well.
+// Probes the upstream after a connection broke, and reports to the entry whether the upstream only
+// interrupted this request or its process has ended. A request that crashed this upstream would
+// crash the next one as well, so the entry must be able to tell.
 void AgentService::probeUpstream(RequestId id)
 {
     probe_->ask(settings_.upstream, [this, id](UpstreamState state) {
@@ -504,7 +507,8 @@
 
 void AgentService::scheduleFlush(RequestId id)
 {
-    // Head, body and end of a short answer arrive in one turn and leave as one part.
+    // Deferred, so that the head, body and end of a short answer, which arrive in one iteration of
+    // the event loop, are sent as one part.
     loop_.post([this, id] { flush(id); });
 }
 
@@ -603,7 +607,7 @@
 
 void AgentService::onInstances(const InstanceList &list)
 {
-    // Links must not be taken away inside one of their own callbacks.
+    // Deferred, since a link must not be destroyed in one of its own callbacks.
     loop_.post([this] {
         grantNetwork_->setInstances(knowledge_.list());
         updateTarget();
@@ -684,7 +688,8 @@
 void AgentService::stopIfDrained()
 {
     const Duration since = loop_.now() - stopStartedAt_;
-    // Entries hear that it is leaving with the next heartbeat, and their last calls are answered.
+    // For one lease the agent stays up, so that entries learn from a heartbeat that it is leaving
+    // and get answers to the requests that they sent before.
     const bool announced = since >= settings_.lease;
     const bool drained = announced && core_.idle() && activeRequests_.empty();
     if (!drained && since < settings_.stopDeadline) {
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -1,8 +1,10 @@
-// An agent: the only door to its upstream.
+// The agent process: the proxy in front of one upstream and the only path by which requests reach
+// it.
 //
-// The service is the shell around AgentCore. Entries call it over Cap'n Proto RPC; it calls the
-// upstream over HTTP and sends the answers back in parts, one part in flight for each request, so
-// that pieces that arrive meanwhile are joined and a slow caller holds up only its own request.
+// AgentService performs the I/O for AgentCore, which makes all decisions about requests. Entries
+// call it over Cap'n Proto RPC; it calls the upstream over HTTP and returns the answers in parts.
+// Each request has at most one part in flight, so that data that arrives meanwhile is combined into
+// the next part and a slow caller delays only its own request.
 #pragma once
 
 #include "agent/enginereloader.h"
@@ -29,64 +31,69 @@
 
 namespace seamarch {
 
+// The settings of an agent process.
 struct AgentSettings
 {
     InstanceId instance;
     HallId hall;
-    SocketAddress listen;         // For entries.
+    SocketAddress listen;         // For entries and other agents.
     SocketAddress operatorListen; // For operators.
     SocketAddress upstream;
-    std::uint32_t slots = 8; // Until the configuration says otherwise.
-    std::size_t maxAccountSeries = 300;
+    std::uint32_t slots = 8; // Concurrent requests; used until a configuration sets the number.
+    std::size_t maxAccountSeries = 300; // Accounts with metric series of their own.
+    // The lifetime of a key-home grant, and the minimum time from stop to end.
     Duration lease = std::chrono::seconds(3);
-    Duration stopDeadline = std::chrono::seconds(120);
+    Duration stopDeadline = std::chrono::seconds(120); // The maximum time from stop to end.
 };
 
+// Runs an agent on an event loop. Single-threaded; the loop must outlive the service.
 class AgentService final : private KnowledgeListener,
                            private StatusSource,
                            private EngineReloaderHost,
                            private kj::TaskSet::ErrorHandler
 {
 public:
-    // Opens all addresses. Fails when one of them cannot be opened.
+    // Opens all addresses and starts serving. Fails if one of them cannot be opened.
     static tl::expected<std::unique_ptr<AgentService>, NetError> create(EventLoop &loop,
                                                                         AgentSettings settings);
     ~AgentService() noexcept override;
     AgentService(const AgentService &) = delete;
     AgentService &operator=(const AgentService &) = delete;
 
-    // Starts a planned stop: no new work, what runs goes on, and the loop stops when it is out.
+    // Starts a planned stop: the agent refuses new requests, lets running ones end, and stops the
+    // loop when the last one has ended or at the deadline.
     void stop();
 
 private:
     using ConnectionId = std::uint64_t;
 
-    // A request that was accepted.
+    // An accepted request whose answer has not been sent completely.
     struct ActiveRequest
     {
         ConnectionId connection = 0;
         HttpCallRequest call;
-        HttpCallId httpCall = 0;
+        HttpCallId httpCall = 0; // Zero until the request starts at the upstream.
         AccountId account;
         TimePoint arrivedAt{};
         bool headReady = false;
         bool headSent = false;
         int status = 0;
         std::string contentType;
-        std::string pending; // Bytes of the answer that wait for the part in flight.
+        std::string pending; // Answer bytes that are not in a part yet.
         bool ended = false;
         bool failed = false;
         bool partInFlight = false;
-        bool paused = false;
-        bool streamed = false;
+        bool paused = false;   // Reading from the upstream is paused.
+        bool streamed = false; // The answer is an event stream.
         bool aborted = false;
     };
 
+    // A connection from an entry or from another agent.
     struct Connection
     {
         std::unique_ptr<RpcPeer> peer;
         kj::Maybe<wire::AnswerSink::Client> sink;
-        Incarnation entry;
+        Incarnation entry; // Set by an entry when it opens the connection.
     };
 
     class AgentRpcServer;
