--- a/src/agent/grantnetwork.h
+++ b/src/agent/grantnetwork.h
@@ -1,7 +1,8 @@
-// Asks the other agents of this agent's service and hall for key-home grants and for turns.
+// Requests key-home grants and reload permits from the other agents of this agent's pool.
 //
-// What grants and turns mean is in decision/once/keyhome.h and decision/rollout/turns.h; this class
-// only carries the questions and the answers.
+// The pool consists of the agents that serve the same target in the same hall. This class only
+// sends requests and delivers the answers; decision/once/keyhome.h defines grants and
+// decision/rollout/reloadpermits.h defines reload permits, which the RPC schema calls turns.
 #pragma once
 
 #include "decision/dispatch/agentcore.h"
@@ -17,10 +18,12 @@
 
 namespace seamarch {
 
+// The requesting side of grants and reload permits, with one link to each other member of the pool.
+// Single-threaded.
 class GrantNetwork final : private kj::TaskSet::ErrorHandler
 {
 public:
-    // What the network works for. All of it outlives the network.
+    // The objects that the network uses, which must outlive it, and the identity of the agent.
     struct Context
     {
         EventLoop &loop;
@@ -38,20 +41,25 @@
     GrantNetwork(const GrantNetwork &) = delete;
     GrantNetwork &operator=(const GrantNetwork &) = delete;
 
-    // Takes the list: the members are the agents that serve the same first target in this hall.
+    // Applies an instance list. The members of the pool are the agents of this hall that serve the
+    // first target of this agent.
     void setInstances(const InstanceList &list);
-    // Sets how many upstreams of the pool must stay in service.
+    // Sets the minimum number of upstreams of the pool that must stay in service during reloads.
     void setMinServing(std::uint32_t minServing);
-    // Asks every member for its grant, this agent included.
+    // Requests or renews the grant of every member, including this agent. Called several times per
+    // lease.
     void tick();
-    // Asks for the next turn that is wanted.
+    // Requests the next reload permit, if the collector needs one. If it is issued, continues with
+    // the next member.
     void requestPermit();
+    // Tells `member` that its permit is released.
     void releasePermit(const InstanceId &member);
 
 private:
     void requestGrant(const InstanceId &member, RpcLink &link);
     void taskFailed(kj::Exception &&exception) override;
 
+    // Passes the members and the number of concurrent reloads to the issuer and the collector.
     void updatePool();
 
     Context context_;
