--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -11,8 +11,8 @@
 using nlohmann::json;
 
 constexpr int kStatusOk = 200;
-constexpr Duration kPermitCollectTimeout =
-    std::chrono::seconds(30); // Beyond it the turns are given back.
+// If not all permits are collected within this time, they are released and collected anew.
+constexpr Duration kPermitCollectTimeout = std::chrono::seconds(30);
 constexpr int kStatusNotFound = 404;
 constexpr const char *kOrdersPath = "/v1/orders";
 
@@ -31,7 +31,7 @@
 
 } // namespace
 
-// Reads the engine's answer to a question or an order; both are its state.
+// Receives the engine's answer to a query or an order, which is its state in both cases.
 class EngineReloader::Receiver final : public HttpCallReceiver
 {
 public:
@@ -102,7 +102,8 @@
     stateKnown_ = true;
     engine_ = *state;
     if (first && engine_.loading) {
-        // The life of this agent before this one ordered it and died: its turn is this one's.
+        // The previous incarnation of this agent sent the order and ended. This one takes over its
+        // permit and completes the reload.
         permits_.startCollecting();
         permits_.onIssued(self_);
         host_.setServing(false);
@@ -150,7 +151,7 @@
         return;
     case Step::Draining:
         if (host_.upstreamIdle()) {
-            // The engine's state is asked once more right before the order, for its fence.
+            // tick() queries the state once more right before the order, to compare the fence.
             step_ = Step::Ordering;
         }
         return;
--- a/src/agent/enginereloader.h
+++ b/src/agent/enginereloader.h
@@ -1,12 +1,15 @@
-// Brings an agent's engine to the published version by fenced orders, when its turn has come.
+// Reloads an agent's engine to the configured model version, limited by reload permits.
 //
-// The engine's own word is the only memory: it tells its version, whether it is loading, and the
-// highest fence that it was ordered under. An agent that is replaced asks it and goes on. The fence
-// is the configuration's version. Engines that do not check fences are asked before each order, and
-// an order under a lower fence is not given; the agent is the only one who orders.
+// A reload has these steps: collect a permit from every member of the pool, refuse new requests,
+// wait until the running ones have ended, order the engine to load the version, wait until it
+// serves it, accept requests again, release the permits.
 //
-// Steps: want a turn of every member of the pool, take no new work, wait until what runs has ended,
-// order, wait until the engine serves the version, take work again, give the turns back.
+// All state is kept in the engine, which reports its version, whether it is loading, and the
+// highest fence of the orders it has received. A restarted agent queries it and continues. The
+// fence of an order is the version of the configuration, so that an order from an old configuration
+// is not executed after a newer one. For engines that do not check fences, the agent queries the
+// state before each order and sends it only if its fence is higher than the engine's. This is
+// sufficient because only the agent sends orders to its engine.
 #pragma once
 
 #include "decision/rollout/reloadpermits.h"
@@ -22,27 +25,29 @@
 
 namespace seamarch {
 
-// What an engine says of itself.
+// The state that an engine reports.
 struct EngineState
 {
     std::string version;
-    std::uint64_t fence = 0;
+    std::uint64_t fence = 0; // The highest fence of the orders that it has received.
     bool loading = false;
 };
 
-// What the driver needs of the agent around it.
+// The functions of the agent that EngineReloader calls.
 class EngineReloaderHost
 {
 public:
     virtual ~EngineReloaderHost() = default;
-    // Takes no new work, or takes it again.
+    // Makes the agent refuse new requests, or accept them again.
     virtual void setServing(bool serving) = 0;
-    // Tells whether nothing runs or waits at the upstream.
+    // Returns whether no request is queued or running.
     virtual bool upstreamIdle() const = 0;
-    // Gives a turn back to a member of the pool.
+    // Releases the permit that `member` issued.
     virtual void releasePermit(const InstanceId &member) = 0;
 };
 
+// Drives the reloads of one engine over HTTP. The references passed to it must outlive it.
+// Single-threaded.
 class EngineReloader
 {
 public:
@@ -51,16 +56,21 @@
     EngineReloader(const EngineReloader &) = delete;
     EngineReloader &operator=(const EngineReloader &) = delete;
 
-    // Takes the version that the engine should have, from a configuration.
+    // Sets the version that the engine must serve, and the version of the configuration that says
+    // so.
     void setTarget(std::string version, ConfigVersion config);
     ReloadPermitCollector &permitCollector() { return permits_; }
-    // Time has passed: takes the next step.
+    // Takes the next step of a reload, or starts one if it is due. Called periodically.
     void tick();
 
+    // Returns the version that the engine last reported; empty if it has reported none.
     const std::string &engineVersion() const { return engine_.version; }
+    // Returns whether a reload is in progress, including the collection of permits.
     bool reloading() const { return step_ != Step::Idle; }
 
 private:
+    // Ordering waits for an answer to the state query that precedes the order, then sends the
+    // order.
     enum class Step { Idle, Collecting, Draining, Ordering, Loading };
 
     class Receiver;
@@ -84,9 +94,9 @@
     std::string targetVersion_;
     ConfigVersion configVersion_;
     TimePoint collectingSince_{};
-    bool stateKnown_ = false;        // The engine has told its state at least once.
-    bool inFlight_ = false;          // A call to the engine is under way.
-    bool ordersUnsupported_ = false; // The engine takes no orders.
+    bool stateKnown_ = false;        // The engine has reported its state at least once.
+    bool inFlight_ = false;          // An HTTP call to the engine is in flight.
+    bool ordersUnsupported_ = false; // The engine has no API for orders (status 404).
 };
 
 } // namespace seamarch
