--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -93,8 +93,8 @@
     request.setNumber(context_.permitCollector.permitNumber());
     tasks_.add(request.send().then(
         [this, issuer = *member, number = context_.permitCollector.permitNumber()](
-            capnp::Response<wire::Agent::TurnResults> &&answer) {
-            if (answer.getGiven() && number == context_.permitCollector.permitNumber()) {
+            capnp::Response<wire::Agent::TurnResults> &&response) {
+            if (response.getGiven() && number == context_.permitCollector.permitNumber()) {
                 context_.permitCollector.onIssued(issuer);
                 requestPermit();
             }
@@ -144,8 +144,8 @@
     request.setTurnsReleased(permitState.released);
     request.setHoldsTurn(permitState.holds);
     tasks_.add(request.send().then(
-        [this, member, set, requestedAt](capnp::Response<wire::Agent::GrantResults> &&answer) {
-            if (answer.getGranted()) {
+        [this, member, set, requestedAt](capnp::Response<wire::Agent::GrantResults> &&response) {
+            if (response.getGranted()) {
                 context_.core.onGranted(member, set, requestedAt, context_.loop.now(), wallNow());
             }
         },
--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -80,9 +80,9 @@
     status.setListAgeMicros(context_.knowledge.listAge(requestedAt).count());
     status.setEchoMicros(agentClockMicros_);
     tasks_.add(request.send().then(
-        [this, requestedAt](capnp::Response<wire::Peer::ExchangeResults> &&answer) {
+        [this, requestedAt](capnp::Response<wire::Peer::ExchangeResults> &&response) {
             heartbeatInFlight_ = false;
-            onExchange(answer.getStatus(), answer.getConfig(), answer.getList(), requestedAt);
+            onExchange(response.getStatus(), response.getConfig(), response.getList(), requestedAt);
         },
         [this](kj::Exception && /*error*/) { heartbeatInFlight_ = false; }));
 }
@@ -133,8 +133,8 @@
     builder.setAgentIncarnation(call.agentIncarnation.value());
     const RequestId id = call.id;
     tasks_.add(message.send().then(
-        [this, id](capnp::Response<wire::Agent::StartResults> &&answer) {
-            const auto verdict = answer.getVerdict();
+        [this, id](capnp::Response<wire::Agent::StartResults> &&response) {
+            const auto verdict = response.getVerdict();
             const Outcome outcome = verdict.getNotRun() ? Outcome::NotRun : Outcome::Unknown;
             context_.listener.onAdmissionResult(id,
                                                 {verdict.getAccepted(), verdict.getStarted(),
@@ -153,8 +153,8 @@
     message.setAgentIncarnation(cancel.agentIncarnation.value());
     const RequestId id = cancel.id;
     tasks_.add(message.send().then(
-        [this, id](capnp::Response<wire::Agent::CancelResults> &&answer) {
-            context_.listener.onCancelResult(id, answer.getNotRun());
+        [this, id](capnp::Response<wire::Agent::CancelResults> &&response) {
+            context_.listener.onCancelResult(id, response.getNotRun());
         },
         [this, id](kj::Exception && /*error*/) { context_.listener.onCancelResult(id, false); }));
 }
@@ -166,8 +166,8 @@
     message.setAgentIncarnation(withdrawal.agentIncarnation.value());
     const RequestId id = withdrawal.id;
     tasks_.add(message.send().then(
-        [this, id](capnp::Response<wire::Agent::WithdrawResults> &&answer) {
-            context_.listener.onWithdrawResult(id, id_, answer.getNotRun());
+        [this, id](capnp::Response<wire::Agent::WithdrawResults> &&response) {
+            context_.listener.onWithdrawResult(id, id_, response.getNotRun());
         },
         [this, id](kj::Exception && /*error*/) {
             context_.listener.onWithdrawResult(id, id_, false);
@@ -179,8 +179,8 @@
     auto message = agent().issueTicketRequest();
     auto sharedCallback = std::make_shared<std::function<void(std::string)>>(std::move(callback));
     tasks_.add(message.send().then(
-        [sharedCallback](capnp::Response<wire::Agent::IssueTicketResults> &&answer) {
-            (*sharedCallback)(toString(answer.getTicket()));
+        [sharedCallback](capnp::Response<wire::Agent::IssueTicketResults> &&response) {
+            (*sharedCallback)(toString(response.getTicket()));
         },
         [sharedCallback](kj::Exception && /*error*/) { (*sharedCallback)({}); }));
 }
