--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -364,8 +364,8 @@
         }
     }
     for (std::size_t notice = 0; notice < kFreeSlotNotices && !entries.empty(); ++notice) {
-        std::uniform_int_distribution<std::size_t> draw(0, entries.size() - 1);
-        const std::size_t index = draw(random_);
+        std::uniform_int_distribution<std::size_t> distribution(0, entries.size() - 1);
+        const std::size_t index = distribution(random_);
         KJ_IF_MAYBE (sink, entries[index]->sink) {
             auto request = sink->freeRequest();
             writeReport(core_.report(), request.initStatus());
