--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -22,7 +22,7 @@
 // The pending answer size of one request above which reading from the upstream is paused.
 constexpr std::size_t kPendingHighWaterBytes = 64 * 1024;
 constexpr std::string_view kEventPrefix = "data: ";
-constexpr std::string_view kEventStream = "text/event-stream";
+constexpr std::string_view kEventStreamType = "text/event-stream";
 
 AgentCore::Settings coreSettings(const AgentSettings &settings, Incarnation incarnation)
 {
@@ -386,7 +386,7 @@
     active.headReady = true;
     active.status = head.status;
     active.contentType = findHeader(head.headers, "content-type");
-    active.streamed = active.contentType.starts_with(kEventStream);
+    active.streamed = active.contentType.starts_with(kEventStreamType);
 }
 
 // Starts a backoff if the answer's head asks for one. The answer itself is relayed to its caller
