--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -383,7 +383,7 @@
         return;
     }
     ActiveRequest &active = found->second;
-    active.headReady = true;
+    active.headReceived = true;
     active.status = head.status;
     active.contentType = findHeader(head.headers, "content-type");
     active.streamed = active.contentType.starts_with(kEventStreamType);
@@ -455,7 +455,7 @@
     }
     core_.onEnded(id, loop_.now(), actions);
     ++finished_;
-    if (end == HttpCallEnd::Complete && active.headReady) {
+    if (end == HttpCallEnd::Complete && active.headReceived) {
         active.ended = true;
         scheduleFlush(id);
     } else if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::KeptLost) {
@@ -515,7 +515,8 @@
 void AgentService::flush(RequestId id)
 {
     const auto found = activeRequests_.find(id);
-    if (found == activeRequests_.end() || found->second.partInFlight || !found->second.headReady) {
+    if (found == activeRequests_.end() || found->second.partInFlight
+        || !found->second.headReceived) {
         return;
     }
     ActiveRequest &active = found->second;
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -75,7 +75,7 @@
         HttpCallId httpCall = 0; // Zero until the request starts at the upstream.
         AccountId account;
         TimePoint arrivedAt{};
-        bool headReady = false;
+        bool headReceived = false;
         bool headSent = false;
         int status = 0;
         std::string contentType;
