--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -119,13 +119,13 @@
 
 void GrantNetwork::tick()
 {
-    const std::uint64_t set = context_.core.keyMembers().hash;
+    const std::uint64_t setHash = context_.core.keyMembers().hash;
     const TimePoint now = context_.loop.now();
     if (context_.core.keyMembers().members.empty()) {
         return;
     }
-    if (context_.core.onGrantRequest(set, now)) {
-        context_.core.onGranted(context_.self, set, now, now, wallNow());
+    if (context_.core.onGrantRequest(setHash, now)) {
+        context_.core.onGranted(context_.self, setHash, now, now, wallNow());
     }
     for (const auto &[member, link] : links_) {
         requestGrant(member, *link);
@@ -134,19 +134,21 @@
 
 void GrantNetwork::requestGrant(const InstanceId &member, RpcLink &link)
 {
-    const std::uint64_t set = context_.core.keyMembers().hash;
+    const std::uint64_t setHash = context_.core.keyMembers().hash;
     const TimePoint requestedAt = context_.loop.now();
     auto request = link.capability().castAs<wire::Agent>().grantRequest();
-    request.setMemberSet(set);
+    request.setMemberSet(setHash);
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
     const ReloadPermitState permitState = context_.permitCollector.state(context_.incarnation);
     request.setTurnsReleased(permitState.released);
     request.setHoldsTurn(permitState.holds);
     tasks_.add(request.send().then(
-        [this, member, set, requestedAt](capnp::Response<wire::Agent::GrantResults> &&response) {
+        [this, member, setHash,
+         requestedAt](capnp::Response<wire::Agent::GrantResults> &&response) {
             if (response.getGranted()) {
-                context_.core.onGranted(member, set, requestedAt, context_.loop.now(), wallNow());
+                context_.core.onGranted(member, setHash, requestedAt, context_.loop.now(),
+                                        wallNow());
             }
         },
         [](kj::Exception && /*error*/) {}));
