--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -35,8 +35,8 @@
 class EngineReloader::Receiver final : public HttpCallReceiver
 {
 public:
-    explicit Receiver(EngineReloader &driver)
-        : driver_(driver)
+    explicit Receiver(EngineReloader &reloader)
+        : driver_(reloader)
     {}
 
     void onHead(HttpHead head) override { status_ = head.status; }
