--- a/src/agent/enginereloader.cpp
+++ b/src/agent/enginereloader.cpp
@@ -36,21 +36,21 @@
 {
 public:
     explicit Receiver(EngineReloader &reloader)
-        : driver_(reloader)
+        : reloader_(reloader)
     {}
 
     void onHead(HttpHead head) override { status_ = head.status; }
     void onPiece(std::string_view piece) override { body_ += piece; }
     void onEnd(HttpCallEnd end) override
     {
-        driver_.inFlight_ = false;
-        driver_.ordersUnsupported_ = status_ == kStatusNotFound;
+        reloader_.inFlight_ = false;
+        reloader_.ordersUnsupported_ = status_ == kStatusNotFound;
         const bool succeeded = end == HttpCallEnd::Complete && status_ == kStatusOk;
-        driver_.onEngineState(succeeded ? parseEngineState(body_) : std::nullopt);
+        reloader_.onEngineState(succeeded ? parseEngineState(body_) : std::nullopt);
     }
 
 private:
-    EngineReloader &driver_;
+    EngineReloader &reloader_;
     int status_ = 0;
     std::string body_;
 };
