--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -80,7 +80,7 @@
         int status = 0;
         std::string contentType;
         std::string pending; // Answer bytes that are not in a part yet.
-        bool ended = false;
+        bool ended = false;  // The upstream's answer is complete.
         bool failed = false;
         bool partInFlight = false;
         bool paused = false;   // Reading from the upstream is paused.
@@ -105,6 +105,7 @@
     void onConnectionClosed(ConnectionId connection);
 
     AdmissionResult onStart(ConnectionId connection, wire::Call::Reader call);
+    // Return whether the request provably has not run and will not run.
     bool onCancel(RequestId id, Incarnation expectedIncarnation);
     bool onWithdraw(RequestId id, Incarnation expectedIncarnation);
 
@@ -123,6 +124,7 @@
     void scheduleFlush(RequestId id);
     void flush(RequestId id);
     void onPartAcknowledged(RequestId id);
+    // Counts the tokens that an answer other than an event stream reports in its `usage` object.
     void countUsageTokens(RequestId id, const ActiveRequest &active);
 
     void onConfig(const ConfigDocument &document) override;
@@ -132,6 +134,7 @@
     void setServing(bool serving) override;
     bool upstreamIdle() const override { return core_.idle(); }
     void releasePermit(const InstanceId &member) override;
+    // Passes the configured model version and minimum of serving upstreams to the reloads.
     void updateTarget();
     void taskFailed(kj::Exception &&exception) override;
     void tick();
@@ -154,7 +157,7 @@
     std::unique_ptr<EngineReloader> engineReloader_;
     std::unique_ptr<GrantNetwork> grantNetwork_;
     std::unique_ptr<PeriodicTimer> tickTimer_;
-    std::unique_ptr<PeriodicTimer> grantTimer_;
+    std::unique_ptr<PeriodicTimer> grantTimer_; // Drives grants, reload permits and reloads.
     ConnectionId nextConnection_ = 1;
     std::mt19937_64 random_;
     bool stopping_ = false;
--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -79,7 +79,7 @@
 
     // Exchanges versions with the agent and requests its report, unless a heartbeat is in flight.
     void heartbeat();
-    // Sends a request to the agent.
+    // Sends a request to the agent. The listener gets the decision or the failure.
     void start(const SendCall &call, const EntryRequest &request, const CallPayload &payload);
     void cancel(const SendCancel &cancel);
     void withdraw(const SendWithdraw &withdrawal);
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -130,6 +130,7 @@
     void endRequest(RequestId id);
     // Returns the link to the agent, or null if there is none.
     AgentLink *link(const InstanceId &agent);
+    // Adds links to the agents chosen by chooseLinks() and removes idle links to others.
     void updateLinks();
     void tick();
     void heartbeatAll();
