--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -171,11 +171,11 @@
     }
     // A link with active requests is kept even if its agent is no longer chosen, so that no answer
     // is interrupted.
-    std::erase_if(links_, [&](const auto &entry) {
+    std::erase_if(links_, [&](const auto &namedLink) {
         const bool busy =
             std::any_of(activeRequests_.begin(), activeRequests_.end(),
-                        [&](const auto &active) { return active.second.agent == entry.first; });
-        return !chosen.contains(entry.first) && !busy;
+                        [&](const auto &active) { return active.second.agent == namedLink.first; });
+        return !chosen.contains(namedLink.first) && !busy;
     });
 }
 
