--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -50,7 +50,8 @@
             link = std::make_unique<RpcLink>(context_.loop, context_.transport, address);
         }
     }
-    std::erase_if(links_, [&kept](const auto &namedLink) { return !kept.contains(entry.first); });
+    std::erase_if(links_,
+                  [&kept](const auto &namedLink) { return !kept.contains(namedLink.first); });
     context_.core.setKeyMembers(target, makeMemberSet(std::move(members)));
     updatePool();
 }
