--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -40,7 +40,7 @@
     virtual void onAdmissionResult(RequestId id, const AdmissionResult &result) = 0;
     // Called when a request failed without a decision. `written` is true if it may have reached the
     // agent.
-    virtual void onCallFailed(RequestId id, bool written) = 0;
+    virtual void onCallFailed(RequestId id, bool maybeSent) = 0;
     // Called at the end of a cancel. `notRun` is true if the agent reported that the request has
     // not run and will not run; false also if the cancel failed.
     virtual void onCancelResult(RequestId id, bool notRun) = 0;
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -481,10 +481,10 @@
     carryOut(actions);
 }
 
-void EntryService::onCallFailed(RequestId id, bool written)
+void EntryService::onCallFailed(RequestId id, bool maybeSent)
 {
     EntryActions actions;
-    if (written) {
+    if (maybeSent) {
         core_.onConnectionLost(id, loop_.now(), actions);
     } else {
         core_.onNotWritten(id, loop_.now(), actions);
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -95,7 +95,7 @@
     void onHeartbeat(const InstanceId &agent, const AgentReport &report,
                      TimePoint requestedAt) override;
     void onAdmissionResult(RequestId id, const AdmissionResult &result) override;
-    void onCallFailed(RequestId id, bool written) override;
+    void onCallFailed(RequestId id, bool maybeSent) override;
     void onCancelResult(RequestId id, bool notRun) override;
     void onWithdrawResult(RequestId id, const InstanceId &agent, bool notRun) override;
     void onFreeSlot(const InstanceId &agent, const AgentReport &report) override;
