--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -301,20 +301,20 @@
     return result;
 }
 
-bool AgentService::onCancel(RequestId id, Incarnation expectedIncarnation)
+bool AgentService::onCancel(RequestId id, Incarnation targetIncarnation)
 {
     AgentActions actions;
-    const bool notRun = core_.onCancel(id, expectedIncarnation, loop_.now(), actions);
+    const bool notRun = core_.onCancel(id, targetIncarnation, loop_.now(), actions);
     carryOut(actions);
-    if (expectedIncarnation == incarnation_) {
+    if (targetIncarnation == incarnation_) {
         activeRequests_.erase(id);
     }
     return notRun;
 }
 
-bool AgentService::onWithdraw(RequestId id, Incarnation expectedIncarnation)
+bool AgentService::onWithdraw(RequestId id, Incarnation targetIncarnation)
 {
-    const bool notRun = core_.onWithdraw(id, expectedIncarnation);
+    const bool notRun = core_.onWithdraw(id, targetIncarnation);
     if (notRun) {
         activeRequests_.erase(id);
     }
--- a/src/agent/agentservice.h
+++ b/src/agent/agentservice.h
@@ -106,8 +106,8 @@
 
     AdmissionResult onStart(ConnectionId connection, wire::Call::Reader call);
     // Return whether the request provably has not run and will not run.
-    bool onCancel(RequestId id, Incarnation expectedIncarnation);
-    bool onWithdraw(RequestId id, Incarnation expectedIncarnation);
+    bool onCancel(RequestId id, Incarnation targetIncarnation);
+    bool onWithdraw(RequestId id, Incarnation targetIncarnation);
 
     void onUpstreamHead(RequestId id, const HttpHead &head);
     void applyRetryAfter(const HttpHead &head);
