--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -215,13 +215,13 @@
 
     std::optional<FilterFailure> readService(CallerContext &context) const
     {
-        const std::string rest = context.http.path.substr(kServicePrefix.size());
-        const std::string name = rest.substr(0, rest.find('/'));
+        const std::string servicePath = context.http.path.substr(kServicePrefix.size());
+        const std::string name = servicePath.substr(0, servicePath.find('/'));
         const ServiceConfig *service = configIndex_.service(TargetName(name));
         if (service == nullptr) {
             return FilterFailure{FailureCode::NotFound, fmt::format("no service '{}'", name)};
         }
-        const std::string subpath = rest.substr(name.size());
+        const std::string subpath = servicePath.substr(name.size());
         const auto route = std::find_if(
             service->routes.begin(), service->routes.end(), [&](const RouteConfig &each) {
                 return each.method == context.http.method && subpath.starts_with(each.path);
