--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -28,8 +28,8 @@
 std::optional<std::uint64_t> parseNumber(const std::string &text)
 {
     std::uint64_t value = 0;
-    const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (text.empty() || error != std::errc() || stop != text.data() + text.size()) {
+    const auto [parsedEnd, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (text.empty() || error != std::errc() || parsedEnd != text.data() + text.size()) {
         return std::nullopt;
     }
     return value;
