--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -96,6 +96,7 @@
     void onClosed();
     void onExchange(wire::Status::Reader status, wire::Update::Reader config,
                     wire::Update::Reader list, TimePoint requestedAt);
+    // Sends the agent the documents in which it is behind this process.
     void offer(const KnownVersions &peer);
     void taskFailed(kj::Exception &&exception) override;
 
--- a/src/entry/entryservice.h
+++ b/src/entry/entryservice.h
@@ -126,6 +126,7 @@
     void abortStream(const ActiveRequest &active, FailureCode code, Outcome outcome);
     // Sends a part to the caller. The promise resolves when the caller can take more.
     kj::Promise<void> relay(RequestId id, ActiveRequest &active, wire::Part::Reader part);
+    // Records the time to the first chunk of an answer, or the time since the previous one.
     void recordChunkLatency(ActiveRequest &active);
     void endRequest(RequestId id);
     // Returns the link to the agent, or null if there is none.
