--- a/src/entry/agentlink.h
+++ b/src/entry/agentlink.h
@@ -38,8 +38,8 @@
                              TimePoint requestedAt) = 0;
     // Called with the agent's decision on a request.
     virtual void onAdmissionResult(RequestId id, const AdmissionResult &result) = 0;
-    // Called when a request failed without a decision. `written` is true if it may have reached the
-    // agent.
+    // Called when a request failed without a decision. `maybeSent` is true if it may have reached
+    // the agent.
     virtual void onCallFailed(RequestId id, bool maybeSent) = 0;
     // Called at the end of a cancel. `notRun` is true if the agent reported that the request has
     // not run and will not run; false also if the cancel failed.
