--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -16,13 +16,13 @@
 
 using nlohmann::json;
 
-constexpr int kGrantsPerLease = 3;
-constexpr Duration kTick = std::chrono::milliseconds(100);
-constexpr std::size_t kFreeNotices = 4; // Entries that hear of a free slot.
-// What may wait for an entry that lags; beyond it the upstream is not read.
-constexpr std::size_t kPendingHighWater = 64 * 1024;
+constexpr int kGrantRequestsPerLease = 3;
+constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
+constexpr std::size_t kFreeSlotNotices = 4; // The number of entries told of a free slot.
+// The pending answer size of one request above which reading from the upstream is paused.
+constexpr std::size_t kPendingHighWaterBytes = 64 * 1024;
 constexpr std::string_view kEventPrefix = "data: ";
-constexpr std::string_view kEventStream = "text/event-stream";
+constexpr std::string_view kEventStreamType = "text/event-stream";
 
 AgentCore::Settings coreSettings(const AgentSettings &settings, Incarnation incarnation)
 {
@@ -47,11 +47,11 @@
 
 } // namespace
 
-// The serving end for one entry.
-class AgentService::AgentEnd final : public wire::Agent::Server, public PeerServer
+// Serves the RPC calls on one connection, of an entry or of another agent.
+class AgentService::AgentRpcServer final : public wire::Agent::Server, public PeerServer
 {
 public:
-    AgentEnd(AgentService &service, ConnectionId connection)
+    AgentRpcServer(AgentService &service, ConnectionId connection)
         : PeerServer(service.knowledge_, service.changes_, service.loop_)
         , service_(service)
         , connection_(connection)
@@ -70,14 +70,13 @@
 
     kj::Promise<void> start(StartContext context) override
     {
-        const AdmissionResult verdict =
-            service_.onStart(connection_, context.getParams().getCall());
+        const AdmissionResult result = service_.onStart(connection_, context.getParams().getCall());
         auto builder = context.getResults().initVerdict();
-        builder.setAccepted(verdict.accepted);
-        builder.setFailure(static_cast<std::uint16_t>(verdict.failure));
-        builder.setNotRun(verdict.outcome == Outcome::NotRun);
-        builder.setRetryAfterMicros(verdict.retryAfter.count());
-        builder.setStarted(verdict.started);
+        builder.setAccepted(result.accepted);
+        builder.setFailure(static_cast<std::uint16_t>(result.failure));
+        builder.setNotRun(result.outcome == Outcome::NotRun);
+        builder.setRetryAfterMicros(result.retryAfter.count());
+        builder.setStarted(result.started);
         return kj::READY_NOW;
     }
 
@@ -108,17 +107,17 @@
     kj::Promise<void> turn(TurnContext context) override
     {
         const auto params = context.getParams();
-        context.getResults().setGiven(
-            service_.turnBook_.tryIssue(InstanceId(toString(params.getInstance())),
-                                        Incarnation(params.getIncarnation()), params.getNumber()));
+        context.getResults().setGiven(service_.permitIssuer_.tryIssue(
+            InstanceId(toString(params.getInstance())), Incarnation(params.getIncarnation()),
+            params.getNumber()));
         return kj::READY_NOW;
     }
 
     kj::Promise<void> releaseTurn(ReleaseTurnContext context) override
     {
         const auto params = context.getParams();
-        service_.turnBook_.release(InstanceId(toString(params.getInstance())),
-                                   Incarnation(params.getIncarnation()), params.getNumber());
+        service_.permitIssuer_.release(InstanceId(toString(params.getInstance())),
+                                       Incarnation(params.getIncarnation()), params.getNumber());
         return kj::READY_NOW;
     }
 
@@ -126,9 +125,9 @@
     {
         const auto params = context.getParams();
         const std::uint64_t set = params.getMemberSet();
-        service_.turnBook_.onMemberState(InstanceId(toString(params.getInstance())),
-                                         {Incarnation(params.getIncarnation()),
-                                          params.getTurnsReleased(), params.getHoldsTurn()});
+        service_.permitIssuer_.onMemberState(InstanceId(toString(params.getInstance())),
+                                             {Incarnation(params.getIncarnation()),
+                                              params.getTurnsReleased(), params.getHoldsTurn()});
         context.getResults().setGranted(service_.core_.onGrantRequest(set, service_.loop_.now()));
         return kj::READY_NOW;
     }
@@ -136,8 +135,9 @@
 private:
     void onPeerStatus(wire::Status::Reader status) override
     {
-        // The list was confirmed `age` before the peer sent this, and it sent this after it heard
-        // the clock that it echoes; so the confirmation is no older than that.
+        // The platform confirmed the list `age` before the peer sent this status. The peer sent it
+        // after receiving the clock value that it echoes, so the confirmation happened no earlier
+        // than the echoed time minus `age`.
         const Duration age(status.getListAgeMicros());
         const bool same = status.getListVersion() == service_.knowledge_.versions().list;
         if (same && age >= Duration{} && status.getEchoMicros() != 0) {
@@ -155,7 +155,7 @@
     ConnectionId connection_;
 };
 
-// Hands the upstream's answer to the service under the request's id.
+// Passes the upstream's answer to the service with the request's id.
 class AgentService::UpstreamReceiver final : public HttpCallReceiver
 {
 public:
@@ -182,7 +182,7 @@
     , metrics_(settings_.maxAccountSeries)
     , changes_(loop)
     , core_(coreSettings(settings_, incarnation_), loop.now())
-    , turnBook_(settings_.instance)
+    , permitIssuer_(settings_.instance)
     , random_(incarnation_.value())
     , tasks_(*this)
 {
@@ -215,23 +215,25 @@
         return tl::unexpected(probe.error());
     }
     probe_ = std::move(*probe);
-    operators_ = std::move(net->operators);
+    operatorServer_ = std::move(net->operators);
     auto listening = transport_->listen(
         settings_.listen, [this](kj::Own<RawStream> stream) { accept(kj::mv(stream)); });
     if (!listening) {
         return listening;
     }
-    orders_ = std::make_unique<OrderDriver>(loop_, *client_, static_cast<OrderHost &>(*this),
-                                            settings_.instance, settings_.upstream);
-    grants_ = std::make_unique<GrantNetwork>(
-        GrantNetwork::Context{loop_, *transport_, core_, turnBook_, orders_->turns(),
-                              settings_.instance, incarnation_, settings_.hall});
-    grantTimer_ = std::make_unique<PeriodicTimer>(loop_, settings_.lease / kGrantsPerLease, [this] {
-        grants_->tick();
-        grants_->askTurn();
-        orders_->tick();
-    });
-    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
+    engineReloader_ =
+        std::make_unique<EngineReloader>(loop_, *client_, static_cast<EngineReloaderHost &>(*this),
+                                         settings_.instance, settings_.upstream);
+    grantNetwork_ = std::make_unique<GrantNetwork>(GrantNetwork::Context{
+        loop_, *transport_, core_, permitIssuer_, engineReloader_->permitCollector(),
+        settings_.instance, incarnation_, settings_.hall});
+    grantTimer_ =
+        std::make_unique<PeriodicTimer>(loop_, settings_.lease / kGrantRequestsPerLease, [this] {
+            grantNetwork_->tick();
+            grantNetwork_->requestPermit();
+            engineReloader_->tick();
+        });
+    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickPeriod, [this] { tick(); });
     return {};
 }
 
@@ -239,19 +241,19 @@
 {
     const ConnectionId id = nextConnection_++;
     Connection &connection = connections_[id];
-    connection.peer = RpcPeer::server(kj::mv(stream), kj::heap<AgentEnd>(*this, id));
+    connection.peer = RpcPeer::server(kj::mv(stream), kj::heap<AgentRpcServer>(*this, id));
     connection.peer->onClosed([this, id] { loop_.post([this, id] { onConnectionClosed(id); }); });
 }
 
 void AgentService::onConnectionClosed(ConnectionId connection)
 {
     connections_.erase(connection);
-    // The entry is gone or will ask anew; nobody is left to take these answers. A request that has
-    // not started is withdrawn. One that runs is broken off: its caller's connection ended at the
-    // entry, or the entry will hear 'may have run'.
+    // The entry has ended or will send its requests again, so nobody receives these answers. Queued
+    // requests are removed. Running ones are aborted: either their callers' connections to the
+    // entry have closed, or the entry learns that they may have run.
     std::vector<RequestId> orphans;
-    for (const auto &[id, job] : jobs_) {
-        if (job.connection == connection) {
+    for (const auto &[id, active] : activeRequests_) {
+        if (active.connection == connection) {
             orphans.push_back(id);
         }
     }
@@ -259,62 +261,62 @@
         AgentActions actions;
         core_.onCancel(id, incarnation_, loop_.now(), actions);
         carryOut(actions);
-        jobs_.erase(id);
+        activeRequests_.erase(id);
     }
 }
 
 AdmissionResult AgentService::onStart(ConnectionId connection, wire::Call::Reader call)
 {
-    AgentCall decided;
-    decided.id = readRequestId(call.getId());
-    decided.account = AccountId(toString(call.getAccount()));
-    decided.target = TargetName(toString(call.getTarget()));
-    decided.priority = call.getPriority();
-    decided.promptTokens = call.getPromptTokens();
-    decided.answerTokens = call.getMaxTokens();
-    decided.deadline = Duration(call.getDeadlineMicros());
-    decided.agentIncarnation = Incarnation(call.getAgentIncarnation());
-    decided.callerKey = toString(call.getCallerKey());
+    AgentCall agentCall;
+    agentCall.id = readRequestId(call.getId());
+    agentCall.account = AccountId(toString(call.getAccount()));
+    agentCall.target = TargetName(toString(call.getTarget()));
+    agentCall.priority = call.getPriority();
+    agentCall.promptTokens = call.getPromptTokens();
+    agentCall.answerTokens = call.getMaxTokens();
+    agentCall.deadline = Duration(call.getDeadlineMicros());
+    agentCall.agentIncarnation = Incarnation(call.getAgentIncarnation());
+    agentCall.callerKey = toString(call.getCallerKey());
     if (call.getTicket().size() > 0) {
-        decided.ticket = parseTicket(toString(call.getTicket()));
+        agentCall.ticket = parseTicket(toString(call.getTicket()));
     }
     AgentActions actions;
-    const AdmissionResult verdict = core_.onCall(decided, loop_.now(), wallNow(), actions);
+    const AdmissionResult result = core_.onCall(agentCall, loop_.now(), wallNow(), actions);
     metrics_.count("seamarch_agent_calls_total",
-                   verdict.accepted ? "accepted" : toString(verdict.failure));
-    if (!verdict.accepted) {
-        return verdict;
-    }
-    Job &job = jobs_[decided.id];
-    job.connection = connection;
-    job.account = decided.account;
-    job.arrivedAt = loop_.now();
-    job.call.address = settings_.upstream;
-    job.call.method = toString(call.getMethod());
-    job.call.path = toString(call.getPath());
-    job.call.contentType = toString(call.getContentType());
+                   result.accepted ? "accepted" : toString(result.failure));
+    if (!result.accepted) {
+        return result;
+    }
+    ActiveRequest &active = activeRequests_[agentCall.id];
+    active.connection = connection;
+    active.account = agentCall.account;
+    active.arrivedAt = loop_.now();
+    active.call.address = settings_.upstream;
+    active.call.method = toString(call.getMethod());
+    active.call.path = toString(call.getPath());
+    active.call.contentType = toString(call.getContentType());
     const auto body = call.getBody();
-    job.call.body.assign(reinterpret_cast<const char *>(body.begin()), body.size());
+    active.call.body.assign(reinterpret_cast<const char *>(body.begin()), body.size());
     carryOut(actions);
-    return verdict;
+    return result;
 }
 
-bool AgentService::onCancel(RequestId id, Incarnation meant)
+bool AgentService::onCancel(RequestId id, Incarnation targetIncarnation)
 {
     AgentActions actions;
-    const bool notRun = core_.onCancel(id, meant, loop_.now(), actions);
+    const bool notRun = core_.onCancel(id, targetIncarnation, loop_.now(), actions);
     carryOut(actions);
-    if (meant == incarnation_) {
-        jobs_.erase(id);
+    if (targetIncarnation == incarnation_) {
+        activeRequests_.erase(id);
     }
     return notRun;
 }
 
-bool AgentService::onWithdraw(RequestId id, Incarnation meant)
+bool AgentService::onWithdraw(RequestId id, Incarnation targetIncarnation)
 {
-    const bool notRun = core_.onWithdraw(id, meant);
+    const bool notRun = core_.onWithdraw(id, targetIncarnation);
     if (notRun) {
-        jobs_.erase(id);
+        activeRequests_.erase(id);
     }
     return notRun;
 }
@@ -328,21 +330,21 @@
 
 void AgentService::carryOut(const StartUpstream &action)
 {
-    const auto found = jobs_.find(action.id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(action.id);
+    if (found == activeRequests_.end()) {
         return;
     }
-    Job &job = found->second;
-    metrics_.observe(Stage::QueueWait, job.account, "all", loop_.now() - job.arrivedAt);
-    job.httpCall =
-        client_->call(std::move(job.call), std::make_unique<UpstreamReceiver>(*this, action.id));
-    job.call = HttpCallRequest();
+    ActiveRequest &active = found->second;
+    metrics_.observe(Stage::QueueWait, active.account, "all", loop_.now() - active.arrivedAt);
+    active.httpCall =
+        client_->call(std::move(active.call), std::make_unique<UpstreamReceiver>(*this, action.id));
+    active.call = HttpCallRequest();
 }
 
 void AgentService::carryOut(const AbortUpstream &action)
 {
-    const auto found = jobs_.find(action.id);
-    if (found != jobs_.end() && found->second.httpCall != 0) {
+    const auto found = activeRequests_.find(action.id);
+    if (found != activeRequests_.end() && found->second.httpCall != 0) {
         client_->cancel(found->second.httpCall);
     }
 }
@@ -354,16 +356,16 @@
 
 void AgentService::carryOut(const AnnounceFreeSlot & /*action*/)
 {
-    // A few entries drawn at random hear of it: enough that one of them has a request that waits.
+    // Notifies a few random entries, enough that one of them has a waiting request.
     std::vector<Connection *> entries;
     for (auto &[id, connection] : connections_) {
         if (connection.sink != nullptr) {
             entries.push_back(&connection);
         }
     }
-    for (std::size_t notice = 0; notice < kFreeNotices && !entries.empty(); ++notice) {
-        std::uniform_int_distribution<std::size_t> draw(0, entries.size() - 1);
-        const std::size_t index = draw(random_);
+    for (std::size_t notice = 0; notice < kFreeSlotNotices && !entries.empty(); ++notice) {
+        std::uniform_int_distribution<std::size_t> distribution(0, entries.size() - 1);
+        const std::size_t index = distribution(random_);
         KJ_IF_MAYBE (sink, entries[index]->sink) {
             auto request = sink->freeRequest();
             writeReport(core_.report(), request.initStatus());
@@ -375,59 +377,60 @@
 
 void AgentService::onUpstreamHead(RequestId id, const HttpHead &head)
 {
-    takeRestWish(head);
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    applyRetryAfter(head);
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
-    Job &job = found->second;
-    job.headReady = true;
-    job.status = head.status;
-    job.contentType = findHeader(head.headers, "content-type");
-    job.streamed = job.contentType.starts_with(kEventStream);
+    ActiveRequest &active = found->second;
+    active.headReceived = true;
+    active.status = head.status;
+    active.contentType = findHeader(head.headers, "content-type");
+    active.streamed = active.contentType.starts_with(kEventStreamType);
 }
 
-// The upstream may ask for rest in an answer. The answer itself goes to its caller like any other.
-void AgentService::takeRestWish(const HttpHead &head)
+// Starts a backoff if the answer's head asks for one. The answer itself is relayed to its caller
+// like any other.
+void AgentService::applyRetryAfter(const HttpHead &head)
 {
-    const RetryAfter wish = readRetryAfter(head.status, head.headers);
-    if (!wish.delay && !wish.invalid) {
+    const RetryAfter retryAfter = readRetryAfter(head.status, head.headers);
+    if (!retryAfter.delay && !retryAfter.invalid) {
         return;
     }
-    metrics_.count("seamarch_upstream_notices_total", wish.delay ? "rest" : "unreadable");
+    metrics_.count("seamarch_upstream_notices_total", retryAfter.delay ? "rest" : "unreadable");
     logLine(LogLevel::Info, "upstream.notice",
             {{"upstream", settings_.instance.value()},
              {"status", head.status},
-             {"restMs", wish.delay ? json(toMillis(*wish.delay)) : json()},
-             {"restUnreadable", wish.invalid}});
-    if (wish.delay) {
+             {"restMs", retryAfter.delay ? json(toMillis(*retryAfter.delay)) : json()},
+             {"restUnreadable", retryAfter.invalid}});
+    if (retryAfter.delay) {
         AgentActions actions;
-        core_.backOffUntil(loop_.now() + *wish.delay, loop_.now(), actions);
+        core_.backOffUntil(loop_.now() + *retryAfter.delay, loop_.now(), actions);
         carryOut(actions);
     }
 }
 
 void AgentService::onUpstreamPiece(RequestId id, std::string_view piece)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
-    Job &job = found->second;
-    job.pending += piece;
-    if (job.streamed) {
+    ActiveRequest &active = found->second;
+    active.pending += piece;
+    if (active.streamed) {
         core_.onTokens(id, countEvents(piece));
     }
-    if (job.pending.size() > kPendingHighWater && !job.paused) {
-        job.paused = true;
-        client_->pause(job.httpCall, true);
+    if (active.pending.size() > kPendingHighWaterBytes && !active.paused) {
+        active.paused = true;
+        client_->pause(active.httpCall, true);
     }
-    flushLater(id);
+    scheduleFlush(id);
 }
 
-void AgentService::countWholeAnswer(RequestId id, const Job &job)
+void AgentService::countUsageTokens(RequestId id, const ActiveRequest &active)
 {
-    const json answer = json::parse(job.pending, nullptr, false);
+    const json answer = json::parse(active.pending, nullptr, false);
     const auto usage = answer.is_object() ? answer.find("usage") : answer.end();
     if (answer.is_object() && usage != answer.end() && usage->is_object()) {
         core_.onTokens(id, usage->value("completion_tokens", 0U));
@@ -436,36 +439,37 @@
 
 void AgentService::onUpstreamEnd(RequestId id, HttpCallEnd end)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
-    Job &job = found->second;
+    ActiveRequest &active = found->second;
     AgentActions actions;
     if (end == HttpCallEnd::NotSent) {
         core_.onNotStarted(id, loop_.now(), actions);
         carryOut(actions);
         return;
     }
-    if (end == HttpCallEnd::Complete && !job.streamed) {
-        countWholeAnswer(id, job);
+    if (end == HttpCallEnd::Complete && !active.streamed) {
+        countUsageTokens(id, active);
     }
     core_.onEnded(id, loop_.now(), actions);
     ++finished_;
-    if (end == HttpCallEnd::Complete && job.headReady) {
-        job.ended = true;
-        flushLater(id);
+    if (end == HttpCallEnd::Complete && active.headReceived) {
+        active.ended = true;
+        scheduleFlush(id);
     } else if (end == HttpCallEnd::Interrupted || end == HttpCallEnd::ReusedConnectionLost) {
-        askAfterUpstream(id);
+        probeUpstream(id);
     } else {
         sendFailure(id, FailureCode::UpstreamFailed, Outcome::Unknown, {});
     }
     carryOut(actions);
 }
 
-// An entry must know whether the upstream broke off this request or ended with all that it had: the
-// same request would end the next one as well.
-void AgentService::askAfterUpstream(RequestId id)
+// Probes the upstream after a connection broke, and reports to the entry whether the upstream only
+// interrupted this request or its process has ended. A request that crashed this upstream would
+// crash the next one as well, so the entry must be able to tell.
+void AgentService::probeUpstream(RequestId id)
 {
     probe_->probe(settings_.upstream, [this, id](UpstreamProbeResult state) {
         metrics_.count("seamarch_upstreams_that_lost_requests_total", toString(state));
@@ -480,12 +484,12 @@
 void AgentService::sendFailure(RequestId id, FailureCode failure, Outcome outcome,
                                Duration retryAfter)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
     const auto connection = connections_.find(found->second.connection);
-    jobs_.erase(found);
+    activeRequests_.erase(found);
     if (connection == connections_.end()) {
         return;
     }
@@ -501,23 +505,25 @@
     }
 }
 
-void AgentService::flushLater(RequestId id)
+void AgentService::scheduleFlush(RequestId id)
 {
-    // Head, body and end of a short answer arrive in one turn and leave as one part.
+    // Deferred, so that the head, body and end of a short answer, which arrive in one iteration of
+    // the event loop, are sent as one part.
     loop_.post([this, id] { flush(id); });
 }
 
 void AgentService::flush(RequestId id)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end() || found->second.partInFlight || !found->second.headReady) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end() || found->second.partInFlight
+        || !found->second.headReceived) {
         return;
     }
-    Job &job = found->second;
-    if (job.headSent && job.pending.empty() && !job.ended) {
+    ActiveRequest &active = found->second;
+    if (active.headSent && active.pending.empty() && !active.ended) {
         return;
     }
-    const auto connection = connections_.find(job.connection);
+    const auto connection = connections_.find(active.connection);
     if (connection == connections_.end()) {
         return;
     }
@@ -525,40 +531,40 @@
         auto request = sink->partRequest();
         writeRequestId(id, request.initId());
         auto part = request.initPart();
-        if (!job.headSent) {
+        if (!active.headSent) {
             part.setHasHead(true);
-            part.setStatus(static_cast<std::uint16_t>(job.status));
-            part.setContentType(job.contentType);
+            part.setStatus(static_cast<std::uint16_t>(active.status));
+            part.setContentType(active.contentType);
         }
-        part.setBody(kj::arrayPtr(reinterpret_cast<const kj::byte *>(job.pending.data()),
-                                  job.pending.size()));
-        part.setEnd(job.ended);
-        job.headSent = true;
-        job.pending.clear();
-        if (job.ended) {
-            jobs_.erase(found);
+        part.setBody(kj::arrayPtr(reinterpret_cast<const kj::byte *>(active.pending.data()),
+                                  active.pending.size()));
+        part.setEnd(active.ended);
+        active.headSent = true;
+        active.pending.clear();
+        if (active.ended) {
+            activeRequests_.erase(found);
             tasks_.add(request.send().ignoreResult());
             return;
         }
-        job.partInFlight = true;
+        active.partInFlight = true;
         tasks_.add(request.send().then(
             [this, id](capnp::Response<wire::AnswerSink::PartResults> && /*answer*/) {
-                onPartTaken(id);
+                onPartAcknowledged(id);
             }));
     }
 }
 
-void AgentService::onPartTaken(RequestId id)
+void AgentService::onPartAcknowledged(RequestId id)
 {
-    const auto found = jobs_.find(id);
-    if (found == jobs_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
-    Job &job = found->second;
-    job.partInFlight = false;
-    if (job.paused) {
-        job.paused = false;
-        client_->pause(job.httpCall, false);
+    ActiveRequest &active = found->second;
+    active.partInFlight = false;
+    if (active.paused) {
+        active.paused = false;
+        client_->pause(active.httpCall, false);
     }
     flush(id);
 }
@@ -570,24 +576,25 @@
     carryOut(actions);
 }
 
-void AgentService::releaseTurn(const InstanceId &member)
+void AgentService::releasePermit(const InstanceId &member)
 {
-    grants_->releaseTurn(member);
+    grantNetwork_->releasePermit(member);
 }
 
 void AgentService::updateTarget()
 {
     const auto &instances = knowledge_.list().instances;
-    const auto self = std::find_if(instances.begin(), instances.end(), [this](const auto &record) {
-        return record.id == settings_.instance;
-    });
-    if (self == instances.end() || self->serves.empty() || !knowledge_.configInForce()) {
+    const auto selfRecord =
+        std::find_if(instances.begin(), instances.end(),
+                     [this](const auto &record) { return record.id == settings_.instance; });
+    if (selfRecord == instances.end() || selfRecord->serves.empty()
+        || !knowledge_.configInForce()) {
         return;
     }
     for (const ModelConfig &model : knowledge_.config().models) {
-        if (model.name == self->serves.front()) {
-            orders_->setTarget(model.version, knowledge_.config().version);
-            grants_->setFloor(model.minServing);
+        if (model.name == selfRecord->serves.front()) {
+            engineReloader_->setTarget(model.version, knowledge_.config().version);
+            grantNetwork_->setMinServing(model.minServing);
         }
     }
 }
@@ -601,15 +608,16 @@
 
 void AgentService::onInstances(const InstanceList &list)
 {
-    // Links must not be taken away inside one of their own callbacks.
+    // Deferred, since a link must not be destroyed in one of its own callbacks.
     loop_.post([this] {
-        grants_->setInstances(knowledge_.list());
+        grantNetwork_->setInstances(knowledge_.list());
         updateTarget();
     });
-    const auto self = std::find_if(
+    const auto selfRecord = std::find_if(
         list.instances.begin(), list.instances.end(),
         [this](const InstanceRecord &record) { return record.id == settings_.instance; });
-    const bool leaving = self != list.instances.end() && self->state == InstanceState::Leaving;
+    const bool leaving =
+        selfRecord != list.instances.end() && selfRecord->state == InstanceState::Leaving;
     if (!leaving || core_.leaving()) {
         return;
     }
@@ -645,8 +653,8 @@
             {"rpcBytesIn", transport_->bytesIn()},
             {"rpcBytesOut", transport_->bytesOut()},
             {"keyHome", core_.holdsAllGrants(loop_.now())},
-            {"engineVersion", orders_->engineVersion()},
-            {"reloading", orders_->reloading()},
+            {"engineVersion", engineReloader_->engineVersion()},
+            {"reloading", engineReloader_->reloading()},
             {"finished", finished_}};
 }
 
@@ -672,7 +680,7 @@
     }
     stopping_ = true;
     stopStartedAt_ = loop_.now();
-    logLine(LogLevel::Info, "agent.stopping", {{"inFlight", jobs_.size()}});
+    logLine(LogLevel::Info, "agent.stopping", {{"inFlight", activeRequests_.size()}});
     AgentActions actions;
     core_.leave(actions);
     carryOut(actions);
@@ -681,13 +689,14 @@
 void AgentService::stopIfDrained()
 {
     const Duration since = loop_.now() - stopStartedAt_;
-    // Entries hear that it is leaving with the next heartbeat, and their last calls are answered.
-    const bool told = since >= settings_.lease;
-    const bool drained = told && core_.idle() && jobs_.empty();
+    // For one lease the agent stays up, so that entries learn from a heartbeat that it is leaving
+    // and get answers to the requests that they sent before.
+    const bool announced = since >= settings_.lease;
+    const bool drained = announced && core_.idle() && activeRequests_.empty();
     if (!drained && since < settings_.stopDeadline) {
         return;
     }
-    logLine(LogLevel::Info, "agent.stopped", {{"cutOff", jobs_.size()}});
+    logLine(LogLevel::Info, "agent.stopped", {{"cutOff", activeRequests_.size()}});
     loop_.stop();
 }
 
--- /dev/null
+++ b/src/agent/enginereloader.cpp
@@ -0,0 +1,196 @@
+#include "agent/enginereloader.h"
+
+#include "base/log.h"
+
+#include <nlohmann/json.hpp>
+#include <utility>
+
+namespace seamarch {
+namespace {
+
+using nlohmann::json;
+
+constexpr int kStatusOk = 200;
+// If not all permits are collected within this time, they are released and collected anew.
+constexpr Duration kPermitCollectTimeout = std::chrono::seconds(30);
+constexpr int kStatusNotFound = 404;
+constexpr const char *kOrdersPath = "/v1/orders";
+
+std::optional<EngineState> parseEngineState(const std::string &body)
+{
+    const json value = json::parse(body, nullptr, false);
+    if (!value.is_object() || !value.contains("version") || !value["version"].is_string()) {
+        return std::nullopt;
+    }
+    EngineState state;
+    state.version = value["version"].get<std::string>();
+    state.fence = value.value("fence", 0ULL);
+    state.loading = value.value("loading", false);
+    return state;
+}
+
+} // namespace
+
+// Receives the engine's answer to a query or an order, which is its state in both cases.
+class EngineReloader::Receiver final : public HttpCallReceiver
+{
+public:
+    explicit Receiver(EngineReloader &reloader)
+        : reloader_(reloader)
+    {}
+
+    void onHead(HttpHead head) override { status_ = head.status; }
+    void onPiece(std::string_view piece) override { body_ += piece; }
+    void onEnd(HttpCallEnd end) override
+    {
+        reloader_.inFlight_ = false;
+        reloader_.ordersUnsupported_ = status_ == kStatusNotFound;
+        const bool succeeded = end == HttpCallEnd::Complete && status_ == kStatusOk;
+        reloader_.onEngineState(succeeded ? parseEngineState(body_) : std::nullopt);
+    }
+
+private:
+    EngineReloader &reloader_;
+    int status_ = 0;
+    std::string body_;
+};
+
+EngineReloader::EngineReloader(EventLoop &loop, HttpClient &client, EngineReloaderHost &host,
+                               InstanceId self, SocketAddress engine)
+    : loop_(loop)
+    , client_(client)
+    , host_(host)
+    , self_(std::move(self))
+    , engineAddress_(std::move(engine))
+{}
+
+void EngineReloader::setTarget(std::string version, ConfigVersion config)
+{
+    targetVersion_ = std::move(version);
+    configVersion_ = config;
+}
+
+void EngineReloader::queryState()
+{
+    inFlight_ = true;
+    HttpCallRequest request;
+    request.address = engineAddress_;
+    request.path = kOrdersPath;
+    client_.call(std::move(request), std::make_unique<Receiver>(*this));
+}
+
+void EngineReloader::sendOrder()
+{
+    inFlight_ = true;
+    HttpCallRequest request;
+    request.address = engineAddress_;
+    request.method = "POST";
+    request.path = kOrdersPath;
+    request.contentType = "application/json";
+    request.body = json{{"fence", configVersion_.value()}, {"version", targetVersion_}}.dump();
+    client_.call(std::move(request), std::make_unique<Receiver>(*this));
+    logLine(LogLevel::Info, "order.given",
+            {{"version", targetVersion_}, {"fence", configVersion_.value()}});
+}
+
+void EngineReloader::onEngineState(const std::optional<EngineState> &state)
+{
+    if (!state) {
+        return;
+    }
+    const bool first = !stateKnown_;
+    stateKnown_ = true;
+    engine_ = *state;
+    if (first && engine_.loading) {
+        // The previous incarnation of this agent sent the order and ended. This one takes over its
+        // permit and completes the reload.
+        permits_.startCollecting();
+        permits_.onIssued(self_);
+        host_.setServing(false);
+        step_ = Step::Loading;
+    }
+}
+
+void EngineReloader::tick()
+{
+    if (inFlight_ || ordersUnsupported_ || targetVersion_.empty()) {
+        return;
+    }
+    if (!stateKnown_ || step_ == Step::Ordering || step_ == Step::Loading) {
+        if (stateKnown_) {
+            advance();
+        }
+        if (!inFlight_) {
+            queryState();
+        }
+        return;
+    }
+    advance();
+}
+
+void EngineReloader::advance()
+{
+    const bool reloadDue =
+        engine_.version != targetVersion_ && engine_.fence < configVersion_.value();
+    switch (step_) {
+    case Step::Idle:
+        if (reloadDue) {
+            collectPermits();
+        }
+        return;
+    case Step::Collecting:
+        if (!reloadDue) {
+            finishReload();
+        } else if (permits_.holdsAll()) {
+            host_.setServing(false);
+            step_ = Step::Draining;
+        } else if (loop_.now() - collectingSince_ > kPermitCollectTimeout) {
+            releasePermits();
+            collectPermits();
+        }
+        return;
+    case Step::Draining:
+        if (host_.upstreamIdle()) {
+            // tick() queries the state once more right before the order, to compare the fence.
+            step_ = Step::Ordering;
+        }
+        return;
+    case Step::Ordering:
+        if (reloadDue) {
+            sendOrder();
+            step_ = Step::Loading;
+        } else {
+            finishReload();
+        }
+        return;
+    case Step::Loading:
+        if (!engine_.loading && !reloadDue) {
+            finishReload();
+        }
+        return;
+    }
+}
+
+void EngineReloader::collectPermits()
+{
+    permits_.startCollecting();
+    collectingSince_ = loop_.now();
+    step_ = Step::Collecting;
+}
+
+void EngineReloader::releasePermits()
+{
+    for (const InstanceId &member : permits_.releaseAll()) {
+        host_.releasePermit(member);
+    }
+}
+
+void EngineReloader::finishReload()
+{
+    step_ = Step::Idle;
+    host_.setServing(true);
+    releasePermits();
+    logLine(LogLevel::Info, "order.done", {{"version", engine_.version}});
+}
+
+} // namespace seamarch
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -24,13 +24,14 @@
 
 void GrantNetwork::setInstances(const InstanceList &list)
 {
-    const auto own =
+    const auto selfRecord =
         std::find_if(list.instances.begin(), list.instances.end(),
                      [this](const InstanceRecord &each) { return each.id == context_.self; });
     std::vector<InstanceId> members;
     std::set<InstanceId> kept;
-    const TargetName target =
-        own == list.instances.end() || own->serves.empty() ? TargetName() : own->serves.front();
+    const TargetName target = selfRecord == list.instances.end() || selfRecord->serves.empty()
+                                  ? TargetName()
+                                  : selfRecord->serves.front();
     for (const InstanceRecord &record : list.instances) {
         const auto &serves = record.serves;
         const bool member = record.hall == context_.hall && !target.value().empty()
@@ -49,12 +50,13 @@
             link = std::make_unique<RpcLink>(context_.loop, context_.transport, address);
         }
     }
-    std::erase_if(links_, [&kept](const auto &entry) { return !kept.contains(entry.first); });
+    std::erase_if(links_,
+                  [&kept](const auto &namedLink) { return !kept.contains(namedLink.first); });
     context_.core.setKeyMembers(target, makeMemberSet(std::move(members)));
     updatePool();
 }
 
-void GrantNetwork::setFloor(std::uint32_t minServing)
+void GrantNetwork::setMinServing(std::uint32_t minServing)
 {
     minServing_ = minServing;
     updatePool();
@@ -64,21 +66,21 @@
 {
     const MemberSet &members = context_.core.keyMembers();
     const auto size = static_cast<std::uint32_t>(members.members.size());
-    context_.book.setPool(members, size > minServing_ ? size - minServing_ : 0);
-    context_.taker.setPool(members);
+    context_.permitIssuer.setPool(members, size > minServing_ ? size - minServing_ : 0);
+    context_.permitCollector.setPool(members);
 }
 
-void GrantNetwork::askTurn()
+void GrantNetwork::requestPermit()
 {
-    const auto member = context_.taker.nextMember();
+    const auto member = context_.permitCollector.nextMember();
     if (!member) {
         return;
     }
     if (*member == context_.self) {
-        if (context_.book.tryIssue(context_.self, context_.incarnation,
-                                   context_.taker.permitNumber())) {
-            context_.taker.onIssued(context_.self);
-            askTurn();
+        if (context_.permitIssuer.tryIssue(context_.self, context_.incarnation,
+                                           context_.permitCollector.permitNumber())) {
+            context_.permitCollector.onIssued(context_.self);
+            requestPermit();
         }
         return;
     }
@@ -89,24 +91,24 @@
     auto request = link->second->capability().castAs<wire::Agent>().turnRequest();
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    request.setNumber(context_.taker.permitNumber());
+    request.setNumber(context_.permitCollector.permitNumber());
     tasks_.add(request.send().then(
-        [this, asked = *member, number = context_.taker.permitNumber()](
-            capnp::Response<wire::Agent::TurnResults> &&answer) {
-            if (answer.getGiven() && number == context_.taker.permitNumber()) {
-                context_.taker.onIssued(asked);
-                askTurn();
+        [this, issuer = *member, number = context_.permitCollector.permitNumber()](
+            capnp::Response<wire::Agent::TurnResults> &&response) {
+            if (response.getGiven() && number == context_.permitCollector.permitNumber()) {
+                context_.permitCollector.onIssued(issuer);
+                requestPermit();
             }
         },
         [](kj::Exception && /*error*/) {}));
 }
 
-void GrantNetwork::releaseTurn(const InstanceId &member)
+void GrantNetwork::releasePermit(const InstanceId &member)
 {
-    const std::uint64_t released = context_.taker.state(context_.incarnation).released;
+    const std::uint64_t released = context_.permitCollector.state(context_.incarnation).released;
     const auto link = links_.find(member);
     if (member == context_.self || link == links_.end()) {
-        context_.book.release(member, context_.incarnation, released);
+        context_.permitIssuer.release(member, context_.incarnation, released);
         return;
     }
     auto request = link->second->capability().castAs<wire::Agent>().releaseTurnRequest();
@@ -118,34 +120,36 @@
 
 void GrantNetwork::tick()
 {
-    const std::uint64_t set = context_.core.keyMembers().hash;
+    const std::uint64_t setHash = context_.core.keyMembers().hash;
     const TimePoint now = context_.loop.now();
     if (context_.core.keyMembers().members.empty()) {
         return;
     }
-    if (context_.core.onGrantRequest(set, now)) {
-        context_.core.onGranted(context_.self, set, now, now, wallNow());
+    if (context_.core.onGrantRequest(setHash, now)) {
+        context_.core.onGranted(context_.self, setHash, now, now, wallNow());
     }
     for (const auto &[member, link] : links_) {
-        ask(member, *link);
+        requestGrant(member, *link);
     }
 }
 
-void GrantNetwork::ask(const InstanceId &member, RpcLink &link)
+void GrantNetwork::requestGrant(const InstanceId &member, RpcLink &link)
 {
-    const std::uint64_t set = context_.core.keyMembers().hash;
-    const TimePoint askedAt = context_.loop.now();
+    const std::uint64_t setHash = context_.core.keyMembers().hash;
+    const TimePoint requestedAt = context_.loop.now();
     auto request = link.capability().castAs<wire::Agent>().grantRequest();
-    request.setMemberSet(set);
+    request.setMemberSet(setHash);
     request.setInstance(context_.self.value());
     request.setIncarnation(context_.incarnation.value());
-    const ReloadPermitState turns = context_.taker.state(context_.incarnation);
-    request.setTurnsReleased(turns.released);
-    request.setHoldsTurn(turns.holds);
+    const ReloadPermitState permitState = context_.permitCollector.state(context_.incarnation);
+    request.setTurnsReleased(permitState.released);
+    request.setHoldsTurn(permitState.holds);
     tasks_.add(request.send().then(
-        [this, member, set, askedAt](capnp::Response<wire::Agent::GrantResults> &&answer) {
-            if (answer.getGranted()) {
-                context_.core.onGranted(member, set, askedAt, context_.loop.now(), wallNow());
+        [this, member, setHash,
+         requestedAt](capnp::Response<wire::Agent::GrantResults> &&response) {
+            if (response.getGranted()) {
+                context_.core.onGranted(member, setHash, requestedAt, context_.loop.now(),
+                                        wallNow());
             }
         },
         [](kj::Exception && /*error*/) {}));
--- a/src/entry/agentlink.cpp
+++ b/src/entry/agentlink.cpp
@@ -7,7 +7,8 @@
 
 namespace seamarch {
 
-// Receives the parts of answers and hands them to the listener with the agent's name.
+// The RPC object to which the agent sends answer parts and announcements of free slots. Passes them
+// to the listener together with the agent's id.
 class AgentLink::Sink final : public wire::AnswerSink::Server
 {
 public:
@@ -24,7 +25,7 @@
 
     kj::Promise<void> free(FreeContext context) override
     {
-        listener_.onFree(agent_, readReport(context.getParams().getStatus()));
+        listener_.onFreeSlot(agent_, readReport(context.getParams().getStatus()));
         return kj::READY_NOW;
     }
 
@@ -74,29 +75,29 @@
     auto status = request.initStatus();
     status.setInstance(context_.self.value());
     status.setIncarnation(context_.incarnation.value());
-    const TimePoint askedAt = context_.loop.now();
+    const TimePoint requestedAt = context_.loop.now();
     writeVersions(context_.knowledge.versions(), status);
-    status.setListAgeMicros(context_.knowledge.listAge(askedAt).count());
-    status.setEchoMicros(agentClock_);
+    status.setListAgeMicros(context_.knowledge.listAge(requestedAt).count());
+    status.setEchoMicros(agentClockMicros_);
     tasks_.add(request.send().then(
-        [this, askedAt](capnp::Response<wire::Peer::ExchangeResults> &&answer) {
+        [this, requestedAt](capnp::Response<wire::Peer::ExchangeResults> &&response) {
             heartbeatInFlight_ = false;
-            onExchange(answer.getStatus(), answer.getConfig(), answer.getList(), askedAt);
+            onExchange(response.getStatus(), response.getConfig(), response.getList(), requestedAt);
         },
         [this](kj::Exception && /*error*/) { heartbeatInFlight_ = false; }));
 }
 
 void AgentLink::onExchange(wire::Status::Reader status, wire::Update::Reader config,
-                           wire::Update::Reader list, TimePoint askedAt)
+                           wire::Update::Reader list, TimePoint requestedAt)
 {
     const DocumentVersions known = readVersions(status);
-    agentClock_ = status.getClockMicros();
+    agentClockMicros_ = status.getClockMicros();
     context_.knowledge.observePeerVersions(known);
     context_.knowledge.apply({readUpdate(config), readUpdate(list)});
     if (status.getWantsUpdate()) {
         offer(known);
     }
-    context_.listener.onHeartbeat(id_, readReport(status), askedAt);
+    context_.listener.onHeartbeat(id_, readReport(status), requestedAt);
 }
 
 void AgentLink::offer(const DocumentVersions &peer)
@@ -132,12 +133,13 @@
     builder.setAgentIncarnation(call.agentIncarnation.value());
     const RequestId id = call.id;
     tasks_.add(message.send().then(
-        [this, id](capnp::Response<wire::Agent::StartResults> &&answer) {
-            const auto verdict = answer.getVerdict();
+        [this, id](capnp::Response<wire::Agent::StartResults> &&response) {
+            const auto verdict = response.getVerdict();
             const Outcome outcome = verdict.getNotRun() ? Outcome::NotRun : Outcome::Unknown;
-            context_.listener.onVerdict(id, {verdict.getAccepted(), verdict.getStarted(),
-                                             static_cast<FailureCode>(verdict.getFailure()),
-                                             outcome, Duration(verdict.getRetryAfterMicros())});
+            context_.listener.onAdmissionResult(id,
+                                                {verdict.getAccepted(), verdict.getStarted(),
+                                                 static_cast<FailureCode>(verdict.getFailure()),
+                                                 outcome, Duration(verdict.getRetryAfterMicros())});
         },
         [this, id, wroteAny = link_.wroteAny()](kj::Exception && /*error*/) {
             context_.listener.onCallFailed(id, *wroteAny);
@@ -151,10 +153,10 @@
     message.setAgentIncarnation(cancel.agentIncarnation.value());
     const RequestId id = cancel.id;
     tasks_.add(message.send().then(
-        [this, id](capnp::Response<wire::Agent::CancelResults> &&answer) {
-            context_.listener.onCancelVerdict(id, answer.getNotRun());
+        [this, id](capnp::Response<wire::Agent::CancelResults> &&response) {
+            context_.listener.onCancelResult(id, response.getNotRun());
         },
-        [this, id](kj::Exception && /*error*/) { context_.listener.onCancelVerdict(id, false); }));
+        [this, id](kj::Exception && /*error*/) { context_.listener.onCancelResult(id, false); }));
 }
 
 void AgentLink::withdraw(const SendWithdraw &withdrawal)
@@ -164,23 +166,23 @@
     message.setAgentIncarnation(withdrawal.agentIncarnation.value());
     const RequestId id = withdrawal.id;
     tasks_.add(message.send().then(
-        [this, id](capnp::Response<wire::Agent::WithdrawResults> &&answer) {
-            context_.listener.onWithdrawVerdict(id, id_, answer.getNotRun());
+        [this, id](capnp::Response<wire::Agent::WithdrawResults> &&response) {
+            context_.listener.onWithdrawResult(id, id_, response.getNotRun());
         },
         [this, id](kj::Exception && /*error*/) {
-            context_.listener.onWithdrawVerdict(id, id_, false);
+            context_.listener.onWithdrawResult(id, id_, false);
         }));
 }
 
-void AgentLink::issueTicket(std::function<void(std::string)> done)
+void AgentLink::issueTicket(std::function<void(std::string)> callback)
 {
     auto message = agent().issueTicketRequest();
-    auto shared = std::make_shared<std::function<void(std::string)>>(std::move(done));
+    auto sharedCallback = std::make_shared<std::function<void(std::string)>>(std::move(callback));
     tasks_.add(message.send().then(
-        [shared](capnp::Response<wire::Agent::IssueTicketResults> &&answer) {
-            (*shared)(toString(answer.getTicket()));
+        [sharedCallback](capnp::Response<wire::Agent::IssueTicketResults> &&response) {
+            (*sharedCallback)(toString(response.getTicket()));
         },
-        [shared](kj::Exception && /*error*/) { (*shared)({}); }));
+        [sharedCallback](kj::Exception && /*error*/) { (*sharedCallback)({}); }));
 }
 
 } // namespace seamarch
--- a/src/entry/callerfilters.cpp
+++ b/src/entry/callerfilters.cpp
@@ -15,27 +15,27 @@
 using nlohmann::json;
 
 constexpr std::string_view kServicePrefix = "/services/";
-constexpr std::string_view kBearer = "Bearer ";
-constexpr Tokens kServiceCost = 100; // What a call to a plain service counts in fair queueing.
-constexpr Tokens kDefaultAnswerTokens = 256;
+constexpr std::string_view kBearerPrefix = "Bearer ";
+constexpr Tokens kServiceCost = 100;         // The cost of a service request in fair queueing.
+constexpr Tokens kDefaultAnswerTokens = 256; // For requests that set no limit.
 constexpr Tokens kMaxAnswerTokens = 1'000'000;
-constexpr std::size_t kBytesPerToken = 4; // A usual ratio for text; corrected as tokens arrive.
-constexpr std::size_t kPrefixBytes = 1024;
-constexpr std::size_t kMinPrefixBytes = 256;
-constexpr std::size_t kMaxKeyLength = 128;
+constexpr std::size_t kBytesPerToken = 4;    // Typical of text; corrected as tokens arrive.
+constexpr std::size_t kPrefixBytes = 1024;   // The part of a prompt that is hashed.
+constexpr std::size_t kMinPrefixBytes = 256; // Shorter prompts are not hashed.
+constexpr std::size_t kMaxIdempotencyKeyLength = 128;
 constexpr std::uint64_t kMaxDeadlineMs = 24ULL * 3600 * 1000;
 
 std::optional<std::uint64_t> parseNumber(const std::string &text)
 {
     std::uint64_t value = 0;
-    const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (text.empty() || error != std::errc() || stop != text.data() + text.size()) {
+    const auto [parsedEnd, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (text.empty() || error != std::errc() || parsedEnd != text.data() + text.size()) {
         return std::nullopt;
     }
     return value;
 }
 
-// Finds out which interface the path and the method name.
+// Determines the route from the path and checks the method.
 class RouteFilter final : public RequestFilter
 {
 public:
@@ -73,21 +73,21 @@
     }
 };
 
-// Finds the client account of the bearer key.
+// Looks up the client account of the bearer key.
 class AuthenticateFilter final : public RequestFilter
 {
 public:
-    explicit AuthenticateFilter(const CallerDirectory &directory)
-        : directory_(directory)
+    explicit AuthenticateFilter(const ConfigIndex &configIndex)
+        : configIndex_(configIndex)
     {}
 
     std::optional<FilterFailure> apply(CallerContext &context) const override
     {
         const std::string &header = context.http.header("authorization");
-        if (!header.starts_with(kBearer)) {
+        if (!header.starts_with(kBearerPrefix)) {
             return FilterFailure{FailureCode::Unauthorized, "found no bearer key"};
         }
-        context.account = directory_.accountOfKey(header.substr(kBearer.size()));
+        context.account = configIndex_.accountForKey(header.substr(kBearerPrefix.size()));
         if (context.account == nullptr) {
             return FilterFailure{FailureCode::Unauthorized, "the key belongs to no client account"};
         }
@@ -96,15 +96,15 @@
     }
 
 private:
-    const CallerDirectory &directory_;
+    const ConfigIndex &configIndex_;
 };
 
-// Reads what the body asks for: the model, the lengths, the prompt's prefix.
+// Parses the body: the target, the prompt and answer lengths, and the prompt's prefix.
 class BodyFilter final : public RequestFilter
 {
 public:
-    explicit BodyFilter(const CallerDirectory &directory)
-        : directory_(directory)
+    explicit BodyFilter(const ConfigIndex &configIndex)
+        : configIndex_(configIndex)
     {}
 
     std::optional<FilterFailure> apply(CallerContext &context) const override
@@ -123,7 +123,7 @@
     }
 
 private:
-    static std::optional<FilterFailure> bad(std::string detail)
+    static std::optional<FilterFailure> badRequest(std::string detail)
     {
         return FilterFailure{FailureCode::BadRequest, std::move(detail)};
     }
@@ -132,13 +132,13 @@
     {
         const json body = json::parse(context.http.body, nullptr, false);
         if (!body.is_object()) {
-            return bad("expected a JSON object as the body");
+            return badRequest("expected a JSON object as the body");
         }
         const auto model = body.find("model");
         if (model == body.end() || !model->is_string()) {
-            return bad("expected the field 'model' to be a string");
+            return badRequest("expected the field 'model' to be a string");
         }
-        const ModelConfig *config = directory_.model(TargetName(model->get<std::string>()));
+        const ModelConfig *config = configIndex_.model(TargetName(model->get<std::string>()));
         if (config == nullptr) {
             return FilterFailure{FailureCode::NotFound,
                                  fmt::format("no model '{}'", model->get<std::string>())};
@@ -162,7 +162,7 @@
             return std::nullopt;
         }
         if (!stream->is_boolean()) {
-            return bad("expected the field 'stream' to be true or false");
+            return badRequest("expected the field 'stream' to be true or false");
         }
         context.streamed = stream->get<bool>();
         return std::nullopt;
@@ -179,8 +179,8 @@
             const bool valid = field->is_number_unsigned() && field->get<std::uint64_t>() >= 1
                                && field->get<std::uint64_t>() <= kMaxAnswerTokens;
             if (!valid) {
-                return bad(fmt::format("expected '{}' to be a whole number from 1 to {}", name,
-                                       kMaxAnswerTokens));
+                return badRequest(fmt::format("expected '{}' to be a whole number from 1 to {}",
+                                              name, kMaxAnswerTokens));
             }
             context.request.answerTokens = field->get<std::uint64_t>();
             return std::nullopt;
@@ -197,14 +197,15 @@
                            && (chat ? prompt->is_array() && !prompt->empty()
                                     : prompt->is_string() || prompt->is_array());
         if (!valid) {
-            return bad(fmt::format("expected the field '{}' to be {}", name,
-                                   chat ? "a non-empty array" : "a string or an array"));
+            return badRequest(fmt::format("expected the field '{}' to be {}", name,
+                                          chat ? "a non-empty array" : "a string or an array"));
         }
         const std::string text = prompt->dump(-1, ' ', false, json::error_handler_t::replace);
         context.request.promptTokens = text.size() / kBytesPerToken + 1;
         if (text.size() >= kMinPrefixBytes) {
             const std::size_t size = std::min(text.size(), kPrefixBytes);
-            // Accounts never share a prefix: a hit would tell one what another asks.
+            // The hash is seeded with the account so that accounts never share a prefix; a cache
+            // hit would reveal to one account what another asked.
             const std::string &account = context.request.account.value();
             const std::uint64_t seed = XXH3_64bits(account.data(), account.size());
             context.request.prefixHash = XXH3_64bits_withSeed(text.data(), size, seed);
@@ -214,21 +215,21 @@
 
     std::optional<FilterFailure> readService(CallerContext &context) const
     {
-        const std::string rest = context.http.path.substr(kServicePrefix.size());
-        const std::string name = rest.substr(0, rest.find('/'));
-        const ServiceConfig *service = directory_.service(TargetName(name));
+        const std::string servicePath = context.http.path.substr(kServicePrefix.size());
+        const std::string name = servicePath.substr(0, servicePath.find('/'));
+        const ServiceConfig *service = configIndex_.service(TargetName(name));
         if (service == nullptr) {
             return FilterFailure{FailureCode::NotFound, fmt::format("no service '{}'", name)};
         }
-        const std::string below = rest.substr(name.size());
+        const std::string subpath = servicePath.substr(name.size());
         const auto route = std::find_if(
             service->routes.begin(), service->routes.end(), [&](const RouteConfig &each) {
-                return each.method == context.http.method && below.starts_with(each.path);
+                return each.method == context.http.method && subpath.starts_with(each.path);
             });
         if (route == service->routes.end()) {
             return FilterFailure{
                 FailureCode::NotFound,
-                fmt::format("service '{}' has no route {} {}", name, context.http.method, below)};
+                fmt::format("service '{}' has no route {} {}", name, context.http.method, subpath)};
         }
         context.request.target = service->name;
         context.request.deadline = service->deadline;
@@ -242,10 +243,10 @@
         const json body = json::parse(context.http.body, nullptr, false);
         const auto target = body.is_object() ? body.find("target") : body.end();
         if (!body.is_object() || target == body.end() || !target->is_string()) {
-            return bad("expected a JSON object with the string 'target'");
+            return badRequest("expected a JSON object with the string 'target'");
         }
         const TargetName name(target->get<std::string>());
-        if (directory_.model(name) == nullptr && directory_.service(name) == nullptr) {
+        if (configIndex_.model(name) == nullptr && configIndex_.service(name) == nullptr) {
             return FilterFailure{FailureCode::NotFound,
                                  fmt::format("no model or service '{}'", name.value())};
         }
@@ -253,10 +254,10 @@
         return std::nullopt;
     }
 
-    const CallerDirectory &directory_;
+    const ConfigIndex &configIndex_;
 };
 
-// Reads the headers that say how the request is to be run.
+// Reads the headers for priority, deadline and idempotency, and copies the request's contents.
 class ClassifyFilter final : public RequestFilter
 {
 public:
@@ -268,7 +269,7 @@
         if (auto failure = readDeadline(context)) {
             return failure;
         }
-        if (auto failure = readProof(context)) {
+        if (auto failure = readIdempotencyHeaders(context)) {
             return failure;
         }
         const std::string &query = context.http.query;
@@ -280,7 +281,7 @@
     }
 
 private:
-    static std::optional<FilterFailure> bad(std::string detail)
+    static std::optional<FilterFailure> badRequest(std::string detail)
     {
         return FilterFailure{FailureCode::BadRequest, std::move(detail)};
     }
@@ -292,8 +293,8 @@
         if (!text.empty()) {
             const auto value = parseNumber(text);
             if (!value || *value > context.account->priority) {
-                return bad(fmt::format("expected Seamarch-Priority from 0 to {}, found '{}'",
-                                       context.account->priority, text));
+                return badRequest(fmt::format("expected Seamarch-Priority from 0 to {}, found '{}'",
+                                              context.account->priority, text));
             }
             context.request.priority = static_cast<std::uint8_t>(*value);
         }
@@ -309,33 +310,34 @@
         }
         const auto value = parseNumber(text);
         if (!value || *value == 0 || *value > kMaxDeadlineMs) {
-            return bad(fmt::format("expected Seamarch-Deadline-Ms from 1 to {}, found '{}'",
-                                   kMaxDeadlineMs, text));
+            return badRequest(fmt::format("expected Seamarch-Deadline-Ms from 1 to {}, found '{}'",
+                                          kMaxDeadlineMs, text));
         }
         context.request.deadline = std::chrono::milliseconds(*value);
         return std::nullopt;
     }
 
-    static std::optional<FilterFailure> readProof(CallerContext &context)
+    static std::optional<FilterFailure> readIdempotencyHeaders(CallerContext &context)
     {
         const std::string &ticket = context.http.header("seamarch-ticket");
         const std::string &key = context.http.header("idempotency-key");
         if (!ticket.empty() && !key.empty()) {
-            return bad("expected Seamarch-Ticket or Idempotency-Key, found both");
+            return badRequest("expected Seamarch-Ticket or Idempotency-Key, found both");
         }
         if (!ticket.empty()) {
             context.request.ticket = parseTicket(ticket);
             if (!context.request.ticket) {
-                return bad("Seamarch-Ticket is not a ticket; get one from POST /v1/tickets");
+                return badRequest("Seamarch-Ticket is not a ticket; get one from POST /v1/tickets");
             }
         }
         if (!key.empty()) {
-            if (key.size() > kMaxKeyLength || !uuidV7Time(key)) {
-                return bad("expected Idempotency-Key to be a version 7 UUID (RFC 9562)");
+            if (key.size() > kMaxIdempotencyKeyLength || !uuidV7Time(key)) {
+                return badRequest("expected Idempotency-Key to be a version 7 UUID (RFC 9562)");
             }
-            // The key is the caller's own: two accounts may use the same one.
+            // Keys are scoped to the account, since two accounts may use the same key. The agent
+            // that checks a key is in the account's home hall.
             if (context.account->homeHall.value().empty()) {
-                return bad("the client account has no homeHall, so keys cannot be honoured");
+                return badRequest("the client account has no homeHall, so keys cannot be honoured");
             }
             context.request.callerKey = key;
         }
@@ -345,7 +347,7 @@
 
 } // namespace
 
-void CallerDirectory::applyConfig(const ConfigDocument &document)
+void ConfigIndex::applyConfig(const ConfigDocument &document)
 {
     document_ = document;
     accountByDigest_.clear();
@@ -364,30 +366,30 @@
     }
 }
 
-const AccountConfig *CallerDirectory::accountOfKey(const std::string &bearerKey) const
+const AccountConfig *ConfigIndex::accountForKey(const std::string &bearerKey) const
 {
     const auto found = accountByDigest_.find(sha256Hex(bearerKey));
     return found == accountByDigest_.end() ? nullptr : &document_.accounts[found->second];
 }
 
-const ModelConfig *CallerDirectory::model(const TargetName &name) const
+const ModelConfig *ConfigIndex::model(const TargetName &name) const
 {
     const auto found = modelByName_.find(name);
     return found == modelByName_.end() ? nullptr : &document_.models[found->second];
 }
 
-const ServiceConfig *CallerDirectory::service(const TargetName &name) const
+const ServiceConfig *ConfigIndex::service(const TargetName &name) const
 {
     const auto found = serviceByName_.find(name);
     return found == serviceByName_.end() ? nullptr : &document_.services[found->second];
 }
 
-std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const CallerDirectory &directory)
+std::vector<std::unique_ptr<RequestFilter>> makeCallerFilters(const ConfigIndex &configIndex)
 {
     std::vector<std::unique_ptr<RequestFilter>> filters;
     filters.push_back(std::make_unique<RouteFilter>());
-    filters.push_back(std::make_unique<AuthenticateFilter>(directory));
-    filters.push_back(std::make_unique<BodyFilter>(directory));
+    filters.push_back(std::make_unique<AuthenticateFilter>(configIndex));
+    filters.push_back(std::make_unique<BodyFilter>(configIndex));
     filters.push_back(std::make_unique<ClassifyFilter>());
     return filters;
 }
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -16,9 +16,10 @@
 
 using nlohmann::json;
 
-constexpr Duration kTick = std::chrono::milliseconds(100);
-// What a slow caller may have waiting here; the agent holds back the rest.
-constexpr std::size_t kBufferedHighWater = 32 * 1024;
+constexpr Duration kTickPeriod = std::chrono::milliseconds(100);
+// When at least this much is buffered for a slow caller, the agent waits before it sends the next
+// part.
+constexpr std::size_t kBufferHighWaterBytes = 32 * 1024;
 
 EntryCore::Settings coreSettings(const EntrySettings &settings, Incarnation incarnation)
 {
@@ -50,18 +51,18 @@
               {"outcome", toString(outcome)}}}};
 }
 
-std::string_view view(capnp::Data::Reader data)
+std::string_view asStringView(capnp::Data::Reader data)
 {
     return {reinterpret_cast<const char *>(data.begin()), data.size()};
 }
 
 } // namespace
 
-// The serving end for peer entries.
-class EntryService::PeerEnd final : public PeerServer
+// Serves the RPC calls of peer entries.
+class EntryService::PeerRpcServer final : public PeerServer
 {
 public:
-    PeerEnd(EntryService &service, ClusterState &knowledge, EventLoop &loop)
+    PeerRpcServer(EntryService &service, ClusterState &knowledge, EventLoop &loop)
         : PeerServer(knowledge, service.changes_, loop)
         , service_(service)
     {}
@@ -84,7 +85,7 @@
     , incarnation_(randomIdentity())
     , metrics_(settings_.maxAccountSeries)
     , changes_(loop)
-    , filters_(makeCallerFilters(directory_))
+    , filters_(makeCallerFilters(configIndex_))
     , core_(coreSettings(settings_, incarnation_), std::make_unique<ExpectedWaitRouter>())
 {
     knowledge_.addListener(*this);
@@ -111,7 +112,7 @@
     }
     transport_ = std::move(net->transport);
     client_ = std::move(net->client);
-    operators_ = std::move(net->operators);
+    operatorServer_ = std::move(net->operators);
     HttpServerOptions options;
     options.address = settings_.listen;
     options.maxBodyBytes = settings_.maxBodyBytes;
@@ -121,10 +122,11 @@
     }
     server_ = std::move(*server);
     auto listening = transport_->listen(settings_.peerListen, [this](kj::Own<RawStream> stream) {
-        const std::uint64_t id = nextIncoming_++;
-        auto peer = RpcPeer::server(kj::mv(stream), kj::heap<PeerEnd>(*this, knowledge_, loop_));
-        peer->onClosed([this, id] { loop_.post([this, id] { incoming_.erase(id); }); });
-        incoming_.emplace(id, std::move(peer));
+        const std::uint64_t id = nextPeerConnection_++;
+        auto peer =
+            RpcPeer::server(kj::mv(stream), kj::heap<PeerRpcServer>(*this, knowledge_, loop_));
+        peer->onClosed([this, id] { loop_.post([this, id] { peerConnections_.erase(id); }); });
+        peerConnections_.emplace(id, std::move(peer));
     });
     if (!listening) {
         return listening;
@@ -134,17 +136,17 @@
     peers_ = std::make_unique<PeerNetwork>(
         loop_, *transport_, knowledge_, core_.crashes(),
         PeerNetwork::Settings{settings_.instance, settings_.hall, incarnation_, settings_.lease});
-    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTick, [this] { tick(); });
+    tickTimer_ = std::make_unique<PeriodicTimer>(loop_, kTickPeriod, [this] { tick(); });
     peerTimer_ =
         std::make_unique<PeriodicTimer>(loop_, settings_.heartbeat, [this] { peers_->tick(); });
-    armHeartbeat();
+    scheduleHeartbeat();
     watcher_->setActive(true);
     return {};
 }
 
 void EntryService::onConfig(const ConfigDocument &document)
 {
-    directory_.applyConfig(document);
+    configIndex_.applyConfig(document);
     core_.applyConfig(document);
     metrics_.set("seamarch_config_version", static_cast<double>(document.version.value()));
 }
@@ -152,7 +154,7 @@
 void EntryService::onInstances(const InstanceList &list)
 {
     core_.applyList(list);
-    // Links must not be taken away inside one of their own callbacks.
+    // Deferred, since a link must not be destroyed in one of its own callbacks.
     loop_.post([this] {
         peers_->setInstances(knowledge_.list());
         updateLinks();
@@ -167,12 +169,13 @@
     for (const InstanceId &agent : chosen) {
         addLink(agent);
     }
-    // A link with requests in flight outlives the listing of its agent: no answer is cut off.
-    std::erase_if(links_, [&](const auto &entry) {
-        const bool busy = std::any_of(flights_.begin(), flights_.end(), [&](const auto &flight) {
-            return flight.second.agent == entry.first;
-        });
-        return !chosen.contains(entry.first) && !busy;
+    // A link with active requests is kept even if its agent is no longer chosen, so that no answer
+    // is interrupted.
+    std::erase_if(links_, [&](const auto &namedLink) {
+        const bool busy =
+            std::any_of(activeRequests_.begin(), activeRequests_.end(),
+                        [&](const auto &active) { return active.second.agent == namedLink.first; });
+        return !chosen.contains(namedLink.first) && !busy;
     });
 }
 
@@ -213,11 +216,11 @@
     }
 }
 
-void EntryService::armHeartbeat()
+void EntryService::scheduleHeartbeat()
 {
     const Duration period = heartbeatPeriod(links_.size(), settings_.heartbeat, {});
     heartbeatTimer_ = loop_.schedule(period, [this] {
-        armHeartbeat();
+        scheduleHeartbeat();
         heartbeatAll();
     });
 }
@@ -227,18 +230,19 @@
     EntryActions actions;
     core_.onTick(loop_.now(), actions);
     carryOut(actions);
-    tellOfCrashes();
+    announceCrashes();
     watcher_->setActive(peers_->shouldWatchPlatform());
     if (stopping_) {
         stopIfDrained();
     }
 }
 
-// Others of the site wait for news of requests that end upstreams.
-void EntryService::tellOfCrashes()
+// Sends changes of the crash record to the peers: completes their pending exchanges with this entry
+// and warns the entries that the others exchange with.
+void EntryService::announceCrashes()
 {
-    if (core_.crashes().cursor() != toldCrashes_) {
-        toldCrashes_ = core_.crashes().cursor();
+    if (core_.crashes().cursor() != announcedCrashCursor_) {
+        announcedCrashCursor_ = core_.crashes().cursor();
         changes_.wake();
     }
     peers_->sendCrashWarnings();
@@ -248,14 +252,14 @@
 {
     std::string reason;
     if (!knowledge_.configInForce()) {
-        answerFailure(exchange, FailureCode::EntryNotReady, Outcome::NotRun,
-                      std::chrono::seconds(1), {});
+        respondFailure(exchange, FailureCode::EntryNotReady, Outcome::NotRun,
+                       std::chrono::seconds(1), {});
         return;
     }
     CallerContext context{request, CallerRoute::Completion, nullptr, {}, {}, false, {}};
     for (const auto &filter : filters_) {
         if (const auto failure = filter->apply(context)) {
-            answerFailure(exchange, failure->code, Outcome::NotRun, {}, failure->detail);
+            respondFailure(exchange, failure->code, Outcome::NotRun, {}, failure->detail);
             return;
         }
     }
@@ -268,7 +272,7 @@
         return;
     case CallerRoute::Completion:
     case CallerRoute::Service:
-        beginFlight(exchange, context);
+        beginRequest(exchange, context);
         return;
     }
 }
@@ -276,7 +280,7 @@
 void EntryService::serveModels(ExchangeId exchange)
 {
     json models = json::array();
-    for (const ModelConfig &model : directory_.models()) {
+    for (const ModelConfig &model : configIndex_.models()) {
         models.push_back({{"id", model.name.value()},
                           {"object", "model"},
                           {"created", 0},
@@ -290,44 +294,44 @@
 {
     const auto candidates = core_.members().candidates(request.target, loop_.now());
     if (candidates.empty()) {
-        answerFailure(exchange, FailureCode::NoUpstream, Outcome::NotRun, std::chrono::seconds(1),
-                      {});
+        respondFailure(exchange, FailureCode::NoUpstream, Outcome::NotRun, std::chrono::seconds(1),
+                       {});
         return;
     }
     const std::size_t index = exchange % candidates.size();
     AgentLink *agent = link(candidates[index]->record.id);
     if (agent == nullptr) {
-        answerFailure(exchange, FailureCode::NoUpstream, Outcome::NotRun, std::chrono::seconds(1),
-                      {});
+        respondFailure(exchange, FailureCode::NoUpstream, Outcome::NotRun, std::chrono::seconds(1),
+                       {});
         return;
     }
     agent->issueTicket([this, exchange](const std::string &ticket) {
         if (ticket.empty()) {
-            answerFailure(exchange, FailureCode::UpstreamUnreachable, Outcome::NotRun,
-                          std::chrono::seconds(1), {});
+            respondFailure(exchange, FailureCode::UpstreamUnreachable, Outcome::NotRun,
+                           std::chrono::seconds(1), {});
             return;
         }
         server_->respond(exchange, {}, json{{"ticket", ticket}}.dump());
     });
 }
 
-void EntryService::beginFlight(ExchangeId exchange, CallerContext &context)
+void EntryService::beginRequest(ExchangeId exchange, CallerContext &context)
 {
-    Flight flight;
-    flight.exchange = exchange;
-    flight.request = context.request;
-    flight.payload = std::move(context.payload);
-    flight.requestClass = std::move(context.requestClass);
-    flight.streamed = context.streamed;
-    flight.startedAt = loop_.now();
-    flight.request.digest =
-        RequestDigest(sha256Of({flight.payload.method, flight.payload.path,
-                                flight.request.account.value(), flight.payload.body}));
+    ActiveRequest active;
+    active.exchange = exchange;
+    active.request = context.request;
+    active.payload = std::move(context.payload);
+    active.requestClass = std::move(context.requestClass);
+    active.streamed = context.streamed;
+    active.startedAt = loop_.now();
+    active.request.digest =
+        RequestDigest(sha256Of({active.payload.method, active.payload.path,
+                                active.request.account.value(), active.payload.body}));
     EntryActions actions;
-    const RequestId id = core_.begin(flight.request, flight.startedAt, actions);
+    const RequestId id = core_.begin(active.request, active.startedAt, actions);
     metrics_.count("seamarch_requests_total", "received");
-    byExchange_[exchange] = id;
-    flights_.emplace(id, std::move(flight));
+    requestByExchange_[exchange] = id;
+    activeRequests_.emplace(id, std::move(active));
     carryOut(actions);
 }
 
@@ -340,24 +344,24 @@
 
 void EntryService::carryOut(const SendCall &action)
 {
-    const auto flight = flights_.find(action.id);
-    if (flight == flights_.end()) {
+    const auto active = activeRequests_.find(action.id);
+    if (active == activeRequests_.end()) {
         return;
     }
-    flight->second.agent = action.agent;
+    active->second.agent = action.agent;
     AgentLink *agent = link(action.agent);
     if (agent == nullptr) {
         loop_.post([this, id = action.id] { onCallFailed(id, false); });
         return;
     }
-    agent->start(action, flight->second.request, flight->second.payload);
+    agent->start(action, active->second.request, active->second.payload);
 }
 
 void EntryService::carryOut(const SendCancel &action)
 {
     AgentLink *agent = link(action.agent);
     if (agent == nullptr) {
-        loop_.post([this, id = action.id] { onCancelVerdict(id, false); });
+        loop_.post([this, id = action.id] { onCancelResult(id, false); });
         return;
     }
     agent->cancel(action);
@@ -367,7 +371,7 @@
 {
     AgentLink *agent = link(action.agent);
     if (agent == nullptr) {
-        loop_.post([this, action] { onWithdrawVerdict(action.id, action.agent, false); });
+        loop_.post([this, action] { onWithdrawResult(action.id, action.agent, false); });
         return;
     }
     agent->withdraw(action);
@@ -375,29 +379,29 @@
 
 void EntryService::carryOut(const FailRequest &action)
 {
-    const auto found = flights_.find(action.id);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(action.id);
+    if (found == activeRequests_.end()) {
         return;
     }
-    const Flight &flight = found->second;
+    const ActiveRequest &active = found->second;
     metrics_.count("seamarch_failures_total", toString(action.failure));
     metrics_.count("seamarch_outcomes_total", toString(action.outcome));
     if (action.failure == FailureCode::RequestEndsUpstreams) {
         logLine(LogLevel::Warning, "request.stopped",
-                {{"digest", fmt::format("{:016x}", flight.request.digest.value())},
-                 {"account", flight.request.account.value()},
-                 {"ends", core_.crashes().crashCount(flight.request.digest)}});
+                {{"digest", fmt::format("{:016x}", active.request.digest.value())},
+                 {"account", active.request.account.value()},
+                 {"ends", core_.crashes().crashCount(active.request.digest)}});
     }
-    if (flight.headSent) {
-        breakOffStream(flight, action.failure, action.outcome);
+    if (active.headSent) {
+        abortStream(active, action.failure, action.outcome);
     } else {
-        answerFailure(flight.exchange, action.failure, action.outcome, action.retryAfter, {});
+        respondFailure(active.exchange, action.failure, action.outcome, action.retryAfter, {});
     }
-    endFlight(action.id);
+    endRequest(action.id);
 }
 
-void EntryService::answerFailure(ExchangeId exchange, FailureCode code, Outcome outcome,
-                                 Duration retryAfter, const std::string &detail)
+void EntryService::respondFailure(ExchangeId exchange, FailureCode code, Outcome outcome,
+                                  Duration retryAfter, const std::string &detail)
 {
     HttpResponseHead head;
     head.status = httpStatus(code);
@@ -408,79 +412,79 @@
     server_->respond(exchange, head, errorBody(code, outcome, detail).dump());
 }
 
-void EntryService::breakOffStream(const Flight &flight, FailureCode code, Outcome outcome)
+void EntryService::abortStream(const ActiveRequest &active, FailureCode code, Outcome outcome)
 {
-    if (flight.streamed) {
+    if (active.streamed) {
         const json body = errorBody(code, outcome, {});
-        server_->write(flight.exchange, fmt::format("data: {}\n\n", body.dump()));
+        server_->write(active.exchange, fmt::format("data: {}\n\n", body.dump()));
     }
-    // Without the closing chunk the caller's library sees that the answer is not whole.
-    server_->abort(flight.exchange);
+    // The missing final chunk shows the caller's HTTP library that the answer is incomplete.
+    server_->abort(active.exchange);
 }
 
-void EntryService::endFlight(RequestId id)
+void EntryService::endRequest(RequestId id)
 {
-    const auto found = flights_.find(id);
-    if (found == flights_.end()) {
+    const auto found = activeRequests_.find(id);
+    if (found == activeRequests_.end()) {
         return;
     }
-    KJ_IF_MAYBE (waiting, found->second.waiting) {
-        (*waiting)->fulfill();
+    KJ_IF_MAYBE (drainFulfiller, found->second.drainFulfiller) {
+        (*drainFulfiller)->fulfill();
     }
-    byExchange_.erase(found->second.exchange);
-    flights_.erase(found);
+    requestByExchange_.erase(found->second.exchange);
+    activeRequests_.erase(found);
 }
 
 void EntryService::onCallerGone(ExchangeId exchange)
 {
-    const auto found = byExchange_.find(exchange);
-    if (found == byExchange_.end()) {
+    const auto found = requestByExchange_.find(exchange);
+    if (found == requestByExchange_.end()) {
         return;
     }
     const RequestId id = found->second;
     metrics_.count("seamarch_requests_total", "caller_gone");
     EntryActions actions;
     core_.onCallerGone(id, actions);
-    endFlight(id);
+    endRequest(id);
     carryOut(actions);
 }
 
 void EntryService::onDrained(ExchangeId exchange)
 {
-    const auto found = byExchange_.find(exchange);
-    if (found == byExchange_.end()) {
+    const auto found = requestByExchange_.find(exchange);
+    if (found == requestByExchange_.end()) {
         return;
     }
-    Flight &flight = flights_.at(found->second);
-    KJ_IF_MAYBE (waiting, flight.waiting) {
-        (*waiting)->fulfill();
+    ActiveRequest &active = activeRequests_.at(found->second);
+    KJ_IF_MAYBE (drainFulfiller, active.drainFulfiller) {
+        (*drainFulfiller)->fulfill();
     }
-    flight.waiting = nullptr;
+    active.drainFulfiller = nullptr;
 }
 
 void EntryService::onHeartbeat(const InstanceId &agent, const AgentReport &report,
-                               TimePoint askedAt)
+                               TimePoint requestedAt)
 {
     EntryActions actions;
-    core_.onReport(agent, report, askedAt, loop_.now(), actions);
+    core_.onReport(agent, report, requestedAt, loop_.now(), actions);
     carryOut(actions);
 }
 
-void EntryService::onVerdict(RequestId id, const AdmissionResult &verdict)
+void EntryService::onAdmissionResult(RequestId id, const AdmissionResult &result)
 {
-    if (verdict.accepted) {
-        core_.onAccepted(id, verdict.started);
+    if (result.accepted) {
+        core_.onAccepted(id, result.started);
         return;
     }
     EntryActions actions;
-    core_.onRefused(id, verdict.failure, verdict.outcome, verdict.retryAfter, loop_.now(), actions);
+    core_.onRefused(id, result.failure, result.outcome, result.retryAfter, loop_.now(), actions);
     carryOut(actions);
 }
 
-void EntryService::onCallFailed(RequestId id, bool written)
+void EntryService::onCallFailed(RequestId id, bool maybeSent)
 {
     EntryActions actions;
-    if (written) {
+    if (maybeSent) {
         core_.onConnectionLost(id, loop_.now(), actions);
     } else {
         core_.onNotWritten(id, loop_.now(), actions);
@@ -488,21 +492,21 @@
     carryOut(actions);
 }
 
-void EntryService::onCancelVerdict(RequestId id, bool notRun)
+void EntryService::onCancelResult(RequestId id, bool notRun)
 {
     EntryActions actions;
     core_.onCancelled(id, notRun, loop_.now(), actions);
     carryOut(actions);
 }
 
-void EntryService::onWithdrawVerdict(RequestId id, const InstanceId &agent, bool notRun)
+void EntryService::onWithdrawResult(RequestId id, const InstanceId &agent, bool notRun)
 {
     EntryActions actions;
     core_.onWithdrawn(id, agent, notRun, loop_.now(), actions);
     carryOut(actions);
 }
 
-void EntryService::onFree(const InstanceId &agent, const AgentReport &report)
+void EntryService::onFreeSlot(const InstanceId &agent, const AgentReport &report)
 {
     EntryActions actions;
     core_.onFree(agent, report, loop_.now(), actions);
@@ -512,8 +516,8 @@
 void EntryService::onLinkClosed(const InstanceId &agent)
 {
     std::vector<RequestId> lost;
-    for (const auto &[id, flight] : flights_) {
-        if (flight.agent == agent) {
+    for (const auto &[id, active] : activeRequests_) {
+        if (active.agent == agent) {
             lost.push_back(id);
         }
     }
@@ -527,9 +531,9 @@
 kj::Promise<void> EntryService::onPart(const InstanceId &agent, RequestId id,
                                        wire::Part::Reader part)
 {
-    const auto found = flights_.find(id);
+    const auto found = activeRequests_.find(id);
     if (part.getFailed()) {
-        if (found == flights_.end() || found->second.agent != agent) {
+        if (found == activeRequests_.end() || found->second.agent != agent) {
             return kj::READY_NOW;
         }
         EntryActions actions;
@@ -539,59 +543,59 @@
         carryOut(actions);
         return kj::READY_NOW;
     }
-    if (!core_.onAnswer(id, agent) || found == flights_.end()) {
+    if (!core_.onAnswer(id, agent) || found == activeRequests_.end()) {
         metrics_.count("seamarch_requests_total", "dropped_part");
         return kj::READY_NOW;
     }
     return relay(id, found->second, part);
 }
 
-void EntryService::onPieceTimes(Flight &flight)
+void EntryService::recordChunkLatency(ActiveRequest &active)
 {
     const TimePoint now = loop_.now();
-    const bool first = flight.lastPieceAt == TimePoint{};
+    const bool first = active.lastChunkAt == TimePoint{};
     const Stage stage = first ? Stage::FirstToken : Stage::BetweenTokens;
-    const TimePoint since = first ? flight.startedAt : flight.lastPieceAt;
-    metrics_.observe(stage, flight.request.account, flight.requestClass, now - since);
-    flight.lastPieceAt = now;
+    const TimePoint since = first ? active.startedAt : active.lastChunkAt;
+    metrics_.observe(stage, active.request.account, active.requestClass, now - since);
+    active.lastChunkAt = now;
 }
 
-kj::Promise<void> EntryService::relay(RequestId id, Flight &flight, wire::Part::Reader part)
+kj::Promise<void> EntryService::relay(RequestId id, ActiveRequest &active, wire::Part::Reader part)
 {
-    const std::string_view body = view(part.getBody());
+    const std::string_view body = asStringView(part.getBody());
     HttpResponseHead head;
     if (part.getHasHead()) {
         head.status = part.getStatus();
         head.contentType = toString(part.getContentType());
-        flight.payload = {};
+        active.payload = {};
     }
     if (!body.empty()) {
-        onPieceTimes(flight);
+        recordChunkLatency(active);
     }
     if (part.getHasHead() && part.getEnd()) {
-        server_->respond(flight.exchange, head, std::string(body));
+        server_->respond(active.exchange, head, std::string(body));
     } else {
         if (part.getHasHead()) {
-            server_->begin(flight.exchange, head);
-            flight.headSent = true;
+            server_->begin(active.exchange, head);
+            active.headSent = true;
         }
-        server_->write(flight.exchange, body);
+        server_->write(active.exchange, body);
     }
     if (part.getEnd()) {
-        server_->finish(flight.exchange);
-        metrics_.observe(Stage::Total, flight.request.account, flight.requestClass,
-                         loop_.now() - flight.startedAt);
+        server_->finish(active.exchange);
+        metrics_.observe(Stage::Total, active.request.account, active.requestClass,
+                         loop_.now() - active.startedAt);
         metrics_.count("seamarch_requests_total", "answered");
         ++answered_;
-        core_.onComplete(id, flight.agent, loop_.now());
-        endFlight(id);
+        core_.onComplete(id, active.agent, loop_.now());
+        endRequest(id);
         return kj::READY_NOW;
     }
-    if (server_->buffered(flight.exchange) < kBufferedHighWater) {
+    if (server_->buffered(active.exchange) < kBufferHighWaterBytes) {
         return kj::READY_NOW;
     }
     auto paf = kj::newPromiseAndFulfiller<void>();
-    flight.waiting = kj::mv(paf.fulfiller);
+    active.drainFulfiller = kj::mv(paf.fulfiller);
     return kj::mv(paf.promise);
 }
 
@@ -638,7 +642,7 @@
             {"watchesPlatform", watcher_->active()},
             {"platformReachable", watcher_->reachable()},
             {"platformCalls", watcher_->calls()},
-            {"inFlight", flights_.size()},
+            {"inFlight", activeRequests_.size()},
             {"answered", answered_},
             {"retries", core_.retries()},
             {"moves", core_.moves()},
@@ -656,22 +660,23 @@
     }
     stopping_ = true;
     stopStartedAt_ = loop_.now();
-    logLine(LogLevel::Info, "entry.stopping", {{"inFlight", flights_.size()}});
+    logLine(LogLevel::Info, "entry.stopping", {{"inFlight", activeRequests_.size()}});
 }
 
 void EntryService::stopIfDrained()
 {
     const Duration since = loop_.now() - stopStartedAt_;
-    // The balancer lags behind the readiness, so new requests are served for a while.
+    // The load balancer in front reacts to readiness with a delay, so new requests are still
+    // served for `stopDelay`.
     if (since < settings_.stopDelay) {
         return;
     }
     server_->closeIdleConnections();
-    const bool drained = flights_.empty() && server_->openExchanges() == 0;
+    const bool drained = activeRequests_.empty() && server_->openExchanges() == 0;
     if (!drained && since < settings_.stopDeadline) {
         return;
     }
-    logLine(LogLevel::Info, "entry.stopped", {{"cutOff", flights_.size()}});
+    logLine(LogLevel::Info, "entry.stopped", {{"cutOff", activeRequests_.size()}});
     loop_.stop();
 }
 
