--- a/src/config/jsonreader.cpp
+++ b/src/config/jsonreader.cpp
@@ -1,4 +1,4 @@
-#include "config/jsonreader.h"
+#include "config/objectreader.h"
 
 #include <fmt/format.h>
 #include <utility>
--- a/src/config/parse.h
+++ b/src/config/parse.h
@@ -1,7 +1,7 @@
 // Reads and validates configuration documents and instance lists.
 #pragma once
 
-#include "config/jsonreader.h"
+#include "config/objectreader.h"
 #include "seamarch/configdocument.h"
 
 #include <nlohmann/json.hpp>
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -7,7 +7,7 @@
 // Pure functions.
 #pragma once
 
-#include "config/jsonreader.h"
+#include "config/objectreader.h"
 #include "seamarch/configdocument.h"
 
 #include <cstdint>
