--- a/bench/configfigures.cpp
+++ b/bench/configfigures.cpp
@@ -1,4 +1,4 @@
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 #include "decision/membership/linkplan.h"
 #include "figures.h"
 
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,7 +1,7 @@
 #include "slopes.h"
 
 #include "config/parse.h"
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 #include "decision/dispatch/agentcore.h"
 #include "decision/dispatch/entrycore.h"
 #include "decision/expertmap/mapswitchparticipant.h"
--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -1,7 +1,7 @@
 #include "config/plan.h"
 
 #include "config/parse.h"
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/config/versioned.cpp
+++ b/src/config/versioned.cpp
@@ -1,4 +1,4 @@
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/knowledge/knowledge.h
+++ b/src/knowledge/knowledge.h
@@ -8,7 +8,7 @@
 #pragma once
 
 #include "config/parse.h"
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 #include "seamarch/configdocument.h"
 #include "seamarch/units.h"
 
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -3,7 +3,7 @@
 #include "base/settings.h"
 #include "config/parse.h"
 #include "config/plan.h"
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 #include "tool/fetch.h"
 #include "tool/story.h"
 
--- a/test/config/versioned_test.cpp
+++ b/test/config/versioned_test.cpp
@@ -1,5 +1,5 @@
 // An accepted configuration never reverts to an older one.
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 
 #include <fmt/format.h>
 #include <random>
