--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -5,7 +5,7 @@
 #include "base/wallclock.h"
 #include "net/retryafter.h"
 #include "net/wireconvert.h"
-#include "observe/processnet.h"
+#include "observe/processnetwork.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -4,7 +4,7 @@
 #include "base/log.h"
 #include "decision/membership/linkplan.h"
 #include "net/wireconvert.h"
-#include "observe/processnet.h"
+#include "observe/processnetwork.h"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/src/observe/processnet.cpp
+++ b/src/observe/processnet.cpp
@@ -1,4 +1,4 @@
-#include "observe/processnet.h"
+#include "observe/processnetwork.h"
 
 #include <utility>
 
