--- a/src/observe/processnetwork.cpp
+++ b/src/observe/processnetwork.cpp
@@ -4,12 +4,12 @@
 
 namespace seamarch {
 
-tl::expected<ProcessNet, NetError> openProcessNet(EventLoop &loop,
-                                                  const SocketAddress &operatorListen,
-                                                  const StatusSource &source,
-                                                  const Metrics &metrics)
+tl::expected<ProcessNetwork, NetError> openProcessNet(EventLoop &loop,
+                                                      const SocketAddress &operatorListen,
+                                                      const StatusSource &source,
+                                                      const Metrics &metrics)
 {
-    ProcessNet net;
+    ProcessNetwork net;
     auto transport = RawTransport::create(loop);
     if (!transport) {
         return tl::unexpected(transport.error());
--- a/src/observe/processnetwork.h
+++ b/src/observe/processnetwork.h
@@ -11,7 +11,7 @@
 
 namespace seamarch {
 
-struct ProcessNet
+struct ProcessNetwork
 {
     std::unique_ptr<RawTransport> transport;
     std::unique_ptr<HttpClient> client;
@@ -20,9 +20,9 @@
 
 // Opens all three. Fails with the first that cannot be opened. The source and the metrics outlive
 // what is returned.
-tl::expected<ProcessNet, NetError> openProcessNet(EventLoop &loop,
-                                                  const SocketAddress &operatorListen,
-                                                  const StatusSource &source,
-                                                  const Metrics &metrics);
+tl::expected<ProcessNetwork, NetError> openProcessNet(EventLoop &loop,
+                                                      const SocketAddress &operatorListen,
+                                                      const StatusSource &source,
+                                                      const Metrics &metrics);
 
 } // namespace seamarch
