--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -204,7 +204,7 @@
 
 tl::expected<void, NetError> AgentService::open()
 {
-    auto net = openProcessNet(loop_, settings_.operatorListen, *this, metrics_);
+    auto net = openProcessNetwork(loop_, settings_.operatorListen, *this, metrics_);
     if (!net) {
         return tl::unexpected(net.error());
     }
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -105,7 +105,7 @@
 
 tl::expected<void, NetError> EntryService::open()
 {
-    auto net = openProcessNet(loop_, settings_.operatorListen, *this, metrics_);
+    auto net = openProcessNetwork(loop_, settings_.operatorListen, *this, metrics_);
     if (!net) {
         return tl::unexpected(net.error());
     }
--- a/src/observe/processnetwork.cpp
+++ b/src/observe/processnetwork.cpp
@@ -4,10 +4,10 @@
 
 namespace seamarch {
 
-tl::expected<ProcessNetwork, NetError> openProcessNet(EventLoop &loop,
-                                                      const SocketAddress &operatorListen,
-                                                      const StatusSource &source,
-                                                      const Metrics &metrics)
+tl::expected<ProcessNetwork, NetError> openProcessNetwork(EventLoop &loop,
+                                                          const SocketAddress &operatorListen,
+                                                          const StatusSource &source,
+                                                          const Metrics &metrics)
 {
     ProcessNetwork net;
     auto transport = RawTransport::create(loop);
--- a/src/observe/processnetwork.h
+++ b/src/observe/processnetwork.h
@@ -20,9 +20,9 @@
 
 // Opens all three. Fails with the first that cannot be opened. The source and the metrics outlive
 // what is returned.
-tl::expected<ProcessNetwork, NetError> openProcessNet(EventLoop &loop,
-                                                      const SocketAddress &operatorListen,
-                                                      const StatusSource &source,
-                                                      const Metrics &metrics);
+tl::expected<ProcessNetwork, NetError> openProcessNetwork(EventLoop &loop,
+                                                          const SocketAddress &operatorListen,
+                                                          const StatusSource &source,
+                                                          const Metrics &metrics);
 
 } // namespace seamarch
