--- a/src/config/objectreader.cpp
+++ b/src/config/objectreader.cpp
@@ -44,7 +44,7 @@
 
 const json *ObjectReader::field(std::string_view name, Presence presence)
 {
-    asked_.emplace(name);
+    requestedFields_.emplace(name);
     if (!value_.is_object()) {
         return nullptr;
     }
@@ -162,7 +162,7 @@
         return;
     }
     for (const auto &[name, unused] : value_.items()) {
-        if (!asked_.contains(name)) {
+        if (!requestedFields_.contains(name)) {
             fault(name, "unknown field; remove it or correct its name");
         }
     }
--- a/src/config/objectreader.h
+++ b/src/config/objectreader.h
@@ -64,7 +64,7 @@
     const nlohmann::json &value_;
     std::string path_;
     ConfigFaults &faults_;
-    std::set<std::string, std::less<>> asked_;
+    std::set<std::string, std::less<>> requestedFields_;
 };
 
 // Returns the path of element `index` of the array at `path`.
