--- a/src/config/objectreader.cpp
+++ b/src/config/objectreader.cpp
@@ -156,7 +156,7 @@
     return *found;
 }
 
-void ObjectReader::finish()
+void ObjectReader::reportUnknownFields()
 {
     if (!value_.is_object()) {
         return;
--- a/src/config/objectreader.h
+++ b/src/config/objectreader.h
@@ -56,7 +56,7 @@
     // Adds a fault at the field `name`.
     void fault(std::string_view name, std::string message);
     // Reports the fields that were never asked for.
-    void finish();
+    void reportUnknownFields();
 
 private:
     const nlohmann::json *field(std::string_view name, Presence presence);
--- a/src/config/parse.cpp
+++ b/src/config/parse.cpp
@@ -111,7 +111,7 @@
     account.requestsPerSecond =
         reader.number("requestsPerSecond", Presence::Optional, 0.0, kMaxRate, 0.0);
     account.homeHall = HallId(reader.text("homeHall", Presence::Optional));
-    reader.finish();
+    reader.reportUnknownFields();
     return account;
 }
 
@@ -126,7 +126,7 @@
                      fmt::format("expected a path that starts with '/', found '{}'", route.path));
     }
     route.repeatable = reader.boolean("repeatable", Presence::Required);
-    reader.finish();
+    reader.reportUnknownFields();
     return route;
 }
 
@@ -141,7 +141,7 @@
         service.routes.push_back(
             readRoute(routes[index], elementPath(reader.pathOf("routes"), index), faults));
     }
-    reader.finish();
+    reader.reportUnknownFields();
     return service;
 }
 
@@ -160,7 +160,7 @@
     model.layers = count("layers", 0);
     model.minServing = count("minServing", model.minServing);
     model.deadline = readMilliseconds(reader, "deadlineMs", model.deadline);
-    reader.finish();
+    reader.reportUnknownFields();
     return model;
 }
 
@@ -177,7 +177,7 @@
         hall.distance[HallId(name)] = std::chrono::microseconds(
             distanceReader.integer(name, Presence::Required, 0, kMaxDistanceUs));
     }
-    reader.finish();
+    reader.reportUnknownFields();
     return hall;
 }
 
@@ -190,7 +190,7 @@
     upstream.slots = static_cast<std::uint32_t>(
         reader.integer("slots", Presence::Optional, 1, kMaxCount, upstream.slots));
     upstream.draining = reader.boolean("draining", Presence::Optional);
-    reader.finish();
+    reader.reportUnknownFields();
     return upstream;
 }
 
@@ -202,7 +202,7 @@
         reader.number("skewWeight", Presence::Optional, 0.0, kMaxShare, objective.skewWeight);
     objective.moveWeight =
         reader.number("moveWeight", Presence::Optional, 0.0, kMaxShare, objective.moveWeight);
-    reader.finish();
+    reader.reportUnknownFields();
     return objective;
 }
 
@@ -281,7 +281,7 @@
          readStrings(reader.array("serves", Presence::Optional), reader.pathOf("serves"), faults)) {
         record.serves.emplace_back(std::move(target));
     }
-    reader.finish();
+    reader.reportUnknownFields();
     return record;
 }
 
@@ -324,7 +324,7 @@
                                        reader.pathOf("objective"), faults);
     document.weightStoreGigabytesPerSecond =
         reader.number("weightStoreGbPerSecond", Presence::Optional, 1e-3, kMaxGigabytes, 1.0);
-    reader.finish();
+    reader.reportUnknownFields();
     checkReferences(document, faults);
     if (!faults.empty()) {
         return tl::unexpected(std::move(faults));
@@ -344,7 +344,7 @@
     InstanceList list;
     list.version = ListVersion(reader.integer("version", Presence::Required, 1, kMaxVersion));
     list.instances = readList<InstanceRecord>(reader, "instances", faults, readInstance);
-    reader.finish();
+    reader.reportUnknownFields();
     UniqueNames names(faults);
     for (std::size_t index = 0; index < list.instances.size(); ++index) {
         names.add(list.instances[index].id.value(), elementPath("instances", index) + ".id");
