--- a/src/config/parse.cpp
+++ b/src/config/parse.cpp
@@ -29,7 +29,7 @@
     return text.size() == kDigestLength && std::all_of(text.begin(), text.end(), isHex);
 }
 
-bool isIpNumber(const std::string &text)
+bool isIpv4Address(const std::string &text)
 {
     int parts = 0;
     std::size_t start = 0;
@@ -268,7 +268,7 @@
     record.role = role == "entry" ? InstanceRole::Entry : InstanceRole::Agent;
     record.hall = HallId(reader.text("hall", Presence::Required));
     record.address = reader.text("address", Presence::Required);
-    if (!isIpNumber(record.address)) {
+    if (!isIpv4Address(record.address)) {
         reader.fault("address", fmt::format("expected an IP number, found '{}'", record.address));
     }
     record.port = static_cast<int>(reader.integer("port", Presence::Required, 1, kMaxPort));
