--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -156,7 +156,7 @@
 
 } // namespace
 
-ConfigFaults changeFaults(const ConfigDocument &from, const ConfigDocument &to)
+ConfigFaults transitionFaults(const ConfigDocument &from, const ConfigDocument &to)
 {
     ConfigFaults faults;
     for (std::size_t index = 0; index < to.accounts.size(); ++index) {
@@ -227,7 +227,7 @@
     if (!next) {
         return failure(PlanError::Kind::Faulty, describe(next.error()));
     }
-    const ConfigFaults faults = changeFaults(*now, *next);
+    const ConfigFaults faults = transitionFaults(*now, *next);
     if (!faults.empty()) {
         return failure(PlanError::Kind::Faulty, describe(faults));
     }
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -94,7 +94,7 @@
                                                     const nlohmann::json &current);
 
 // Returns what forbids going from one valid document to another, although both are valid alone.
-ConfigFaults changeFaults(const ConfigDocument &from, const ConfigDocument &to);
+ConfigFaults transitionFaults(const ConfigDocument &from, const ConfigDocument &to);
 
 nlohmann::json planToJson(const Plan &plan);
 tl::expected<Plan, PlanError> planFromJson(const nlohmann::json &value);
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -173,7 +173,7 @@
     const auto before = readConfig(*from);
     const auto after = readConfig(*to);
     if (before && after) {
-        faults = changeFaults(*before, *after);
+        faults = transitionFaults(*before, *after);
     }
     if (isSet(arguments, "--json")) {
         fmt::print("{}\n", json{{"patch", patch}, {"allowed", faults.empty()}}.dump());
--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -91,7 +91,7 @@
     moved["halls"].push_back(json::parse(R"({"id": "south", "region": "centre"})"));
     moved["accounts"][0]["homeHall"] = "south";
 
-    CHECK_EQUAL(1U, changeFaults(*readConfig(base), *readConfig(moved)).size());
+    CHECK_EQUAL(1U, transitionFaults(*readConfig(base), *readConfig(moved)).size());
 }
 
 TEST(PlanTest, ReadsThePlanThatItWrites)
