--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -211,7 +211,7 @@
     if (digest != plan.digest || documentDigest(plan.document) != plan.digest) {
         return failure(PlanError::Kind::WrongDigest,
                        fmt::format("expected the digest {}, found {}; look at the plan again",
-                                   digestText(plan.digest), digestText(digest)));
+                                   formatDigest(plan.digest), formatDigest(digest)));
     }
     const auto now = readConfig(current);
     if (!now) {
@@ -237,7 +237,7 @@
 json planToJson(const Plan &plan)
 {
     return {{"baseVersion", plan.baseVersion},
-            {"baseDigest", digestText(plan.baseDigest)},
+            {"baseDigest", formatDigest(plan.baseDigest)},
             {"document", plan.document},
             {"changes", plan.changes},
             {"cost",
@@ -246,7 +246,7 @@
               {"capacityLostPart", plan.cost.capacityLostPart},
               {"replicas", plan.cost.replicas},
               {"rounds", plan.cost.rounds}}},
-            {"digest", digestText(plan.digest)}};
+            {"digest", formatDigest(plan.digest)}};
 }
 
 tl::expected<Plan, PlanError> planFromJson(const json &value)
@@ -268,7 +268,7 @@
     return plan;
 }
 
-std::string digestText(std::uint64_t digest)
+std::string formatDigest(std::uint64_t digest)
 {
     return fmt::format("{:016x}", digest);
 }
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -100,7 +100,7 @@
 tl::expected<Plan, PlanError> planFromJson(const nlohmann::json &value);
 
 // Writes and reads digests as 16 hexadecimal digits.
-std::string digestText(std::uint64_t digest);
+std::string formatDigest(std::uint64_t digest);
 std::optional<std::uint64_t> parseDigest(std::string_view text);
 
 } // namespace seamarch
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -220,7 +220,7 @@
                "capacity lost at the worst moment\n",
                plan.cost.replicas, plan.cost.movedGigabytes, plan.cost.weightStoreSeconds,
                plan.cost.capacityLostPart * 100.0);
-    fmt::print("digest: {}\n", digestText(plan.digest));
+    fmt::print("digest: {}\n", formatDigest(plan.digest));
 }
 
 int runPlan(const Arguments &arguments)
