--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -218,7 +218,7 @@
         return failure(PlanError::Kind::Faulty, describe(now.error()));
     }
     if (documentDigest(current) != plan.baseDigest) {
-        return failure(PlanError::Kind::BaseMoved,
+        return failure(PlanError::Kind::BaseChanged,
                        fmt::format("planned on version {}, but the configuration is now at version "
                                    "{}; plan again",
                                    plan.baseVersion, now->version.value()));
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -77,7 +77,7 @@
         UnknownName, // The intent names something that the configuration does not have.
         NoChange,    // The configuration says so already.
         Faulty,      // The base or the result is not valid.
-        BaseMoved,   // The configuration is no longer the one that the plan was made on.
+        BaseChanged, // The configuration is no longer the one that the plan was made on.
         WrongDigest, // The digest is not this plan's.
     };
 
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -282,7 +282,7 @@
     }
     const auto document = confirmPlan(*plan, *digest, *current);
     if (!document) {
-        const bool moved = document.error().kind == PlanError::Kind::BaseMoved;
+        const bool moved = document.error().kind == PlanError::Kind::BaseChanged;
         return fail(moved ? kExitConflict : kExitRefused, document.error().message);
     }
     fmt::print("{}\n", document->dump(2));
--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -71,7 +71,7 @@
     const auto refused = confirmPlan(*second, second->digest, *published);
 
     CHECK(published.has_value());
-    CHECK(refused.error().kind == PlanError::Kind::BaseMoved);
+    CHECK(refused.error().kind == PlanError::Kind::BaseChanged);
     // Even when it is published by hand, no process takes it: it follows version 3, not 4.
     VersionedDocument process;
     process.accept(*published);
