--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -181,7 +181,7 @@
 {
     const auto before = readConfig(base);
     if (!before) {
-        return failure(PlanError::Kind::Faulty, describe(before.error()));
+        return failure(PlanError::Kind::Invalid, describe(before.error()));
     }
     Plan plan;
     plan.baseVersion = before->version.value();
@@ -199,7 +199,7 @@
     }
     const auto after = readConfig(plan.document);
     if (!after) {
-        return failure(PlanError::Kind::Faulty, describe(after.error()));
+        return failure(PlanError::Kind::Invalid, describe(after.error()));
     }
     plan.digest = documentDigest(plan.document);
     return plan;
@@ -215,7 +215,7 @@
     }
     const auto now = readConfig(current);
     if (!now) {
-        return failure(PlanError::Kind::Faulty, describe(now.error()));
+        return failure(PlanError::Kind::Invalid, describe(now.error()));
     }
     if (documentDigest(current) != plan.baseDigest) {
         return failure(PlanError::Kind::BaseChanged,
@@ -225,11 +225,11 @@
     }
     const auto next = readConfig(plan.document);
     if (!next) {
-        return failure(PlanError::Kind::Faulty, describe(next.error()));
+        return failure(PlanError::Kind::Invalid, describe(next.error()));
     }
     const ConfigFaults faults = transitionFaults(*now, *next);
     if (!faults.empty()) {
-        return failure(PlanError::Kind::Faulty, describe(faults));
+        return failure(PlanError::Kind::Invalid, describe(faults));
     }
     return plan.document;
 }
@@ -259,7 +259,7 @@
     const auto digest = parseDigest(reader.text("digest", Presence::Required));
     plan.document = reader.object("document", Presence::Required);
     if (!faults.empty() || !baseDigest || !digest) {
-        return failure(PlanError::Kind::Faulty,
+        return failure(PlanError::Kind::Invalid,
                        "not a plan; expected a file that 'seamarch plan --out' wrote\n"
                            + describe(faults));
     }
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -76,7 +76,7 @@
     enum class Kind {
         UnknownName, // The intent names something that the configuration does not have.
         NoChange,    // The configuration says so already.
-        Faulty,      // The base or the result is not valid.
+        Invalid,     // The base or the result is not valid.
         BaseChanged, // The configuration is no longer the one that the plan was made on.
         WrongDigest, // The digest is not this plan's.
     };
