--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -20,7 +20,7 @@
 }
 
 // Returns the element of the array `list` whose field `key` is `name`; null when there is none.
-json *findNamed(json &document, const char *list, const char *key, const std::string &name)
+json *findElement(json &document, const char *list, const char *key, const std::string &name)
 {
     const auto array = document.find(list);
     if (array == document.end()) {
@@ -74,7 +74,7 @@
 tl::expected<bool, PlanError> apply(const ShareIntent &intent, json &document, Plan &plan,
                                     const std::optional<InstanceList> & /*instances*/)
 {
-    json *account = findNamed(document, "accounts", "id", intent.account.value());
+    json *account = findElement(document, "accounts", "id", intent.account.value());
     if (account == nullptr) {
         document["accounts"].push_back({{"id", intent.account.value()}, {"share", intent.share}});
         plan.changes.push_back(fmt::format("new client account {} with share {}; add its key's "
@@ -89,7 +89,7 @@
 tl::expected<bool, PlanError> apply(const DrainHallIntent &intent, json &document, Plan &plan,
                                     const std::optional<InstanceList> &instances)
 {
-    json *hall = findNamed(document, "halls", "id", intent.hall.value());
+    json *hall = findElement(document, "halls", "id", intent.hall.value());
     if (hall == nullptr) {
         return failure(PlanError::Kind::UnknownName,
                        fmt::format("no hall '{}' is configured", intent.hall.value()));
@@ -107,7 +107,7 @@
 tl::expected<bool, PlanError> apply(const DrainInstanceIntent &intent, json &document, Plan &plan,
                                     const std::optional<InstanceList> &instances)
 {
-    json *upstream = findNamed(document, "upstreams", "agent", intent.agent.value());
+    json *upstream = findElement(document, "upstreams", "agent", intent.agent.value());
     if (upstream == nullptr) {
         return failure(
             PlanError::Kind::UnknownName,
@@ -132,7 +132,7 @@
 tl::expected<bool, PlanError> apply(const ModelVersionIntent &intent, json &document, Plan &plan,
                                     const std::optional<InstanceList> &instances)
 {
-    json *model = findNamed(document, "models", "name", intent.model.value());
+    json *model = findElement(document, "models", "name", intent.model.value());
     if (model == nullptr) {
         return failure(PlanError::Kind::UnknownName,
                        fmt::format("no model '{}' is configured", intent.model.value()));
