--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -66,7 +66,7 @@
 }
 
 // What taking `lost` out of `all` serving replicas costs.
-double partOf(std::uint32_t lost, std::uint32_t all)
+double lostFraction(std::uint32_t lost, std::uint32_t all)
 {
     return all == 0 ? 0.0 : static_cast<double>(lost) / all;
 }
@@ -99,7 +99,7 @@
         const std::uint32_t lost = countAgents(instances, name, intent.hall);
         const std::uint32_t all = countAgents(instances, name, std::nullopt);
         plan.cost.replicas += lost;
-        plan.cost.capacityLostPart = std::max(plan.cost.capacityLostPart, partOf(lost, all));
+        plan.cost.capacityLostPart = std::max(plan.cost.capacityLostPart, lostFraction(lost, all));
     }
     return setField(*hall, "draining", intent.draining, "hall " + intent.hall.value(), plan);
 }
@@ -120,7 +120,7 @@
                 if (record.id == intent.agent) {
                     const auto all = countAgents(instances, target, std::nullopt);
                     plan.cost.capacityLostPart =
-                        std::max(plan.cost.capacityLostPart, partOf(1, all));
+                        std::max(plan.cost.capacityLostPart, lostFraction(1, all));
                 }
             }
         }
@@ -144,7 +144,7 @@
     plan.cost.replicas = replicas;
     plan.cost.movedGigabytes = model->value("weightGb", 0.0) * replicas;
     plan.cost.weightStoreSeconds = plan.cost.movedGigabytes / rate;
-    plan.cost.capacityLostPart = partOf(std::min<std::uint32_t>(atOnce, 1), replicas);
+    plan.cost.capacityLostPart = lostFraction(std::min<std::uint32_t>(atOnce, 1), replicas);
     plan.cost.rounds = replicas;
     if (replicas > 0 && atOnce == 0) {
         plan.changes.push_back(fmt::format("warning: minServing {} leaves no replica of {} to be "
