--- a/src/config/versioneddocument.cpp
+++ b/src/config/versioneddocument.cpp
@@ -113,9 +113,8 @@
     if (version >= version_) {
         return std::nullopt;
     }
-    const auto first =
-        std::find_if(differences_.begin(), differences_.end(),
-                     [version](const Difference &each) { return each.from == version; });
+    const auto first = std::find_if(differences_.begin(), differences_.end(),
+                                    [version](const Delta &each) { return each.from == version; });
     const std::string whole = document_.dump();
     if (version != 0 && first != differences_.end()) {
         json chain = json::array();
--- a/src/config/versioneddocument.h
+++ b/src/config/versioneddocument.h
@@ -62,7 +62,7 @@
     const nlohmann::json &document() const { return document_; }
 
 private:
-    struct Difference
+    struct Delta
     {
         std::uint64_t from = 0;
         std::uint64_t to = 0;
@@ -76,7 +76,7 @@
     std::uint64_t version_ = 0;
     std::uint64_t digest_ = 0;
     std::uint64_t floor_ = 0;
-    std::deque<Difference> differences_;
+    std::deque<Delta> differences_;
 };
 
 } // namespace seamarch
