--- a/src/config/versioneddocument.cpp
+++ b/src/config/versioneddocument.cpp
@@ -79,9 +79,9 @@
     if (version_ == 0) {
         return;
     }
-    differences_.push_back({version_, version, json::diff(document_, next)});
-    if (differences_.size() > kMaxDifferences) {
-        differences_.pop_front();
+    deltas_.push_back({version_, version, json::diff(document_, next)});
+    if (deltas_.size() > kMaxDifferences) {
+        deltas_.pop_front();
     }
 }
 
@@ -113,12 +113,12 @@
     if (version >= version_) {
         return std::nullopt;
     }
-    const auto first = std::find_if(differences_.begin(), differences_.end(),
+    const auto first = std::find_if(deltas_.begin(), deltas_.end(),
                                     [version](const Delta &each) { return each.from == version; });
     const std::string whole = document_.dump();
-    if (version != 0 && first != differences_.end()) {
+    if (version != 0 && first != deltas_.end()) {
         json chain = json::array();
-        for (auto each = first; each != differences_.end(); ++each) {
+        for (auto each = first; each != deltas_.end(); ++each) {
             chain.insert(chain.end(), each->patch.begin(), each->patch.end());
         }
         std::string text = chain.dump();
--- a/src/config/versioneddocument.h
+++ b/src/config/versioneddocument.h
@@ -76,7 +76,7 @@
     std::uint64_t version_ = 0;
     std::uint64_t digest_ = 0;
     std::uint64_t floor_ = 0;
-    std::deque<Delta> differences_;
+    std::deque<Delta> deltas_;
 };
 
 } // namespace seamarch
