--- a/src/config/versioneddocument.cpp
+++ b/src/config/versioneddocument.cpp
@@ -10,7 +10,7 @@
 using nlohmann::json;
 
 // Enough for a peer that was paused through a burst of changes; older peers take the whole.
-constexpr std::size_t kMaxDifferences = 16;
+constexpr std::size_t kMaxDeltas = 16;
 // A chain of differences beyond this part of the whole document saves nothing.
 constexpr std::size_t kWorthwhilePart = 2;
 
@@ -80,7 +80,7 @@
         return;
     }
     deltas_.push_back({version_, version, json::diff(document_, next)});
-    if (deltas_.size() > kMaxDifferences) {
+    if (deltas_.size() > kMaxDeltas) {
         deltas_.pop_front();
     }
 }
