--- a/src/config/versioneddocument.cpp
+++ b/src/config/versioneddocument.cpp
@@ -12,7 +12,7 @@
 // Enough for a peer that was paused through a burst of changes; older peers take the whole.
 constexpr std::size_t kMaxDeltas = 16;
 // A chain of differences beyond this part of the whole document saves nothing.
-constexpr std::size_t kWorthwhilePart = 2;
+constexpr std::size_t kDeltaSizeDivisor = 2;
 
 std::uint64_t versionOf(const json &document)
 {
@@ -122,7 +122,7 @@
             chain.insert(chain.end(), each->patch.begin(), each->patch.end());
         }
         std::string text = chain.dump();
-        if (text.size() < whole.size() / kWorthwhilePart) {
+        if (text.size() < whole.size() / kDeltaSizeDivisor) {
             return VersionedUpdate{version, version_, digest_, std::move(text)};
         }
     }
