--- a/src/config/versioneddocument.cpp
+++ b/src/config/versioneddocument.cpp
@@ -66,7 +66,7 @@
     if (version == version_) {
         return document == document_ ? UpdateResult::Stale : UpdateResult::Conflict;
     }
-    remember(document, version);
+    recordDelta(document, version);
     document_ = std::move(document);
     version_ = version;
     digest_ = documentDigest(document_);
@@ -74,7 +74,7 @@
     return UpdateResult::Applied;
 }
 
-void VersionedDocument::remember(const json &next, std::uint64_t version)
+void VersionedDocument::recordDelta(const json &next, std::uint64_t version)
 {
     if (version_ == 0) {
         return;
--- a/src/config/versioneddocument.h
+++ b/src/config/versioneddocument.h
@@ -70,7 +70,7 @@
     };
 
     UpdateResult replace(nlohmann::json document, std::uint64_t version);
-    void remember(const nlohmann::json &next, std::uint64_t version);
+    void recordDelta(const nlohmann::json &next, std::uint64_t version);
 
     nlohmann::json document_;
     std::uint64_t version_ = 0;
