--- a/src/config/versioneddocument.cpp
+++ b/src/config/versioneddocument.cpp
@@ -115,18 +115,18 @@
     }
     const auto first = std::find_if(deltas_.begin(), deltas_.end(),
                                     [version](const Delta &each) { return each.from == version; });
-    const std::string whole = document_.dump();
+    const std::string fullText = document_.dump();
     if (version != 0 && first != deltas_.end()) {
         json chain = json::array();
         for (auto each = first; each != deltas_.end(); ++each) {
             chain.insert(chain.end(), each->patch.begin(), each->patch.end());
         }
         std::string text = chain.dump();
-        if (text.size() < whole.size() / kDeltaSizeDivisor) {
+        if (text.size() < fullText.size() / kDeltaSizeDivisor) {
             return VersionedUpdate{version, version_, digest_, std::move(text)};
         }
     }
-    return VersionedUpdate{0, version_, digest_, whole};
+    return VersionedUpdate{0, version_, digest_, fullText};
 }
 
 void VersionedDocument::raiseFloor(std::uint64_t version)
