--- a/src/config/versioneddocument.cpp
+++ b/src/config/versioneddocument.cpp
@@ -53,7 +53,7 @@
 {
     const std::uint64_t version = versionOf(document);
     if (version == 0) {
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     return replace(std::move(document), version);
 }
@@ -96,14 +96,14 @@
     }
     auto payload = parse(update.payload);
     if (!payload) {
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     auto document = update.from == 0 ? std::move(payload) : applyPatch(document_, *payload);
     if (!document) {
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     if (versionOf(*document) != update.to || documentDigest(*document) != update.digest) {
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     return replace(std::move(*document), update.to);
 }
--- a/src/config/versioneddocument.h
+++ b/src/config/versioneddocument.h
@@ -32,7 +32,7 @@
     Applied,  // The held version is now `to`.
     Stale,    // Not higher than the held version; dropped.
     Gap,      // The difference starts elsewhere; ask for the whole document.
-    Damaged,  // Not JSON, or the digest does not match; dropped.
+    Corrupt,  // Not JSON, or the digest does not match; dropped.
     Conflict, // Same version, other content: two documents were published under one version.
 };
 
--- a/src/knowledge/knowledge.cpp
+++ b/src/knowledge/knowledge.cpp
@@ -30,7 +30,7 @@
     if (!document) {
         logLine(LogLevel::Error, "config.refused",
                 {{"version", next.version()}, {"faults", describe(document.error())}});
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     config_ = std::move(next);
     configDocument_ = std::move(*document);
@@ -61,7 +61,7 @@
     if (!list) {
         logLine(LogLevel::Error, "instances.refused",
                 {{"version", next.version()}, {"faults", describe(list.error())}});
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     list_ = std::move(next);
     listConfirmedAt_.reset();
@@ -77,7 +77,7 @@
     auto value = parseJson(text);
     if (!value) {
         logLine(LogLevel::Error, "config.refused", {{"faults", describe(value.error())}});
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     return takeConfig(config_,
                       [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
@@ -88,7 +88,7 @@
     auto value = parseJson(text);
     if (!value) {
         logLine(LogLevel::Error, "instances.refused", {{"faults", describe(value.error())}});
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     return takeList(list_, [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
 }
--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -170,7 +170,7 @@
     VersionedUpdate update = *document.updateFor(0);
     update.payload[10] = 'x';
 
-    CHECK(peer.apply(update) == UpdateResult::Damaged);
+    CHECK(peer.apply(update) == UpdateResult::Corrupt);
     CHECK_EQUAL(0U, peer.version());
 }
 
