--- a/src/base/digest.cpp
+++ b/src/base/digest.cpp
@@ -21,7 +21,7 @@
     return hex;
 }
 
-std::uint64_t sha256Of(std::initializer_list<std::string_view> parts)
+std::uint64_t sha256Prefix(std::initializer_list<std::string_view> parts)
 {
     const std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> context(EVP_MD_CTX_new(),
                                                                           &EVP_MD_CTX_free);
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -321,8 +321,8 @@
     flight.streamed = context.streamed;
     flight.startedAt = loop_.now();
     flight.request.digest =
-        RequestDigest(sha256Of({flight.payload.method, flight.payload.path,
-                                flight.request.account.value(), flight.payload.body}));
+        RequestDigest(sha256Prefix({flight.payload.method, flight.payload.path,
+                                    flight.request.account.value(), flight.payload.body}));
     EntryActions actions;
     const RequestId id = core_.begin(flight.request, flight.startedAt, actions);
     metrics_.count("seamarch_requests_total", "received");
--- a/src/gateway/requestdigest.cpp
+++ b/src/gateway/requestdigest.cpp
@@ -8,7 +8,7 @@
 
 RequestDigest digestOf(const HttpRequest &request, const AccountId &account)
 {
-    return RequestDigest(sha256Of(
+    return RequestDigest(sha256Prefix(
         {request.method, request.header("host"), request.target, account.value(), request.body}));
 }
 
