--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -29,7 +29,7 @@
     AgentCore::Settings core;
     core.self = settings.instance;
     core.incarnation = incarnation;
-    core.seed = randomIdentity();
+    core.seed = randomNonzeroId();
     core.slots = settings.slots;
     core.keyHome.lease = settings.lease;
     return core;
@@ -178,7 +178,7 @@
 AgentService::AgentService(EventLoop &loop, AgentSettings settings)
     : loop_(loop)
     , settings_(std::move(settings))
-    , incarnation_(randomIdentity())
+    , incarnation_(randomNonzeroId())
     , metrics_(settings_.maxAccountSeries)
     , changes_(loop)
     , core_(coreSettings(settings_, incarnation_), loop.now())
--- a/src/base/digest.cpp
+++ b/src/base/digest.cpp
@@ -38,7 +38,7 @@
     return first;
 }
 
-std::uint64_t randomIdentity()
+std::uint64_t randomNonzeroId()
 {
     std::random_device device;
     constexpr unsigned kHalf = 32;
--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -16,6 +16,6 @@
 std::uint64_t sha256Prefix(std::initializer_list<std::string_view> parts);
 
 // Returns 64 bits from the operating system's random source, never zero.
-std::uint64_t randomIdentity();
+std::uint64_t randomNonzeroId();
 
 } // namespace seamarch
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -81,7 +81,7 @@
 EntryService::EntryService(EventLoop &loop, EntrySettings settings)
     : loop_(loop)
     , settings_(std::move(settings))
-    , incarnation_(randomIdentity())
+    , incarnation_(randomNonzeroId())
     , metrics_(settings_.maxAccountSeries)
     , changes_(loop)
     , filters_(makeCallerFilters(directory_))
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -377,7 +377,7 @@
     GroupDecider::Settings settings;
     settings.group = ownGroup_;
     settings.ownRank = *ownRank_;
-    settings.seed = randomIdentity();
+    settings.seed = randomNonzeroId();
     settings.fenceFloor = static_cast<std::uint64_t>(wallNow() / kFenceUnit);
     if (lowerRankDecider_) {
         settings.predecessorLastSeenAt = lowerRankDecider_->lastQueryAt;
@@ -392,7 +392,7 @@
     StoreWatcher::Settings watch;
     watch.longPollWait = kStoreWatchTimeout;
     watch.coalesceDelay = kStoreWatchBatchDelay;
-    watch.seed = randomIdentity();
+    watch.seed = randomNonzeroId();
     StoreListener &storeListener = *this;
     storeWatcher_ = std::make_unique<StoreWatcher>(loop_, *client_, store_, storeListener, watch);
     storeWatcher_->start();
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -21,7 +21,7 @@
     : loop_(loop)
     , engineClient_(engineClient)
     , engine_(std::move(engine))
-    , choiceLedger_(randomIdentity())
+    , choiceLedger_(randomNonzeroId())
 {}
 
 OwnEngine::~OwnEngine()
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -24,11 +24,11 @@
     GatewayCore::Settings core;
     core.hall = settings.hall;
     core.regions = settings.regions;
-    core.seed = randomIdentity();
+    core.seed = randomNonzeroId();
     core.retries = retryLimits(settings.bounds);
     core.crashes.retention = settings.crashRetention;
-    core.crashes.seed = randomIdentity();
-    core.limits.firstVersion = randomIdentity() | 1U;
+    core.crashes.seed = randomNonzeroId();
+    core.limits.firstVersion = randomNonzeroId() | 1U;
     return core;
 }
 
--- a/src/gateway/statesynchronizer.cpp
+++ b/src/gateway/statesynchronizer.cpp
@@ -59,7 +59,7 @@
     , settings_(settings)
     , directory_(makeRecord(settings), GatewayDirectory::Settings())
     , startedAt_(loop.now())
-    , nextSeed_(randomIdentity())
+    , nextSeed_(randomNonzeroId())
 {}
 
 tl::expected<std::unique_ptr<StateSynchronizer>, NetError>
@@ -369,7 +369,7 @@
     watchSettings.longPollWait =
         peers_ == nullptr ? watchSettings.longPollWait : times().watchTimeout;
     watchSettings.coalesceDelay = settings_.storeCoalesceDelay;
-    watchSettings.seed = randomIdentity();
+    watchSettings.seed = randomNonzeroId();
     watcher_ = std::make_unique<StoreWatcher>(loop_, client_, store_, knowledge_, watchSettings);
     watcher_->start();
 }
