--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -95,7 +95,7 @@
     return true;
 }
 
-void tellDropped(std::int64_t millis)
+void reportDroppedLines(std::int64_t millis)
 {
     Sink &state = sink();
     if (state.dropped == 0 || state.queue.size() >= kMaxQueuedBytes / 2) {
@@ -126,7 +126,7 @@
     if (!admitLine(level, millis)) {
         return;
     }
-    tellDropped(millis);
+    reportDroppedLines(millis);
     appendLine(level, event, fields, millis);
     if (sink().queue.size() >= kBatchBytes) {
         flushLog();
