--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -47,7 +47,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-std::string dumped(const nlohmann::json &value)
+std::string toText(const nlohmann::json &value)
 {
     return value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
@@ -58,7 +58,7 @@
     if (!fields.is_object() || fields.empty()) {
         return {};
     }
-    std::string text = dumped(fields);
+    std::string text = toText(fields);
     text.front() = ',';
     text.pop_back();
     return text;
