--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t kBatchBytes = 4096;
 
 // The sink of a process. Single-threaded like everything else.
-struct Sink
+struct LogSink
 {
     LogLevel lowest = LogLevel::Info;
     std::string context; // The fields that every line carries, without braces.
@@ -35,9 +35,9 @@
     std::uint64_t dropped = 0;
 };
 
-Sink &sink()
+LogSink &sink()
 {
-    static Sink instance;
+    static LogSink instance;
     return instance;
 }
 
@@ -81,7 +81,7 @@
 bool admitLine(LogLevel level, std::int64_t millis)
 {
     constexpr std::int64_t kMillis = 1000;
-    Sink &state = sink();
+    LogSink &state = sink();
     if (state.second != millis / kMillis) {
         state.second = millis / kMillis;
         state.linesThisSecond = 0;
@@ -97,7 +97,7 @@
 
 void reportDroppedLines(std::int64_t millis)
 {
-    Sink &state = sink();
+    LogSink &state = sink();
     if (state.dropped == 0 || state.queue.size() >= kMaxQueuedBytes / 2) {
         return;
     }
