--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -27,7 +27,7 @@
 // The sink of a process. Single-threaded like everything else.
 struct LogSink
 {
-    LogLevel lowest = LogLevel::Info;
+    LogLevel minLevel = LogLevel::Info;
     std::string context; // The fields that every line carries, without braces.
     std::string queue;
     std::int64_t second = 0;
@@ -109,7 +109,7 @@
 
 void setLogLevel(LogLevel level)
 {
-    sink().lowest = level;
+    sink().minLevel = level;
 }
 
 void setLogContext(const nlohmann::json &fields)
@@ -119,7 +119,7 @@
 
 void logLine(LogLevel level, std::string_view event, const nlohmann::json &fields)
 {
-    if (level < sink().lowest) {
+    if (level < sink().minLevel) {
         return;
     }
     const std::int64_t millis = nowMillis();
