--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -86,8 +86,9 @@
         state.second = millis / kMillis;
         state.linesThisSecond = 0;
     }
-    const bool crowded = state.linesThisSecond >= kMaxLinesPerSecond && level < LogLevel::Warning;
-    if (crowded || state.queue.size() >= kMaxQueuedBytes) {
+    const bool rateExceeded =
+        state.linesThisSecond >= kMaxLinesPerSecond && level < LogLevel::Warning;
+    if (rateExceeded || state.queue.size() >= kMaxQueuedBytes) {
         ++state.dropped;
         return false;
     }
