--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -144,11 +144,11 @@
             break;
         }
         const std::size_t size = std::min(kWriteBytes, queue.size() - written);
-        const ssize_t taken = ::write(STDOUT_FILENO, queue.data() + written, size);
-        if (taken <= 0) {
+        const ssize_t bytesWritten = ::write(STDOUT_FILENO, queue.data() + written, size);
+        if (bytesWritten <= 0) {
             break;
         }
-        written += static_cast<std::size_t>(taken);
+        written += static_cast<std::size_t>(bytesWritten);
     }
     queue.erase(0, written);
 }
