--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -20,7 +20,7 @@
 // flood of successes leaves room for failures.
 constexpr std::uint64_t kMaxLinesPerSecond = 2000;
 // A pipe that polls as writable takes this much without blocking (POSIX PIPE_BUF).
-constexpr std::size_t kWriteBytes = 4096;
+constexpr std::size_t kMaxWriteBytes = 4096;
 // From here on lines are written at once; fewer wait for more, to save system calls.
 constexpr std::size_t kBatchBytes = 4096;
 
@@ -143,7 +143,7 @@
         if (poll(&target, 1, 0) != 1 || (target.revents & POLLOUT) == 0) {
             break;
         }
-        const std::size_t size = std::min(kWriteBytes, queue.size() - written);
+        const std::size_t size = std::min(kMaxWriteBytes, queue.size() - written);
         const ssize_t bytesWritten = ::write(STDOUT_FILENO, queue.data() + written, size);
         if (bytesWritten <= 0) {
             break;
