--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -22,7 +22,7 @@
 // A pipe that polls as writable takes this much without blocking (POSIX PIPE_BUF).
 constexpr std::size_t kMaxWriteBytes = 4096;
 // From here on lines are written at once; fewer wait for more, to save system calls.
-constexpr std::size_t kBatchBytes = 4096;
+constexpr std::size_t kFlushThresholdBytes = 4096;
 
 // The sink of a process. Single-threaded like everything else.
 struct LogSink
@@ -129,7 +129,7 @@
     }
     reportDroppedLines(millis);
     appendLine(level, event, fields, millis);
-    if (sink().queue.size() >= kBatchBytes) {
+    if (sink().queue.size() >= kFlushThresholdBytes) {
         flushLog();
     }
 }
