--- a/src/base/outcome.cpp
+++ b/src/base/outcome.cpp
@@ -74,7 +74,7 @@
     return kFailureTexts.at(static_cast<std::size_t>(code));
 }
 
-constexpr bool textsFollowTheEnumeration()
+constexpr bool textsMatchEnumeration()
 {
     for (std::size_t index = 0; index < kFailureTexts.size(); ++index) {
         if (static_cast<std::size_t>(kFailureTexts[index].code) != index) {
@@ -84,7 +84,7 @@
     return kFailureTexts.size() == static_cast<std::size_t>(FailureCode::NoUpstreamInRegions) + 1;
 }
 
-static_assert(textsFollowTheEnumeration(), "kFailureTexts lists each FailureCode once, in order");
+static_assert(textsMatchEnumeration(), "kFailureTexts lists each FailureCode once, in order");
 
 } // namespace
 
