--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -149,8 +149,9 @@
         const std::size_t comma = rest.find(',');
         const std::string_view pair = trim(rest.substr(0, comma));
         const std::size_t colon = pair.find(':');
-        const bool whole = colon != std::string_view::npos && colon > 0 && colon + 1 < pair.size();
-        if (!whole || !pairs.emplace(pair.substr(0, colon), pair.substr(colon + 1)).second) {
+        const bool wellFormed =
+            colon != std::string_view::npos && colon > 0 && colon + 1 < pair.size();
+        if (!wellFormed || !pairs.emplace(pair.substr(0, colon), pair.substr(colon + 1)).second) {
             fault(name, fmt::format("expected NAME:VALUE, each name once, found '{}'", pair));
         }
         rest.remove_prefix(comma == std::string_view::npos ? rest.size() : comma + 1);
@@ -188,8 +189,8 @@
     if (found) {
         const auto [end, error] =
             std::from_chars(found->data(), found->data() + found->size(), value);
-        const bool whole = error == std::errc() && end == found->data() + found->size();
-        if (!whole || !(value >= low && value <= high)) {
+        const bool wellFormed = error == std::errc() && end == found->data() + found->size();
+        if (!wellFormed || !(value >= low && value <= high)) {
             fault(name,
                   fmt::format("expected a number from {} to {}, found '{}'", low, high, *found));
             value = fallback;
