--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -57,7 +57,7 @@
     {}
 
     // Tells whether a setting has a value anywhere.
-    bool given(std::string_view name) const { return lookUp(name).has_value(); }
+    bool isSet(std::string_view name) const { return lookUp(name).has_value(); }
     std::string text(std::string_view name, std::optional<std::string> fallback = {});
     HostPort address(std::string_view name, std::optional<std::string> fallback = {});
     // Reads addresses that commas part.
--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -170,23 +170,23 @@
     settings.listen = toAddress(reader.address("listen"));
     settings.operatorListen = toAddress(reader.address("operator-listen"));
     settings.store = toAddress(reader.address("platform"));
-    if (reader.given("metrics-listen")) {
+    if (reader.isSet("metrics-listen")) {
         settings.metricsListen = toAddress(reader.address("metrics-listen"));
     }
-    if (reader.given("peer-listen")) {
+    if (reader.isSet("peer-listen")) {
         settings.peerListen = toAddress(reader.address("peer-listen"));
     }
-    if (reader.given("seeds")) {
+    if (reader.isSet("seeds")) {
         for (const HostPort &seed : reader.addresses("seeds")) {
             settings.seeds.push_back(toAddress(seed));
         }
     }
-    if (reader.given("hall-regions")) {
+    if (reader.isSet("hall-regions")) {
         for (const auto &[hall, region] : reader.pairs("hall-regions")) {
             settings.regions.emplace(HallId(hall), RegionId(region));
         }
     }
-    if (reader.given("agent-port")) {
+    if (reader.isSet("agent-port")) {
         constexpr std::uint64_t kLastPort = 65'535;
         settings.agentPort = static_cast<int>(reader.integer("agent-port", 1, kLastPort, 1));
     }
@@ -212,7 +212,7 @@
     settings.linkBytesPerSecond = kBytesPerMegabit
                                   * reader.number("link-mbps", 0.1, kMostMegabits,
                                                   settings.linkBytesPerSecond / kBytesPerMegabit);
-    if (reader.given("metrics-listen")) {
+    if (reader.isSet("metrics-listen")) {
         settings.metricsListen = toAddress(reader.address("metrics-listen"));
     }
     return settings;
