--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -18,10 +18,10 @@
 
 Metrics::Metrics(std::size_t maxAccounts)
     : registry_(std::make_shared<prometheus::Registry>())
-    , seconds_(prometheus::BuildHistogram()
-                   .Name("seamarch_request_seconds")
-                   .Help("Seconds spent in each stage of a request.")
-                   .Register(*registry_))
+    , requestSeconds_(prometheus::BuildHistogram()
+                          .Name("seamarch_request_seconds")
+                          .Help("Seconds spent in each stage of a request.")
+                          .Register(*registry_))
     , maxAccounts_(maxAccounts)
 {}
 
@@ -45,10 +45,10 @@
     auto found = histograms_.find(key);
     if (found == histograms_.end()) {
         prometheus::Histogram &added =
-            seconds_.Add({{"stage", kStageNames.at(static_cast<std::size_t>(stage))},
-                          {"account", key.account},
-                          {"class", key.requestClass}},
-                         kBuckets);
+            requestSeconds_.Add({{"stage", kStageNames.at(static_cast<std::size_t>(stage))},
+                                 {"account", key.account},
+                                 {"class", key.requestClass}},
+                                kBuckets);
         found = histograms_.emplace(std::move(key), &added).first;
     }
     found->second->Observe(toSeconds(duration));
--- a/src/observe/metrics.h
+++ b/src/observe/metrics.h
@@ -54,7 +54,7 @@
     const std::string &accountLabel(const AccountId &account);
 
     std::shared_ptr<prometheus::Registry> registry_;
-    prometheus::Family<prometheus::Histogram> &seconds_;
+    prometheus::Family<prometheus::Histogram> &requestSeconds_;
     std::size_t maxAccounts_;
     std::map<AccountId, std::string> accounts_;
     std::map<SeriesKey, prometheus::Histogram *> histograms_;
