--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -28,14 +28,14 @@
 const std::string &Metrics::accountLabel(const AccountId &account)
 {
     static const std::string kOther = "other";
-    const auto found = accounts_.find(account);
-    if (found != accounts_.end()) {
+    const auto found = accountLabels_.find(account);
+    if (found != accountLabels_.end()) {
         return found->second;
     }
-    if (accounts_.size() >= maxAccounts_) {
+    if (accountLabels_.size() >= maxAccounts_) {
         return kOther;
     }
-    return accounts_.emplace(account, account.value()).first->second;
+    return accountLabels_.emplace(account, account.value()).first->second;
 }
 
 void Metrics::observe(Stage stage, const AccountId &account, std::string_view requestClass,
--- a/src/observe/metrics.h
+++ b/src/observe/metrics.h
@@ -56,7 +56,7 @@
     std::shared_ptr<prometheus::Registry> registry_;
     prometheus::Family<prometheus::Histogram> &requestSeconds_;
     std::size_t maxAccounts_;
-    std::map<AccountId, std::string> accounts_;
+    std::map<AccountId, std::string> accountLabels_;
     std::map<SeriesKey, prometheus::Histogram *> histograms_;
     std::map<std::string, prometheus::Family<prometheus::Counter> *, std::less<>> counters_;
     std::map<std::string, prometheus::Gauge *, std::less<>> gauges_;
