--- a/src/observe/metrics.h
+++ b/src/observe/metrics.h
@@ -39,7 +39,7 @@
 
     // Returns all metrics as text.
     std::string text() const;
-    std::size_t histograms() const { return histograms_.size(); }
+    std::size_t histogramCount() const { return histograms_.size(); }
 
 private:
     struct SeriesKey
