--- a/src/config/versioneddocument.cpp
+++ b/src/config/versioneddocument.cpp
@@ -117,11 +117,11 @@
                                     [version](const Delta &each) { return each.from == version; });
     const std::string fullText = document_.dump();
     if (version != 0 && first != deltas_.end()) {
-        json chain = json::array();
+        json combinedPatch = json::array();
         for (auto each = first; each != deltas_.end(); ++each) {
-            chain.insert(chain.end(), each->patch.begin(), each->patch.end());
+            combinedPatch.insert(combinedPatch.end(), each->patch.begin(), each->patch.end());
         }
-        std::string text = chain.dump();
+        std::string text = combinedPatch.dump();
         if (text.size() < fullText.size() / kDeltaSizeDivisor) {
             return VersionedUpdate{version, version_, digest_, std::move(text)};
         }
