--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -279,7 +279,7 @@
         decided.ticket = parseTicket(toString(call.getTicket()));
     }
     AgentActions actions;
-    const AdmissionResult verdict = core_.onCall(decided, loop_.now(), wallNow(), actions);
+    const AdmissionResult verdict = core_.onCall(decided, loop_.now(), wallClockNow(), actions);
     metrics_.count("seamarch_agent_calls_total",
                    verdict.accepted ? "accepted" : toString(verdict.failure));
     if (!verdict.accepted) {
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -124,7 +124,7 @@
         return;
     }
     if (context_.core.onGrantRequest(set, now)) {
-        context_.core.onGranted(context_.self, set, now, now, wallNow());
+        context_.core.onGranted(context_.self, set, now, now, wallClockNow());
     }
     for (const auto &[member, link] : links_) {
         ask(member, *link);
@@ -145,7 +145,7 @@
     tasks_.add(request.send().then(
         [this, member, set, askedAt](capnp::Response<wire::Agent::GrantResults> &&answer) {
             if (answer.getGranted()) {
-                context_.core.onGranted(member, set, askedAt, context_.loop.now(), wallNow());
+                context_.core.onGranted(member, set, askedAt, context_.loop.now(), wallClockNow());
             }
         },
         [](kj::Exception && /*error*/) {}));
--- a/src/base/wallclock.h
+++ b/src/base/wallclock.h
@@ -6,7 +6,7 @@
 namespace seamarch {
 
 // Returns milliseconds since the Unix epoch.
-inline std::chrono::milliseconds wallNow()
+inline std::chrono::milliseconds wallClockNow()
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
--- a/src/experts/expertagent.cpp
+++ b/src/experts/expertagent.cpp
@@ -378,7 +378,7 @@
     settings.group = ownGroup_;
     settings.ownRank = *ownRank_;
     settings.seed = randomNonzeroId();
-    settings.fenceFloor = static_cast<std::uint64_t>(wallNow() / kFenceUnit);
+    settings.fenceFloor = static_cast<std::uint64_t>(wallClockNow() / kFenceUnit);
     if (lowerRankDecider_) {
         settings.predecessorLastSeenAt = lowerRankDecider_->lastQueryAt;
     }
