--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -220,7 +220,7 @@
     const double histogram = bytesEach(1200, [](int count) {
         auto metrics = std::make_unique<Metrics>(static_cast<std::size_t>(count));
         for (int each = 0; each < count; ++each) {
-            metrics->observe(Stage::Total, AccountId(fmt::format("account-{}", each)), "p0",
+            metrics->observe(RequestStage::Total, AccountId(fmt::format("account-{}", each)), "p0",
                              std::chrono::milliseconds(5));
         }
         return metrics;
--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -333,7 +333,7 @@
         return;
     }
     Job &job = found->second;
-    metrics_.observe(Stage::QueueWait, job.account, "all", loop_.now() - job.arrivedAt);
+    metrics_.observe(RequestStage::QueueWait, job.account, "all", loop_.now() - job.arrivedAt);
     job.httpCall =
         client_->call(std::move(job.call), std::make_unique<UpstreamReceiver>(*this, action.id));
     job.call = HttpCallRequest();
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -550,7 +550,7 @@
 {
     const TimePoint now = loop_.now();
     const bool first = flight.lastPieceAt == TimePoint{};
-    const Stage stage = first ? Stage::FirstToken : Stage::BetweenTokens;
+    const RequestStage stage = first ? RequestStage::FirstToken : RequestStage::BetweenTokens;
     const TimePoint since = first ? flight.startedAt : flight.lastPieceAt;
     metrics_.observe(stage, flight.request.account, flight.requestClass, now - since);
     flight.lastPieceAt = now;
@@ -579,7 +579,7 @@
     }
     if (part.getEnd()) {
         server_->finish(flight.exchange);
-        metrics_.observe(Stage::Total, flight.request.account, flight.requestClass,
+        metrics_.observe(RequestStage::Total, flight.request.account, flight.requestClass,
                          loop_.now() - flight.startedAt);
         metrics_.count("seamarch_requests_total", "answered");
         ++answered_;
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -274,7 +274,7 @@
     const ActiveRequest &active = found->second;
     const TimePoint now = loop_.now();
     metrics_.count("seamarch_requests_total", result);
-    metrics_.observe(Stage::Total, active.admitted.account, active.admitted.route->name,
+    metrics_.observe(RequestStage::Total, active.admitted.account, active.admitted.route->name,
                      now - active.startedAt);
     logLine(LogLevel::Info, "request.ended",
             {{"id", active.facts.requestId},
--- a/src/gateway/gatewayserviceattempts.cpp
+++ b/src/gateway/gatewayserviceattempts.cpp
@@ -258,8 +258,8 @@
     }
     const TimePoint now = loop_.now();
     const bool first = active.lastEventAt == TimePoint{};
-    metrics_.observe(first ? Stage::FirstToken : Stage::BetweenTokens, active.admitted.account,
-                     active.admitted.route->name,
+    metrics_.observe(first ? RequestStage::FirstToken : RequestStage::BetweenTokens,
+                     active.admitted.account, active.admitted.route->name,
                      now - (first ? active.startedAt : active.lastEventAt));
     if (first) {
         active.firstEventAt = now;
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -38,7 +38,7 @@
     return accountLabels_.emplace(account, account.value()).first->second;
 }
 
-void Metrics::observe(Stage stage, const AccountId &account, std::string_view requestClass,
+void Metrics::observe(RequestStage stage, const AccountId &account, std::string_view requestClass,
                       Duration duration)
 {
     SeriesKey key{stage, accountLabel(account), std::string(requestClass)};
--- a/src/observe/metrics.h
+++ b/src/observe/metrics.h
@@ -22,7 +22,7 @@
 namespace seamarch {
 
 // What is timed for each account and class.
-enum class Stage { QueueWait, FirstToken, BetweenTokens, Total };
+enum class RequestStage { QueueWait, FirstToken, BetweenTokens, Total };
 
 class Metrics
 {
@@ -31,7 +31,7 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
-    void observe(Stage stage, const AccountId &account, std::string_view requestClass,
+    void observe(RequestStage stage, const AccountId &account, std::string_view requestClass,
                  Duration duration);
     // Counts an event, such as an answered request, under a label.
     void count(std::string_view name, std::string_view label, double amount = 1.0);
@@ -44,7 +44,7 @@
 private:
     struct SeriesKey
     {
-        Stage stage;
+        RequestStage stage;
         std::string account;
         std::string requestClass;
 
