--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -56,13 +56,13 @@
     if (!instances) {
         return 0;
     }
-    const auto counts = [&](const InstanceRecord &record) {
+    const auto servesTarget = [&](const InstanceRecord &record) {
         const auto &serves = record.serves;
         return record.role == InstanceRole::Agent && (!hall || record.hall == *hall)
                && std::find(serves.begin(), serves.end(), target) != serves.end();
     };
     return static_cast<std::uint32_t>(
-        std::count_if(instances->instances.begin(), instances->instances.end(), counts));
+        std::count_if(instances->instances.begin(), instances->instances.end(), servesTarget));
 }
 
 // What taking `lost` out of `all` serving replicas costs.
