--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -213,21 +213,21 @@
                        fmt::format("expected the digest {}, found {}; look at the plan again",
                                    formatDigest(plan.digest), formatDigest(digest)));
     }
-    const auto now = readConfig(current);
-    if (!now) {
-        return failure(PlanError::Kind::Invalid, describe(now.error()));
+    const auto currentConfig = readConfig(current);
+    if (!currentConfig) {
+        return failure(PlanError::Kind::Invalid, describe(currentConfig.error()));
     }
     if (documentDigest(current) != plan.baseDigest) {
         return failure(PlanError::Kind::BaseChanged,
                        fmt::format("planned on version {}, but the configuration is now at version "
                                    "{}; plan again",
-                                   plan.baseVersion, now->version.value()));
+                                   plan.baseVersion, currentConfig->version.value()));
     }
     const auto next = readConfig(plan.document);
     if (!next) {
         return failure(PlanError::Kind::Invalid, describe(next.error()));
     }
-    const ConfigFaults faults = transitionFaults(*now, *next);
+    const ConfigFaults faults = transitionFaults(*currentConfig, *next);
     if (!faults.empty()) {
         return failure(PlanError::Kind::Invalid, describe(faults));
     }
