--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -139,14 +139,14 @@
     }
     const std::uint32_t replicas = countAgents(instances, intent.model, std::nullopt);
     const std::uint32_t floor = model->value("minServing", 1U);
-    const std::uint32_t atOnce = replicas > floor ? replicas - floor : 0;
+    const std::uint32_t reloadable = replicas > floor ? replicas - floor : 0;
     const double rate = document.value("weightStoreGbPerSecond", 1.0);
     plan.cost.replicas = replicas;
     plan.cost.movedGigabytes = model->value("weightGb", 0.0) * replicas;
     plan.cost.weightStoreSeconds = plan.cost.movedGigabytes / rate;
-    plan.cost.capacityLostPart = lostFraction(std::min<std::uint32_t>(atOnce, 1), replicas);
+    plan.cost.capacityLostPart = lostFraction(std::min<std::uint32_t>(reloadable, 1), replicas);
     plan.cost.rounds = replicas;
-    if (replicas > 0 && atOnce == 0) {
+    if (replicas > 0 && reloadable == 0) {
         plan.changes.push_back(fmt::format("warning: minServing {} leaves no replica of {} to be "
                                            "reloaded; nothing will move",
                                            floor, intent.model.value()));
