--- a/src/base/digest.cpp
+++ b/src/base/digest.cpp
@@ -41,8 +41,8 @@
 std::uint64_t randomNonzeroId()
 {
     std::random_device device;
-    constexpr unsigned kHalf = 32;
-    const std::uint64_t value = (static_cast<std::uint64_t>(device()) << kHalf) | device();
+    constexpr unsigned kHalfBits = 32;
+    const std::uint64_t value = (static_cast<std::uint64_t>(device()) << kHalfBits) | device();
     return value == 0 ? 1 : value;
 }
 
