--- a/src/base/digest.cpp
+++ b/src/base/digest.cpp
@@ -33,9 +33,9 @@
     }
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
     EVP_DigestFinal_ex(context.get(), digest.data(), nullptr);
-    std::uint64_t first = 0;
-    std::memcpy(&first, digest.data(), sizeof(first));
-    return first;
+    std::uint64_t prefix = 0;
+    std::memcpy(&prefix, digest.data(), sizeof(prefix));
+    return prefix;
 }
 
 std::uint64_t randomNonzeroId()
