--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -30,7 +30,7 @@
     LogLevel minLevel = LogLevel::Info;
     std::string context; // The fields that every line carries, without braces.
     std::string queue;
-    std::int64_t second = 0;
+    std::int64_t currentSecond = 0;
     std::uint64_t linesThisSecond = 0;
     std::uint64_t dropped = 0;
 };
@@ -82,8 +82,8 @@
 {
     constexpr std::int64_t kMillis = 1000;
     LogSink &state = sink();
-    if (state.second != millis / kMillis) {
-        state.second = millis / kMillis;
+    if (state.currentSecond != millis / kMillis) {
+        state.currentSecond = millis / kMillis;
         state.linesThisSecond = 0;
     }
     const bool rateExceeded =
