--- a/src/config/parse.cpp
+++ b/src/config/parse.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kDigestLength = 64;
 constexpr std::uint64_t kMaxPort = 65535;
 
-bool isDigest(const std::string &text)
+bool isSha256Hex(const std::string &text)
 {
     const auto isHex = [](char letter) {
         return (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'f');
@@ -98,7 +98,7 @@
     account.keyDigests = readStrings(reader.array("keySha256", Presence::Optional),
                                      reader.pathOf("keySha256"), faults);
     for (std::size_t index = 0; index < account.keyDigests.size(); ++index) {
-        if (!isDigest(account.keyDigests[index])) {
+        if (!isSha256Hex(account.keyDigests[index])) {
             faults.push_back({elementPath(reader.pathOf("keySha256"), index),
                               "expected 64 lower-case hexadecimal digits; see 'seamarch digest'"});
         }
