--- a/src/config/parse.cpp
+++ b/src/config/parse.cpp
@@ -18,7 +18,7 @@
 constexpr std::uint64_t kMaxDeadlineMs = 24ULL * 3600 * 1000;
 constexpr std::uint64_t kMaxDistanceUs = 10'000'000;
 constexpr std::uint64_t kMaxVersion = (1ULL << 53U) - 1;
-constexpr std::size_t kDigestLength = 64;
+constexpr std::size_t kSha256HexLength = 64;
 constexpr std::uint64_t kMaxPort = 65535;
 
 bool isSha256Hex(const std::string &text)
@@ -26,7 +26,7 @@
     const auto isHex = [](char letter) {
         return (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'f');
     };
-    return text.size() == kDigestLength && std::all_of(text.begin(), text.end(), isHex);
+    return text.size() == kSha256HexLength && std::all_of(text.begin(), text.end(), isHex);
 }
 
 bool isIpv4Address(const std::string &text)
