--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Returns the path of the only fault, or all faults when there is not just one.
-std::string onlyFault(const std::string &text)
+std::string singleFaultPath(const std::string &text)
 {
     const auto parsed = parseConfig(text);
     if (parsed) {
@@ -42,14 +42,15 @@
 
 TEST(ParseTest, NamesTheFieldThatIsUnknown)
 {
-    STRCMP_EQUAL("accounts[0].shares",
-                 onlyFault(R"({"version": 1, "accounts": [{"id": "a", "shares": 2}]})").c_str());
+    STRCMP_EQUAL(
+        "accounts[0].shares",
+        singleFaultPath(R"({"version": 1, "accounts": [{"id": "a", "shares": 2}]})").c_str());
 }
 
 TEST(ParseTest, NamesTheFieldThatIsMissing)
 {
     STRCMP_EQUAL("models[0].version",
-                 onlyFault(R"({"version": 1, "models": [{"name": "bid"}]})").c_str());
+                 singleFaultPath(R"({"version": 1, "models": [{"name": "bid"}]})").c_str());
 }
 
 TEST(ParseTest, ReportsAllFaultsAtOnce)
@@ -62,20 +63,20 @@
 
 TEST(ParseTest, RefusesAVersionThatDoesNotFollowItsBase)
 {
-    STRCMP_EQUAL("base", onlyFault(R"({"version": 12, "base": 10})").c_str());
+    STRCMP_EQUAL("base", singleFaultPath(R"({"version": 12, "base": 10})").c_str());
 }
 
 TEST(ParseTest, RefusesAHomeHallThatIsNotListed)
 {
     STRCMP_EQUAL(
         "accounts[0].homeHall",
-        onlyFault(R"({"version": 1, "accounts": [{"id": "a", "homeHall": "x"}]})").c_str());
+        singleFaultPath(R"({"version": 1, "accounts": [{"id": "a", "homeHall": "x"}]})").c_str());
 }
 
 TEST(ParseTest, RefusesWhatIsNoJson)
 {
-    STRCMP_EQUAL("", onlyFault("{").c_str());
-    STRCMP_EQUAL("", onlyFault(std::string(kMaxDocumentBytes + 1, ' ')).c_str());
+    STRCMP_EQUAL("", singleFaultPath("{").c_str());
+    STRCMP_EQUAL("", singleFaultPath(std::string(kMaxDocumentBytes + 1, ' ')).c_str());
 }
 
 TEST(ParseTest, RefusesHostNamesInTheInstanceList)
