--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -22,7 +22,7 @@
 
 TEST_GROUP(ParseTest){};
 
-TEST(ParseTest, ReadsAWholeDocument)
+TEST(ParseTest, ParsesCompleteDocument)
 {
     const auto parsed = parseConfig(R"({"version": 2, "base": 1,
         "halls": [{"id": "north", "region": "centre", "distanceUs": {"south": 1500}}],
