--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -40,7 +40,7 @@
     CHECK_FALSE(parsed->services.front().routes.front().repeatable);
 }
 
-TEST(ParseTest, NamesTheFieldThatIsUnknown)
+TEST(ParseTest, ReportsPathOfUnknownField)
 {
     STRCMP_EQUAL(
         "accounts[0].shares",
