--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -47,7 +47,7 @@
         singleFaultPath(R"({"version": 1, "accounts": [{"id": "a", "shares": 2}]})").c_str());
 }
 
-TEST(ParseTest, NamesTheFieldThatIsMissing)
+TEST(ParseTest, ReportsPathOfMissingField)
 {
     STRCMP_EQUAL("models[0].version",
                  singleFaultPath(R"({"version": 1, "models": [{"name": "bid"}]})").c_str());
