--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -61,7 +61,7 @@
     CHECK_EQUAL(5U, parsed.error().size());
 }
 
-TEST(ParseTest, RefusesAVersionThatDoesNotFollowItsBase)
+TEST(ParseTest, RejectsVersionThatIsNotBasePlusOne)
 {
     STRCMP_EQUAL("base", singleFaultPath(R"({"version": 12, "base": 10})").c_str());
 }
