--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -66,7 +66,7 @@
     STRCMP_EQUAL("base", singleFaultPath(R"({"version": 12, "base": 10})").c_str());
 }
 
-TEST(ParseTest, RefusesAHomeHallThatIsNotListed)
+TEST(ParseTest, RejectsUnlistedHomeHall)
 {
     STRCMP_EQUAL(
         "accounts[0].homeHall",
