--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -73,7 +73,7 @@
         singleFaultPath(R"({"version": 1, "accounts": [{"id": "a", "homeHall": "x"}]})").c_str());
 }
 
-TEST(ParseTest, RefusesWhatIsNoJson)
+TEST(ParseTest, RejectsInvalidOrOversizedText)
 {
     STRCMP_EQUAL("", singleFaultPath("{").c_str());
     STRCMP_EQUAL("", singleFaultPath(std::string(kMaxDocumentBytes + 1, ' ')).c_str());
