--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -79,7 +79,7 @@
     STRCMP_EQUAL("", singleFaultPath(std::string(kMaxDocumentBytes + 1, ' ')).c_str());
 }
 
-TEST(ParseTest, RefusesHostNamesInTheInstanceList)
+TEST(ParseTest, RejectsHostNameInInstanceList)
 {
     const auto value = parseJson(R"({"version": 1, "instances": [{"id": "a", "role": "agent",
         "hall": "north", "address": "example.org", "port": 1}]})");
