--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -29,7 +29,7 @@
     }
 };
 
-TEST(PlanTest, ChangesAShareAndNothingElse)
+TEST(PlanTest, ChangesOnlyTheShare)
 {
     const auto plan = makePlan(base, ShareIntent{AccountId("bids"), 4.0}, std::nullopt);
 
