--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -39,7 +39,7 @@
     CHECK_EQUAL(3U, plan->document["base"].get<std::uint64_t>());
 }
 
-TEST(PlanTest, TellsWhatAModelVersionCosts)
+TEST(PlanTest, EstimatesCostOfModelVersionChange)
 {
     const auto plan = makePlan(base, ModelVersionIntent{TargetName("bid"), "v2"}, threeReplicas());
 
