--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -48,7 +48,7 @@
     DOUBLES_EQUAL(1.0 / 3.0, plan->cost.capacityLostPart, 1e-9);
 }
 
-TEST(PlanTest, RefusesWhatIsNotConfigured)
+TEST(PlanTest, RejectsUnknownHall)
 {
     const auto plan = makePlan(base, DrainHallIntent{HallId("south"), true}, std::nullopt);
 
