--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -55,7 +55,7 @@
     CHECK(plan.error().kind == PlanError::Kind::UnknownName);
 }
 
-TEST(PlanTest, RefusesToChangeNothing)
+TEST(PlanTest, RejectsIntentWithoutChange)
 {
     const auto plan = makePlan(base, ShareIntent{AccountId("bids"), 1.0}, std::nullopt);
 
