--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -62,7 +62,7 @@
     CHECK(plan.error().kind == PlanError::Kind::NoChange);
 }
 
-TEST(PlanTest, SecondOfTwoRacingOperatorsIsRefused)
+TEST(PlanTest, RejectsSecondOfTwoConcurrentPlans)
 {
     const auto first = makePlan(base, ShareIntent{AccountId("bids"), 4.0}, std::nullopt);
     const auto second = makePlan(base, DrainHallIntent{HallId("north"), true}, std::nullopt);
