--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -78,7 +78,7 @@
     CHECK(process.accept(second->document) == UpdateResult::Conflict);
 }
 
-TEST(PlanTest, RefusesAnotherPlansDigest)
+TEST(PlanTest, RejectsDigestOfAnotherPlan)
 {
     const auto plan = makePlan(base, ShareIntent{AccountId("bids"), 4.0}, std::nullopt);
 
