--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -85,7 +85,7 @@
     CHECK(confirmPlan(*plan, plan->digest + 1, base).error().kind == PlanError::Kind::WrongDigest);
 }
 
-TEST(PlanTest, RefusesToMoveAHomeHall)
+TEST(PlanTest, RejectsChangedHomeHall)
 {
     json moved = base;
     moved["halls"].push_back(json::parse(R"({"id": "south", "region": "centre"})"));
