--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -94,7 +94,7 @@
     CHECK_EQUAL(1U, transitionFaults(*readConfig(base), *readConfig(moved)).size());
 }
 
-TEST(PlanTest, ReadsThePlanThatItWrites)
+TEST(PlanTest, PlanSurvivesJsonRoundTrip)
 {
     const auto plan = makePlan(base, ShareIntent{AccountId("bids"), 4.0}, std::nullopt);
 
