--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -24,7 +24,7 @@
 
 // Processes that hear of versions from a service that lies and from each other; they are replaced,
 // and messages are delayed, doubled and damaged. Returns how often a version went back.
-int reversions(std::uint64_t seed, bool skipPeers)
+int countViolations(std::uint64_t seed, bool skipPeers)
 {
     constexpr std::size_t kProcesses = 6;
     std::mt19937_64 random(seed);
@@ -103,7 +103,7 @@
 TEST(VersionedDocumentTest, NeverRevertsOverManySchedules)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        if (reversions(seed, false) != 0) {
+        if (countViolations(seed, false) != 0) {
             FAIL(fmt::format("seed {} reverted", seed).c_str());
         }
     }
@@ -113,7 +113,7 @@
 {
     int caught = 0;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-        caught += reversions(seed, true) > 0 ? 1 : 0;
+        caught += countViolations(seed, true) > 0 ? 1 : 0;
     }
     CHECK(caught > 0);
 }
