--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -32,7 +32,7 @@
         return std::uniform_int_distribution<std::size_t>(0, size - 1)(random);
     };
     std::vector<VersionedDocument> processes(kProcesses);
-    std::vector<VersionedUpdate> onTheWay;
+    std::vector<VersionedUpdate> inFlight;
     std::uint64_t published = 0;
     // What each process may not fall below: what it had in force itself in this life, and what a
     // living peer knew when it started.
@@ -55,13 +55,13 @@
         case 1: { // A peer hands over what this one lacks; it may arrive much later.
             const auto update = processes[pick(kProcesses)].updateFor(process.version());
             if (update) {
-                onTheWay.push_back(*update);
+                inFlight.push_back(*update);
             }
             break;
         }
         case 2:
-            if (!onTheWay.empty()) {
-                VersionedUpdate update = onTheWay[pick(onTheWay.size())];
+            if (!inFlight.empty()) {
+                VersionedUpdate update = inFlight[pick(inFlight.size())];
                 if (pick(8) == 0) {
                     update.payload = update.payload.substr(0, update.payload.size() / 2);
                 }
