--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -36,7 +36,7 @@
     std::uint64_t published = 0;
     // What each process may not fall below: what it had in force itself in this life, and what a
     // living peer knew when it started.
-    std::vector<std::uint64_t> lowestAllowed(kProcesses, 0);
+    std::vector<std::uint64_t> minAllowedVersion(kProcesses, 0);
     int back = 0;
     for (int round = 0; round < 400; ++round) {
         if (pick(10) == 0) {
@@ -71,9 +71,9 @@
         case 3: // A process is replaced and asks its peers before it puts anything in force.
             if (pick(4) == 0) {
                 process = VersionedDocument();
-                lowestAllowed[index] = 0;
+                minAllowedVersion[index] = 0;
                 for (const VersionedDocument &peer : processes) {
-                    lowestAllowed[index] = std::max(lowestAllowed[index], peer.version());
+                    minAllowedVersion[index] = std::max(minAllowedVersion[index], peer.version());
                     if (!skipPeers) {
                         process.raiseFloor(peer.floor());
                     }
@@ -85,9 +85,9 @@
         }
         if (process.inForce()) {
             const bool damaged = process.document() != documentAt(process.version());
-            const bool reverted = process.version() < lowestAllowed[index];
+            const bool reverted = process.version() < minAllowedVersion[index];
             back += damaged || reverted ? 1 : 0;
-            lowestAllowed[index] = std::max(lowestAllowed[index], process.version());
+            minAllowedVersion[index] = std::max(minAllowedVersion[index], process.version());
         }
     }
     return back;
