--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -37,7 +37,7 @@
     // What each process may not fall below: what it had in force itself in this life, and what a
     // living peer knew when it started.
     std::vector<std::uint64_t> minAllowedVersion(kProcesses, 0);
-    int back = 0;
+    int violations = 0;
     for (int round = 0; round < 400; ++round) {
         if (pick(10) == 0) {
             ++published;
@@ -86,11 +86,11 @@
         if (process.inForce()) {
             const bool damaged = process.document() != documentAt(process.version());
             const bool reverted = process.version() < minAllowedVersion[index];
-            back += damaged || reverted ? 1 : 0;
+            violations += damaged || reverted ? 1 : 0;
             minAllowedVersion[index] = std::max(minAllowedVersion[index], process.version());
         }
     }
-    return back;
+    return violations;
 }
 
 } // namespace
