--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -84,9 +84,9 @@
             break;
         }
         if (process.inForce()) {
-            const bool damaged = process.document() != documentAt(process.version());
+            const bool contentDiffers = process.document() != documentAt(process.version());
             const bool reverted = process.version() < minAllowedVersion[index];
-            violations += damaged || reverted ? 1 : 0;
+            violations += contentDiffers || reverted ? 1 : 0;
             minAllowedVersion[index] = std::max(minAllowedVersion[index], process.version());
         }
     }
