--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -24,7 +24,7 @@
 
 // Processes that hear of versions from a service that lies and from each other; they are replaced,
 // and messages are delayed, doubled and damaged. Returns how often a version went back.
-int countViolations(std::uint64_t seed, bool skipPeers)
+int countViolations(std::uint64_t seed, bool skipPeerFloors)
 {
     constexpr std::size_t kProcesses = 6;
     std::mt19937_64 random(seed);
@@ -74,7 +74,7 @@
                 minAllowedVersion[index] = 0;
                 for (const VersionedDocument &peer : processes) {
                     minAllowedVersion[index] = std::max(minAllowedVersion[index], peer.version());
-                    if (!skipPeers) {
+                    if (!skipPeerFloors) {
                         process.raiseFloor(peer.floor());
                     }
                 }
