--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -100,7 +100,7 @@
     VersionedDocument document;
 };
 
-TEST(VersionedDocumentTest, NeverRevertsOverManySchedules)
+TEST(VersionedDocumentTest, NeverRevertsOverRandomSchedules)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         if (countViolations(seed, false) != 0) {
