--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -109,7 +109,7 @@
     }
 }
 
-TEST(VersionedDocumentTest, CheckerCatchesARestartThatAsksNobody)
+TEST(VersionedDocumentTest, DetectsRestartWithoutPeerFloors)
 {
     int seedsWithViolations = 0;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
