--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -118,7 +118,7 @@
     CHECK(seedsWithViolations > 0);
 }
 
-TEST(VersionedDocumentTest, DropsAnOlderVersionFromTheService)
+TEST(VersionedDocumentTest, DropsOlderDocument)
 {
     document.accept(documentAt(5));
 
