--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -126,7 +126,7 @@
     CHECK_EQUAL(5U, document.version());
 }
 
-TEST(VersionedDocumentTest, RestartedProcessHoldsBackBelowTheFloor)
+TEST(VersionedDocumentTest, IsNotInForceBelowFloor)
 {
     document.raiseFloor(7);
 
