--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -136,7 +136,7 @@
     CHECK(document.inForce());
 }
 
-TEST(VersionedDocumentTest, HandsADifferenceToAPeerThatIsOneBehind)
+TEST(VersionedDocumentTest, SendsDeltaToPeerOneVersionBehind)
 {
     document.accept(documentAt(1));
     document.accept(documentAt(2));
