--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -151,7 +151,7 @@
     CHECK(peer.document() == documentAt(2));
 }
 
-TEST(VersionedDocumentTest, ShowsAGapInsteadOfGuessing)
+TEST(VersionedDocumentTest, ReportsGapForDeltaWithOtherBase)
 {
     document.accept(documentAt(2));
     document.accept(documentAt(3));
