--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -163,7 +163,7 @@
     CHECK(peer.apply(*document.updateFor(peer.version())) == UpdateResult::Applied);
 }
 
-TEST(VersionedDocumentTest, DropsADamagedUpdate)
+TEST(VersionedDocumentTest, DropsCorruptUpdate)
 {
     document.accept(documentAt(1));
     VersionedDocument peer;
