--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -174,7 +174,7 @@
     CHECK_EQUAL(0U, peer.version());
 }
 
-TEST(VersionedDocumentTest, TellsTwoDocumentsUnderOneVersionApart)
+TEST(VersionedDocumentTest, ReportsConflictForSameVersionWithOtherContent)
 {
     document.accept(documentAt(3));
     json other = documentAt(3);
