--- a/src/config/objectreader.cpp
+++ b/src/config/objectreader.cpp
@@ -53,7 +53,7 @@
         return &*found;
     }
     if (presence == Presence::Required) {
-        fault(name, "expected this field, found none; add it");
+        fault(name, "required field is missing; add it");
     }
     return nullptr;
 }
--- a/src/config/parse.cpp
+++ b/src/config/parse.cpp
@@ -48,7 +48,7 @@
     return parts == 4;
 }
 
-// Checks that no two elements of a list have the same name.
+// Reports a fault for each name that is added more than once. Ignores empty names.
 class UniqueNames
 {
 public:
@@ -59,7 +59,7 @@
     void add(const std::string &name, const std::string &path)
     {
         if (!name.empty() && !names_.insert(name).second) {
-            faults_.push_back({path, fmt::format("'{}' is named twice; keep one", name)});
+            faults_.push_back({path, fmt::format("'{}' is listed more than once; keep one", name)});
         }
     }
 
@@ -218,7 +218,7 @@
     return elements;
 }
 
-// Checks what one field says against another.
+// Checks that names and key digests are unique and that each home hall is listed in `halls`.
 void checkReferences(const ConfigDocument &document, ConfigFaults &faults)
 {
     std::set<HallId> halls;
@@ -269,7 +269,8 @@
     record.hall = HallId(reader.text("hall", Presence::Required));
     record.address = reader.text("address", Presence::Required);
     if (!isIpv4Address(record.address)) {
-        reader.fault("address", fmt::format("expected an IP number, found '{}'", record.address));
+        reader.fault("address",
+                     fmt::format("expected an IPv4 address, found '{}'", record.address));
     }
     record.port = static_cast<int>(reader.integer("port", Presence::Required, 1, kMaxPort));
     const std::string state = reader.text("state", Presence::Optional, "live");
@@ -307,9 +308,9 @@
     ConfigDocument document;
     document.version = ConfigVersion(reader.integer("version", Presence::Required, 1, kMaxVersion));
     document.base = ConfigVersion(reader.integer("base", Presence::Optional, 0, kMaxVersion));
-    // Two documents that were planned on one version would otherwise both be taken, and the later
-    // would undo the earlier unseen. The rule needs nothing but the document, so every process
-    // decides alike, whatever it held before.
+    // Requires version == base + 1. Otherwise two documents planned on the same version could both
+    // be accepted, and the later one would silently revert the earlier one. The rule depends on the
+    // document alone, so that every process decides alike, whichever version it holds.
     if (document.version.value() != 0 && document.version.value() != document.base.value() + 1) {
         reader.fault("base", fmt::format("expected {}, one below the version, found {}; plan the "
                                          "change anew on the current version",
--- a/src/config/parse.h
+++ b/src/config/parse.h
@@ -1,4 +1,4 @@
-// Reads and validates configuration documents and instance lists.
+// Parsing and validation of configuration documents and instance lists.
 #pragma once
 
 #include "config/objectreader.h"
@@ -10,17 +10,19 @@
 
 namespace seamarch {
 
-// The largest document that the platform's service holds.
+// The maximum document size that the platform's service stores.
 constexpr std::size_t kMaxDocumentBytes = 1024 * 1024;
 
-// Parses JSON text without throwing. Fails with one fault that names the byte.
+// Parses JSON text of at most kMaxDocumentBytes. Does not throw; a syntax error is returned as one
+// fault whose message gives the byte offset.
 tl::expected<nlohmann::json, ConfigFaults> parseJson(std::string_view text);
 
-// Reads a configuration document. Fails with all of its faults at once.
+// Reads and validates a configuration document. Returns all of its faults if it is invalid.
 tl::expected<ConfigDocument, ConfigFaults> readConfig(const nlohmann::json &value);
+// Parses, reads and validates the JSON text of a configuration document.
 tl::expected<ConfigDocument, ConfigFaults> parseConfig(std::string_view text);
 
-// Reads an instance list. Fails with all of its faults at once.
+// Reads and validates an instance list. Returns all of its faults if it is invalid.
 tl::expected<InstanceList, ConfigFaults> readInstances(const nlohmann::json &value);
 
 } // namespace seamarch
--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -19,7 +19,7 @@
     return tl::unexpected(PlanError{kind, std::move(message)});
 }
 
-// Returns the element of the array `list` whose field `key` is `name`; null when there is none.
+// Returns the element of the array `list` whose field `key` equals `name`, or null.
 json *findElement(json &document, const char *list, const char *key, const std::string &name)
 {
     const auto array = document.find(list);
@@ -34,7 +34,8 @@
     return nullptr;
 }
 
-// Sets one field and tells what changed; false when it has that value already.
+// Sets one field and adds the change to the plan. Returns false if the field has that value
+// already.
 template <typename Value>
 bool setField(json &element, const char *field, const Value &value, const std::string &label,
               Plan &plan)
@@ -50,6 +51,8 @@
     return true;
 }
 
+// Returns the number of agents that serve `target`, in `hall` if one is given. Returns 0 without a
+// list.
 std::uint32_t countAgents(const std::optional<InstanceList> &instances, const TargetName &target,
                           const std::optional<HallId> &hall)
 {
@@ -65,7 +68,7 @@
         std::count_if(instances->instances.begin(), instances->instances.end(), servesTarget));
 }
 
-// What taking `lost` out of `all` serving replicas costs.
+// Returns the fraction of serving replicas that is lost, or 0 if there are none.
 double lostFraction(std::uint32_t lost, std::uint32_t all)
 {
     return all == 0 ? 0.0 : static_cast<double>(lost) / all;
@@ -147,8 +150,8 @@
     plan.cost.capacityLostPart = lostFraction(std::min<std::uint32_t>(reloadable, 1), replicas);
     plan.cost.rounds = replicas;
     if (replicas > 0 && reloadable == 0) {
-        plan.changes.push_back(fmt::format("warning: minServing {} leaves no replica of {} to be "
-                                           "reloaded; nothing will move",
+        plan.changes.push_back(fmt::format("warning: minServing {} leaves no replica of {} that "
+                                           "can be reloaded; none will be",
                                            floor, intent.model.value()));
     }
     return setField(*model, "version", intent.version, "model " + intent.model.value(), plan);
@@ -167,10 +170,12 @@
         const bool moved = before != from.accounts.end() && !before->homeHall.value().empty()
                            && before->homeHall != account.homeHall;
         if (moved) {
-            // A process that has not heard of the change would still honour keys in the old hall.
-            faults.push_back({elementPath("accounts", index) + ".homeHall",
-                              "a home hall cannot be changed, since two halls could then run one "
-                              "key; create a new client account"});
+            // A process that still holds the older configuration would accept idempotency keys in
+            // the old hall, while others accept them in the new one.
+            faults.push_back(
+                {elementPath("accounts", index) + ".homeHall",
+                 "a home hall cannot be changed, because two halls could then run "
+                 "requests with the same idempotency key; create a new client account"});
         }
     }
     return faults;
@@ -195,7 +200,7 @@
         return tl::unexpected(changed.error());
     }
     if (!*changed) {
-        return failure(PlanError::Kind::NoChange, "the configuration says so already");
+        return failure(PlanError::Kind::NoChange, "the configuration already has this value");
     }
     const auto after = readConfig(plan.document);
     if (!after) {
@@ -210,7 +215,7 @@
 {
     if (digest != plan.digest || documentDigest(plan.document) != plan.digest) {
         return failure(PlanError::Kind::WrongDigest,
-                       fmt::format("expected the digest {}, found {}; look at the plan again",
+                       fmt::format("expected the digest {}, found {}; review the plan again",
                                    formatDigest(plan.digest), formatDigest(digest)));
     }
     const auto currentConfig = readConfig(current);
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -1,10 +1,9 @@
-// Turns an operator's intent into a plan, and a confirmed plan into the document to publish.
+// Planning of configuration changes: an operator's intent becomes a plan, and a confirmed plan
+// becomes the document to publish.
 //
-// A plan holds the whole next document, what it changes, what the change costs, and a digest that
-// the operator repeats to confirm exactly this plan. Nothing here is published or written anywhere:
-// the operator publishes the document through the platform.
-//
-// Pure functions.
+// A plan holds the complete next document, a list of its changes, their estimated cost, and a
+// digest that the operator repeats to confirm exactly this plan. The functions are pure: they
+// neither publish nor write anything. The operator publishes the document through the platform.
 #pragma once
 
 #include "config/objectreader.h"
@@ -20,28 +19,28 @@
 
 namespace seamarch {
 
-// Give a client account a share; the account is created if it is new.
+// Sets the share of a client account, and creates the account if it does not exist.
 struct ShareIntent
 {
     AccountId account;
     double share = 1.0;
 };
 
-// Take a hall out of the choice, or bring it back.
+// Drains a hall, so that no upstream of it is chosen for requests, or ends the drain.
 struct DrainHallIntent
 {
     HallId hall;
     bool draining = true;
 };
 
-// Take one upstream out of the choice, or bring it back.
+// Drains one upstream, so that it is not chosen for requests, or ends the drain.
 struct DrainInstanceIntent
 {
-    InstanceId agent;
+    InstanceId agent; // The agent in front of the upstream.
     bool draining = true;
 };
 
-// Bring a model to a version.
+// Sets the version of a model.
 struct ModelVersionIntent
 {
     TargetName model;
@@ -50,57 +49,64 @@
 
 using Intent = std::variant<ShareIntent, DrainHallIntent, DrainInstanceIntent, ModelVersionIntent>;
 
-// What a change costs while it is carried out.
+// The estimated cost of carrying out a change.
 struct PlanCost
 {
-    double movedGigabytes = 0.0;
-    double weightStoreSeconds = 0.0;
-    double capacityLostPart = 0.0; // Of the serving replicas, at the worst moment.
-    std::uint32_t replicas = 0;    // That are taken out or reloaded.
-    std::uint32_t rounds = 0;      // Of turns, so that the floor on serving replicas holds.
+    double movedGigabytes = 0.0;     // Weights that the replicas load.
+    double weightStoreSeconds = 0.0; // Time to read these weights from the weight store.
+    double capacityLostPart = 0.0;   // Largest fraction of serving replicas lost at a time, 0 to 1.
+    std::uint32_t replicas = 0;      // Replicas that are drained or reloaded.
+    std::uint32_t rounds = 0; // Sequential reloads, which keep the minimum of serving replicas.
 };
 
+// A proposed configuration change.
 struct Plan
 {
     std::uint64_t baseVersion = 0;
-    std::uint64_t baseDigest = 0;
-    nlohmann::json document;          // The next document, with its version and base.
-    std::vector<std::string> changes; // One sentence each.
+    std::uint64_t baseDigest = 0;     // Digest of the document that the plan is based on.
+    nlohmann::json document;          // The next document, with its new version and base.
+    std::vector<std::string> changes; // One description per change, for the operator.
     PlanCost cost;
-    std::uint64_t digest = 0; // Of the next document.
+    std::uint64_t digest = 0; // Digest of `document`.
 };
 
-// Why there is no plan, or no document.
+// The reason why a plan or its document is refused.
 struct PlanError
 {
     enum class Kind {
-        UnknownName, // The intent names something that the configuration does not have.
-        NoChange,    // The configuration says so already.
-        Invalid,     // The base or the result is not valid.
-        BaseChanged, // The configuration is no longer the one that the plan was made on.
-        WrongDigest, // The digest is not this plan's.
+        UnknownName, // The intent names an object that the configuration does not contain.
+        NoChange,    // The configuration already has the requested value.
+        Invalid,     // The base, the resulting document or the plan file is invalid.
+        BaseChanged, // The current configuration differs from the base of the plan.
+        WrongDigest, // The confirmed digest is not the digest of this plan.
     };
 
     Kind kind;
     std::string message;
 };
 
-// Makes a plan on `base`. `instances` tells what runs; without it the cost is left at zero.
+// Makes a plan that applies `intent` to `base`. The cost is estimated from the running replicas in
+// `instances`; without the list, costs that depend on their number are zero.
 tl::expected<Plan, PlanError> makePlan(const nlohmann::json &base, const Intent &intent,
                                        const std::optional<InstanceList> &instances);
 
-// Re-checks a plan against the current document and returns the document to publish.
+// Checks `digest` and the base of the plan against the current document. Returns the document to
+// publish.
 tl::expected<nlohmann::json, PlanError> confirmPlan(const Plan &plan, std::uint64_t digest,
                                                     const nlohmann::json &current);
 
-// Returns what forbids going from one valid document to another, although both are valid alone.
+// Returns the faults of a transition between two documents that are each valid on their own.
 ConfigFaults transitionFaults(const ConfigDocument &from, const ConfigDocument &to);
 
+// Converts a plan to the JSON of a plan file.
 nlohmann::json planToJson(const Plan &plan);
+// Reads the JSON of a plan file. Leaves `changes` and `cost` empty, since they only inform the
+// operator.
 tl::expected<Plan, PlanError> planFromJson(const nlohmann::json &value);
 
-// Writes and reads digests as 16 hexadecimal digits.
+// Formats a digest as 16 lower-case hexadecimal digits.
 std::string formatDigest(std::uint64_t digest);
+// Parses 16 hexadecimal digits. Returns nullopt for any other text.
 std::optional<std::uint64_t> parseDigest(std::string_view text);
 
 } // namespace seamarch
--- a/src/config/versioneddocument.cpp
+++ b/src/config/versioneddocument.cpp
@@ -9,11 +9,14 @@
 
 using nlohmann::json;
 
-// Enough for a peer that was paused through a burst of changes; older peers take the whole.
+// Covers a peer that was paused during a burst of changes; peers further behind get the full
+// document.
 constexpr std::size_t kMaxDeltas = 16;
-// A chain of differences beyond this part of the whole document saves nothing.
+// A delta is sent only if it is shorter than the full document divided by this number; a longer one
+// saves too little.
 constexpr std::size_t kDeltaSizeDivisor = 2;
 
+// Returns the field `version` of the document, or 0 if it has none.
 std::uint64_t versionOf(const json &document)
 {
     const auto found = document.is_object() ? document.find("version") : document.end();
--- a/src/config/versioneddocument.h
+++ b/src/config/versioneddocument.h
@@ -1,13 +1,14 @@
-// Versioned documents: the highest one known, the differences between them, and never back.
+// Replication of a versioned JSON document between processes, without reverting to an older
+// version.
 //
-// A VersionedDocument holds the JSON of the highest version that this process has accepted, and the
-// last few differences that led to it. Processes hand each other updates: a difference over a
-// version range (from, to], or a whole document. An update below the held version is dropped; a
-// difference whose start is not the held version shows a gap, and the whole document is then asked
-// for. A floor, learned from peers or from an upstream's fence, keeps a restarted process from
-// putting an older version in force than the fleet has seen.
+// A VersionedDocument holds the highest version that this process has accepted and the most recent
+// deltas that led to it. Processes exchange updates: a delta over the version range (from, to], or
+// a full document. An update below the held version is dropped. A delta whose base is not the held
+// version indicates a gap, and the process then requests the full document. A floor, learned from
+// peers or from an upstream's fence, prevents a restarted process from putting a version in force
+// that is older than one that the fleet has seen.
 //
-// The class is pure: it reads no clock and does no input or output.
+// The class reads no clock and does no input or output.
 #pragma once
 
 #include <cstdint>
@@ -18,46 +19,50 @@
 
 namespace seamarch {
 
-// What one process hands another.
+// An update that one process sends to another.
 struct VersionedUpdate
 {
-    std::uint64_t from = 0; // Version that the patch applies to; zero: a whole document.
-    std::uint64_t to = 0;
-    std::uint64_t digest = 0; // Of the whole document at version `to`.
-    std::string payload;      // A JSON Patch (RFC 6902), or a whole document.
+    std::uint64_t from = 0;   // Version that the patch applies to; 0 for a full document.
+    std::uint64_t to = 0;     // Version that the update leads to.
+    std::uint64_t digest = 0; // Digest of the full document at version `to`.
+    std::string payload;      // A JSON Patch (RFC 6902), or a full document.
 };
 
-// What became of an update.
+// The result of accepting a document or applying an update.
 enum class UpdateResult {
     Applied,  // The held version is now `to`.
-    Stale,    // Not higher than the held version; dropped.
-    Gap,      // The difference starts elsewhere; ask for the whole document.
-    Corrupt,  // Not JSON, or the digest does not match; dropped.
-    Conflict, // Same version, other content: two documents were published under one version.
+    Stale,    // Not newer than the held version; dropped.
+    Gap,      // The delta has another base; the full document is needed.
+    Corrupt,  // Not JSON, no version, or a wrong version or digest; dropped.
+    Conflict, // Same version but other content: two documents were published as one version.
 };
 
-// Returns the digest of a document: XXH3 over its canonical text.
+// Returns the 64-bit XXH3 hash of the document's canonical text (sorted keys, no whitespace).
 std::uint64_t documentDigest(const nlohmann::json &document);
 
-// Holds the highest accepted version of one document.
+// The highest accepted version of a document, with the deltas that peers need to follow it.
 class VersionedDocument
 {
 public:
-    // Takes a whole document that carries its own `version`, for example from the platform.
+    // Replaces the held document with a newer full one, for example from the platform. The version
+    // is read from its field `version`.
     UpdateResult accept(nlohmann::json document);
-    // Takes an update from a peer.
+    // Applies an update from a peer.
     UpdateResult apply(const VersionedUpdate &update);
 
-    // Returns what a peer that holds `version` needs: nothing, one difference, or the whole.
+    // Returns the update for a peer that holds `version`: a delta, the full document, or nullopt if
+    // the peer is up to date. Version 0 means that the peer holds none.
     std::optional<VersionedUpdate> updateFor(std::uint64_t version) const;
 
-    // Learns that `version` has been seen somewhere in the fleet.
+    // Raises the floor to a version that has been seen in the fleet. A lower version has no effect.
     void raiseFloor(std::uint64_t version);
 
+    // Returns the held version, or 0 if there is none.
     std::uint64_t version() const { return version_; }
     std::uint64_t digest() const { return digest_; }
+    // Returns the lowest version that may be in force.
     std::uint64_t floor() const { return floor_; }
-    // Tells whether the held version may be in force: it is known and not below the floor.
+    // Returns whether a version is held that is not below the floor.
     bool inForce() const { return version_ != 0 && version_ >= floor_; }
     const nlohmann::json &document() const { return document_; }
 
@@ -70,6 +75,7 @@
     };
 
     UpdateResult replace(nlohmann::json document, std::uint64_t version);
+    // Records the delta from the held document to `next`.
     void recordDelta(const nlohmann::json &next, std::uint64_t version);
 
     nlohmann::json document_;
