--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -1,4 +1,4 @@
-// Digests of secrets and random identities.
+// SHA-256 digests and random identifiers.
 #pragma once
 
 #include <cstdint>
@@ -8,14 +8,14 @@
 
 namespace seamarch {
 
-// Returns the SHA-256 of `text` in lower-case hexadecimal digits.
+// Returns the SHA-256 of `text` as 64 lower-case hexadecimal digits.
 std::string sha256Hex(std::string_view text);
 
-// Returns the first 64 bits of the SHA-256 of all `parts` with their lengths, so that no other way
-// to part the same text gives the same digest.
+// Returns the first 64 bits of the SHA-256 over all `parts`. The length of each part is hashed too,
+// so that another split of the same text gives another digest.
 std::uint64_t sha256Prefix(std::initializer_list<std::string_view> parts);
 
-// Returns 64 bits from the operating system's random source, never zero.
+// Returns a random 64-bit number from the operating system's random source. It is never zero.
 std::uint64_t randomNonzeroId();
 
 } // namespace seamarch
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -14,25 +14,26 @@
 namespace {
 
 constexpr std::array<std::string_view, 4> kLevelNames = {"debug", "info", "warning", "error"};
-// What waits for a reader that lags; lines beyond it are dropped and counted.
+// Limit of the lines that wait for a slow reader. Further lines are dropped and counted.
 constexpr std::size_t kMaxQueuedBytes = std::size_t{256} * 1024;
-// Lines written in a second. Beyond it lines below a warning are dropped and counted, so that a
-// flood of successes leaves room for failures.
+// Above this rate, lines below the level of a warning are dropped and counted, so that a flood of
+// lines about successes leaves room for failures.
 constexpr std::uint64_t kMaxLinesPerSecond = 2000;
-// A pipe that polls as writable takes this much without blocking (POSIX PIPE_BUF).
+// A pipe that poll() reports as writable accepts this many bytes without blocking (POSIX PIPE_BUF).
 constexpr std::size_t kMaxWriteBytes = 4096;
-// From here on lines are written at once; fewer wait for more, to save system calls.
+// Queued lines are written as soon as they reach this size. Smaller amounts wait, which saves
+// system calls.
 constexpr std::size_t kFlushThresholdBytes = 4096;
 
-// The sink of a process. Single-threaded like everything else.
+// The log state of the process. It is not thread-safe: the process has a single thread.
 struct LogSink
 {
     LogLevel minLevel = LogLevel::Info;
-    std::string context; // The fields that every line carries, without braces.
+    std::string context; // Fields of every line, without braces.
     std::string queue;
-    std::int64_t currentSecond = 0;
+    std::int64_t currentSecond = 0; // In Unix time; linesThisSecond refers to it.
     std::uint64_t linesThisSecond = 0;
-    std::uint64_t dropped = 0;
+    std::uint64_t dropped = 0; // Lines dropped since the last report.
 };
 
 LogSink &sink()
@@ -47,12 +48,13 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
+// Returns the JSON text of a value, with invalid UTF-8 replaced.
 std::string toText(const nlohmann::json &value)
 {
     return value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Returns an object's fields without its braces, with a comma before them.
+// Returns the JSON text of an object's fields without braces and with a leading comma.
 std::string innerFields(const nlohmann::json &fields)
 {
     if (!fields.is_object() || fields.empty()) {
@@ -77,7 +79,7 @@
                    innerFields(fields));
 }
 
-// Counts a line against the limits of this second. Returns whether it may be written.
+// Returns whether a line is within the limits, and counts it as written or dropped.
 bool admitLine(LogLevel level, std::int64_t millis)
 {
     constexpr std::int64_t kMillis = 1000;
@@ -96,6 +98,7 @@
     return true;
 }
 
+// Queues a line with the number of dropped lines once the queue is less than half full.
 void reportDroppedLines(std::int64_t millis)
 {
     LogSink &state = sink();
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,11 +1,11 @@
-// Structured logs: one JSON object a line on standard output.
+// Structured logging: one JSON object per line on standard output.
 //
-// Writing never blocks: lines wait in a bounded queue, and a reader that does not read loses lines.
-// Volume is bounded: beyond a rate of lines a second those below a warning are dropped. How many
-// were dropped is said in a line of its own.
+// Writing never blocks: lines wait in a bounded queue, and lines are dropped when the reader of
+// standard output does not keep up. Above a maximum number of lines per second, lines below the
+// level of a warning are dropped too. A `log.dropped` line reports how many were dropped.
 //
-// Fields are passed as a nlohmann JSON object. Secrets never go into a field: keys of client
-// accounts are known to the process only by their digests.
+// Fields are passed as a nlohmann JSON object. They must not contain secrets; the process knows the
+// keys of client accounts only by their digests.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -15,19 +15,21 @@
 
 enum class LogLevel { Debug, Info, Warning, Error };
 
-// Sets the lowest level that is written. The default is Info.
+// Sets the minimum level that is written. The default is Info.
 void setLogLevel(LogLevel level);
 
-// Sets the fields that every line carries, such as the role and the instance.
+// Sets the fields that are added to every line, such as the role and the instance.
 void setLogContext(const nlohmann::json &fields);
 
-// Writes one line with the time, the level, `event` and `fields`.
+// Queues one line with the time, the level, `event`, the context and `fields`. Drops it if the rate
+// limit or the limit of the queue is reached.
 void logLine(LogLevel level, std::string_view event, const nlohmann::json &fields = {});
 
-// Writes what waits, as far as the reader takes it. The loop calls it on its turns.
+// Writes queued lines until standard output would block. The event loop calls it in each iteration.
 void flushLog();
 
-// Reads "debug", "info", "warning" or "error"; returns false for any other word.
+// Parses "debug", "info", "warning" or "error". Returns false and leaves `level` unchanged for any
+// other word.
 bool parseLogLevel(std::string_view word, LogLevel &level);
 
 } // namespace seamarch
--- a/src/base/outcome.cpp
+++ b/src/base/outcome.cpp
@@ -6,6 +6,7 @@
 namespace seamarch {
 namespace {
 
+// The HTTP status, the stable code and the advice of a failure.
 struct FailureText
 {
     FailureCode code;
@@ -74,6 +75,7 @@
     return kFailureTexts.at(static_cast<std::size_t>(code));
 }
 
+// Returns whether kFailureTexts can be indexed by the value of a FailureCode.
 constexpr bool textsMatchEnumeration()
 {
     for (std::size_t index = 0; index < kFailureTexts.size(); ++index) {
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -113,7 +113,7 @@
         value = std::move(fallback);
     }
     if (!value || value->empty()) {
-        fault(name, fmt::format("expected a value, found none; give --{} or {}", name,
+        fault(name, fmt::format("expected a value, found none; set --{} or {}", name,
                                 environmentName(name)));
         return {};
     }
@@ -163,7 +163,8 @@
 {
     auto parsed = parseHostPort(value);
     if (!parsed) {
-        fault(name, fmt::format("expected IP:PORT, found '{}'; host names are not taken", value));
+        fault(name,
+              fmt::format("expected IP:PORT, found '{}'; host names are not accepted", value));
         return {};
     }
     return *parsed;
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,11 +1,11 @@
-// Settings of a process: flags first, then `SEAMARCH_*` environment variables, then the settings
-// file, then defaults.
+// Settings of a process. In order of precedence, they come from flags, `SEAMARCH_*` environment
+// variables, the settings file, and defaults.
 //
-// The file has one setting a line, `name = value` with the names of the flags; `#` begins a comment
-// line.
+// The file holds one setting per line as `name = value`, under the names of the flags. Lines that
+// begin with `#` are comments.
 //
-// Each setting is read by name, checked, and remembered for `--check-settings`. All faults are
-// collected, so that an operator corrects them in one round. Values of settings are never secrets.
+// Each setting is read by name, validated, and recorded for `--check-settings`. All faults are
+// collected, so that an operator can correct them in one pass. Settings never hold secrets.
 #pragma once
 
 #include "seamarch/units.h"
@@ -20,7 +20,7 @@
 
 namespace seamarch {
 
-// What is wrong with one setting.
+// A validation error in one setting.
 struct SettingFault
 {
     std::string name;
@@ -29,26 +29,32 @@
     friend bool operator==(const SettingFault &, const SettingFault &) = default;
 };
 
-// An IP number and a port as text, for example `127.0.0.1:8080`.
+// An IPv4 address and a port, written as `127.0.0.1:8080`.
 struct HostPort
 {
     std::string host;
     int port = 0;
 };
 
-// Reads `IP:PORT`; returns nothing for anything else, host names included.
+// Parses `IP:PORT`. Returns nullopt for any other text, including host names.
 std::optional<HostPort> parseHostPort(std::string_view text);
 
-// Settings by name, as a settings file holds them.
+// The values of a settings file by setting name.
 using SettingsMap = std::map<std::string, std::string>;
 
-// Reads the text of a settings file. Lines that are no setting are reported as faults.
+// Parses the text of a settings file. Reports lines that are not settings as faults, and ignores
+// settings with an empty value.
 SettingsMap parseSettingsFile(std::string_view text, std::vector<SettingFault> &faults);
 
+// Reads settings by name and type, and collects faults and the values in force.
+//
+// A value that is invalid is a fault. `fallback` is the default; a text or address without a
+// default is required.
 class SettingsReader
 {
 public:
-    // Looks up a flag by its name without dashes.
+    // Returns the value of a flag, given its name without leading dashes, or nullopt if it is
+    // absent.
     using FlagLookup = std::function<std::optional<std::string>(std::string_view)>;
 
     explicit SettingsReader(FlagLookup flags, SettingsMap file = {})
@@ -56,27 +62,29 @@
         , file_(std::move(file))
     {}
 
-    // Tells whether a setting has a value anywhere.
+    // Returns whether a flag, the environment or the file sets a value.
     bool isSet(std::string_view name) const { return lookUp(name).has_value(); }
     std::string text(std::string_view name, std::optional<std::string> fallback = {});
     HostPort address(std::string_view name, std::optional<std::string> fallback = {});
-    // Reads addresses that commas part.
+    // Reads a required comma-separated list of addresses.
     std::vector<HostPort> addresses(std::string_view name);
-    // Reads pairs `NAME:VALUE` that commas part; each name stands once.
+    // Reads a required comma-separated list of `NAME:VALUE` pairs with unique names.
     std::map<std::string, std::string> pairs(std::string_view name);
+    // Reads an unsigned integer in the range [low, high].
     std::uint64_t integer(std::string_view name, std::uint64_t low, std::uint64_t high,
                           std::uint64_t fallback);
-    // Reads a number that may have a fraction.
+    // Reads a floating-point number in the range [low, high].
     double number(std::string_view name, double low, double high, double fallback);
-    // Reads a number of milliseconds.
+    // Reads a duration in whole milliseconds in the range [low, high].
     Duration milliseconds(std::string_view name, std::uint64_t low, std::uint64_t high,
                           std::uint64_t fallback);
 
     const std::vector<SettingFault> &faults() const { return faults_; }
-    // Returns every setting that was read, with the value in force.
+    // Returns the values in force of all settings that were read, by name.
     const std::map<std::string, std::string> &values() const { return values_; }
 
-    // Returns the environment variable of a setting: `stop-delay-ms` is `SEAMARCH_STOP_DELAY_MS`.
+    // Returns the environment variable of a setting, such as `SEAMARCH_STOP_DELAY_MS` for
+    // `stop-delay-ms`.
     static std::string environmentName(std::string_view name);
 
 private:
--- a/src/base/wallclock.h
+++ b/src/base/wallclock.h
@@ -1,11 +1,12 @@
-// The wall clock, in the form that callers' keys carry it. Decisions never read it themselves.
+// The wall clock in Unix milliseconds, the form of the time in callers' keys. The decision code
+// never reads it; callers pass the time in.
 #pragma once
 
 #include <chrono>
 
 namespace seamarch {
 
-// Returns milliseconds since the Unix epoch.
+// Returns the time since the Unix epoch.
 inline std::chrono::milliseconds wallClockNow()
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -10,7 +10,8 @@
 constexpr std::array<const char *, 4> kStageNames = {"queue_wait", "first_token", "between_tokens",
                                                      "total"};
 
-// Fine around the aims: 45 ms between tokens and 1.3 s to the first.
+// Upper bounds in seconds. They are finest around the latency targets: 45 ms between tokens and 1.3
+// s to the first token.
 const prometheus::Histogram::BucketBoundaries kSecondsBuckets = {
     0.001, 0.005, 0.02, 0.045, 0.1, 0.3, 0.65, 1.3, 3.0, 10.0, 60.0};
 
--- a/src/observe/metrics.h
+++ b/src/observe/metrics.h
@@ -1,8 +1,8 @@
-// Metrics of a process in the Prometheus text form.
+// Metrics of a process in the Prometheus text format.
 //
-// Histograms are kept for each client account and class. Their number is bounded: the first
-// `maxAccounts` accounts that are seen get series of their own and all others share the account
-// label "other", so 2,200 accounts cannot push a process over its memory.
+// Histograms are kept per client account and request class. Their number is bounded: the first
+// `maxAccounts` accounts get time series of their own, and all others share the account label
+// "other", so that 2,200 accounts cannot exhaust the memory of a process.
 #pragma once
 
 #include "seamarch/ids.h"
@@ -21,9 +21,10 @@
 
 namespace seamarch {
 
-// What is timed for each account and class.
+// A stage of a request whose duration is measured per account and class.
 enum class RequestStage { QueueWait, FirstToken, BetweenTokens, Total };
 
+// The registry of a process's histograms, counters and gauges. A metric is created on first use.
 class Metrics
 {
 public:
@@ -31,14 +32,17 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
+    // Adds the duration of a stage to the histogram of the account and class.
     void observe(RequestStage stage, const AccountId &account, std::string_view requestClass,
                  Duration duration);
-    // Counts an event, such as an answered request, under a label.
+    // Adds `amount` to the counter `name` with the value `label` of its label `kind`.
     void count(std::string_view name, std::string_view label, double amount = 1.0);
+    // Sets the gauge `name`.
     void set(std::string_view name, double value);
 
-    // Returns all metrics as text.
+    // Returns all metrics in the Prometheus text format.
     std::string text() const;
+    // Returns the number of histogram time series.
     std::size_t histogramCount() const { return histograms_.size(); }
 
 private:
@@ -51,6 +55,7 @@
         friend auto operator<=>(const SeriesKey &, const SeriesKey &) = default;
     };
 
+    // Returns the label of an account: its id, or "other" if the maximum number is reached.
     const std::string &accountLabel(const AccountId &account);
 
     std::shared_ptr<prometheus::Registry> registry_;
--- a/src/observe/operatorserver.h
+++ b/src/observe/operatorserver.h
@@ -1,4 +1,4 @@
-// The operators' address of a process: /healthz, /readyz, /metrics and /status.
+// The HTTP server for operators: /healthz, /readyz, /metrics and /status.
 #pragma once
 
 #include "net/httpserver.h"
@@ -11,20 +11,24 @@
 
 namespace seamarch {
 
-// What a process tells its operators.
+// The interface through which a process reports its readiness and status to operators.
 class StatusSource
 {
 public:
     virtual ~StatusSource() = default;
-    // Tells whether the process takes work; `/readyz` answers 503 with `reason` when it does not.
+    // Returns whether the process accepts work. Otherwise sets `reason`, which /readyz returns with
+    // status 503.
     virtual bool ready(std::string &reason) const = 0;
+    // Returns the document that /status serves.
     virtual nlohmann::json status() const = 0;
 };
 
-// Serves the operators' address. The source and the metrics outlive it.
+// Serves the readiness, metrics and status of a process. The source and the metrics must outlive
+// it.
 class OperatorServer final : private HttpHandler
 {
 public:
+    // Opens the server. Fails if it cannot listen on `address`.
     static tl::expected<std::unique_ptr<OperatorServer>, NetError>
     create(EventLoop &loop, const SocketAddress &address, const StatusSource &source,
            const Metrics &metrics);
--- a/src/observe/processnetwork.h
+++ b/src/observe/processnetwork.h
@@ -1,5 +1,4 @@
-// What every process opens before it does anything: the RPC transport, the HTTP client, and the
-// operators' address.
+// The network endpoints that every process opens at start, before any other work.
 #pragma once
 
 #include "net/httpclient.h"
@@ -11,6 +10,7 @@
 
 namespace seamarch {
 
+// The RPC transport, the HTTP client and the operators' HTTP server of a process.
 struct ProcessNetwork
 {
     std::unique_ptr<RawTransport> transport;
@@ -18,8 +18,8 @@
     std::unique_ptr<OperatorServer> operators;
 };
 
-// Opens all three. Fails with the first that cannot be opened. The source and the metrics outlive
-// what is returned.
+// Opens all three. Returns the error of the first one that cannot be opened. The source and the
+// metrics must outlive the result.
 tl::expected<ProcessNetwork, NetError> openProcessNetwork(EventLoop &loop,
                                                           const SocketAddress &operatorListen,
                                                           const StatusSource &source,
