--- a/include/seamarch/configdocument.h
+++ b/include/seamarch/configdocument.h
@@ -1,8 +1,9 @@
-// The configuration document: what operators publish and every process has in force.
+// The configuration document, which operators publish and every process applies, and the platform's
+// instance list.
 //
-// The document is one JSON object of at most one megabyte. docs/configuration.md describes its
-// fields; src/config/parse.h reads and validates it. A ConfigDocument is a value and is valid by
-// construction: only the parser makes one from JSON.
+// The document is one JSON object of at most 1 MiB. docs/configuration.md describes its fields, and
+// src/config/parse.h parses and validates it. A ConfigDocument is a value and is valid by
+// construction, because only the parser makes one from JSON.
 //
 // This header is public. Its names follow the compatibility promise in docs/reference.md.
 #pragma once
@@ -17,76 +18,77 @@
 
 namespace seamarch {
 
-// A client account with its share of the fleet and its limits.
+// A client account with its share of the fleet's capacity and its limits.
 struct AccountConfig
 {
     AccountId id;
     std::vector<std::string> keyDigests; // SHA-256 of each bearer key, in lower-case hexadecimal.
-    double share = 1.0;                  // Weight against other backlogged accounts.
-    std::uint8_t priority = 0;           // Default class of its requests; higher runs first.
-    std::uint32_t maxQueued = 256;       // Requests that may wait at one agent.
-    double requestsPerSecond = 0.0;      // Over all entries; zero means no limit.
-    HallId homeHall;                     // Where its keyed requests run; may be empty.
+    double share = 1.0;                  // Weight relative to other backlogged accounts.
+    std::uint8_t priority = 0;           // Default priority, 0 to 9; higher runs first.
+    std::uint32_t maxQueued = 256;       // Limit of the requests queued at one agent.
+    double requestsPerSecond = 0.0;      // Rate limit over all entries; 0 means none.
+    HallId homeHall;                     // Hall of its requests with a key; empty: none allowed.
 };
 
-// One route of a plain service.
+// A route of a plain service.
 struct RouteConfig
 {
     std::string method;
-    std::string path;        // A prefix of the path below the service.
-    bool repeatable = false; // Whether a request may be sent again after an unknown outcome.
+    std::string path;        // Path prefix, relative to the service.
+    bool repeatable = false; // Whether requests may be retried after an unknown outcome.
 };
 
-// A plain service.
+// A service that is not a model, with its routes.
 struct ServiceConfig
 {
     TargetName name;
     std::vector<RouteConfig> routes;
-    Duration deadline = std::chrono::seconds(30);
+    Duration deadline = std::chrono::seconds(30); // Default deadline of its requests.
 };
 
-// A model.
+// A model with its size and its rollout limits.
 struct ModelConfig
 {
     TargetName name;
     std::string version;
-    double weightGigabytes = 0.0;
+    double weightGigabytes = 0.0;      // Size of the weights of one replica.
     std::uint32_t expertsPerLayer = 0; // Zero for a model without experts.
     std::uint32_t layers = 0;
-    std::uint32_t minServing = 1; // Floor on serving replicas in a hall during a rollout.
-    Duration deadline = std::chrono::seconds(120);
+    std::uint32_t minServing = 1; // Minimum of serving replicas in a hall during a rollout.
+    Duration deadline = std::chrono::seconds(120); // Default deadline of its requests.
 };
 
-// A data hall.
+// A data hall with instances of its own.
 struct HallConfig
 {
     HallId id;
     std::string region;
-    bool draining = false;
+    bool draining = false;               // Whether its upstreams are excluded from selection.
     std::map<HallId, Duration> distance; // One-way delay to other halls.
 };
 
-// What the system must know of one upstream besides the instance list.
+// Properties of an upstream that the instance list does not contain.
 struct UpstreamConfig
 {
-    InstanceId agent;         // The agent that stands before it.
-    bool checksFence = false; // Whether it refuses an order under an old fence by itself.
-    std::uint32_t slots = 8;  // Requests that it runs at once.
-    bool draining = false;
+    InstanceId agent;         // The agent in front of the upstream.
+    bool checksFence = false; // Whether it rejects orders with an outdated fence itself.
+    std::uint32_t slots = 8;  // Maximum number of requests that it runs concurrently.
+    bool draining = false;    // Whether it is excluded from selection.
 };
 
-// Weights of the experts' objective: a · skew + b · (moved weight + lost capacity).
+// Weights a (skewWeight) and b (moveWeight) of the objective of expert placement, which is
+// a · skew + b · (moved weight + lost capacity).
 struct ObjectiveConfig
 {
     double skewWeight = 1.0;
     double moveWeight = 1.0;
 };
 
-// The whole document.
+// The complete configuration document.
 struct ConfigDocument
 {
     ConfigVersion version;
-    ConfigVersion base; // The version that it was planned on.
+    ConfigVersion base; // The version that this one was planned on: version - 1.
     std::vector<AccountConfig> accounts;
     std::vector<ServiceConfig> services;
     std::vector<ModelConfig> models;
@@ -96,25 +98,25 @@
     double weightStoreGigabytesPerSecond = 1.0;
 };
 
-// Whether an instance may get new work.
+// Whether an instance accepts new work: a leaving one does not.
 enum class InstanceState { Live, Leaving };
 
-// What an instance does.
+// The role of an instance.
 enum class InstanceRole { Entry, Agent };
 
-// One line of the platform's instance list.
+// An entry or agent in the platform's instance list.
 struct InstanceRecord
 {
     InstanceId id;
     InstanceRole role = InstanceRole::Agent;
     HallId hall;
-    std::string address; // An IP number.
+    std::string address; // An IPv4 address.
     int port = 0;
     std::vector<TargetName> serves; // For an agent: the models and services of its upstream.
     InstanceState state = InstanceState::Live;
 };
 
-// The platform's list of live and leaving instances. It lags.
+// The platform's list of live and leaving instances. It lags behind their actual state.
 struct InstanceList
 {
     ListVersion version;
--- a/include/seamarch/ids.h
+++ b/include/seamarch/ids.h
@@ -1,8 +1,8 @@
 // Strong types for identifiers.
 //
-// An identifier of one kind cannot be passed where another kind is expected, because each kind is
-// a distinct instantiation of `StrongId`. Identifiers are values: they are copied freely, compared
-// with the usual operators and usable as keys of ordered and hashed containers.
+// Each kind of identifier is a distinct instantiation of `StrongId`, so that one kind cannot be
+// passed where another is expected. Identifiers are values: they can be copied, compared with the
+// usual operators, and used as keys of ordered and hashed containers.
 //
 // This header is public. Its names follow the compatibility promise in docs/reference.md.
 #pragma once
@@ -15,7 +15,7 @@
 
 namespace seamarch {
 
-// An identifier whose kind is `Tag` and whose representation is `Rep`.
+// An identifier of the kind `Tag` that is represented as a `Rep`.
 template <typename Tag, typename Rep>
 class StrongId
 {
@@ -36,37 +36,39 @@
     Rep value_{};
 };
 
-// A client account: the unit that shares, limits and metrics are kept for.
+// A client account, the unit to which shares, limits and metrics apply.
 using AccountId = StrongId<struct AccountTag, std::string>;
 // A data hall.
 using HallId = StrongId<struct HallTag, std::string>;
-// A region: halls whose requests may be bound to stay there.
+// A region, a set of halls. Requests can be restricted to the halls of a region.
 using RegionId = StrongId<struct RegionTag, std::string>;
-// A process of the system: an entry or an agent, as the platform lists it.
+// A process of the system, an entry or an agent, under its id in the platform's instance list.
 using InstanceId = StrongId<struct InstanceTag, std::string>;
-// What a request asks for: the name of a model or of a plain service.
+// The target of a request: the name of a model or of a plain service.
 using TargetName = StrongId<struct TargetTag, std::string>;
-// One life of a process. It is drawn at random at start, so a replaced process never repeats it.
+// One run of a process. It is drawn at random at start, so that a restarted process has another
+// one.
 using Incarnation = StrongId<struct IncarnationTag, std::uint64_t>;
-// The version of a configuration document; zero means that none is known.
+// The version of a configuration document; 0 means that none is known.
 using ConfigVersion = StrongId<struct ConfigVersionTag, std::uint64_t>;
 // The version of an instance list.
 using ListVersion = StrongId<struct ListVersionTag, std::uint64_t>;
-// A group of engines that make their passes together, as its engines name it. A service may have
-// several; an engine that starts anew may come back in another one.
+// A group of engines that run their passes together, under the name that the engines report. A
+// service may have several groups, and a restarted engine may join another one.
 using GroupId = StrongId<struct GroupTag, std::string>;
-// The epoch of an expert map of one group.
+// The epoch of a group's expert map.
 using MapEpoch = StrongId<struct MapEpochTag, std::uint64_t>;
-// What a request asks, as a digest: requests that are alike to an upstream have the same one,
-// though each of them has an id of its own.
+// A digest of a request's content. Requests that are identical to an upstream have the same digest,
+// but different request ids.
 using RequestDigest = StrongId<struct RequestDigestTag, std::uint64_t>;
-// When an upstream's process started, as it says itself: Unix milliseconds by the clock of its
-// host; zero: it does not say. An upstream that starts again under its id differs in it.
+// The start time that an upstream's process reports, in Unix milliseconds by its host's clock; 0 if
+// it reports none. It distinguishes a restarted upstream from an earlier process with the same id.
 using UpstreamStart = StrongId<struct UpstreamStartTag, std::int64_t>;
-// The position of a rank in its group.
+// The index of a rank in its group.
 using RankIndex = StrongId<struct RankTag, std::uint32_t>;
 
-// Names one request for the whole life of the fleet: the entry's incarnation and its own counter.
+// Identifies a request uniquely over the lifetime of the fleet, by the incarnation of the entry
+// that accepted it and a counter of that entry.
 struct RequestId
 {
     Incarnation entry;
--- a/include/seamarch/outcome.h
+++ b/include/seamarch/outcome.h
@@ -1,7 +1,8 @@
-// What a caller may conclude from a failed answer, and the stable codes that failed answers carry.
+// The outcomes and failure codes of failed responses.
 //
-// Every failed answer carries the header `Seamarch-Outcome` with one of the words below and a JSON
-// body with a `code`. The words and codes are stable: docs/reference.md lists them.
+// Every failed response carries the header `Seamarch-Outcome`, which tells the caller whether the
+// request ran, and a JSON body with a `code`. The values of both are stable; docs/reference.md
+// lists them.
 #pragma once
 
 #include <string_view>
@@ -10,8 +11,8 @@
 
 // Whether a failed request ran.
 enum class Outcome {
-    NotRun,  // It is proved that no upstream started it.
-    Unknown, // It may have run; nothing more can be said.
+    NotRun,  // No upstream has started it; this is certain.
+    Unknown, // It may or may not have run.
 };
 
 // Why a request failed.
@@ -41,16 +42,16 @@
     NoUpstreamInRegions,
 };
 
-// Returns the word that the header `Seamarch-Outcome` carries.
+// Returns the value of the header `Seamarch-Outcome`.
 std::string_view toString(Outcome outcome);
 
-// Returns the stable code that a JSON error carries.
+// Returns the stable `code` of a JSON error body.
 std::string_view toString(FailureCode code);
 
-// Returns the HTTP status that goes with `code`.
+// Returns the HTTP status of responses with `code`.
 int httpStatus(FailureCode code);
 
-// Returns one sentence that says what happened and what the caller can do next.
+// Returns a message for the caller that states what happened and what to do next.
 std::string_view advice(FailureCode code);
 
 } // namespace seamarch
--- a/include/seamarch/units.h
+++ b/include/seamarch/units.h
@@ -1,8 +1,9 @@
 // Units of time and work.
 //
-// Time inside the decisions is monotonic time in microseconds since an arbitrary start; it counts
-// the time that the machine is suspended. It is a type of its own, so that no wall-clock value can
-// slip in: wall clocks step, and a lease that is measured with one would not survive the step.
+// The decision code uses monotonic time in microseconds since an arbitrary start, including the
+// time that the machine is suspended. It has a type of its own, so that a wall-clock value cannot
+// be passed by mistake: wall clocks can step, and a lease measured with one would not survive a
+// step.
 //
 // This header is public. Its names follow the compatibility promise in docs/reference.md.
 #pragma once
@@ -12,7 +13,7 @@
 
 namespace seamarch {
 
-// The clock of the decisions. It has no `now()`: the caller always passes the time in.
+// The clock of the decision code. It has no `now()`: the caller always passes the time in.
 struct DecisionClock
 {
     using rep = std::int64_t;
@@ -25,7 +26,7 @@
 using Duration = DecisionClock::duration;
 using TimePoint = DecisionClock::time_point;
 
-// Returns `duration` in seconds as a floating-point number.
+// Returns `duration` in seconds.
 inline double toSeconds(Duration duration)
 {
     return std::chrono::duration<double>(duration).count();
@@ -37,13 +38,13 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-// Returns the duration of `seconds` seconds, rounded toward zero to a microsecond.
+// Returns `seconds` as a duration, rounded toward zero to whole microseconds.
 inline Duration fromSeconds(double seconds)
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-// A number of model tokens.
+// A number of tokens of a model's prompt or answer.
 using Tokens = std::uint64_t;
 
 } // namespace seamarch
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -95,7 +95,8 @@
 tl::expected<nlohmann::json, PlanError> confirmPlan(const Plan &plan, std::uint64_t digest,
                                                     const nlohmann::json &current);
 
-// Returns the faults of a transition between two documents that are each valid on their own.
+// Returns the faults of a transition between two documents that are each valid on their own, such
+// as a changed home hall.
 ConfigFaults transitionFaults(const ConfigDocument &from, const ConfigDocument &to);
 
 // Converts a plan to the JSON of a plan file.
--- a/src/config/versioneddocument.h
+++ b/src/config/versioneddocument.h
@@ -34,7 +34,7 @@
     Stale,    // Not newer than the held version; dropped.
     Gap,      // The delta has another base; the full document is needed.
     Corrupt,  // Not JSON, no version, or a wrong version or digest; dropped.
-    Conflict, // Same version but other content: two documents were published as one version.
+    Conflict, // Same version, other content (two documents were published as one version); dropped.
 };
 
 // Returns the 64-bit XXH3 hash of the document's canonical text (sorted keys, no whitespace).
--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Returns the path of the only fault, or all faults when there is not just one.
+// Returns the path of the only fault, "none" for a valid document, or a list of several faults.
 std::string singleFaultPath(const std::string &text)
 {
     const auto parsed = parseConfig(text);
--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -72,7 +72,8 @@
 
     CHECK(published.has_value());
     CHECK(refused.error().kind == PlanError::Kind::BaseChanged);
-    // Even when it is published by hand, no process takes it: it follows version 3, not 4.
+    // If the second plan's document is published by hand nevertheless, processes that hold the
+    // first one reject it: both have version 4, because both are based on version 3.
     VersionedDocument process;
     process.accept(*published);
     CHECK(process.accept(second->document) == UpdateResult::Conflict);
--- a/test/config/versioneddocument_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -1,4 +1,4 @@
-// An accepted configuration never reverts to an older one.
+// Tests that a process that has accepted a configuration never reverts to an older one.
 #include "config/versioneddocument.h"
 
 #include <fmt/format.h>
@@ -12,6 +12,7 @@
 
 namespace {
 
+// Returns a document with 40 accounts whose content depends on its version.
 json documentAt(std::uint64_t version)
 {
     json accounts = json::array();
@@ -22,8 +23,9 @@
     return {{"version", version}, {"base", version - 1}, {"accounts", accounts}};
 }
 
-// Processes that hear of versions from a service that lies and from each other; they are replaced,
-// and messages are delayed, doubled and damaged. Returns how often a version went back.
+// Simulates processes that receive versions from an unreliable service and from each other.
+// Processes are replaced; updates are delayed, duplicated, reordered and truncated. Returns how
+// often a process had a version in force that was too old or whose content was wrong.
 int countViolations(std::uint64_t seed, bool skipPeerFloors)
 {
     constexpr std::size_t kProcesses = 6;
@@ -34,8 +36,8 @@
     std::vector<VersionedDocument> processes(kProcesses);
     std::vector<VersionedUpdate> inFlight;
     std::uint64_t published = 0;
-    // What each process may not fall below: what it had in force itself in this life, and what a
-    // living peer knew when it started.
+    // The lowest version that each process may have in force: the highest one that it had in force
+    // since its start, or that a peer held when it started.
     std::vector<std::uint64_t> minAllowedVersion(kProcesses, 0);
     int violations = 0;
     for (int round = 0; round < 400; ++round) {
@@ -45,14 +47,14 @@
         const std::size_t index = pick(kProcesses);
         VersionedDocument &process = processes[index];
         switch (pick(5)) {
-        case 0: { // The service serves any version that it ever had.
+        case 0: { // The service returns any version published so far.
             const std::uint64_t version = published == 0 ? 0 : 1 + pick(published);
             if (version != 0) {
                 process.accept(documentAt(version));
             }
             break;
         }
-        case 1: { // A peer hands over what this one lacks; it may arrive much later.
+        case 1: { // A peer sends an update, which may arrive much later.
             const auto update = processes[pick(kProcesses)].updateFor(process.version());
             if (update) {
                 inFlight.push_back(*update);
@@ -68,7 +70,7 @@
                 process.apply(update);
             }
             break;
-        case 3: // A process is replaced and asks its peers before it puts anything in force.
+        case 3: // A process is replaced and reads the floors of its peers.
             if (pick(4) == 0) {
                 process = VersionedDocument();
                 minAllowedVersion[index] = 0;
