--- a/src/base/log.h
+++ b/src/base/log.h
@@ -25,8 +25,8 @@
 // limit or the limit of the queue is reached.
 void logLine(LogLevel level, std::string_view event, const nlohmann::json &fields = {});
 
-// Writes queued lines until standard output would block. The event loop calls it
-// at intervals and when it ends.
+// Writes queued lines until standard output would block. The event loop calls it at intervals and
+// when it ends.
 void flushLog();
 
 // Parses "debug", "info", "warning" or "error". Returns false and leaves `level` unchanged for any
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -53,8 +53,7 @@
 class SettingsReader
 {
 public:
-    // Returns the value of a flag, given its name without leading dashes, or nullopt if it is
-    // absent.
+    // Returns the value of the flag with this name (without leading dashes), or nullopt.
     using FlagLookup = std::function<std::optional<std::string>(std::string_view)>;
 
     explicit SettingsReader(FlagLookup flags, SettingsMap file = {})
@@ -64,7 +63,9 @@
 
     // Returns whether a flag, the environment or the file sets a value.
     bool isSet(std::string_view name) const { return lookUp(name).has_value(); }
+    // Reads a non-empty text.
     std::string text(std::string_view name, std::optional<std::string> fallback = {});
+    // Reads an address in the form `IP:PORT`.
     HostPort address(std::string_view name, std::optional<std::string> fallback = {});
     // Reads a required comma-separated list of addresses.
     std::vector<HostPort> addresses(std::string_view name);
@@ -88,6 +89,7 @@
     static std::string environmentName(std::string_view name);
 
 private:
+    // Returns the value with the highest precedence, or nullopt if none is set.
     std::optional<std::string> lookUp(std::string_view name) const;
     void fault(std::string_view name, std::string message);
     HostPort readAddress(std::string_view name, std::string_view value);
--- a/src/config/objectreader.h
+++ b/src/config/objectreader.h
@@ -38,7 +38,7 @@
 class ObjectReader
 {
 public:
-    // Reads `value`, which stands at `path` in the document. Reports a fault if it is not an
+    // Reads `value`, whose path in the document is `path`. Reports a fault if it is not an
     // object; every field then reads as its fallback.
     ObjectReader(const nlohmann::json &value, std::string path, ConfigFaults &faults);
     ObjectReader(const ObjectReader &) = delete;
--- a/src/config/versioneddocument.h
+++ b/src/config/versioneddocument.h
@@ -50,8 +50,9 @@
     // Applies an update from a peer.
     UpdateResult apply(const VersionedUpdate &update);
 
-    // Returns the update for a peer that holds `version`: a delta, the full document, or nullopt if
-    // the peer is up to date. Version 0 means that the peer holds none.
+    // Returns the update for a peer that holds `version`: a delta if a short one is available,
+    // the full document otherwise, or nullopt if the peer is up to date. Version 0 stands for a
+    // peer without a document.
     std::optional<VersionedUpdate> updateFor(std::uint64_t version) const;
 
     // Raises the floor to a version that has been seen in the fleet. A lower version has no effect.
@@ -67,6 +68,7 @@
     const nlohmann::json &document() const { return document_; }
 
 private:
+    // A patch that leads from the version `from` to the version `to`.
     struct Delta
     {
         std::uint64_t from = 0;
@@ -74,6 +76,7 @@
         nlohmann::json patch;
     };
 
+    // Puts `document` in the place of the held one if its version is higher.
     UpdateResult replace(nlohmann::json document, std::uint64_t version);
     // Records the delta from the held document to `next`.
     void recordDelta(const nlohmann::json &next, std::uint64_t version);
