--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -38,7 +38,7 @@
 // already.
 template <typename Value>
 bool setField(json &element, const char *field, const Value &value, const std::string &label,
-              Plan &plan)
+              ConfigPlan &plan)
 {
     const auto before = element.find(field);
     const std::string old = before == element.end() ? "unset" : before->dump();
@@ -74,7 +74,7 @@
     return all == 0 ? 0.0 : static_cast<double>(lost) / all;
 }
 
-tl::expected<bool, PlanError> apply(const ShareIntent &intent, json &document, Plan &plan,
+tl::expected<bool, PlanError> apply(const ShareIntent &intent, json &document, ConfigPlan &plan,
                                     const std::optional<InstanceList> & /*instances*/)
 {
     json *account = findElement(document, "accounts", "id", intent.account.value());
@@ -89,7 +89,7 @@
                     plan);
 }
 
-tl::expected<bool, PlanError> apply(const DrainHallIntent &intent, json &document, Plan &plan,
+tl::expected<bool, PlanError> apply(const DrainHallIntent &intent, json &document, ConfigPlan &plan,
                                     const std::optional<InstanceList> &instances)
 {
     json *hall = findElement(document, "halls", "id", intent.hall.value());
@@ -107,8 +107,8 @@
     return setField(*hall, "draining", intent.draining, "hall " + intent.hall.value(), plan);
 }
 
-tl::expected<bool, PlanError> apply(const DrainInstanceIntent &intent, json &document, Plan &plan,
-                                    const std::optional<InstanceList> &instances)
+tl::expected<bool, PlanError> apply(const DrainInstanceIntent &intent, json &document,
+                                    ConfigPlan &plan, const std::optional<InstanceList> &instances)
 {
     json *upstream = findElement(document, "upstreams", "agent", intent.agent.value());
     if (upstream == nullptr) {
@@ -132,8 +132,8 @@
                     plan);
 }
 
-tl::expected<bool, PlanError> apply(const ModelVersionIntent &intent, json &document, Plan &plan,
-                                    const std::optional<InstanceList> &instances)
+tl::expected<bool, PlanError> apply(const ModelVersionIntent &intent, json &document,
+                                    ConfigPlan &plan, const std::optional<InstanceList> &instances)
 {
     json *model = findElement(document, "models", "name", intent.model.value());
     if (model == nullptr) {
@@ -181,14 +181,14 @@
     return faults;
 }
 
-tl::expected<Plan, PlanError> makePlan(const json &base, const Intent &intent,
-                                       const std::optional<InstanceList> &instances)
+tl::expected<ConfigPlan, PlanError> makePlan(const json &base, const Intent &intent,
+                                             const std::optional<InstanceList> &instances)
 {
     const auto before = readConfig(base);
     if (!before) {
         return failure(PlanError::Kind::Invalid, describe(before.error()));
     }
-    Plan plan;
+    ConfigPlan plan;
     plan.baseVersion = before->version.value();
     plan.baseDigest = documentDigest(base);
     plan.document = base;
@@ -210,7 +210,7 @@
     return plan;
 }
 
-tl::expected<json, PlanError> confirmPlan(const Plan &plan, std::uint64_t digest,
+tl::expected<json, PlanError> confirmPlan(const ConfigPlan &plan, std::uint64_t digest,
                                           const json &current)
 {
     if (digest != plan.digest || documentDigest(plan.document) != plan.digest) {
@@ -239,7 +239,7 @@
     return plan.document;
 }
 
-json planToJson(const Plan &plan)
+json planToJson(const ConfigPlan &plan)
 {
     return {{"baseVersion", plan.baseVersion},
             {"baseDigest", formatDigest(plan.baseDigest)},
@@ -254,11 +254,11 @@
             {"digest", formatDigest(plan.digest)}};
 }
 
-tl::expected<Plan, PlanError> planFromJson(const json &value)
+tl::expected<ConfigPlan, PlanError> planFromJson(const json &value)
 {
     ConfigFaults faults;
     ObjectReader reader(value, "", faults);
-    Plan plan;
+    ConfigPlan plan;
     plan.baseVersion = reader.integer("baseVersion", Presence::Required, 1, 1ULL << 53U);
     const auto baseDigest = parseDigest(reader.text("baseDigest", Presence::Required));
     const auto digest = parseDigest(reader.text("digest", Presence::Required));
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -60,7 +60,7 @@
 };
 
 // A proposed configuration change.
-struct Plan
+struct ConfigPlan
 {
     std::uint64_t baseVersion = 0;
     std::uint64_t baseDigest = 0;     // Digest of the document that the plan is based on.
@@ -87,12 +87,12 @@
 
 // Makes a plan that applies `intent` to `base`. The cost is estimated from the running replicas in
 // `instances`; without the list, costs that depend on their number are zero.
-tl::expected<Plan, PlanError> makePlan(const nlohmann::json &base, const Intent &intent,
-                                       const std::optional<InstanceList> &instances);
+tl::expected<ConfigPlan, PlanError> makePlan(const nlohmann::json &base, const Intent &intent,
+                                             const std::optional<InstanceList> &instances);
 
 // Checks `digest` and the base of the plan against the current document. Returns the document to
 // publish.
-tl::expected<nlohmann::json, PlanError> confirmPlan(const Plan &plan, std::uint64_t digest,
+tl::expected<nlohmann::json, PlanError> confirmPlan(const ConfigPlan &plan, std::uint64_t digest,
                                                     const nlohmann::json &current);
 
 // Returns the faults of a transition between two documents that are each valid on their own, such
@@ -100,10 +100,10 @@
 ConfigFaults transitionFaults(const ConfigDocument &from, const ConfigDocument &to);
 
 // Converts a plan to the JSON of a plan file.
-nlohmann::json planToJson(const Plan &plan);
+nlohmann::json planToJson(const ConfigPlan &plan);
 // Reads the JSON of a plan file. Leaves `changes` and `cost` empty, since they only inform the
 // operator.
-tl::expected<Plan, PlanError> planFromJson(const nlohmann::json &value);
+tl::expected<ConfigPlan, PlanError> planFromJson(const nlohmann::json &value);
 
 // Formats a digest as 16 lower-case hexadecimal digits.
 std::string formatDigest(std::uint64_t digest);
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -210,7 +210,7 @@
                               arguments.at("VERSION").asString()};
 }
 
-void printPlan(const Plan &plan)
+void printPlan(const ConfigPlan &plan)
 {
     fmt::print("plan on version {} for version {}\n", plan.baseVersion, plan.baseVersion + 1);
     for (const std::string &change : plan.changes) {
