--- a/src/config/plan.cpp
+++ b/src/config/plan.cpp
@@ -181,7 +181,7 @@
     return faults;
 }
 
-tl::expected<ConfigPlan, PlanError> makePlan(const json &base, const Intent &intent,
+tl::expected<ConfigPlan, PlanError> makePlan(const json &base, const ConfigIntent &intent,
                                              const std::optional<InstanceList> &instances)
 {
     const auto before = readConfig(base);
--- a/src/config/plan.h
+++ b/src/config/plan.h
@@ -47,7 +47,8 @@
     std::string version;
 };
 
-using Intent = std::variant<ShareIntent, DrainHallIntent, DrainInstanceIntent, ModelVersionIntent>;
+using ConfigIntent =
+    std::variant<ShareIntent, DrainHallIntent, DrainInstanceIntent, ModelVersionIntent>;
 
 // The estimated cost of carrying out a change.
 struct PlanCost
@@ -87,7 +88,7 @@
 
 // Makes a plan that applies `intent` to `base`. The cost is estimated from the running replicas in
 // `instances`; without the list, costs that depend on their number are zero.
-tl::expected<ConfigPlan, PlanError> makePlan(const nlohmann::json &base, const Intent &intent,
+tl::expected<ConfigPlan, PlanError> makePlan(const nlohmann::json &base, const ConfigIntent &intent,
                                              const std::optional<InstanceList> &instances);
 
 // Checks `digest` and the base of the plan against the current document. Returns the document to
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -187,7 +187,7 @@
     return faults.empty() ? kExitOk : kExitRefused;
 }
 
-tl::expected<Intent, ReadError> readIntent(const Arguments &arguments)
+tl::expected<ConfigIntent, ReadError> readIntent(const Arguments &arguments)
 {
     const bool undo = isSet(arguments, "--undo");
     if (isSet(arguments, "share")) {
