--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -2,7 +2,7 @@
 #include "base/digest.h"
 #include "base/settings.h"
 #include "config/parse.h"
-#include "config/plan.h"
+#include "config/configplan.h"
 #include "config/versioneddocument.h"
 #include "tool/fetch.h"
 #include "tool/story.h"
--- a/test/config/plan_test.cpp
+++ b/test/config/plan_test.cpp
@@ -1,4 +1,4 @@
-#include "config/plan.h"
+#include "config/configplan.h"
 
 #include "config/parse.h"
 #include "config/versioneddocument.h"
--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -3,7 +3,7 @@
 //
 // Built by `scripts/fuzz` with libFuzzer. The first byte chooses what the rest is read as.
 #include "config/parse.h"
-#include "config/plan.h"
+#include "config/configplan.h"
 #include "config/versioneddocument.h"
 #include "decision/once/ticketissuer.h"
 #include "entry/callerfilters.h"
