--- a/src/config/parse.cpp
+++ b/src/config/parse.cpp
@@ -49,10 +49,10 @@
 }
 
 // Reports a fault for each name that is added more than once. Ignores empty names.
-class UniqueNames
+class DuplicateNameCheck
 {
 public:
-    explicit UniqueNames(ConfigFaults &faults)
+    explicit DuplicateNameCheck(ConfigFaults &faults)
         : faults_(faults)
     {}
 
@@ -222,13 +222,13 @@
 void checkReferences(const ConfigDocument &document, ConfigFaults &faults)
 {
     std::set<HallId> halls;
-    UniqueNames hallNames(faults);
+    DuplicateNameCheck hallNames(faults);
     for (std::size_t index = 0; index < document.halls.size(); ++index) {
         halls.insert(document.halls[index].id);
         hallNames.add(document.halls[index].id.value(), elementPath("halls", index) + ".id");
     }
-    UniqueNames accountNames(faults);
-    UniqueNames digests(faults);
+    DuplicateNameCheck accountNames(faults);
+    DuplicateNameCheck digests(faults);
     for (std::size_t index = 0; index < document.accounts.size(); ++index) {
         const AccountConfig &account = document.accounts[index];
         const std::string path = elementPath("accounts", index);
@@ -241,7 +241,7 @@
                                                               account.homeHall.value())});
         }
     }
-    UniqueNames targets(faults);
+    DuplicateNameCheck targets(faults);
     for (std::size_t index = 0; index < document.services.size(); ++index) {
         targets.add(document.services[index].name.value(),
                     elementPath("services", index) + ".name");
@@ -249,7 +249,7 @@
     for (std::size_t index = 0; index < document.models.size(); ++index) {
         targets.add(document.models[index].name.value(), elementPath("models", index) + ".name");
     }
-    UniqueNames agents(faults);
+    DuplicateNameCheck agents(faults);
     for (std::size_t index = 0; index < document.upstreams.size(); ++index) {
         agents.add(document.upstreams[index].agent.value(),
                    elementPath("upstreams", index) + ".agent");
@@ -346,7 +346,7 @@
     list.version = ListVersion(reader.integer("version", Presence::Required, 1, kMaxVersion));
     list.instances = readList<InstanceRecord>(reader, "instances", faults, readInstance);
     reader.reportUnknownFields();
-    UniqueNames names(faults);
+    DuplicateNameCheck names(faults);
     for (std::size_t index = 0; index < list.instances.size(); ++index) {
         names.add(list.instances[index].id.value(), elementPath("instances", index) + ".id");
     }
