--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -1,8 +1,8 @@
 // seamarch: the operators' tool. It reads, plans and prints; it publishes nothing.
 #include "base/digest.h"
 #include "base/settings.h"
-#include "config/parse.h"
 #include "config/configplan.h"
+#include "config/parse.h"
 #include "config/versioneddocument.h"
 #include "tool/fetch.h"
 #include "tool/story.h"
--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -2,8 +2,8 @@
 // documents.
 //
 // Built by `scripts/fuzz` with libFuzzer. The first byte chooses what the rest is read as.
-#include "config/parse.h"
 #include "config/configplan.h"
+#include "config/parse.h"
 #include "config/versioneddocument.h"
 #include "decision/once/ticketissuer.h"
 #include "entry/callerfilters.h"
