--- a/src/agent/agentservice.cpp
+++ b/src/agent/agentservice.cpp
@@ -5,7 +5,7 @@
 #include "base/wallclock.h"
 #include "net/retryafter.h"
 #include "net/wireconvert.h"
-#include "observe/processnet.h"
+#include "observe/processnetwork.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -29,7 +29,7 @@
     AgentCore::Settings core;
     core.self = settings.instance;
     core.incarnation = incarnation;
-    core.seed = randomIdentity();
+    core.seed = randomNonzeroId();
     core.slots = settings.slots;
     core.keyHome.lease = settings.lease;
     return core;
@@ -178,7 +178,7 @@
 AgentService::AgentService(EventLoop &loop, AgentSettings settings)
     : loop_(loop)
     , settings_(std::move(settings))
-    , incarnation_(randomIdentity())
+    , incarnation_(randomNonzeroId())
     , metrics_(settings_.maxAccountSeries)
     , changes_(loop)
     , core_(coreSettings(settings_, incarnation_), loop.now())
@@ -204,7 +204,7 @@
 
 tl::expected<void, NetError> AgentService::open()
 {
-    auto net = openProcessNet(loop_, settings_.operatorListen, *this, metrics_);
+    auto net = openProcessNetwork(loop_, settings_.operatorListen, *this, metrics_);
     if (!net) {
         return tl::unexpected(net.error());
     }
@@ -281,7 +281,7 @@
         agentCall.ticket = parseTicket(toString(call.getTicket()));
     }
     AgentActions actions;
-    const AdmissionResult result = core_.onCall(agentCall, loop_.now(), wallNow(), actions);
+    const AdmissionResult result = core_.onCall(agentCall, loop_.now(), wallClockNow(), actions);
     metrics_.count("seamarch_agent_calls_total",
                    result.accepted ? "accepted" : toString(result.failure));
     if (!result.accepted) {
@@ -335,7 +335,8 @@
         return;
     }
     ActiveRequest &active = found->second;
-    metrics_.observe(Stage::QueueWait, active.account, "all", loop_.now() - active.arrivedAt);
+    metrics_.observe(RequestStage::QueueWait, active.account, "all",
+                     loop_.now() - active.arrivedAt);
     active.httpCall =
         client_->call(std::move(active.call), std::make_unique<UpstreamReceiver>(*this, action.id));
     active.call = HttpCallRequest();
--- a/src/agent/grantnetwork.cpp
+++ b/src/agent/grantnetwork.cpp
@@ -126,7 +126,7 @@
         return;
     }
     if (context_.core.onGrantRequest(setHash, now)) {
-        context_.core.onGranted(context_.self, setHash, now, now, wallNow());
+        context_.core.onGranted(context_.self, setHash, now, now, wallClockNow());
     }
     for (const auto &[member, link] : links_) {
         requestGrant(member, *link);
@@ -149,7 +149,7 @@
          requestedAt](capnp::Response<wire::Agent::GrantResults> &&response) {
             if (response.getGranted()) {
                 context_.core.onGranted(member, setHash, requestedAt, context_.loop.now(),
-                                        wallNow());
+                                        wallClockNow());
             }
         },
         [](kj::Exception && /*error*/) {}));
--- a/src/base/digest.cpp
+++ b/src/base/digest.cpp
@@ -21,7 +21,7 @@
     return hex;
 }
 
-std::uint64_t sha256Of(std::initializer_list<std::string_view> parts)
+std::uint64_t sha256Prefix(std::initializer_list<std::string_view> parts)
 {
     const std::unique_ptr<EVP_MD_CTX, decltype(&EVP_MD_CTX_free)> context(EVP_MD_CTX_new(),
                                                                           &EVP_MD_CTX_free);
@@ -33,16 +33,16 @@
     }
     std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
     EVP_DigestFinal_ex(context.get(), digest.data(), nullptr);
-    std::uint64_t first = 0;
-    std::memcpy(&first, digest.data(), sizeof(first));
-    return first;
+    std::uint64_t prefix = 0;
+    std::memcpy(&prefix, digest.data(), sizeof(prefix));
+    return prefix;
 }
 
-std::uint64_t randomIdentity()
+std::uint64_t randomNonzeroId()
 {
     std::random_device device;
-    constexpr unsigned kHalf = 32;
-    const std::uint64_t value = (static_cast<std::uint64_t>(device()) << kHalf) | device();
+    constexpr unsigned kHalfBits = 32;
+    const std::uint64_t value = (static_cast<std::uint64_t>(device()) << kHalfBits) | device();
     return value == 0 ? 1 : value;
 }
 
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -14,30 +14,31 @@
 namespace {
 
 constexpr std::array<std::string_view, 4> kLevelNames = {"debug", "info", "warning", "error"};
-// What waits for a reader that lags; lines beyond it are dropped and counted.
+// Limit of the lines that wait for a slow reader. Further lines are dropped and counted.
 constexpr std::size_t kMaxQueuedBytes = std::size_t{256} * 1024;
-// Lines written in a second. Beyond it lines below a warning are dropped and counted, so that a
-// flood of successes leaves room for failures.
+// Above this rate, lines below the level of a warning are dropped and counted, so that a flood of
+// lines about successes leaves room for failures.
 constexpr std::uint64_t kMaxLinesPerSecond = 2000;
-// A pipe that polls as writable takes this much without blocking (POSIX PIPE_BUF).
-constexpr std::size_t kWriteBytes = 4096;
-// From here on lines are written at once; fewer wait for more, to save system calls.
-constexpr std::size_t kBatchBytes = 4096;
-
-// The sink of a process. Single-threaded like everything else.
-struct Sink
+// A pipe that poll() reports as writable accepts this many bytes without blocking (POSIX PIPE_BUF).
+constexpr std::size_t kMaxWriteBytes = 4096;
+// Queued lines are written as soon as they reach this size. Smaller amounts wait, which saves
+// system calls.
+constexpr std::size_t kFlushThresholdBytes = 4096;
+
+// The log state of the process. It is not thread-safe: the process has a single thread.
+struct LogSink
 {
-    LogLevel lowest = LogLevel::Info;
-    std::string context; // The fields that every line carries, without braces.
+    LogLevel minLevel = LogLevel::Info;
+    std::string context; // Fields of every line, without braces.
     std::string queue;
-    std::int64_t second = 0;
+    std::int64_t currentSecond = 0; // In Unix time; linesThisSecond refers to it.
     std::uint64_t linesThisSecond = 0;
-    std::uint64_t dropped = 0;
+    std::uint64_t dropped = 0; // Lines dropped since the last report.
 };
 
-Sink &sink()
+LogSink &sink()
 {
-    static Sink instance;
+    static LogSink instance;
     return instance;
 }
 
@@ -47,18 +48,19 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
 }
 
-std::string dumped(const nlohmann::json &value)
+// Returns the JSON text of a value, with invalid UTF-8 replaced.
+std::string toText(const nlohmann::json &value)
 {
     return value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Returns an object's fields without its braces, with a comma before them.
+// Returns the JSON text of an object's fields without braces and with a leading comma.
 std::string innerFields(const nlohmann::json &fields)
 {
     if (!fields.is_object() || fields.empty()) {
         return {};
     }
-    std::string text = dumped(fields);
+    std::string text = toText(fields);
     text.front() = ',';
     text.pop_back();
     return text;
@@ -77,17 +79,18 @@
                    innerFields(fields));
 }
 
-// Counts a line against the limits of this second. Returns whether it may be written.
+// Returns whether a line is within the limits, and counts it as written or dropped.
 bool admitLine(LogLevel level, std::int64_t millis)
 {
     constexpr std::int64_t kMillis = 1000;
-    Sink &state = sink();
-    if (state.second != millis / kMillis) {
-        state.second = millis / kMillis;
+    LogSink &state = sink();
+    if (state.currentSecond != millis / kMillis) {
+        state.currentSecond = millis / kMillis;
         state.linesThisSecond = 0;
     }
-    const bool crowded = state.linesThisSecond >= kMaxLinesPerSecond && level < LogLevel::Warning;
-    if (crowded || state.queue.size() >= kMaxQueuedBytes) {
+    const bool rateExceeded =
+        state.linesThisSecond >= kMaxLinesPerSecond && level < LogLevel::Warning;
+    if (rateExceeded || state.queue.size() >= kMaxQueuedBytes) {
         ++state.dropped;
         return false;
     }
@@ -95,9 +98,10 @@
     return true;
 }
 
-void tellDropped(std::int64_t millis)
+// Queues a line with the number of dropped lines once the queue is less than half full.
+void reportDroppedLines(std::int64_t millis)
 {
-    Sink &state = sink();
+    LogSink &state = sink();
     if (state.dropped == 0 || state.queue.size() >= kMaxQueuedBytes / 2) {
         return;
     }
@@ -109,7 +113,7 @@
 
 void setLogLevel(LogLevel level)
 {
-    sink().lowest = level;
+    sink().minLevel = level;
 }
 
 void setLogContext(const nlohmann::json &fields)
@@ -119,16 +123,16 @@
 
 void logLine(LogLevel level, std::string_view event, const nlohmann::json &fields)
 {
-    if (level < sink().lowest) {
+    if (level < sink().minLevel) {
         return;
     }
     const std::int64_t millis = nowMillis();
     if (!admitLine(level, millis)) {
         return;
     }
-    tellDropped(millis);
+    reportDroppedLines(millis);
     appendLine(level, event, fields, millis);
-    if (sink().queue.size() >= kBatchBytes) {
+    if (sink().queue.size() >= kFlushThresholdBytes) {
         flushLog();
     }
 }
@@ -142,12 +146,12 @@
         if (poll(&target, 1, 0) != 1 || (target.revents & POLLOUT) == 0) {
             break;
         }
-        const std::size_t size = std::min(kWriteBytes, queue.size() - written);
-        const ssize_t taken = ::write(STDOUT_FILENO, queue.data() + written, size);
-        if (taken <= 0) {
+        const std::size_t size = std::min(kMaxWriteBytes, queue.size() - written);
+        const ssize_t bytesWritten = ::write(STDOUT_FILENO, queue.data() + written, size);
+        if (bytesWritten <= 0) {
             break;
         }
-        written += static_cast<std::size_t>(taken);
+        written += static_cast<std::size_t>(bytesWritten);
     }
     queue.erase(0, written);
 }
--- a/src/config/plan.cpp
+++ b/src/config/configplan.cpp
@@ -1,7 +1,7 @@
-#include "config/plan.h"
+#include "config/configplan.h"
 
 #include "config/parse.h"
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 
 #include <algorithm>
 #include <charconv>
@@ -19,8 +19,8 @@
     return tl::unexpected(PlanError{kind, std::move(message)});
 }
 
-// Returns the element of the array `list` whose field `key` is `name`; null when there is none.
-json *findNamed(json &document, const char *list, const char *key, const std::string &name)
+// Returns the element of the array `list` whose field `key` equals `name`, or null.
+json *findElement(json &document, const char *list, const char *key, const std::string &name)
 {
     const auto array = document.find(list);
     if (array == document.end()) {
@@ -34,10 +34,11 @@
     return nullptr;
 }
 
-// Sets one field and tells what changed; false when it has that value already.
+// Sets one field and adds the change to the plan. Returns false if the field has that value
+// already.
 template <typename Value>
 bool setField(json &element, const char *field, const Value &value, const std::string &label,
-              Plan &plan)
+              ConfigPlan &plan)
 {
     const auto before = element.find(field);
     const std::string old = before == element.end() ? "unset" : before->dump();
@@ -50,31 +51,33 @@
     return true;
 }
 
+// Returns the number of agents that serve `target`, in `hall` if one is given. Returns 0 without a
+// list.
 std::uint32_t countAgents(const std::optional<InstanceList> &instances, const TargetName &target,
                           const std::optional<HallId> &hall)
 {
     if (!instances) {
         return 0;
     }
-    const auto counts = [&](const InstanceRecord &record) {
+    const auto servesTarget = [&](const InstanceRecord &record) {
         const auto &serves = record.serves;
         return record.role == InstanceRole::Agent && (!hall || record.hall == *hall)
                && std::find(serves.begin(), serves.end(), target) != serves.end();
     };
     return static_cast<std::uint32_t>(
-        std::count_if(instances->instances.begin(), instances->instances.end(), counts));
+        std::count_if(instances->instances.begin(), instances->instances.end(), servesTarget));
 }
 
-// What taking `lost` out of `all` serving replicas costs.
-double partOf(std::uint32_t lost, std::uint32_t all)
+// Returns the fraction of serving replicas that is lost, or 0 if there are none.
+double lostFraction(std::uint32_t lost, std::uint32_t all)
 {
     return all == 0 ? 0.0 : static_cast<double>(lost) / all;
 }
 
-tl::expected<bool, PlanError> apply(const ShareIntent &intent, json &document, Plan &plan,
+tl::expected<bool, PlanError> apply(const ShareIntent &intent, json &document, ConfigPlan &plan,
                                     const std::optional<InstanceList> & /*instances*/)
 {
-    json *account = findNamed(document, "accounts", "id", intent.account.value());
+    json *account = findElement(document, "accounts", "id", intent.account.value());
     if (account == nullptr) {
         document["accounts"].push_back({{"id", intent.account.value()}, {"share", intent.share}});
         plan.changes.push_back(fmt::format("new client account {} with share {}; add its key's "
@@ -86,10 +89,10 @@
                     plan);
 }
 
-tl::expected<bool, PlanError> apply(const DrainHallIntent &intent, json &document, Plan &plan,
+tl::expected<bool, PlanError> apply(const DrainHallIntent &intent, json &document, ConfigPlan &plan,
                                     const std::optional<InstanceList> &instances)
 {
-    json *hall = findNamed(document, "halls", "id", intent.hall.value());
+    json *hall = findElement(document, "halls", "id", intent.hall.value());
     if (hall == nullptr) {
         return failure(PlanError::Kind::UnknownName,
                        fmt::format("no hall '{}' is configured", intent.hall.value()));
@@ -99,15 +102,15 @@
         const std::uint32_t lost = countAgents(instances, name, intent.hall);
         const std::uint32_t all = countAgents(instances, name, std::nullopt);
         plan.cost.replicas += lost;
-        plan.cost.capacityLostPart = std::max(plan.cost.capacityLostPart, partOf(lost, all));
+        plan.cost.capacityLostPart = std::max(plan.cost.capacityLostPart, lostFraction(lost, all));
     }
     return setField(*hall, "draining", intent.draining, "hall " + intent.hall.value(), plan);
 }
 
-tl::expected<bool, PlanError> apply(const DrainInstanceIntent &intent, json &document, Plan &plan,
-                                    const std::optional<InstanceList> &instances)
+tl::expected<bool, PlanError> apply(const DrainInstanceIntent &intent, json &document,
+                                    ConfigPlan &plan, const std::optional<InstanceList> &instances)
 {
-    json *upstream = findNamed(document, "upstreams", "agent", intent.agent.value());
+    json *upstream = findElement(document, "upstreams", "agent", intent.agent.value());
     if (upstream == nullptr) {
         return failure(
             PlanError::Kind::UnknownName,
@@ -120,7 +123,7 @@
                 if (record.id == intent.agent) {
                     const auto all = countAgents(instances, target, std::nullopt);
                     plan.cost.capacityLostPart =
-                        std::max(plan.cost.capacityLostPart, partOf(1, all));
+                        std::max(plan.cost.capacityLostPart, lostFraction(1, all));
                 }
             }
         }
@@ -129,26 +132,26 @@
                     plan);
 }
 
-tl::expected<bool, PlanError> apply(const ModelVersionIntent &intent, json &document, Plan &plan,
-                                    const std::optional<InstanceList> &instances)
+tl::expected<bool, PlanError> apply(const ModelVersionIntent &intent, json &document,
+                                    ConfigPlan &plan, const std::optional<InstanceList> &instances)
 {
-    json *model = findNamed(document, "models", "name", intent.model.value());
+    json *model = findElement(document, "models", "name", intent.model.value());
     if (model == nullptr) {
         return failure(PlanError::Kind::UnknownName,
                        fmt::format("no model '{}' is configured", intent.model.value()));
     }
     const std::uint32_t replicas = countAgents(instances, intent.model, std::nullopt);
     const std::uint32_t floor = model->value("minServing", 1U);
-    const std::uint32_t atOnce = replicas > floor ? replicas - floor : 0;
+    const std::uint32_t reloadable = replicas > floor ? replicas - floor : 0;
     const double rate = document.value("weightStoreGbPerSecond", 1.0);
     plan.cost.replicas = replicas;
     plan.cost.movedGigabytes = model->value("weightGb", 0.0) * replicas;
     plan.cost.weightStoreSeconds = plan.cost.movedGigabytes / rate;
-    plan.cost.capacityLostPart = partOf(std::min<std::uint32_t>(atOnce, 1), replicas);
+    plan.cost.capacityLostPart = lostFraction(std::min<std::uint32_t>(reloadable, 1), replicas);
     plan.cost.rounds = replicas;
-    if (replicas > 0 && atOnce == 0) {
-        plan.changes.push_back(fmt::format("warning: minServing {} leaves no replica of {} to be "
-                                           "reloaded; nothing will move",
+    if (replicas > 0 && reloadable == 0) {
+        plan.changes.push_back(fmt::format("warning: minServing {} leaves no replica of {} that "
+                                           "can be reloaded; none will be",
                                            floor, intent.model.value()));
     }
     return setField(*model, "version", intent.version, "model " + intent.model.value(), plan);
@@ -156,7 +159,7 @@
 
 } // namespace
 
-ConfigFaults changeFaults(const ConfigDocument &from, const ConfigDocument &to)
+ConfigFaults transitionFaults(const ConfigDocument &from, const ConfigDocument &to)
 {
     ConfigFaults faults;
     for (std::size_t index = 0; index < to.accounts.size(); ++index) {
@@ -167,23 +170,25 @@
         const bool moved = before != from.accounts.end() && !before->homeHall.value().empty()
                            && before->homeHall != account.homeHall;
         if (moved) {
-            // A process that has not heard of the change would still honour keys in the old hall.
-            faults.push_back({elementPath("accounts", index) + ".homeHall",
-                              "a home hall cannot be changed, since two halls could then run one "
-                              "key; create a new client account"});
+            // A process that still holds the older configuration would accept idempotency keys in
+            // the old hall, while others accept them in the new one.
+            faults.push_back(
+                {elementPath("accounts", index) + ".homeHall",
+                 "a home hall cannot be changed, because two halls could then run "
+                 "requests with the same idempotency key; create a new client account"});
         }
     }
     return faults;
 }
 
-tl::expected<Plan, PlanError> makePlan(const json &base, const Intent &intent,
-                                       const std::optional<InstanceList> &instances)
+tl::expected<ConfigPlan, PlanError> makePlan(const json &base, const ConfigIntent &intent,
+                                             const std::optional<InstanceList> &instances)
 {
     const auto before = readConfig(base);
     if (!before) {
-        return failure(PlanError::Kind::Faulty, describe(before.error()));
+        return failure(PlanError::Kind::Invalid, describe(before.error()));
     }
-    Plan plan;
+    ConfigPlan plan;
     plan.baseVersion = before->version.value();
     plan.baseDigest = documentDigest(base);
     plan.document = base;
@@ -195,49 +200,49 @@
         return tl::unexpected(changed.error());
     }
     if (!*changed) {
-        return failure(PlanError::Kind::NoChange, "the configuration says so already");
+        return failure(PlanError::Kind::NoChange, "the configuration already has this value");
     }
     const auto after = readConfig(plan.document);
     if (!after) {
-        return failure(PlanError::Kind::Faulty, describe(after.error()));
+        return failure(PlanError::Kind::Invalid, describe(after.error()));
     }
     plan.digest = documentDigest(plan.document);
     return plan;
 }
 
-tl::expected<json, PlanError> confirmPlan(const Plan &plan, std::uint64_t digest,
+tl::expected<json, PlanError> confirmPlan(const ConfigPlan &plan, std::uint64_t digest,
                                           const json &current)
 {
     if (digest != plan.digest || documentDigest(plan.document) != plan.digest) {
         return failure(PlanError::Kind::WrongDigest,
-                       fmt::format("expected the digest {}, found {}; look at the plan again",
-                                   digestText(plan.digest), digestText(digest)));
+                       fmt::format("expected the digest {}, found {}; review the plan again",
+                                   formatDigest(plan.digest), formatDigest(digest)));
     }
-    const auto now = readConfig(current);
-    if (!now) {
-        return failure(PlanError::Kind::Faulty, describe(now.error()));
+    const auto currentConfig = readConfig(current);
+    if (!currentConfig) {
+        return failure(PlanError::Kind::Invalid, describe(currentConfig.error()));
     }
     if (documentDigest(current) != plan.baseDigest) {
-        return failure(PlanError::Kind::BaseMoved,
+        return failure(PlanError::Kind::BaseChanged,
                        fmt::format("planned on version {}, but the configuration is now at version "
                                    "{}; plan again",
-                                   plan.baseVersion, now->version.value()));
+                                   plan.baseVersion, currentConfig->version.value()));
     }
     const auto next = readConfig(plan.document);
     if (!next) {
-        return failure(PlanError::Kind::Faulty, describe(next.error()));
+        return failure(PlanError::Kind::Invalid, describe(next.error()));
     }
-    const ConfigFaults faults = changeFaults(*now, *next);
+    const ConfigFaults faults = transitionFaults(*currentConfig, *next);
     if (!faults.empty()) {
-        return failure(PlanError::Kind::Faulty, describe(faults));
+        return failure(PlanError::Kind::Invalid, describe(faults));
     }
     return plan.document;
 }
 
-json planToJson(const Plan &plan)
+json planToJson(const ConfigPlan &plan)
 {
     return {{"baseVersion", plan.baseVersion},
-            {"baseDigest", digestText(plan.baseDigest)},
+            {"baseDigest", formatDigest(plan.baseDigest)},
             {"document", plan.document},
             {"changes", plan.changes},
             {"cost",
@@ -246,20 +251,20 @@
               {"capacityLostPart", plan.cost.capacityLostPart},
               {"replicas", plan.cost.replicas},
               {"rounds", plan.cost.rounds}}},
-            {"digest", digestText(plan.digest)}};
+            {"digest", formatDigest(plan.digest)}};
 }
 
-tl::expected<Plan, PlanError> planFromJson(const json &value)
+tl::expected<ConfigPlan, PlanError> planFromJson(const json &value)
 {
     ConfigFaults faults;
     ObjectReader reader(value, "", faults);
-    Plan plan;
+    ConfigPlan plan;
     plan.baseVersion = reader.integer("baseVersion", Presence::Required, 1, 1ULL << 53U);
     const auto baseDigest = parseDigest(reader.text("baseDigest", Presence::Required));
     const auto digest = parseDigest(reader.text("digest", Presence::Required));
     plan.document = reader.object("document", Presence::Required);
     if (!faults.empty() || !baseDigest || !digest) {
-        return failure(PlanError::Kind::Faulty,
+        return failure(PlanError::Kind::Invalid,
                        "not a plan; expected a file that 'seamarch plan --out' wrote\n"
                            + describe(faults));
     }
@@ -268,7 +273,7 @@
     return plan;
 }
 
-std::string digestText(std::uint64_t digest)
+std::string formatDigest(std::uint64_t digest)
 {
     return fmt::format("{:016x}", digest);
 }
--- a/src/config/jsonreader.cpp
+++ b/src/config/objectreader.cpp
@@ -1,4 +1,4 @@
-#include "config/jsonreader.h"
+#include "config/objectreader.h"
 
 #include <fmt/format.h>
 #include <utility>
@@ -44,7 +44,7 @@
 
 const json *ObjectReader::field(std::string_view name, Presence presence)
 {
-    asked_.emplace(name);
+    requestedFields_.emplace(name);
     if (!value_.is_object()) {
         return nullptr;
     }
@@ -53,7 +53,7 @@
         return &*found;
     }
     if (presence == Presence::Required) {
-        fault(name, "expected this field, found none; add it");
+        fault(name, "required field is missing; add it");
     }
     return nullptr;
 }
@@ -156,13 +156,13 @@
     return *found;
 }
 
-void ObjectReader::finish()
+void ObjectReader::reportUnknownFields()
 {
     if (!value_.is_object()) {
         return;
     }
     for (const auto &[name, unused] : value_.items()) {
-        if (!asked_.contains(name)) {
+        if (!requestedFields_.contains(name)) {
             fault(name, "unknown field; remove it or correct its name");
         }
     }
--- a/src/config/parse.cpp
+++ b/src/config/parse.cpp
@@ -18,18 +18,18 @@
 constexpr std::uint64_t kMaxDeadlineMs = 24ULL * 3600 * 1000;
 constexpr std::uint64_t kMaxDistanceUs = 10'000'000;
 constexpr std::uint64_t kMaxVersion = (1ULL << 53U) - 1;
-constexpr std::size_t kDigestLength = 64;
+constexpr std::size_t kSha256HexLength = 64;
 constexpr std::uint64_t kMaxPort = 65535;
 
-bool isDigest(const std::string &text)
+bool isSha256Hex(const std::string &text)
 {
     const auto isHex = [](char letter) {
         return (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'f');
     };
-    return text.size() == kDigestLength && std::all_of(text.begin(), text.end(), isHex);
+    return text.size() == kSha256HexLength && std::all_of(text.begin(), text.end(), isHex);
 }
 
-bool isIpNumber(const std::string &text)
+bool isIpv4Address(const std::string &text)
 {
     int parts = 0;
     std::size_t start = 0;
@@ -48,18 +48,18 @@
     return parts == 4;
 }
 
-// Checks that no two elements of a list have the same name.
-class UniqueNames
+// Reports a fault for each name that is added more than once. Ignores empty names.
+class DuplicateNameCheck
 {
 public:
-    explicit UniqueNames(ConfigFaults &faults)
+    explicit DuplicateNameCheck(ConfigFaults &faults)
         : faults_(faults)
     {}
 
     void add(const std::string &name, const std::string &path)
     {
         if (!name.empty() && !names_.insert(name).second) {
-            faults_.push_back({path, fmt::format("'{}' is named twice; keep one", name)});
+            faults_.push_back({path, fmt::format("'{}' is listed more than once; keep one", name)});
         }
     }
 
@@ -98,7 +98,7 @@
     account.keyDigests = readStrings(reader.array("keySha256", Presence::Optional),
                                      reader.pathOf("keySha256"), faults);
     for (std::size_t index = 0; index < account.keyDigests.size(); ++index) {
-        if (!isDigest(account.keyDigests[index])) {
+        if (!isSha256Hex(account.keyDigests[index])) {
             faults.push_back({elementPath(reader.pathOf("keySha256"), index),
                               "expected 64 lower-case hexadecimal digits; see 'seamarch digest'"});
         }
@@ -111,7 +111,7 @@
     account.requestsPerSecond =
         reader.number("requestsPerSecond", Presence::Optional, 0.0, kMaxRate, 0.0);
     account.homeHall = HallId(reader.text("homeHall", Presence::Optional));
-    reader.finish();
+    reader.reportUnknownFields();
     return account;
 }
 
@@ -126,7 +126,7 @@
                      fmt::format("expected a path that starts with '/', found '{}'", route.path));
     }
     route.repeatable = reader.boolean("repeatable", Presence::Required);
-    reader.finish();
+    reader.reportUnknownFields();
     return route;
 }
 
@@ -141,7 +141,7 @@
         service.routes.push_back(
             readRoute(routes[index], elementPath(reader.pathOf("routes"), index), faults));
     }
-    reader.finish();
+    reader.reportUnknownFields();
     return service;
 }
 
@@ -160,7 +160,7 @@
     model.layers = count("layers", 0);
     model.minServing = count("minServing", model.minServing);
     model.deadline = readMilliseconds(reader, "deadlineMs", model.deadline);
-    reader.finish();
+    reader.reportUnknownFields();
     return model;
 }
 
@@ -177,7 +177,7 @@
         hall.distance[HallId(name)] = std::chrono::microseconds(
             distanceReader.integer(name, Presence::Required, 0, kMaxDistanceUs));
     }
-    reader.finish();
+    reader.reportUnknownFields();
     return hall;
 }
 
@@ -190,7 +190,7 @@
     upstream.slots = static_cast<std::uint32_t>(
         reader.integer("slots", Presence::Optional, 1, kMaxCount, upstream.slots));
     upstream.draining = reader.boolean("draining", Presence::Optional);
-    reader.finish();
+    reader.reportUnknownFields();
     return upstream;
 }
 
@@ -202,7 +202,7 @@
         reader.number("skewWeight", Presence::Optional, 0.0, kMaxShare, objective.skewWeight);
     objective.moveWeight =
         reader.number("moveWeight", Presence::Optional, 0.0, kMaxShare, objective.moveWeight);
-    reader.finish();
+    reader.reportUnknownFields();
     return objective;
 }
 
@@ -218,17 +218,17 @@
     return elements;
 }
 
-// Checks what one field says against another.
+// Checks that names and key digests are unique and that each home hall is listed in `halls`.
 void checkReferences(const ConfigDocument &document, ConfigFaults &faults)
 {
     std::set<HallId> halls;
-    UniqueNames hallNames(faults);
+    DuplicateNameCheck hallNames(faults);
     for (std::size_t index = 0; index < document.halls.size(); ++index) {
         halls.insert(document.halls[index].id);
         hallNames.add(document.halls[index].id.value(), elementPath("halls", index) + ".id");
     }
-    UniqueNames accountNames(faults);
-    UniqueNames digests(faults);
+    DuplicateNameCheck accountNames(faults);
+    DuplicateNameCheck digests(faults);
     for (std::size_t index = 0; index < document.accounts.size(); ++index) {
         const AccountConfig &account = document.accounts[index];
         const std::string path = elementPath("accounts", index);
@@ -241,7 +241,7 @@
                                                               account.homeHall.value())});
         }
     }
-    UniqueNames targets(faults);
+    DuplicateNameCheck targets(faults);
     for (std::size_t index = 0; index < document.services.size(); ++index) {
         targets.add(document.services[index].name.value(),
                     elementPath("services", index) + ".name");
@@ -249,7 +249,7 @@
     for (std::size_t index = 0; index < document.models.size(); ++index) {
         targets.add(document.models[index].name.value(), elementPath("models", index) + ".name");
     }
-    UniqueNames agents(faults);
+    DuplicateNameCheck agents(faults);
     for (std::size_t index = 0; index < document.upstreams.size(); ++index) {
         agents.add(document.upstreams[index].agent.value(),
                    elementPath("upstreams", index) + ".agent");
@@ -268,8 +268,9 @@
     record.role = role == "entry" ? InstanceRole::Entry : InstanceRole::Agent;
     record.hall = HallId(reader.text("hall", Presence::Required));
     record.address = reader.text("address", Presence::Required);
-    if (!isIpNumber(record.address)) {
-        reader.fault("address", fmt::format("expected an IP number, found '{}'", record.address));
+    if (!isIpv4Address(record.address)) {
+        reader.fault("address",
+                     fmt::format("expected an IPv4 address, found '{}'", record.address));
     }
     record.port = static_cast<int>(reader.integer("port", Presence::Required, 1, kMaxPort));
     const std::string state = reader.text("state", Presence::Optional, "live");
@@ -281,7 +282,7 @@
          readStrings(reader.array("serves", Presence::Optional), reader.pathOf("serves"), faults)) {
         record.serves.emplace_back(std::move(target));
     }
-    reader.finish();
+    reader.reportUnknownFields();
     return record;
 }
 
@@ -307,9 +308,9 @@
     ConfigDocument document;
     document.version = ConfigVersion(reader.integer("version", Presence::Required, 1, kMaxVersion));
     document.base = ConfigVersion(reader.integer("base", Presence::Optional, 0, kMaxVersion));
-    // Two documents that were planned on one version would otherwise both be taken, and the later
-    // would undo the earlier unseen. The rule needs nothing but the document, so every process
-    // decides alike, whatever it held before.
+    // Requires version == base + 1. Otherwise two documents planned on the same version could both
+    // be accepted, and the later one would silently revert the earlier one. The rule depends on the
+    // document alone, so that every process decides alike, whichever version it holds.
     if (document.version.value() != 0 && document.version.value() != document.base.value() + 1) {
         reader.fault("base", fmt::format("expected {}, one below the version, found {}; plan the "
                                          "change anew on the current version",
@@ -324,7 +325,7 @@
                                        reader.pathOf("objective"), faults);
     document.weightStoreGigabytesPerSecond =
         reader.number("weightStoreGbPerSecond", Presence::Optional, 1e-3, kMaxGigabytes, 1.0);
-    reader.finish();
+    reader.reportUnknownFields();
     checkReferences(document, faults);
     if (!faults.empty()) {
         return tl::unexpected(std::move(faults));
@@ -344,8 +345,8 @@
     InstanceList list;
     list.version = ListVersion(reader.integer("version", Presence::Required, 1, kMaxVersion));
     list.instances = readList<InstanceRecord>(reader, "instances", faults, readInstance);
-    reader.finish();
-    UniqueNames names(faults);
+    reader.reportUnknownFields();
+    DuplicateNameCheck names(faults);
     for (std::size_t index = 0; index < list.instances.size(); ++index) {
         names.add(list.instances[index].id.value(), elementPath("instances", index) + ".id");
     }
--- a/src/config/versioned.cpp
+++ b/src/config/versioneddocument.cpp
@@ -1,4 +1,4 @@
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,11 +9,14 @@
 
 using nlohmann::json;
 
-// Enough for a peer that was paused through a burst of changes; older peers take the whole.
-constexpr std::size_t kMaxDifferences = 16;
-// A chain of differences beyond this part of the whole document saves nothing.
-constexpr std::size_t kWorthwhilePart = 2;
+// Covers a peer that was paused during a burst of changes; peers further behind get the full
+// document.
+constexpr std::size_t kMaxDeltas = 16;
+// A delta is sent only if it is shorter than the full document divided by this number; a longer one
+// saves too little.
+constexpr std::size_t kDeltaSizeDivisor = 2;
 
+// Returns the field `version` of the document, or 0 if it has none.
 std::uint64_t versionOf(const json &document)
 {
     const auto found = document.is_object() ? document.find("version") : document.end();
@@ -53,7 +56,7 @@
 {
     const std::uint64_t version = versionOf(document);
     if (version == 0) {
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     return replace(std::move(document), version);
 }
@@ -66,7 +69,7 @@
     if (version == version_) {
         return document == document_ ? UpdateResult::Stale : UpdateResult::Conflict;
     }
-    remember(document, version);
+    recordDelta(document, version);
     document_ = std::move(document);
     version_ = version;
     digest_ = documentDigest(document_);
@@ -74,14 +77,14 @@
     return UpdateResult::Applied;
 }
 
-void VersionedDocument::remember(const json &next, std::uint64_t version)
+void VersionedDocument::recordDelta(const json &next, std::uint64_t version)
 {
     if (version_ == 0) {
         return;
     }
-    differences_.push_back({version_, version, json::diff(document_, next)});
-    if (differences_.size() > kMaxDifferences) {
-        differences_.pop_front();
+    deltas_.push_back({version_, version, json::diff(document_, next)});
+    if (deltas_.size() > kMaxDeltas) {
+        deltas_.pop_front();
     }
 }
 
@@ -96,14 +99,14 @@
     }
     auto payload = parse(update.payload);
     if (!payload) {
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     auto document = update.from == 0 ? std::move(payload) : applyPatch(document_, *payload);
     if (!document) {
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     if (versionOf(*document) != update.to || documentDigest(*document) != update.digest) {
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     return replace(std::move(*document), update.to);
 }
@@ -113,21 +116,20 @@
     if (version >= version_) {
         return std::nullopt;
     }
-    const auto first =
-        std::find_if(differences_.begin(), differences_.end(),
-                     [version](const Difference &each) { return each.from == version; });
-    const std::string whole = document_.dump();
-    if (version != 0 && first != differences_.end()) {
-        json chain = json::array();
-        for (auto each = first; each != differences_.end(); ++each) {
-            chain.insert(chain.end(), each->patch.begin(), each->patch.end());
+    const auto first = std::find_if(deltas_.begin(), deltas_.end(),
+                                    [version](const Delta &each) { return each.from == version; });
+    const std::string fullText = document_.dump();
+    if (version != 0 && first != deltas_.end()) {
+        json combinedPatch = json::array();
+        for (auto each = first; each != deltas_.end(); ++each) {
+            combinedPatch.insert(combinedPatch.end(), each->patch.begin(), each->patch.end());
         }
-        std::string text = chain.dump();
-        if (text.size() < whole.size() / kWorthwhilePart) {
+        std::string text = combinedPatch.dump();
+        if (text.size() < fullText.size() / kDeltaSizeDivisor) {
             return VersionedUpdate{version, version_, digest_, std::move(text)};
         }
     }
-    return VersionedUpdate{0, version_, digest_, whole};
+    return VersionedUpdate{0, version_, digest_, fullText};
 }
 
 void VersionedDocument::raiseFloor(std::uint64_t version)
--- a/src/entry/entryservice.cpp
+++ b/src/entry/entryservice.cpp
@@ -4,7 +4,7 @@
 #include "base/log.h"
 #include "decision/membership/linkplan.h"
 #include "net/wireconvert.h"
-#include "observe/processnet.h"
+#include "observe/processnetwork.h"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -82,7 +82,7 @@
 EntryService::EntryService(EventLoop &loop, EntrySettings settings)
     : loop_(loop)
     , settings_(std::move(settings))
-    , incarnation_(randomIdentity())
+    , incarnation_(randomNonzeroId())
     , metrics_(settings_.maxAccountSeries)
     , changes_(loop)
     , filters_(makeCallerFilters(configIndex_))
@@ -106,7 +106,7 @@
 
 tl::expected<void, NetError> EntryService::open()
 {
-    auto net = openProcessNet(loop_, settings_.operatorListen, *this, metrics_);
+    auto net = openProcessNetwork(loop_, settings_.operatorListen, *this, metrics_);
     if (!net) {
         return tl::unexpected(net.error());
     }
@@ -325,8 +325,8 @@
     active.streamed = context.streamed;
     active.startedAt = loop_.now();
     active.request.digest =
-        RequestDigest(sha256Of({active.payload.method, active.payload.path,
-                                active.request.account.value(), active.payload.body}));
+        RequestDigest(sha256Prefix({active.payload.method, active.payload.path,
+                                    active.request.account.value(), active.payload.body}));
     EntryActions actions;
     const RequestId id = core_.begin(active.request, active.startedAt, actions);
     metrics_.count("seamarch_requests_total", "received");
@@ -554,7 +554,7 @@
 {
     const TimePoint now = loop_.now();
     const bool first = active.lastChunkAt == TimePoint{};
-    const Stage stage = first ? Stage::FirstToken : Stage::BetweenTokens;
+    const RequestStage stage = first ? RequestStage::FirstToken : RequestStage::BetweenTokens;
     const TimePoint since = first ? active.startedAt : active.lastChunkAt;
     metrics_.observe(stage, active.request.account, active.requestClass, now - since);
     active.lastChunkAt = now;
@@ -583,7 +583,7 @@
     }
     if (part.getEnd()) {
         server_->finish(active.exchange);
-        metrics_.observe(Stage::Total, active.request.account, active.requestClass,
+        metrics_.observe(RequestStage::Total, active.request.account, active.requestClass,
                          loop_.now() - active.startedAt);
         metrics_.count("seamarch_requests_total", "answered");
         ++answered_;
--- a/src/experts/ownengine.cpp
+++ b/src/experts/ownengine.cpp
@@ -21,7 +21,7 @@
     : loop_(loop)
     , engineClient_(engineClient)
     , engine_(std::move(engine))
-    , countHistory_(randomIdentity())
+    , countHistory_(randomNonzeroId())
 {}
 
 OwnEngine::~OwnEngine()
--- a/src/gateway/gatewayservice.cpp
+++ b/src/gateway/gatewayservice.cpp
@@ -24,11 +24,11 @@
     GatewayCore::Settings core;
     core.hall = settings.hall;
     core.regions = settings.regions;
-    core.seed = randomIdentity();
+    core.seed = randomNonzeroId();
     core.retries = retryLimits(settings.bounds);
     core.crashes.retention = settings.crashRetention;
-    core.crashes.seed = randomIdentity();
-    core.limits.firstVersion = randomIdentity() | 1U;
+    core.crashes.seed = randomNonzeroId();
+    core.limits.firstVersion = randomNonzeroId() | 1U;
     return core;
 }
 
@@ -280,7 +280,7 @@
     const ActiveRequest &active = found->second;
     const TimePoint now = loop_.now();
     metrics_.count("seamarch_requests_total", result);
-    metrics_.observe(Stage::Total, active.admitted.account, active.admitted.route->name,
+    metrics_.observe(RequestStage::Total, active.admitted.account, active.admitted.route->name,
                      now - active.startedAt);
     logLine(LogLevel::Info, "request.ended",
             {{"id", active.metadata.requestId},
--- a/src/knowledge/clusterstate.cpp
+++ b/src/knowledge/clusterstate.cpp
@@ -31,7 +31,7 @@
     if (!document) {
         logLine(LogLevel::Error, "config.refused",
                 {{"version", next.version()}, {"faults", describe(document.error())}});
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     config_ = std::move(next);
     configDocument_ = std::move(*document);
@@ -62,7 +62,7 @@
     if (!list) {
         logLine(LogLevel::Error, "instances.refused",
                 {{"version", next.version()}, {"faults", describe(list.error())}});
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     list_ = std::move(next);
     listConfirmedAt_.reset();
@@ -78,7 +78,7 @@
     auto value = parseJson(text);
     if (!value) {
         logLine(LogLevel::Error, "config.refused", {{"faults", describe(value.error())}});
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     return updateConfig(config_,
                         [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
@@ -89,7 +89,7 @@
     auto value = parseJson(text);
     if (!value) {
         logLine(LogLevel::Error, "instances.refused", {{"faults", describe(value.error())}});
-        return UpdateResult::Damaged;
+        return UpdateResult::Corrupt;
     }
     return updateList(list_,
                       [&](VersionedDocument &next) { return next.accept(std::move(*value)); });
--- a/src/observe/metrics.cpp
+++ b/src/observe/metrics.cpp
@@ -10,45 +10,46 @@
 constexpr std::array<const char *, 4> kStageNames = {"queue_wait", "first_token", "between_tokens",
                                                      "total"};
 
-// Fine around the aims: 45 ms between tokens and 1.3 s to the first.
-const prometheus::Histogram::BucketBoundaries kBuckets = {0.001, 0.005, 0.02, 0.045, 0.1, 0.3,
-                                                          0.65,  1.3,   3.0,  10.0,  60.0};
+// Upper bounds in seconds. They are finest around the latency targets: 45 ms between tokens and 1.3
+// s to the first token.
+const prometheus::Histogram::BucketBoundaries kSecondsBuckets = {
+    0.001, 0.005, 0.02, 0.045, 0.1, 0.3, 0.65, 1.3, 3.0, 10.0, 60.0};
 
 } // namespace
 
 Metrics::Metrics(std::size_t maxAccounts)
     : registry_(std::make_shared<prometheus::Registry>())
-    , seconds_(prometheus::BuildHistogram()
-                   .Name("seamarch_request_seconds")
-                   .Help("Seconds spent in each stage of a request.")
-                   .Register(*registry_))
+    , requestSeconds_(prometheus::BuildHistogram()
+                          .Name("seamarch_request_seconds")
+                          .Help("Seconds spent in each stage of a request.")
+                          .Register(*registry_))
     , maxAccounts_(maxAccounts)
 {}
 
 const std::string &Metrics::accountLabel(const AccountId &account)
 {
     static const std::string kOther = "other";
-    const auto found = accounts_.find(account);
-    if (found != accounts_.end()) {
+    const auto found = accountLabels_.find(account);
+    if (found != accountLabels_.end()) {
         return found->second;
     }
-    if (accounts_.size() >= maxAccounts_) {
+    if (accountLabels_.size() >= maxAccounts_) {
         return kOther;
     }
-    return accounts_.emplace(account, account.value()).first->second;
+    return accountLabels_.emplace(account, account.value()).first->second;
 }
 
-void Metrics::observe(Stage stage, const AccountId &account, std::string_view requestClass,
+void Metrics::observe(RequestStage stage, const AccountId &account, std::string_view requestClass,
                       Duration duration)
 {
     SeriesKey key{stage, accountLabel(account), std::string(requestClass)};
     auto found = histograms_.find(key);
     if (found == histograms_.end()) {
         prometheus::Histogram &added =
-            seconds_.Add({{"stage", kStageNames.at(static_cast<std::size_t>(stage))},
-                          {"account", key.account},
-                          {"class", key.requestClass}},
-                         kBuckets);
+            requestSeconds_.Add({{"stage", kStageNames.at(static_cast<std::size_t>(stage))},
+                                 {"account", key.account},
+                                 {"class", key.requestClass}},
+                                kSecondsBuckets);
         found = histograms_.emplace(std::move(key), &added).first;
     }
     found->second->Observe(toSeconds(duration));
--- a/src/observe/processnet.cpp
+++ b/src/observe/processnetwork.cpp
@@ -1,15 +1,15 @@
-#include "observe/processnet.h"
+#include "observe/processnetwork.h"
 
 #include <utility>
 
 namespace seamarch {
 
-tl::expected<ProcessNet, NetError> openProcessNet(EventLoop &loop,
-                                                  const SocketAddress &operatorListen,
-                                                  const StatusSource &source,
-                                                  const Metrics &metrics)
+tl::expected<ProcessNetwork, NetError> openProcessNetwork(EventLoop &loop,
+                                                          const SocketAddress &operatorListen,
+                                                          const StatusSource &source,
+                                                          const Metrics &metrics)
 {
-    ProcessNet net;
+    ProcessNetwork net;
     auto transport = RawTransport::create(loop);
     if (!transport) {
         return tl::unexpected(transport.error());
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -1,9 +1,9 @@
 // seamarch: the operators' tool. It reads, plans and prints; it publishes nothing.
 #include "base/digest.h"
 #include "base/settings.h"
+#include "config/configplan.h"
 #include "config/parse.h"
-#include "config/plan.h"
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 #include "tool/fetch.h"
 #include "tool/story.h"
 
@@ -173,7 +173,7 @@
     const auto before = readConfig(*from);
     const auto after = readConfig(*to);
     if (before && after) {
-        faults = changeFaults(*before, *after);
+        faults = transitionFaults(*before, *after);
     }
     if (isSet(arguments, "--json")) {
         fmt::print("{}\n", json{{"patch", patch}, {"allowed", faults.empty()}}.dump());
@@ -187,7 +187,7 @@
     return faults.empty() ? kExitOk : kExitRefused;
 }
 
-tl::expected<Intent, ReadError> readIntent(const Arguments &arguments)
+tl::expected<ConfigIntent, ReadError> readIntent(const Arguments &arguments)
 {
     const bool undo = isSet(arguments, "--undo");
     if (isSet(arguments, "share")) {
@@ -210,7 +210,7 @@
                               arguments.at("VERSION").asString()};
 }
 
-void printPlan(const Plan &plan)
+void printPlan(const ConfigPlan &plan)
 {
     fmt::print("plan on version {} for version {}\n", plan.baseVersion, plan.baseVersion + 1);
     for (const std::string &change : plan.changes) {
@@ -220,7 +220,7 @@
                "capacity lost at the worst moment\n",
                plan.cost.replicas, plan.cost.movedGigabytes, plan.cost.weightStoreSeconds,
                plan.cost.capacityLostPart * 100.0);
-    fmt::print("digest: {}\n", digestText(plan.digest));
+    fmt::print("digest: {}\n", formatDigest(plan.digest));
 }
 
 int runPlan(const Arguments &arguments)
@@ -282,7 +282,7 @@
     }
     const auto document = confirmPlan(*plan, *digest, *current);
     if (!document) {
-        const bool moved = document.error().kind == PlanError::Kind::BaseMoved;
+        const bool moved = document.error().kind == PlanError::Kind::BaseChanged;
         return fail(moved ? kExitConflict : kExitRefused, document.error().message);
     }
     fmt::print("{}\n", document->dump(2));
--- a/test/config/plan_test.cpp
+++ b/test/config/configplan_test.cpp
@@ -1,7 +1,7 @@
-#include "config/plan.h"
+#include "config/configplan.h"
 
 #include "config/parse.h"
-#include "config/versioned.h"
+#include "config/versioneddocument.h"
 
 #include <CppUTest/TestHarness.h>
 
@@ -29,7 +29,7 @@
     }
 };
 
-TEST(PlanTest, ChangesAShareAndNothingElse)
+TEST(PlanTest, ChangesOnlyTheShare)
 {
     const auto plan = makePlan(base, ShareIntent{AccountId("bids"), 4.0}, std::nullopt);
 
@@ -39,7 +39,7 @@
     CHECK_EQUAL(3U, plan->document["base"].get<std::uint64_t>());
 }
 
-TEST(PlanTest, TellsWhatAModelVersionCosts)
+TEST(PlanTest, EstimatesCostOfModelVersionChange)
 {
     const auto plan = makePlan(base, ModelVersionIntent{TargetName("bid"), "v2"}, threeReplicas());
 
@@ -48,21 +48,21 @@
     DOUBLES_EQUAL(1.0 / 3.0, plan->cost.capacityLostPart, 1e-9);
 }
 
-TEST(PlanTest, RefusesWhatIsNotConfigured)
+TEST(PlanTest, RejectsUnknownHall)
 {
     const auto plan = makePlan(base, DrainHallIntent{HallId("south"), true}, std::nullopt);
 
     CHECK(plan.error().kind == PlanError::Kind::UnknownName);
 }
 
-TEST(PlanTest, RefusesToChangeNothing)
+TEST(PlanTest, RejectsIntentWithoutChange)
 {
     const auto plan = makePlan(base, ShareIntent{AccountId("bids"), 1.0}, std::nullopt);
 
     CHECK(plan.error().kind == PlanError::Kind::NoChange);
 }
 
-TEST(PlanTest, SecondOfTwoRacingOperatorsIsRefused)
+TEST(PlanTest, RejectsSecondOfTwoConcurrentPlans)
 {
     const auto first = makePlan(base, ShareIntent{AccountId("bids"), 4.0}, std::nullopt);
     const auto second = makePlan(base, DrainHallIntent{HallId("north"), true}, std::nullopt);
@@ -71,30 +71,31 @@
     const auto refused = confirmPlan(*second, second->digest, *published);
 
     CHECK(published.has_value());
-    CHECK(refused.error().kind == PlanError::Kind::BaseMoved);
-    // Even when it is published by hand, no process takes it: it follows version 3, not 4.
+    CHECK(refused.error().kind == PlanError::Kind::BaseChanged);
+    // If the second plan's document is published by hand nevertheless, processes that hold the
+    // first one reject it: both have version 4, because both are based on version 3.
     VersionedDocument process;
     process.accept(*published);
     CHECK(process.accept(second->document) == UpdateResult::Conflict);
 }
 
-TEST(PlanTest, RefusesAnotherPlansDigest)
+TEST(PlanTest, RejectsDigestOfAnotherPlan)
 {
     const auto plan = makePlan(base, ShareIntent{AccountId("bids"), 4.0}, std::nullopt);
 
     CHECK(confirmPlan(*plan, plan->digest + 1, base).error().kind == PlanError::Kind::WrongDigest);
 }
 
-TEST(PlanTest, RefusesToMoveAHomeHall)
+TEST(PlanTest, RejectsChangedHomeHall)
 {
     json moved = base;
     moved["halls"].push_back(json::parse(R"({"id": "south", "region": "centre"})"));
     moved["accounts"][0]["homeHall"] = "south";
 
-    CHECK_EQUAL(1U, changeFaults(*readConfig(base), *readConfig(moved)).size());
+    CHECK_EQUAL(1U, transitionFaults(*readConfig(base), *readConfig(moved)).size());
 }
 
-TEST(PlanTest, ReadsThePlanThatItWrites)
+TEST(PlanTest, PlanSurvivesJsonRoundTrip)
 {
     const auto plan = makePlan(base, ShareIntent{AccountId("bids"), 4.0}, std::nullopt);
 
--- a/test/config/parse_test.cpp
+++ b/test/config/parse_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Returns the path of the only fault, or all faults when there is not just one.
-std::string onlyFault(const std::string &text)
+// Returns the path of the only fault, "none" for a valid document, or a list of several faults.
+std::string singleFaultPath(const std::string &text)
 {
     const auto parsed = parseConfig(text);
     if (parsed) {
@@ -22,7 +22,7 @@
 
 TEST_GROUP(ParseTest){};
 
-TEST(ParseTest, ReadsAWholeDocument)
+TEST(ParseTest, ParsesCompleteDocument)
 {
     const auto parsed = parseConfig(R"({"version": 2, "base": 1,
         "halls": [{"id": "north", "region": "centre", "distanceUs": {"south": 1500}}],
@@ -40,16 +40,17 @@
     CHECK_FALSE(parsed->services.front().routes.front().repeatable);
 }
 
-TEST(ParseTest, NamesTheFieldThatIsUnknown)
+TEST(ParseTest, ReportsPathOfUnknownField)
 {
-    STRCMP_EQUAL("accounts[0].shares",
-                 onlyFault(R"({"version": 1, "accounts": [{"id": "a", "shares": 2}]})").c_str());
+    STRCMP_EQUAL(
+        "accounts[0].shares",
+        singleFaultPath(R"({"version": 1, "accounts": [{"id": "a", "shares": 2}]})").c_str());
 }
 
-TEST(ParseTest, NamesTheFieldThatIsMissing)
+TEST(ParseTest, ReportsPathOfMissingField)
 {
     STRCMP_EQUAL("models[0].version",
-                 onlyFault(R"({"version": 1, "models": [{"name": "bid"}]})").c_str());
+                 singleFaultPath(R"({"version": 1, "models": [{"name": "bid"}]})").c_str());
 }
 
 TEST(ParseTest, ReportsAllFaultsAtOnce)
@@ -60,25 +61,25 @@
     CHECK_EQUAL(5U, parsed.error().size());
 }
 
-TEST(ParseTest, RefusesAVersionThatDoesNotFollowItsBase)
+TEST(ParseTest, RejectsVersionThatIsNotBasePlusOne)
 {
-    STRCMP_EQUAL("base", onlyFault(R"({"version": 12, "base": 10})").c_str());
+    STRCMP_EQUAL("base", singleFaultPath(R"({"version": 12, "base": 10})").c_str());
 }
 
-TEST(ParseTest, RefusesAHomeHallThatIsNotListed)
+TEST(ParseTest, RejectsUnlistedHomeHall)
 {
     STRCMP_EQUAL(
         "accounts[0].homeHall",
-        onlyFault(R"({"version": 1, "accounts": [{"id": "a", "homeHall": "x"}]})").c_str());
+        singleFaultPath(R"({"version": 1, "accounts": [{"id": "a", "homeHall": "x"}]})").c_str());
 }
 
-TEST(ParseTest, RefusesWhatIsNoJson)
+TEST(ParseTest, RejectsInvalidOrOversizedText)
 {
-    STRCMP_EQUAL("", onlyFault("{").c_str());
-    STRCMP_EQUAL("", onlyFault(std::string(kMaxDocumentBytes + 1, ' ')).c_str());
+    STRCMP_EQUAL("", singleFaultPath("{").c_str());
+    STRCMP_EQUAL("", singleFaultPath(std::string(kMaxDocumentBytes + 1, ' ')).c_str());
 }
 
-TEST(ParseTest, RefusesHostNamesInTheInstanceList)
+TEST(ParseTest, RejectsHostNameInInstanceList)
 {
     const auto value = parseJson(R"({"version": 1, "instances": [{"id": "a", "role": "agent",
         "hall": "north", "address": "example.org", "port": 1}]})");
--- a/test/config/versioned_test.cpp
+++ b/test/config/versioneddocument_test.cpp
@@ -1,5 +1,5 @@
-// An accepted configuration never reverts to an older one.
-#include "config/versioned.h"
+// Tests that a process that has accepted a configuration never reverts to an older one.
+#include "config/versioneddocument.h"
 
 #include <fmt/format.h>
 #include <random>
@@ -12,6 +12,7 @@
 
 namespace {
 
+// Returns a document with 40 accounts whose content depends on its version.
 json documentAt(std::uint64_t version)
 {
     json accounts = json::array();
@@ -22,9 +23,10 @@
     return {{"version", version}, {"base", version - 1}, {"accounts", accounts}};
 }
 
-// Processes that hear of versions from a service that lies and from each other; they are replaced,
-// and messages are delayed, doubled and damaged. Returns how often a version went back.
-int reversions(std::uint64_t seed, bool skipPeers)
+// Simulates processes that receive versions from an unreliable service and from each other.
+// Processes are replaced; updates are delayed, duplicated, reordered and truncated. Returns how
+// often a process had a version in force that was too old or whose content was wrong.
+int countViolations(std::uint64_t seed, bool skipPeerFloors)
 {
     constexpr std::size_t kProcesses = 6;
     std::mt19937_64 random(seed);
@@ -32,12 +34,12 @@
         return std::uniform_int_distribution<std::size_t>(0, size - 1)(random);
     };
     std::vector<VersionedDocument> processes(kProcesses);
-    std::vector<VersionedUpdate> onTheWay;
+    std::vector<VersionedUpdate> inFlight;
     std::uint64_t published = 0;
-    // What each process may not fall below: what it had in force itself in this life, and what a
-    // living peer knew when it started.
-    std::vector<std::uint64_t> lowestAllowed(kProcesses, 0);
-    int back = 0;
+    // The lowest version that each process may have in force: the highest one that it had in force
+    // since its start, or that a peer held when it started.
+    std::vector<std::uint64_t> minAllowedVersion(kProcesses, 0);
+    int violations = 0;
     for (int round = 0; round < 400; ++round) {
         if (pick(10) == 0) {
             ++published;
@@ -45,36 +47,36 @@
         const std::size_t index = pick(kProcesses);
         VersionedDocument &process = processes[index];
         switch (pick(5)) {
-        case 0: { // The service serves any version that it ever had.
+        case 0: { // The service returns any version published so far.
             const std::uint64_t version = published == 0 ? 0 : 1 + pick(published);
             if (version != 0) {
                 process.accept(documentAt(version));
             }
             break;
         }
-        case 1: { // A peer hands over what this one lacks; it may arrive much later.
+        case 1: { // A peer sends an update, which may arrive much later.
             const auto update = processes[pick(kProcesses)].updateFor(process.version());
             if (update) {
-                onTheWay.push_back(*update);
+                inFlight.push_back(*update);
             }
             break;
         }
         case 2:
-            if (!onTheWay.empty()) {
-                VersionedUpdate update = onTheWay[pick(onTheWay.size())];
+            if (!inFlight.empty()) {
+                VersionedUpdate update = inFlight[pick(inFlight.size())];
                 if (pick(8) == 0) {
                     update.payload = update.payload.substr(0, update.payload.size() / 2);
                 }
                 process.apply(update);
             }
             break;
-        case 3: // A process is replaced and asks its peers before it puts anything in force.
+        case 3: // A process is replaced and reads the floors of its peers.
             if (pick(4) == 0) {
                 process = VersionedDocument();
-                lowestAllowed[index] = 0;
+                minAllowedVersion[index] = 0;
                 for (const VersionedDocument &peer : processes) {
-                    lowestAllowed[index] = std::max(lowestAllowed[index], peer.version());
-                    if (!skipPeers) {
+                    minAllowedVersion[index] = std::max(minAllowedVersion[index], peer.version());
+                    if (!skipPeerFloors) {
                         process.raiseFloor(peer.floor());
                     }
                 }
@@ -84,13 +86,13 @@
             break;
         }
         if (process.inForce()) {
-            const bool damaged = process.document() != documentAt(process.version());
-            const bool reverted = process.version() < lowestAllowed[index];
-            back += damaged || reverted ? 1 : 0;
-            lowestAllowed[index] = std::max(lowestAllowed[index], process.version());
+            const bool contentDiffers = process.document() != documentAt(process.version());
+            const bool reverted = process.version() < minAllowedVersion[index];
+            violations += contentDiffers || reverted ? 1 : 0;
+            minAllowedVersion[index] = std::max(minAllowedVersion[index], process.version());
         }
     }
-    return back;
+    return violations;
 }
 
 } // namespace
@@ -100,25 +102,25 @@
     VersionedDocument document;
 };
 
-TEST(VersionedDocumentTest, NeverRevertsOverManySchedules)
+TEST(VersionedDocumentTest, NeverRevertsOverRandomSchedules)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        if (reversions(seed, false) != 0) {
+        if (countViolations(seed, false) != 0) {
             FAIL(fmt::format("seed {} reverted", seed).c_str());
         }
     }
 }
 
-TEST(VersionedDocumentTest, CheckerCatchesARestartThatAsksNobody)
+TEST(VersionedDocumentTest, DetectsRestartWithoutPeerFloors)
 {
-    int caught = 0;
+    int seedsWithViolations = 0;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-        caught += reversions(seed, true) > 0 ? 1 : 0;
+        seedsWithViolations += countViolations(seed, true) > 0 ? 1 : 0;
     }
-    CHECK(caught > 0);
+    CHECK(seedsWithViolations > 0);
 }
 
-TEST(VersionedDocumentTest, DropsAnOlderVersionFromTheService)
+TEST(VersionedDocumentTest, DropsOlderDocument)
 {
     document.accept(documentAt(5));
 
@@ -126,7 +128,7 @@
     CHECK_EQUAL(5U, document.version());
 }
 
-TEST(VersionedDocumentTest, RestartedProcessHoldsBackBelowTheFloor)
+TEST(VersionedDocumentTest, IsNotInForceBelowFloor)
 {
     document.raiseFloor(7);
 
@@ -136,7 +138,7 @@
     CHECK(document.inForce());
 }
 
-TEST(VersionedDocumentTest, HandsADifferenceToAPeerThatIsOneBehind)
+TEST(VersionedDocumentTest, SendsDeltaToPeerOneVersionBehind)
 {
     document.accept(documentAt(1));
     document.accept(documentAt(2));
@@ -151,7 +153,7 @@
     CHECK(peer.document() == documentAt(2));
 }
 
-TEST(VersionedDocumentTest, ShowsAGapInsteadOfGuessing)
+TEST(VersionedDocumentTest, ReportsGapForDeltaWithOtherBase)
 {
     document.accept(documentAt(2));
     document.accept(documentAt(3));
@@ -163,18 +165,18 @@
     CHECK(peer.apply(*document.updateFor(peer.version())) == UpdateResult::Applied);
 }
 
-TEST(VersionedDocumentTest, DropsADamagedUpdate)
+TEST(VersionedDocumentTest, DropsCorruptUpdate)
 {
     document.accept(documentAt(1));
     VersionedDocument peer;
     VersionedUpdate update = *document.updateFor(0);
     update.payload[10] = 'x';
 
-    CHECK(peer.apply(update) == UpdateResult::Damaged);
+    CHECK(peer.apply(update) == UpdateResult::Corrupt);
     CHECK_EQUAL(0U, peer.version());
 }
 
-TEST(VersionedDocumentTest, TellsTwoDocumentsUnderOneVersionApart)
+TEST(VersionedDocumentTest, ReportsConflictForSameVersionWithOtherContent)
 {
     document.accept(documentAt(3));
     json other = documentAt(3);
