--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -28,12 +28,12 @@
 constexpr Duration kSettingsGap = std::chrono::seconds(1);
 
 EventLoop *signalledLoop = nullptr;
-volatile std::sig_atomic_t stopAsked = 0;
+volatile std::sig_atomic_t stopRequested = 0;
 volatile std::sig_atomic_t reloadAsked = 0;
 
 void onStopSignal(int /*signal*/)
 {
-    stopAsked = 1;
+    stopRequested = 1;
     if (signalledLoop != nullptr) {
         signalledLoop->interrupt();
     }
@@ -126,7 +126,7 @@
     SettingsReload reload(**loop, options,
                           [&](const DaemonOptions &fresh) { apply(**service, fresh); });
     (*loop)->onInterrupt([&] {
-        if (stopAsked != 0) {
+        if (stopRequested != 0) {
             (*service)->stop();
         }
         if (reloadAsked != 0) {
