--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -29,7 +29,7 @@
 
 EventLoop *signalledLoop = nullptr;
 volatile std::sig_atomic_t stopRequested = 0;
-volatile std::sig_atomic_t reloadAsked = 0;
+volatile std::sig_atomic_t reloadRequested = 0;
 
 void onStopSignal(int /*signal*/)
 {
@@ -41,7 +41,7 @@
 
 void onReloadSignal(int /*signal*/)
 {
-    reloadAsked = 1;
+    reloadRequested = 1;
     if (signalledLoop != nullptr) {
         signalledLoop->interrupt();
     }
@@ -129,8 +129,8 @@
         if (stopRequested != 0) {
             (*service)->stop();
         }
-        if (reloadAsked != 0) {
-            reloadAsked = 0;
+        if (reloadRequested != 0) {
+            reloadRequested = 0;
             reload.read(true);
         }
     });
