--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -25,7 +25,7 @@
 constexpr int kExitStart = 3;
 
 // How often the settings file is looked at: it may change without a signal.
-constexpr Duration kSettingsGap = std::chrono::seconds(1);
+constexpr Duration kSettingsPollInterval = std::chrono::seconds(1);
 
 EventLoop *signalledLoop = nullptr;
 volatile std::sig_atomic_t stopRequested = 0;
@@ -75,7 +75,7 @@
         : arguments_(options.arguments)
         , values_(options.values)
         , apply_(std::move(apply))
-        , timer_(loop, kSettingsGap, [this] { read(false); })
+        , timer_(loop, kSettingsPollInterval, [this] { read(false); })
     {}
 
     void read(bool asked)
