--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -47,7 +47,7 @@
     }
 }
 
-void installSignals(EventLoop &loop)
+void installSignalHandlers(EventLoop &loop)
 {
     signalledLoop = &loop;
     std::signal(SIGTERM, onStopSignal);
@@ -122,7 +122,7 @@
         logLine(LogLevel::Error, "start.failed", {{"message", service.error().message}});
         return kExitStart;
     }
-    installSignals(**loop);
+    installSignalHandlers(**loop);
     SettingsReload reload(**loop, options,
                           [&](const DaemonOptions &fresh) { apply(**service, fresh); });
     (*loop)->onInterrupt([&] {
