--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -56,7 +56,7 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-int printFaults(const std::vector<SettingFault> &faults)
+int printSettingFaults(const std::vector<SettingFault> &faults)
 {
     for (const SettingFault &fault : faults) {
         fmt::print(stderr, "seamarchd: --{}: {}\n", fault.name, fault.message);
@@ -173,7 +173,7 @@
 int run(const DaemonOptions &options)
 {
     if (!options.faults.empty()) {
-        return printFaults(options.faults);
+        return printSettingFaults(options.faults);
     }
     setLogLevel(options.logLevel);
     if (options.checkOnly) {
