--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -66,12 +66,12 @@
 
 // Reads the settings anew when it is told to or when their file has changed, and hands them to
 // `apply`. Settings with a fault change nothing.
-class SettingsReload
+class SettingsReloader
 {
 public:
     using Apply = std::function<void(const DaemonOptions &)>;
 
-    SettingsReload(EventLoop &loop, const DaemonOptions &options, Apply apply)
+    SettingsReloader(EventLoop &loop, const DaemonOptions &options, Apply apply)
         : arguments_(options.arguments)
         , values_(options.values)
         , apply_(std::move(apply))
@@ -123,8 +123,8 @@
         return kExitStart;
     }
     installSignalHandlers(**loop);
-    SettingsReload reload(**loop, options,
-                          [&](const DaemonOptions &fresh) { apply(**service, fresh); });
+    SettingsReloader reload(**loop, options,
+                            [&](const DaemonOptions &fresh) { apply(**service, fresh); });
     (*loop)->onInterrupt([&] {
         if (stopRequested != 0) {
             (*service)->stop();
