--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -123,15 +123,15 @@
         return kExitStart;
     }
     installSignalHandlers(**loop);
-    SettingsReloader reload(**loop, options,
-                            [&](const DaemonOptions &fresh) { apply(**service, fresh); });
+    SettingsReloader reloader(**loop, options,
+                              [&](const DaemonOptions &fresh) { apply(**service, fresh); });
     (*loop)->onInterrupt([&] {
         if (stopRequested != 0) {
             (*service)->stop();
         }
         if (reloadRequested != 0) {
             reloadRequested = 0;
-            reload.read(true);
+            reloader.read(true);
         }
     });
     logLine(LogLevel::Info, "process.started", {{"version", SEAMARCH_VERSION}});
