--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -75,10 +75,10 @@
         : arguments_(options.arguments)
         , values_(options.values)
         , apply_(std::move(apply))
-        , timer_(loop, kSettingsPollInterval, [this] { read(false); })
+        , timer_(loop, kSettingsPollInterval, [this] { reload(false); })
     {}
 
-    void read(bool asked)
+    void reload(bool asked)
     {
         const DaemonOptions fresh = readDaemonOptions(arguments_);
         const bool news = fresh.faults.empty() ? fresh.values != values_ : fresh.faults != faults_;
@@ -131,7 +131,7 @@
         }
         if (reloadRequested != 0) {
             reloadRequested = 0;
-            reloader.read(true);
+            reloader.reload(true);
         }
     });
     logLine(LogLevel::Info, "process.started", {{"version", SEAMARCH_VERSION}});
