--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -78,11 +78,11 @@
         , timer_(loop, kSettingsPollInterval, [this] { reload(false); })
     {}
 
-    void reload(bool asked)
+    void reload(bool requested)
     {
         const DaemonOptions fresh = readDaemonOptions(arguments_);
         const bool news = fresh.faults.empty() ? fresh.values != values_ : fresh.faults != faults_;
-        if (!asked && !news) {
+        if (!requested && !news) {
             return;
         }
         faults_ = fresh.faults;
@@ -93,7 +93,7 @@
             return;
         }
         logLine(LogLevel::Info, "settings.reloaded",
-                {{"asked", asked}, {"changed", fresh.values != values_}});
+                {{"asked", requested}, {"changed", fresh.values != values_}});
         values_ = fresh.values;
         setLogLevel(fresh.logLevel);
         apply_(fresh);
