--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -81,8 +81,9 @@
     void reload(bool requested)
     {
         const DaemonOptions fresh = readDaemonOptions(arguments_);
-        const bool news = fresh.faults.empty() ? fresh.values != values_ : fresh.faults != faults_;
-        if (!requested && !news) {
+        const bool differs =
+            fresh.faults.empty() ? fresh.values != values_ : fresh.faults != faults_;
+        if (!requested && !differs) {
             return;
         }
         faults_ = fresh.faults;
