--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -80,24 +80,24 @@
 
     void reload(bool requested)
     {
-        const DaemonOptions fresh = readDaemonOptions(arguments_);
+        const DaemonOptions newOptions = readDaemonOptions(arguments_);
         const bool differs =
-            fresh.faults.empty() ? fresh.values != values_ : fresh.faults != faults_;
+            newOptions.faults.empty() ? newOptions.values != values_ : newOptions.faults != faults_;
         if (!requested && !differs) {
             return;
         }
-        faults_ = fresh.faults;
-        if (!fresh.faults.empty()) {
-            const SettingFault &fault = fresh.faults.front();
+        faults_ = newOptions.faults;
+        if (!newOptions.faults.empty()) {
+            const SettingFault &fault = newOptions.faults.front();
             logLine(LogLevel::Warning, "settings.rejected",
                     {{"name", fault.name}, {"fault", fault.message}});
             return;
         }
         logLine(LogLevel::Info, "settings.reloaded",
-                {{"asked", requested}, {"changed", fresh.values != values_}});
-        values_ = fresh.values;
-        setLogLevel(fresh.logLevel);
-        apply_(fresh);
+                {{"asked", requested}, {"changed", newOptions.values != values_}});
+        values_ = newOptions.values;
+        setLogLevel(newOptions.logLevel);
+        apply_(newOptions);
     }
 
 private:
@@ -124,8 +124,8 @@
         return kExitStart;
     }
     installSignalHandlers(**loop);
-    SettingsReloader reloader(**loop, options,
-                              [&](const DaemonOptions &fresh) { apply(**service, fresh); });
+    SettingsReloader reloader(
+        **loop, options, [&](const DaemonOptions &newOptions) { apply(**service, newOptions); });
     (*loop)->onInterrupt([&] {
         if (stopRequested != 0) {
             (*service)->stop();
@@ -155,8 +155,8 @@
     return serve(
         options,
         [&](EventLoop &loop) { return GatewayService::create(loop, settings, protocol, store); },
-        [](GatewayService &service, const DaemonOptions &fresh) {
-            service.applySettings(*fresh.gateway);
+        [](GatewayService &service, const DaemonOptions &newOptions) {
+            service.applySettings(*newOptions.gateway);
         });
 }
 
