--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -145,7 +145,7 @@
 }
 
 // The roles whose settings cannot change while they run.
-constexpr auto kNothingToApply = [](auto & /*service*/, const DaemonOptions & /*fresh*/) {};
+constexpr auto kIgnoreNewSettings = [](auto & /*service*/, const DaemonOptions & /*fresh*/) {};
 
 int serveGateway(const DaemonOptions &options)
 {
@@ -168,7 +168,7 @@
     return serve(
         options,
         [&](EventLoop &loop) { return ExpertAgent::create(loop, settings, store, engines); },
-        kNothingToApply);
+        kIgnoreNewSettings);
 }
 
 int run(const DaemonOptions &options)
@@ -188,7 +188,7 @@
         return serve(
             options,
             [&options](EventLoop &loop) { return EntryService::create(loop, *options.entry); },
-            kNothingToApply);
+            kIgnoreNewSettings);
     }
     if (options.gateway) {
         setLogContext({{"role", "gateway"}, {"instance", options.gateway->instance.value()}});
@@ -202,7 +202,7 @@
     setLogContext({{"role", "agent"}, {"instance", options.agent->instance.value()}});
     return serve(
         options, [&options](EventLoop &loop) { return AgentService::create(loop, *options.agent); },
-        kNothingToApply);
+        kIgnoreNewSettings);
 }
 
 } // namespace
