--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -130,7 +130,7 @@
 
 GatewayBounds readBounds(SettingsReader &reader)
 {
-    constexpr double kMostRetries = 1e6;
+    constexpr double kMaxBoundValue = 1e6;
     const GatewayBounds usual;
     const auto millis = [&reader](std::string_view name, Duration fallback) {
         return reader.milliseconds(name, 1, kMaxMillis, millisOf(fallback));
@@ -142,9 +142,10 @@
     bounds.stopLimit = fromSeconds(
         reader.number("stop-limit-s", 0.1, kMaxMillis / 1e3, toSeconds(usual.stopLimit)));
     bounds.retryRatio = reader.number("retry-ratio", 0.0, 1.0, usual.retryRatio);
-    bounds.retrySlack = reader.number("retry-slack", 0.0, kMostRetries, usual.retrySlack);
-    bounds.warmUp.factor = reader.number("warm-up-factor", 0.0, kMostRetries, usual.warmUp.factor);
-    bounds.warmUp.slack = reader.number("warm-up-slack", 0.0, kMostRetries, usual.warmUp.slack);
+    bounds.retrySlack = reader.number("retry-slack", 0.0, kMaxBoundValue, usual.retrySlack);
+    bounds.warmUp.factor =
+        reader.number("warm-up-factor", 0.0, kMaxBoundValue, usual.warmUp.factor);
+    bounds.warmUp.slack = reader.number("warm-up-slack", 0.0, kMaxBoundValue, usual.warmUp.slack);
     return bounds;
 }
 
