--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -131,21 +131,22 @@
 GatewayBounds readBounds(SettingsReader &reader)
 {
     constexpr double kMaxBoundValue = 1e6;
-    const GatewayBounds usual;
+    const GatewayBounds defaults;
     const auto millis = [&reader](std::string_view name, Duration fallback) {
         return reader.milliseconds(name, 1, kMaxMillis, millisOf(fallback));
     };
     GatewayBounds bounds;
-    bounds.keyRevocationLimit = millis("key-life-ms", usual.keyRevocationLimit);
-    bounds.configPropagationLimit = millis("config-spread-ms", usual.configPropagationLimit);
-    bounds.leavingLimit = millis("leaving-limit-ms", usual.leavingLimit);
+    bounds.keyRevocationLimit = millis("key-life-ms", defaults.keyRevocationLimit);
+    bounds.configPropagationLimit = millis("config-spread-ms", defaults.configPropagationLimit);
+    bounds.leavingLimit = millis("leaving-limit-ms", defaults.leavingLimit);
     bounds.stopLimit = fromSeconds(
-        reader.number("stop-limit-s", 0.1, kMaxMillis / 1e3, toSeconds(usual.stopLimit)));
-    bounds.retryRatio = reader.number("retry-ratio", 0.0, 1.0, usual.retryRatio);
-    bounds.retrySlack = reader.number("retry-slack", 0.0, kMaxBoundValue, usual.retrySlack);
+        reader.number("stop-limit-s", 0.1, kMaxMillis / 1e3, toSeconds(defaults.stopLimit)));
+    bounds.retryRatio = reader.number("retry-ratio", 0.0, 1.0, defaults.retryRatio);
+    bounds.retrySlack = reader.number("retry-slack", 0.0, kMaxBoundValue, defaults.retrySlack);
     bounds.warmUp.factor =
-        reader.number("warm-up-factor", 0.0, kMaxBoundValue, usual.warmUp.factor);
-    bounds.warmUp.slack = reader.number("warm-up-slack", 0.0, kMaxBoundValue, usual.warmUp.slack);
+        reader.number("warm-up-factor", 0.0, kMaxBoundValue, defaults.warmUp.factor);
+    bounds.warmUp.slack =
+        reader.number("warm-up-slack", 0.0, kMaxBoundValue, defaults.warmUp.slack);
     return bounds;
 }
 
