--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -151,7 +151,7 @@
 }
 
 // A time that is given goes before the one that follows from the bounds.
-GatewayTimings readTimes(SettingsReader &reader, GatewayTimings times)
+GatewayTimings readTimings(SettingsReader &reader, GatewayTimings times)
 {
     const auto read = [&reader](std::string_view name, std::uint64_t least, Duration &time) {
         time = reader.milliseconds(name, least, kMaxMillis, millisOf(time));
@@ -196,7 +196,7 @@
     settings.crashRetention = fromSeconds(
         reader.number("crash-memory-s", 0.0, kMostSeconds, toSeconds(settings.crashRetention)));
     settings.bounds = readBounds(reader);
-    settings.times = readTimes(reader, deriveTimings(settings.bounds));
+    settings.times = readTimings(reader, deriveTimings(settings.bounds));
     return settings;
 }
 
