--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -153,13 +153,13 @@
 // A time that is given goes before the one that follows from the bounds.
 GatewayTimings readTimings(SettingsReader &reader, GatewayTimings times)
 {
-    const auto read = [&reader](std::string_view name, std::uint64_t least, Duration &time) {
+    const auto readIfGiven = [&reader](std::string_view name, std::uint64_t least, Duration &time) {
         time = reader.milliseconds(name, least, kMaxMillis, millisOf(time));
     };
-    read("key-freshness-ms", 1, times.freshness.keys);
-    read("deny-freshness-ms", 1, times.freshness.deny);
-    read("stop-delay-ms", 0, times.stopDelay);
-    read("stop-deadline-ms", 1, times.stopDeadline);
+    readIfGiven("key-freshness-ms", 1, times.freshness.keys);
+    readIfGiven("deny-freshness-ms", 1, times.freshness.deny);
+    readIfGiven("stop-delay-ms", 0, times.stopDelay);
+    readIfGiven("stop-deadline-ms", 1, times.stopDeadline);
     return times;
 }
 
