--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -153,8 +153,9 @@
 // A time that is given goes before the one that follows from the bounds.
 GatewayTimings readTimings(SettingsReader &reader, GatewayTimings times)
 {
-    const auto readIfGiven = [&reader](std::string_view name, std::uint64_t least, Duration &time) {
-        time = reader.milliseconds(name, least, kMaxMillis, millisOf(time));
+    const auto readIfGiven = [&reader](std::string_view name, std::uint64_t minimum,
+                                       Duration &time) {
+        time = reader.milliseconds(name, minimum, kMaxMillis, millisOf(time));
     };
     readIfGiven("key-freshness-ms", 1, times.freshness.keys);
     readIfGiven("deny-freshness-ms", 1, times.freshness.deny);
