--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -151,17 +151,17 @@
 }
 
 // A time that is given goes before the one that follows from the bounds.
-GatewayTimings readTimings(SettingsReader &reader, GatewayTimings times)
+GatewayTimings readTimings(SettingsReader &reader, GatewayTimings timings)
 {
     const auto readIfGiven = [&reader](std::string_view name, std::uint64_t minimum,
                                        Duration &time) {
         time = reader.milliseconds(name, minimum, kMaxMillis, millisOf(time));
     };
-    readIfGiven("key-freshness-ms", 1, times.freshness.keys);
-    readIfGiven("deny-freshness-ms", 1, times.freshness.deny);
-    readIfGiven("stop-delay-ms", 0, times.stopDelay);
-    readIfGiven("stop-deadline-ms", 1, times.stopDeadline);
-    return times;
+    readIfGiven("key-freshness-ms", 1, timings.freshness.keys);
+    readIfGiven("deny-freshness-ms", 1, timings.freshness.deny);
+    readIfGiven("stop-delay-ms", 0, timings.stopDelay);
+    readIfGiven("stop-deadline-ms", 1, timings.stopDeadline);
+    return timings;
 }
 
 GatewaySettings readGateway(SettingsReader &reader)
