--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -166,7 +166,7 @@
 
 GatewaySettings readGateway(SettingsReader &reader)
 {
-    constexpr double kMostSeconds = 24.0 * 3600;
+    constexpr double kMaxCrashRetentionSeconds = 24.0 * 3600;
     GatewaySettings settings;
     settings.instance = InstanceId(reader.text("instance"));
     settings.hall = HallId(reader.text("hall"));
@@ -194,8 +194,8 @@
         settings.agentPort = static_cast<int>(reader.integer("agent-port", 1, kLastPort, 1));
     }
     settings.maxAccountSeries = reader.integer("max-account-series", 0, 100'000, 300);
-    settings.crashRetention = fromSeconds(
-        reader.number("crash-memory-s", 0.0, kMostSeconds, toSeconds(settings.crashRetention)));
+    settings.crashRetention = fromSeconds(reader.number(
+        "crash-memory-s", 0.0, kMaxCrashRetentionSeconds, toSeconds(settings.crashRetention)));
     settings.bounds = readBounds(reader);
     settings.times = readTimings(reader, deriveTimings(settings.bounds));
     return settings;
