--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -190,8 +190,8 @@
         }
     }
     if (reader.given("agent-port")) {
-        constexpr std::uint64_t kLastPort = 65'535;
-        settings.agentPort = static_cast<int>(reader.integer("agent-port", 1, kLastPort, 1));
+        constexpr std::uint64_t kMaxPort = 65'535;
+        settings.agentPort = static_cast<int>(reader.integer("agent-port", 1, kMaxPort, 1));
     }
     settings.maxAccountSeries = reader.integer("max-account-series", 0, 100'000, 300);
     settings.crashRetention = fromSeconds(reader.number(
