--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -204,7 +204,7 @@
 ExpertAgentSettings readExpertAgent(SettingsReader &reader)
 {
     constexpr double kBytesPerMegabit = 125'000.0;
-    constexpr double kMostMegabits = 1e6;
+    constexpr double kMaxLinkMegabits = 1e6;
     ExpertAgentSettings settings;
     settings.instance = InstanceId(reader.text("instance"));
     settings.hall = HallId(reader.text("hall"));
@@ -213,7 +213,7 @@
     settings.engine = toAddress(reader.address("upstream"));
     settings.store = toAddress(reader.address("platform"));
     settings.linkBytesPerSecond = kBytesPerMegabit
-                                  * reader.number("link-mbps", 0.1, kMostMegabits,
+                                  * reader.number("link-mbps", 0.1, kMaxLinkMegabits,
                                                   settings.linkBytesPerSecond / kBytesPerMegabit);
     if (reader.given("metrics-listen")) {
         settings.metricsListen = toAddress(reader.address("metrics-listen"));
