--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -266,9 +266,9 @@
     };
     DaemonOptions options;
     options.arguments = arguments;
-    const char *fromEnvironment = std::getenv("SEAMARCH_CONFIG");
+    const char *environmentPath = std::getenv("SEAMARCH_CONFIG");
     options.settingsFile =
-        flag("config").value_or(fromEnvironment == nullptr ? "" : fromEnvironment);
+        flag("config").value_or(environmentPath == nullptr ? "" : environmentPath);
     std::vector<SettingFault> fileFaults;
     SettingsReader reader(flag, readSettingsFile(options.settingsFile, fileFaults));
     options.checkOnly = parsed.at("--check-settings").asBool();
