--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -257,7 +257,7 @@
 DaemonOptions readDaemonOptions(const std::vector<std::string> &arguments)
 {
     const auto parsed = docopt::docopt(kUsage, arguments, true, "seamarchd " SEAMARCH_VERSION);
-    const auto flag = [&parsed](std::string_view name) -> std::optional<std::string> {
+    const auto flagValue = [&parsed](std::string_view name) -> std::optional<std::string> {
         const auto found = parsed.find("--" + std::string(name));
         if (found == parsed.end() || !found->second.isString()) {
             return std::nullopt;
@@ -268,9 +268,9 @@
     options.arguments = arguments;
     const char *environmentPath = std::getenv("SEAMARCH_CONFIG");
     options.settingsFile =
-        flag("config").value_or(environmentPath == nullptr ? "" : environmentPath);
+        flagValue("config").value_or(environmentPath == nullptr ? "" : environmentPath);
     std::vector<SettingFault> fileFaults;
-    SettingsReader reader(flag, readSettingsFile(options.settingsFile, fileFaults));
+    SettingsReader reader(flagValue, readSettingsFile(options.settingsFile, fileFaults));
     options.checkOnly = parsed.at("--check-settings").asBool();
     if (parsed.at("entry").asBool()) {
         options.entry = readEntry(reader);
