--- a/src/tool/fetch.cpp
+++ b/src/tool/fetch.cpp
@@ -9,7 +9,7 @@
 namespace seamarch {
 namespace {
 
-constexpr Duration kPatience = std::chrono::seconds(10);
+constexpr Duration kFetchTimeout = std::chrono::seconds(10);
 constexpr int kStatusOk = 200;
 
 struct Answer
@@ -57,7 +57,7 @@
     request.address = address;
     request.path = path;
     (*client)->call(std::move(request), std::make_unique<Receiver>(**loop, answer));
-    (*loop)->schedule(kPatience, [&loop] { (*loop)->stop(); });
+    (*loop)->schedule(kFetchTimeout, [&loop] { (*loop)->stop(); });
     (*loop)->run();
     (*loop)->shutDown();
     if (!answer.complete || answer.status != kStatusOk) {
