--- a/src/tool/fetch.cpp
+++ b/src/tool/fetch.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kFetchTimeout = std::chrono::seconds(10);
 constexpr int kStatusOk = 200;
 
-struct Answer
+struct Response
 {
     int status = 0;
     std::string body;
@@ -22,7 +22,7 @@
 class Receiver final : public HttpCallReceiver
 {
 public:
-    Receiver(EventLoop &loop, Answer &answer)
+    Receiver(EventLoop &loop, Response &answer)
         : loop_(loop)
         , answer_(answer)
     {}
@@ -37,7 +37,7 @@
 
 private:
     EventLoop &loop_;
-    Answer &answer_;
+    Response &answer_;
 };
 
 } // namespace
@@ -52,7 +52,7 @@
     if (!client) {
         return tl::unexpected(client.error());
     }
-    Answer answer;
+    Response answer;
     HttpCallRequest request;
     request.address = address;
     request.path = path;
