--- a/src/tool/fetch.cpp
+++ b/src/tool/fetch.cpp
@@ -19,10 +19,10 @@
     bool complete = false;
 };
 
-class Receiver final : public HttpCallReceiver
+class ResponseReceiver final : public HttpCallReceiver
 {
 public:
-    Receiver(EventLoop &loop, Response &answer)
+    ResponseReceiver(EventLoop &loop, Response &answer)
         : loop_(loop)
         , answer_(answer)
     {}
@@ -56,7 +56,7 @@
     HttpCallRequest request;
     request.address = address;
     request.path = path;
-    (*client)->call(std::move(request), std::make_unique<Receiver>(**loop, answer));
+    (*client)->call(std::move(request), std::make_unique<ResponseReceiver>(**loop, answer));
     (*loop)->schedule(kFetchTimeout, [&loop] { (*loop)->stop(); });
     (*loop)->run();
     (*loop)->shutDown();
