--- a/src/tool/fetch.cpp
+++ b/src/tool/fetch.cpp
@@ -24,20 +24,20 @@
 public:
     ResponseReceiver(EventLoop &loop, Response &answer)
         : loop_(loop)
-        , answer_(answer)
+        , response_(answer)
     {}
 
-    void onHead(HttpHead head) override { answer_.status = head.status; }
-    void onPiece(std::string_view piece) override { answer_.body += piece; }
+    void onHead(HttpHead head) override { response_.status = head.status; }
+    void onPiece(std::string_view piece) override { response_.body += piece; }
     void onEnd(HttpCallEnd end) override
     {
-        answer_.complete = end == HttpCallEnd::Complete;
+        response_.complete = end == HttpCallEnd::Complete;
         loop_.stop();
     }
 
 private:
     EventLoop &loop_;
-    Response &answer_;
+    Response &response_;
 };
 
 } // namespace
