--- a/src/tool/fetch.cpp
+++ b/src/tool/fetch.cpp
@@ -22,9 +22,9 @@
 class ResponseReceiver final : public HttpCallReceiver
 {
 public:
-    ResponseReceiver(EventLoop &loop, Response &answer)
+    ResponseReceiver(EventLoop &loop, Response &response)
         : loop_(loop)
-        , response_(answer)
+        , response_(response)
     {}
 
     void onHead(HttpHead head) override { response_.status = head.status; }
@@ -52,22 +52,22 @@
     if (!client) {
         return tl::unexpected(client.error());
     }
-    Response answer;
+    Response response;
     HttpCallRequest request;
     request.address = address;
     request.path = path;
-    (*client)->call(std::move(request), std::make_unique<ResponseReceiver>(**loop, answer));
+    (*client)->call(std::move(request), std::make_unique<ResponseReceiver>(**loop, response));
     (*loop)->schedule(kFetchTimeout, [&loop] { (*loop)->stop(); });
     (*loop)->run();
     (*loop)->shutDown();
-    if (!answer.complete || answer.status != kStatusOk) {
+    if (!response.complete || response.status != kStatusOk) {
         return tl::unexpected(
             NetError{NetError::Kind::ConnectFailed,
                      fmt::format("expected an answer of {}:{}{} with status 200, found {}",
                                  address.host, address.port, path,
-                                 answer.status == 0 ? "none" : std::to_string(answer.status))});
+                                 response.status == 0 ? "none" : std::to_string(response.status))});
     }
-    return std::move(answer.body);
+    return std::move(response.body);
 }
 
 } // namespace seamarch
