--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -68,7 +68,7 @@
     return code;
 }
 
-std::optional<std::string> textOf(const Arguments &arguments, const char *name)
+std::optional<std::string> optionText(const Arguments &arguments, const char *name)
 {
     const auto found = arguments.find(name);
     if (found == arguments.end() || !found->second.isString()) {
@@ -116,10 +116,10 @@
 tl::expected<json, ReadError> readDocument(const Arguments &arguments, const char *fileOption,
                                            const std::string &path)
 {
-    if (const auto file = textOf(arguments, fileOption)) {
+    if (const auto file = optionText(arguments, fileOption)) {
         return readJsonFile(*file);
     }
-    const auto platform = textOf(arguments, "--platform");
+    const auto platform = optionText(arguments, "--platform");
     const auto address = platform ? parseHostPort(*platform) : std::nullopt;
     if (!address) {
         return tl::unexpected(ReadError{
@@ -234,7 +234,7 @@
         return fail(base.error().exitCode, base.error().message);
     }
     std::optional<InstanceList> instances;
-    if (textOf(arguments, "--instances") || textOf(arguments, "--platform")) {
+    if (optionText(arguments, "--instances") || optionText(arguments, "--platform")) {
         const auto value = readDocument(arguments, "--instances", "/instances");
         auto list = value ? readInstances(*value) : tl::unexpected(ConfigFaults{});
         if (!list) {
@@ -247,7 +247,7 @@
     if (!plan) {
         return fail(kExitRefused, plan.error().message);
     }
-    if (const auto out = textOf(arguments, "--out")) {
+    if (const auto out = optionText(arguments, "--out")) {
         std::ofstream file(*out, std::ios::binary);
         file << planToJson(*plan).dump(2) << '\n';
         if (!file.flush()) {
