--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -62,7 +62,7 @@
 has changed since the plan was made.
 )";
 
-int fail(int code, const std::string &message)
+int failWith(int code, const std::string &message)
 {
     fmt::print(stderr, "seamarch: {}\n", message);
     return code;
@@ -140,7 +140,7 @@
 {
     const auto value = readJsonFile(arguments.at("FILE").asString());
     if (!value) {
-        return fail(value.error().exitCode, value.error().message);
+        return failWith(value.error().exitCode, value.error().message);
     }
     const auto document = readConfig(*value);
     if (isSet(arguments, "--json")) {
@@ -166,7 +166,7 @@
     const auto from = readJsonFile(arguments.at("FROM").asString());
     const auto to = readJsonFile(arguments.at("TO").asString());
     if (!from || !to) {
-        return fail(kExitRefused, (from ? to : from).error().message);
+        return failWith(kExitRefused, (from ? to : from).error().message);
     }
     const json patch = json::diff(*from, *to);
     ConfigFaults faults;
@@ -227,31 +227,31 @@
 {
     const auto intent = readIntent(arguments);
     if (!intent) {
-        return fail(intent.error().exitCode, intent.error().message);
+        return failWith(intent.error().exitCode, intent.error().message);
     }
     const auto base = readDocument(arguments, "--base", "/config");
     if (!base) {
-        return fail(base.error().exitCode, base.error().message);
+        return failWith(base.error().exitCode, base.error().message);
     }
     std::optional<InstanceList> instances;
     if (optionText(arguments, "--instances") || optionText(arguments, "--platform")) {
         const auto value = readDocument(arguments, "--instances", "/instances");
         auto list = value ? readInstances(*value) : tl::unexpected(ConfigFaults{});
         if (!list) {
-            return fail(kExitRefused,
-                        "the instance list cannot be read, so the cost cannot be told");
+            return failWith(kExitRefused,
+                            "the instance list cannot be read, so the cost cannot be told");
         }
         instances = std::move(*list);
     }
     const auto plan = makePlan(*base, *intent, instances);
     if (!plan) {
-        return fail(kExitRefused, plan.error().message);
+        return failWith(kExitRefused, plan.error().message);
     }
     if (const auto out = optionText(arguments, "--out")) {
         std::ofstream file(*out, std::ios::binary);
         file << planToJson(*plan).dump(2) << '\n';
         if (!file.flush()) {
-            return fail(kExitRefused, fmt::format("cannot write '{}'", *out));
+            return failWith(kExitRefused, fmt::format("cannot write '{}'", *out));
         }
     }
     if (isSet(arguments, "--json")) {
@@ -266,24 +266,24 @@
 {
     const auto value = readJsonFile(arguments.at("PLAN").asString());
     if (!value) {
-        return fail(value.error().exitCode, value.error().message);
+        return failWith(value.error().exitCode, value.error().message);
     }
     const auto plan = planFromJson(*value);
     if (!plan) {
-        return fail(kExitRefused, plan.error().message);
+        return failWith(kExitRefused, plan.error().message);
     }
     const auto digest = parseDigest(arguments.at("DIGEST").asString());
     if (!digest) {
-        return fail(kExitUsage, "expected DIGEST as 16 hexadecimal digits");
+        return failWith(kExitUsage, "expected DIGEST as 16 hexadecimal digits");
     }
     const auto current = readDocument(arguments, "--base", "/config");
     if (!current) {
-        return fail(current.error().exitCode, current.error().message);
+        return failWith(current.error().exitCode, current.error().message);
     }
     const auto document = confirmPlan(*plan, *digest, *current);
     if (!document) {
         const bool moved = document.error().kind == PlanError::Kind::BaseMoved;
-        return fail(moved ? kExitConflict : kExitRefused, document.error().message);
+        return failWith(moved ? kExitConflict : kExitRefused, document.error().message);
     }
     fmt::print("{}\n", document->dump(2));
     return kExitOk;
@@ -299,7 +299,7 @@
     while (std::getline(list, item, ',')) {
         const auto address = parseHostPort(item);
         if (!address) {
-            return fail(kExitUsage, fmt::format("expected IP:PORT, found '{}'", item));
+            return failWith(kExitUsage, fmt::format("expected IP:PORT, found '{}'", item));
         }
         const auto text = fetch({address->host, address->port}, "/status");
         const json state = text ? json::parse(*text, nullptr, false) : json();
@@ -336,7 +336,7 @@
     std::string key;
     std::getline(std::cin, key);
     if (key.empty()) {
-        return fail(kExitUsage, "expected a bearer key on standard input, found none");
+        return failWith(kExitUsage, "expected a bearer key on standard input, found none");
     }
     const std::string digest = sha256Hex(key);
     fmt::print("{}\n", isSet(arguments, "--json") ? json{{"keySha256", digest}}.dump() : digest);
@@ -349,7 +349,7 @@
     for (const std::string &path : arguments.at("LOG").asStringList()) {
         auto text = readFile(path);
         if (!text) {
-            return fail(text.error().exitCode, text.error().message);
+            return failWith(text.error().exitCode, text.error().message);
         }
         texts.push_back(std::move(*text));
     }
@@ -359,10 +359,10 @@
                    story.unreadable);
     }
     if (!story.found()) {
-        return fail(kExitRefused,
-                    fmt::format("no line of these files carries the id '{}'; give the "
-                                "logs of all gateways",
-                                story.id));
+        return failWith(kExitRefused,
+                        fmt::format("no line of these files carries the id '{}'; give the "
+                                    "logs of all gateways",
+                                    story.id));
     }
     if (isSet(arguments, "--json")) {
         fmt::print("{}\n",
@@ -397,7 +397,7 @@
         fmt::print("{}", kUsage);
         return kExitOk;
     } catch (const std::exception &error) {
-        return fail(kExitUsage, fmt::format("{}; see 'seamarch --help'", error.what()));
+        return failWith(kExitUsage, fmt::format("{}; see 'seamarch --help'", error.what()));
     }
     for (const auto &[name, command] : kCommands) {
         if (isSet(arguments, name)) {
