--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -282,8 +282,8 @@
     }
     const auto document = confirmPlan(*plan, *digest, *current);
     if (!document) {
-        const bool moved = document.error().kind == PlanError::Kind::BaseMoved;
-        return failWith(moved ? kExitConflict : kExitRefused, document.error().message);
+        const bool baseMoved = document.error().kind == PlanError::Kind::BaseMoved;
+        return failWith(baseMoved ? kExitConflict : kExitRefused, document.error().message);
     }
     fmt::print("{}\n", document->dump(2));
     return kExitOk;
