--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -292,7 +292,7 @@
 int runStatus(const Arguments &arguments)
 {
     std::istringstream list(arguments.at("--operators").asString());
-    json all = json::array();
+    json processes = json::array();
     std::set<std::uint64_t> versions;
     int unreachable = 0;
     std::string item;
@@ -305,21 +305,21 @@
         const json state = text ? json::parse(*text, nullptr, false) : json();
         if (!state.is_object()) {
             ++unreachable;
-            all.push_back({{"address", item}, {"reachable", false}});
+            processes.push_back({{"address", item}, {"reachable", false}});
             continue;
         }
         versions.insert(state.value("configVersion", 0ULL));
-        all.push_back(state);
+        processes.push_back(state);
     }
     const std::uint64_t highest = versions.empty() ? 0 : *versions.rbegin();
     const bool everywhere = versions.size() == 1 && unreachable == 0;
     if (isSet(arguments, "--json")) {
-        fmt::print(
-            "{}\n",
-            json{{"processes", all}, {"configVersion", highest}, {"inForceEverywhere", everywhere}}
-                .dump());
+        fmt::print("{}\n", json{{"processes", processes},
+                                {"configVersion", highest},
+                                {"inForceEverywhere", everywhere}}
+                               .dump());
     } else {
-        for (const json &state : all) {
+        for (const json &state : processes) {
             fmt::print("{:<8} {:<20} ready={} config={} list={}\n", state.value("role", "?"),
                        state.value("instance", state.value("address", "?")),
                        state.value("ready", false), state.value("configVersion", 0ULL),
