--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -291,12 +291,12 @@
 
 int runStatus(const Arguments &arguments)
 {
-    std::istringstream list(arguments.at("--operators").asString());
+    std::istringstream addresses(arguments.at("--operators").asString());
     json processes = json::array();
     std::set<std::uint64_t> versions;
     int unreachable = 0;
     std::string item;
-    while (std::getline(list, item, ',')) {
+    while (std::getline(addresses, item, ',')) {
         const auto address = parseHostPort(item);
         if (!address) {
             return failWith(kExitUsage, fmt::format("expected IP:PORT, found '{}'", item));
