--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -295,17 +295,17 @@
     json processes = json::array();
     std::set<std::uint64_t> versions;
     int unreachable = 0;
-    std::string item;
-    while (std::getline(addresses, item, ',')) {
-        const auto address = parseHostPort(item);
+    std::string addressText;
+    while (std::getline(addresses, addressText, ',')) {
+        const auto address = parseHostPort(addressText);
         if (!address) {
-            return failWith(kExitUsage, fmt::format("expected IP:PORT, found '{}'", item));
+            return failWith(kExitUsage, fmt::format("expected IP:PORT, found '{}'", addressText));
         }
         const auto text = fetch({address->host, address->port}, "/status");
         const json state = text ? json::parse(*text, nullptr, false) : json();
         if (!state.is_object()) {
             ++unreachable;
-            processes.push_back({{"address", item}, {"reachable", false}});
+            processes.push_back({{"address", addressText}, {"reachable", false}});
             continue;
         }
         versions.insert(state.value("configVersion", 0ULL));
