--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -302,14 +302,14 @@
             return failWith(kExitUsage, fmt::format("expected IP:PORT, found '{}'", addressText));
         }
         const auto text = fetch({address->host, address->port}, "/status");
-        const json state = text ? json::parse(*text, nullptr, false) : json();
-        if (!state.is_object()) {
+        const json status = text ? json::parse(*text, nullptr, false) : json();
+        if (!status.is_object()) {
             ++unreachable;
             processes.push_back({{"address", addressText}, {"reachable", false}});
             continue;
         }
-        versions.insert(state.value("configVersion", 0ULL));
-        processes.push_back(state);
+        versions.insert(status.value("configVersion", 0ULL));
+        processes.push_back(status);
     }
     const std::uint64_t highest = versions.empty() ? 0 : *versions.rbegin();
     const bool everywhere = versions.size() == 1 && unreachable == 0;
@@ -319,11 +319,11 @@
                                 {"inForceEverywhere", everywhere}}
                                .dump());
     } else {
-        for (const json &state : processes) {
-            fmt::print("{:<8} {:<20} ready={} config={} list={}\n", state.value("role", "?"),
-                       state.value("instance", state.value("address", "?")),
-                       state.value("ready", false), state.value("configVersion", 0ULL),
-                       state.value("listVersion", 0ULL));
+        for (const json &status : processes) {
+            fmt::print("{:<8} {:<20} ready={} config={} list={}\n", status.value("role", "?"),
+                       status.value("instance", status.value("address", "?")),
+                       status.value("ready", false), status.value("configVersion", 0ULL),
+                       status.value("listVersion", 0ULL));
         }
         fmt::print("configuration {} is {}in force everywhere; {} not reachable\n", highest,
                    everywhere ? "" : "not ", unreachable);
