--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -312,11 +312,11 @@
         processes.push_back(status);
     }
     const std::uint64_t highest = versions.empty() ? 0 : *versions.rbegin();
-    const bool everywhere = versions.size() == 1 && unreachable == 0;
+    const bool inForceEverywhere = versions.size() == 1 && unreachable == 0;
     if (isSet(arguments, "--json")) {
         fmt::print("{}\n", json{{"processes", processes},
                                 {"configVersion", highest},
-                                {"inForceEverywhere", everywhere}}
+                                {"inForceEverywhere", inForceEverywhere}}
                                .dump());
     } else {
         for (const json &status : processes) {
@@ -326,7 +326,7 @@
                        status.value("listVersion", 0ULL));
         }
         fmt::print("configuration {} is {}in force everywhere; {} not reachable\n", highest,
-                   everywhere ? "" : "not ", unreachable);
+                   inForceEverywhere ? "" : "not ", unreachable);
     }
     return unreachable == 0 ? kExitOk : kExitUnreachable;
 }
