--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -353,26 +353,27 @@
         }
         texts.push_back(std::move(*text));
     }
-    const Story story = readStory(arguments.at("ID").asString(), texts);
-    if (story.unreadable > 0) {
+    const Story timeline = readStory(arguments.at("ID").asString(), texts);
+    if (timeline.unreadable > 0) {
         fmt::print(stderr, "seamarch: passed over {} lines that are no log lines\n",
-                   story.unreadable);
+                   timeline.unreadable);
     }
-    if (!story.found()) {
+    if (!timeline.found()) {
         return failWith(kExitRefused,
                         fmt::format("no line of these files carries the id '{}'; give the "
                                     "logs of all gateways",
-                                    story.id));
+                                    timeline.id));
     }
     if (isSet(arguments, "--json")) {
-        fmt::print("{}\n",
-                   json{{"id", story.id}, {"cause", story.cause}, {"lines", story.lines}}.dump());
+        fmt::print(
+            "{}\n",
+            json{{"id", timeline.id}, {"cause", timeline.cause}, {"lines", timeline.lines}}.dump());
         return kExitOk;
     }
-    for (const json &line : story.lines) {
+    for (const json &line : timeline.lines) {
         fmt::print("{}\n", describeLine(line));
     }
-    fmt::print("cause: {}\n", story.cause);
+    fmt::print("cause: {}\n", timeline.cause);
     return kExitOk;
 }
 
--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -142,11 +142,11 @@
 
 Story readStory(const std::string &id, const std::vector<std::string> &texts)
 {
-    Story story;
-    story.id = id;
+    Story timeline;
+    timeline.id = id;
     std::vector<json> all;
     for (const std::string &text : texts) {
-        story.unreadable += readLines(text, all);
+        timeline.unreadable += readLines(text, all);
     }
     std::stable_sort(all.begin(), all.end(), [](const json &left, const json &right) {
         return textOf(left, "time") < textOf(right, "time");
@@ -155,7 +155,7 @@
     std::copy_if(all.begin(), all.end(), std::back_inserter(own),
                  [&id](const json &line) { return textOf(line, "id") == id; });
     if (own.empty()) {
-        return story;
+        return timeline;
     }
     const long long first = millisOf(own.front()) - kBeforeMillis;
     const long long last = millisOf(own.back());
@@ -166,11 +166,11 @@
             beliefEvents().contains(textOf(line, "event")) && at >= first && at <= last
             && (textOf(line, "instance") == gateway || textOf(line, "role") == "expertagent");
         if (belief || textOf(line, "id") == id) {
-            story.lines.push_back(line);
+            timeline.lines.push_back(line);
         }
     }
-    story.cause = causeOf(own);
-    return story;
+    timeline.cause = causeOf(own);
+    return timeline;
 }
 
 std::string describeLine(const json &line)
--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -25,23 +25,23 @@
 
 TEST(StoryTest, PutsTheLinesOfSeveralFilesInOrder)
 {
-    const Story story = readStory(
+    const Story timeline = readStory(
         "r-1", {line(3, "request.ended", kOwn + R"(,"result":"served")"),
                 line(1, "attempt.started", kOwn) + line(2, "attempt.started", R"(,"id":"r-2")")});
-    LONGS_EQUAL(2, story.lines.size());
-    STRCMP_EQUAL("attempt.started", story.lines[0]["event"].get<std::string>().c_str());
-    STRCMP_EQUAL("served", story.cause.c_str());
+    LONGS_EQUAL(2, timeline.lines.size());
+    STRCMP_EQUAL("attempt.started", timeline.lines[0]["event"].get<std::string>().c_str());
+    STRCMP_EQUAL("served", timeline.cause.c_str());
 }
 
 TEST(StoryTest, ShowsChangesOfBeliefOfItsGatewayAndOfGroups)
 {
-    const Story story =
+    const Story timeline =
         readStory("r-1", {line(10, "store.lost", "") + line(10, "store.lost", "", "g-2")
                           + line(2, "store.reached", "")
                           + line(11, "group.formed", R"(,"role":"expertagent")", "a-1")
                           + line(12, "request.refused", kOwn + R"(,"code":"knowledge_stale")")});
-    LONGS_EQUAL(3, story.lines.size());
-    CHECK_TRUE(story.cause.find("had not heard from the store") != std::string::npos);
+    LONGS_EQUAL(3, timeline.lines.size());
+    CHECK_TRUE(timeline.cause.find("had not heard from the store") != std::string::npos);
 }
 
 TEST(StoryTest, TellsARefusalForWantOfRoomFromOneThatWasNeverSent)
@@ -55,37 +55,37 @@
 
 TEST(StoryTest, NamesTheUpstreamThatLostTheAnswer)
 {
-    const Story story = readStory(
+    const Story timeline = readStory(
         "r-1", {line(1, "attempt.started", kOwn)
                 + line(2, "attempt.lost", kOwn + R"(,"upstream":"i-9","end":"interrupted")")
                 + line(2, "request.refused", kOwn + R"(,"code":"upstream_unreachable")")});
-    CHECK_TRUE(story.cause.find("i-9 lost the answer (interrupted)") != std::string::npos);
+    CHECK_TRUE(timeline.cause.find("i-9 lost the answer (interrupted)") != std::string::npos);
 }
 
 TEST(StoryTest, TellsThatAnUpstreamEndedUnderTheRequest)
 {
-    const Story story = readStory(
+    const Story timeline = readStory(
         "r-1", {line(1, "attempt.started", kOwn)
                 + line(2, "attempt.lost", kOwn + R"(,"upstream":"i-9","end":"interrupted")")
                 + line(2, "upstream.probed", kOwn + R"(,"upstream":"i-9","state":"ended")")
                 + line(2, "request.refused", kOwn + R"(,"code":"upstream_unreachable")")});
-    CHECK_TRUE(story.cause.find("i-9 ended under it") != std::string::npos);
+    CHECK_TRUE(timeline.cause.find("i-9 ended under it") != std::string::npos);
 }
 
 TEST(StoryTest, TellsThatARequestIsNotSentAnyMore)
 {
-    const Story story = readStory(
+    const Story timeline = readStory(
         "r-1", {line(1, "request.refused", kOwn + R"(,"code":"request_ends_upstreams")")});
-    CHECK_TRUE(story.cause.find("ended, one after the other") != std::string::npos);
+    CHECK_TRUE(timeline.cause.find("ended, one after the other") != std::string::npos);
 }
 
 TEST(StoryTest, PassesOverTornLinesAndCountsThem)
 {
-    const Story story = readStory(
+    const Story timeline = readStory(
         "r-1", {"node-1 | " + line(1, "attempt.started", kOwn) + "{\"time\":\"2026\nno log\n"});
-    LONGS_EQUAL(1, story.lines.size());
-    LONGS_EQUAL(2, story.unreadable);
-    STRCMP_EQUAL("its end is not in these logs", story.cause.c_str());
+    LONGS_EQUAL(1, timeline.lines.size());
+    LONGS_EQUAL(2, timeline.unreadable);
+    STRCMP_EQUAL("its end is not in these logs", timeline.cause.c_str());
 }
 
 TEST(StoryTest, RequestThatNoLineNamesHasNoStory)
