--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -140,9 +140,9 @@
 
 } // namespace
 
-Story readStory(const std::string &id, const std::vector<std::string> &texts)
+RequestTimeline readStory(const std::string &id, const std::vector<std::string> &texts)
 {
-    Story timeline;
+    RequestTimeline timeline;
     timeline.id = id;
     std::vector<json> all;
     for (const std::string &text : texts) {
--- a/src/tool/story.h
+++ b/src/tool/story.h
@@ -15,7 +15,7 @@
 
 namespace seamarch {
 
-struct Story
+struct RequestTimeline
 {
     std::string id;
     std::vector<nlohmann::json> lines; // In the order of their time.
@@ -26,7 +26,7 @@
 
 // Reads the story of `id` from texts of log lines, one for each file. Text before the first brace
 // of a line, as collectors put there, is passed over.
-Story readStory(const std::string &id, const std::vector<std::string> &texts);
+RequestTimeline readStory(const std::string &id, const std::vector<std::string> &texts);
 
 // Returns one line of text for a line of a story.
 std::string describeLine(const nlohmann::json &line);
--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -25,7 +25,7 @@
 
 TEST(StoryTest, PutsTheLinesOfSeveralFilesInOrder)
 {
-    const Story timeline = readStory(
+    const RequestTimeline timeline = readStory(
         "r-1", {line(3, "request.ended", kOwn + R"(,"result":"served")"),
                 line(1, "attempt.started", kOwn) + line(2, "attempt.started", R"(,"id":"r-2")")});
     LONGS_EQUAL(2, timeline.lines.size());
@@ -35,7 +35,7 @@
 
 TEST(StoryTest, ShowsChangesOfBeliefOfItsGatewayAndOfGroups)
 {
-    const Story timeline =
+    const RequestTimeline timeline =
         readStory("r-1", {line(10, "store.lost", "") + line(10, "store.lost", "", "g-2")
                           + line(2, "store.reached", "")
                           + line(11, "group.formed", R"(,"role":"expertagent")", "a-1")
@@ -55,7 +55,7 @@
 
 TEST(StoryTest, NamesTheUpstreamThatLostTheAnswer)
 {
-    const Story timeline = readStory(
+    const RequestTimeline timeline = readStory(
         "r-1", {line(1, "attempt.started", kOwn)
                 + line(2, "attempt.lost", kOwn + R"(,"upstream":"i-9","end":"interrupted")")
                 + line(2, "request.refused", kOwn + R"(,"code":"upstream_unreachable")")});
@@ -64,7 +64,7 @@
 
 TEST(StoryTest, TellsThatAnUpstreamEndedUnderTheRequest)
 {
-    const Story timeline = readStory(
+    const RequestTimeline timeline = readStory(
         "r-1", {line(1, "attempt.started", kOwn)
                 + line(2, "attempt.lost", kOwn + R"(,"upstream":"i-9","end":"interrupted")")
                 + line(2, "upstream.probed", kOwn + R"(,"upstream":"i-9","state":"ended")")
@@ -74,14 +74,14 @@
 
 TEST(StoryTest, TellsThatARequestIsNotSentAnyMore)
 {
-    const Story timeline = readStory(
+    const RequestTimeline timeline = readStory(
         "r-1", {line(1, "request.refused", kOwn + R"(,"code":"request_ends_upstreams")")});
     CHECK_TRUE(timeline.cause.find("ended, one after the other") != std::string::npos);
 }
 
 TEST(StoryTest, PassesOverTornLinesAndCountsThem)
 {
-    const Story timeline = readStory(
+    const RequestTimeline timeline = readStory(
         "r-1", {"node-1 | " + line(1, "attempt.started", kOwn) + "{\"time\":\"2026\nno log\n"});
     LONGS_EQUAL(1, timeline.lines.size());
     LONGS_EQUAL(2, timeline.unreadable);
