--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -353,7 +353,7 @@
         }
         texts.push_back(std::move(*text));
     }
-    const RequestTimeline timeline = readStory(arguments.at("ID").asString(), texts);
+    const RequestTimeline timeline = readRequestTimeline(arguments.at("ID").asString(), texts);
     if (timeline.unreadable > 0) {
         fmt::print(stderr, "seamarch: passed over {} lines that are no log lines\n",
                    timeline.unreadable);
--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -140,7 +140,7 @@
 
 } // namespace
 
-RequestTimeline readStory(const std::string &id, const std::vector<std::string> &texts)
+RequestTimeline readRequestTimeline(const std::string &id, const std::vector<std::string> &texts)
 {
     RequestTimeline timeline;
     timeline.id = id;
--- a/src/tool/story.h
+++ b/src/tool/story.h
@@ -26,7 +26,7 @@
 
 // Reads the story of `id` from texts of log lines, one for each file. Text before the first brace
 // of a line, as collectors put there, is passed over.
-RequestTimeline readStory(const std::string &id, const std::vector<std::string> &texts);
+RequestTimeline readRequestTimeline(const std::string &id, const std::vector<std::string> &texts);
 
 // Returns one line of text for a line of a story.
 std::string describeLine(const nlohmann::json &line);
--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -25,7 +25,7 @@
 
 TEST(StoryTest, PutsTheLinesOfSeveralFilesInOrder)
 {
-    const RequestTimeline timeline = readStory(
+    const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(3, "request.ended", kOwn + R"(,"result":"served")"),
                 line(1, "attempt.started", kOwn) + line(2, "attempt.started", R"(,"id":"r-2")")});
     LONGS_EQUAL(2, timeline.lines.size());
@@ -35,11 +35,11 @@
 
 TEST(StoryTest, ShowsChangesOfBeliefOfItsGatewayAndOfGroups)
 {
-    const RequestTimeline timeline =
-        readStory("r-1", {line(10, "store.lost", "") + line(10, "store.lost", "", "g-2")
-                          + line(2, "store.reached", "")
-                          + line(11, "group.formed", R"(,"role":"expertagent")", "a-1")
-                          + line(12, "request.refused", kOwn + R"(,"code":"knowledge_stale")")});
+    const RequestTimeline timeline = readRequestTimeline(
+        "r-1", {line(10, "store.lost", "") + line(10, "store.lost", "", "g-2")
+                + line(2, "store.reached", "")
+                + line(11, "group.formed", R"(,"role":"expertagent")", "a-1")
+                + line(12, "request.refused", kOwn + R"(,"code":"knowledge_stale")")});
     LONGS_EQUAL(3, timeline.lines.size());
     CHECK_TRUE(timeline.cause.find("had not heard from the store") != std::string::npos);
 }
@@ -49,13 +49,14 @@
     const std::string refused = line(2, "request.refused", kOwn + R"(,"code":"no_upstream")");
     const std::string full =
         line(1, "attempt.started", kOwn) + line(1, "attempt.refused", kOwn + R"(,"kind":"full")");
-    CHECK_TRUE(readStory("r-1", {full + refused}).cause.find("had no room") != std::string::npos);
-    CHECK_TRUE(readStory("r-1", {refused}).cause.find("not sent") != std::string::npos);
+    CHECK_TRUE(readRequestTimeline("r-1", {full + refused}).cause.find("had no room")
+               != std::string::npos);
+    CHECK_TRUE(readRequestTimeline("r-1", {refused}).cause.find("not sent") != std::string::npos);
 }
 
 TEST(StoryTest, NamesTheUpstreamThatLostTheAnswer)
 {
-    const RequestTimeline timeline = readStory(
+    const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(1, "attempt.started", kOwn)
                 + line(2, "attempt.lost", kOwn + R"(,"upstream":"i-9","end":"interrupted")")
                 + line(2, "request.refused", kOwn + R"(,"code":"upstream_unreachable")")});
@@ -64,7 +65,7 @@
 
 TEST(StoryTest, TellsThatAnUpstreamEndedUnderTheRequest)
 {
-    const RequestTimeline timeline = readStory(
+    const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(1, "attempt.started", kOwn)
                 + line(2, "attempt.lost", kOwn + R"(,"upstream":"i-9","end":"interrupted")")
                 + line(2, "upstream.probed", kOwn + R"(,"upstream":"i-9","state":"ended")")
@@ -74,14 +75,14 @@
 
 TEST(StoryTest, TellsThatARequestIsNotSentAnyMore)
 {
-    const RequestTimeline timeline = readStory(
+    const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(1, "request.refused", kOwn + R"(,"code":"request_ends_upstreams")")});
     CHECK_TRUE(timeline.cause.find("ended, one after the other") != std::string::npos);
 }
 
 TEST(StoryTest, PassesOverTornLinesAndCountsThem)
 {
-    const RequestTimeline timeline = readStory(
+    const RequestTimeline timeline = readRequestTimeline(
         "r-1", {"node-1 | " + line(1, "attempt.started", kOwn) + "{\"time\":\"2026\nno log\n"});
     LONGS_EQUAL(1, timeline.lines.size());
     LONGS_EQUAL(2, timeline.unreadable);
@@ -90,5 +91,5 @@
 
 TEST(StoryTest, RequestThatNoLineNamesHasNoStory)
 {
-    CHECK_FALSE(readStory("r-9", {line(1, "attempt.started", kOwn)}).found());
+    CHECK_FALSE(readRequestTimeline("r-9", {line(1, "attempt.started", kOwn)}).found());
 }
