--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -354,9 +354,9 @@
         texts.push_back(std::move(*text));
     }
     const RequestTimeline timeline = readRequestTimeline(arguments.at("ID").asString(), texts);
-    if (timeline.unreadable > 0) {
+    if (timeline.unreadableLines > 0) {
         fmt::print(stderr, "seamarch: passed over {} lines that are no log lines\n",
-                   timeline.unreadable);
+                   timeline.unreadableLines);
     }
     if (!timeline.found()) {
         return failWith(kExitRefused,
--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -118,24 +118,24 @@
 // Reads the lines of one text into `lines`; counts those that are none.
 std::size_t readLines(std::string_view text, std::vector<json> &lines)
 {
-    std::size_t unreadable = 0;
+    std::size_t unreadableLines = 0;
     while (!text.empty()) {
         const std::size_t end = text.find('\n');
         std::string_view line = text.substr(0, end);
         text.remove_prefix(end == std::string_view::npos ? text.size() : end + 1);
         const std::size_t brace = line.find('{');
         if (brace == std::string_view::npos) {
-            unreadable += line.empty() ? 0 : 1;
+            unreadableLines += line.empty() ? 0 : 1;
             continue;
         }
         json value = json::parse(line.substr(brace), nullptr, false);
         if (value.is_object() && value.contains("event")) {
             lines.push_back(std::move(value));
         } else {
-            ++unreadable;
+            ++unreadableLines;
         }
     }
-    return unreadable;
+    return unreadableLines;
 }
 
 } // namespace
@@ -146,7 +146,7 @@
     timeline.id = id;
     std::vector<json> all;
     for (const std::string &text : texts) {
-        timeline.unreadable += readLines(text, all);
+        timeline.unreadableLines += readLines(text, all);
     }
     std::stable_sort(all.begin(), all.end(), [](const json &left, const json &right) {
         return textOf(left, "time") < textOf(right, "time");
--- a/src/tool/story.h
+++ b/src/tool/story.h
@@ -20,7 +20,7 @@
     std::string id;
     std::vector<nlohmann::json> lines; // In the order of their time.
     std::string cause;                 // Empty when no line carries the id.
-    std::size_t unreadable = 0;        // Lines that are no whole log line.
+    std::size_t unreadableLines = 0;   // Lines that are no whole log line.
     bool found() const { return !cause.empty(); }
 };
 
