--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -85,7 +85,7 @@
     const RequestTimeline timeline = readRequestTimeline(
         "r-1", {"node-1 | " + line(1, "attempt.started", kOwn) + "{\"time\":\"2026\nno log\n"});
     LONGS_EQUAL(1, timeline.lines.size());
-    LONGS_EQUAL(2, timeline.unreadable);
+    LONGS_EQUAL(2, timeline.unreadableLines);
     STRCMP_EQUAL("its end is not in these logs", timeline.cause.c_str());
 }
 
