--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -14,7 +14,7 @@
 // store is given up after some five seconds.
 constexpr long long kBeforeMillis = 5000;
 
-const std::set<std::string, std::less<>> &beliefEvents()
+const std::set<std::string, std::less<>> &stateChangeEvents()
 {
     static const std::set<std::string, std::less<>> events = {
         "store.lost",        "store.reached",   "store.followed",  "store.left",
@@ -163,7 +163,7 @@
     for (const json &line : all) {
         const long long at = millisOf(line);
         const bool belief =
-            beliefEvents().contains(textOf(line, "event")) && at >= first && at <= last
+            stateChangeEvents().contains(textOf(line, "event")) && at >= first && at <= last
             && (textOf(line, "instance") == gateway || textOf(line, "role") == "expertagent");
         if (belief || textOf(line, "id") == id) {
             timeline.lines.push_back(line);
