--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -12,7 +12,7 @@
 
 // How long before a request's first line a change of belief may matter for it. Knowledge of the
 // store is given up after some five seconds.
-constexpr long long kBeforeMillis = 5000;
+constexpr long long kStateChangeLookbackMillis = 5000;
 
 const std::set<std::string, std::less<>> &stateChangeEvents()
 {
@@ -157,7 +157,7 @@
     if (own.empty()) {
         return timeline;
     }
-    const long long first = millisOf(own.front()) - kBeforeMillis;
+    const long long first = millisOf(own.front()) - kStateChangeLookbackMillis;
     const long long last = millisOf(own.back());
     const std::string gateway = textOf(own.front(), "instance");
     for (const json &line : all) {
