--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -162,10 +162,10 @@
     const std::string gateway = textOf(own.front(), "instance");
     for (const json &line : all) {
         const long long at = millisOf(line);
-        const bool belief =
+        const bool isStateChange =
             stateChangeEvents().contains(textOf(line, "event")) && at >= first && at <= last
             && (textOf(line, "instance") == gateway || textOf(line, "role") == "expertagent");
-        if (belief || textOf(line, "id") == id) {
+        if (isStateChange || textOf(line, "id") == id) {
             timeline.lines.push_back(line);
         }
     }
