--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -25,7 +25,7 @@
     return events;
 }
 
-std::string textOf(const json &line, const char *name)
+std::string stringField(const json &line, const char *name)
 {
     const auto found = line.find(name);
     return found != line.end() && found->is_string() ? found->get<std::string>() : std::string();
@@ -34,7 +34,7 @@
 // Returns the time of day of a line in milliseconds, from "2026-12-02T16:01:02.345Z".
 long long millisOf(const json &line)
 {
-    const std::string time = textOf(line, "time");
+    const std::string time = stringField(line, "time");
     int day = 0;
     int hour = 0;
     int minute = 0;
@@ -78,18 +78,18 @@
     std::string refusal;
     std::string result;
     for (const json &line : own) {
-        const std::string event = textOf(line, "event");
+        const std::string event = stringField(line, "event");
         sent = sent || event == "attempt.started";
-        full = full || (event == "attempt.refused" && textOf(line, "kind") == "full");
-        if (event == "upstream.probed" && textOf(line, "state") == "ended") {
-            lost = fmt::format("{} ended under it", textOf(line, "upstream"));
+        full = full || (event == "attempt.refused" && stringField(line, "kind") == "full");
+        if (event == "upstream.probed" && stringField(line, "state") == "ended") {
+            lost = fmt::format("{} ended under it", stringField(line, "upstream"));
         } else if (event == "attempt.lost") {
-            lost = fmt::format("{} lost the answer ({})", textOf(line, "upstream"),
-                               textOf(line, "end"));
+            lost = fmt::format("{} lost the answer ({})", stringField(line, "upstream"),
+                               stringField(line, "end"));
         } else if (event == "request.refused") {
-            refusal = textOf(line, "code");
+            refusal = stringField(line, "code");
         } else if (event == "request.ended") {
-            result = textOf(line, "result");
+            result = stringField(line, "result");
         }
     }
     const std::string after = lost.empty() ? std::string() : fmt::format(", after {}", lost);
@@ -149,23 +149,24 @@
         timeline.unreadableLines += readLines(text, all);
     }
     std::stable_sort(all.begin(), all.end(), [](const json &left, const json &right) {
-        return textOf(left, "time") < textOf(right, "time");
+        return stringField(left, "time") < stringField(right, "time");
     });
     std::vector<json> own;
     std::copy_if(all.begin(), all.end(), std::back_inserter(own),
-                 [&id](const json &line) { return textOf(line, "id") == id; });
+                 [&id](const json &line) { return stringField(line, "id") == id; });
     if (own.empty()) {
         return timeline;
     }
     const long long first = millisOf(own.front()) - kStateChangeLookbackMillis;
     const long long last = millisOf(own.back());
-    const std::string gateway = textOf(own.front(), "instance");
+    const std::string gateway = stringField(own.front(), "instance");
     for (const json &line : all) {
         const long long at = millisOf(line);
-        const bool isStateChange =
-            stateChangeEvents().contains(textOf(line, "event")) && at >= first && at <= last
-            && (textOf(line, "instance") == gateway || textOf(line, "role") == "expertagent");
-        if (isStateChange || textOf(line, "id") == id) {
+        const bool isStateChange = stateChangeEvents().contains(stringField(line, "event"))
+                                   && at >= first && at <= last
+                                   && (stringField(line, "instance") == gateway
+                                       || stringField(line, "role") == "expertagent");
+        if (isStateChange || stringField(line, "id") == id) {
             timeline.lines.push_back(line);
         }
     }
@@ -177,8 +178,8 @@
 {
     static const std::set<std::string, std::less<>> kShown = {"time", "event", "instance",
                                                               "id",   "level", "role"};
-    std::string text = fmt::format("{}  {:<24} {:<18}", textOf(line, "time"),
-                                   textOf(line, "instance"), textOf(line, "event"));
+    std::string text = fmt::format("{}  {:<24} {:<18}", stringField(line, "time"),
+                                   stringField(line, "instance"), stringField(line, "event"));
     for (const auto &[name, value] : line.items()) {
         if (!kShown.contains(name)) {
             text += fmt::format(" {}={}", name,
