--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -32,7 +32,7 @@
 }
 
 // Returns the time of day of a line in milliseconds, from "2026-12-02T16:01:02.345Z".
-long long millisOf(const json &line)
+long long timestampMillis(const json &line)
 {
     const std::string time = stringField(line, "time");
     int day = 0;
@@ -157,11 +157,11 @@
     if (own.empty()) {
         return timeline;
     }
-    const long long first = millisOf(own.front()) - kStateChangeLookbackMillis;
-    const long long last = millisOf(own.back());
+    const long long first = timestampMillis(own.front()) - kStateChangeLookbackMillis;
+    const long long last = timestampMillis(own.back());
     const std::string gateway = stringField(own.front(), "instance");
     for (const json &line : all) {
-        const long long at = millisOf(line);
+        const long long at = timestampMillis(line);
         const bool isStateChange = stateChangeEvents().contains(stringField(line, "event"))
                                    && at >= first && at <= last
                                    && (stringField(line, "instance") == gateway
