--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -40,9 +40,9 @@
     int minute = 0;
     int second = 0;
     int millis = 0;
-    constexpr int kParts = 5;
+    constexpr int kParsedFields = 5;
     if (std::sscanf(time.c_str(), "%*d-%*d-%dT%d:%d:%d.%dZ", &day, &hour, &minute, &second, &millis)
-        != kParts) {
+        != kParsedFields) {
         return 0;
     }
     return (((day * 24LL + hour) * 60 + minute) * 60 + second) * 1000 + millis;
