--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -48,7 +48,7 @@
     return (((day * 24LL + hour) * 60 + minute) * 60 + second) * 1000 + millis;
 }
 
-std::string causeOfRefusal(const std::string &code)
+std::string refusalCause(const std::string &code)
 {
     static const std::map<std::string, std::string, std::less<>> causes = {
         {"knowledge_stale",
@@ -102,7 +102,7 @@
                     : "not sent: the wait for a place would have been too long";
     }
     if (!refusal.empty()) {
-        return causeOfRefusal(refusal) + after;
+        return refusalCause(refusal) + after;
     }
     if (result == "served") {
         return "served" + after;
