--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -70,7 +70,7 @@
     return found == causes.end() ? fmt::format("refused with {}", code) : found->second;
 }
 
-std::string causeOf(const std::vector<json> &own)
+std::string requestCause(const std::vector<json> &own)
 {
     bool sent = false;
     bool full = false;
@@ -170,7 +170,7 @@
             timeline.lines.push_back(line);
         }
     }
-    timeline.cause = causeOf(own);
+    timeline.cause = requestCause(own);
     return timeline;
 }
 
