--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -70,14 +70,14 @@
     return found == causes.end() ? fmt::format("refused with {}", code) : found->second;
 }
 
-std::string requestCause(const std::vector<json> &own)
+std::string requestCause(const std::vector<json> &requestLines)
 {
     bool sent = false;
     bool full = false;
     std::string lost;
     std::string refusal;
     std::string result;
-    for (const json &line : own) {
+    for (const json &line : requestLines) {
         const std::string event = stringField(line, "event");
         sent = sent || event == "attempt.started";
         full = full || (event == "attempt.refused" && stringField(line, "kind") == "full");
@@ -151,15 +151,15 @@
     std::stable_sort(all.begin(), all.end(), [](const json &left, const json &right) {
         return stringField(left, "time") < stringField(right, "time");
     });
-    std::vector<json> own;
-    std::copy_if(all.begin(), all.end(), std::back_inserter(own),
+    std::vector<json> requestLines;
+    std::copy_if(all.begin(), all.end(), std::back_inserter(requestLines),
                  [&id](const json &line) { return stringField(line, "id") == id; });
-    if (own.empty()) {
+    if (requestLines.empty()) {
         return timeline;
     }
-    const long long first = timestampMillis(own.front()) - kStateChangeLookbackMillis;
-    const long long last = timestampMillis(own.back());
-    const std::string gateway = stringField(own.front(), "instance");
+    const long long first = timestampMillis(requestLines.front()) - kStateChangeLookbackMillis;
+    const long long last = timestampMillis(requestLines.back());
+    const std::string gateway = stringField(requestLines.front(), "instance");
     for (const json &line : all) {
         const long long at = timestampMillis(line);
         const bool isStateChange = stateChangeEvents().contains(stringField(line, "event"))
@@ -170,7 +170,7 @@
             timeline.lines.push_back(line);
         }
     }
-    timeline.cause = requestCause(own);
+    timeline.cause = requestCause(requestLines);
     return timeline;
 }
 
