--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -161,9 +161,9 @@
     const long long last = timestampMillis(requestLines.back());
     const std::string gateway = stringField(requestLines.front(), "instance");
     for (const json &line : all) {
-        const long long at = timestampMillis(line);
+        const long long lineMillis = timestampMillis(line);
         const bool isStateChange = stateChangeEvents().contains(stringField(line, "event"))
-                                   && at >= first && at <= last
+                                   && lineMillis >= first && lineMillis <= last
                                    && (stringField(line, "instance") == gateway
                                        || stringField(line, "role") == "expertagent");
         if (isStateChange || stringField(line, "id") == id) {
