--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -157,13 +157,14 @@
     if (requestLines.empty()) {
         return timeline;
     }
-    const long long first = timestampMillis(requestLines.front()) - kStateChangeLookbackMillis;
+    const long long windowStart =
+        timestampMillis(requestLines.front()) - kStateChangeLookbackMillis;
     const long long last = timestampMillis(requestLines.back());
     const std::string gateway = stringField(requestLines.front(), "instance");
     for (const json &line : all) {
         const long long lineMillis = timestampMillis(line);
         const bool isStateChange = stateChangeEvents().contains(stringField(line, "event"))
-                                   && lineMillis >= first && lineMillis <= last
+                                   && lineMillis >= windowStart && lineMillis <= last
                                    && (stringField(line, "instance") == gateway
                                        || stringField(line, "role") == "expertagent");
         if (isStateChange || stringField(line, "id") == id) {
