--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -159,12 +159,12 @@
     }
     const long long windowStart =
         timestampMillis(requestLines.front()) - kStateChangeLookbackMillis;
-    const long long last = timestampMillis(requestLines.back());
+    const long long windowEnd = timestampMillis(requestLines.back());
     const std::string gateway = stringField(requestLines.front(), "instance");
     for (const json &line : all) {
         const long long lineMillis = timestampMillis(line);
         const bool isStateChange = stateChangeEvents().contains(stringField(line, "event"))
-                                   && lineMillis >= windowStart && lineMillis <= last
+                                   && lineMillis >= windowStart && lineMillis <= windowEnd
                                    && (stringField(line, "instance") == gateway
                                        || stringField(line, "role") == "expertagent");
         if (isStateChange || stringField(line, "id") == id) {
