--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -177,12 +177,12 @@
 
 std::string describeLine(const json &line)
 {
-    static const std::set<std::string, std::less<>> kShown = {"time", "event", "instance",
-                                                              "id",   "level", "role"};
+    static const std::set<std::string, std::less<>> kOmittedFields = {"time", "event", "instance",
+                                                                      "id",   "level", "role"};
     std::string text = fmt::format("{}  {:<24} {:<18}", stringField(line, "time"),
                                    stringField(line, "instance"), stringField(line, "event"));
     for (const auto &[name, value] : line.items()) {
-        if (!kShown.contains(name)) {
+        if (!kOmittedFields.contains(name)) {
             text += fmt::format(" {}={}", name,
                                 value.is_string() ? value.get<std::string>() : value.dump());
         }
