--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -72,14 +72,14 @@
 
 std::string requestCause(const std::vector<json> &requestLines)
 {
-    bool sent = false;
+    bool wasSent = false;
     bool full = false;
     std::string lost;
     std::string refusal;
     std::string result;
     for (const json &line : requestLines) {
         const std::string event = stringField(line, "event");
-        sent = sent || event == "attempt.started";
+        wasSent = wasSent || event == "attempt.started";
         full = full || (event == "attempt.refused" && stringField(line, "kind") == "full");
         if (event == "upstream.probed" && stringField(line, "state") == "ended") {
             lost = fmt::format("{} ended under it", stringField(line, "upstream"));
@@ -94,12 +94,13 @@
     }
     const std::string after = lost.empty() ? std::string() : fmt::format(", after {}", lost);
     if (refusal == "no_upstream") {
-        return sent ? (full ? "the upstreams that were asked had no room; if all of a service say "
-                              "so, its "
-                              "group stands still or is overloaded"
-                            : "no upstream was left to ask")
-                          + after
-                    : "not sent: the wait for a place would have been too long";
+        return wasSent
+                   ? (full ? "the upstreams that were asked had no room; if all of a service say "
+                             "so, its "
+                             "group stands still or is overloaded"
+                           : "no upstream was left to ask")
+                         + after
+                   : "not sent: the wait for a place would have been too long";
     }
     if (!refusal.empty()) {
         return refusalCause(refusal) + after;
@@ -108,8 +109,8 @@
         return "served" + after;
     }
     if (result == "caller gone") {
-        return (sent ? "the caller left while an upstream was at it"
-                     : "the caller left before it was sent")
+        return (wasSent ? "the caller left while an upstream was at it"
+                        : "the caller left before it was sent")
                + after;
     }
     return result.empty() ? "its end is not in these logs" + after : result + after;
