--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -73,14 +73,14 @@
 std::string requestCause(const std::vector<json> &requestLines)
 {
     bool wasSent = false;
-    bool full = false;
+    bool wasFull = false;
     std::string lost;
     std::string refusal;
     std::string result;
     for (const json &line : requestLines) {
         const std::string event = stringField(line, "event");
         wasSent = wasSent || event == "attempt.started";
-        full = full || (event == "attempt.refused" && stringField(line, "kind") == "full");
+        wasFull = wasFull || (event == "attempt.refused" && stringField(line, "kind") == "full");
         if (event == "upstream.probed" && stringField(line, "state") == "ended") {
             lost = fmt::format("{} ended under it", stringField(line, "upstream"));
         } else if (event == "attempt.lost") {
@@ -95,10 +95,11 @@
     const std::string after = lost.empty() ? std::string() : fmt::format(", after {}", lost);
     if (refusal == "no_upstream") {
         return wasSent
-                   ? (full ? "the upstreams that were asked had no room; if all of a service say "
-                             "so, its "
-                             "group stands still or is overloaded"
-                           : "no upstream was left to ask")
+                   ? (wasFull
+                          ? "the upstreams that were asked had no room; if all of a service say "
+                            "so, its "
+                            "group stands still or is overloaded"
+                          : "no upstream was left to ask")
                          + after
                    : "not sent: the wait for a place would have been too long";
     }
