--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -74,7 +74,7 @@
 {
     bool wasSent = false;
     bool wasFull = false;
-    std::string lost;
+    std::string lossText;
     std::string refusal;
     std::string result;
     for (const json &line : requestLines) {
@@ -82,17 +82,18 @@
         wasSent = wasSent || event == "attempt.started";
         wasFull = wasFull || (event == "attempt.refused" && stringField(line, "kind") == "full");
         if (event == "upstream.probed" && stringField(line, "state") == "ended") {
-            lost = fmt::format("{} ended under it", stringField(line, "upstream"));
+            lossText = fmt::format("{} ended under it", stringField(line, "upstream"));
         } else if (event == "attempt.lost") {
-            lost = fmt::format("{} lost the answer ({})", stringField(line, "upstream"),
-                               stringField(line, "end"));
+            lossText = fmt::format("{} lost the answer ({})", stringField(line, "upstream"),
+                                   stringField(line, "end"));
         } else if (event == "request.refused") {
             refusal = stringField(line, "code");
         } else if (event == "request.ended") {
             result = stringField(line, "result");
         }
     }
-    const std::string after = lost.empty() ? std::string() : fmt::format(", after {}", lost);
+    const std::string after =
+        lossText.empty() ? std::string() : fmt::format(", after {}", lossText);
     if (refusal == "no_upstream") {
         return wasSent
                    ? (wasFull
