--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -92,7 +92,7 @@
             result = stringField(line, "result");
         }
     }
-    const std::string after =
+    const std::string lossSuffix =
         lossText.empty() ? std::string() : fmt::format(", after {}", lossText);
     if (refusal == "no_upstream") {
         return wasSent
@@ -101,21 +101,21 @@
                             "so, its "
                             "group stands still or is overloaded"
                           : "no upstream was left to ask")
-                         + after
+                         + lossSuffix
                    : "not sent: the wait for a place would have been too long";
     }
     if (!refusal.empty()) {
-        return refusalCause(refusal) + after;
+        return refusalCause(refusal) + lossSuffix;
     }
     if (result == "served") {
-        return "served" + after;
+        return "served" + lossSuffix;
     }
     if (result == "caller gone") {
         return (wasSent ? "the caller left while an upstream was at it"
                         : "the caller left before it was sent")
-               + after;
+               + lossSuffix;
     }
-    return result.empty() ? "its end is not in these logs" + after : result + after;
+    return result.empty() ? "its end is not in these logs" + lossSuffix : result + lossSuffix;
 }
 
 // Reads the lines of one text into `lines`; counts those that are none.
