--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -75,7 +75,7 @@
     bool wasSent = false;
     bool wasFull = false;
     std::string lossText;
-    std::string refusal;
+    std::string refusalCode;
     std::string result;
     for (const json &line : requestLines) {
         const std::string event = stringField(line, "event");
@@ -87,14 +87,14 @@
             lossText = fmt::format("{} lost the answer ({})", stringField(line, "upstream"),
                                    stringField(line, "end"));
         } else if (event == "request.refused") {
-            refusal = stringField(line, "code");
+            refusalCode = stringField(line, "code");
         } else if (event == "request.ended") {
             result = stringField(line, "result");
         }
     }
     const std::string lossSuffix =
         lossText.empty() ? std::string() : fmt::format(", after {}", lossText);
-    if (refusal == "no_upstream") {
+    if (refusalCode == "no_upstream") {
         return wasSent
                    ? (wasFull
                           ? "the upstreams that were asked had no room; if all of a service say "
@@ -104,8 +104,8 @@
                          + lossSuffix
                    : "not sent: the wait for a place would have been too long";
     }
-    if (!refusal.empty()) {
-        return refusalCause(refusal) + lossSuffix;
+    if (!refusalCode.empty()) {
+        return refusalCause(refusalCode) + lossSuffix;
     }
     if (result == "served") {
         return "served" + lossSuffix;
