--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -21,9 +21,9 @@
 
 } // namespace
 
-TEST_GROUP(StoryTest){};
+TEST_GROUP(RequestTimelineTest){};
 
-TEST(StoryTest, PutsTheLinesOfSeveralFilesInOrder)
+TEST(RequestTimelineTest, PutsTheLinesOfSeveralFilesInOrder)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(3, "request.ended", kOwn + R"(,"result":"served")"),
@@ -33,7 +33,7 @@
     STRCMP_EQUAL("served", timeline.cause.c_str());
 }
 
-TEST(StoryTest, ShowsChangesOfBeliefOfItsGatewayAndOfGroups)
+TEST(RequestTimelineTest, ShowsChangesOfBeliefOfItsGatewayAndOfGroups)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(10, "store.lost", "") + line(10, "store.lost", "", "g-2")
@@ -44,7 +44,7 @@
     CHECK_TRUE(timeline.cause.find("had not heard from the store") != std::string::npos);
 }
 
-TEST(StoryTest, TellsARefusalForWantOfRoomFromOneThatWasNeverSent)
+TEST(RequestTimelineTest, TellsARefusalForWantOfRoomFromOneThatWasNeverSent)
 {
     const std::string refused = line(2, "request.refused", kOwn + R"(,"code":"no_upstream")");
     const std::string full =
@@ -54,7 +54,7 @@
     CHECK_TRUE(readRequestTimeline("r-1", {refused}).cause.find("not sent") != std::string::npos);
 }
 
-TEST(StoryTest, NamesTheUpstreamThatLostTheAnswer)
+TEST(RequestTimelineTest, NamesTheUpstreamThatLostTheAnswer)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(1, "attempt.started", kOwn)
@@ -63,7 +63,7 @@
     CHECK_TRUE(timeline.cause.find("i-9 lost the answer (interrupted)") != std::string::npos);
 }
 
-TEST(StoryTest, TellsThatAnUpstreamEndedUnderTheRequest)
+TEST(RequestTimelineTest, TellsThatAnUpstreamEndedUnderTheRequest)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(1, "attempt.started", kOwn)
@@ -73,14 +73,14 @@
     CHECK_TRUE(timeline.cause.find("i-9 ended under it") != std::string::npos);
 }
 
-TEST(StoryTest, TellsThatARequestIsNotSentAnyMore)
+TEST(RequestTimelineTest, TellsThatARequestIsNotSentAnyMore)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(1, "request.refused", kOwn + R"(,"code":"request_ends_upstreams")")});
     CHECK_TRUE(timeline.cause.find("ended, one after the other") != std::string::npos);
 }
 
-TEST(StoryTest, PassesOverTornLinesAndCountsThem)
+TEST(RequestTimelineTest, PassesOverTornLinesAndCountsThem)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1", {"node-1 | " + line(1, "attempt.started", kOwn) + "{\"time\":\"2026\nno log\n"});
@@ -89,7 +89,7 @@
     STRCMP_EQUAL("its end is not in these logs", timeline.cause.c_str());
 }
 
-TEST(StoryTest, RequestThatNoLineNamesHasNoStory)
+TEST(RequestTimelineTest, RequestThatNoLineNamesHasNoStory)
 {
     CHECK_FALSE(readRequestTimeline("r-9", {line(1, "attempt.started", kOwn)}).found());
 }
