--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -17,7 +17,7 @@
                        second, event, instance, more);
 }
 
-const std::string kOwn = R"(,"id":"r-1")";
+const std::string kRequestIdField = R"(,"id":"r-1")";
 
 } // namespace
 
@@ -26,8 +26,9 @@
 TEST(RequestTimelineTest, PutsTheLinesOfSeveralFilesInOrder)
 {
     const RequestTimeline timeline = readRequestTimeline(
-        "r-1", {line(3, "request.ended", kOwn + R"(,"result":"served")"),
-                line(1, "attempt.started", kOwn) + line(2, "attempt.started", R"(,"id":"r-2")")});
+        "r-1", {line(3, "request.ended", kRequestIdField + R"(,"result":"served")"),
+                line(1, "attempt.started", kRequestIdField)
+                    + line(2, "attempt.started", R"(,"id":"r-2")")});
     LONGS_EQUAL(2, timeline.lines.size());
     STRCMP_EQUAL("attempt.started", timeline.lines[0]["event"].get<std::string>().c_str());
     STRCMP_EQUAL("served", timeline.cause.c_str());
@@ -39,16 +40,17 @@
         "r-1", {line(10, "store.lost", "") + line(10, "store.lost", "", "g-2")
                 + line(2, "store.reached", "")
                 + line(11, "group.formed", R"(,"role":"expertagent")", "a-1")
-                + line(12, "request.refused", kOwn + R"(,"code":"knowledge_stale")")});
+                + line(12, "request.refused", kRequestIdField + R"(,"code":"knowledge_stale")")});
     LONGS_EQUAL(3, timeline.lines.size());
     CHECK_TRUE(timeline.cause.find("had not heard from the store") != std::string::npos);
 }
 
 TEST(RequestTimelineTest, TellsARefusalForWantOfRoomFromOneThatWasNeverSent)
 {
-    const std::string refused = line(2, "request.refused", kOwn + R"(,"code":"no_upstream")");
-    const std::string full =
-        line(1, "attempt.started", kOwn) + line(1, "attempt.refused", kOwn + R"(,"kind":"full")");
+    const std::string refused =
+        line(2, "request.refused", kRequestIdField + R"(,"code":"no_upstream")");
+    const std::string full = line(1, "attempt.started", kRequestIdField)
+                             + line(1, "attempt.refused", kRequestIdField + R"(,"kind":"full")");
     CHECK_TRUE(readRequestTimeline("r-1", {full + refused}).cause.find("had no room")
                != std::string::npos);
     CHECK_TRUE(readRequestTimeline("r-1", {refused}).cause.find("not sent") != std::string::npos);
@@ -57,33 +59,37 @@
 TEST(RequestTimelineTest, NamesTheUpstreamThatLostTheAnswer)
 {
     const RequestTimeline timeline = readRequestTimeline(
-        "r-1", {line(1, "attempt.started", kOwn)
-                + line(2, "attempt.lost", kOwn + R"(,"upstream":"i-9","end":"interrupted")")
-                + line(2, "request.refused", kOwn + R"(,"code":"upstream_unreachable")")});
+        "r-1",
+        {line(1, "attempt.started", kRequestIdField)
+         + line(2, "attempt.lost", kRequestIdField + R"(,"upstream":"i-9","end":"interrupted")")
+         + line(2, "request.refused", kRequestIdField + R"(,"code":"upstream_unreachable")")});
     CHECK_TRUE(timeline.cause.find("i-9 lost the answer (interrupted)") != std::string::npos);
 }
 
 TEST(RequestTimelineTest, TellsThatAnUpstreamEndedUnderTheRequest)
 {
     const RequestTimeline timeline = readRequestTimeline(
-        "r-1", {line(1, "attempt.started", kOwn)
-                + line(2, "attempt.lost", kOwn + R"(,"upstream":"i-9","end":"interrupted")")
-                + line(2, "upstream.probed", kOwn + R"(,"upstream":"i-9","state":"ended")")
-                + line(2, "request.refused", kOwn + R"(,"code":"upstream_unreachable")")});
+        "r-1",
+        {line(1, "attempt.started", kRequestIdField)
+         + line(2, "attempt.lost", kRequestIdField + R"(,"upstream":"i-9","end":"interrupted")")
+         + line(2, "upstream.probed", kRequestIdField + R"(,"upstream":"i-9","state":"ended")")
+         + line(2, "request.refused", kRequestIdField + R"(,"code":"upstream_unreachable")")});
     CHECK_TRUE(timeline.cause.find("i-9 ended under it") != std::string::npos);
 }
 
 TEST(RequestTimelineTest, TellsThatARequestIsNotSentAnyMore)
 {
     const RequestTimeline timeline = readRequestTimeline(
-        "r-1", {line(1, "request.refused", kOwn + R"(,"code":"request_ends_upstreams")")});
+        "r-1",
+        {line(1, "request.refused", kRequestIdField + R"(,"code":"request_ends_upstreams")")});
     CHECK_TRUE(timeline.cause.find("ended, one after the other") != std::string::npos);
 }
 
 TEST(RequestTimelineTest, PassesOverTornLinesAndCountsThem)
 {
-    const RequestTimeline timeline = readRequestTimeline(
-        "r-1", {"node-1 | " + line(1, "attempt.started", kOwn) + "{\"time\":\"2026\nno log\n"});
+    const RequestTimeline timeline =
+        readRequestTimeline("r-1", {"node-1 | " + line(1, "attempt.started", kRequestIdField)
+                                    + "{\"time\":\"2026\nno log\n"});
     LONGS_EQUAL(1, timeline.lines.size());
     LONGS_EQUAL(2, timeline.unreadableLines);
     STRCMP_EQUAL("its end is not in these logs", timeline.cause.c_str());
@@ -91,5 +97,5 @@
 
 TEST(RequestTimelineTest, RequestThatNoLineNamesHasNoStory)
 {
-    CHECK_FALSE(readRequestTimeline("r-9", {line(1, "attempt.started", kOwn)}).found());
+    CHECK_FALSE(readRequestTimeline("r-9", {line(1, "attempt.started", kRequestIdField)}).found());
 }
