--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 // Returns a log line at `second` past a minute.
-std::string line(double second, const std::string &event, const std::string &more,
+std::string line(double second, const std::string &event, const std::string &extraFields,
                  const std::string &instance = "g-1")
 {
     return fmt::format(R"({{"time":"2026-12-02T16:01:{:06.3f}Z","event":"{}","instance":"{}"{}}})"
                        "\n",
-                       second, event, instance, more);
+                       second, event, instance, extraFields);
 }
 
 const std::string kRequestIdField = R"(,"id":"r-1")";
