--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -23,7 +23,7 @@
 
 TEST_GROUP(RequestTimelineTest){};
 
-TEST(RequestTimelineTest, PutsTheLinesOfSeveralFilesInOrder)
+TEST(RequestTimelineTest, SortsLinesOfSeveralFilesByTime)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(3, "request.ended", kRequestIdField + R"(,"result":"served")"),
