--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -34,7 +34,7 @@
     STRCMP_EQUAL("served", timeline.cause.c_str());
 }
 
-TEST(RequestTimelineTest, ShowsChangesOfBeliefOfItsGatewayAndOfGroups)
+TEST(RequestTimelineTest, IncludesStateChangesOfItsGatewayAndOfExpertAgents)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1", {line(10, "store.lost", "") + line(10, "store.lost", "", "g-2")
