--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -45,7 +45,7 @@
     CHECK_TRUE(timeline.cause.find("had not heard from the store") != std::string::npos);
 }
 
-TEST(RequestTimelineTest, TellsARefusalForWantOfRoomFromOneThatWasNeverSent)
+TEST(RequestTimelineTest, DistinguishesFullUpstreamsFromRequestNeverSent)
 {
     const std::string refused =
         line(2, "request.refused", kRequestIdField + R"(,"code":"no_upstream")");
