--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -66,7 +66,7 @@
     CHECK_TRUE(timeline.cause.find("i-9 lost the answer (interrupted)") != std::string::npos);
 }
 
-TEST(RequestTimelineTest, TellsThatAnUpstreamEndedUnderTheRequest)
+TEST(RequestTimelineTest, ReportsUpstreamThatEndedWhileRunningTheRequest)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1",
