--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -77,7 +77,7 @@
     CHECK_TRUE(timeline.cause.find("i-9 ended under it") != std::string::npos);
 }
 
-TEST(RequestTimelineTest, TellsThatARequestIsNotSentAnyMore)
+TEST(RequestTimelineTest, ReportsRequestRefusedForEndingUpstreams)
 {
     const RequestTimeline timeline = readRequestTimeline(
         "r-1",
