--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -85,7 +85,7 @@
     CHECK_TRUE(timeline.cause.find("ended, one after the other") != std::string::npos);
 }
 
-TEST(RequestTimelineTest, PassesOverTornLinesAndCountsThem)
+TEST(RequestTimelineTest, SkipsAndCountsUnreadableLines)
 {
     const RequestTimeline timeline =
         readRequestTimeline("r-1", {"node-1 | " + line(1, "attempt.started", kRequestIdField)
