--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -95,7 +95,7 @@
     STRCMP_EQUAL("its end is not in these logs", timeline.cause.c_str());
 }
 
-TEST(RequestTimelineTest, RequestThatNoLineNamesHasNoStory)
+TEST(RequestTimelineTest, UnknownRequestIsNotFound)
 {
     CHECK_FALSE(readRequestTimeline("r-9", {line(1, "attempt.started", kRequestIdField)}).found());
 }
