--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -5,7 +5,7 @@
 #include "config/plan.h"
 #include "config/versioned.h"
 #include "tool/fetch.h"
-#include "tool/story.h"
+#include "tool/requesttimeline.h"
 
 #include <docopt/docopt.h>
 #include <fmt/format.h>
--- a/src/tool/story.cpp
+++ b/src/tool/story.cpp
@@ -1,4 +1,4 @@
-#include "tool/story.h"
+#include "tool/requesttimeline.h"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/test/tool/story_test.cpp
+++ b/test/tool/story_test.cpp
@@ -1,4 +1,4 @@
-#include "tool/story.h"
+#include "tool/requesttimeline.h"
 
 #include <fmt/format.h>
 
