--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -116,7 +116,7 @@
         Stream &stream = found->second;
         ++stream.produced;
         ++tokens_;
-        if (dieAfter_ != 0 && stream.produced >= dieAfter_) {
+        if (abortAfterTokens_ != 0 && stream.produced >= abortAfterTokens_) {
             streams_.erase(found);
             server().abort(exchange);
             return;
@@ -188,7 +188,7 @@
     json control(const json &change) override
     {
         stepMs_ = change.value("stepMs", stepMs_);
-        dieAfter_ = change.value("dieAfter", dieAfter_);
+        abortAfterTokens_ = change.value("dieAfter", abortAfterTokens_);
         stalled_ = change.value("stalled", stalled_);
         loadMs_ = change.value("loadMs", loadMs_);
         ignoresFences_ = change.value("ignoresFences", ignoresFences_);
@@ -200,7 +200,7 @@
     std::map<ExchangeId, Stream> streams_;
     std::uint64_t runs_ = 0;
     std::uint64_t cancelled_ = 0;
-    std::uint64_t dieAfter_ = 0;
+    std::uint64_t abortAfterTokens_ = 0;
     int stepMs_ = 2;
     bool stalled_ = false;
     std::string version_ = "v1";
