--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -37,7 +37,7 @@
                 respondJson(exchange, 409, orderState());
                 return;
             }
-            lowFences_ += fence < fence_ ? 1 : 0;
+            staleFenceOrders_ += fence < fence_ ? 1 : 0;
             fence_ = fence;
             loading_ = true;
             loop().schedule(std::chrono::milliseconds(loadMs_),
@@ -192,8 +192,9 @@
         stalled_ = change.value("stalled", stalled_);
         loadMs_ = change.value("loadMs", loadMs_);
         ignoresFences_ = change.value("ignoresFences", ignoresFences_);
-        return {{"runs", runs_},       {"running", streams_.size()}, {"cancelled", cancelled_},
-                {"version", version_}, {"loading", loading_},        {"lowFences", lowFences_},
+        return {{"runs", runs_},           {"running", streams_.size()},
+                {"cancelled", cancelled_}, {"version", version_},
+                {"loading", loading_},     {"lowFences", staleFenceOrders_},
                 {"tokens", tokens_}};
     }
 
@@ -205,7 +206,7 @@
     bool stalled_ = false;
     std::string version_ = "v1";
     std::uint64_t fence_ = 0;
-    std::uint64_t lowFences_ = 0;
+    std::uint64_t staleFenceOrders_ = 0;
     std::uint64_t tokens_ = 0; // Produced over all streams.
     int loadMs_ = 200;
     bool loading_ = false;
