--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -33,7 +33,7 @@
     {
         if (request.method == "POST") {
             const auto fence = body.value("fence", 0ULL);
-            if (fence < fence_ && !ignoresFences_) {
+            if (fence < fence_ && !ignoreFences_) {
                 respondJson(exchange, 409, orderState());
                 return;
             }
@@ -191,7 +191,7 @@
         abortAfterTokens_ = change.value("dieAfter", abortAfterTokens_);
         stalled_ = change.value("stalled", stalled_);
         loadMs_ = change.value("loadMs", loadMs_);
-        ignoresFences_ = change.value("ignoresFences", ignoresFences_);
+        ignoreFences_ = change.value("ignoresFences", ignoreFences_);
         return {{"runs", runs_},           {"running", streams_.size()},
                 {"cancelled", cancelled_}, {"version", version_},
                 {"loading", loading_},     {"lowFences", staleFenceOrders_},
@@ -210,7 +210,7 @@
     std::uint64_t tokens_ = 0; // Produced over all streams.
     int loadMs_ = 200;
     bool loading_ = false;
-    bool ignoresFences_ = false;
+    bool ignoreFences_ = false;
 };
 
 } // namespace
