--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -83,7 +83,7 @@
         stream.model = body.value("model", "");
         stream.tokens = body.value("max_tokens", 16ULL);
         ++runs_;
-        if (stepMs_ == 0 && !stream.streamed) {
+        if (tokenIntervalMs_ == 0 && !stream.streamed) {
             stream.produced = stream.tokens;
             respondWhole(exchange, stream);
             return;
@@ -99,7 +99,7 @@
 
     void next(ExchangeId exchange)
     {
-        loop().schedule(std::chrono::milliseconds(std::max(1, stepMs_)),
+        loop().schedule(std::chrono::milliseconds(std::max(1, tokenIntervalMs_)),
                         [this, exchange] { step(exchange); });
     }
 
@@ -187,7 +187,7 @@
 
     json control(const json &change) override
     {
-        stepMs_ = change.value("stepMs", stepMs_);
+        tokenIntervalMs_ = change.value("stepMs", tokenIntervalMs_);
         abortAfterTokens_ = change.value("dieAfter", abortAfterTokens_);
         stalled_ = change.value("stalled", stalled_);
         loadMs_ = change.value("loadMs", loadMs_);
@@ -202,7 +202,7 @@
     std::uint64_t runs_ = 0;
     std::uint64_t cancelled_ = 0;
     std::uint64_t abortAfterTokens_ = 0;
-    int stepMs_ = 2;
+    int tokenIntervalMs_ = 2;
     bool stalled_ = false;
     std::string version_ = "v1";
     std::uint64_t fence_ = 0;
