--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -40,7 +40,7 @@
             staleFenceOrders_ += fence < fence_ ? 1 : 0;
             fence_ = fence;
             loading_ = true;
-            loop().schedule(std::chrono::milliseconds(loadMs_),
+            loop().schedule(std::chrono::milliseconds(loadTimeMs_),
                             [this, version = body.value("version", "")] {
                                 version_ = version;
                                 loading_ = false;
@@ -190,7 +190,7 @@
         tokenIntervalMs_ = change.value("stepMs", tokenIntervalMs_);
         abortAfterTokens_ = change.value("dieAfter", abortAfterTokens_);
         stalled_ = change.value("stalled", stalled_);
-        loadMs_ = change.value("loadMs", loadMs_);
+        loadTimeMs_ = change.value("loadMs", loadTimeMs_);
         ignoreFences_ = change.value("ignoresFences", ignoreFences_);
         return {{"runs", runs_},           {"running", streams_.size()},
                 {"cancelled", cancelled_}, {"version", version_},
@@ -208,7 +208,7 @@
     std::uint64_t fence_ = 0;
     std::uint64_t staleFenceOrders_ = 0;
     std::uint64_t tokens_ = 0; // Produced over all streams.
-    int loadMs_ = 200;
+    int loadTimeMs_ = 200;
     bool loading_ = false;
     bool ignoreFences_ = false;
 };
