--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -82,7 +82,7 @@
         stream.streamed = body.value("stream", false);
         stream.model = body.value("model", "");
         stream.tokens = body.value("max_tokens", 16ULL);
-        ++runs_;
+        ++requests_;
         if (tokenIntervalMs_ == 0 && !stream.streamed) {
             stream.produced = stream.tokens;
             respondWhole(exchange, stream);
@@ -192,14 +192,14 @@
         stalled_ = change.value("stalled", stalled_);
         loadTimeMs_ = change.value("loadMs", loadTimeMs_);
         ignoreFences_ = change.value("ignoresFences", ignoreFences_);
-        return {{"runs", runs_},           {"running", streams_.size()},
+        return {{"runs", requests_},       {"running", streams_.size()},
                 {"cancelled", cancelled_}, {"version", version_},
                 {"loading", loading_},     {"lowFences", staleFenceOrders_},
                 {"tokens", tokens_}};
     }
 
     std::map<ExchangeId, Stream> streams_;
-    std::uint64_t runs_ = 0;
+    std::uint64_t requests_ = 0;
     std::uint64_t cancelled_ = 0;
     std::uint64_t abortAfterTokens_ = 0;
     int tokenIntervalMs_ = 2;
