--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -94,10 +94,10 @@
             server().begin(exchange, head);
         }
         streams_.emplace(exchange, std::move(stream));
-        next(exchange);
+        scheduleStep(exchange);
     }
 
-    void next(ExchangeId exchange)
+    void scheduleStep(ExchangeId exchange)
     {
         loop().schedule(std::chrono::milliseconds(std::max(1, tokenIntervalMs_)),
                         [this, exchange] { step(exchange); });
@@ -110,7 +110,7 @@
             return;
         }
         if (stalled_) {
-            next(exchange);
+            scheduleStep(exchange);
             return;
         }
         Stream &stream = found->second;
@@ -126,7 +126,7 @@
             server().write(exchange, "data: " + chunk(stream, word).dump() + "\n\n");
         }
         if (stream.produced < stream.tokens) {
-            next(exchange);
+            scheduleStep(exchange);
             return;
         }
         finish(exchange, stream);
