--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -100,10 +100,10 @@
     void scheduleStep(ExchangeId exchange)
     {
         loop().schedule(std::chrono::milliseconds(std::max(1, tokenIntervalMs_)),
-                        [this, exchange] { step(exchange); });
+                        [this, exchange] { produceToken(exchange); });
     }
 
-    void step(ExchangeId exchange)
+    void produceToken(ExchangeId exchange)
     {
         const auto found = streams_.find(exchange);
         if (found == streams_.end()) {
