--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -115,7 +115,7 @@
         }
         Stream &stream = found->second;
         ++stream.produced;
-        ++tokens_;
+        ++producedTokens_;
         if (abortAfterTokens_ != 0 && stream.produced >= abortAfterTokens_) {
             streams_.erase(found);
             server().abort(exchange);
@@ -192,10 +192,10 @@
         stalled_ = change.value("stalled", stalled_);
         loadTimeMs_ = change.value("loadMs", loadTimeMs_);
         ignoreFences_ = change.value("ignoresFences", ignoreFences_);
-        return {{"runs", requests_},       {"running", streams_.size()},
-                {"cancelled", cancelled_}, {"version", version_},
-                {"loading", loading_},     {"lowFences", staleFenceOrders_},
-                {"tokens", tokens_}};
+        return {{"runs", requests_},        {"running", streams_.size()},
+                {"cancelled", cancelled_},  {"version", version_},
+                {"loading", loading_},      {"lowFences", staleFenceOrders_},
+                {"tokens", producedTokens_}};
     }
 
     std::map<ExchangeId, Stream> streams_;
@@ -207,7 +207,7 @@
     std::string version_ = "v1";
     std::uint64_t fence_ = 0;
     std::uint64_t staleFenceOrders_ = 0;
-    std::uint64_t tokens_ = 0; // Produced over all streams.
+    std::uint64_t producedTokens_ = 0; // Produced over all streams.
     int loadTimeMs_ = 200;
     bool loading_ = false;
     bool ignoreFences_ = false;
