--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -129,7 +129,7 @@
             scheduleStep(exchange);
             return;
         }
-        finish(exchange, stream);
+        finishStream(exchange, stream);
         streams_.erase(exchange);
     }
 
@@ -148,7 +148,7 @@
                 {"choices", json::array({choice})}};
     }
 
-    void finish(ExchangeId exchange, const Stream &stream)
+    void finishStream(ExchangeId exchange, const Stream &stream)
     {
         if (!stream.streamed) {
             respondWhole(exchange, stream);
