--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -85,7 +85,7 @@
         ++requests_;
         if (tokenIntervalMs_ == 0 && !stream.streamed) {
             stream.produced = stream.tokens;
-            respondWhole(exchange, stream);
+            respondCompletion(exchange, stream);
             return;
         }
         if (stream.streamed) {
@@ -151,14 +151,14 @@
     void finishStream(ExchangeId exchange, const Stream &stream)
     {
         if (!stream.streamed) {
-            respondWhole(exchange, stream);
+            respondCompletion(exchange, stream);
             return;
         }
         server().write(exchange, "data: [DONE]\n\n");
         server().finish(exchange);
     }
 
-    void respondWhole(ExchangeId exchange, const Stream &stream)
+    void respondCompletion(ExchangeId exchange, const Stream &stream)
     {
         std::string text;
         for (std::uint64_t index = 1; index <= stream.tokens; ++index) {
