--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -54,7 +54,7 @@
         return {{"version", version_}, {"fence", fence_}, {"loading", loading_}};
     }
 
-    static std::string lastText(const json &body, bool chat)
+    static std::string promptText(const json &body, bool chat)
     {
         if (!chat) {
             return body.contains("prompt") && body["prompt"].is_string()
@@ -78,7 +78,7 @@
         }
         Stream stream;
         stream.chat = request.path == "/v1/chat/completions";
-        stream.text = lastText(body, stream.chat);
+        stream.text = promptText(body, stream.chat);
         stream.streamed = body.value("stream", false);
         stream.model = body.value("model", "");
         stream.tokens = body.value("max_tokens", 16ULL);
