--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -24,7 +24,7 @@
         std::string text;
         bool streamed = false;
         bool chat = false;
-        std::uint64_t tokens = 0;
+        std::uint64_t maxTokens = 0;
         std::uint64_t produced = 0;
         std::string model;
     };
@@ -81,10 +81,10 @@
         stream.text = promptText(body, stream.chat);
         stream.streamed = body.value("stream", false);
         stream.model = body.value("model", "");
-        stream.tokens = body.value("max_tokens", 16ULL);
+        stream.maxTokens = body.value("max_tokens", 16ULL);
         ++requests_;
         if (tokenIntervalMs_ == 0 && !stream.streamed) {
-            stream.produced = stream.tokens;
+            stream.produced = stream.maxTokens;
             respondCompletion(exchange, stream);
             return;
         }
@@ -125,7 +125,7 @@
             const std::string word = fmt::format("{}:{} ", stream.produced, stream.text);
             server().write(exchange, "data: " + chunk(stream, word).dump() + "\n\n");
         }
-        if (stream.produced < stream.tokens) {
+        if (stream.produced < stream.maxTokens) {
             scheduleStep(exchange);
             return;
         }
@@ -161,7 +161,7 @@
     void respondCompletion(ExchangeId exchange, const Stream &stream)
     {
         std::string text;
-        for (std::uint64_t index = 1; index <= stream.tokens; ++index) {
+        for (std::uint64_t index = 1; index <= stream.maxTokens; ++index) {
             text += fmt::format("{}:{} ", index, stream.text);
         }
         json choice = {{"index", 0}, {"finish_reason", "stop"}};
@@ -179,8 +179,8 @@
                      {"choices", json::array({choice})},
                      {"usage",
                       {{"prompt_tokens", prompt},
-                       {"completion_tokens", stream.tokens},
-                       {"total_tokens", prompt + stream.tokens}}}});
+                       {"completion_tokens", stream.maxTokens},
+                       {"total_tokens", prompt + stream.maxTokens}}}});
     }
 
     void onCallerGone(ExchangeId exchange) override { cancelled_ += streams_.erase(exchange); }
