--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-constexpr Duration kWatchTime = std::chrono::seconds(5);
+constexpr Duration kWatchTimeout = std::chrono::seconds(5);
 
 std::uint64_t afterOf(const std::string &query)
 {
@@ -58,7 +58,7 @@
             return;
         }
         waiting_[exchange] = {path, after};
-        loop().schedule(kWatchTime, [this, exchange] {
+        loop().schedule(kWatchTimeout, [this, exchange] {
             if (waiting_.erase(exchange) != 0) {
                 HttpResponseHead head;
                 head.status = 304;
