--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -10,7 +10,7 @@
 
 constexpr Duration kWatchTimeout = std::chrono::seconds(5);
 
-std::uint64_t afterOf(const std::string &query)
+std::uint64_t afterParameter(const std::string &query)
 {
     const std::size_t at = query.find("after=");
     std::uint64_t value = 0;
@@ -46,7 +46,7 @@
             respondJson(exchange, 404, {{"error", "no document"}});
             return;
         }
-        answerOrWait(exchange, request.path, afterOf(request.query));
+        answerOrWait(exchange, request.path, afterParameter(request.query));
     }
 
     void answerOrWait(ExchangeId exchange, const std::string &path, std::uint64_t after)
