--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -57,9 +57,9 @@
             respondJson(exchange, 200, served);
             return;
         }
-        waiting_[exchange] = {path, after};
+        pendingWatches_[exchange] = {path, after};
         loop().schedule(kWatchTimeout, [this, exchange] {
-            if (waiting_.erase(exchange) != 0) {
+            if (pendingWatches_.erase(exchange) != 0) {
                 HttpResponseHead head;
                 head.status = 304;
                 server().respond(exchange, head, {});
@@ -67,7 +67,7 @@
         });
     }
 
-    void onCallerGone(ExchangeId exchange) override { waiting_.erase(exchange); }
+    void onCallerGone(ExchangeId exchange) override { pendingWatches_.erase(exchange); }
 
     json control(const json &change) override
     {
@@ -82,13 +82,13 @@
         down_ = change.value("down", down_);
         serveOld_ = change.value("serveOld", serveOld_);
         wake();
-        return {{"calls", calls_}, {"waiting", waiting_.size()}};
+        return {{"calls", calls_}, {"waiting", pendingWatches_.size()}};
     }
 
     void wake()
     {
-        const auto waiting = std::move(waiting_);
-        waiting_.clear();
+        const auto waiting = std::move(pendingWatches_);
+        pendingWatches_.clear();
         for (const auto &[exchange, watch] : waiting) {
             if (down_) {
                 server().abort(exchange);
@@ -99,7 +99,7 @@
     }
 
     std::map<std::string, Document> documents_;
-    std::map<ExchangeId, std::pair<std::string, std::uint64_t>> waiting_;
+    std::map<ExchangeId, std::pair<std::string, std::uint64_t>> pendingWatches_;
     std::uint64_t calls_ = 0;
     bool down_ = false;
     bool serveOld_ = false;
