--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -81,11 +81,11 @@
         }
         down_ = change.value("down", down_);
         serveOld_ = change.value("serveOld", serveOld_);
-        wake();
+        answerPendingWatches();
         return {{"calls", calls_}, {"waiting", pendingWatches_.size()}};
     }
 
-    void wake()
+    void answerPendingWatches()
     {
         const auto waiting = std::move(pendingWatches_);
         pendingWatches_.clear();
