--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -87,9 +87,9 @@
 
     void answerPendingWatches()
     {
-        const auto waiting = std::move(pendingWatches_);
+        const auto watches = std::move(pendingWatches_);
         pendingWatches_.clear();
-        for (const auto &[exchange, watch] : waiting) {
+        for (const auto &[exchange, watch] : watches) {
             if (down_) {
                 server().abort(exchange);
             } else {
