--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -28,7 +28,7 @@
     using StandIn::StandIn;
 
 private:
-    static constexpr int kEvents = 10;
+    static constexpr int kEventsPerStream = 10;
     static constexpr int kEndedByRequest = 70;
 
     void serve(ExchangeId exchange, const HttpRequest &request) override
@@ -124,7 +124,7 @@
             return;
         }
         server().write(exchange, fmt::format("id: {0}\ndata: token {0}\n\n", number));
-        if (number == kEvents) {
+        if (number == kEventsPerStream) {
             open_.erase(exchange);
             server().finish(exchange);
             return;
