--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -29,7 +29,7 @@
 
 private:
     static constexpr int kEventsPerStream = 10;
-    static constexpr int kEndedByRequest = 70;
+    static constexpr int kExitEndedByRequest = 70;
 
     void serve(ExchangeId exchange, const HttpRequest &request) override
     {
@@ -91,7 +91,7 @@
         loop().schedule(std::chrono::milliseconds(delayMs_),
                         [this, exchange, head, streams, first, ends] {
                             if (ends) {
-                                std::_Exit(kEndedByRequest);
+                                std::_Exit(kExitEndedByRequest);
                             }
                             answer(exchange, head, streams, first);
                         });
--- a/standins/service.cpp
+++ b/standins/service.cpp
@@ -31,7 +31,7 @@
         }
         runs_.push_back(request.body);
         if (!endsOn_.empty() && request.body.find(endsOn_) != std::string::npos) {
-            std::_Exit(kEndedByRequest);
+            std::_Exit(kExitEndedByRequest);
         }
         const json answer = {{"echo", request.body}, {"run", runs_.size()}};
         loop().schedule(std::chrono::milliseconds(std::max(1, delayMs_)), [this, exchange, answer] {
@@ -57,7 +57,7 @@
         return state;
     }
 
-    static constexpr int kEndedByRequest = 70;
+    static constexpr int kExitEndedByRequest = 70;
 
     std::vector<std::string> runs_;
     std::vector<std::int64_t> refusedMs_;
