--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -75,7 +75,7 @@
         if (foreignId_) {
             head.headers.front().value = "another";
         }
-        if (lies_ && runs_.size() % 3 == 0) {
+        if (claimNotExecuted_ && runs_.size() % 3 == 0) {
             head.status = 503;
             head.headers.push_back({std::string(names::kNotExecuted), "1"});
             server().respond(exchange, head, "{}");
@@ -149,7 +149,7 @@
         dropAnswers_ = change.value("dropAnswers", dropAnswers_);
         breakAfter_ = change.value("breakAfter", breakAfter_);
         foreignId_ = change.value("foreignId", foreignId_);
-        lies_ = change.value("lies", lies_);
+        claimNotExecuted_ = change.value("lies", claimNotExecuted_);
         endsOn_ = change.value("endsOn", endsOn_);
         rest_ = change.value("rest", rest_);
         leaving_ = change.value("leaving", leaving_);
@@ -173,7 +173,7 @@
     bool fail_ = false;
     bool dropAnswers_ = false;
     bool foreignId_ = false;
-    bool lies_ = false;
+    bool claimNotExecuted_ = false;
     bool leaving_ = false;
     std::string endsOn_;
     std::string rest_;
