--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -136,7 +136,7 @@
     void onCallerGone(ExchangeId exchange) override
     {
         if (open_.erase(exchange) > 0) {
-            ++left_;
+            ++callersGone_;
         }
     }
 
@@ -156,7 +156,7 @@
         limit_ = change.value("limit", limit_);
         weights_ = change.value("weights", weights_);
         return {{"runs", runs_},
-                {"left", left_},
+                {"left", callersGone_},
                 {"open", open_.size()},
                 {"arrivals", arrivals_},
                 {"nowMs", toMillis(loop().now().time_since_epoch())}};
@@ -168,7 +168,7 @@
     std::set<ExchangeId> open_;
     int delayMs_ = 1;
     int breakAfter_ = 0;
-    int left_ = 0;
+    int callersGone_ = 0;
     bool full_ = false;
     bool fail_ = false;
     bool dropAnswers_ = false;
