--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -56,12 +56,12 @@
         arrivals_.push_back({{"id", requestId},
                              {"ms", toMillis(loop().now().time_since_epoch())},
                              {"refused", full_},
-                             {"rest", full_ ? rest_ : std::string()}});
+                             {"rest", full_ ? retryAfter_ : std::string()}});
         if (full_) {
             head.status = 503;
             head.headers.push_back({std::string(names::kNotExecuted), "1"});
-            if (!rest_.empty()) {
-                head.headers.push_back({std::string(names::kRetryAfter), rest_});
+            if (!retryAfter_.empty()) {
+                head.headers.push_back({std::string(names::kRetryAfter), retryAfter_});
             }
             server().respond(exchange, head, "{}");
             return;
@@ -151,7 +151,7 @@
         foreignId_ = change.value("foreignId", foreignId_);
         claimNotExecuted_ = change.value("lies", claimNotExecuted_);
         endsOn_ = change.value("endsOn", endsOn_);
-        rest_ = change.value("rest", rest_);
+        retryAfter_ = change.value("rest", retryAfter_);
         leaving_ = change.value("leaving", leaving_);
         limit_ = change.value("limit", limit_);
         weights_ = change.value("weights", weights_);
@@ -176,7 +176,7 @@
     bool claimNotExecuted_ = false;
     bool leaving_ = false;
     std::string endsOn_;
-    std::string rest_;
+    std::string retryAfter_;
     std::string limit_;
     std::string weights_;
 };
--- a/standins/service.cpp
+++ b/standins/service.cpp
@@ -21,11 +21,11 @@
 private:
     void serve(ExchangeId exchange, const HttpRequest &request) override
     {
-        if (!rest_.empty()) {
+        if (!retryAfter_.empty()) {
             refusedMs_.push_back(toMillis(loop().now().time_since_epoch()));
             HttpResponseHead head;
             head.status = 503;
-            head.headers.push_back({"Retry-After", rest_});
+            head.headers.push_back({"Retry-After", retryAfter_});
             server().respond(exchange, head, "{}");
             return;
         }
@@ -48,7 +48,7 @@
         delayMs_ = change.value("delayMs", delayMs_);
         dropAnswers_ = change.value("dropAnswers", dropAnswers_);
         endsOn_ = change.value("endsOn", endsOn_);
-        rest_ = change.value("rest", rest_);
+        retryAfter_ = change.value("rest", retryAfter_);
         json state = {{"runs", runs_.size()}};
         if (change.value("list", false)) {
             state["bodies"] = runs_;
@@ -61,7 +61,7 @@
 
     std::vector<std::string> runs_;
     std::vector<std::int64_t> refusedMs_;
-    std::string rest_;
+    std::string retryAfter_;
     std::string endsOn_;
     int delayMs_ = 1;
     bool dropAnswers_ = false;
