--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -55,9 +55,9 @@
         }
         arrivals_.push_back({{"id", requestId},
                              {"ms", toMillis(loop().now().time_since_epoch())},
-                             {"refused", full_},
-                             {"rest", full_ ? retryAfter_ : std::string()}});
-        if (full_) {
+                             {"refused", refuse_},
+                             {"rest", refuse_ ? retryAfter_ : std::string()}});
+        if (refuse_) {
             head.status = 503;
             head.headers.push_back({std::string(names::kNotExecuted), "1"});
             if (!retryAfter_.empty()) {
@@ -144,7 +144,7 @@
     {
         id_ = change.value("id", id_);
         delayMs_ = change.value("delayMs", delayMs_);
-        full_ = change.value("full", full_);
+        refuse_ = change.value("full", refuse_);
         fail_ = change.value("fail", fail_);
         dropAnswers_ = change.value("dropAnswers", dropAnswers_);
         breakAfter_ = change.value("breakAfter", breakAfter_);
@@ -169,7 +169,7 @@
     int delayMs_ = 1;
     int breakAfter_ = 0;
     int callersGone_ = 0;
-    bool full_ = false;
+    bool refuse_ = false;
     bool fail_ = false;
     bool dropAnswers_ = false;
     bool foreignId_ = false;
