--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -86,7 +86,8 @@
         const int first = request.header(names::kResumeAfter).empty()
                               ? 1
                               : std::stoi(request.header(names::kResumeAfter)) + 1;
-        const bool ends = !endsOn_.empty() && request.body.find(endsOn_) != std::string::npos;
+        const bool ends =
+            !exitOnBodyText_.empty() && request.body.find(exitOnBodyText_) != std::string::npos;
         open_.insert(exchange);
         loop().schedule(std::chrono::milliseconds(delayMs_),
                         [this, exchange, head, streams, first, ends] {
@@ -150,7 +151,7 @@
         breakAfter_ = change.value("breakAfter", breakAfter_);
         foreignId_ = change.value("foreignId", foreignId_);
         claimNotExecuted_ = change.value("lies", claimNotExecuted_);
-        endsOn_ = change.value("endsOn", endsOn_);
+        exitOnBodyText_ = change.value("endsOn", exitOnBodyText_);
         retryAfter_ = change.value("rest", retryAfter_);
         leaving_ = change.value("leaving", leaving_);
         limit_ = change.value("limit", limit_);
@@ -175,7 +176,7 @@
     bool foreignId_ = false;
     bool claimNotExecuted_ = false;
     bool leaving_ = false;
-    std::string endsOn_;
+    std::string exitOnBodyText_;
     std::string retryAfter_;
     std::string limit_;
     std::string weights_;
--- a/standins/service.cpp
+++ b/standins/service.cpp
@@ -30,7 +30,7 @@
             return;
         }
         runs_.push_back(request.body);
-        if (!endsOn_.empty() && request.body.find(endsOn_) != std::string::npos) {
+        if (!exitOnBodyText_.empty() && request.body.find(exitOnBodyText_) != std::string::npos) {
             std::_Exit(kExitEndedByRequest);
         }
         const json answer = {{"echo", request.body}, {"run", runs_.size()}};
@@ -47,7 +47,7 @@
     {
         delayMs_ = change.value("delayMs", delayMs_);
         dropAnswers_ = change.value("dropAnswers", dropAnswers_);
-        endsOn_ = change.value("endsOn", endsOn_);
+        exitOnBodyText_ = change.value("endsOn", exitOnBodyText_);
         retryAfter_ = change.value("rest", retryAfter_);
         json state = {{"runs", runs_.size()}};
         if (change.value("list", false)) {
@@ -62,7 +62,7 @@
     std::vector<std::string> runs_;
     std::vector<std::int64_t> refusedMs_;
     std::string retryAfter_;
-    std::string endsOn_;
+    std::string exitOnBodyText_;
     int delayMs_ = 1;
     bool dropAnswers_ = false;
 };
