--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -48,7 +48,7 @@
             return;
         }
         const std::string expected = request.header(names::kExpectedVersion);
-        if (!expected.empty() && expected != weights_) {
+        if (!expected.empty() && expected != weightsVersion_) {
             head.status = 421;
             server().respond(exchange, head, "{}");
             return;
@@ -155,7 +155,7 @@
         retryAfter_ = change.value("rest", retryAfter_);
         leaving_ = change.value("leaving", leaving_);
         limit_ = change.value("limit", limit_);
-        weights_ = change.value("weights", weights_);
+        weightsVersion_ = change.value("weights", weightsVersion_);
         return {{"runs", runs_},
                 {"left", callersGone_},
                 {"open", open_.size()},
@@ -179,7 +179,7 @@
     std::string exitOnBodyText_;
     std::string retryAfter_;
     std::string limit_;
-    std::string weights_;
+    std::string weightsVersion_;
 };
 
 } // namespace
