--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -111,10 +111,10 @@
         }
         head.contentType = "text/event-stream";
         server().begin(exchange, head);
-        event(exchange, first);
+        sendEvent(exchange, first);
     }
 
-    void event(ExchangeId exchange, int number)
+    void sendEvent(ExchangeId exchange, int number)
     {
         if (!open_.contains(exchange)) {
             return;
@@ -131,7 +131,7 @@
             return;
         }
         loop().schedule(std::chrono::milliseconds(std::max(1, delayMs_)),
-                        [this, exchange, number] { event(exchange, number + 1); });
+                        [this, exchange, number] { sendEvent(exchange, number + 1); });
     }
 
     void onCallerGone(ExchangeId exchange) override
