--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -88,7 +88,7 @@
                               : std::stoi(request.header(names::kResumeAfter)) + 1;
         const bool ends =
             !exitOnBodyText_.empty() && request.body.find(exitOnBodyText_) != std::string::npos;
-        open_.insert(exchange);
+        openExchanges_.insert(exchange);
         loop().schedule(std::chrono::milliseconds(delayMs_),
                         [this, exchange, head, streams, first, ends] {
                             if (ends) {
@@ -105,7 +105,7 @@
             return;
         }
         if (!streams) {
-            open_.erase(exchange);
+            openExchanges_.erase(exchange);
             server().respond(exchange, head, R"({"served":true})");
             return;
         }
@@ -116,7 +116,7 @@
 
     void sendEvent(ExchangeId exchange, int number)
     {
-        if (!open_.contains(exchange)) {
+        if (!openExchanges_.contains(exchange)) {
             return;
         }
         if (breakAfter_ > 0 && number > breakAfter_) {
@@ -126,7 +126,7 @@
         }
         server().write(exchange, fmt::format("id: {0}\ndata: token {0}\n\n", number));
         if (number == kEventsPerStream) {
-            open_.erase(exchange);
+            openExchanges_.erase(exchange);
             server().finish(exchange);
             return;
         }
@@ -136,7 +136,7 @@
 
     void onCallerGone(ExchangeId exchange) override
     {
-        if (open_.erase(exchange) > 0) {
+        if (openExchanges_.erase(exchange) > 0) {
             ++callersGone_;
         }
     }
@@ -158,7 +158,7 @@
         weightsVersion_ = change.value("weights", weightsVersion_);
         return {{"runs", runs_},
                 {"left", callersGone_},
-                {"open", open_.size()},
+                {"open", openExchanges_.size()},
                 {"arrivals", arrivals_},
                 {"nowMs", toMillis(loop().now().time_since_epoch())}};
     }
@@ -166,7 +166,7 @@
     std::string id_;
     std::vector<json> runs_;
     std::vector<json> arrivals_;
-    std::set<ExchangeId> open_;
+    std::set<ExchangeId> openExchanges_;
     int delayMs_ = 1;
     int breakAfter_ = 0;
     int callersGone_ = 0;
