--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -86,12 +86,12 @@
         const int first = request.header(names::kResumeAfter).empty()
                               ? 1
                               : std::stoi(request.header(names::kResumeAfter)) + 1;
-        const bool ends =
+        const bool exits =
             !exitOnBodyText_.empty() && request.body.find(exitOnBodyText_) != std::string::npos;
         openExchanges_.insert(exchange);
         loop().schedule(std::chrono::milliseconds(delayMs_),
-                        [this, exchange, head, streams, first, ends] {
-                            if (ends) {
+                        [this, exchange, head, streams, first, exits] {
+                            if (exits) {
                                 std::_Exit(kExitEndedByRequest);
                             }
                             answer(exchange, head, streams, first);
