--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -83,22 +83,22 @@
         }
         head.status = fail_ ? 500 : 200;
         const bool streams = request.path.find("/stream") != std::string::npos;
-        const int first = request.header(names::kResumeAfter).empty()
-                              ? 1
-                              : std::stoi(request.header(names::kResumeAfter)) + 1;
+        const int firstEvent = request.header(names::kResumeAfter).empty()
+                                   ? 1
+                                   : std::stoi(request.header(names::kResumeAfter)) + 1;
         const bool exits =
             !exitOnBodyText_.empty() && request.body.find(exitOnBodyText_) != std::string::npos;
         openExchanges_.insert(exchange);
         loop().schedule(std::chrono::milliseconds(delayMs_),
-                        [this, exchange, head, streams, first, exits] {
+                        [this, exchange, head, streams, firstEvent, exits] {
                             if (exits) {
                                 std::_Exit(kExitEndedByRequest);
                             }
-                            answer(exchange, head, streams, first);
+                            answer(exchange, head, streams, firstEvent);
                         });
     }
 
-    void answer(ExchangeId exchange, HttpResponseHead head, bool streams, int first)
+    void answer(ExchangeId exchange, HttpResponseHead head, bool streams, int firstEvent)
     {
         if (dropAnswers_) {
             server().abort(exchange);
@@ -111,7 +111,7 @@
         }
         head.contentType = "text/event-stream";
         server().begin(exchange, head);
-        sendEvent(exchange, first);
+        sendEvent(exchange, firstEvent);
     }
 
     void sendEvent(ExchangeId exchange, int number)
