--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -13,7 +13,7 @@
 using nlohmann::json;
 namespace names = seamarch::platform;
 
-std::string parameter(const std::string &query, const std::string &name)
+std::string queryParameter(const std::string &query, const std::string &name)
 {
     const std::size_t at = ("&" + query).find("&" + name + "=");
     if (at == std::string::npos) {
@@ -106,7 +106,7 @@
 
     void watch(ExchangeId exchange, const std::string &query)
     {
-        const std::uint64_t after = numberOf(parameter(query, "since-rev"));
+        const std::uint64_t after = numberOf(queryParameter(query, "since-rev"));
         if (after < forgottenUpTo_ || after > revision_) {
             reply(exchange, 410, {{"error", "history gone"}});
             return;
@@ -116,7 +116,7 @@
             return;
         }
         waiting_[exchange] = {after};
-        const std::uint64_t wait = numberOf(parameter(query, "wait-ms"));
+        const std::uint64_t wait = numberOf(queryParameter(query, "wait-ms"));
         loop().schedule(std::chrono::milliseconds(wait),
                         [this, exchange] { answerWaiting(exchange); });
     }
