--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -23,7 +23,7 @@
     return rest.substr(0, rest.find('&'));
 }
 
-std::uint64_t numberOf(const std::string &text)
+std::uint64_t parseNumber(const std::string &text)
 {
     std::uint64_t value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
@@ -106,7 +106,7 @@
 
     void watch(ExchangeId exchange, const std::string &query)
     {
-        const std::uint64_t after = numberOf(queryParameter(query, "since-rev"));
+        const std::uint64_t after = parseNumber(queryParameter(query, "since-rev"));
         if (after < forgottenUpTo_ || after > revision_) {
             reply(exchange, 410, {{"error", "history gone"}});
             return;
@@ -116,7 +116,7 @@
             return;
         }
         waiting_[exchange] = {after};
-        const std::uint64_t wait = numberOf(queryParameter(query, "wait-ms"));
+        const std::uint64_t wait = parseNumber(queryParameter(query, "wait-ms"));
         loop().schedule(std::chrono::milliseconds(wait),
                         [this, exchange] { answerWaiting(exchange); });
     }
