--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -115,7 +115,7 @@
             reply(exchange, 200, changesAfter(after));
             return;
         }
-        waiting_[exchange] = {after};
+        pendingWatches_[exchange] = {after};
         const std::uint64_t wait = parseNumber(queryParameter(query, "wait-ms"));
         loop().schedule(std::chrono::milliseconds(wait),
                         [this, exchange] { answerWaiting(exchange); });
@@ -123,25 +123,25 @@
 
     void answerWaiting(ExchangeId exchange)
     {
-        const auto found = waiting_.find(exchange);
-        if (found == waiting_.end()) {
+        const auto found = pendingWatches_.find(exchange);
+        if (found == pendingWatches_.end()) {
             return;
         }
         const std::uint64_t after = found->second.after;
-        waiting_.erase(found);
+        pendingWatches_.erase(found);
         if (!silent_) {
             reply(exchange, 200, changesAfter(after));
         }
     }
 
-    void onCallerGone(ExchangeId exchange) override { waiting_.erase(exchange); }
+    void onCallerGone(ExchangeId exchange) override { pendingWatches_.erase(exchange); }
 
     void goBack()
     {
         std::tie(items_, revision_) = copy_;
         forgottenUpTo_ = 0;
         ++era_;
-        for (const auto &[exchange, watch] : std::exchange(waiting_, {})) {
+        for (const auto &[exchange, watch] : std::exchange(pendingWatches_, {})) {
             server().abort(exchange);
         }
     }
@@ -173,15 +173,15 @@
         if (change.value("forget", false)) {
             forgottenUpTo_ = ++revision_;
         }
-        while (!waiting_.empty() && (change.contains("put") || change.contains("remove"))) {
-            answerWaiting(waiting_.begin()->first);
+        while (!pendingWatches_.empty() && (change.contains("put") || change.contains("remove"))) {
+            answerWaiting(pendingWatches_.begin()->first);
         }
         return {{"calls", calls_}, {"revision", revision_}};
     }
 
     std::map<std::string, json> items_;
     std::pair<std::map<std::string, json>, std::uint64_t> copy_;
-    std::map<ExchangeId, Watch> waiting_;
+    std::map<ExchangeId, Watch> pendingWatches_;
     std::uint64_t revision_ = 1;
     std::uint64_t forgottenUpTo_ = 0;
     std::uint64_t calls_ = 0;
