--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -118,10 +118,10 @@
         pendingWatches_[exchange] = {after};
         const std::uint64_t wait = parseNumber(queryParameter(query, "wait-ms"));
         loop().schedule(std::chrono::milliseconds(wait),
-                        [this, exchange] { answerWaiting(exchange); });
+                        [this, exchange] { answerWatch(exchange); });
     }
 
-    void answerWaiting(ExchangeId exchange)
+    void answerWatch(ExchangeId exchange)
     {
         const auto found = pendingWatches_.find(exchange);
         if (found == pendingWatches_.end()) {
@@ -174,7 +174,7 @@
             forgottenUpTo_ = ++revision_;
         }
         while (!pendingWatches_.empty() && (change.contains("put") || change.contains("remove"))) {
-            answerWaiting(pendingWatches_.begin()->first);
+            answerWatch(pendingWatches_.begin()->first);
         }
         return {{"calls", calls_}, {"revision", revision_}};
     }
