--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -107,7 +107,7 @@
     void watch(ExchangeId exchange, const std::string &query)
     {
         const std::uint64_t after = parseNumber(queryParameter(query, "since-rev"));
-        if (after < forgottenUpTo_ || after > revision_) {
+        if (after < compactedRevision_ || after > revision_) {
             reply(exchange, 410, {{"error", "history gone"}});
             return;
         }
@@ -139,7 +139,7 @@
     void goBack()
     {
         std::tie(items_, revision_) = copy_;
-        forgottenUpTo_ = 0;
+        compactedRevision_ = 0;
         ++era_;
         for (const auto &[exchange, watch] : std::exchange(pendingWatches_, {})) {
             server().abort(exchange);
@@ -171,7 +171,7 @@
         busy_ = change.value("busy", busy_);
         silent_ = change.value("silent", silent_);
         if (change.value("forget", false)) {
-            forgottenUpTo_ = ++revision_;
+            compactedRevision_ = ++revision_;
         }
         while (!pendingWatches_.empty() && (change.contains("put") || change.contains("remove"))) {
             answerWatch(pendingWatches_.begin()->first);
@@ -183,7 +183,7 @@
     std::pair<std::map<std::string, json>, std::uint64_t> copy_;
     std::map<ExchangeId, Watch> pendingWatches_;
     std::uint64_t revision_ = 1;
-    std::uint64_t forgottenUpTo_ = 0;
+    std::uint64_t compactedRevision_ = 0;
     std::uint64_t calls_ = 0;
     std::uint64_t era_ = 1;
     bool busy_ = false;
