--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -138,7 +138,7 @@
 
     void goBack()
     {
-        std::tie(items_, revision_) = copy_;
+        std::tie(items_, revision_) = backup_;
         compactedRevision_ = 0;
         ++era_;
         for (const auto &[exchange, watch] : std::exchange(pendingWatches_, {})) {
@@ -149,7 +149,7 @@
     json control(const json &change) override
     {
         if (change.value("copy", false)) {
-            copy_ = {items_, revision_};
+            backup_ = {items_, revision_};
         }
         if (change.value("goBack", false)) {
             goBack();
@@ -180,7 +180,7 @@
     }
 
     std::map<std::string, json> items_;
-    std::pair<std::map<std::string, json>, std::uint64_t> copy_;
+    std::pair<std::map<std::string, json>, std::uint64_t> backup_;
     std::map<ExchangeId, Watch> pendingWatches_;
     std::uint64_t revision_ = 1;
     std::uint64_t compactedRevision_ = 0;
