--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -44,8 +44,8 @@
 
 // The platform's store of items with waiting watches. Control: {"put": {KEY: VALUE}},
 // {"remove": [KEY]}, {"busy": true} refuses, {"silent": true} says nothing, {"forget": true} drops
-// the history, {"copy": true} keeps a copy of all items, {"goBack": true} goes back to that copy:
-// its revision counts on from there, and the era that all answers tell rises by one.
+// the history, {"copy": true} keeps a copy of all items, {"restoreBackup": true} goes back to that
+// copy: its revision counts on from there, and the era that all answers tell rises by one.
 class Store final : public StandIn
 {
 public:
@@ -136,7 +136,7 @@
 
     void onCallerGone(ExchangeId exchange) override { pendingWatches_.erase(exchange); }
 
-    void goBack()
+    void restoreBackup()
     {
         std::tie(items_, revision_) = backup_;
         compactedRevision_ = 0;
@@ -152,7 +152,7 @@
             backup_ = {items_, revision_};
         }
         if (change.value("goBack", false)) {
-            goBack();
+            restoreBackup();
         }
         const json puts = change.value("put", json::object());
         for (const auto &[key, value] : puts.items()) {
