--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -60,7 +60,7 @@
     void serve(ExchangeId exchange, const HttpRequest &request) override
     {
         ++calls_;
-        if (silent_) {
+        if (unresponsive_) {
             return;
         }
         if (busy_) {
@@ -129,7 +129,7 @@
         }
         const std::uint64_t after = found->second.after;
         pendingWatches_.erase(found);
-        if (!silent_) {
+        if (!unresponsive_) {
             reply(exchange, 200, changesAfter(after));
         }
     }
@@ -169,7 +169,7 @@
             items_[name] = {{"key-file", name}, {"revision", ++revision_}, {"removed", true}};
         }
         busy_ = change.value("busy", busy_);
-        silent_ = change.value("silent", silent_);
+        unresponsive_ = change.value("silent", unresponsive_);
         if (change.value("forget", false)) {
             compactedRevision_ = ++revision_;
         }
@@ -187,7 +187,7 @@
     std::uint64_t calls_ = 0;
     std::uint64_t era_ = 1;
     bool busy_ = false;
-    bool silent_ = false;
+    bool unresponsive_ = false;
 };
 
 } // namespace
