--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -156,9 +156,9 @@
         }
         const json puts = change.value("put", json::object());
         for (const auto &[key, value] : puts.items()) {
-            const auto held = items_.find(key);
-            const bool isNew = held == items_.end() || held->second.contains("removed");
-            const json created = isNew ? json(revision_ + 1) : held->second.at("created");
+            const auto existing = items_.find(key);
+            const bool isNew = existing == items_.end() || existing->second.contains("removed");
+            const json created = isNew ? json(revision_ + 1) : existing->second.at("created");
             items_[key] = {{"key-file", key},
                            {"value", encodeBase64(value.dump())},
                            {"created", created},
