--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -32,9 +32,9 @@
 
 std::string encodeBase64(const std::string &text)
 {
-    constexpr std::size_t kBytes = 3;
+    constexpr std::size_t kInputBytes = 3;
     constexpr std::size_t kGroup = 4;
-    std::string encoded((text.size() + kBytes - 1) / kBytes * kGroup + 1, '\0');
+    std::string encoded((text.size() + kInputBytes - 1) / kInputBytes * kGroup + 1, '\0');
     const int size = EVP_EncodeBlock(reinterpret_cast<unsigned char *>(encoded.data()),
                                      reinterpret_cast<const unsigned char *>(text.data()),
                                      static_cast<int>(text.size()));
