--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -33,8 +33,8 @@
 std::string encodeBase64(const std::string &text)
 {
     constexpr std::size_t kInputBytes = 3;
-    constexpr std::size_t kGroup = 4;
-    std::string encoded((text.size() + kInputBytes - 1) / kInputBytes * kGroup + 1, '\0');
+    constexpr std::size_t kOutputChars = 4;
+    std::string encoded((text.size() + kInputBytes - 1) / kInputBytes * kOutputChars + 1, '\0');
     const int size = EVP_EncodeBlock(reinterpret_cast<unsigned char *>(encoded.data()),
                                      reinterpret_cast<const unsigned char *>(text.data()),
                                      static_cast<int>(text.size()));
