--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -40,7 +40,7 @@
     return kDirectory;
 }
 
-void readRequest(std::string_view text, const char *path)
+void fuzzRequest(std::string_view text, const char *path)
 {
     static const auto kFilters = makeCallerFilters(directory());
     HttpRequest request;
@@ -92,17 +92,17 @@
         readDocument(text);
         break;
     case 1:
-        readRequest(text, "/v1/chat/completions");
+        fuzzRequest(text, "/v1/chat/completions");
         break;
     case 2:
-        readRequest(text, "/v1/completions");
+        fuzzRequest(text, "/v1/completions");
         break;
     case 3:
-        readRequest(text, "/v1/tickets");
+        fuzzRequest(text, "/v1/tickets");
         break;
     default:
         static_cast<void>(parseTicket(text));
-        readRequest(text, "/services/portal/x");
+        fuzzRequest(text, "/services/portal/x");
         break;
     }
     return 0;
