--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -60,7 +60,7 @@
     }
 }
 
-void readDocument(std::string_view text)
+void fuzzDocument(std::string_view text)
 {
     const auto value = parseJson(text);
     if (!value) {
@@ -89,7 +89,7 @@
     const std::string_view text(reinterpret_cast<const char *>(data) + 1, size - 1);
     switch (data[0] % 5) {
     case 0:
-        readDocument(text);
+        fuzzDocument(text);
         break;
     case 1:
         fuzzRequest(text, "/v1/chat/completions");
