--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -33,9 +33,9 @@
         service.name = TargetName("portal");
         service.routes = {{"POST", "/", false}};
         document.services.push_back(service);
-        CallerDirectory made;
-        made.applyConfig(document);
-        return made;
+        CallerDirectory result;
+        result.applyConfig(document);
+        return result;
     }();
     return kDirectory;
 }
