--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -46,12 +46,12 @@
     HttpRequest request;
     request.method = "POST";
     request.path = path;
-    const std::size_t cut = text.find('\n');
-    const std::string header(text.substr(0, cut));
+    const std::size_t lineEnd = text.find('\n');
+    const std::string header(text.substr(0, lineEnd));
     request.headers = {{"authorization", "Bearer k"},
                        {"idempotency-key", header},
                        {"seamarch-deadline-ms", header.substr(0, header.size() / 2)}};
-    request.body = cut == std::string_view::npos ? "" : std::string(text.substr(cut + 1));
+    request.body = lineEnd == std::string_view::npos ? "" : std::string(text.substr(lineEnd + 1));
     CallerContext context{request, CallerRoute::Completion, nullptr, {}, {}, false, {}};
     for (const auto &filter : kFilters) {
         if (filter->apply(context)) {
