--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -72,9 +72,9 @@
     if (config) {
         static_cast<void>(makePlan(*value, ShareIntent{AccountId("a"), 2.0}, std::nullopt));
     }
-    VersionedDocument held;
-    held.accept(*value);
-    held.apply({held.version(), held.version() + 1, 1, std::string(text)});
+    VersionedDocument versioned;
+    versioned.accept(*value);
+    versioned.apply({versioned.version(), versioned.version() + 1, 1, std::string(text)});
 }
 
 } // namespace
