--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// seamarchd: the daemon, in the role of an entry or of an agent.
+// seamarchd: runs one service of the load balancer: an entry, agent, gateway or expert agent.
 #include "agent/agentservice.h"
 #include "base/log.h"
 #include "base/settings.h"
@@ -24,9 +24,10 @@
 constexpr int kExitSettings = 2;
 constexpr int kExitStart = 3;
 
-// How often the settings file is looked at: it may change without a signal.
+// How often the settings file is checked for changes, because it may change without a signal.
 constexpr Duration kSettingsPollInterval = std::chrono::seconds(1);
 
+// State that the signal handlers write; the handlers only set flags and wake the loop.
 EventLoop *signalledLoop = nullptr;
 volatile std::sig_atomic_t stopRequested = 0;
 volatile std::sig_atomic_t reloadRequested = 0;
@@ -56,6 +57,7 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
+// Prints all faults on standard error and returns the exit code to end with.
 int printSettingFaults(const std::vector<SettingFault> &faults)
 {
     for (const SettingFault &fault : faults) {
@@ -64,8 +66,9 @@
     return kExitSettings;
 }
 
-// Reads the settings anew when it is told to or when their file has changed, and hands them to
-// `apply`. Settings with a fault change nothing.
+// Rereads the settings periodically and on request, and passes them to `apply` when they have
+// changed or a reload was requested. Settings with faults are logged and leave those in force
+// unchanged.
 class SettingsReloader
 {
 public:
@@ -78,6 +81,8 @@
         , timer_(loop, kSettingsPollInterval, [this] { reload(false); })
     {}
 
+    // Rereads the settings. `requested` applies and logs them even if nothing has changed;
+    // otherwise settings and faults that are the same as last time are ignored.
     void reload(bool requested)
     {
         const DaemonOptions newOptions = readDaemonOptions(arguments_);
@@ -103,13 +108,13 @@
 private:
     std::vector<std::string> arguments_;
     std::map<std::string, std::string> values_;
-    std::vector<SettingFault> faults_;
+    std::vector<SettingFault> faults_; // Of the last read, to log each set of faults once.
     Apply apply_;
     PeriodicTimer timer_;
 };
 
-// Runs a service until it has stopped. `create` makes it on the loop that it is given; `apply`
-// hands it settings that were read anew.
+// Runs a service until it has stopped, and returns the exit code. `create` constructs the service
+// on the given loop; `apply` passes reloaded settings to it.
 template <typename Create, typename ApplySettings>
 int serve(const DaemonOptions &options, Create create, ApplySettings apply)
 {
@@ -144,7 +149,7 @@
     return kExitOk;
 }
 
-// The roles whose settings cannot change while they run.
+// For roles whose settings cannot change at run time.
 constexpr auto kIgnoreNewSettings = [](auto & /*service*/, const DaemonOptions & /*fresh*/) {};
 
 int serveGateway(const DaemonOptions &options)
