--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -9,8 +9,8 @@
 namespace seamarch {
 namespace {
 
-// docopt reads only sections whose heading ends in "options:", and takes an option that stands
-// twice for one that cannot be told from itself.
+// docopt reads options only from sections whose heading ends in "options:", and reports an option
+// that is listed twice as ambiguous.
 constexpr const char *kUsage = R"(seamarchd - load balancer for expert-parallel model groups
 
 Usage:
@@ -21,76 +21,85 @@
   seamarchd (-h | --help)
   seamarchd --version
 
-A gateway sends requests straight to the upstreams of the platform's store. An expertagent
-stands beside one rank of a group of engines and looks after its expert map.
+A gateway sends requests directly to the upstreams listed in the platform's store. An expertagent
+runs next to one rank of a group of engines and manages its expert map.
 
-Each option can also be given as an environment variable: --stop-delay-ms is
-SEAMARCH_STOP_DELAY_MS. A flag goes before the environment, and that before the settings
+Each option can also be set as an environment variable: --stop-delay-ms is
+SEAMARCH_STOP_DELAY_MS. A flag overrides the environment, which overrides the settings
 file. Addresses are IP:PORT.
 
 Common options:
-  --config FILE              Settings file with one NAME = VALUE a line, without dashes.
-                             Read again on SIGHUP and when it changes.
-  --instance NAME            Name of this instance, as the platform lists it.
+  --config FILE              Settings file with one NAME = VALUE per line; names have no
+                             leading dashes. Reloaded on SIGHUP and when it changes.
+  --instance NAME            Name of this instance in the platform's list.
   --hall NAME                Data hall of this instance.
-  --listen ADDRESS           Where callers connect; for an agent: where entries connect; for
-                             an expert agent: where other expert agents connect.
-  --operator-listen ADDRESS  Where /healthz, /readyz, /metrics and /status are served.
-  --metrics-listen ADDRESS   Gateway, expert agent: where /metrics and /status are served
-                             besides (default: nowhere).
-  --peer-listen ADDRESS      Entry: where other entries connect. Gateway: where other
-                             gateways connect (default: none do, and it asks the store
+  --listen ADDRESS           Address for callers; for an agent: for entries; for an expert
+                             agent: for other expert agents.
+  --operator-listen ADDRESS  Address that serves /healthz, /readyz, /metrics and /status.
+  --metrics-listen ADDRESS   Gateway, expert agent: additional address that serves /metrics
+                             and /status (default: none).
+  --peer-listen ADDRESS      Address for peers. Entry: for other entries. Gateway: for other
+                             gateways (default: none; the gateway reads from the store
                              itself).
   --platform ADDRESS         Entry: the platform's service. Gateway, expert agent: the
                              platform's store.
-  --upstream ADDRESS         Agent: the upstream that it stands before. Expert agent: the
-                             rank beside it.
-  --lease-ms N               How long a heartbeat's answer is good for (default 5000 for
-                             an entry, 3000 for an agent).
-  --stop-delay-ms N          How long a planned stop goes on taking requests (default 2000
-                             for an entry; for a gateway as the stop's limit allows).
-  --stop-deadline-ms N       When a planned stop gives up waiting (default 120000; for a
-                             gateway as the stop's limit allows).
-  --max-account-series N     Client accounts with metrics of their own (default 300).
-  --log-level LEVEL          debug, info, warning or error (default info).
-  --check-settings           Check the settings, print those in force, and exit.
+  --upstream ADDRESS         Agent: the upstream that it serves. Expert agent: the rank that
+                             it runs next to.
+  --lease-ms N               How long the response to a heartbeat stays valid (default 5000
+                             for an entry, 3000 for an agent).
+  --stop-delay-ms N          How long requests are still accepted after a planned stop has
+                             begun (default 2000 for an entry; for a gateway derived from
+                             the stop limit).
+  --stop-deadline-ms N       How long a planned stop waits for requests in flight (default
+                             120000; for a gateway derived from the stop limit).
+  --max-account-series N     Maximum number of client accounts with metric series of their
+                             own (default 300).
+  --log-level LEVEL          Lowest level that is logged: debug, info, warning or error
+                             (default info).
+  --check-settings           Check the settings, print the values in force, and exit.
 
 Entry options:
-  --max-body-bytes N         Largest request body (default 8388608).
-  --heartbeat-ms N           Pause between heartbeats (default 500).
+  --max-body-bytes N         Maximum size of a request body in bytes (default 8388608).
+  --heartbeat-ms N           Interval between heartbeats (default 500).
 
 Gateway options:
-  --seeds LIST               Where some of the other gateways listen, parted by commas.
-  --hall-regions LIST        The region of each hall, as HALL:REGION, parted by commas. Routes and
-                             client accounts that name regions are served in these alone.
-  --agent-port N             Where the agents beside model engines listen, at their engines'
-                             addresses; without it nothing is known of groups.
-  --crash-memory-s N         How long it is remembered that an upstream ended under a request
-                             (default 3600; 0: not at all).
-  --key-life-ms N            A key that was taken away is not used later than this after the
-                             store took the change (default 5000).
-  --config-spread-ms N       A change of routes is in force within this (default 2000).
-  --leaving-limit-ms N       An upstream that leaves gets nothing later than this after the
-                             store knew (default 2000).
-  --stop-limit-s N           A process is killed this long after it was told to stop
-                             (default 8).
-  --retry-ratio N            Second attempts of all gateways, for each request (default 0.2).
-  --retry-slack N            Second attempts of all gateways besides (default 88).
-  --warm-up-factor N         An upstream that warms up gets in one second, from all gateways, at
-                             most this times what its service bears (default 1.5),
-  --warm-up-slack N          and so many requests besides (default 5).
-  --key-freshness-ms N       A key is good under a confirmation this young (default:
-                             the key's life less 300).
-  --deny-freshness-ms N      401 and 404 are given under a confirmation this young (default:
-                             the configuration's spread less 100).
+  --seeds LIST               Peer addresses of some other gateways, separated by commas.
+  --hall-regions LIST        The region of each hall, as HALL:REGION, separated by commas.
+                             Routes and client accounts that name regions are served only
+                             there.
+  --agent-port N             Port of the agents, which run at the addresses of their model
+                             engines; without it the gateway has no information on groups.
+  --crash-memory-s N         How long the gateway keeps the record that an upstream ended
+                             while it ran a request (default 3600; 0 disables the record).
+  --key-life-ms N            Maximum time for which a key is accepted after the store
+                             recorded its removal (default 5000).
+  --config-spread-ms N       Maximum time until a change of routes is in force (default
+                             2000).
+  --leaving-limit-ms N       Maximum time for which a leaving upstream receives requests
+                             after the store recorded that it leaves (default 2000).
+  --stop-limit-s N           Time from the signal to stop until the platform kills the
+                             process (default 8).
+  --retry-ratio N            Second attempts that all gateways together may make per request
+                             (default 0.2).
+  --retry-slack N            Second attempts that all gateways together may make in addition
+                             (default 88).
+  --warm-up-factor N         Maximum number of requests per second that all gateways together
+                             send to an upstream that is warming up, as a multiple of the
+                             configured rate of its service (default 1.5).
+  --warm-up-slack N          Requests per second in addition to that maximum (default 5).
+  --key-freshness-ms N       Maximum age of the store's last confirmation to accept a key
+                             (default: the value of key-life-ms less 300).
+  --deny-freshness-ms N      Maximum age of the store's last confirmation to answer 401 or
+                             404 (default: the value of config-spread-ms less 100).
 
 Expert agent options:
   --service NAME             The service whose replicas form the group.
-  --link-mbps N              What the machine's link carries, in Mbit/s; questions and orders
-                             to the group are fitted to it (default 20).
+  --link-mbps N              Capacity of the machine's network link in Mbit/s; limits the
+                             rate of queries and orders to the group (default 20).
 
 Agent options:
-  --slots N                  Requests run at once until the configuration says (default 8).
+  --slots N                  Maximum number of concurrent requests until the configuration
+                             sets one (default 8).
 
 Other options:
   -h --help                  Show this text.
@@ -150,7 +159,7 @@
     return bounds;
 }
 
-// A time that is given goes before the one that follows from the bounds.
+// Replaces those of `timings`, which are derived from the bounds, that are set explicitly.
 GatewayTimings readTimings(SettingsReader &reader, GatewayTimings timings)
 {
     const auto readIfGiven = [&reader](std::string_view name, std::uint64_t minimum,
@@ -237,6 +246,8 @@
     return settings;
 }
 
+// Reads the settings file at `path`; an empty path stands for no file. Appends to `faults` if the
+// file cannot be read or has malformed lines.
 SettingsMap readSettingsFile(const std::string &path, std::vector<SettingFault> &faults)
 {
     if (path.empty()) {
