--- a/src/tool/fetch.cpp
+++ b/src/tool/fetch.cpp
@@ -14,11 +14,12 @@
 
 struct Response
 {
-    int status = 0;
+    int status = 0; // 0 until the head has arrived.
     std::string body;
-    bool complete = false;
+    bool complete = false; // False if the call failed or timed out.
 };
 
+// Collects one response and stops the event loop at its end.
 class ResponseReceiver final : public HttpCallReceiver
 {
 public:
@@ -61,11 +62,11 @@
     (*loop)->run();
     (*loop)->shutDown();
     if (!response.complete || response.status != kStatusOk) {
-        return tl::unexpected(
-            NetError{NetError::Kind::ConnectFailed,
-                     fmt::format("expected an answer of {}:{}{} with status 200, found {}",
-                                 address.host, address.port, path,
-                                 response.status == 0 ? "none" : std::to_string(response.status))});
+        return tl::unexpected(NetError{
+            NetError::Kind::ConnectFailed,
+            fmt::format("expected a complete response from {}:{}{} with status 200, found {}",
+                        address.host, address.port, path,
+                        response.status == 0 ? "none" : std::to_string(response.status))});
     }
     return std::move(response.body);
 }
--- a/src/tool/fetch.h
+++ b/src/tool/fetch.h
@@ -1,4 +1,4 @@
-// Reads one address once, for a command that waits for the answer.
+// A blocking HTTP GET for commands of the operators' tool.
 #pragma once
 
 #include "net/neterror.h"
@@ -8,7 +8,8 @@
 
 namespace seamarch {
 
-// Returns the body of `GET path`. Fails when there is no answer with status 200 in some seconds.
+// Returns the response body of `GET path`. Fails if no complete response with status 200 arrives
+// within 10 s.
 tl::expected<std::string, NetError> fetch(const SocketAddress &address, const std::string &path);
 
 } // namespace seamarch
