--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -1,4 +1,5 @@
-// seamarch: the operators' tool. It reads, plans and prints; it publishes nothing.
+// seamarch: the operators' command-line tool. It only reads, plans and prints; it never publishes a
+// configuration.
 #include "base/digest.h"
 #include "base/settings.h"
 #include "config/parse.h"
@@ -44,30 +45,33 @@
   seamarch (-h | --help)
 
 The current configuration comes from the platform's service or from a file. A plan changes nothing;
-'confirm' checks that the configuration is still the one planned on and prints the document to
-publish. 'digest' reads a bearer key from standard input and prints what goes into keySha256.
-'explain' reads the logs of processes and prints the story of one request, with its cause.
+'confirm' checks that the configuration has not changed since the plan was made and prints the
+document to publish. 'digest' reads a bearer key from standard input and prints the value for
+keySha256. 'explain' reads the logs of processes and prints the log lines that concern one request,
+in order of time, and the cause of its outcome.
 
 Options:
   --platform=ADDRESS  IP:PORT of the platform's service.
-  --base=FILE         The current configuration, instead of asking the platform.
-  --instances=FILE    The instance list, instead of asking the platform.
-  --out=FILE          Where to write the plan, for 'confirm'.
+  --base=FILE         Read the current configuration from FILE, not from the platform.
+  --instances=FILE    Read the instance list from FILE, not from the platform.
+  --out=FILE          Write the plan to FILE, for use with 'confirm'.
   --undo              End a drain instead of starting it.
-  --operators=LIST    Operators' addresses of processes, IP:PORT, separated by commas.
+  --operators=LIST    Operator addresses of the processes, IP:PORT, separated by commas.
   --json              Print JSON.
   -h --help           Show this text.
 
-Exit status: 0 done; 1 refused, with the reason; 2 wrong use; 3 not reachable; 4 the configuration
-has changed since the plan was made.
+Exit status: 0 success; 1 refused, with the reason; 2 usage error; 3 not reachable; 4 the
+configuration has changed since the plan was made.
 )";
 
+// Prints `message` on standard error and returns `code`.
 int failWith(int code, const std::string &message)
 {
     fmt::print(stderr, "seamarch: {}\n", message);
     return code;
 }
 
+// Returns the value of an option that takes one, or nothing if it is not given.
 std::optional<std::string> optionText(const Arguments &arguments, const char *name)
 {
     const auto found = arguments.find(name);
@@ -83,7 +87,7 @@
     return found != arguments.end() && found->second.isBool() && found->second.asBool();
 }
 
-// Why something could not be read, with the exit status that goes with it.
+// Why input could not be read, and the exit status to report.
 struct ReadError
 {
     int exitCode = kExitRefused;
@@ -112,7 +116,8 @@
     return *value;
 }
 
-// Reads a document from a file if one is named, else from the platform.
+// Reads a document from the file that `fileOption` names, or from `path` of the platform's service
+// if that option is not given.
 tl::expected<json, ReadError> readDocument(const Arguments &arguments, const char *fileOption,
                                            const std::string &path)
 {
@@ -239,7 +244,7 @@
         auto list = value ? readInstances(*value) : tl::unexpected(ConfigFaults{});
         if (!list) {
             return failWith(kExitRefused,
-                            "the instance list cannot be read, so the cost cannot be told");
+                            "cannot read the instance list, which the cost is computed from");
         }
         instances = std::move(*list);
     }
@@ -355,12 +360,12 @@
     }
     const RequestTimeline timeline = readRequestTimeline(arguments.at("ID").asString(), texts);
     if (timeline.unreadableLines > 0) {
-        fmt::print(stderr, "seamarch: passed over {} lines that are no log lines\n",
+        fmt::print(stderr, "seamarch: skipped {} lines that are not log lines\n",
                    timeline.unreadableLines);
     }
     if (!timeline.found()) {
         return failWith(kExitRefused,
-                        fmt::format("no line of these files carries the id '{}'; give the "
+                        fmt::format("no line of these files has the id '{}'; give the "
                                     "logs of all gateways",
                                     timeline.id));
     }
