--- a/src/tool/requesttimeline.cpp
+++ b/src/tool/requesttimeline.cpp
@@ -10,10 +10,11 @@
 
 using nlohmann::json;
 
-// How long before a request's first line a change of belief may matter for it. Knowledge of the
-// store is given up after some five seconds.
+// How long before a request's first line a state change may affect the request. A gateway treats
+// its copy of the store as stale after about 5 s.
 constexpr long long kStateChangeLookbackMillis = 5000;
 
+// Returns the events that change the state on which a gateway or an expert agent decides.
 const std::set<std::string, std::less<>> &stateChangeEvents()
 {
     static const std::set<std::string, std::less<>> events = {
@@ -25,13 +26,15 @@
     return events;
 }
 
+// Returns a string field of a log line, or an empty string if there is none.
 std::string stringField(const json &line, const char *name)
 {
     const auto found = line.find(name);
     return found != line.end() && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-// Returns the time of day of a line in milliseconds, from "2026-12-02T16:01:02.345Z".
+// Returns the time of a log line, such as "2026-12-02T16:01:02.345Z", in milliseconds since the
+// start of its month's day 0; 0 if the time is malformed. Times of different months do not compare.
 long long timestampMillis(const json &line)
 {
     const std::string time = stringField(line, "time");
@@ -48,6 +51,7 @@
     return (((day * 24LL + hour) * 60 + minute) * 60 + second) * 1000 + millis;
 }
 
+// Returns the cause that an error code in a refusal stands for.
 std::string refusalCause(const std::string &code)
 {
     static const std::map<std::string, std::string, std::less<>> causes = {
@@ -70,6 +74,7 @@
     return found == causes.end() ? fmt::format("refused with {}", code) : found->second;
 }
 
+// Returns the cause of a request's outcome, derived from its own log lines in order of time.
 std::string requestCause(const std::vector<json> &requestLines)
 {
     bool wasSent = false;
@@ -118,7 +123,7 @@
     return result.empty() ? "its end is not in these logs" + lossSuffix : result + lossSuffix;
 }
 
-// Reads the lines of one text into `lines`; counts those that are none.
+// Appends the log lines in `text` to `lines`. Returns the number of other lines that are not empty.
 std::size_t readLines(std::string_view text, std::vector<json> &lines)
 {
     std::size_t unreadableLines = 0;
--- a/src/tool/requesttimeline.h
+++ b/src/tool/requesttimeline.h
@@ -1,11 +1,11 @@
-// The story of one request, read from the logs of several processes.
+// The timeline of one request, built from the logs of several processes.
 //
-// The log lines that carry the request's id are put in the order of their time, and among them the
-// lines in which a process changed what it believes shortly before or meanwhile: the store lost, a
-// configuration applied, an upstream gone, a group formed anew. From the last of them follows the
-// cause, in words.
+// A timeline holds the log lines with the request's id, in order of time. Between them it holds the
+// state changes of the request's gateway and of the expert agents shortly before or during the
+// request: loss of the store, an applied configuration, a removed upstream, a new group. The cause
+// of the outcome is derived from the lines with the request's id and given as text.
 //
-// Pure; no line is changed.
+// The functions have no side effects and copy log lines unchanged.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -15,20 +15,23 @@
 
 namespace seamarch {
 
+// The log lines that concern one request, and the cause of its outcome.
 struct RequestTimeline
 {
     std::string id;
-    std::vector<nlohmann::json> lines; // In the order of their time.
-    std::string cause;                 // Empty when no line carries the id.
-    std::size_t unreadableLines = 0;   // Lines that are no whole log line.
+    std::vector<nlohmann::json> lines; // In order of time.
+    std::string cause;                 // Empty if no line has the id.
+    std::size_t unreadableLines = 0;   // Input lines that were skipped.
     bool found() const { return !cause.empty(); }
 };
 
-// Reads the story of `id` from texts of log lines, one for each file. Text before the first brace
-// of a line, as collectors put there, is passed over.
+// Builds the timeline of request `id` from the contents of log files. Ignores text before the first
+// brace of a line, where log collectors put a prefix. Skips and counts lines that are not complete
+// log lines.
 RequestTimeline readRequestTimeline(const std::string &id, const std::vector<std::string> &texts);
 
-// Returns one line of text for a line of a story.
+// Formats a log line of a timeline as one line of text: time, instance and event, then the other
+// fields except id, level and role.
 std::string describeLine(const nlohmann::json &line);
 
 } // namespace seamarch
--- a/test/tool/requesttimeline_test.cpp
+++ b/test/tool/requesttimeline_test.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Returns a log line at `second` past a minute.
+// Returns a log line with a time of `second` seconds after 16:01 and with `extraFields`, which
+// begin with a comma.
 std::string line(double second, const std::string &event, const std::string &extraFields,
                  const std::string &instance = "g-1")
 {
