--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -8,27 +8,35 @@
 
 using nlohmann::json;
 
-// A batching model engine behind the common JSON form. The answer to a prompt is the prompt's last
-// message with a number before each word, so that a caller can check that the answer is its own.
-// Control: {"stepMs": 5} between tokens, {"dieAfter": N} aborts each answer after N tokens,
-// {"stalled": true} stops all streams, {"loadMs": N} is how long a load takes, {"ignoresFences":
-// true} takes orders under any fence.
+// A batching model engine with the common completion API in JSON. Each token of an answer is the
+// token's number followed by the prompt (in a chat, its last message), so that a caller can verify
+// that the answer is its own.
+//
+// Control settings:
+//   {"stepMs": N}             time between tokens; 0: only streamed answers take time
+//   {"dieAfter": N}           aborts each answer in place of its Nth token; 0: never
+//   {"stalled": true}         produces no tokens in any stream
+//   {"loadMs": N}             time that loading a version takes
+//   {"ignoresFences": true}   accepts orders with an outdated fence, and counts them ("lowFences")
 class Engine final : public StandIn
 {
 public:
     using StandIn::StandIn;
 
 private:
+    // An answer in progress.
     struct Stream
     {
-        std::string text;
-        bool streamed = false;
+        std::string text;      // The prompt, repeated in each token.
+        bool streamed = false; // The answer is sent as an event stream, not in one response.
         bool chat = false;
         std::uint64_t maxTokens = 0;
         std::uint64_t produced = 0;
         std::string model;
     };
 
+    // Accepts an order to load a version, unless its fence is lower than the highest one so far,
+    // and reports the state of the load.
     void serveOrder(ExchangeId exchange, const HttpRequest &request, const json &body)
     {
         if (request.method == "POST") {
@@ -133,6 +141,7 @@
         streams_.erase(exchange);
     }
 
+    // Returns the event of one token.
     static json chunk(const Stream &stream, const std::string &word)
     {
         json choice = {{"index", 0}, {"finish_reason", nullptr}};
@@ -158,6 +167,7 @@
         server().finish(exchange);
     }
 
+    // Sends the complete answer in one response.
     void respondCompletion(ExchangeId exchange, const Stream &stream)
     {
         std::string text;
@@ -205,9 +215,9 @@
     int tokenIntervalMs_ = 2;
     bool stalled_ = false;
     std::string version_ = "v1";
-    std::uint64_t fence_ = 0;
+    std::uint64_t fence_ = 0; // Of the last accepted order.
     std::uint64_t staleFenceOrders_ = 0;
-    std::uint64_t producedTokens_ = 0; // Produced over all streams.
+    std::uint64_t producedTokens_ = 0; // Over all streams.
     int loadTimeMs_ = 200;
     bool loading_ = false;
     bool ignoreFences_ = false;
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -8,8 +8,10 @@
 
 using nlohmann::json;
 
+// How long a watch waits for a newer version before it is answered with 304.
 constexpr Duration kWatchTimeout = std::chrono::seconds(5);
 
+// Returns the query parameter `after`, or 0 if there is none.
 std::uint64_t afterParameter(const std::string &query)
 {
     const std::size_t at = query.find("after=");
@@ -20,8 +22,14 @@
     return value;
 }
 
-// The platform's service: two documents with waiting watches. Control: {"config": {...}},
-// {"instances": {...}}, {"down": true}, {"serveOld": true} (serves the first documents again).
+// The platform's service: serves the configuration and the instance list, each with long-poll
+// watches.
+//
+// Control settings:
+//   {"config": {...}}      replaces the configuration
+//   {"instances": {...}}   replaces the instance list
+//   {"down": true}         aborts all requests
+//   {"serveOld": true}     serves the first version of each document again
 class Platform final : public StandIn
 {
 public:
@@ -49,6 +57,8 @@
         answerOrWait(exchange, request.path, afterParameter(request.query));
     }
 
+    // Responds with the document if its version is higher than `after`; otherwise holds the request
+    // as a pending watch.
     void answerOrWait(ExchangeId exchange, const std::string &path, std::uint64_t after)
     {
         const Document &document = documents_.at(path);
@@ -85,6 +95,7 @@
         return {{"calls", calls_}, {"waiting", pendingWatches_.size()}};
     }
 
+    // Checks all pending watches again after a change.
     void answerPendingWatches()
     {
         const auto watches = std::move(pendingWatches_);
@@ -99,6 +110,7 @@
     }
 
     std::map<std::string, Document> documents_;
+    // Path and `after` of each.
     std::map<ExchangeId, std::pair<std::string, std::uint64_t>> pendingWatches_;
     std::uint64_t calls_ = 0;
     bool down_ = false;
--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -12,16 +12,26 @@
 using nlohmann::json;
 namespace names = seamarch::platform;
 
-// An upstream of the platform: answers with its proof, and streams events under /stream. Control:
-// {"id": ID}, {"delayMs": N}, {"full": true} refuses, {"fail": true} answers 500,
-// {"dropAnswers": true} runs and breaks the connection, {"breakAfter": N} breaks a stream inside
-// event N + 1, {"foreignId": true} answers with another request's id, {"endsOn": TEXT} ends the
-// process in the middle of the answer to a request whose body has TEXT, {"rest": TEXT} asks for
-// that many seconds of rest when it refuses, {"leaving": true} says in all answers that it leaves,
-// {"weights": TEXT} refuses requests that expect another version of its weights,
-// {"limit": TEXT} names that limit in all answers, {"limit": ""} names none any more.
-// Reports every arrival: {"id": ID, "ms": N, "refused": BOOL, "rest": TEXT}, times by its own
-// clock.
+// An upstream of the platform. Responds with its signature; streams 10 events if the path contains
+// `/stream`.
+//
+// Control settings:
+//   {"id": ID}              its instance id; answers 421 to requests for another instance
+//   {"delayMs": N}          time before the answer and between events
+//   {"full": true}          refuses requests with 503, marked as not executed
+//   {"rest": TEXT}          seconds to wait (retry-after) that a refusal names; empty: none
+//   {"fail": true}          answers 500
+//   {"dropAnswers": true}   runs requests, then aborts the connection
+//   {"breakAfter": N}       aborts each stream in the middle of event N + 1
+//   {"foreignId": true}     answers with the id of another request
+//   {"lies": true}          runs every request but marks every third as not executed
+//   {"endsOn": TEXT}        ends the process while it runs a request whose body contains TEXT
+//   {"leaving": true}       announces in all answers that it is leaving
+//   {"weights": TEXT}       answers 421 to requests that expect another version of its weights
+//   {"limit": TEXT}         announces this rate limit in all answers; empty: none
+//
+// The control response lists each arrival as {"id": ID, "ms": N, "refused": BOOL, "rest": TEXT};
+// its times are those of the stand-in's own clock.
 class Replica final : public StandIn
 {
 public:
@@ -29,6 +39,7 @@
 
 private:
     static constexpr int kEventsPerStream = 10;
+    // Exit code when a request ends the process.
     static constexpr int kExitEndedByRequest = 70;
 
     void serve(ExchangeId exchange, const HttpRequest &request) override
@@ -98,6 +109,7 @@
                         });
     }
 
+    // Answers a request that has run. A stream begins with event `firstEvent`.
     void answer(ExchangeId exchange, HttpResponseHead head, bool streams, int firstEvent)
     {
         if (dropAnswers_) {
@@ -114,6 +126,7 @@
         sendEvent(exchange, firstEvent);
     }
 
+    // Sends event `number` of a stream and schedules the next.
     void sendEvent(ExchangeId exchange, int number)
     {
         if (!openExchanges_.contains(exchange)) {
@@ -169,7 +182,7 @@
     std::set<ExchangeId> openExchanges_;
     int delayMs_ = 1;
     int breakAfter_ = 0;
-    int callersGone_ = 0;
+    int callersGone_ = 0; // Callers that left before the end of their answer.
     bool refuse_ = false;
     bool fail_ = false;
     bool dropAnswers_ = false;
--- a/standins/service.cpp
+++ b/standins/service.cpp
@@ -8,11 +8,16 @@
 
 using nlohmann::json;
 
-// A plain service that records every run by the body it was given. Control: {"delayMs": N},
-// {"dropAnswers": true} runs and then breaks the connection, {"endsOn": TEXT} ends the process when
-// it runs a request whose body has TEXT, {"rest": TEXT} refuses everything and asks for that many
-// seconds of rest (empty: takes requests again), {"list": true} lists the runs and, under
-// "refusedMs", when it refused, by its own clock.
+// A plain service that records the body of each request that it runs.
+//
+// Control settings:
+//   {"delayMs": N}          time before the answer
+//   {"dropAnswers": true}   runs requests, then aborts the connection
+//   {"endsOn": TEXT}        ends the process when it runs a request whose body contains TEXT
+//   {"rest": TEXT}          refuses all requests with 503 and asks the caller to wait for that many
+//                           seconds (retry-after); empty: accepts requests again
+//   {"list": true}          adds to this response the bodies of all runs and, as "refusedMs", the
+//                           times of all refusals by the stand-in's own clock
 class Service final : public StandIn
 {
 public:
@@ -57,6 +62,7 @@
         return state;
     }
 
+    // Exit code when a request ends the process.
     static constexpr int kExitEndedByRequest = 70;
 
     std::vector<std::string> runs_;
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -1,7 +1,7 @@
-// Small stand-ins for what the system meets outside: the platform's service, a model engine and a
-// plain service, and the store and upstreams of the users' platform. Each speaks the published
-// protocol over HTTP and can be told, at `/control`, to misbehave. They serve tests and the demo
-// only.
+// Stand-ins for the external systems that the load balancer talks to: the platform's service, a
+// model engine, a plain service, and the store and the upstreams (replicas) of the users' platform.
+// Each implements the published protocol over HTTP and can be made to misbehave through `/control`.
+// For tests and the demo only.
 #pragma once
 
 #include "net/eventloop.h"
@@ -13,7 +13,8 @@
 
 namespace seamarch::standin {
 
-// A stand-in behind one address. Takes `POST /control` with a JSON object of what to change.
+// An HTTP server that imitates one external system at one address. A request to `/control` carries
+// a JSON object with the settings to change; all other requests go to `serve`.
 class StandIn : public HttpHandler
 {
 public:
@@ -21,6 +22,7 @@
         : loop_(loop)
     {}
 
+    // Starts to listen at `address`. Logs an error and returns false if that fails.
     bool open(const SocketAddress &address);
 
     void onRequest(ExchangeId exchange, HttpRequest request) override;
@@ -28,11 +30,13 @@
     void onDrained(ExchangeId /*exchange*/) override {}
 
 protected:
+    // Handles a request of the imitated protocol.
     virtual void serve(ExchangeId exchange, const HttpRequest &request) = 0;
-    // Returns the state after the change.
+    // Applies the settings in `change` and returns the resulting state and counters.
     virtual nlohmann::json control(const nlohmann::json &change) = 0;
 
     EventLoop &loop() { return loop_; }
+    // Requires that `open` has succeeded.
     HttpServer &server() { return *server_; }
     void respondJson(ExchangeId exchange, int status, const nlohmann::json &body);
 
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -13,6 +13,7 @@
 using nlohmann::json;
 namespace names = seamarch::platform;
 
+// Returns a parameter of a query string, or an empty string if there is none.
 std::string queryParameter(const std::string &query, const std::string &name)
 {
     const std::size_t at = ("&" + query).find("&" + name + "=");
@@ -23,6 +24,7 @@
     return rest.substr(0, rest.find('&'));
 }
 
+// Returns the number that `text` begins with, or 0.
 std::uint64_t parseNumber(const std::string &text)
 {
     std::uint64_t value = 0;
@@ -42,16 +44,24 @@
     return encoded;
 }
 
-// The platform's store of items with waiting watches. Control: {"put": {KEY: VALUE}},
-// {"remove": [KEY]}, {"busy": true} refuses, {"silent": true} says nothing, {"forget": true} drops
-// the history, {"copy": true} keeps a copy of all items, {"restoreBackup": true} goes back to that
-// copy: its revision counts on from there, and the era that all answers tell rises by one.
+// The platform's store: a revisioned key-value store with long-poll watches.
+//
+// Control settings:
+//   {"put": {KEY: VALUE}}   adds or replaces items
+//   {"remove": [KEY]}       removes items
+//   {"busy": true}          refuses requests with 503
+//   {"silent": true}        does not answer requests
+//   {"forget": true}        drops the history; watches from an earlier revision get 410
+//   {"copy": true}          makes a backup of all items
+//   {"goBack": true}        restores the backup: the revision continues from the backup's, and
+//                           the era that all answers carry rises by one
 class Store final : public StandIn
 {
 public:
     using StandIn::StandIn;
 
 private:
+    // A watch that waits for changes after a revision.
     struct Watch
     {
         std::uint64_t after = 0;
@@ -93,6 +103,7 @@
         return {{"items", items}, {"more-pages", false}, {"current-rev", revision_}};
     }
 
+    // Returns the items that were put or removed after `revision`.
     json changesAfter(std::uint64_t revision) const
     {
         json events = json::array();
@@ -121,6 +132,7 @@
                         [this, exchange] { answerWatch(exchange); });
     }
 
+    // Ends a pending watch with the changes up to now, which may be none.
     void answerWatch(ExchangeId exchange)
     {
         const auto found = pendingWatches_.find(exchange);
@@ -179,11 +191,11 @@
         return {{"calls", calls_}, {"revision", revision_}};
     }
 
-    std::map<std::string, json> items_;
+    std::map<std::string, json> items_; // By key; removed items stay, marked as removed.
     std::pair<std::map<std::string, json>, std::uint64_t> backup_;
     std::map<ExchangeId, Watch> pendingWatches_;
     std::uint64_t revision_ = 1;
-    std::uint64_t compactedRevision_ = 0;
+    std::uint64_t compactedRevision_ = 0; // The history before this revision is gone.
     std::uint64_t calls_ = 0;
     std::uint64_t era_ = 1;
     bool busy_ = false;
