--- a/test/freeport.h
+++ b/test/freeport.h
@@ -1,4 +1,4 @@
-// A port of loopback that nobody listens at, for tests with real sockets.
+// Finds unused loopback ports for tests with real sockets.
 #pragma once
 
 #include <arpa/inet.h>
@@ -10,7 +10,8 @@
 
 namespace seamarch {
 
-// Returns a port that was free a moment ago. Throws, which fails the test, when there is none.
+// Returns a loopback TCP port that was unused at the time of the call; another process may take it
+// afterwards. Throws std::runtime_error, which fails the test, if there is none.
 inline int freePort()
 {
     const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
@@ -19,7 +20,7 @@
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof(address);
     if (bind(descriptor, reinterpret_cast<sockaddr *>(&address), sizeof(address)) != 0) {
-        throw std::runtime_error("no port of loopback is free");
+        throw std::runtime_error("cannot bind a free loopback port");
     }
     getsockname(descriptor, reinterpret_cast<sockaddr *>(&address), &size);
     close(descriptor);
--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -1,7 +1,7 @@
-// Fuzz target over the two places where a stranger's bytes are read: callers' requests and
-// documents.
+// Fuzz target for the two parsers of untrusted input: callers' requests and JSON documents.
 //
-// Built by `scripts/fuzz` with libFuzzer. The first byte chooses what the rest is read as.
+// Built by `scripts/fuzz` with libFuzzer. The first byte of an input selects the parser for the
+// rest.
 #include "config/parse.h"
 #include "config/plan.h"
 #include "config/versioned.h"
@@ -16,6 +16,7 @@
 
 using namespace seamarch;
 
+// Returns a directory with one client account, one model and one service.
 const CallerDirectory &directory()
 {
     static const CallerDirectory kDirectory = [] {
@@ -23,7 +24,7 @@
         AccountConfig account;
         account.id = AccountId("bids");
         account.homeHall = HallId("north");
-        // The digest of the key "k".
+        // The SHA-256 digest of the key "k".
         account.keyDigests = {"8254c329a92850f6d539dd376f4816ee2764517da5e0235514af433164480d7a"};
         document.accounts.push_back(account);
         ModelConfig model;
@@ -40,6 +41,8 @@
     return kDirectory;
 }
 
+// Passes a request to the caller filters. The first line of `text` is used for header values, the
+// rest is the body.
 void fuzzRequest(std::string_view text, const char *path)
 {
     static const auto kFilters = makeCallerFilters(directory());
@@ -60,6 +63,7 @@
     }
 }
 
+// Reads `text` as each kind of document, and as a patch of a versioned document.
 void fuzzDocument(std::string_view text)
 {
     const auto value = parseJson(text);
@@ -79,7 +83,7 @@
 
 } // namespace
 
-// The name is the fuzzer's.
+// libFuzzer prescribes this name.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, // NOLINT
                                       std::size_t size)
 {
--- a/test/fuzz/replay.cpp
+++ b/test/fuzz/replay.cpp
@@ -1,4 +1,5 @@
-// Replays the kept inputs of the fuzz target, so that CI needs no fuzzer.
+// Runs the fuzz target on the stored inputs in a directory, so that CI can check them without
+// libFuzzer.
 #include <cstddef>
 #include <cstdint>
 #include <cstdio>
@@ -7,7 +8,7 @@
 #include <iterator>
 #include <vector>
 
-// The name is the fuzzer's.
+// libFuzzer prescribes this name.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, // NOLINT
                                       std::size_t size);
 
--- a/test/main.cpp
+++ b/test/main.cpp
@@ -3,8 +3,8 @@
 
 int main(int argc, char **argv)
 {
-    // The libraries keep caches for the life of the process, which the leak check would report;
-    // leaks are looked for by the sanitizer build instead.
+    // Disables CppUTest's leak check, which would report the caches that the libraries keep until
+    // the process exits. The sanitizer build detects leaks instead.
     MemoryLeakWarningPlugin::turnOffNewDeleteOverloads();
     return CommandLineTestRunner::RunAllTests(argc, argv);
 }
