--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -27,7 +27,7 @@
 // How often the settings file is checked for changes, because it may change without a signal.
 constexpr Duration kSettingsPollInterval = std::chrono::seconds(1);
 
-// State that the signal handlers write; the handlers only set flags and wake the loop.
+// State shared with the signal handlers, which only set flags and wake the loop.
 EventLoop *signalledLoop = nullptr;
 volatile std::sig_atomic_t stopRequested = 0;
 volatile std::sig_atomic_t reloadRequested = 0;
@@ -81,8 +81,8 @@
         , timer_(loop, kSettingsPollInterval, [this] { reload(false); })
     {}
 
-    // Rereads the settings. `requested` applies and logs them even if nothing has changed;
-    // otherwise settings and faults that are the same as last time are ignored.
+    // Rereads the settings, and applies or rejects them. Without `requested`, does nothing if the
+    // settings or faults are the same as at the last reload.
     void reload(bool requested)
     {
         const DaemonOptions newOptions = readDaemonOptions(arguments_);
@@ -108,7 +108,8 @@
 private:
     std::vector<std::string> arguments_;
     std::map<std::string, std::string> values_;
-    std::vector<SettingFault> faults_; // Of the last read, to log each set of faults once.
+    std::vector<SettingFault>
+        faults_; // Found at the last reload; kept so that the same faults are not logged again.
     Apply apply_;
     PeriodicTimer timer_;
 };
@@ -150,7 +151,7 @@
 }
 
 // For roles whose settings cannot change at run time.
-constexpr auto kIgnoreNewSettings = [](auto & /*service*/, const DaemonOptions & /*fresh*/) {};
+constexpr auto kIgnoreNewSettings = [](auto & /*service*/, const DaemonOptions & /*newOptions*/) {};
 
 int serveGateway(const DaemonOptions &options)
 {
--- a/src/daemon/options.cpp
+++ b/src/daemon/options.cpp
@@ -139,6 +139,7 @@
 
 GatewayBounds readBounds(SettingsReader &reader)
 {
+    // Largest value of the settings that have no unit and no smaller limit.
     constexpr double kMaxBoundValue = 1e6;
     const GatewayBounds defaults;
     const auto millis = [&reader](std::string_view name, Duration fallback) {
@@ -159,7 +160,8 @@
     return bounds;
 }
 
-// Replaces those of `timings`, which are derived from the bounds, that are set explicitly.
+// Returns `timings`, which are derived from the bounds, with the values that are set explicitly in
+// place of the derived ones.
 GatewayTimings readTimings(SettingsReader &reader, GatewayTimings timings)
 {
     const auto readIfGiven = [&reader](std::string_view name, std::uint64_t minimum,
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -87,7 +87,7 @@
     return found != arguments.end() && found->second.isBool() && found->second.asBool();
 }
 
-// Why input could not be read, and the exit status to report.
+// The reason why an input could not be read, and the exit status to report.
 struct ReadError
 {
     int exitCode = kExitRefused;
