--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,4 +1,4 @@
-// seamarchd: the daemon, in the role of an entry or of an agent.
+// seamarchd: runs one service of the load balancer: an entry, agent, gateway or expert agent.
 #include "agent/agentservice.h"
 #include "base/log.h"
 #include "base/settings.h"
@@ -24,16 +24,17 @@
 constexpr int kExitSettings = 2;
 constexpr int kExitStart = 3;
 
-// How often the settings file is looked at: it may change without a signal.
-constexpr Duration kSettingsGap = std::chrono::seconds(1);
+// How often the settings file is checked for changes, because it may change without a signal.
+constexpr Duration kSettingsPollInterval = std::chrono::seconds(1);
 
+// State shared with the signal handlers, which only set flags and wake the loop.
 EventLoop *signalledLoop = nullptr;
-volatile std::sig_atomic_t stopAsked = 0;
-volatile std::sig_atomic_t reloadAsked = 0;
+volatile std::sig_atomic_t stopRequested = 0;
+volatile std::sig_atomic_t reloadRequested = 0;
 
 void onStopSignal(int /*signal*/)
 {
-    stopAsked = 1;
+    stopRequested = 1;
     if (signalledLoop != nullptr) {
         signalledLoop->interrupt();
     }
@@ -41,13 +42,13 @@
 
 void onReloadSignal(int /*signal*/)
 {
-    reloadAsked = 1;
+    reloadRequested = 1;
     if (signalledLoop != nullptr) {
         signalledLoop->interrupt();
     }
 }
 
-void installSignals(EventLoop &loop)
+void installSignalHandlers(EventLoop &loop)
 {
     signalledLoop = &loop;
     std::signal(SIGTERM, onStopSignal);
@@ -56,7 +57,8 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-int printFaults(const std::vector<SettingFault> &faults)
+// Prints all faults on standard error and returns the exit code to end with.
+int printSettingFaults(const std::vector<SettingFault> &faults)
 {
     for (const SettingFault &fault : faults) {
         fmt::print(stderr, "seamarchd: --{}: {}\n", fault.name, fault.message);
@@ -64,51 +66,56 @@
     return kExitSettings;
 }
 
-// Reads the settings anew when it is told to or when their file has changed, and hands them to
-// `apply`. Settings with a fault change nothing.
-class SettingsReload
+// Rereads the settings periodically and on request, and passes them to `apply` when they have
+// changed or a reload was requested. Settings with faults are logged and leave those in force
+// unchanged.
+class SettingsReloader
 {
 public:
     using Apply = std::function<void(const DaemonOptions &)>;
 
-    SettingsReload(EventLoop &loop, const DaemonOptions &options, Apply apply)
+    SettingsReloader(EventLoop &loop, const DaemonOptions &options, Apply apply)
         : arguments_(options.arguments)
         , values_(options.values)
         , apply_(std::move(apply))
-        , timer_(loop, kSettingsGap, [this] { read(false); })
+        , timer_(loop, kSettingsPollInterval, [this] { reload(false); })
     {}
 
-    void read(bool asked)
+    // Rereads the settings, and applies or rejects them. Without `requested`, does nothing if the
+    // settings or faults are the same as at the last reload.
+    void reload(bool requested)
     {
-        const DaemonOptions fresh = readDaemonOptions(arguments_);
-        const bool news = fresh.faults.empty() ? fresh.values != values_ : fresh.faults != faults_;
-        if (!asked && !news) {
+        const DaemonOptions newOptions = readDaemonOptions(arguments_);
+        const bool differs =
+            newOptions.faults.empty() ? newOptions.values != values_ : newOptions.faults != faults_;
+        if (!requested && !differs) {
             return;
         }
-        faults_ = fresh.faults;
-        if (!fresh.faults.empty()) {
-            const SettingFault &fault = fresh.faults.front();
+        faults_ = newOptions.faults;
+        if (!newOptions.faults.empty()) {
+            const SettingFault &fault = newOptions.faults.front();
             logLine(LogLevel::Warning, "settings.rejected",
                     {{"name", fault.name}, {"fault", fault.message}});
             return;
         }
         logLine(LogLevel::Info, "settings.reloaded",
-                {{"asked", asked}, {"changed", fresh.values != values_}});
-        values_ = fresh.values;
-        setLogLevel(fresh.logLevel);
-        apply_(fresh);
+                {{"asked", requested}, {"changed", newOptions.values != values_}});
+        values_ = newOptions.values;
+        setLogLevel(newOptions.logLevel);
+        apply_(newOptions);
     }
 
 private:
     std::vector<std::string> arguments_;
     std::map<std::string, std::string> values_;
-    std::vector<SettingFault> faults_;
+    std::vector<SettingFault>
+        faults_; // Found at the last reload; kept so that the same faults are not logged again.
     Apply apply_;
     PeriodicTimer timer_;
 };
 
-// Runs a service until it has stopped. `create` makes it on the loop that it is given; `apply`
-// hands it settings that were read anew.
+// Runs a service until it has stopped, and returns the exit code. `create` constructs the service
+// on the given loop; `apply` passes reloaded settings to it.
 template <typename Create, typename ApplySettings>
 int serve(const DaemonOptions &options, Create create, ApplySettings apply)
 {
@@ -122,16 +129,16 @@
         logLine(LogLevel::Error, "start.failed", {{"message", service.error().message}});
         return kExitStart;
     }
-    installSignals(**loop);
-    SettingsReload reload(**loop, options,
-                          [&](const DaemonOptions &fresh) { apply(**service, fresh); });
+    installSignalHandlers(**loop);
+    SettingsReloader reloader(
+        **loop, options, [&](const DaemonOptions &newOptions) { apply(**service, newOptions); });
     (*loop)->setInterruptHandler([&] {
-        if (stopAsked != 0) {
+        if (stopRequested != 0) {
             (*service)->stop();
         }
-        if (reloadAsked != 0) {
-            reloadAsked = 0;
-            reload.read(true);
+        if (reloadRequested != 0) {
+            reloadRequested = 0;
+            reloader.reload(true);
         }
     });
     logLine(LogLevel::Info, "process.started", {{"version", SEAMARCH_VERSION}});
@@ -143,8 +150,8 @@
     return kExitOk;
 }
 
-// The roles whose settings cannot change while they run.
-constexpr auto kNothingToApply = [](auto & /*service*/, const DaemonOptions & /*fresh*/) {};
+// For roles whose settings cannot change at run time.
+constexpr auto kIgnoreNewSettings = [](auto & /*service*/, const DaemonOptions & /*newOptions*/) {};
 
 int serveGateway(const DaemonOptions &options)
 {
@@ -154,8 +161,8 @@
     return serve(
         options,
         [&](EventLoop &loop) { return GatewayService::create(loop, settings, protocol, store); },
-        [](GatewayService &service, const DaemonOptions &fresh) {
-            service.applySettings(*fresh.gateway);
+        [](GatewayService &service, const DaemonOptions &newOptions) {
+            service.applySettings(*newOptions.gateway);
         });
 }
 
@@ -167,13 +174,13 @@
     return serve(
         options,
         [&](EventLoop &loop) { return ExpertAgent::create(loop, settings, store, engines); },
-        kNothingToApply);
+        kIgnoreNewSettings);
 }
 
 int run(const DaemonOptions &options)
 {
     if (!options.faults.empty()) {
-        return printFaults(options.faults);
+        return printSettingFaults(options.faults);
     }
     setLogLevel(options.logLevel);
     if (options.checkOnly) {
@@ -187,7 +194,7 @@
         return serve(
             options,
             [&options](EventLoop &loop) { return EntryService::create(loop, *options.entry); },
-            kNothingToApply);
+            kIgnoreNewSettings);
     }
     if (options.gateway) {
         setLogContext({{"role", "gateway"}, {"instance", options.gateway->instance.value()}});
@@ -201,7 +208,7 @@
     setLogContext({{"role", "agent"}, {"instance", options.agent->instance.value()}});
     return serve(
         options, [&options](EventLoop &loop) { return AgentService::create(loop, *options.agent); },
-        kNothingToApply);
+        kIgnoreNewSettings);
 }
 
 } // namespace
--- a/src/tool/fetch.cpp
+++ b/src/tool/fetch.cpp
@@ -9,35 +9,36 @@
 namespace seamarch {
 namespace {
 
-constexpr Duration kPatience = std::chrono::seconds(10);
+constexpr Duration kFetchTimeout = std::chrono::seconds(10);
 constexpr int kStatusOk = 200;
 
-struct Answer
+struct Response
 {
-    int status = 0;
+    int status = 0; // 0 until the head has arrived.
     std::string body;
-    bool complete = false;
+    bool complete = false; // False if the call failed or timed out.
 };
 
-class Receiver final : public HttpCallReceiver
+// Collects one response and stops the event loop at its end.
+class ResponseReceiver final : public HttpCallReceiver
 {
 public:
-    Receiver(EventLoop &loop, Answer &answer)
+    ResponseReceiver(EventLoop &loop, Response &response)
         : loop_(loop)
-        , answer_(answer)
+        , response_(response)
     {}
 
-    void onHead(HttpHead head) override { answer_.status = head.status; }
-    void onPiece(std::string_view piece) override { answer_.body += piece; }
+    void onHead(HttpHead head) override { response_.status = head.status; }
+    void onPiece(std::string_view piece) override { response_.body += piece; }
     void onEnd(HttpCallEnd end) override
     {
-        answer_.complete = end == HttpCallEnd::Complete;
+        response_.complete = end == HttpCallEnd::Complete;
         loop_.stop();
     }
 
 private:
     EventLoop &loop_;
-    Answer &answer_;
+    Response &response_;
 };
 
 } // namespace
@@ -52,22 +53,22 @@
     if (!client) {
         return tl::unexpected(client.error());
     }
-    Answer answer;
+    Response response;
     HttpCallRequest request;
     request.address = address;
     request.path = path;
-    (*client)->call(std::move(request), std::make_unique<Receiver>(**loop, answer));
-    (*loop)->schedule(kPatience, [&loop] { (*loop)->stop(); });
+    (*client)->call(std::move(request), std::make_unique<ResponseReceiver>(**loop, response));
+    (*loop)->schedule(kFetchTimeout, [&loop] { (*loop)->stop(); });
     (*loop)->run();
     (*loop)->shutDown();
-    if (!answer.complete || answer.status != kStatusOk) {
-        return tl::unexpected(
-            NetError{NetError::Kind::ConnectFailed,
-                     fmt::format("expected an answer of {}:{}{} with status 200, found {}",
-                                 address.host, address.port, path,
-                                 answer.status == 0 ? "none" : std::to_string(answer.status))});
+    if (!response.complete || response.status != kStatusOk) {
+        return tl::unexpected(NetError{
+            NetError::Kind::ConnectFailed,
+            fmt::format("expected a complete response from {}:{}{} with status 200, found {}",
+                        address.host, address.port, path,
+                        response.status == 0 ? "none" : std::to_string(response.status))});
     }
-    return std::move(answer.body);
+    return std::move(response.body);
 }
 
 } // namespace seamarch
--- a/src/tool/main.cpp
+++ b/src/tool/main.cpp
@@ -1,11 +1,12 @@
-// seamarch: the operators' tool. It reads, plans and prints; it publishes nothing.
+// seamarch: the operators' command-line tool. It only reads, plans and prints; it never publishes a
+// configuration.
 #include "base/digest.h"
 #include "base/settings.h"
 #include "config/configplan.h"
 #include "config/parse.h"
 #include "config/versioneddocument.h"
 #include "tool/fetch.h"
-#include "tool/story.h"
+#include "tool/requesttimeline.h"
 
 #include <docopt/docopt.h>
 #include <fmt/format.h>
@@ -44,31 +45,34 @@
   seamarch (-h | --help)
 
 The current configuration comes from the platform's service or from a file. A plan changes nothing;
-'confirm' checks that the configuration is still the one planned on and prints the document to
-publish. 'digest' reads a bearer key from standard input and prints what goes into keySha256.
-'explain' reads the logs of processes and prints the story of one request, with its cause.
+'confirm' checks that the configuration has not changed since the plan was made and prints the
+document to publish. 'digest' reads a bearer key from standard input and prints the value for
+keySha256. 'explain' reads the logs of processes and prints the log lines that concern one request,
+in order of time, and the cause of its outcome.
 
 Options:
   --platform=ADDRESS  IP:PORT of the platform's service.
-  --base=FILE         The current configuration, instead of asking the platform.
-  --instances=FILE    The instance list, instead of asking the platform.
-  --out=FILE          Where to write the plan, for 'confirm'.
+  --base=FILE         Read the current configuration from FILE, not from the platform.
+  --instances=FILE    Read the instance list from FILE, not from the platform.
+  --out=FILE          Write the plan to FILE, for use with 'confirm'.
   --undo              End a drain instead of starting it.
-  --operators=LIST    Operators' addresses of processes, IP:PORT, separated by commas.
+  --operators=LIST    Operator addresses of the processes, IP:PORT, separated by commas.
   --json              Print JSON.
   -h --help           Show this text.
 
-Exit status: 0 done; 1 refused, with the reason; 2 wrong use; 3 not reachable; 4 the configuration
-has changed since the plan was made.
+Exit status: 0 success; 1 refused, with the reason; 2 usage error; 3 not reachable; 4 the
+configuration has changed since the plan was made.
 )";
 
-int fail(int code, const std::string &message)
+// Prints `message` on standard error and returns `code`.
+int failWith(int code, const std::string &message)
 {
     fmt::print(stderr, "seamarch: {}\n", message);
     return code;
 }
 
-std::optional<std::string> textOf(const Arguments &arguments, const char *name)
+// Returns the value of an option that takes one, or nothing if it is not given.
+std::optional<std::string> optionText(const Arguments &arguments, const char *name)
 {
     const auto found = arguments.find(name);
     if (found == arguments.end() || !found->second.isString()) {
@@ -83,7 +87,7 @@
     return found != arguments.end() && found->second.isBool() && found->second.asBool();
 }
 
-// Why something could not be read, with the exit status that goes with it.
+// The reason why an input could not be read, and the exit status to report.
 struct ReadError
 {
     int exitCode = kExitRefused;
@@ -112,14 +116,15 @@
     return *value;
 }
 
-// Reads a document from a file if one is named, else from the platform.
+// Reads a document from the file that `fileOption` names, or from `path` of the platform's service
+// if that option is not given.
 tl::expected<json, ReadError> readDocument(const Arguments &arguments, const char *fileOption,
                                            const std::string &path)
 {
-    if (const auto file = textOf(arguments, fileOption)) {
+    if (const auto file = optionText(arguments, fileOption)) {
         return readJsonFile(*file);
     }
-    const auto platform = textOf(arguments, "--platform");
+    const auto platform = optionText(arguments, "--platform");
     const auto address = platform ? parseHostPort(*platform) : std::nullopt;
     if (!address) {
         return tl::unexpected(ReadError{
@@ -140,7 +145,7 @@
 {
     const auto value = readJsonFile(arguments.at("FILE").asString());
     if (!value) {
-        return fail(value.error().exitCode, value.error().message);
+        return failWith(value.error().exitCode, value.error().message);
     }
     const auto document = readConfig(*value);
     if (isSet(arguments, "--json")) {
@@ -166,7 +171,7 @@
     const auto from = readJsonFile(arguments.at("FROM").asString());
     const auto to = readJsonFile(arguments.at("TO").asString());
     if (!from || !to) {
-        return fail(kExitRefused, (from ? to : from).error().message);
+        return failWith(kExitRefused, (from ? to : from).error().message);
     }
     const json patch = json::diff(*from, *to);
     ConfigFaults faults;
@@ -227,31 +232,31 @@
 {
     const auto intent = readIntent(arguments);
     if (!intent) {
-        return fail(intent.error().exitCode, intent.error().message);
+        return failWith(intent.error().exitCode, intent.error().message);
     }
     const auto base = readDocument(arguments, "--base", "/config");
     if (!base) {
-        return fail(base.error().exitCode, base.error().message);
+        return failWith(base.error().exitCode, base.error().message);
     }
     std::optional<InstanceList> instances;
-    if (textOf(arguments, "--instances") || textOf(arguments, "--platform")) {
+    if (optionText(arguments, "--instances") || optionText(arguments, "--platform")) {
         const auto value = readDocument(arguments, "--instances", "/instances");
         auto list = value ? readInstances(*value) : tl::unexpected(ConfigFaults{});
         if (!list) {
-            return fail(kExitRefused,
-                        "the instance list cannot be read, so the cost cannot be told");
+            return failWith(kExitRefused,
+                            "cannot read the instance list, which the cost is computed from");
         }
         instances = std::move(*list);
     }
     const auto plan = makePlan(*base, *intent, instances);
     if (!plan) {
-        return fail(kExitRefused, plan.error().message);
+        return failWith(kExitRefused, plan.error().message);
     }
-    if (const auto out = textOf(arguments, "--out")) {
+    if (const auto out = optionText(arguments, "--out")) {
         std::ofstream file(*out, std::ios::binary);
         file << planToJson(*plan).dump(2) << '\n';
         if (!file.flush()) {
-            return fail(kExitRefused, fmt::format("cannot write '{}'", *out));
+            return failWith(kExitRefused, fmt::format("cannot write '{}'", *out));
         }
     }
     if (isSet(arguments, "--json")) {
@@ -266,24 +271,24 @@
 {
     const auto value = readJsonFile(arguments.at("PLAN").asString());
     if (!value) {
-        return fail(value.error().exitCode, value.error().message);
+        return failWith(value.error().exitCode, value.error().message);
     }
     const auto plan = planFromJson(*value);
     if (!plan) {
-        return fail(kExitRefused, plan.error().message);
+        return failWith(kExitRefused, plan.error().message);
     }
     const auto digest = parseDigest(arguments.at("DIGEST").asString());
     if (!digest) {
-        return fail(kExitUsage, "expected DIGEST as 16 hexadecimal digits");
+        return failWith(kExitUsage, "expected DIGEST as 16 hexadecimal digits");
     }
     const auto current = readDocument(arguments, "--base", "/config");
     if (!current) {
-        return fail(current.error().exitCode, current.error().message);
+        return failWith(current.error().exitCode, current.error().message);
     }
     const auto document = confirmPlan(*plan, *digest, *current);
     if (!document) {
-        const bool moved = document.error().kind == PlanError::Kind::BaseChanged;
-        return fail(moved ? kExitConflict : kExitRefused, document.error().message);
+        const bool baseMoved = document.error().kind == PlanError::Kind::BaseChanged;
+        return failWith(baseMoved ? kExitConflict : kExitRefused, document.error().message);
     }
     fmt::print("{}\n", document->dump(2));
     return kExitOk;
@@ -291,42 +296,42 @@
 
 int runStatus(const Arguments &arguments)
 {
-    std::istringstream list(arguments.at("--operators").asString());
-    json all = json::array();
+    std::istringstream addresses(arguments.at("--operators").asString());
+    json processes = json::array();
     std::set<std::uint64_t> versions;
     int unreachable = 0;
-    std::string item;
-    while (std::getline(list, item, ',')) {
-        const auto address = parseHostPort(item);
+    std::string addressText;
+    while (std::getline(addresses, addressText, ',')) {
+        const auto address = parseHostPort(addressText);
         if (!address) {
-            return fail(kExitUsage, fmt::format("expected IP:PORT, found '{}'", item));
+            return failWith(kExitUsage, fmt::format("expected IP:PORT, found '{}'", addressText));
         }
         const auto text = fetch({address->host, address->port}, "/status");
-        const json state = text ? json::parse(*text, nullptr, false) : json();
-        if (!state.is_object()) {
+        const json status = text ? json::parse(*text, nullptr, false) : json();
+        if (!status.is_object()) {
             ++unreachable;
-            all.push_back({{"address", item}, {"reachable", false}});
+            processes.push_back({{"address", addressText}, {"reachable", false}});
             continue;
         }
-        versions.insert(state.value("configVersion", 0ULL));
-        all.push_back(state);
+        versions.insert(status.value("configVersion", 0ULL));
+        processes.push_back(status);
     }
     const std::uint64_t highest = versions.empty() ? 0 : *versions.rbegin();
-    const bool everywhere = versions.size() == 1 && unreachable == 0;
+    const bool inForceEverywhere = versions.size() == 1 && unreachable == 0;
     if (isSet(arguments, "--json")) {
-        fmt::print(
-            "{}\n",
-            json{{"processes", all}, {"configVersion", highest}, {"inForceEverywhere", everywhere}}
-                .dump());
+        fmt::print("{}\n", json{{"processes", processes},
+                                {"configVersion", highest},
+                                {"inForceEverywhere", inForceEverywhere}}
+                               .dump());
     } else {
-        for (const json &state : all) {
-            fmt::print("{:<8} {:<20} ready={} config={} list={}\n", state.value("role", "?"),
-                       state.value("instance", state.value("address", "?")),
-                       state.value("ready", false), state.value("configVersion", 0ULL),
-                       state.value("listVersion", 0ULL));
+        for (const json &status : processes) {
+            fmt::print("{:<8} {:<20} ready={} config={} list={}\n", status.value("role", "?"),
+                       status.value("instance", status.value("address", "?")),
+                       status.value("ready", false), status.value("configVersion", 0ULL),
+                       status.value("listVersion", 0ULL));
         }
         fmt::print("configuration {} is {}in force everywhere; {} not reachable\n", highest,
-                   everywhere ? "" : "not ", unreachable);
+                   inForceEverywhere ? "" : "not ", unreachable);
     }
     return unreachable == 0 ? kExitOk : kExitUnreachable;
 }
@@ -336,7 +341,7 @@
     std::string key;
     std::getline(std::cin, key);
     if (key.empty()) {
-        return fail(kExitUsage, "expected a bearer key on standard input, found none");
+        return failWith(kExitUsage, "expected a bearer key on standard input, found none");
     }
     const std::string digest = sha256Hex(key);
     fmt::print("{}\n", isSet(arguments, "--json") ? json{{"keySha256", digest}}.dump() : digest);
@@ -349,30 +354,31 @@
     for (const std::string &path : arguments.at("LOG").asStringList()) {
         auto text = readFile(path);
         if (!text) {
-            return fail(text.error().exitCode, text.error().message);
+            return failWith(text.error().exitCode, text.error().message);
         }
         texts.push_back(std::move(*text));
     }
-    const Story story = readStory(arguments.at("ID").asString(), texts);
-    if (story.unreadable > 0) {
-        fmt::print(stderr, "seamarch: passed over {} lines that are no log lines\n",
-                   story.unreadable);
+    const RequestTimeline timeline = readRequestTimeline(arguments.at("ID").asString(), texts);
+    if (timeline.unreadableLines > 0) {
+        fmt::print(stderr, "seamarch: skipped {} lines that are not log lines\n",
+                   timeline.unreadableLines);
     }
-    if (!story.found()) {
-        return fail(kExitRefused,
-                    fmt::format("no line of these files carries the id '{}'; give the "
-                                "logs of all gateways",
-                                story.id));
+    if (!timeline.found()) {
+        return failWith(kExitRefused,
+                        fmt::format("no line of these files has the id '{}'; give the "
+                                    "logs of all gateways",
+                                    timeline.id));
     }
     if (isSet(arguments, "--json")) {
-        fmt::print("{}\n",
-                   json{{"id", story.id}, {"cause", story.cause}, {"lines", story.lines}}.dump());
+        fmt::print(
+            "{}\n",
+            json{{"id", timeline.id}, {"cause", timeline.cause}, {"lines", timeline.lines}}.dump());
         return kExitOk;
     }
-    for (const json &line : story.lines) {
+    for (const json &line : timeline.lines) {
         fmt::print("{}\n", describeLine(line));
     }
-    fmt::print("cause: {}\n", story.cause);
+    fmt::print("cause: {}\n", timeline.cause);
     return kExitOk;
 }
 
@@ -397,7 +403,7 @@
         fmt::print("{}", kUsage);
         return kExitOk;
     } catch (const std::exception &error) {
-        return fail(kExitUsage, fmt::format("{}; see 'seamarch --help'", error.what()));
+        return failWith(kExitUsage, fmt::format("{}; see 'seamarch --help'", error.what()));
     }
     for (const auto &[name, command] : kCommands) {
         if (isSet(arguments, name)) {
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -8,39 +8,47 @@
 
 using nlohmann::json;
 
-// A batching model engine behind the common JSON form. The answer to a prompt is the prompt's last
-// message with a number before each word, so that a caller can check that the answer is its own.
-// Control: {"stepMs": 5} between tokens, {"dieAfter": N} aborts each answer after N tokens,
-// {"stalled": true} stops all streams, {"loadMs": N} is how long a load takes, {"ignoresFences":
-// true} takes orders under any fence.
+// A batching model engine with the common completion API in JSON. Each token of an answer is the
+// token's number followed by the prompt (in a chat, its last message), so that a caller can verify
+// that the answer is its own.
+//
+// Control settings:
+//   {"stepMs": N}             time between tokens; 0: only streamed answers take time
+//   {"dieAfter": N}           aborts each answer in place of its Nth token; 0: never
+//   {"stalled": true}         produces no tokens in any stream
+//   {"loadMs": N}             time that loading a version takes
+//   {"ignoresFences": true}   accepts orders with an outdated fence, and counts them ("lowFences")
 class Engine final : public StandIn
 {
 public:
     using StandIn::StandIn;
 
 private:
+    // An answer in progress.
     struct Stream
     {
-        std::string text;
-        bool streamed = false;
+        std::string text;      // The prompt, repeated in each token.
+        bool streamed = false; // The answer is sent as an event stream, not in one response.
         bool chat = false;
-        std::uint64_t tokens = 0;
+        std::uint64_t maxTokens = 0;
         std::uint64_t produced = 0;
         std::string model;
     };
 
+    // Accepts an order to load a version, unless its fence is lower than the highest one so far,
+    // and reports the state of the load.
     void serveOrder(ExchangeId exchange, const HttpRequest &request, const json &body)
     {
         if (request.method == "POST") {
             const auto fence = body.value("fence", 0ULL);
-            if (fence < fence_ && !ignoresFences_) {
+            if (fence < fence_ && !ignoreFences_) {
                 respondJson(exchange, 409, orderState());
                 return;
             }
-            lowFences_ += fence < fence_ ? 1 : 0;
+            staleFenceOrders_ += fence < fence_ ? 1 : 0;
             fence_ = fence;
             loading_ = true;
-            loop().schedule(std::chrono::milliseconds(loadMs_),
+            loop().schedule(std::chrono::milliseconds(loadTimeMs_),
                             [this, version = body.value("version", "")] {
                                 version_ = version;
                                 loading_ = false;
@@ -54,7 +62,7 @@
         return {{"version", version_}, {"fence", fence_}, {"loading", loading_}};
     }
 
-    static std::string lastText(const json &body, bool chat)
+    static std::string promptText(const json &body, bool chat)
     {
         if (!chat) {
             return body.contains("prompt") && body["prompt"].is_string()
@@ -78,14 +86,14 @@
         }
         Stream stream;
         stream.chat = request.path == "/v1/chat/completions";
-        stream.text = lastText(body, stream.chat);
+        stream.text = promptText(body, stream.chat);
         stream.streamed = body.value("stream", false);
         stream.model = body.value("model", "");
-        stream.tokens = body.value("max_tokens", 16ULL);
-        ++runs_;
-        if (stepMs_ == 0 && !stream.streamed) {
-            stream.produced = stream.tokens;
-            respondWhole(exchange, stream);
+        stream.maxTokens = body.value("max_tokens", 16ULL);
+        ++requests_;
+        if (tokenIntervalMs_ == 0 && !stream.streamed) {
+            stream.produced = stream.maxTokens;
+            respondCompletion(exchange, stream);
             return;
         }
         if (stream.streamed) {
@@ -94,29 +102,29 @@
             server().begin(exchange, head);
         }
         streams_.emplace(exchange, std::move(stream));
-        next(exchange);
+        scheduleStep(exchange);
     }
 
-    void next(ExchangeId exchange)
+    void scheduleStep(ExchangeId exchange)
     {
-        loop().schedule(std::chrono::milliseconds(std::max(1, stepMs_)),
-                        [this, exchange] { step(exchange); });
+        loop().schedule(std::chrono::milliseconds(std::max(1, tokenIntervalMs_)),
+                        [this, exchange] { produceToken(exchange); });
     }
 
-    void step(ExchangeId exchange)
+    void produceToken(ExchangeId exchange)
     {
         const auto found = streams_.find(exchange);
         if (found == streams_.end()) {
             return;
         }
         if (stalled_) {
-            next(exchange);
+            scheduleStep(exchange);
             return;
         }
         Stream &stream = found->second;
         ++stream.produced;
-        ++tokens_;
-        if (dieAfter_ != 0 && stream.produced >= dieAfter_) {
+        ++producedTokens_;
+        if (abortAfterTokens_ != 0 && stream.produced >= abortAfterTokens_) {
             streams_.erase(found);
             server().abort(exchange);
             return;
@@ -125,14 +133,15 @@
             const std::string word = fmt::format("{}:{} ", stream.produced, stream.text);
             server().write(exchange, "data: " + chunk(stream, word).dump() + "\n\n");
         }
-        if (stream.produced < stream.tokens) {
-            next(exchange);
+        if (stream.produced < stream.maxTokens) {
+            scheduleStep(exchange);
             return;
         }
-        finish(exchange, stream);
+        finishStream(exchange, stream);
         streams_.erase(exchange);
     }
 
+    // Returns the event of one token.
     static json chunk(const Stream &stream, const std::string &word)
     {
         json choice = {{"index", 0}, {"finish_reason", nullptr}};
@@ -148,20 +157,21 @@
                 {"choices", json::array({choice})}};
     }
 
-    void finish(ExchangeId exchange, const Stream &stream)
+    void finishStream(ExchangeId exchange, const Stream &stream)
     {
         if (!stream.streamed) {
-            respondWhole(exchange, stream);
+            respondCompletion(exchange, stream);
             return;
         }
         server().write(exchange, "data: [DONE]\n\n");
         server().finish(exchange);
     }
 
-    void respondWhole(ExchangeId exchange, const Stream &stream)
+    // Sends the complete answer in one response.
+    void respondCompletion(ExchangeId exchange, const Stream &stream)
     {
         std::string text;
-        for (std::uint64_t index = 1; index <= stream.tokens; ++index) {
+        for (std::uint64_t index = 1; index <= stream.maxTokens; ++index) {
             text += fmt::format("{}:{} ", index, stream.text);
         }
         json choice = {{"index", 0}, {"finish_reason", "stop"}};
@@ -179,37 +189,38 @@
                      {"choices", json::array({choice})},
                      {"usage",
                       {{"prompt_tokens", prompt},
-                       {"completion_tokens", stream.tokens},
-                       {"total_tokens", prompt + stream.tokens}}}});
+                       {"completion_tokens", stream.maxTokens},
+                       {"total_tokens", prompt + stream.maxTokens}}}});
     }
 
     void onCallerGone(ExchangeId exchange) override { cancelled_ += streams_.erase(exchange); }
 
     json control(const json &change) override
     {
-        stepMs_ = change.value("stepMs", stepMs_);
-        dieAfter_ = change.value("dieAfter", dieAfter_);
+        tokenIntervalMs_ = change.value("stepMs", tokenIntervalMs_);
+        abortAfterTokens_ = change.value("dieAfter", abortAfterTokens_);
         stalled_ = change.value("stalled", stalled_);
-        loadMs_ = change.value("loadMs", loadMs_);
-        ignoresFences_ = change.value("ignoresFences", ignoresFences_);
-        return {{"runs", runs_},       {"running", streams_.size()}, {"cancelled", cancelled_},
-                {"version", version_}, {"loading", loading_},        {"lowFences", lowFences_},
-                {"tokens", tokens_}};
+        loadTimeMs_ = change.value("loadMs", loadTimeMs_);
+        ignoreFences_ = change.value("ignoresFences", ignoreFences_);
+        return {{"runs", requests_},        {"running", streams_.size()},
+                {"cancelled", cancelled_},  {"version", version_},
+                {"loading", loading_},      {"lowFences", staleFenceOrders_},
+                {"tokens", producedTokens_}};
     }
 
     std::map<ExchangeId, Stream> streams_;
-    std::uint64_t runs_ = 0;
+    std::uint64_t requests_ = 0;
     std::uint64_t cancelled_ = 0;
-    std::uint64_t dieAfter_ = 0;
-    int stepMs_ = 2;
+    std::uint64_t abortAfterTokens_ = 0;
+    int tokenIntervalMs_ = 2;
     bool stalled_ = false;
     std::string version_ = "v1";
-    std::uint64_t fence_ = 0;
-    std::uint64_t lowFences_ = 0;
-    std::uint64_t tokens_ = 0; // Produced over all streams.
-    int loadMs_ = 200;
+    std::uint64_t fence_ = 0; // Of the last accepted order.
+    std::uint64_t staleFenceOrders_ = 0;
+    std::uint64_t producedTokens_ = 0; // Over all streams.
+    int loadTimeMs_ = 200;
     bool loading_ = false;
-    bool ignoresFences_ = false;
+    bool ignoreFences_ = false;
 };
 
 } // namespace
--- a/standins/platform.cpp
+++ b/standins/platform.cpp
@@ -8,9 +8,11 @@
 
 using nlohmann::json;
 
-constexpr Duration kWatchTime = std::chrono::seconds(5);
+// How long a watch waits for a newer version before it is answered with 304.
+constexpr Duration kWatchTimeout = std::chrono::seconds(5);
 
-std::uint64_t afterOf(const std::string &query)
+// Returns the query parameter `after`, or 0 if there is none.
+std::uint64_t afterParameter(const std::string &query)
 {
     const std::size_t at = query.find("after=");
     std::uint64_t value = 0;
@@ -20,8 +22,14 @@
     return value;
 }
 
-// The platform's service: two documents with waiting watches. Control: {"config": {...}},
-// {"instances": {...}}, {"down": true}, {"serveOld": true} (serves the first documents again).
+// The platform's service: serves the configuration and the instance list, each with long-poll
+// watches.
+//
+// Control settings:
+//   {"config": {...}}      replaces the configuration
+//   {"instances": {...}}   replaces the instance list
+//   {"down": true}         aborts all requests
+//   {"serveOld": true}     serves the first version of each document again
 class Platform final : public StandIn
 {
 public:
@@ -46,9 +54,11 @@
             respondJson(exchange, 404, {{"error", "no document"}});
             return;
         }
-        answerOrWait(exchange, request.path, afterOf(request.query));
+        answerOrWait(exchange, request.path, afterParameter(request.query));
     }
 
+    // Responds with the document if its version is higher than `after`; otherwise holds the request
+    // as a pending watch.
     void answerOrWait(ExchangeId exchange, const std::string &path, std::uint64_t after)
     {
         const Document &document = documents_.at(path);
@@ -57,9 +67,9 @@
             respondJson(exchange, 200, served);
             return;
         }
-        waiting_[exchange] = {path, after};
-        loop().schedule(kWatchTime, [this, exchange] {
-            if (waiting_.erase(exchange) != 0) {
+        pendingWatches_[exchange] = {path, after};
+        loop().schedule(kWatchTimeout, [this, exchange] {
+            if (pendingWatches_.erase(exchange) != 0) {
                 HttpResponseHead head;
                 head.status = 304;
                 server().respond(exchange, head, {});
@@ -67,7 +77,7 @@
         });
     }
 
-    void onCallerGone(ExchangeId exchange) override { waiting_.erase(exchange); }
+    void onCallerGone(ExchangeId exchange) override { pendingWatches_.erase(exchange); }
 
     json control(const json &change) override
     {
@@ -81,15 +91,16 @@
         }
         down_ = change.value("down", down_);
         serveOld_ = change.value("serveOld", serveOld_);
-        wake();
-        return {{"calls", calls_}, {"waiting", waiting_.size()}};
+        answerPendingWatches();
+        return {{"calls", calls_}, {"waiting", pendingWatches_.size()}};
     }
 
-    void wake()
+    // Checks all pending watches again after a change.
+    void answerPendingWatches()
     {
-        const auto waiting = std::move(waiting_);
-        waiting_.clear();
-        for (const auto &[exchange, watch] : waiting) {
+        const auto watches = std::move(pendingWatches_);
+        pendingWatches_.clear();
+        for (const auto &[exchange, watch] : watches) {
             if (down_) {
                 server().abort(exchange);
             } else {
@@ -99,7 +110,8 @@
     }
 
     std::map<std::string, Document> documents_;
-    std::map<ExchangeId, std::pair<std::string, std::uint64_t>> waiting_;
+    // Path and `after` of each.
+    std::map<ExchangeId, std::pair<std::string, std::uint64_t>> pendingWatches_;
     std::uint64_t calls_ = 0;
     bool down_ = false;
     bool serveOld_ = false;
--- a/standins/replica.cpp
+++ b/standins/replica.cpp
@@ -12,24 +12,35 @@
 using nlohmann::json;
 namespace names = seamarch::platform;
 
-// An upstream of the platform: answers with its proof, and streams events under /stream. Control:
-// {"id": ID}, {"delayMs": N}, {"full": true} refuses, {"fail": true} answers 500,
-// {"dropAnswers": true} runs and breaks the connection, {"breakAfter": N} breaks a stream inside
-// event N + 1, {"foreignId": true} answers with another request's id, {"endsOn": TEXT} ends the
-// process in the middle of the answer to a request whose body has TEXT, {"rest": TEXT} asks for
-// that many seconds of rest when it refuses, {"leaving": true} says in all answers that it leaves,
-// {"weights": TEXT} refuses requests that expect another version of its weights,
-// {"limit": TEXT} names that limit in all answers, {"limit": ""} names none any more.
-// Reports every arrival: {"id": ID, "ms": N, "refused": BOOL, "rest": TEXT}, times by its own
-// clock.
+// An upstream of the platform. Responds with its signature; streams 10 events if the path contains
+// `/stream`.
+//
+// Control settings:
+//   {"id": ID}              its instance id; answers 421 to requests for another instance
+//   {"delayMs": N}          time before the answer and between events
+//   {"full": true}          refuses requests with 503, marked as not executed
+//   {"rest": TEXT}          seconds to wait (retry-after) that a refusal names; empty: none
+//   {"fail": true}          answers 500
+//   {"dropAnswers": true}   runs requests, then aborts the connection
+//   {"breakAfter": N}       aborts each stream in the middle of event N + 1
+//   {"foreignId": true}     answers with the id of another request
+//   {"lies": true}          runs every request but marks every third as not executed
+//   {"endsOn": TEXT}        ends the process while it runs a request whose body contains TEXT
+//   {"leaving": true}       announces in all answers that it is leaving
+//   {"weights": TEXT}       answers 421 to requests that expect another version of its weights
+//   {"limit": TEXT}         announces this rate limit in all answers; empty: none
+//
+// The control response lists each arrival as {"id": ID, "ms": N, "refused": BOOL, "rest": TEXT};
+// its times are those of the stand-in's own clock.
 class Replica final : public StandIn
 {
 public:
     using StandIn::StandIn;
 
 private:
-    static constexpr int kEvents = 10;
-    static constexpr int kEndedByRequest = 70;
+    static constexpr int kEventsPerStream = 10;
+    // Exit code when a request ends the process.
+    static constexpr int kExitEndedByRequest = 70;
 
     void serve(ExchangeId exchange, const HttpRequest &request) override
     {
@@ -48,20 +59,20 @@
             return;
         }
         const std::string expected = request.header(names::kExpectedVersion);
-        if (!expected.empty() && expected != weights_) {
+        if (!expected.empty() && expected != weightsVersion_) {
             head.status = 421;
             server().respond(exchange, head, "{}");
             return;
         }
         arrivals_.push_back({{"id", requestId},
                              {"ms", toMillis(loop().now().time_since_epoch())},
-                             {"refused", full_},
-                             {"rest", full_ ? rest_ : std::string()}});
-        if (full_) {
+                             {"refused", refuse_},
+                             {"rest", refuse_ ? retryAfter_ : std::string()}});
+        if (refuse_) {
             head.status = 503;
             head.headers.push_back({std::string(names::kNotExecuted), "1"});
-            if (!rest_.empty()) {
-                head.headers.push_back({std::string(names::kRetryAfter), rest_});
+            if (!retryAfter_.empty()) {
+                head.headers.push_back({std::string(names::kRetryAfter), retryAfter_});
             }
             server().respond(exchange, head, "{}");
             return;
@@ -75,7 +86,7 @@
         if (foreignId_) {
             head.headers.front().value = "another";
         }
-        if (lies_ && runs_.size() % 3 == 0) {
+        if (claimNotExecuted_ && runs_.size() % 3 == 0) {
             head.status = 503;
             head.headers.push_back({std::string(names::kNotExecuted), "1"});
             server().respond(exchange, head, "{}");
@@ -83,39 +94,42 @@
         }
         head.status = fail_ ? 500 : 200;
         const bool streams = request.path.find("/stream") != std::string::npos;
-        const int first = request.header(names::kResumeAfter).empty()
-                              ? 1
-                              : std::stoi(request.header(names::kResumeAfter)) + 1;
-        const bool ends = !endsOn_.empty() && request.body.find(endsOn_) != std::string::npos;
-        open_.insert(exchange);
+        const int firstEvent = request.header(names::kResumeAfter).empty()
+                                   ? 1
+                                   : std::stoi(request.header(names::kResumeAfter)) + 1;
+        const bool exits =
+            !exitOnBodyText_.empty() && request.body.find(exitOnBodyText_) != std::string::npos;
+        openExchanges_.insert(exchange);
         loop().schedule(std::chrono::milliseconds(delayMs_),
-                        [this, exchange, head, streams, first, ends] {
-                            if (ends) {
-                                std::_Exit(kEndedByRequest);
+                        [this, exchange, head, streams, firstEvent, exits] {
+                            if (exits) {
+                                std::_Exit(kExitEndedByRequest);
                             }
-                            answer(exchange, head, streams, first);
+                            answer(exchange, head, streams, firstEvent);
                         });
     }
 
-    void answer(ExchangeId exchange, HttpResponseHead head, bool streams, int first)
+    // Answers a request that has run. A stream begins with event `firstEvent`.
+    void answer(ExchangeId exchange, HttpResponseHead head, bool streams, int firstEvent)
     {
         if (dropAnswers_) {
             server().abort(exchange);
             return;
         }
         if (!streams) {
-            open_.erase(exchange);
+            openExchanges_.erase(exchange);
             server().respond(exchange, head, R"({"served":true})");
             return;
         }
         head.contentType = "text/event-stream";
         server().begin(exchange, head);
-        event(exchange, first);
+        sendEvent(exchange, firstEvent);
     }
 
-    void event(ExchangeId exchange, int number)
+    // Sends event `number` of a stream and schedules the next.
+    void sendEvent(ExchangeId exchange, int number)
     {
-        if (!open_.contains(exchange)) {
+        if (!openExchanges_.contains(exchange)) {
             return;
         }
         if (breakAfter_ > 0 && number > breakAfter_) {
@@ -124,19 +138,19 @@
             return;
         }
         server().write(exchange, fmt::format("id: {0}\ndata: token {0}\n\n", number));
-        if (number == kEvents) {
-            open_.erase(exchange);
+        if (number == kEventsPerStream) {
+            openExchanges_.erase(exchange);
             server().finish(exchange);
             return;
         }
         loop().schedule(std::chrono::milliseconds(std::max(1, delayMs_)),
-                        [this, exchange, number] { event(exchange, number + 1); });
+                        [this, exchange, number] { sendEvent(exchange, number + 1); });
     }
 
     void onCallerGone(ExchangeId exchange) override
     {
-        if (open_.erase(exchange) > 0) {
-            ++left_;
+        if (openExchanges_.erase(exchange) > 0) {
+            ++callersGone_;
         }
     }
 
@@ -144,20 +158,20 @@
     {
         id_ = change.value("id", id_);
         delayMs_ = change.value("delayMs", delayMs_);
-        full_ = change.value("full", full_);
+        refuse_ = change.value("full", refuse_);
         fail_ = change.value("fail", fail_);
         dropAnswers_ = change.value("dropAnswers", dropAnswers_);
         breakAfter_ = change.value("breakAfter", breakAfter_);
         foreignId_ = change.value("foreignId", foreignId_);
-        lies_ = change.value("lies", lies_);
-        endsOn_ = change.value("endsOn", endsOn_);
-        rest_ = change.value("rest", rest_);
+        claimNotExecuted_ = change.value("lies", claimNotExecuted_);
+        exitOnBodyText_ = change.value("endsOn", exitOnBodyText_);
+        retryAfter_ = change.value("rest", retryAfter_);
         leaving_ = change.value("leaving", leaving_);
         limit_ = change.value("limit", limit_);
-        weights_ = change.value("weights", weights_);
+        weightsVersion_ = change.value("weights", weightsVersion_);
         return {{"runs", runs_},
-                {"left", left_},
-                {"open", open_.size()},
+                {"left", callersGone_},
+                {"open", openExchanges_.size()},
                 {"arrivals", arrivals_},
                 {"nowMs", toMillis(loop().now().time_since_epoch())}};
     }
@@ -165,20 +179,20 @@
     std::string id_;
     std::vector<json> runs_;
     std::vector<json> arrivals_;
-    std::set<ExchangeId> open_;
+    std::set<ExchangeId> openExchanges_;
     int delayMs_ = 1;
     int breakAfter_ = 0;
-    int left_ = 0;
-    bool full_ = false;
+    int callersGone_ = 0; // Callers that left before the end of their answer.
+    bool refuse_ = false;
     bool fail_ = false;
     bool dropAnswers_ = false;
     bool foreignId_ = false;
-    bool lies_ = false;
+    bool claimNotExecuted_ = false;
     bool leaving_ = false;
-    std::string endsOn_;
-    std::string rest_;
+    std::string exitOnBodyText_;
+    std::string retryAfter_;
     std::string limit_;
-    std::string weights_;
+    std::string weightsVersion_;
 };
 
 } // namespace
--- a/standins/service.cpp
+++ b/standins/service.cpp
@@ -8,11 +8,16 @@
 
 using nlohmann::json;
 
-// A plain service that records every run by the body it was given. Control: {"delayMs": N},
-// {"dropAnswers": true} runs and then breaks the connection, {"endsOn": TEXT} ends the process when
-// it runs a request whose body has TEXT, {"rest": TEXT} refuses everything and asks for that many
-// seconds of rest (empty: takes requests again), {"list": true} lists the runs and, under
-// "refusedMs", when it refused, by its own clock.
+// A plain service that records the body of each request that it runs.
+//
+// Control settings:
+//   {"delayMs": N}          time before the answer
+//   {"dropAnswers": true}   runs requests, then aborts the connection
+//   {"endsOn": TEXT}        ends the process when it runs a request whose body contains TEXT
+//   {"rest": TEXT}          refuses all requests with 503 and asks the caller to wait for that many
+//                           seconds (retry-after); empty: accepts requests again
+//   {"list": true}          adds to this response the bodies of all runs and, as "refusedMs", the
+//                           times of all refusals by the stand-in's own clock
 class Service final : public StandIn
 {
 public:
@@ -21,17 +26,17 @@
 private:
     void serve(ExchangeId exchange, const HttpRequest &request) override
     {
-        if (!rest_.empty()) {
+        if (!retryAfter_.empty()) {
             refusedMs_.push_back(toMillis(loop().now().time_since_epoch()));
             HttpResponseHead head;
             head.status = 503;
-            head.headers.push_back({"Retry-After", rest_});
+            head.headers.push_back({"Retry-After", retryAfter_});
             server().respond(exchange, head, "{}");
             return;
         }
         runs_.push_back(request.body);
-        if (!endsOn_.empty() && request.body.find(endsOn_) != std::string::npos) {
-            std::_Exit(kEndedByRequest);
+        if (!exitOnBodyText_.empty() && request.body.find(exitOnBodyText_) != std::string::npos) {
+            std::_Exit(kExitEndedByRequest);
         }
         const json answer = {{"echo", request.body}, {"run", runs_.size()}};
         loop().schedule(std::chrono::milliseconds(std::max(1, delayMs_)), [this, exchange, answer] {
@@ -47,8 +52,8 @@
     {
         delayMs_ = change.value("delayMs", delayMs_);
         dropAnswers_ = change.value("dropAnswers", dropAnswers_);
-        endsOn_ = change.value("endsOn", endsOn_);
-        rest_ = change.value("rest", rest_);
+        exitOnBodyText_ = change.value("endsOn", exitOnBodyText_);
+        retryAfter_ = change.value("rest", retryAfter_);
         json state = {{"runs", runs_.size()}};
         if (change.value("list", false)) {
             state["bodies"] = runs_;
@@ -57,12 +62,13 @@
         return state;
     }
 
-    static constexpr int kEndedByRequest = 70;
+    // Exit code when a request ends the process.
+    static constexpr int kExitEndedByRequest = 70;
 
     std::vector<std::string> runs_;
     std::vector<std::int64_t> refusedMs_;
-    std::string rest_;
-    std::string endsOn_;
+    std::string retryAfter_;
+    std::string exitOnBodyText_;
     int delayMs_ = 1;
     bool dropAnswers_ = false;
 };
--- a/standins/store.cpp
+++ b/standins/store.cpp
@@ -13,7 +13,8 @@
 using nlohmann::json;
 namespace names = seamarch::platform;
 
-std::string parameter(const std::string &query, const std::string &name)
+// Returns a parameter of a query string, or an empty string if there is none.
+std::string queryParameter(const std::string &query, const std::string &name)
 {
     const std::size_t at = ("&" + query).find("&" + name + "=");
     if (at == std::string::npos) {
@@ -23,7 +24,8 @@
     return rest.substr(0, rest.find('&'));
 }
 
-std::uint64_t numberOf(const std::string &text)
+// Returns the number that `text` begins with, or 0.
+std::uint64_t parseNumber(const std::string &text)
 {
     std::uint64_t value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
@@ -32,9 +34,9 @@
 
 std::string encodeBase64(const std::string &text)
 {
-    constexpr std::size_t kBytes = 3;
-    constexpr std::size_t kGroup = 4;
-    std::string encoded((text.size() + kBytes - 1) / kBytes * kGroup + 1, '\0');
+    constexpr std::size_t kInputBytes = 3;
+    constexpr std::size_t kOutputChars = 4;
+    std::string encoded((text.size() + kInputBytes - 1) / kInputBytes * kOutputChars + 1, '\0');
     const int size = EVP_EncodeBlock(reinterpret_cast<unsigned char *>(encoded.data()),
                                      reinterpret_cast<const unsigned char *>(text.data()),
                                      static_cast<int>(text.size()));
@@ -42,16 +44,25 @@
     return encoded;
 }
 
-// The platform's store of items with waiting watches. Control: {"put": {KEY: VALUE}},
-// {"remove": [KEY]}, {"busy": true} refuses, {"silent": true} says nothing, {"forget": true} drops
-// the history, {"copy": true} keeps a copy of all items, {"goBack": true} goes back to that copy:
-// its revision counts on from there, and the era that all answers tell rises by one.
+// The platform's store: a revisioned key-value store with long-poll watches.
+//
+// Control settings:
+//   {"put": {KEY: VALUE}}   adds or replaces items
+//   {"remove": [KEY]}       removes items
+//   {"busy": true}          refuses requests with 503
+//   {"silent": true}        does not answer requests
+//   {"forget": true}        drops the history; watches from an earlier revision get 410
+//   {"copy": true}          makes a backup of all items
+//   {"restoreBackup": true}        restores the backup: the revision continues from the backup's,
+//   and
+//                           the era that all answers carry rises by one
 class Store final : public StandIn
 {
 public:
     using StandIn::StandIn;
 
 private:
+    // A watch that waits for changes after a revision.
     struct Watch
     {
         std::uint64_t after = 0;
@@ -60,7 +71,7 @@
     void serve(ExchangeId exchange, const HttpRequest &request) override
     {
         ++calls_;
-        if (silent_) {
+        if (unresponsive_) {
             return;
         }
         if (busy_) {
@@ -93,6 +104,7 @@
         return {{"items", items}, {"more-pages", false}, {"current-rev", revision_}};
     }
 
+    // Returns the items that were put or removed after `revision`.
     json changesAfter(std::uint64_t revision) const
     {
         json events = json::array();
@@ -106,8 +118,8 @@
 
     void watch(ExchangeId exchange, const std::string &query)
     {
-        const std::uint64_t after = numberOf(parameter(query, "since-rev"));
-        if (after < forgottenUpTo_ || after > revision_) {
+        const std::uint64_t after = parseNumber(queryParameter(query, "since-rev"));
+        if (after < compactedRevision_ || after > revision_) {
             reply(exchange, 410, {{"error", "history gone"}});
             return;
         }
@@ -115,33 +127,34 @@
             reply(exchange, 200, changesAfter(after));
             return;
         }
-        waiting_[exchange] = {after};
-        const std::uint64_t wait = numberOf(parameter(query, "wait-ms"));
+        pendingWatches_[exchange] = {after};
+        const std::uint64_t wait = parseNumber(queryParameter(query, "wait-ms"));
         loop().schedule(std::chrono::milliseconds(wait),
-                        [this, exchange] { answerWaiting(exchange); });
+                        [this, exchange] { answerWatch(exchange); });
     }
 
-    void answerWaiting(ExchangeId exchange)
+    // Ends a pending watch with the changes up to now, which may be none.
+    void answerWatch(ExchangeId exchange)
     {
-        const auto found = waiting_.find(exchange);
-        if (found == waiting_.end()) {
+        const auto found = pendingWatches_.find(exchange);
+        if (found == pendingWatches_.end()) {
             return;
         }
         const std::uint64_t after = found->second.after;
-        waiting_.erase(found);
-        if (!silent_) {
+        pendingWatches_.erase(found);
+        if (!unresponsive_) {
             reply(exchange, 200, changesAfter(after));
         }
     }
 
-    void onCallerGone(ExchangeId exchange) override { waiting_.erase(exchange); }
+    void onCallerGone(ExchangeId exchange) override { pendingWatches_.erase(exchange); }
 
-    void goBack()
+    void restoreBackup()
     {
-        std::tie(items_, revision_) = copy_;
-        forgottenUpTo_ = 0;
+        std::tie(items_, revision_) = backup_;
+        compactedRevision_ = 0;
         ++era_;
-        for (const auto &[exchange, watch] : std::exchange(waiting_, {})) {
+        for (const auto &[exchange, watch] : std::exchange(pendingWatches_, {})) {
             server().abort(exchange);
         }
     }
@@ -149,16 +162,16 @@
     json control(const json &change) override
     {
         if (change.value("copy", false)) {
-            copy_ = {items_, revision_};
+            backup_ = {items_, revision_};
         }
         if (change.value("goBack", false)) {
-            goBack();
+            restoreBackup();
         }
         const json puts = change.value("put", json::object());
         for (const auto &[key, value] : puts.items()) {
-            const auto held = items_.find(key);
-            const bool isNew = held == items_.end() || held->second.contains("removed");
-            const json created = isNew ? json(revision_ + 1) : held->second.at("created");
+            const auto existing = items_.find(key);
+            const bool isNew = existing == items_.end() || existing->second.contains("removed");
+            const json created = isNew ? json(revision_ + 1) : existing->second.at("created");
             items_[key] = {{"key-file", key},
                            {"value", encodeBase64(value.dump())},
                            {"created", created},
@@ -169,25 +182,25 @@
             items_[name] = {{"key-file", name}, {"revision", ++revision_}, {"removed", true}};
         }
         busy_ = change.value("busy", busy_);
-        silent_ = change.value("silent", silent_);
+        unresponsive_ = change.value("silent", unresponsive_);
         if (change.value("forget", false)) {
-            forgottenUpTo_ = ++revision_;
+            compactedRevision_ = ++revision_;
         }
-        while (!waiting_.empty() && (change.contains("put") || change.contains("remove"))) {
-            answerWaiting(waiting_.begin()->first);
+        while (!pendingWatches_.empty() && (change.contains("put") || change.contains("remove"))) {
+            answerWatch(pendingWatches_.begin()->first);
         }
         return {{"calls", calls_}, {"revision", revision_}};
     }
 
-    std::map<std::string, json> items_;
-    std::pair<std::map<std::string, json>, std::uint64_t> copy_;
-    std::map<ExchangeId, Watch> waiting_;
+    std::map<std::string, json> items_; // By key; removed items stay, marked as removed.
+    std::pair<std::map<std::string, json>, std::uint64_t> backup_;
+    std::map<ExchangeId, Watch> pendingWatches_;
     std::uint64_t revision_ = 1;
-    std::uint64_t forgottenUpTo_ = 0;
+    std::uint64_t compactedRevision_ = 0; // The history before this revision is gone.
     std::uint64_t calls_ = 0;
     std::uint64_t era_ = 1;
     bool busy_ = false;
-    bool silent_ = false;
+    bool unresponsive_ = false;
 };
 
 } // namespace
--- a/test/fuzz/fuzz_inputs.cpp
+++ b/test/fuzz/fuzz_inputs.cpp
@@ -1,7 +1,7 @@
-// Fuzz target over the two places where a stranger's bytes are read: callers' requests and
-// documents.
+// Fuzz target for the two parsers of untrusted input: callers' requests and JSON documents.
 //
-// Built by `scripts/fuzz` with libFuzzer. The first byte chooses what the rest is read as.
+// Built by `scripts/fuzz` with libFuzzer. The first byte of an input selects the parser for the
+// rest.
 #include "config/configplan.h"
 #include "config/parse.h"
 #include "config/versioneddocument.h"
@@ -16,6 +16,7 @@
 
 using namespace seamarch;
 
+// Returns a directory with one client account, one model and one service.
 const ConfigIndex &directory()
 {
     static const ConfigIndex kDirectory = [] {
@@ -23,7 +24,7 @@
         AccountConfig account;
         account.id = AccountId("bids");
         account.homeHall = HallId("north");
-        // The digest of the key "k".
+        // The SHA-256 digest of the key "k".
         account.keyDigests = {"8254c329a92850f6d539dd376f4816ee2764517da5e0235514af433164480d7a"};
         document.accounts.push_back(account);
         ModelConfig model;
@@ -33,25 +34,27 @@
         service.name = TargetName("portal");
         service.routes = {{"POST", "/", false}};
         document.services.push_back(service);
-        ConfigIndex made;
-        made.applyConfig(document);
-        return made;
+        ConfigIndex result;
+        result.applyConfig(document);
+        return result;
     }();
     return kDirectory;
 }
 
-void readRequest(std::string_view text, const char *path)
+// Passes a request to the caller filters. The first line of `text` is used for header values, the
+// rest is the body.
+void fuzzRequest(std::string_view text, const char *path)
 {
     static const auto kFilters = makeCallerFilters(directory());
     HttpRequest request;
     request.method = "POST";
     request.path = path;
-    const std::size_t cut = text.find('\n');
-    const std::string header(text.substr(0, cut));
+    const std::size_t lineEnd = text.find('\n');
+    const std::string header(text.substr(0, lineEnd));
     request.headers = {{"authorization", "Bearer k"},
                        {"idempotency-key", header},
                        {"seamarch-deadline-ms", header.substr(0, header.size() / 2)}};
-    request.body = cut == std::string_view::npos ? "" : std::string(text.substr(cut + 1));
+    request.body = lineEnd == std::string_view::npos ? "" : std::string(text.substr(lineEnd + 1));
     CallerContext context{request, CallerRoute::Completion, nullptr, {}, {}, false, {}};
     for (const auto &filter : kFilters) {
         if (filter->apply(context)) {
@@ -60,7 +63,8 @@
     }
 }
 
-void readDocument(std::string_view text)
+// Reads `text` as each kind of document, and as a patch of a versioned document.
+void fuzzDocument(std::string_view text)
 {
     const auto value = parseJson(text);
     if (!value) {
@@ -72,14 +76,14 @@
     if (config) {
         static_cast<void>(makePlan(*value, ShareIntent{AccountId("a"), 2.0}, std::nullopt));
     }
-    VersionedDocument held;
-    held.accept(*value);
-    held.apply({held.version(), held.version() + 1, 1, std::string(text)});
+    VersionedDocument versioned;
+    versioned.accept(*value);
+    versioned.apply({versioned.version(), versioned.version() + 1, 1, std::string(text)});
 }
 
 } // namespace
 
-// The name is the fuzzer's.
+// libFuzzer prescribes this name.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *data, // NOLINT
                                       std::size_t size)
 {
@@ -89,20 +93,20 @@
     const std::string_view text(reinterpret_cast<const char *>(data) + 1, size - 1);
     switch (data[0] % 5) {
     case 0:
-        readDocument(text);
+        fuzzDocument(text);
         break;
     case 1:
-        readRequest(text, "/v1/chat/completions");
+        fuzzRequest(text, "/v1/chat/completions");
         break;
     case 2:
-        readRequest(text, "/v1/completions");
+        fuzzRequest(text, "/v1/completions");
         break;
     case 3:
-        readRequest(text, "/v1/tickets");
+        fuzzRequest(text, "/v1/tickets");
         break;
     default:
         static_cast<void>(parseTicket(text));
-        readRequest(text, "/services/portal/x");
+        fuzzRequest(text, "/services/portal/x");
         break;
     }
     return 0;
