--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -50,7 +50,7 @@
     return value.isString() ? value.asString() : std::string();
 }
 
-int printFigures(const std::string &only)
+int printResults(const std::string &only)
 {
     using namespace seamarch::bench;
     constexpr std::pair<const char *, void (*)(Figures &)> kParts[] = {
@@ -79,7 +79,7 @@
         return seamarch::bench::printSlopes();
     }
     if (arguments.at("--json").asBool()) {
-        return printFigures(textOr(arguments.at("--only")));
+        return printResults(textOr(arguments.at("--only")));
     }
     seamarch::bench::LoadOptions options;
     options.addresses = split(arguments.at("--addresses"));
