--- a/bench/figures.h
+++ b/bench/figures.h
@@ -27,7 +27,7 @@
 using Figures = std::vector<Figure>;
 
 // Step-time skew and moved weights of the placement against its baselines.
-void addPlacementFigures(Figures &figures);
+void addPlacementResults(Figures &figures);
 // Waits and first tokens of the routing against its baselines.
 void addRoutingFigures(Figures &figures);
 // Shares, light accounts, overload and retries at one agent.
--- a/bench/placementfigures.cpp
+++ b/bench/placementfigures.cpp
@@ -191,7 +191,7 @@
 
 } // namespace
 
-void addPlacementFigures(Figures &figures)
+void addPlacementResults(Figures &figures)
 {
     const Scenario procurement{Trace::Site::Procurement, {4.0, 1.0}, 1.0};
     const Scenario tuul{Trace::Site::Tuul, {1.0, 1.0}, 1.0};
