--- a/bench/figures.h
+++ b/bench/figures.h
@@ -29,7 +29,7 @@
 // Step-time skew and moved weights of the placement against its baselines.
 void addPlacementResults(Figures &figures);
 // Waits and first tokens of the routing against its baselines.
-void addRoutingFigures(Figures &figures);
+void addRoutingResults(Figures &figures);
 // Shares, light accounts, overload and retries at one agent.
 void addFairnessFigures(Figures &figures);
 // Refusals and unknowns of non-repeatable calls under faults.
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -54,7 +54,7 @@
 {
     using namespace seamarch::bench;
     constexpr std::pair<const char *, void (*)(Figures &)> kParts[] = {
-        {"placement", addPlacementResults}, {"routing", addRoutingFigures},
+        {"placement", addPlacementResults}, {"routing", addRoutingResults},
         {"fairness", addFairnessFigures},   {"config", addConfigFigures},
         {"proof", addProofFigures},
     };
--- a/bench/routingfigures.cpp
+++ b/bench/routingfigures.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-void addRoutingFigures(Figures &figures)
+void addRoutingResults(Figures &figures)
 {
     for (const double load : {0.6, 0.8, 0.95}) {
         addLoadFigures(figures, load);
