--- a/bench/figures.h
+++ b/bench/figures.h
@@ -31,7 +31,7 @@
 // Waits and first tokens of the routing against its baselines.
 void addRoutingResults(Figures &figures);
 // Shares, light accounts, overload and retries at one agent.
-void addFairnessFigures(Figures &figures);
+void addFairnessResults(Figures &figures);
 // Refusals and unknowns of non-repeatable calls under faults.
 void addProofFigures(Figures &figures);
 // Time, messages and bytes until a change of configuration is in force everywhere.
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -55,7 +55,7 @@
     using namespace seamarch::bench;
     constexpr std::pair<const char *, void (*)(Figures &)> kParts[] = {
         {"placement", addPlacementResults}, {"routing", addRoutingResults},
-        {"fairness", addFairnessFigures},   {"config", addConfigFigures},
+        {"fairness", addFairnessResults},   {"config", addConfigFigures},
         {"proof", addProofFigures},
     };
     Figures figures;
