--- a/bench/figures.h
+++ b/bench/figures.h
@@ -33,7 +33,7 @@
 // Shares, light accounts, overload and retries at one agent.
 void addFairnessResults(Figures &figures);
 // Refusals and unknowns of non-repeatable calls under faults.
-void addProofFigures(Figures &figures);
+void addProofResults(Figures &figures);
 // Time, messages and bytes until a change of configuration is in force everywhere.
 void addConfigFigures(Figures &figures);
 
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -56,7 +56,7 @@
     constexpr std::pair<const char *, void (*)(Figures &)> kParts[] = {
         {"placement", addPlacementResults}, {"routing", addRoutingResults},
         {"fairness", addFairnessResults},   {"config", addConfigFigures},
-        {"proof", addProofFigures},
+        {"proof", addProofResults},
     };
     Figures figures;
     for (const auto &[name, add] : kParts) {
--- a/bench/prooffigures.cpp
+++ b/bench/prooffigures.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-void addProofFigures(Figures &figures)
+void addProofResults(Figures &figures)
 {
     const Row rows[] = {
         {"plain", OperationKind::Plain, "no_fault", Scenario::NoFaults, 0.0},
