--- a/bench/figures.h
+++ b/bench/figures.h
@@ -35,7 +35,7 @@
 // Refusals and unknowns of non-repeatable calls under faults.
 void addProofResults(Figures &figures);
 // Time, messages and bytes until a change of configuration is in force everywhere.
-void addConfigFigures(Figures &figures);
+void addConfigResults(Figures &figures);
 
 nlohmann::json toJson(const Figures &figures);
 
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -55,7 +55,7 @@
     using namespace seamarch::bench;
     constexpr std::pair<const char *, void (*)(Figures &)> kParts[] = {
         {"placement", addPlacementResults}, {"routing", addRoutingResults},
-        {"fairness", addFairnessResults},   {"config", addConfigFigures},
+        {"fairness", addFairnessResults},   {"config", addConfigResults},
         {"proof", addProofResults},
     };
     Figures figures;
