--- a/bench/routingfigures.cpp
+++ b/bench/routingfigures.cpp
@@ -37,7 +37,7 @@
     return pooled(options);
 }
 
-void addLoadFigures(Figures &figures, double load)
+void addResultsAtLoad(Figures &figures, double load)
 {
     FleetOptions options;
     options.load = load;
@@ -65,7 +65,7 @@
 void addRoutingResults(Figures &figures)
 {
     for (const double load : {0.6, 0.8, 0.95}) {
-        addLoadFigures(figures, load);
+        addResultsAtLoad(figures, load);
     }
     FleetOptions options;
     const FleetResult ours = with<ExpectedWaitRouter>(options);
