--- a/bench/configfigures.cpp
+++ b/bench/configfigures.cpp
@@ -106,7 +106,7 @@
 
 } // namespace
 
-void addConfigResults(Figures &figures)
+void addConfigResults(BenchmarkResults &figures)
 {
     const std::pair<const char *, SiteSize> sizes[] = {
         {"7", {3, 3, 5, 10}}, {"34", {3, 12, 26, 220}}, {"340", {9, 38, 84, 2200}}};
--- a/bench/fairnessfigures.cpp
+++ b/bench/fairnessfigures.cpp
@@ -209,7 +209,7 @@
 
 } // namespace
 
-void addFairnessResults(Figures &figures)
+void addFairnessResults(BenchmarkResults &figures)
 {
     figures.push_back({"fairness.share_error_5s", shareError(), "part", 0.06, true, 0.0, "exact"});
     // One request of the flood may hold each slot when a light one arrives: 40 tokens of 5 ms.
--- a/bench/figures.cpp
+++ b/bench/figures.cpp
@@ -2,7 +2,7 @@
 
 namespace seamarch::bench {
 
-nlohmann::json toJson(const Figures &figures)
+nlohmann::json toJson(const BenchmarkResults &figures)
 {
     nlohmann::json result = nlohmann::json::object();
     for (const Figure &figure : figures) {
--- a/bench/figures.h
+++ b/bench/figures.h
@@ -24,19 +24,19 @@
     bool holds() const { return boundIsMost ? value <= bound : value >= bound; }
 };
 
-using Figures = std::vector<Figure>;
+using BenchmarkResults = std::vector<Figure>;
 
 // Step-time skew and moved weights of the placement against its baselines.
-void addPlacementResults(Figures &figures);
+void addPlacementResults(BenchmarkResults &figures);
 // Waits and first tokens of the routing against its baselines.
-void addRoutingResults(Figures &figures);
+void addRoutingResults(BenchmarkResults &figures);
 // Shares, light accounts, overload and retries at one agent.
-void addFairnessResults(Figures &figures);
+void addFairnessResults(BenchmarkResults &figures);
 // Refusals and unknowns of non-repeatable calls under faults.
-void addProofResults(Figures &figures);
+void addProofResults(BenchmarkResults &figures);
 // Time, messages and bytes until a change of configuration is in force everywhere.
-void addConfigResults(Figures &figures);
+void addConfigResults(BenchmarkResults &figures);
 
-nlohmann::json toJson(const Figures &figures);
+nlohmann::json toJson(const BenchmarkResults &figures);
 
 } // namespace seamarch::bench
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -53,12 +53,12 @@
 int printResults(const std::string &only)
 {
     using namespace seamarch::bench;
-    constexpr std::pair<const char *, void (*)(Figures &)> kParts[] = {
+    constexpr std::pair<const char *, void (*)(BenchmarkResults &)> kParts[] = {
         {"placement", addPlacementResults}, {"routing", addRoutingResults},
         {"fairness", addFairnessResults},   {"config", addConfigResults},
         {"proof", addProofResults},
     };
-    Figures figures;
+    BenchmarkResults figures;
     for (const auto &[name, add] : kParts) {
         if (only.empty() || only == name) {
             add(figures);
--- a/bench/placementfigures.cpp
+++ b/bench/placementfigures.cpp
@@ -191,7 +191,7 @@
 
 } // namespace
 
-void addPlacementResults(Figures &figures)
+void addPlacementResults(BenchmarkResults &figures)
 {
     const Scenario procurement{Trace::Site::Procurement, {4.0, 1.0}, 1.0};
     const Scenario tuul{Trace::Site::Tuul, {1.0, 1.0}, 1.0};
--- a/bench/prooffigures.cpp
+++ b/bench/prooffigures.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-void addProofResults(Figures &figures)
+void addProofResults(BenchmarkResults &figures)
 {
     const Row rows[] = {
         {"plain", OperationKind::Plain, "no_fault", Scenario::NoFaults, 0.0},
--- a/bench/routingfigures.cpp
+++ b/bench/routingfigures.cpp
@@ -37,7 +37,7 @@
     return pooled(options);
 }
 
-void addResultsAtLoad(Figures &figures, double load)
+void addResultsAtLoad(BenchmarkResults &figures, double load)
 {
     FleetOptions options;
     options.load = load;
@@ -62,7 +62,7 @@
 
 } // namespace
 
-void addRoutingResults(Figures &figures)
+void addRoutingResults(BenchmarkResults &figures)
 {
     for (const double load : {0.6, 0.8, 0.95}) {
         addResultsAtLoad(figures, load);
