--- a/bench/figures.cpp
+++ b/bench/figures.cpp
@@ -5,7 +5,7 @@
 nlohmann::json toJson(const BenchmarkResults &figures)
 {
     nlohmann::json result = nlohmann::json::object();
-    for (const Figure &figure : figures) {
+    for (const BenchmarkResult &figure : figures) {
         result[figure.name] = {
             {"value", figure.value},       {"unit", figure.unit},
             {"bound", figure.bound},       {"bound_is", figure.boundIsMost ? "most" : "least"},
--- a/bench/figures.h
+++ b/bench/figures.h
@@ -11,7 +11,7 @@
 namespace seamarch::bench {
 
 // One figure. A bound is either the most or the least that is allowed.
-struct Figure
+struct BenchmarkResult
 {
     std::string name;
     double value = 0.0;
@@ -24,7 +24,7 @@
     bool holds() const { return boundIsMost ? value <= bound : value >= bound; }
 };
 
-using BenchmarkResults = std::vector<Figure>;
+using BenchmarkResults = std::vector<BenchmarkResult>;
 
 // Step-time skew and moved weights of the placement against its baselines.
 void addPlacementResults(BenchmarkResults &figures);
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -66,7 +66,7 @@
     }
     fmt::print("{}\n", toJson(figures).dump(2));
     const bool hold = std::all_of(figures.begin(), figures.end(),
-                                  [](const Figure &figure) { return figure.holds(); });
+                                  [](const BenchmarkResult &figure) { return figure.holds(); });
     return hold && !figures.empty() ? 0 : 1;
 }
 
