--- a/bench/configfigures.cpp
+++ b/bench/configfigures.cpp
@@ -106,7 +106,7 @@
 
 } // namespace
 
-void addConfigResults(BenchmarkResults &figures)
+void addConfigResults(BenchmarkResults &results)
 {
     const std::pair<const char *, SiteSize> sizes[] = {
         {"7", {3, 3, 5, 10}}, {"34", {3, 12, 26, 220}}, {"340", {9, 38, 84, 2200}}};
@@ -115,14 +115,14 @@
         const auto label = [name = name](const char *what) {
             return fmt::format("config.nodes{}.{}", name, what);
         };
-        figures.push_back({label("in_force_seconds"), result.seconds, "s", 3.0, true, kPeerWait,
+        results.push_back({label("in_force_seconds"), result.seconds, "s", 3.0, true, kPeerWait,
                            "asking every five seconds"});
-        figures.push_back({label("update_bytes"), result.updateBytes, "bytes", 4096.0, true,
+        results.push_back({label("update_bytes"), result.updateBytes, "bytes", 4096.0, true,
                            result.wholeBytes, "whole document"});
-        figures.push_back({label("entry_control_bytes_per_second"), result.controlBytes, "bytes/s",
+        results.push_back({label("entry_control_bytes_per_second"), result.controlBytes, "bytes/s",
                            15'000.0, true, size.halls * size.agentsPerHall * 2 * kExchangeBytes,
                            "every agent twice a second"});
-        figures.push_back(
+        results.push_back(
             {label("platform_calls_per_day"), result.platformCallsPerDay, "calls", 700'000.0, true,
              size.halls * (size.entriesPerHall + size.agentsPerHall) * 2 * 86400.0 / 5.0,
              "every process watches"});
--- a/bench/fairnessfigures.cpp
+++ b/bench/fairnessfigures.cpp
@@ -209,12 +209,12 @@
 
 } // namespace
 
-void addFairnessResults(BenchmarkResults &figures)
+void addFairnessResults(BenchmarkResults &results)
 {
-    figures.push_back({"fairness.share_error_5s", shareError(), "part", 0.06, true, 0.0, "exact"});
+    results.push_back({"fairness.share_error_5s", shareError(), "part", 0.06, true, 0.0, "exact"});
     // One request of the flood may hold each slot when a light one arrives: 40 tokens of 5 ms.
     constexpr double kOneService = 0.2;
-    figures.push_back({"fairness.light_wait_beside_flood_p95", lightWait(true), "s", kOneService,
+    results.push_back({"fairness.light_wait_beside_flood_p95", lightWait(true), "s", kOneService,
                        true, lightWait(false), "alone"});
     double peak = 0.0;
     for (const double load : {0.8, 0.9, 1.0, 1.2, 1.5}) {
@@ -222,19 +222,19 @@
     }
     const FleetResult twice = overloaded(2.0);
     const FleetResult half = overloaded(0.5);
-    figures.push_back({"overload.refused_at_half_load",
+    results.push_back({"overload.refused_at_half_load",
                        static_cast<double>(half.refused) / static_cast<double>(half.offered),
                        "part", 0.01, true, 0.0, "none"});
-    figures.push_back({"overload.goodput_of_capacity",
+    results.push_back({"overload.goodput_of_capacity",
                        twice.goodput() * 2.0 * twice.seconds / static_cast<double>(twice.offered),
                        "of capacity", 0.8, false, 1.0, "all slots busy in time"});
-    figures.push_back({"overload.goodput_at_twice_the_load", twice.goodput() / peak, "of peak",
+    results.push_back({"overload.goodput_at_twice_the_load", twice.goodput() / peak, "of peak",
                        0.95, false, 1.0, "peak"});
-    figures.push_back(
+    results.push_back(
         {"overload.sends_per_request",
          static_cast<double>(twice.sends - twice.moves) / static_cast<double>(twice.offered),
          "ratio", 1.1, true, 1.0, "no retries"});
-    figures.push_back({"overload.late_or_lost",
+    results.push_back({"overload.late_or_lost",
                        static_cast<double>(twice.offered - twice.completed - twice.refused)
                            / static_cast<double>(twice.offered),
                        "part", 0.05, true, 0.0, "none"});
--- a/bench/figures.cpp
+++ b/bench/figures.cpp
@@ -2,10 +2,10 @@
 
 namespace seamarch::bench {
 
-nlohmann::json toJson(const BenchmarkResults &figures)
+nlohmann::json toJson(const BenchmarkResults &results)
 {
     nlohmann::json result = nlohmann::json::object();
-    for (const BenchmarkResult &figure : figures) {
+    for (const BenchmarkResult &figure : results) {
         result[figure.name] = {
             {"value", figure.value},       {"unit", figure.unit},
             {"bound", figure.bound},       {"bound_is", figure.boundIsMost ? "most" : "least"},
--- a/bench/figures.h
+++ b/bench/figures.h
@@ -27,16 +27,16 @@
 using BenchmarkResults = std::vector<BenchmarkResult>;
 
 // Step-time skew and moved weights of the placement against its baselines.
-void addPlacementResults(BenchmarkResults &figures);
+void addPlacementResults(BenchmarkResults &results);
 // Waits and first tokens of the routing against its baselines.
-void addRoutingResults(BenchmarkResults &figures);
+void addRoutingResults(BenchmarkResults &results);
 // Shares, light accounts, overload and retries at one agent.
-void addFairnessResults(BenchmarkResults &figures);
+void addFairnessResults(BenchmarkResults &results);
 // Refusals and unknowns of non-repeatable calls under faults.
-void addProofResults(BenchmarkResults &figures);
+void addProofResults(BenchmarkResults &results);
 // Time, messages and bytes until a change of configuration is in force everywhere.
-void addConfigResults(BenchmarkResults &figures);
+void addConfigResults(BenchmarkResults &results);
 
-nlohmann::json toJson(const BenchmarkResults &figures);
+nlohmann::json toJson(const BenchmarkResults &results);
 
 } // namespace seamarch::bench
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -58,16 +58,16 @@
         {"fairness", addFairnessResults},   {"config", addConfigResults},
         {"proof", addProofResults},
     };
-    BenchmarkResults figures;
+    BenchmarkResults results;
     for (const auto &[name, add] : kParts) {
         if (only.empty() || only == name) {
-            add(figures);
+            add(results);
         }
     }
-    fmt::print("{}\n", toJson(figures).dump(2));
-    const bool hold = std::all_of(figures.begin(), figures.end(),
+    fmt::print("{}\n", toJson(results).dump(2));
+    const bool hold = std::all_of(results.begin(), results.end(),
                                   [](const BenchmarkResult &figure) { return figure.holds(); });
-    return hold && !figures.empty() ? 0 : 1;
+    return hold && !results.empty() ? 0 : 1;
 }
 
 } // namespace
--- a/bench/placementfigures.cpp
+++ b/bench/placementfigures.cpp
@@ -191,7 +191,7 @@
 
 } // namespace
 
-void addPlacementResults(BenchmarkResults &figures)
+void addPlacementResults(BenchmarkResults &results)
 {
     const Scenario procurement{Trace::Site::Procurement, {4.0, 1.0}, 1.0};
     const Scenario tuul{Trace::Site::Tuul, {1.0, 1.0}, 1.0};
@@ -203,26 +203,26 @@
         const auto label = [name = name](const char *what) {
             return fmt::format("placement.{}.{}", name, what);
         };
-        figures.push_back({label("skew_p50"), ours.percentile(0.5), "max/mean", 1.10, true,
+        results.push_back({label("skew_p50"), ours.percentile(0.5), "max/mean", 1.10, true,
                            fixed.percentile(0.5), "static"});
         // The popularity itself swings within half an hour at Tuul; full re-placement lags as much.
         const bool swings = scenario.site == Trace::Site::Tuul;
-        figures.push_back({label("skew_p95"), ours.percentile(0.95), "max/mean",
+        results.push_back({label("skew_p95"), ours.percentile(0.95), "max/mean",
                            swings ? 1.30 : 1.10, true, full.percentile(0.95), "full"});
-        figures.push_back({label("skew_p99"), ours.percentile(0.99), "max/mean",
+        results.push_back({label("skew_p99"), ours.percentile(0.99), "max/mean",
                            swings ? 1.70 : 1.20, true, full.percentile(0.99), "full"});
-        figures.push_back({label("moved_to_full"), ours.movedSlots / full.movedSlots, "ratio", 0.25,
+        results.push_back({label("moved_to_full"), ours.movedSlots / full.movedSlots, "ratio", 0.25,
                            true, full.gigabytesPerHour(), "full, GB/h"});
-        figures.push_back({label("moved_per_hour"), ours.gigabytesPerHour(), "GB/h a layer", 2.0,
+        results.push_back({label("moved_per_hour"), ours.gigabytesPerHour(), "GB/h a layer", 2.0,
                            true, full.gigabytesPerHour(), "full"});
-        figures.push_back({label("objective_to_static"), ours.objective / fixed.objective, "ratio",
+        results.push_back({label("objective_to_static"), ours.objective / fixed.objective, "ratio",
                            1.0, true, full.objective / fixed.objective, "full"});
     }
     Scenario slow = procurement;
     slow.slowRankSpeed = 0.5;
     const Outcome fixed = play(slow, staticPolicy());
     const Outcome ours = play(slow, balancedPolicy(slow.objective));
-    figures.push_back({"placement.half_speed_rank.skew_p95", ours.percentile(0.95), "max/mean",
+    results.push_back({"placement.half_speed_rank.skew_p95", ours.percentile(0.95), "max/mean",
                        1.15, true, fixed.percentile(0.95), "static"});
 }
 
--- a/bench/prooffigures.cpp
+++ b/bench/prooffigures.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-void addProofResults(BenchmarkResults &figures)
+void addProofResults(BenchmarkResults &results)
 {
     const Row rows[] = {
         {"plain", OperationKind::Plain, "no_fault", Scenario::NoFaults, 0.0},
@@ -66,11 +66,11 @@
     for (const Row &row : rows) {
         const ProofResult result = measure(row.kind, row.scenario);
         violations += result.violations;
-        figures.push_back({fmt::format("proof.{}.{}.refused", row.way, row.name), result.refused,
+        results.push_back({fmt::format("proof.{}.{}.refused", row.way, row.name), result.refused,
                            "for each operation", row.bound, true, result.unknown,
                            "of them unknown"});
     }
-    figures.push_back({"proof.duplicates_and_false_not_run", static_cast<double>(violations),
+    results.push_back({"proof.duplicates_and_false_not_run", static_cast<double>(violations),
                        "count", 0.0, true, 0.0, "none"});
 }
 
--- a/bench/routingfigures.cpp
+++ b/bench/routingfigures.cpp
@@ -37,7 +37,7 @@
     return pooled(options);
 }
 
-void addResultsAtLoad(BenchmarkResults &figures, double load)
+void addResultsAtLoad(BenchmarkResults &results, double load)
 {
     FleetOptions options;
     options.load = load;
@@ -48,48 +48,48 @@
         return fmt::format("routing.load{:.0f}.{}", load * 100, what);
     };
     const double p95 = ours.percentile(0.95);
-    figures.push_back({name("first_token_p50"), ours.percentile(0.5), "s", 1.3, true,
+    results.push_back({name("first_token_p50"), ours.percentile(0.5), "s", 1.3, true,
                        two.percentile(0.5), "two choices"});
-    figures.push_back({name("first_token_p95"), p95, "s", load > 0.9 ? 4.0 : 1.3, true,
+    results.push_back({name("first_token_p95"), p95, "s", load > 0.9 ? 4.0 : 1.3, true,
                        two.percentile(0.95), "two choices"});
-    figures.push_back({name("first_token_p99"), ours.percentile(0.99), "s", load > 0.9 ? 8.0 : 2.6,
+    results.push_back({name("first_token_p99"), ours.percentile(0.99), "s", load > 0.9 ? 8.0 : 2.6,
                        true, two.percentile(0.99), "two choices"});
-    figures.push_back({name("p95_to_two_choices"), p95 / two.percentile(0.95), "ratio", 0.8, true,
+    results.push_back({name("p95_to_two_choices"), p95 / two.percentile(0.95), "ratio", 0.8, true,
                        1.0, "two choices"});
-    figures.push_back({name("p95_to_clairvoyant"), p95 / best.percentile(0.95), "ratio", 2.2, true,
+    results.push_back({name("p95_to_clairvoyant"), p95 / best.percentile(0.95), "ratio", 2.2, true,
                        two.percentile(0.95) / best.percentile(0.95), "two choices"});
 }
 
 } // namespace
 
-void addRoutingResults(BenchmarkResults &figures)
+void addRoutingResults(BenchmarkResults &results)
 {
     for (const double load : {0.6, 0.8, 0.95}) {
-        addResultsAtLoad(figures, load);
+        addResultsAtLoad(results, load);
     }
     FleetOptions options;
     const FleetResult ours = with<ExpectedWaitRouter>(options);
-    figures.push_back({"routing.load80.p95_to_round_robin",
+    results.push_back({"routing.load80.p95_to_round_robin",
                        ours.percentile(0.95) / with<RoundRobinRouter>(options).percentile(0.95),
                        "ratio", 0.8, true, 1.0, "round robin"});
-    figures.push_back({"routing.load80.p95_to_least_in_flight",
+    results.push_back({"routing.load80.p95_to_least_in_flight",
                        ours.percentile(0.95) / with<LeastInFlightRouter>(options).percentile(0.95),
                        "ratio", 0.8, true, 1.0, "least in flight"});
     const FleetResult best = clairvoyant(options);
-    figures.push_back({"routing.load80.cache_tokens_kept", ours.cachedTokens / best.cachedTokens,
+    results.push_back({"routing.load80.cache_tokens_kept", ours.cachedTokens / best.cachedTokens,
                        "ratio", 0.7, false,
                        with<TwoChoicesRouter>(options).cachedTokens / best.cachedTokens,
                        "two choices, to clairvoyant"});
     for (const double lag : {0.1, 2.0}) {
         FleetOptions lagged = options;
         lagged.reportLagSeconds = lag;
-        figures.push_back({fmt::format("routing.load80.lag{:.0f}ms.first_token_p95", lag * 1000),
+        results.push_back({fmt::format("routing.load80.lag{:.0f}ms.first_token_p95", lag * 1000),
                            with<ExpectedWaitRouter>(lagged).percentile(0.95), "s", 1.6, true,
                            with<TwoChoicesRouter>(lagged).percentile(0.95), "two choices"});
     }
     FleetOptions lossy = options;
     lossy.lostReports = 0.3;
-    figures.push_back({"routing.load80.lost30.first_token_p95",
+    results.push_back({"routing.load80.lost30.first_token_p95",
                        with<ExpectedWaitRouter>(lossy).percentile(0.95), "s", 1.6, true,
                        with<TwoChoicesRouter>(lossy).percentile(0.95), "two choices"});
 }
