--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -66,7 +66,7 @@
     }
     fmt::print("{}\n", toJson(results).dump(2));
     const bool hold = std::all_of(results.begin(), results.end(),
-                                  [](const BenchmarkResult &figure) { return figure.holds(); });
+                                  [](const BenchmarkResult &result) { return result.holds(); });
     return hold && !results.empty() ? 0 : 1;
 }
 
