--- a/bench/figures.cpp
+++ b/bench/figures.cpp
@@ -5,12 +5,12 @@
 nlohmann::json toJson(const BenchmarkResults &results)
 {
     nlohmann::json result = nlohmann::json::object();
-    for (const BenchmarkResult &figure : results) {
-        result[figure.name] = {
-            {"value", figure.value},       {"unit", figure.unit},
-            {"bound", figure.bound},       {"bound_is", figure.boundIsMost ? "most" : "least"},
-            {"baseline", figure.baseline}, {"baseline_is", figure.baselineName},
-            {"holds", figure.holds()}};
+    for (const BenchmarkResult &entry : results) {
+        result[entry.name] = {
+            {"value", entry.value},       {"unit", entry.unit},
+            {"bound", entry.bound},       {"bound_is", entry.boundIsMost ? "most" : "least"},
+            {"baseline", entry.baseline}, {"baseline_is", entry.baselineName},
+            {"holds", entry.holds()}};
     }
     return result;
 }
