--- a/bench/figures.cpp
+++ b/bench/figures.cpp
@@ -8,7 +8,7 @@
     for (const BenchmarkResult &entry : results) {
         result[entry.name] = {
             {"value", entry.value},       {"unit", entry.unit},
-            {"bound", entry.bound},       {"bound_is", entry.boundIsMost ? "most" : "least"},
+            {"bound", entry.bound},       {"bound_is", entry.isUpperBound ? "most" : "least"},
             {"baseline", entry.baseline}, {"baseline_is", entry.baselineName},
             {"holds", entry.holds()}};
     }
--- a/bench/figures.h
+++ b/bench/figures.h
@@ -17,11 +17,11 @@
     double value = 0.0;
     std::string unit;
     double bound = 0.0;
-    bool boundIsMost = true;
+    bool isUpperBound = true;
     double baseline = 0.0;
     std::string baselineName;
 
-    bool holds() const { return boundIsMost ? value <= bound : value >= bound; }
+    bool holds() const { return isUpperBound ? value <= bound : value >= bound; }
 };
 
 using BenchmarkResults = std::vector<BenchmarkResult>;
