--- a/bench/figures.h
+++ b/bench/figures.h
@@ -21,7 +21,7 @@
     double baseline = 0.0;
     std::string baselineName;
 
-    bool holds() const { return isUpperBound ? value <= bound : value >= bound; }
+    bool isWithinBound() const { return isUpperBound ? value <= bound : value >= bound; }
 };
 
 using BenchmarkResults = std::vector<BenchmarkResult>;
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -65,8 +65,9 @@
         }
     }
     fmt::print("{}\n", toJson(results).dump(2));
-    const bool hold = std::all_of(results.begin(), results.end(),
-                                  [](const BenchmarkResult &result) { return result.holds(); });
+    const bool hold =
+        std::all_of(results.begin(), results.end(),
+                    [](const BenchmarkResult &result) { return result.isWithinBound(); });
     return hold && !results.empty() ? 0 : 1;
 }
 
