--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -45,7 +45,7 @@
     return parts;
 }
 
-std::string textOr(const docopt::value &value)
+std::string stringOrEmpty(const docopt::value &value)
 {
     return value.isString() ? value.asString() : std::string();
 }
@@ -80,13 +80,13 @@
         return seamarch::bench::printSlopes();
     }
     if (arguments.at("--json").asBool()) {
-        return printResults(textOr(arguments.at("--only")));
+        return printResults(stringOrEmpty(arguments.at("--only")));
     }
     seamarch::bench::LoadOptions options;
     options.addresses = split(arguments.at("--addresses"));
     options.keys = split(arguments.at("--keys"));
-    options.model = textOr(arguments.at("--model"));
-    options.service = textOr(arguments.at("--service"));
+    options.model = stringOrEmpty(arguments.at("--model"));
+    options.service = stringOrEmpty(arguments.at("--service"));
     options.callers = static_cast<int>(arguments.at("--callers").asLong());
     options.seconds = std::stod(arguments.at("--seconds").asString());
     options.answerTokens = static_cast<int>(arguments.at("--tokens").asLong());
