--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -31,7 +31,7 @@
   --stream          Ask for streamed answers.
 )";
 
-std::vector<std::string> split(const docopt::value &value)
+std::vector<std::string> splitAtCommas(const docopt::value &value)
 {
     std::vector<std::string> parts;
     if (!value.isString()) {
@@ -83,8 +83,8 @@
         return printResults(stringOrEmpty(arguments.at("--only")));
     }
     seamarch::bench::LoadOptions options;
-    options.addresses = split(arguments.at("--addresses"));
-    options.keys = split(arguments.at("--keys"));
+    options.addresses = splitAtCommas(arguments.at("--addresses"));
+    options.keys = splitAtCommas(arguments.at("--keys"));
     options.model = stringOrEmpty(arguments.at("--model"));
     options.service = stringOrEmpty(arguments.at("--service"));
     options.callers = static_cast<int>(arguments.at("--callers").asLong());
