--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -65,10 +65,10 @@
         }
     }
     fmt::print("{}\n", toJson(results).dump(2));
-    const bool hold =
+    const bool allWithinBounds =
         std::all_of(results.begin(), results.end(),
                     [](const BenchmarkResult &result) { return result.isWithinBound(); });
-    return hold && !results.empty() ? 0 : 1;
+    return allWithinBounds && !results.empty() ? 0 : 1;
 }
 
 } // namespace
