--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -53,13 +53,13 @@
 int printResults(const std::string &only)
 {
     using namespace seamarch::bench;
-    constexpr std::pair<const char *, void (*)(BenchmarkResults &)> kParts[] = {
+    constexpr std::pair<const char *, void (*)(BenchmarkResults &)> kSuites[] = {
         {"placement", addPlacementResults}, {"routing", addRoutingResults},
         {"fairness", addFairnessResults},   {"config", addConfigResults},
         {"proof", addProofResults},
     };
     BenchmarkResults results;
-    for (const auto &[name, add] : kParts) {
+    for (const auto &[name, add] : kSuites) {
         if (only.empty() || only == name) {
             add(results);
         }
