--- a/bench/configfigures.cpp
+++ b/bench/configfigures.cpp
@@ -1,6 +1,6 @@
 #include "config/versioned.h"
 #include "decision/membership/linkplan.h"
-#include "figures.h"
+#include "benchmarkresult.h"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/bench/fairnessfigures.cpp
+++ b/bench/fairnessfigures.cpp
@@ -1,5 +1,5 @@
 #include "decision/dispatch/agentcore.h"
-#include "figures.h"
+#include "benchmarkresult.h"
 #include "virtualfleet.h"
 
 #include <cmath>
--- a/bench/figures.cpp
+++ b/bench/figures.cpp
@@ -1,4 +1,4 @@
-#include "figures.h"
+#include "benchmarkresult.h"
 
 namespace seamarch::bench {
 
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,5 +1,5 @@
 // seamarch-bench: measurements of the project.
-#include "figures.h"
+#include "benchmarkresult.h"
 #include "loadtool.h"
 #include "slopes.h"
 
--- a/bench/placementfigures.cpp
+++ b/bench/placementfigures.cpp
@@ -1,6 +1,6 @@
 #include "decision/placement/balancer.h"
 #include "decision/placement/popularityestimate.h"
-#include "figures.h"
+#include "benchmarkresult.h"
 
 #include <algorithm>
 #include <cmath>
--- a/bench/prooffigures.cpp
+++ b/bench/prooffigures.cpp
@@ -1,5 +1,5 @@
 #include "decision/dispatch/dispatchsimulation.h"
-#include "figures.h"
+#include "benchmarkresult.h"
 
 #include <fmt/format.h>
 
--- a/bench/routingfigures.cpp
+++ b/bench/routingfigures.cpp
@@ -1,4 +1,4 @@
-#include "figures.h"
+#include "benchmarkresult.h"
 #include "virtualfleet.h"
 
 #include <fmt/format.h>
