--- a/bench/loadtool.cpp
+++ b/bench/loadtool.cpp
@@ -1,4 +1,4 @@
-#include "loadtool.h"
+#include "loadgenerator.h"
 
 #include "base/settings.h"
 #include "net/eventloop.h"
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,6 +1,6 @@
 // seamarch-bench: measurements of the project.
 #include "benchmarkresult.h"
-#include "loadtool.h"
+#include "loadgenerator.h"
 #include "slopes.h"
 
 #include <algorithm>
