--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -1,6 +1,6 @@
 #include "decision/dispatch/agentcore.h"
 #include "benchmarkresult.h"
-#include "virtualfleet.h"
+#include "fleetsimulation.h"
 
 #include <cmath>
 #include <fmt/format.h>
--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -1,5 +1,5 @@
 #include "benchmarkresult.h"
-#include "virtualfleet.h"
+#include "fleetsimulation.h"
 
 #include <fmt/format.h>
 
--- a/bench/virtualfleet.cpp
+++ b/bench/virtualfleet.cpp
@@ -1,4 +1,4 @@
-#include "virtualfleet.h"
+#include "fleetsimulation.h"
 
 #include "decision/fairness/requestcost.h"
 
