--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -17,7 +17,8 @@
 using nlohmann::json;
 
 constexpr int kStatusOk = 200;
-constexpr int kServiceEvery = 4; // With both kinds of calls, each fourth is one to the service.
+constexpr int kServiceCallInterval =
+    4; // With both kinds of calls, each fourth is one to the service.
 
 // What all callers together have seen.
 struct Tally
@@ -148,7 +149,7 @@
     Sent sent;
     sent.caller = caller;
     sent.service =
-        !options_.service.empty() && (options_.model.empty() || number % kServiceEvery == 0);
+        !options_.service.empty() && (options_.model.empty() || number % kServiceCallInterval == 0);
     sent.prompt = fmt::format("c{}-n{}", caller, number);
     sent.at = loop_.now();
     HttpCallRequest request;
