--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -21,7 +21,7 @@
     4; // With both kinds of calls, each fourth is one to the service.
 
 // What all callers together have seen.
-struct Tally
+struct LoadStatistics
 {
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
@@ -81,7 +81,7 @@
         loop_.run();
     }
 
-    const Tally &tally() const { return tally_; }
+    const LoadStatistics &tally() const { return tally_; }
 
 private:
     class Receiver;
@@ -102,7 +102,7 @@
     EventLoop &loop_;
     HttpClient &client_;
     const LoadOptions &options_;
-    Tally tally_;
+    LoadStatistics tally_;
     TimePoint endsAt_{};
     int active_ = 0;
     std::uint64_t counter_ = 0;
@@ -236,7 +236,7 @@
     Load load(**loop, **client, options);
     load.run();
     (*loop)->shutDown();
-    const Tally &tally = load.tally();
+    const LoadStatistics &tally = load.tally();
     const json result = {{"requests", tally.requests},
                          {"answered", tally.answered},
                          {"wrong_answers", tally.wrongAnswers},
