--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -81,7 +81,7 @@
         loop_.run();
     }
 
-    const LoadStatistics &tally() const { return tally_; }
+    const LoadStatistics &tally() const { return statistics_; }
 
 private:
     class Receiver;
@@ -102,7 +102,7 @@
     EventLoop &loop_;
     HttpClient &client_;
     const LoadOptions &options_;
-    LoadStatistics tally_;
+    LoadStatistics statistics_;
     TimePoint endsAt_{};
     int active_ = 0;
     std::uint64_t counter_ = 0;
@@ -171,7 +171,7 @@
                            {"messages", {{{"role", "user"}, {"content", sent.prompt}}}}};
         request.body = body.dump();
     }
-    ++tally_.requests;
+    ++statistics_.requests;
     client_.call(std::move(request), std::make_unique<Receiver>(*this, sent));
 }
 
@@ -196,13 +196,13 @@
                     const std::string &body, HttpCallEnd end)
 {
     if (status == kStatusOk && end == HttpCallEnd::Complete) {
-        ++tally_.answered;
-        tally_.wrongAnswers += isRight(sent, body) ? 0 : 1;
-        tally_.totalMs.push_back(toSeconds(loop_.now() - sent.at) * 1000.0);
+        ++statistics_.answered;
+        statistics_.wrongAnswers += isRight(sent, body) ? 0 : 1;
+        statistics_.totalMs.push_back(toSeconds(loop_.now() - sent.at) * 1000.0);
     } else if (outcome == "not-run") {
-        ++tally_.refusedNotRun;
+        ++statistics_.refusedNotRun;
     } else {
-        ++tally_.outcomeUnknown;
+        ++statistics_.outcomeUnknown;
     }
     const Duration pause = status == kStatusOk ? Duration(1) : std::chrono::milliseconds(50);
     loop_.schedule(pause, [this, caller = sent.caller] { next(caller); });
