--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -81,7 +81,7 @@
         loop_.run();
     }
 
-    const LoadStatistics &tally() const { return statistics_; }
+    const LoadStatistics &statistics() const { return statistics_; }
 
 private:
     class Receiver;
@@ -236,17 +236,18 @@
     Load load(**loop, **client, options);
     load.run();
     (*loop)->shutDown();
-    const LoadStatistics &tally = load.tally();
-    const json result = {{"requests", tally.requests},
-                         {"answered", tally.answered},
-                         {"wrong_answers", tally.wrongAnswers},
-                         {"refused_not_run", tally.refusedNotRun},
-                         {"outcome_unknown", tally.outcomeUnknown},
-                         {"p50_ms", percentile(tally.totalMs, 0.5)},
-                         {"p95_ms", percentile(tally.totalMs, 0.95)},
-                         {"per_second", static_cast<double>(tally.answered) / options.seconds}};
+    const LoadStatistics &statistics = load.statistics();
+    const json result = {
+        {"requests", statistics.requests},
+        {"answered", statistics.answered},
+        {"wrong_answers", statistics.wrongAnswers},
+        {"refused_not_run", statistics.refusedNotRun},
+        {"outcome_unknown", statistics.outcomeUnknown},
+        {"p50_ms", percentile(statistics.totalMs, 0.5)},
+        {"p95_ms", percentile(statistics.totalMs, 0.95)},
+        {"per_second", static_cast<double>(statistics.answered) / options.seconds}};
     fmt::print("{}\n", result.dump());
-    return tally.wrongAnswers == 0 ? 0 : 1;
+    return statistics.wrongAnswers == 0 ? 0 : 1;
 }
 
 } // namespace seamarch::bench
