--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -62,10 +62,10 @@
     return done ? text : std::string();
 }
 
-class Load
+class LoadGenerator
 {
 public:
-    Load(EventLoop &loop, HttpClient &client, const LoadOptions &options)
+    LoadGenerator(EventLoop &loop, HttpClient &client, const LoadOptions &options)
         : loop_(loop)
         , client_(client)
         , options_(options)
@@ -108,10 +108,10 @@
     std::uint64_t counter_ = 0;
 };
 
-class Load::Receiver final : public HttpCallReceiver
+class LoadGenerator::Receiver final : public HttpCallReceiver
 {
 public:
-    Receiver(Load &load, Sent sent)
+    Receiver(LoadGenerator &load, Sent sent)
         : load_(load)
         , sent_(std::move(sent))
     {}
@@ -129,13 +129,13 @@
     }
 
 private:
-    Load &load_;
+    LoadGenerator &load_;
     Sent sent_;
     int status_ = 0;
     std::string body_;
 };
 
-void Load::next(int caller)
+void LoadGenerator::next(int caller)
 {
     if (loop_.now() >= endsAt_) {
         if (--active_ == 0) {
@@ -175,7 +175,7 @@
     client_.call(std::move(request), std::make_unique<Receiver>(*this, sent));
 }
 
-bool Load::isRight(const Sent &sent, const std::string &body) const
+bool LoadGenerator::isRight(const Sent &sent, const std::string &body) const
 {
     if (!sent.service && options_.streamed) {
         return streamedText(body) == expectedText(sent.prompt, options_.answerTokens);
@@ -192,8 +192,8 @@
                   == expectedText(sent.prompt, options_.answerTokens);
 }
 
-void Load::onAnswer(const Sent &sent, int status, const std::string &outcome,
-                    const std::string &body, HttpCallEnd end)
+void LoadGenerator::onAnswer(const Sent &sent, int status, const std::string &outcome,
+                             const std::string &body, HttpCallEnd end)
 {
     if (status == kStatusOk && end == HttpCallEnd::Complete) {
         ++statistics_.answered;
@@ -233,7 +233,7 @@
         fmt::print(stderr, "seamarch-bench: {}\n", client.error().message);
         return 3;
     }
-    Load load(**loop, **client, options);
+    LoadGenerator load(**loop, **client, options);
     load.run();
     (*loop)->shutDown();
     const LoadStatistics &statistics = load.statistics();
