--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -111,8 +111,8 @@
 class LoadGenerator::Receiver final : public HttpCallReceiver
 {
 public:
-    Receiver(LoadGenerator &load, Sent sent)
-        : load_(load)
+    Receiver(LoadGenerator &generator, Sent sent)
+        : load_(generator)
         , sent_(std::move(sent))
     {}
 
@@ -233,10 +233,10 @@
         fmt::print(stderr, "seamarch-bench: {}\n", client.error().message);
         return 3;
     }
-    LoadGenerator load(**loop, **client, options);
-    load.run();
+    LoadGenerator generator(**loop, **client, options);
+    generator.run();
     (*loop)->shutDown();
-    const LoadStatistics &statistics = load.statistics();
+    const LoadStatistics &statistics = generator.statistics();
     const json result = {
         {"requests", statistics.requests},
         {"answered", statistics.answered},
