--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -112,7 +112,7 @@
 {
 public:
     Receiver(LoadGenerator &generator, Sent sent)
-        : load_(generator)
+        : generator_(generator)
         , sent_(std::move(sent))
     {}
 
@@ -125,11 +125,11 @@
         if (body.is_object() && body.contains("error") && body["error"].is_object()) {
             outcome = body["error"].value("outcome", "");
         }
-        load_.onAnswer(sent_, status_, outcome, body_, end);
+        generator_.onAnswer(sent_, status_, outcome, body_, end);
     }
 
 private:
-    LoadGenerator &load_;
+    LoadGenerator &generator_;
     Sent sent_;
     int status_ = 0;
     std::string body_;
