--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -86,7 +86,7 @@
 private:
     class Receiver;
 
-    struct Sent
+    struct SentRequest
     {
         int caller = 0;
         bool service = false;
@@ -95,9 +95,9 @@
     };
 
     void next(int caller);
-    void onAnswer(const Sent &sent, int status, const std::string &outcome, const std::string &body,
-                  HttpCallEnd end);
-    bool isRight(const Sent &sent, const std::string &body) const;
+    void onAnswer(const SentRequest &sent, int status, const std::string &outcome,
+                  const std::string &body, HttpCallEnd end);
+    bool isRight(const SentRequest &sent, const std::string &body) const;
 
     EventLoop &loop_;
     HttpClient &client_;
@@ -111,7 +111,7 @@
 class LoadGenerator::Receiver final : public HttpCallReceiver
 {
 public:
-    Receiver(LoadGenerator &generator, Sent sent)
+    Receiver(LoadGenerator &generator, SentRequest sent)
         : generator_(generator)
         , sent_(std::move(sent))
     {}
@@ -130,7 +130,7 @@
 
 private:
     LoadGenerator &generator_;
-    Sent sent_;
+    SentRequest sent_;
     int status_ = 0;
     std::string body_;
 };
@@ -146,7 +146,7 @@
     const std::uint64_t number = ++counter_;
     const std::string &target = options_.addresses[number % options_.addresses.size()];
     const HostPort address = parseHostPort(target).value_or(HostPort{});
-    Sent sent;
+    SentRequest sent;
     sent.caller = caller;
     sent.service =
         !options_.service.empty() && (options_.model.empty() || number % kServiceCallInterval == 0);
@@ -175,7 +175,7 @@
     client_.call(std::move(request), std::make_unique<Receiver>(*this, sent));
 }
 
-bool LoadGenerator::isRight(const Sent &sent, const std::string &body) const
+bool LoadGenerator::isRight(const SentRequest &sent, const std::string &body) const
 {
     if (!sent.service && options_.streamed) {
         return streamedText(body) == expectedText(sent.prompt, options_.answerTokens);
@@ -192,7 +192,7 @@
                   == expectedText(sent.prompt, options_.answerTokens);
 }
 
-void LoadGenerator::onAnswer(const Sent &sent, int status, const std::string &outcome,
+void LoadGenerator::onAnswer(const SentRequest &sent, int status, const std::string &outcome,
                              const std::string &body, HttpCallEnd end)
 {
     if (status == kStatusOk && end == HttpCallEnd::Complete) {
