--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -91,7 +91,7 @@
         int caller = 0;
         bool service = false;
         std::string prompt;
-        TimePoint at{};
+        TimePoint sentAt{};
     };
 
     void next(int caller);
@@ -151,7 +151,7 @@
     sent.service =
         !options_.service.empty() && (options_.model.empty() || number % kServiceCallInterval == 0);
     sent.prompt = fmt::format("c{}-n{}", caller, number);
-    sent.at = loop_.now();
+    sent.sentAt = loop_.now();
     HttpCallRequest request;
     request.address = {address.host, address.port};
     request.method = "POST";
@@ -198,7 +198,7 @@
     if (status == kStatusOk && end == HttpCallEnd::Complete) {
         ++statistics_.answered;
         statistics_.wrongAnswers += isRight(sent, body) ? 0 : 1;
-        statistics_.totalMs.push_back(toSeconds(loop_.now() - sent.at) * 1000.0);
+        statistics_.totalMs.push_back(toSeconds(loop_.now() - sent.sentAt) * 1000.0);
     } else if (outcome == "not-run") {
         ++statistics_.refusedNotRun;
     } else {
