--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -45,11 +45,11 @@
 {
     std::string text;
     bool done = false;
-    std::size_t at = 0;
-    while ((at = body.find("data: ", at)) != std::string::npos) {
-        const std::size_t end = std::min(body.find("\n\n", at), body.size());
-        const std::string event = body.substr(at + 6, end - at - 6);
-        at = end;
+    std::size_t position = 0;
+    while ((position = body.find("data: ", position)) != std::string::npos) {
+        const std::size_t end = std::min(body.find("\n\n", position), body.size());
+        const std::string event = body.substr(position + 6, end - position - 6);
+        position = end;
         if (event == "[DONE]") {
             done = true;
             continue;
