--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -76,7 +76,7 @@
         endsAt_ = loop_.now() + fromSeconds(options_.seconds);
         for (int caller = 0; caller < options_.callers; ++caller) {
             ++active_;
-            next(caller);
+            sendNext(caller);
         }
         loop_.run();
     }
@@ -94,7 +94,7 @@
         TimePoint sentAt{};
     };
 
-    void next(int caller);
+    void sendNext(int caller);
     void onAnswer(const SentRequest &sent, int status, const std::string &outcome,
                   const std::string &body, HttpCallEnd end);
     bool isRight(const SentRequest &sent, const std::string &body) const;
@@ -135,7 +135,7 @@
     std::string body_;
 };
 
-void LoadGenerator::next(int caller)
+void LoadGenerator::sendNext(int caller)
 {
     if (loop_.now() >= endsAt_) {
         if (--active_ == 0) {
@@ -205,7 +205,7 @@
         ++statistics_.outcomeUnknown;
     }
     const Duration pause = status == kStatusOk ? Duration(1) : std::chrono::milliseconds(50);
-    loop_.schedule(pause, [this, caller = sent.caller] { next(caller); });
+    loop_.schedule(pause, [this, caller = sent.caller] { sendNext(caller); });
 }
 
 double percentile(std::vector<double> values, double part)
