--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -75,7 +75,7 @@
     {
         endsAt_ = loop_.now() + fromSeconds(options_.seconds);
         for (int caller = 0; caller < options_.callers; ++caller) {
-            ++active_;
+            ++activeCallers_;
             sendNext(caller);
         }
         loop_.run();
@@ -104,7 +104,7 @@
     const LoadOptions &options_;
     LoadStatistics statistics_;
     TimePoint endsAt_{};
-    int active_ = 0;
+    int activeCallers_ = 0;
     std::uint64_t counter_ = 0;
 };
 
@@ -138,7 +138,7 @@
 void LoadGenerator::sendNext(int caller)
 {
     if (loop_.now() >= endsAt_) {
-        if (--active_ == 0) {
+        if (--activeCallers_ == 0) {
             loop_.stop();
         }
         return;
