--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -105,7 +105,7 @@
     LoadStatistics statistics_;
     TimePoint endsAt_{};
     int activeCallers_ = 0;
-    std::uint64_t counter_ = 0;
+    std::uint64_t requestCounter_ = 0;
 };
 
 class LoadGenerator::Receiver final : public HttpCallReceiver
@@ -143,7 +143,7 @@
         }
         return;
     }
-    const std::uint64_t number = ++counter_;
+    const std::uint64_t number = ++requestCounter_;
     const std::string &target = options_.addresses[number % options_.addresses.size()];
     const HostPort address = parseHostPort(target).value_or(HostPort{});
     SentRequest sent;
