--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -97,7 +97,7 @@
     void sendNext(int caller);
     void onAnswer(const SentRequest &sent, int status, const std::string &outcome,
                   const std::string &body, HttpCallEnd end);
-    bool isRight(const SentRequest &sent, const std::string &body) const;
+    bool isCorrect(const SentRequest &sent, const std::string &body) const;
 
     EventLoop &loop_;
     HttpClient &client_;
@@ -175,7 +175,7 @@
     client_.call(std::move(request), std::make_unique<Receiver>(*this, sent));
 }
 
-bool LoadGenerator::isRight(const SentRequest &sent, const std::string &body) const
+bool LoadGenerator::isCorrect(const SentRequest &sent, const std::string &body) const
 {
     if (!sent.service && options_.streamed) {
         return streamedText(body) == expectedText(sent.prompt, options_.answerTokens);
@@ -197,7 +197,7 @@
 {
     if (status == kStatusOk && end == HttpCallEnd::Complete) {
         ++statistics_.answered;
-        statistics_.wrongAnswers += isRight(sent, body) ? 0 : 1;
+        statistics_.wrongAnswers += isCorrect(sent, body) ? 0 : 1;
         statistics_.totalMs.push_back(toSeconds(loop_.now() - sent.sentAt) * 1000.0);
     } else if (outcome == "not-run") {
         ++statistics_.refusedNotRun;
