--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -28,7 +28,7 @@
     std::uint64_t wrongAnswers = 0;
     std::uint64_t refusedNotRun = 0;
     std::uint64_t outcomeUnknown = 0;
-    std::vector<double> totalMs;
+    std::vector<double> latenciesMs;
 };
 
 std::string expectedText(const std::string &prompt, int tokens)
@@ -198,7 +198,7 @@
     if (status == kStatusOk && end == HttpCallEnd::Complete) {
         ++statistics_.answered;
         statistics_.wrongAnswers += isCorrect(sent, body) ? 0 : 1;
-        statistics_.totalMs.push_back(toSeconds(loop_.now() - sent.sentAt) * 1000.0);
+        statistics_.latenciesMs.push_back(toSeconds(loop_.now() - sent.sentAt) * 1000.0);
     } else if (outcome == "not-run") {
         ++statistics_.refusedNotRun;
     } else {
@@ -243,8 +243,8 @@
         {"wrong_answers", statistics.wrongAnswers},
         {"refused_not_run", statistics.refusedNotRun},
         {"outcome_unknown", statistics.outcomeUnknown},
-        {"p50_ms", percentile(statistics.totalMs, 0.5)},
-        {"p95_ms", percentile(statistics.totalMs, 0.95)},
+        {"p50_ms", percentile(statistics.latenciesMs, 0.5)},
+        {"p95_ms", percentile(statistics.latenciesMs, 0.95)},
         {"per_second", static_cast<double>(statistics.answered) / options.seconds}};
     fmt::print("{}\n", result.dump());
     return statistics.wrongAnswers == 0 ? 0 : 1;
