--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -204,8 +204,8 @@
     } else {
         ++statistics_.outcomeUnknown;
     }
-    const Duration pause = status == kStatusOk ? Duration(1) : std::chrono::milliseconds(50);
-    loop_.schedule(pause, [this, caller = sent.caller] { sendNext(caller); });
+    const Duration delay = status == kStatusOk ? Duration(1) : std::chrono::milliseconds(50);
+    loop_.schedule(delay, [this, caller = sent.caller] { sendNext(caller); });
 }
 
 double percentile(std::vector<double> values, double part)
