--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -208,13 +208,13 @@
     loop_.schedule(delay, [this, caller = sent.caller] { sendNext(caller); });
 }
 
-double percentile(std::vector<double> values, double part)
+double percentile(std::vector<double> values, double fraction)
 {
     if (values.empty()) {
         return 0.0;
     }
     std::sort(values.begin(), values.end());
-    const auto index = static_cast<std::size_t>(part * static_cast<double>(values.size() - 1));
+    const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1));
     return values[index];
 }
 
