--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -31,10 +31,10 @@
     bool counted = false;
 };
 
-class Fleet
+class FleetSimulation
 {
 public:
-    explicit Fleet(const FleetOptions &options)
+    explicit FleetSimulation(const FleetOptions &options)
         : options_(options)
         , random_(options.seed)
     {
@@ -442,7 +442,7 @@
 
 FleetResult runFleet(const FleetOptions &options)
 {
-    return Fleet(options).run();
+    return FleetSimulation(options).run();
 }
 
 } // namespace seamarch::bench
