--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -1,5 +1,5 @@
-#include "decision/dispatch/agentcore.h"
 #include "benchmarkresult.h"
+#include "decision/dispatch/agentcore.h"
 #include "fleetsimulation.h"
 
 #include <cmath>
@@ -204,7 +204,7 @@
     options.load = load;
     options.deadlineSeconds = 10.0;
     options.seconds = 200.0;
-    return runFleet(options);
+    return simulateFleet(options);
 }
 
 } // namespace
--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -440,7 +440,7 @@
     return percentileOf(firstTokens, part);
 }
 
-FleetResult runFleet(const FleetOptions &options)
+FleetResult simulateFleet(const FleetOptions &options)
 {
     return FleetSimulation(options).run();
 }
--- a/bench/fleetsimulation.h
+++ b/bench/fleetsimulation.h
@@ -53,7 +53,7 @@
     double goodput() const { return static_cast<double>(completed) / seconds; }
 };
 
-FleetResult runFleet(const FleetOptions &options);
+FleetResult simulateFleet(const FleetOptions &options);
 
 // Returns the value at `part` of the sorted values.
 double percentileOf(std::vector<double> values, double part);
--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -12,7 +12,7 @@
     FleetResult all;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         options.seed = seed;
-        const FleetResult one = runFleet(options);
+        const FleetResult one = simulateFleet(options);
         all.firstTokens.insert(all.firstTokens.end(), one.firstTokens.begin(),
                                one.firstTokens.end());
         all.cachedTokens += one.cachedTokens;
