--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -425,19 +425,20 @@
 
 } // namespace
 
-double percentileOf(std::vector<double> values, double part)
+double percentileOf(std::vector<double> values, double fraction)
 {
     if (values.empty()) {
         return 0.0;
     }
-    const auto index = static_cast<std::ptrdiff_t>(part * static_cast<double>(values.size() - 1));
+    const auto index =
+        static_cast<std::ptrdiff_t>(fraction * static_cast<double>(values.size() - 1));
     std::nth_element(values.begin(), values.begin() + index, values.end());
     return values[static_cast<std::size_t>(index)];
 }
 
-double FleetResult::percentile(double part) const
+double FleetResult::percentile(double fraction) const
 {
-    return percentileOf(firstTokens, part);
+    return percentileOf(firstTokens, fraction);
 }
 
 FleetResult simulateFleet(const FleetOptions &options)
--- a/bench/fleetsimulation.h
+++ b/bench/fleetsimulation.h
@@ -49,13 +49,13 @@
     double cacheableTokens = 0.0;
     double seconds = 0.0;
 
-    double percentile(double part) const;
+    double percentile(double fraction) const;
     double goodput() const { return static_cast<double>(completed) / seconds; }
 };
 
 FleetResult simulateFleet(const FleetOptions &options);
 
 // Returns the value at `part` of the sorted values.
-double percentileOf(std::vector<double> values, double part);
+double percentileOf(std::vector<double> values, double fraction);
 
 } // namespace seamarch::bench
