--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -22,7 +22,7 @@
 const HallId kHall("north");
 const AccountId kAccount("officers");
 
-struct Work
+struct SimulatedRequest
 {
     TimePoint arrived{};
     std::uint64_t prefix = 0;
@@ -190,7 +190,7 @@
     {
         std::exponential_distribution<double> gap(requestsPerSecond());
         after(gap(workload_), [this] { arrive(); });
-        Work work;
+        SimulatedRequest work;
         work.arrived = now_;
         work.prefix = prefixes_(workload_) + 1;
         work.prompt = 200
@@ -283,7 +283,7 @@
     void deliver(std::size_t entry, const SendCall &call)
     {
         const std::size_t index = indexOf(call.agent);
-        const Work &work = works_.at(call.id);
+        const SimulatedRequest &work = works_.at(call.id);
         AgentCall message;
         message.id = call.id;
         message.account = kAccount;
@@ -315,7 +315,7 @@
                 announceFree(index);
             } else if (const auto *start = std::get_if<StartUpstream>(&action)) {
                 const RequestId id = start->id;
-                const Work &work = works_.at(id);
+                const SimulatedRequest &work = works_.at(id);
                 const double seconds = serve(index, work);
                 after(seconds, [this, index, id] { finish(index, id); });
             } else if (const auto *report = std::get_if<ReportNotRun>(&action)) {
@@ -329,7 +329,7 @@
     }
 
     // Starts a request on an engine; returns how long it holds its slot.
-    double serve(std::size_t index, const Work &work)
+    double serve(std::size_t index, const SimulatedRequest &work)
     {
         Engine &engine = engines_[index];
         const auto cached = std::find(engine.cache.begin(), engine.cache.end(), work.prefix);
@@ -355,7 +355,7 @@
 
     void finish(std::size_t index, RequestId id)
     {
-        const Work &work = works_.at(id);
+        const SimulatedRequest &work = works_.at(id);
         const bool inTime = toSeconds(now_ - work.arrived) <= options_.deadlineSeconds;
         result_.completed += work.counted && inTime ? 1 : 0;
         AgentCore &core = *engines_[index].core;
@@ -374,7 +374,7 @@
     void serveWaiting()
     {
         while (!waiting_.empty()) {
-            const Work work = waiting_.front();
+            const SimulatedRequest work = waiting_.front();
             std::size_t best = engines_.size();
             double bestPrice = 0.0;
             for (std::size_t index = 0; index < engines_.size(); ++index) {
@@ -417,9 +417,9 @@
     std::vector<Engine> engines_;
     InstanceList list_;
     std::discrete_distribution<std::uint64_t> prefixes_;
-    std::map<RequestId, Work> works_;
+    std::map<RequestId, SimulatedRequest> works_;
     std::map<RequestId, std::size_t> entryOf_;
-    std::deque<Work> waiting_;
+    std::deque<SimulatedRequest> waiting_;
     FleetResult result_;
 };
 
