--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -217,7 +217,7 @@
         request.deadline = fromSeconds(options_.deadlineSeconds);
         EntryActions actions;
         const RequestId id = entries_[entry]->begin(request, now_, actions);
-        works_[id] = work;
+        requests_[id] = work;
         entryOf_[id] = entry;
         carryOut(entry, actions);
     }
@@ -272,10 +272,10 @@
                 continue;
             }
             if (const auto *call = std::get_if<SendCall>(&action)) {
-                result_.sends += works_.at(call->id).counted ? 1 : 0;
+                result_.sends += requests_.at(call->id).counted ? 1 : 0;
                 after(0.0015, [this, entry, call = *call] { deliver(entry, call); });
             } else if (const auto *failure = std::get_if<FailRequest>(&action)) {
-                result_.refused += works_.at(failure->id).counted ? 1 : 0;
+                result_.refused += requests_.at(failure->id).counted ? 1 : 0;
             }
         }
     }
@@ -283,7 +283,7 @@
     void deliver(std::size_t entry, const SendCall &call)
     {
         const std::size_t index = indexOf(call.agent);
-        const SimulatedRequest &work = works_.at(call.id);
+        const SimulatedRequest &work = requests_.at(call.id);
         AgentCall message;
         message.id = call.id;
         message.account = kAccount;
@@ -315,7 +315,7 @@
                 announceFree(index);
             } else if (const auto *start = std::get_if<StartUpstream>(&action)) {
                 const RequestId id = start->id;
-                const SimulatedRequest &work = works_.at(id);
+                const SimulatedRequest &work = requests_.at(id);
                 const double seconds = serve(index, work);
                 after(seconds, [this, index, id] { finish(index, id); });
             } else if (const auto *report = std::get_if<ReportNotRun>(&action)) {
@@ -355,7 +355,7 @@
 
     void finish(std::size_t index, RequestId id)
     {
-        const SimulatedRequest &work = works_.at(id);
+        const SimulatedRequest &work = requests_.at(id);
         const bool inTime = toSeconds(now_ - work.arrived) <= options_.deadlineSeconds;
         result_.completed += work.counted && inTime ? 1 : 0;
         AgentCore &core = *engines_[index].core;
@@ -417,7 +417,7 @@
     std::vector<Engine> engines_;
     InstanceList list_;
     std::discrete_distribution<std::uint64_t> prefixes_;
-    std::map<RequestId, SimulatedRequest> works_;
+    std::map<RequestId, SimulatedRequest> requests_;
     std::map<RequestId, std::size_t> entryOf_;
     std::deque<SimulatedRequest> waiting_;
     FleetResult result_;
