--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -190,19 +190,19 @@
     {
         std::exponential_distribution<double> gap(requestsPerSecond());
         after(gap(workload_), [this] { arrive(); });
-        SimulatedRequest work;
-        work.arrived = now_;
-        work.prefix = prefixes_(workload_) + 1;
-        work.prompt = 200
-                      + static_cast<Tokens>(std::exponential_distribution<double>(
-                          1.0 / (kMeanPrompt - 200))(workload_));
-        work.answer = 1
-                      + static_cast<Tokens>(
-                          std::exponential_distribution<double>(1.0 / kMeanAnswer)(workload_));
-        work.counted = toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUp;
-        result_.offered += work.counted ? 1 : 0;
+        SimulatedRequest simulated;
+        simulated.arrived = now_;
+        simulated.prefix = prefixes_(workload_) + 1;
+        simulated.prompt = 200
+                           + static_cast<Tokens>(std::exponential_distribution<double>(
+                               1.0 / (kMeanPrompt - 200))(workload_));
+        simulated.answer = 1
+                           + static_cast<Tokens>(
+                               std::exponential_distribution<double>(1.0 / kMeanAnswer)(workload_));
+        simulated.counted = toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUp;
+        result_.offered += simulated.counted ? 1 : 0;
         if (options_.clairvoyant) {
-            waiting_.push_back(work);
+            waiting_.push_back(simulated);
             serveWaiting();
             return;
         }
@@ -210,14 +210,14 @@
         EntryRequest request;
         request.account = kAccount;
         request.target = kTarget;
-        request.promptTokens = work.prompt;
+        request.promptTokens = simulated.prompt;
         request.answerTokens = static_cast<Tokens>(kMeanAnswer); // What callers declare.
-        request.prefixHash = chance(options_.lostReports) ? 0 : work.prefix;
+        request.prefixHash = chance(options_.lostReports) ? 0 : simulated.prefix;
         request.repeatable = true;
         request.deadline = fromSeconds(options_.deadlineSeconds);
         EntryActions actions;
         const RequestId id = entries_[entry]->begin(request, now_, actions);
-        requests_[id] = work;
+        requests_[id] = simulated;
         entryOf_[id] = entry;
         carryOut(entry, actions);
     }
@@ -283,11 +283,11 @@
     void deliver(std::size_t entry, const SendCall &call)
     {
         const std::size_t index = indexOf(call.agent);
-        const SimulatedRequest &work = requests_.at(call.id);
+        const SimulatedRequest &simulated = requests_.at(call.id);
         AgentCall message;
         message.id = call.id;
         message.account = kAccount;
-        message.promptTokens = work.prompt;
+        message.promptTokens = simulated.prompt;
         message.answerTokens = static_cast<Tokens>(kMeanAnswer);
         message.deadline = call.deadline;
         message.agentIncarnation = call.agentIncarnation;
@@ -315,8 +315,8 @@
                 announceFree(index);
             } else if (const auto *start = std::get_if<StartUpstream>(&action)) {
                 const RequestId id = start->id;
-                const SimulatedRequest &work = requests_.at(id);
-                const double seconds = serve(index, work);
+                const SimulatedRequest &simulated = requests_.at(id);
+                const double seconds = serve(index, simulated);
                 after(seconds, [this, index, id] { finish(index, id); });
             } else if (const auto *report = std::get_if<ReportNotRun>(&action)) {
                 EntryActions next;
@@ -329,37 +329,37 @@
     }
 
     // Starts a request on an engine; returns how long it holds its slot.
-    double serve(std::size_t index, const SimulatedRequest &work)
+    double serve(std::size_t index, const SimulatedRequest &simulated)
     {
         Engine &engine = engines_[index];
-        const auto cached = std::find(engine.cache.begin(), engine.cache.end(), work.prefix);
-        const double prefixTokens = kPrefixPart * static_cast<double>(work.prompt);
+        const auto cached = std::find(engine.cache.begin(), engine.cache.end(), simulated.prefix);
+        const double prefixTokens = kPrefixPart * static_cast<double>(simulated.prompt);
         const bool hit = cached != engine.cache.end();
         if (hit) {
             engine.cache.erase(cached);
         }
-        engine.cache.push_front(work.prefix);
+        engine.cache.push_front(simulated.prefix);
         if (engine.cache.size() > kCachedPrefixes) {
             engine.cache.pop_back();
         }
-        const double left = static_cast<double>(work.prompt) - (hit ? prefixTokens : 0.0);
+        const double left = static_cast<double>(simulated.prompt) - (hit ? prefixTokens : 0.0);
         const double prefill = left / kPrefillTokensPerSecond / engine.speed;
         const double first = prefill + kSecondsPerToken / engine.speed;
-        if (work.counted) {
+        if (simulated.counted) {
             result_.cacheableTokens += prefixTokens;
             result_.cachedTokens += hit ? prefixTokens : 0.0;
-            result_.firstTokens.push_back(toSeconds(now_ - work.arrived) + first);
+            result_.firstTokens.push_back(toSeconds(now_ - simulated.arrived) + first);
         }
-        return prefill + static_cast<double>(work.answer) * kSecondsPerToken / engine.speed;
+        return prefill + static_cast<double>(simulated.answer) * kSecondsPerToken / engine.speed;
     }
 
     void finish(std::size_t index, RequestId id)
     {
-        const SimulatedRequest &work = requests_.at(id);
-        const bool inTime = toSeconds(now_ - work.arrived) <= options_.deadlineSeconds;
-        result_.completed += work.counted && inTime ? 1 : 0;
+        const SimulatedRequest &simulated = requests_.at(id);
+        const bool inTime = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
+        result_.completed += simulated.counted && inTime ? 1 : 0;
         AgentCore &core = *engines_[index].core;
-        core.onTokens(id, work.answer);
+        core.onTokens(id, simulated.answer);
         AgentActions actions;
         core.onEnded(id, now_, actions);
         EntryCore &entry = *entries_[entryOf_.at(id)];
@@ -374,7 +374,7 @@
     void serveWaiting()
     {
         while (!waiting_.empty()) {
-            const SimulatedRequest work = waiting_.front();
+            const SimulatedRequest simulated = waiting_.front();
             std::size_t best = engines_.size();
             double bestPrice = 0.0;
             for (std::size_t index = 0; index < engines_.size(); ++index) {
@@ -382,8 +382,9 @@
                 if (engine.running >= options_.slots) {
                     continue;
                 }
-                const bool hit = std::find(engine.cache.begin(), engine.cache.end(), work.prefix)
-                                 != engine.cache.end();
+                const bool hit =
+                    std::find(engine.cache.begin(), engine.cache.end(), simulated.prefix)
+                    != engine.cache.end();
                 const double price =
                     (hit ? 1.0 - kPrefixPart : 1.0) / engine.speed + 0.01 * engine.running;
                 if (best == engines_.size() || price < bestPrice) {
@@ -396,11 +397,11 @@
             }
             waiting_.pop_front();
             ++engines_[best].running;
-            const double seconds = serve(best, work);
-            after(seconds, [this, best, work] {
+            const double seconds = serve(best, simulated);
+            after(seconds, [this, best, simulated] {
                 --engines_[best].running;
-                const bool inTime = toSeconds(now_ - work.arrived) <= options_.deadlineSeconds;
-                result_.completed += work.counted && inTime ? 1 : 0;
+                const bool inTime = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
+                result_.completed += simulated.counted && inTime ? 1 : 0;
                 serveWaiting();
             });
         }
