--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -167,7 +167,7 @@
                 entries_[entry]->onReport(list_.instances[index].id, engines_[index].core->report(),
                                           now_, now_, actions);
                 if (options_.freeNotices > 0) {
-                    carryOut(entry, actions);
+                    execute(entry, actions);
                 }
             }
             heartbeat(entry);
@@ -181,7 +181,7 @@
         for (std::size_t index = 0; index < engines_.size(); ++index) {
             AgentActions actions;
             engines_[index].core->onTick(now_, actions);
-            carryOut(index, actions);
+            execute(index, actions);
         }
         after(0.05, [this] { tick(); });
     }
@@ -219,7 +219,7 @@
         const RequestId id = entries_[entry]->begin(request, now_, actions);
         requests_[id] = simulated;
         entryOf_[id] = entry;
-        carryOut(entry, actions);
+        execute(entry, actions);
     }
 
     void announceFree(std::size_t index)
@@ -231,7 +231,7 @@
                 EntryActions actions;
                 entries_[entry]->onFree(list_.instances[index].id, engines_[index].core->report(),
                                         now_, actions);
-                carryOut(entry, actions);
+                execute(entry, actions);
             });
         }
     }
@@ -251,7 +251,7 @@
             after(0.0015, [this, entry, request, notRun] {
                 EntryActions actions;
                 entries_[entry]->onWithdrawn(request.id, request.agent, notRun, now_, actions);
-                carryOut(entry, actions);
+                execute(entry, actions);
             });
         });
     }
@@ -264,7 +264,7 @@
         return static_cast<std::size_t>(found - list_.instances.begin());
     }
 
-    void carryOut(std::size_t entry, const EntryActions &actions)
+    void execute(std::size_t entry, const EntryActions &actions)
     {
         for (const EntryAction &action : actions) {
             if (const auto *taken = std::get_if<SendWithdraw>(&action)) {
@@ -293,7 +293,7 @@
         message.agentIncarnation = call.agentIncarnation;
         AgentActions actions;
         const AdmissionResult verdict = engines_[index].core->onCall(message, now_, {}, actions);
-        carryOut(index, actions);
+        execute(index, actions);
         if (verdict.accepted) {
             after(0.0015, [this, entry, id = call.id, verdict] {
                 entries_[entry]->onAccepted(id, verdict.started);
@@ -303,12 +303,12 @@
                 EntryActions next;
                 entries_[entry]->onRefused(id, verdict.failure, verdict.outcome, verdict.retryAfter,
                                            now_, next);
-                carryOut(entry, next);
+                execute(entry, next);
             });
         }
     }
 
-    void carryOut(std::size_t index, const AgentActions &actions)
+    void execute(std::size_t index, const AgentActions &actions)
     {
         for (const AgentAction &action : actions) {
             if (std::holds_alternative<AnnounceFreeSlot>(action)) {
@@ -323,7 +323,7 @@
                 const std::size_t entry = entryOf_.at(report->id);
                 entries_[entry]->onRefused(report->id, report->failure, Outcome::NotRun,
                                            report->retryAfter, now_, next);
-                carryOut(entry, next);
+                execute(entry, next);
             }
         }
     }
@@ -367,7 +367,7 @@
         if (entry.onAnswer(id, agent)) {
             entry.onComplete(id, agent, now_);
         }
-        carryOut(index, actions);
+        execute(index, actions);
     }
 
     // The clairvoyant queue: the oldest request goes to the best free slot of the whole fleet.
