--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -203,7 +203,7 @@
         result_.offered += simulated.counted ? 1 : 0;
         if (options_.clairvoyant) {
             waiting_.push_back(simulated);
-            serveWaiting();
+            dispatchWaiting();
             return;
         }
         const std::size_t entry = pickEntry();
@@ -371,7 +371,7 @@
     }
 
     // The clairvoyant queue: the oldest request goes to the best free slot of the whole fleet.
-    void serveWaiting()
+    void dispatchWaiting()
     {
         while (!waiting_.empty()) {
             const SimulatedRequest simulated = waiting_.front();
@@ -402,7 +402,7 @@
                 --engines_[best].running;
                 const bool inTime = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
                 result_.completed += simulated.counted && inTime ? 1 : 0;
-                serveWaiting();
+                dispatchWaiting();
             });
         }
     }
