--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -316,7 +316,7 @@
             } else if (const auto *start = std::get_if<StartUpstream>(&action)) {
                 const RequestId id = start->id;
                 const SimulatedRequest &simulated = requests_.at(id);
-                const double seconds = serve(index, simulated);
+                const double seconds = startOnEngine(index, simulated);
                 after(seconds, [this, index, id] { finish(index, id); });
             } else if (const auto *report = std::get_if<ReportNotRun>(&action)) {
                 EntryActions next;
@@ -329,7 +329,7 @@
     }
 
     // Starts a request on an engine; returns how long it holds its slot.
-    double serve(std::size_t index, const SimulatedRequest &simulated)
+    double startOnEngine(std::size_t index, const SimulatedRequest &simulated)
     {
         Engine &engine = engines_[index];
         const auto cached = std::find(engine.cache.begin(), engine.cache.end(), simulated.prefix);
@@ -397,7 +397,7 @@
             }
             waiting_.pop_front();
             ++engines_[best].running;
-            const double seconds = serve(best, simulated);
+            const double seconds = startOnEngine(best, simulated);
             after(seconds, [this, best, simulated] {
                 --engines_[best].running;
                 const bool inTime = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
