--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kCachedPrefixes = 40; // That one engine can hold.
 constexpr double kPrefixPart = 0.8;         // Of a prompt.
 constexpr double kSlowSpeed = 0.6;
-constexpr double kWarmUp = 0.2; // Part of the run that is not counted.
+constexpr double kWarmUpFraction = 0.2; // Part of the run that is not counted.
 const TargetName kTarget("bid");
 const HallId kHall("north");
 const AccountId kAccount("officers");
@@ -53,7 +53,7 @@
 
     FleetResult run()
     {
-        result_.seconds = options_.seconds * (1.0 - kWarmUp);
+        result_.seconds = options_.seconds * (1.0 - kWarmUpFraction);
         for (std::size_t entry = 0; entry < entries_.size(); ++entry) {
             heartbeat(entry);
         }
@@ -199,7 +199,8 @@
         simulated.answer = 1
                            + static_cast<Tokens>(
                                std::exponential_distribution<double>(1.0 / kMeanAnswer)(workload_));
-        simulated.counted = toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUp;
+        simulated.counted =
+            toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUpFraction;
         result_.offered += simulated.counted ? 1 : 0;
         if (options_.clairvoyant) {
             waiting_.push_back(simulated);
