--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -15,7 +15,7 @@
 constexpr double kMeanAnswer = 120.0;
 constexpr std::size_t kPrefixes = 300;
 constexpr std::size_t kCachedPrefixes = 40; // That one engine can hold.
-constexpr double kPrefixPart = 0.8;         // Of a prompt.
+constexpr double kPrefixFraction = 0.8;     // Of a prompt.
 constexpr double kSlowSpeed = 0.6;
 constexpr double kWarmUpFraction = 0.2; // Part of the run that is not counted.
 const TargetName kTarget("bid");
@@ -334,7 +334,7 @@
     {
         Engine &engine = engines_[index];
         const auto cached = std::find(engine.cache.begin(), engine.cache.end(), simulated.prefix);
-        const double prefixTokens = kPrefixPart * static_cast<double>(simulated.prompt);
+        const double prefixTokens = kPrefixFraction * static_cast<double>(simulated.prompt);
         const bool hit = cached != engine.cache.end();
         if (hit) {
             engine.cache.erase(cached);
@@ -387,7 +387,7 @@
                     std::find(engine.cache.begin(), engine.cache.end(), simulated.prefix)
                     != engine.cache.end();
                 const double price =
-                    (hit ? 1.0 - kPrefixPart : 1.0) / engine.speed + 0.01 * engine.running;
+                    (hit ? 1.0 - kPrefixFraction : 1.0) / engine.speed + 0.01 * engine.running;
                 if (best == engines_.size() || price < bestPrice) {
                     best = index;
                     bestPrice = price;
