--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -14,8 +14,8 @@
 constexpr double kMeanPrompt = 2000.0;
 constexpr double kMeanAnswer = 120.0;
 constexpr std::size_t kPrefixes = 300;
-constexpr std::size_t kCachedPrefixes = 40; // That one engine can hold.
-constexpr double kPrefixFraction = 0.8;     // Of a prompt.
+constexpr std::size_t kCachedPrefixesPerEngine = 40; // That one engine can hold.
+constexpr double kPrefixFraction = 0.8;              // Of a prompt.
 constexpr double kSlowSpeed = 0.6;
 constexpr double kWarmUpFraction = 0.2; // Part of the run that is not counted.
 const TargetName kTarget("bid");
@@ -340,7 +340,7 @@
             engine.cache.erase(cached);
         }
         engine.cache.push_front(simulated.prefix);
-        if (engine.cache.size() > kCachedPrefixes) {
+        if (engine.cache.size() > kCachedPrefixesPerEngine) {
             engine.cache.pop_back();
         }
         const double left = static_cast<double>(simulated.prompt) - (hit ? prefixTokens : 0.0);
