--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -13,7 +13,7 @@
 constexpr double kSecondsPerToken = 0.03;
 constexpr double kMeanPrompt = 2000.0;
 constexpr double kMeanAnswer = 120.0;
-constexpr std::size_t kPrefixes = 300;
+constexpr std::size_t kPrefixCount = 300;
 constexpr std::size_t kCachedPrefixesPerEngine = 40; // That one engine can hold.
 constexpr double kPrefixFraction = 0.8;              // Of a prompt.
 constexpr double kSlowSpeed = 0.6;
@@ -45,7 +45,7 @@
             makeEntry();
         }
         std::vector<double> weights;
-        for (std::size_t prefix = 0; prefix < kPrefixes; ++prefix) {
+        for (std::size_t prefix = 0; prefix < kPrefixCount; ++prefix) {
             weights.push_back(1.0 / static_cast<double>(prefix + 1));
         }
         prefixes_ = std::discrete_distribution<std::uint64_t>(weights.begin(), weights.end());
