--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kPrefillTokensPerSecond = 20'000.0;
 constexpr double kSecondsPerToken = 0.03;
-constexpr double kMeanPrompt = 2000.0;
+constexpr double kMeanPromptTokens = 2000.0;
 constexpr double kMeanAnswer = 120.0;
 constexpr std::size_t kPrefixCount = 300;
 constexpr std::size_t kCachedPrefixesPerEngine = 40; // That one engine can hold.
@@ -136,14 +136,14 @@
     static double meanCost()
     {
         return static_cast<double>(
-            requestCost(static_cast<Tokens>(kMeanPrompt), static_cast<Tokens>(kMeanAnswer)));
+            requestCost(static_cast<Tokens>(kMeanPromptTokens), static_cast<Tokens>(kMeanAnswer)));
     }
 
     // Cost that a normal engine works off in a second when all slots are busy.
     double capacityTokens() const
     {
         const double seconds =
-            kMeanPrompt / kPrefillTokensPerSecond + kMeanAnswer * kSecondsPerToken;
+            kMeanPromptTokens / kPrefillTokensPerSecond + kMeanAnswer * kSecondsPerToken;
         return options_.slots * meanCost() / seconds;
     }
 
@@ -195,7 +195,7 @@
         simulated.prefix = prefixes_(workload_) + 1;
         simulated.prompt = 200
                            + static_cast<Tokens>(std::exponential_distribution<double>(
-                               1.0 / (kMeanPrompt - 200))(workload_));
+                               1.0 / (kMeanPromptTokens - 200))(workload_));
         simulated.answer = 1
                            + static_cast<Tokens>(
                                std::exponential_distribution<double>(1.0 / kMeanAnswer)(workload_));
