--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -12,7 +12,7 @@
 constexpr double kPrefillTokensPerSecond = 20'000.0;
 constexpr double kSecondsPerToken = 0.03;
 constexpr double kMeanPromptTokens = 2000.0;
-constexpr double kMeanAnswer = 120.0;
+constexpr double kMeanAnswerTokens = 120.0;
 constexpr std::size_t kPrefixCount = 300;
 constexpr std::size_t kCachedPrefixesPerEngine = 40; // That one engine can hold.
 constexpr double kPrefixFraction = 0.8;              // Of a prompt.
@@ -135,15 +135,15 @@
 
     static double meanCost()
     {
-        return static_cast<double>(
-            requestCost(static_cast<Tokens>(kMeanPromptTokens), static_cast<Tokens>(kMeanAnswer)));
+        return static_cast<double>(requestCost(static_cast<Tokens>(kMeanPromptTokens),
+                                               static_cast<Tokens>(kMeanAnswerTokens)));
     }
 
     // Cost that a normal engine works off in a second when all slots are busy.
     double capacityTokens() const
     {
         const double seconds =
-            kMeanPromptTokens / kPrefillTokensPerSecond + kMeanAnswer * kSecondsPerToken;
+            kMeanPromptTokens / kPrefillTokensPerSecond + kMeanAnswerTokens * kSecondsPerToken;
         return options_.slots * meanCost() / seconds;
     }
 
@@ -197,8 +197,8 @@
                            + static_cast<Tokens>(std::exponential_distribution<double>(
                                1.0 / (kMeanPromptTokens - 200))(workload_));
         simulated.answer = 1
-                           + static_cast<Tokens>(
-                               std::exponential_distribution<double>(1.0 / kMeanAnswer)(workload_));
+                           + static_cast<Tokens>(std::exponential_distribution<double>(
+                               1.0 / kMeanAnswerTokens)(workload_));
         simulated.counted =
             toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUpFraction;
         result_.offered += simulated.counted ? 1 : 0;
@@ -212,7 +212,7 @@
         request.account = kAccount;
         request.target = kTarget;
         request.promptTokens = simulated.prompt;
-        request.answerTokens = static_cast<Tokens>(kMeanAnswer); // What callers declare.
+        request.answerTokens = static_cast<Tokens>(kMeanAnswerTokens); // What callers declare.
         request.prefixHash = chance(options_.lostReports) ? 0 : simulated.prefix;
         request.repeatable = true;
         request.deadline = fromSeconds(options_.deadlineSeconds);
@@ -289,7 +289,7 @@
         message.id = call.id;
         message.account = kAccount;
         message.promptTokens = simulated.prompt;
-        message.answerTokens = static_cast<Tokens>(kMeanAnswer);
+        message.answerTokens = static_cast<Tokens>(kMeanAnswerTokens);
         message.deadline = call.deadline;
         message.agentIncarnation = call.agentIncarnation;
         AgentActions actions;
