--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kPrefixCount = 300;
 constexpr std::size_t kCachedPrefixesPerEngine = 40; // That one engine can hold.
 constexpr double kPrefixFraction = 0.8;              // Of a prompt.
-constexpr double kSlowSpeed = 0.6;
+constexpr double kSlowEngineSpeed = 0.6;
 constexpr double kWarmUpFraction = 0.2; // Part of the run that is not counted.
 const TargetName kTarget("bid");
 const HallId kHall("north");
@@ -107,7 +107,7 @@
         settings.incarnation = Incarnation(static_cast<std::uint64_t>(index) + 1);
         settings.slots = options_.slots;
         Engine engine;
-        engine.speed = index < options_.slowAgents ? kSlowSpeed : 1.0;
+        engine.speed = index < options_.slowAgents ? kSlowEngineSpeed : 1.0;
         settings.initialTokensPerSecond = capacityTokens() * engine.speed;
         engine.core = std::make_unique<AgentCore>(settings, now_);
         InstanceRecord record;
@@ -149,7 +149,7 @@
 
     double requestsPerSecond() const
     {
-        const double fast = options_.agents - options_.slowAgents * (1.0 - kSlowSpeed);
+        const double fast = options_.agents - options_.slowAgents * (1.0 - kSlowEngineSpeed);
         return options_.load * fast * capacityTokens() / meanCost();
     }
 
