--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kPrefillTokensPerSecond = 20'000.0;
-constexpr double kSecondsPerToken = 0.03;
+constexpr double kDecodeSecondsPerToken = 0.03;
 constexpr double kMeanPromptTokens = 2000.0;
 constexpr double kMeanAnswerTokens = 120.0;
 constexpr std::size_t kPrefixCount = 300;
@@ -142,8 +142,8 @@
     // Cost that a normal engine works off in a second when all slots are busy.
     double capacityTokens() const
     {
-        const double seconds =
-            kMeanPromptTokens / kPrefillTokensPerSecond + kMeanAnswerTokens * kSecondsPerToken;
+        const double seconds = kMeanPromptTokens / kPrefillTokensPerSecond
+                               + kMeanAnswerTokens * kDecodeSecondsPerToken;
         return options_.slots * meanCost() / seconds;
     }
 
@@ -345,13 +345,14 @@
         }
         const double left = static_cast<double>(simulated.prompt) - (hit ? prefixTokens : 0.0);
         const double prefill = left / kPrefillTokensPerSecond / engine.speed;
-        const double first = prefill + kSecondsPerToken / engine.speed;
+        const double first = prefill + kDecodeSecondsPerToken / engine.speed;
         if (simulated.counted) {
             result_.cacheableTokens += prefixTokens;
             result_.cachedTokens += hit ? prefixTokens : 0.0;
             result_.firstTokens.push_back(toSeconds(now_ - simulated.arrived) + first);
         }
-        return prefill + static_cast<double>(simulated.answer) * kSecondsPerToken / engine.speed;
+        return prefill
+               + static_cast<double>(simulated.answer) * kDecodeSecondsPerToken / engine.speed;
     }
 
     void finish(std::size_t index, RequestId id)
