--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -160,7 +160,7 @@
             for (std::size_t index = 0; index < engines_.size(); ++index) {
                 // The first reports arrive, so that every agent is known.
                 const bool started = now_.time_since_epoch() > std::chrono::seconds(5);
-                if (started && chance(options_.lostReports)) {
+                if (started && drawWithProbability(options_.lostReports)) {
                     continue;
                 }
                 EntryActions actions;
@@ -174,7 +174,10 @@
         });
     }
 
-    bool chance(double probability) { return std::bernoulli_distribution(probability)(random_); }
+    bool drawWithProbability(double probability)
+    {
+        return std::bernoulli_distribution(probability)(random_);
+    }
 
     void tick()
     {
@@ -213,7 +216,7 @@
         request.target = kTarget;
         request.promptTokens = simulated.prompt;
         request.answerTokens = static_cast<Tokens>(kMeanAnswerTokens); // What callers declare.
-        request.prefixHash = chance(options_.lostReports) ? 0 : simulated.prefix;
+        request.prefixHash = drawWithProbability(options_.lostReports) ? 0 : simulated.prefix;
         request.repeatable = true;
         request.deadline = fromSeconds(options_.deadlineSeconds);
         EntryActions actions;
