--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -58,7 +58,7 @@
             heartbeat(entry);
         }
         tick();
-        at(TimePoint(std::chrono::seconds(6)), [this] { arrive(); });
+        scheduleAt(TimePoint(std::chrono::seconds(6)), [this] { arrive(); });
         const TimePoint end{fromSeconds(options_.seconds + 6.0)};
         while (!events_.empty() && events_.top().at < end) {
             const Event event = events_.top();
@@ -90,14 +90,14 @@
         std::uint32_t running = 0;       // Of the clairvoyant queue.
     };
 
-    void at(TimePoint time, std::function<void()> action)
+    void scheduleAt(TimePoint time, std::function<void()> action)
     {
         events_.push({time, nextSequence_++, std::move(action)});
     }
 
     void after(double seconds, std::function<void()> action)
     {
-        at(now_ + fromSeconds(seconds), std::move(action));
+        scheduleAt(now_ + fromSeconds(seconds), std::move(action));
     }
 
     void makeAgent(int index)
