--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -95,7 +95,7 @@
         events_.push({time, nextSequence_++, std::move(action)});
     }
 
-    void after(double seconds, std::function<void()> action)
+    void scheduleAfter(double seconds, std::function<void()> action)
     {
         scheduleAt(now_ + fromSeconds(seconds), std::move(action));
     }
@@ -156,7 +156,7 @@
     void heartbeat(std::size_t entry)
     {
         std::uniform_real_distribution<double> jitter(0.8, 1.2);
-        after(options_.reportLagSeconds * jitter(random_), [this, entry] {
+        scheduleAfter(options_.reportLagSeconds * jitter(random_), [this, entry] {
             for (std::size_t index = 0; index < engines_.size(); ++index) {
                 // The first reports arrive, so that every agent is known.
                 const bool started = now_.time_since_epoch() > std::chrono::seconds(5);
@@ -186,13 +186,13 @@
             engines_[index].core->onTick(now_, actions);
             execute(index, actions);
         }
-        after(0.05, [this] { tick(); });
+        scheduleAfter(0.05, [this] { tick(); });
     }
 
     void arrive()
     {
         std::exponential_distribution<double> gap(requestsPerSecond());
-        after(gap(workload_), [this] { arrive(); });
+        scheduleAfter(gap(workload_), [this] { arrive(); });
         SimulatedRequest simulated;
         simulated.arrived = now_;
         simulated.prefix = prefixes_(workload_) + 1;
@@ -231,7 +231,7 @@
         // A few entries drawn at random hear of it.
         for (int notice = 0; notice < options_.freeNotices; ++notice) {
             const std::size_t entry = pickEntry();
-            after(0.0015, [this, entry, index] {
+            scheduleAfter(0.0015, [this, entry, index] {
                 EntryActions actions;
                 entries_[entry]->onFree(list_.instances[index].id, engines_[index].core->report(),
                                         now_, actions);
@@ -247,12 +247,12 @@
 
     void withdraw(std::size_t entry, const SendWithdraw &request)
     {
-        after(0.0015, [this, entry, request] {
+        scheduleAfter(0.0015, [this, entry, request] {
             const std::size_t index = indexOf(request.agent);
             const bool notRun =
                 engines_[index].core->onWithdraw(request.id, request.agentIncarnation);
             result_.moves += notRun ? 1 : 0;
-            after(0.0015, [this, entry, request, notRun] {
+            scheduleAfter(0.0015, [this, entry, request, notRun] {
                 EntryActions actions;
                 entries_[entry]->onWithdrawn(request.id, request.agent, notRun, now_, actions);
                 execute(entry, actions);
@@ -277,7 +277,7 @@
             }
             if (const auto *call = std::get_if<SendCall>(&action)) {
                 result_.sends += requests_.at(call->id).counted ? 1 : 0;
-                after(0.0015, [this, entry, call = *call] { deliver(entry, call); });
+                scheduleAfter(0.0015, [this, entry, call = *call] { deliver(entry, call); });
             } else if (const auto *failure = std::get_if<FailRequest>(&action)) {
                 result_.refused += requests_.at(failure->id).counted ? 1 : 0;
             }
@@ -299,11 +299,11 @@
         const AdmissionResult verdict = engines_[index].core->onCall(message, now_, {}, actions);
         execute(index, actions);
         if (verdict.accepted) {
-            after(0.0015, [this, entry, id = call.id, verdict] {
+            scheduleAfter(0.0015, [this, entry, id = call.id, verdict] {
                 entries_[entry]->onAccepted(id, verdict.started);
             });
         } else {
-            after(0.0015, [this, entry, id = call.id, verdict] {
+            scheduleAfter(0.0015, [this, entry, id = call.id, verdict] {
                 EntryActions next;
                 entries_[entry]->onRefused(id, verdict.failure, verdict.outcome, verdict.retryAfter,
                                            now_, next);
@@ -321,7 +321,7 @@
                 const RequestId id = start->id;
                 const SimulatedRequest &simulated = requests_.at(id);
                 const double seconds = startOnEngine(index, simulated);
-                after(seconds, [this, index, id] { finish(index, id); });
+                scheduleAfter(seconds, [this, index, id] { finish(index, id); });
             } else if (const auto *report = std::get_if<ReportNotRun>(&action)) {
                 EntryActions next;
                 const std::size_t entry = entryOf_.at(report->id);
@@ -403,7 +403,7 @@
             waiting_.pop_front();
             ++engines_[best].running;
             const double seconds = startOnEngine(best, simulated);
-            after(seconds, [this, best, simulated] {
+            scheduleAfter(seconds, [this, best, simulated] {
                 --engines_[best].running;
                 const bool inTime = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
                 result_.completed += simulated.counted && inTime ? 1 : 0;
