--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -57,7 +57,7 @@
         for (std::size_t entry = 0; entry < entries_.size(); ++entry) {
             heartbeat(entry);
         }
-        tick();
+        tickAgents();
         scheduleAt(TimePoint(std::chrono::seconds(6)), [this] { arrive(); });
         const TimePoint end{fromSeconds(options_.seconds + 6.0)};
         while (!events_.empty() && events_.top().at < end) {
@@ -179,14 +179,14 @@
         return std::bernoulli_distribution(probability)(random_);
     }
 
-    void tick()
+    void tickAgents()
     {
         for (std::size_t index = 0; index < engines_.size(); ++index) {
             AgentActions actions;
             engines_[index].core->onTick(now_, actions);
             execute(index, actions);
         }
-        scheduleAfter(0.05, [this] { tick(); });
+        scheduleAfter(0.05, [this] { tickAgents(); });
     }
 
     void arrive()
