--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -58,7 +58,7 @@
             heartbeat(entry);
         }
         tickAgents();
-        scheduleAt(TimePoint(std::chrono::seconds(6)), [this] { arrive(); });
+        scheduleAt(TimePoint(std::chrono::seconds(6)), [this] { onArrival(); });
         const TimePoint end{fromSeconds(options_.seconds + 6.0)};
         while (!events_.empty() && events_.top().at < end) {
             const Event event = events_.top();
@@ -189,10 +189,10 @@
         scheduleAfter(0.05, [this] { tickAgents(); });
     }
 
-    void arrive()
+    void onArrival()
     {
         std::exponential_distribution<double> gap(requestsPerSecond());
-        scheduleAfter(gap(workload_), [this] { arrive(); });
+        scheduleAfter(gap(workload_), [this] { onArrival(); });
         SimulatedRequest simulated;
         simulated.arrived = now_;
         simulated.prefix = prefixes_(workload_) + 1;
