--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -226,7 +226,7 @@
         execute(entry, actions);
     }
 
-    void announceFree(std::size_t index)
+    void sendFreeSlotNotices(std::size_t index)
     {
         // A few entries drawn at random hear of it.
         for (int notice = 0; notice < options_.freeNotices; ++notice) {
@@ -316,7 +316,7 @@
     {
         for (const AgentAction &action : actions) {
             if (std::holds_alternative<AnnounceFreeSlot>(action)) {
-                announceFree(index);
+                sendFreeSlotNotices(index);
             } else if (const auto *start = std::get_if<StartUpstream>(&action)) {
                 const RequestId id = start->id;
                 const SimulatedRequest &simulated = requests_.at(id);
