--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -166,7 +166,7 @@
                 EntryActions actions;
                 entries_[entry]->onReport(list_.instances[index].id, engines_[index].core->report(),
                                           now_, now_, actions);
-                if (options_.freeNotices > 0) {
+                if (options_.freeSlotNotices > 0) {
                     execute(entry, actions);
                 }
             }
@@ -229,7 +229,7 @@
     void sendFreeSlotNotices(std::size_t index)
     {
         // A few entries drawn at random hear of it.
-        for (int notice = 0; notice < options_.freeNotices; ++notice) {
+        for (int notice = 0; notice < options_.freeSlotNotices; ++notice) {
             const std::size_t entry = pickEntry();
             scheduleAfter(0.0015, [this, entry, index] {
                 EntryActions actions;
--- a/bench/fleetsimulation.h
+++ b/bench/fleetsimulation.h
@@ -32,7 +32,7 @@
     double lostReports = 0.0; // Part of the reports, and of cache knowledge, that is lost.
     double seconds = 300.0;
     double deadlineSeconds = 60.0;
-    int freeNotices = 4;      // Entries that hear of a free slot.
+    int freeSlotNotices = 4;  // Entries that hear of a free slot.
     bool clairvoyant = false; // One queue for the whole fleet instead of the entries' choice.
     std::function<std::unique_ptr<Router>()> router;
 };
--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -27,7 +27,7 @@
     options.router = [] { return std::make_unique<Policy>(); };
     // The baselines leave a request where they have put it.
     const bool ours = std::is_same_v<Policy, ExpectedWaitRouter>;
-    options.freeNotices = ours ? options.freeNotices : 0;
+    options.freeSlotNotices = ours ? options.freeSlotNotices : 0;
     return pooled(options);
 }
 
