--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -160,7 +160,7 @@
             for (std::size_t index = 0; index < engines_.size(); ++index) {
                 // The first reports arrive, so that every agent is known.
                 const bool started = now_.time_since_epoch() > std::chrono::seconds(5);
-                if (started && drawWithProbability(options_.lostReports)) {
+                if (started && drawWithProbability(options_.lostFraction)) {
                     continue;
                 }
                 EntryActions actions;
@@ -216,7 +216,7 @@
         request.target = kTarget;
         request.promptTokens = simulated.prompt;
         request.answerTokens = static_cast<Tokens>(kMeanAnswerTokens); // What callers declare.
-        request.prefixHash = drawWithProbability(options_.lostReports) ? 0 : simulated.prefix;
+        request.prefixHash = drawWithProbability(options_.lostFraction) ? 0 : simulated.prefix;
         request.repeatable = true;
         request.deadline = fromSeconds(options_.deadlineSeconds);
         EntryActions actions;
--- a/bench/fleetsimulation.h
+++ b/bench/fleetsimulation.h
@@ -29,7 +29,7 @@
     int slowAgents = 2; // Work at 0.6 of the speed.
     double load = 0.8;  // Offered work over the fleet's capacity.
     double reportLagSeconds = 0.5;
-    double lostReports = 0.0; // Part of the reports, and of cache knowledge, that is lost.
+    double lostFraction = 0.0; // Part of the reports, and of cache knowledge, that is lost.
     double seconds = 300.0;
     double deadlineSeconds = 60.0;
     int freeSlotNotices = 4;  // Entries that hear of a free slot.
--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -88,7 +88,7 @@
                            with<TwoChoicesRouter>(lagged).percentile(0.95), "two choices"});
     }
     FleetOptions lossy = options;
-    lossy.lostReports = 0.3;
+    lossy.lostFraction = 0.3;
     results.push_back({"routing.load80.lost30.first_token_p95",
                        with<ExpectedWaitRouter>(lossy).percentile(0.95), "s", 1.6, true,
                        with<TwoChoicesRouter>(lossy).percentile(0.95), "two choices"});
