--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -232,7 +232,7 @@
                        0.95, false, 1.0, "peak"});
     results.push_back(
         {"overload.sends_per_request",
-         static_cast<double>(twice.sends - twice.moves) / static_cast<double>(twice.offered),
+         static_cast<double>(twice.sends - twice.withdrawn) / static_cast<double>(twice.offered),
          "ratio", 1.1, true, 1.0, "no retries"});
     results.push_back({"overload.late_or_lost",
                        static_cast<double>(twice.offered - twice.completed - twice.refused)
--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -251,7 +251,7 @@
             const std::size_t index = indexOf(request.agent);
             const bool notRun =
                 engines_[index].core->onWithdraw(request.id, request.agentIncarnation);
-            result_.moves += notRun ? 1 : 0;
+            result_.withdrawn += notRun ? 1 : 0;
             scheduleAfter(0.0015, [this, entry, request, notRun] {
                 EntryActions actions;
                 entries_[entry]->onWithdrawn(request.id, request.agent, notRun, now_, actions);
--- a/bench/fleetsimulation.h
+++ b/bench/fleetsimulation.h
@@ -44,7 +44,7 @@
     std::uint64_t completed = 0; // Within the deadline.
     std::uint64_t refused = 0;
     std::uint64_t sends = 0;
-    std::uint64_t moves = 0; // Requests taken back from a queue and sent elsewhere.
+    std::uint64_t withdrawn = 0; // Requests taken back from a queue and sent elsewhere.
     double cachedTokens = 0.0;
     double cacheableTokens = 0.0;
     double seconds = 0.0;
