--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -390,11 +390,11 @@
                 const bool hit =
                     std::find(engine.cache.begin(), engine.cache.end(), simulated.prefix)
                     != engine.cache.end();
-                const double price =
+                const double score =
                     (hit ? 1.0 - kPrefixFraction : 1.0) / engine.speed + 0.01 * engine.running;
-                if (best == engines_.size() || price < bestPrice) {
+                if (best == engines_.size() || score < bestPrice) {
                     best = index;
-                    bestPrice = price;
+                    bestPrice = score;
                 }
             }
             if (best == engines_.size()) {
