--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -381,7 +381,7 @@
         while (!waiting_.empty()) {
             const SimulatedRequest simulated = waiting_.front();
             std::size_t best = engines_.size();
-            double bestPrice = 0.0;
+            double bestScore = 0.0;
             for (std::size_t index = 0; index < engines_.size(); ++index) {
                 const Engine &engine = engines_[index];
                 if (engine.running >= options_.slots) {
@@ -392,9 +392,9 @@
                     != engine.cache.end();
                 const double score =
                     (hit ? 1.0 - kPrefixFraction : 1.0) / engine.speed + 0.01 * engine.running;
-                if (best == engines_.size() || score < bestPrice) {
+                if (best == engines_.size() || score < bestScore) {
                     best = index;
-                    bestPrice = score;
+                    bestScore = score;
                 }
             }
             if (best == engines_.size()) {
