--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -346,8 +346,9 @@
         if (engine.cache.size() > kCachedPrefixesPerEngine) {
             engine.cache.pop_back();
         }
-        const double left = static_cast<double>(simulated.prompt) - (hit ? prefixTokens : 0.0);
-        const double prefill = left / kPrefillTokensPerSecond / engine.speed;
+        const double uncachedTokens =
+            static_cast<double>(simulated.prompt) - (hit ? prefixTokens : 0.0);
+        const double prefill = uncachedTokens / kPrefillTokensPerSecond / engine.speed;
         const double first = prefill + kDecodeSecondsPerToken / engine.speed;
         if (simulated.counted) {
             result_.cacheableTokens += prefixTokens;
