--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -349,11 +349,11 @@
         const double uncachedTokens =
             static_cast<double>(simulated.prompt) - (hit ? prefixTokens : 0.0);
         const double prefill = uncachedTokens / kPrefillTokensPerSecond / engine.speed;
-        const double first = prefill + kDecodeSecondsPerToken / engine.speed;
+        const double firstTokenSeconds = prefill + kDecodeSecondsPerToken / engine.speed;
         if (simulated.counted) {
             result_.cacheableTokens += prefixTokens;
             result_.cachedTokens += hit ? prefixTokens : 0.0;
-            result_.firstTokens.push_back(toSeconds(now_ - simulated.arrived) + first);
+            result_.firstTokens.push_back(toSeconds(now_ - simulated.arrived) + firstTokenSeconds);
         }
         return prefill
                + static_cast<double>(simulated.answer) * kDecodeSecondsPerToken / engine.speed;
