--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -271,8 +271,8 @@
     void execute(std::size_t entry, const EntryActions &actions)
     {
         for (const EntryAction &action : actions) {
-            if (const auto *taken = std::get_if<SendWithdraw>(&action)) {
-                withdraw(entry, *taken);
+            if (const auto *withdrawal = std::get_if<SendWithdraw>(&action)) {
+                withdraw(entry, *withdrawal);
                 continue;
             }
             if (const auto *call = std::get_if<SendCall>(&action)) {
