--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -362,8 +362,8 @@
     void finish(std::size_t index, RequestId id)
     {
         const SimulatedRequest &simulated = requests_.at(id);
-        const bool inTime = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
-        result_.completed += simulated.counted && inTime ? 1 : 0;
+        const bool withinDeadline = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
+        result_.completed += simulated.counted && withinDeadline ? 1 : 0;
         AgentCore &core = *engines_[index].core;
         core.onTokens(id, simulated.answer);
         AgentActions actions;
@@ -406,8 +406,9 @@
             const double seconds = startOnEngine(best, simulated);
             scheduleAfter(seconds, [this, best, simulated] {
                 --engines_[best].running;
-                const bool inTime = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
-                result_.completed += simulated.counted && inTime ? 1 : 0;
+                const bool withinDeadline =
+                    toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
+                result_.completed += simulated.counted && withinDeadline ? 1 : 0;
                 dispatchWaiting();
             });
         }
