--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -296,17 +296,17 @@
         message.deadline = call.deadline;
         message.agentIncarnation = call.agentIncarnation;
         AgentActions actions;
-        const AdmissionResult verdict = engines_[index].core->onCall(message, now_, {}, actions);
+        const AdmissionResult admission = engines_[index].core->onCall(message, now_, {}, actions);
         execute(index, actions);
-        if (verdict.accepted) {
-            scheduleAfter(0.0015, [this, entry, id = call.id, verdict] {
-                entries_[entry]->onAccepted(id, verdict.started);
+        if (admission.accepted) {
+            scheduleAfter(0.0015, [this, entry, id = call.id, admission] {
+                entries_[entry]->onAccepted(id, admission.started);
             });
         } else {
-            scheduleAfter(0.0015, [this, entry, id = call.id, verdict] {
+            scheduleAfter(0.0015, [this, entry, id = call.id, admission] {
                 EntryActions next;
-                entries_[entry]->onRefused(id, verdict.failure, verdict.outcome, verdict.retryAfter,
-                                           now_, next);
+                entries_[entry]->onRefused(id, admission.failure, admission.outcome,
+                                           admission.retryAfter, now_, next);
                 execute(entry, next);
             });
         }
