--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -28,7 +28,7 @@
     std::uint64_t prefix = 0;
     Tokens prompt = 0;
     Tokens answer = 0;
-    bool counted = false;
+    bool measured = false;
 };
 
 class FleetSimulation
@@ -202,9 +202,9 @@
         simulated.answer = 1
                            + static_cast<Tokens>(std::exponential_distribution<double>(
                                1.0 / kMeanAnswerTokens)(workload_));
-        simulated.counted =
+        simulated.measured =
             toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUpFraction;
-        result_.offered += simulated.counted ? 1 : 0;
+        result_.offered += simulated.measured ? 1 : 0;
         if (options_.clairvoyant) {
             waiting_.push_back(simulated);
             dispatchWaiting();
@@ -276,10 +276,10 @@
                 continue;
             }
             if (const auto *call = std::get_if<SendCall>(&action)) {
-                result_.sends += requests_.at(call->id).counted ? 1 : 0;
+                result_.sends += requests_.at(call->id).measured ? 1 : 0;
                 scheduleAfter(0.0015, [this, entry, call = *call] { deliver(entry, call); });
             } else if (const auto *failure = std::get_if<FailRequest>(&action)) {
-                result_.refused += requests_.at(failure->id).counted ? 1 : 0;
+                result_.refused += requests_.at(failure->id).measured ? 1 : 0;
             }
         }
     }
@@ -350,7 +350,7 @@
             static_cast<double>(simulated.prompt) - (hit ? prefixTokens : 0.0);
         const double prefill = uncachedTokens / kPrefillTokensPerSecond / engine.speed;
         const double firstTokenSeconds = prefill + kDecodeSecondsPerToken / engine.speed;
-        if (simulated.counted) {
+        if (simulated.measured) {
             result_.cacheableTokens += prefixTokens;
             result_.cachedTokens += hit ? prefixTokens : 0.0;
             result_.firstTokens.push_back(toSeconds(now_ - simulated.arrived) + firstTokenSeconds);
@@ -363,7 +363,7 @@
     {
         const SimulatedRequest &simulated = requests_.at(id);
         const bool withinDeadline = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
-        result_.completed += simulated.counted && withinDeadline ? 1 : 0;
+        result_.completed += simulated.measured && withinDeadline ? 1 : 0;
         AgentCore &core = *engines_[index].core;
         core.onTokens(id, simulated.answer);
         AgentActions actions;
@@ -408,7 +408,7 @@
                 --engines_[best].running;
                 const bool withinDeadline =
                     toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
-                result_.completed += simulated.counted && withinDeadline ? 1 : 0;
+                result_.completed += simulated.measured && withinDeadline ? 1 : 0;
                 dispatchWaiting();
             });
         }
