--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -192,16 +192,16 @@
     void onArrival()
     {
         std::exponential_distribution<double> gap(requestsPerSecond());
-        scheduleAfter(gap(workload_), [this] { onArrival(); });
+        scheduleAfter(gap(workloadRandom_), [this] { onArrival(); });
         SimulatedRequest simulated;
         simulated.arrived = now_;
-        simulated.prefix = prefixes_(workload_) + 1;
+        simulated.prefix = prefixes_(workloadRandom_) + 1;
         simulated.prompt = 200
                            + static_cast<Tokens>(std::exponential_distribution<double>(
-                               1.0 / (kMeanPromptTokens - 200))(workload_));
+                               1.0 / (kMeanPromptTokens - 200))(workloadRandom_));
         simulated.answer = 1
                            + static_cast<Tokens>(std::exponential_distribution<double>(
-                               1.0 / kMeanAnswerTokens)(workload_));
+                               1.0 / kMeanAnswerTokens)(workloadRandom_));
         simulated.measured =
             toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUpFraction;
         result_.offered += simulated.measured ? 1 : 0;
@@ -417,7 +417,7 @@
     FleetOptions options_;
     std::mt19937_64 random_;
     // Arrivals have an engine of their own, so that every way is measured under the same ones.
-    std::mt19937_64 workload_;
+    std::mt19937_64 workloadRandom_;
     TimePoint now_{};
     std::uint64_t nextSequence_ = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
