--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -22,7 +22,7 @@
 
 using nlohmann::json;
 
-double secondsOf(const std::function<void()> &action)
+double measureSeconds(const std::function<void()> &action)
 {
     const auto start = std::chrono::steady_clock::now();
     action();
@@ -99,7 +99,7 @@
     request.answerTokens = 100;
     request.deadline = std::chrono::seconds(60);
     const TimePoint now{};
-    const double seconds = secondsOf([&] {
+    const double seconds = measureSeconds([&] {
         for (int index = 0; index < kRequests; ++index) {
             request.prefixHash = static_cast<std::uint64_t>(index % 500) + 1;
             EntryActions actions;
@@ -121,7 +121,7 @@
     settings.self = InstanceId("bid-1");
     settings.incarnation = Incarnation(7);
     AgentCore core(settings, TimePoint{});
-    const double seconds = secondsOf([&] {
+    const double seconds = measureSeconds([&] {
         for (int index = 0; index < kRequests; ++index) {
             AgentCall call;
             call.id = {Incarnation(1), static_cast<std::uint64_t>(index) + 1};
@@ -157,7 +157,7 @@
     const std::uint32_t slots = experts / ranks + 1;
     Placement placement = staticPlacement(ranks, slots, experts);
     constexpr int kPlans = 20;
-    const double seconds = secondsOf([&] {
+    const double seconds = measureSeconds([&] {
         for (int plan = 0; plan < kPlans; ++plan) {
             placement = balance(placement, input).placement;
         }
@@ -175,10 +175,10 @@
     next["base"] = 1U;
     next["accounts"][7]["share"] = 3.0;
     VersionedDocument sender = versioned;
-    const double diffing = secondsOf([&] { sender.accept(next); });
+    const double diffing = measureSeconds([&] { sender.accept(next); });
     const auto update = sender.updateFor(1);
-    const double applying = secondsOf([&] { versioned.apply(*update); });
-    const double validating = secondsOf([&] { static_cast<void>(readConfig(next)); });
+    const double applying = measureSeconds([&] { versioned.apply(*update); });
+    const double validating = measureSeconds([&] { static_cast<void>(readConfig(next)); });
     return {{"entry_request_us_at_8_candidates", entryMicros(8)},
             {"entry_request_us_at_40_candidates", entryMicros(40)},
             {"agent_request_us_at_10_accounts", agentMicros(10)},
