--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -29,7 +29,7 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-double heapBytes()
+double allocatedHeapBytes()
 {
     return static_cast<double>(mallinfo2().uordblks);
 }
@@ -38,9 +38,9 @@
 template <typename Make>
 double bytesEach(int count, Make make)
 {
-    const double before = heapBytes();
+    const double before = allocatedHeapBytes();
     const auto kept = make(count);
-    return (heapBytes() - before) / count;
+    return (allocatedHeapBytes() - before) / count;
 }
 
 json accountsDocument(int count)
