--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -36,7 +36,7 @@
 
 // Returns the heap bytes that `make` leaves for each of `count` entities.
 template <typename Make>
-double bytesEach(int count, Make make)
+double bytesPerEntity(int count, Make make)
 {
     const double before = allocatedHeapBytes();
     const auto kept = make(count);
@@ -194,12 +194,12 @@
 
 json memorySlopes()
 {
-    const double account = bytesEach(2200, [](int count) {
+    const double account = bytesPerEntity(2200, [](int count) {
         const json document = accountsDocument(count);
         return std::pair(document, *readConfig(document));
     });
-    const double member = bytesEach(760, [](int count) { return entryWith(count); });
-    const double record = bytesEach(20'000, [](int count) {
+    const double member = bytesPerEntity(760, [](int count) { return entryWith(count); });
+    const double record = bytesPerEntity(20'000, [](int count) {
         auto ledger = std::make_unique<RunLedger>(static_cast<std::size_t>(count));
         for (int index = 0; index < count; ++index) {
             const RequestId id{Incarnation(1), static_cast<std::uint64_t>(index) + 1};
@@ -209,7 +209,7 @@
         }
         return ledger;
     });
-    const double prefix = bytesEach(20'000, [](int count) {
+    const double prefix = bytesPerEntity(20'000, [](int count) {
         auto index = std::make_unique<PrefixIndex>();
         for (int each = 0; each < count; ++each) {
             index->recordHolder(static_cast<std::uint64_t>(each), InstanceId("bid-0001"),
@@ -217,7 +217,7 @@
         }
         return index;
     });
-    const double histogram = bytesEach(1200, [](int count) {
+    const double histogram = bytesPerEntity(1200, [](int count) {
         auto metrics = std::make_unique<Metrics>(static_cast<std::size_t>(count));
         for (int each = 0; each < count; ++each) {
             metrics->observe(Stage::Total, AccountId(fmt::format("account-{}", each)), "p0",
@@ -225,7 +225,7 @@
         }
         return metrics;
     });
-    const double ticket = bytesEach(20'000, [](int count) {
+    const double ticket = bytesPerEntity(20'000, [](int count) {
         auto book = std::make_unique<TicketIssuer>(InstanceId("a"), Incarnation(1), 1,
                                                    static_cast<std::size_t>(count));
         for (int each = 0; each < count; ++each) {
