--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -39,7 +39,7 @@
 double bytesPerEntity(int count, Make make)
 {
     const double before = allocatedHeapBytes();
-    const auto kept = make(count);
+    const auto entities = make(count);
     return (allocatedHeapBytes() - before) / count;
 }
 
