--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -43,7 +43,7 @@
     return (allocatedHeapBytes() - before) / count;
 }
 
-json accountsDocument(int count)
+json makeAccountsDocument(int count)
 {
     json accounts = json::array();
     for (int index = 0; index < count; ++index) {
@@ -167,7 +167,7 @@
 
 json timeSlopes()
 {
-    const json document = accountsDocument(2200);
+    const json document = makeAccountsDocument(2200);
     VersionedDocument versioned;
     versioned.accept(document);
     json next = document;
@@ -195,7 +195,7 @@
 json memorySlopes()
 {
     const double account = bytesPerEntity(2200, [](int count) {
-        const json document = accountsDocument(count);
+        const json document = makeAccountsDocument(count);
         return std::pair(document, *readConfig(document));
     });
     const double member = bytesPerEntity(760, [](int count) { return entryWith(count); });
