--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -54,7 +54,7 @@
     return {{"version", 1U}, {"accounts", accounts}};
 }
 
-InstanceList agents(int count)
+InstanceList makeInstanceList(int count)
 {
     InstanceList list;
     list.version = ListVersion(1);
@@ -74,7 +74,7 @@
     settings.hall = HallId("north");
     settings.incarnation = Incarnation(1);
     auto core = std::make_unique<EntryCore>(settings, std::make_unique<ExpectedWaitRouter>());
-    const InstanceList list = agents(candidates);
+    const InstanceList list = makeInstanceList(candidates);
     core->applyList(list);
     EntryActions actions;
     for (const InstanceRecord &record : list.instances) {
