--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -68,7 +68,7 @@
     return list;
 }
 
-std::unique_ptr<EntryCore> entryWith(int candidates)
+std::unique_ptr<EntryCore> makeEntryCore(int candidates)
 {
     EntryCore::Settings settings;
     settings.hall = HallId("north");
@@ -91,7 +91,7 @@
 double entryMicros(int candidates)
 {
     constexpr int kRequests = 20'000;
-    const auto core = entryWith(candidates);
+    const auto core = makeEntryCore(candidates);
     EntryRequest request;
     request.account = AccountId("bids");
     request.target = TargetName("bid");
@@ -198,7 +198,7 @@
         const json document = makeAccountsDocument(count);
         return std::pair(document, *readConfig(document));
     });
-    const double member = bytesPerEntity(760, [](int count) { return entryWith(count); });
+    const double member = bytesPerEntity(760, [](int count) { return makeEntryCore(count); });
     const double record = bytesPerEntity(20'000, [](int count) {
         auto ledger = std::make_unique<RunLedger>(static_cast<std::size_t>(count));
         for (int index = 0; index < count; ++index) {
