--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -88,7 +88,7 @@
 }
 
 // Microseconds that an entry takes to decide on, follow and close one request.
-double entryMicros(int candidates)
+double entryMicrosPerRequest(int candidates)
 {
     constexpr int kRequests = 20'000;
     const auto core = makeEntryCore(candidates);
@@ -179,8 +179,8 @@
     const auto update = sender.updateFor(1);
     const double applying = measureSeconds([&] { versioned.apply(*update); });
     const double validating = measureSeconds([&] { static_cast<void>(readConfig(next)); });
-    return {{"entry_request_us_at_8_candidates", entryMicros(8)},
-            {"entry_request_us_at_40_candidates", entryMicros(40)},
+    return {{"entry_request_us_at_8_candidates", entryMicrosPerRequest(8)},
+            {"entry_request_us_at_40_candidates", entryMicrosPerRequest(40)},
             {"agent_request_us_at_10_accounts", agentMicros(10)},
             {"agent_request_us_at_2200_accounts", agentMicros(2200)},
             {"config_diff_ms_at_2200_accounts", diffing * 1e3},
