--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -114,7 +114,7 @@
 }
 
 // Microseconds that an agent takes to queue, start, count and close one request.
-double agentMicros(int accounts)
+double agentMicrosPerRequest(int accounts)
 {
     constexpr int kRequests = 50'000;
     AgentCore::Settings settings;
@@ -181,8 +181,8 @@
     const double validating = measureSeconds([&] { static_cast<void>(readConfig(next)); });
     return {{"entry_request_us_at_8_candidates", entryMicrosPerRequest(8)},
             {"entry_request_us_at_40_candidates", entryMicrosPerRequest(40)},
-            {"agent_request_us_at_10_accounts", agentMicros(10)},
-            {"agent_request_us_at_2200_accounts", agentMicros(2200)},
+            {"agent_request_us_at_10_accounts", agentMicrosPerRequest(10)},
+            {"agent_request_us_at_2200_accounts", agentMicrosPerRequest(2200)},
             {"config_diff_ms_at_2200_accounts", diffing * 1e3},
             {"config_apply_ms_at_2200_accounts", applying * 1e3},
             {"config_validate_ms_at_2200_accounts", validating * 1e3},
