--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -138,7 +138,7 @@
     return seconds / kRequests * 1e6;
 }
 
-double balanceMillis(std::uint32_t ranks, std::uint32_t experts)
+double balanceMillisPerStep(std::uint32_t ranks, std::uint32_t experts)
 {
     std::vector<double> shares;
     double sum = 0.0;
@@ -187,9 +187,9 @@
             {"config_apply_ms_at_2200_accounts", applying * 1e3},
             {"config_validate_ms_at_2200_accounts", validating * 1e3},
             {"config_update_bytes", update->payload.size()},
-            {"balance_step_ms_at_8x16", balanceMillis(8, 16)},
-            {"balance_step_ms_at_32x64", balanceMillis(32, 64)},
-            {"balance_step_ms_at_32x128", balanceMillis(32, 128)}};
+            {"balance_step_ms_at_8x16", balanceMillisPerStep(8, 16)},
+            {"balance_step_ms_at_32x64", balanceMillisPerStep(32, 64)},
+            {"balance_step_ms_at_32x128", balanceMillisPerStep(32, 128)}};
 }
 
 json memorySlopes()
