--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -211,16 +211,16 @@
     });
     const double prefix = bytesPerEntity(20'000, [](int count) {
         auto index = std::make_unique<PrefixIndex>();
-        for (int each = 0; each < count; ++each) {
-            index->recordHolder(static_cast<std::uint64_t>(each), InstanceId("bid-0001"),
+        for (int number = 0; number < count; ++number) {
+            index->recordHolder(static_cast<std::uint64_t>(number), InstanceId("bid-0001"),
                                 TimePoint{});
         }
         return index;
     });
     const double histogram = bytesPerEntity(1200, [](int count) {
         auto metrics = std::make_unique<Metrics>(static_cast<std::size_t>(count));
-        for (int each = 0; each < count; ++each) {
-            metrics->observe(Stage::Total, AccountId(fmt::format("account-{}", each)), "p0",
+        for (int number = 0; number < count; ++number) {
+            metrics->observe(Stage::Total, AccountId(fmt::format("account-{}", number)), "p0",
                              std::chrono::milliseconds(5));
         }
         return metrics;
@@ -228,7 +228,7 @@
     const double ticket = bytesPerEntity(20'000, [](int count) {
         auto book = std::make_unique<TicketIssuer>(InstanceId("a"), Incarnation(1), 1,
                                                    static_cast<std::size_t>(count));
-        for (int each = 0; each < count; ++each) {
+        for (int number = 0; number < count; ++number) {
             book->issue();
         }
         return book;
