--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -226,12 +226,12 @@
         return metrics;
     });
     const double ticket = bytesPerEntity(20'000, [](int count) {
-        auto book = std::make_unique<TicketIssuer>(InstanceId("a"), Incarnation(1), 1,
-                                                   static_cast<std::size_t>(count));
+        auto issuer = std::make_unique<TicketIssuer>(InstanceId("a"), Incarnation(1), 1,
+                                                     static_cast<std::size_t>(count));
         for (int number = 0; number < count; ++number) {
-            book->issue();
+            issuer->issue();
         }
-        return book;
+        return issuer;
     });
     return {{"bytes_per_account_in_config", account},
             {"bytes_per_agent_at_an_entry", member},
