--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -178,14 +178,14 @@
     const double diffSeconds = measureSeconds([&] { sender.accept(next); });
     const auto update = sender.updateFor(1);
     const double applySeconds = measureSeconds([&] { versioned.apply(*update); });
-    const double validating = measureSeconds([&] { static_cast<void>(readConfig(next)); });
+    const double validateSeconds = measureSeconds([&] { static_cast<void>(readConfig(next)); });
     return {{"entry_request_us_at_8_candidates", entryMicrosPerRequest(8)},
             {"entry_request_us_at_40_candidates", entryMicrosPerRequest(40)},
             {"agent_request_us_at_10_accounts", agentMicrosPerRequest(10)},
             {"agent_request_us_at_2200_accounts", agentMicrosPerRequest(2200)},
             {"config_diff_ms_at_2200_accounts", diffSeconds * 1e3},
             {"config_apply_ms_at_2200_accounts", applySeconds * 1e3},
-            {"config_validate_ms_at_2200_accounts", validating * 1e3},
+            {"config_validate_ms_at_2200_accounts", validateSeconds * 1e3},
             {"config_update_bytes", update->payload.size()},
             {"balance_step_ms_at_8x16", balanceMillisPerStep(8, 16)},
             {"balance_step_ms_at_32x64", balanceMillisPerStep(32, 64)},
