--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -1,6 +1,6 @@
+#include "benchmarkresult.h"
 #include "config/versioned.h"
 #include "decision/membership/linkplan.h"
-#include "benchmarkresult.h"
 
 #include <algorithm>
 #include <fmt/format.h>
@@ -40,7 +40,7 @@
     return {{"version", version}, {"base", version - 1}, {"accounts", list}};
 }
 
-struct Spread
+struct PropagationResult
 {
     double seconds = 0.0;      // Until the last process has it in force.
     double updateBytes = 0.0;  // That a process takes for one change.
@@ -49,11 +49,11 @@
     double platformCallsPerDay = 0.0;
 };
 
-Spread spread(const SiteSize &size)
+PropagationResult spread(const SiteSize &size)
 {
     std::mt19937_64 random(42);
     std::uniform_real_distribution<double> phase(0.0, 1.0);
-    Spread result;
+    PropagationResult result;
     InstanceList list;
     for (int hall = 0; hall < size.halls; ++hall) {
         for (int agent = 0; agent < size.agentsPerHall; ++agent) {
@@ -111,7 +111,7 @@
     const std::pair<const char *, SiteSize> sizes[] = {
         {"7", {3, 3, 5, 10}}, {"34", {3, 12, 26, 220}}, {"340", {9, 38, 84, 2200}}};
     for (const auto &[name, size] : sizes) {
-        const Spread result = spread(size);
+        const PropagationResult result = spread(size);
         const auto label = [name = name](const char *what) {
             return fmt::format("config.nodes{}.{}", name, what);
         };
