--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -49,7 +49,7 @@
     double platformCallsPerDay = 0.0;
 };
 
-PropagationResult spread(const SiteSize &size)
+PropagationResult simulatePropagation(const SiteSize &size)
 {
     std::mt19937_64 random(42);
     std::uniform_real_distribution<double> phase(0.0, 1.0);
@@ -111,7 +111,7 @@
     const std::pair<const char *, SiteSize> sizes[] = {
         {"7", {3, 3, 5, 10}}, {"34", {3, 12, 26, 220}}, {"340", {9, 38, 84, 2200}}};
     for (const auto &[name, size] : sizes) {
-        const PropagationResult result = spread(size);
+        const PropagationResult result = simulatePropagation(size);
         const auto label = [name = name](const char *what) {
             return fmt::format("config.nodes{}.{}", name, what);
         };
