--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -21,8 +21,8 @@
     int accounts = 10;
 };
 
-constexpr double kPeerWait = 5.0;  // An exchange with a watcher waits for a change.
-constexpr double kOneWay = 0.0015; // Inside a hall and to the platform.
+constexpr double kLongPollSeconds = 5.0; // An exchange with a watcher waits for a change.
+constexpr double kOneWay = 0.0015;       // Inside a hall and to the platform.
 constexpr double kWatchers = 2;
 // Sizes of an exchange and its answer on the wire, both with the framing of the RPC system;
 // measured by scripts/capacity.
@@ -83,9 +83,9 @@
                 at->second = std::min(at->second, offered);
             }
             // A watcher answers the waiting exchanges of all other entries of its hall.
-            const double waiting = watcher ? size.entriesPerHall / kPeerWait : 0.0;
+            const double waiting = watcher ? size.entriesPerHall / kLongPollSeconds : 0.0;
             const double exchanges =
-                static_cast<double>(links.size()) / period + kWatchers / kPeerWait + waiting;
+                static_cast<double>(links.size()) / period + kWatchers / kLongPollSeconds + waiting;
             result.controlBytes = std::max(result.controlBytes, exchanges * kExchangeBytes);
         }
     }
@@ -115,8 +115,8 @@
         const auto label = [name = name](const char *what) {
             return fmt::format("config.nodes{}.{}", name, what);
         };
-        results.push_back({label("in_force_seconds"), result.seconds, "s", 3.0, true, kPeerWait,
-                           "asking every five seconds"});
+        results.push_back({label("in_force_seconds"), result.seconds, "s", 3.0, true,
+                           kLongPollSeconds, "asking every five seconds"});
         results.push_back({label("update_bytes"), result.updateBytes, "bytes", 4096.0, true,
                            result.wholeBytes, "whole document"});
         results.push_back({label("entry_control_bytes_per_second"), result.controlBytes, "bytes/s",
