--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -21,8 +21,8 @@
     int accounts = 10;
 };
 
-constexpr double kLongPollSeconds = 5.0; // An exchange with a watcher waits for a change.
-constexpr double kOneWay = 0.0015;       // Inside a hall and to the platform.
+constexpr double kLongPollSeconds = 5.0;         // An exchange with a watcher waits for a change.
+constexpr double kOneWayLatencySeconds = 0.0015; // Inside a hall and to the platform.
 constexpr double kWatchers = 2;
 // Sizes of an exchange and its answer on the wire, both with the framing of the RPC system;
 // measured by scripts/capacity.
@@ -70,7 +70,7 @@
             // Watchers are answered by their waiting watch, and answer the exchanges that wait at
             // them.
             const bool watcher = entry < kWatchers;
-            const double heard = watcher ? kOneWay : 2 * kOneWay;
+            const double heard = watcher ? kOneWayLatencySeconds : 2 * kOneWayLatencySeconds;
             result.seconds = std::max(result.seconds, heard);
             const InstanceId id(fmt::format("h{}-e{}", hall, entry));
             const auto links = chooseLinks(list, id, HallId(fmt::format("h{}", hall)), {});
@@ -78,7 +78,7 @@
                 toSeconds(heartbeatPeriod(links.size(), std::chrono::milliseconds(500), {}));
             for (const InstanceId &agent : links) {
                 // The next heartbeat shows the version; the agent asks, the entry offers.
-                const double offered = heard + period * phase(random) + 4 * kOneWay;
+                const double offered = heard + period * phase(random) + 4 * kOneWayLatencySeconds;
                 const auto [at, first] = agentAt.try_emplace(agent, offered);
                 at->second = std::min(at->second, offered);
             }
