--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -23,7 +23,7 @@
 
 constexpr double kLongPollSeconds = 5.0;         // An exchange with a watcher waits for a change.
 constexpr double kOneWayLatencySeconds = 0.0015; // Inside a hall and to the platform.
-constexpr double kWatchers = 2;
+constexpr double kWatchersPerHall = 2;
 // Sizes of an exchange and its answer on the wire, both with the framing of the RPC system;
 // measured by scripts/capacity.
 constexpr double kExchangeBytes = 576.0;
@@ -69,7 +69,7 @@
         for (int entry = 0; entry < size.entriesPerHall; ++entry) {
             // Watchers are answered by their waiting watch, and answer the exchanges that wait at
             // them.
-            const bool watcher = entry < kWatchers;
+            const bool watcher = entry < kWatchersPerHall;
             const double heard = watcher ? kOneWayLatencySeconds : 2 * kOneWayLatencySeconds;
             result.seconds = std::max(result.seconds, heard);
             const InstanceId id(fmt::format("h{}-e{}", hall, entry));
@@ -84,8 +84,8 @@
             }
             // A watcher answers the waiting exchanges of all other entries of its hall.
             const double waiting = watcher ? size.entriesPerHall / kLongPollSeconds : 0.0;
-            const double exchanges =
-                static_cast<double>(links.size()) / period + kWatchers / kLongPollSeconds + waiting;
+            const double exchanges = static_cast<double>(links.size()) / period
+                                     + kWatchersPerHall / kLongPollSeconds + waiting;
             result.controlBytes = std::max(result.controlBytes, exchanges * kExchangeBytes);
         }
     }
@@ -100,7 +100,7 @@
     // A waiting watch is answered every five seconds or at a change; two watches for each watcher.
     constexpr double kWatchSeconds = 5.0;
     constexpr double kDay = 86400.0;
-    result.platformCallsPerDay = size.halls * kWatchers * 2 * kDay / kWatchSeconds;
+    result.platformCallsPerDay = size.halls * kWatchersPerHall * 2 * kDay / kWatchSeconds;
     return result;
 }
 
