--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -70,15 +70,16 @@
             // Watchers are answered by their waiting watch, and answer the exchanges that wait at
             // them.
             const bool watcher = entry < kWatchersPerHall;
-            const double heard = watcher ? kOneWayLatencySeconds : 2 * kOneWayLatencySeconds;
-            result.seconds = std::max(result.seconds, heard);
+            const double receivedAt = watcher ? kOneWayLatencySeconds : 2 * kOneWayLatencySeconds;
+            result.seconds = std::max(result.seconds, receivedAt);
             const InstanceId id(fmt::format("h{}-e{}", hall, entry));
             const auto links = chooseLinks(list, id, HallId(fmt::format("h{}", hall)), {});
             const double period =
                 toSeconds(heartbeatPeriod(links.size(), std::chrono::milliseconds(500), {}));
             for (const InstanceId &agent : links) {
                 // The next heartbeat shows the version; the agent asks, the entry offers.
-                const double offered = heard + period * phase(random) + 4 * kOneWayLatencySeconds;
+                const double offered =
+                    receivedAt + period * phase(random) + 4 * kOneWayLatencySeconds;
                 const auto [at, first] = agentAt.try_emplace(agent, offered);
                 at->second = std::min(at->second, offered);
             }
