--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -64,7 +64,7 @@
             list.instances.push_back(record);
         }
     }
-    std::map<InstanceId, double> agentAt;
+    std::map<InstanceId, double> agentReceivedAt;
     for (int hall = 0; hall < size.halls; ++hall) {
         for (int entry = 0; entry < size.entriesPerHall; ++entry) {
             // Watchers are answered by their waiting watch, and answer the exchanges that wait at
@@ -80,7 +80,7 @@
                 // The next heartbeat shows the version; the agent asks, the entry offers.
                 const double offered =
                     receivedAt + period * phase(random) + 4 * kOneWayLatencySeconds;
-                const auto [at, first] = agentAt.try_emplace(agent, offered);
+                const auto [at, first] = agentReceivedAt.try_emplace(agent, offered);
                 at->second = std::min(at->second, offered);
             }
             // A watcher answers the waiting exchanges of all other entries of its hall.
@@ -90,7 +90,7 @@
             result.controlBytes = std::max(result.controlBytes, exchanges * kExchangeBytes);
         }
     }
-    for (const auto &[agent, at] : agentAt) {
+    for (const auto &[agent, at] : agentReceivedAt) {
         result.seconds = std::max(result.seconds, at);
     }
     VersionedDocument holder;
