--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -78,10 +78,10 @@
                 toSeconds(heartbeatPeriod(links.size(), std::chrono::milliseconds(500), {}));
             for (const InstanceId &agent : links) {
                 // The next heartbeat shows the version; the agent asks, the entry offers.
-                const double offered =
+                const double offeredAt =
                     receivedAt + period * phase(random) + 4 * kOneWayLatencySeconds;
-                const auto [at, first] = agentReceivedAt.try_emplace(agent, offered);
-                at->second = std::min(at->second, offered);
+                const auto [at, first] = agentReceivedAt.try_emplace(agent, offeredAt);
+                at->second = std::min(at->second, offeredAt);
             }
             // A watcher answers the waiting exchanges of all other entries of its hall.
             const double waiting = watcher ? size.entriesPerHall / kLongPollSeconds : 0.0;
