--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -93,11 +93,11 @@
     for (const auto &[agent, at] : agentReceivedAt) {
         result.seconds = std::max(result.seconds, at);
     }
-    VersionedDocument holder;
-    holder.accept(documentOf(size.accounts, 1));
-    holder.accept(documentOf(size.accounts, 2));
-    result.updateBytes = static_cast<double>(holder.updateFor(1)->payload.size());
-    result.wholeBytes = static_cast<double>(holder.updateFor(0)->payload.size());
+    VersionedDocument versions;
+    versions.accept(documentOf(size.accounts, 1));
+    versions.accept(documentOf(size.accounts, 2));
+    result.updateBytes = static_cast<double>(versions.updateFor(1)->payload.size());
+    result.wholeBytes = static_cast<double>(versions.updateFor(0)->payload.size());
     // A waiting watch is answered every five seconds or at a change; two watches for each watcher.
     constexpr double kWatchSeconds = 5.0;
     constexpr double kDay = 86400.0;
