--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -28,7 +28,7 @@
 // measured by scripts/capacity.
 constexpr double kExchangeBytes = 576.0;
 
-json documentOf(int accounts, std::uint64_t version)
+json makeDocument(int accounts, std::uint64_t version)
 {
     json list = json::array();
     for (int index = 0; index < accounts; ++index) {
@@ -94,8 +94,8 @@
         result.seconds = std::max(result.seconds, at);
     }
     VersionedDocument versions;
-    versions.accept(documentOf(size.accounts, 1));
-    versions.accept(documentOf(size.accounts, 2));
+    versions.accept(makeDocument(size.accounts, 1));
+    versions.accept(makeDocument(size.accounts, 2));
     result.updateBytes = static_cast<double>(versions.updateFor(1)->payload.size());
     result.wholeBytes = static_cast<double>(versions.updateFor(0)->payload.size());
     // A waiting watch is answered every five seconds or at a change; two watches for each watcher.
