--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -42,10 +42,10 @@
 
 struct PropagationResult
 {
-    double seconds = 0.0;      // Until the last process has it in force.
-    double updateBytes = 0.0;  // That a process takes for one change.
-    double wholeBytes = 0.0;   // That a whole document would take.
-    double controlBytes = 0.0; // That an entry spends in a second on exchanges and heartbeats.
+    double seconds = 0.0;           // Until the last process has it in force.
+    double updateBytes = 0.0;       // That a process takes for one change.
+    double fullDocumentBytes = 0.0; // That a whole document would take.
+    double controlBytes = 0.0;      // That an entry spends in a second on exchanges and heartbeats.
     double platformCallsPerDay = 0.0;
 };
 
@@ -97,7 +97,7 @@
     versions.accept(makeDocument(size.accounts, 1));
     versions.accept(makeDocument(size.accounts, 2));
     result.updateBytes = static_cast<double>(versions.updateFor(1)->payload.size());
-    result.wholeBytes = static_cast<double>(versions.updateFor(0)->payload.size());
+    result.fullDocumentBytes = static_cast<double>(versions.updateFor(0)->payload.size());
     // A waiting watch is answered every five seconds or at a change; two watches for each watcher.
     constexpr double kWatchSeconds = 5.0;
     constexpr double kDay = 86400.0;
@@ -119,7 +119,7 @@
         results.push_back({label("in_force_seconds"), result.seconds, "s", 3.0, true,
                            kLongPollSeconds, "asking every five seconds"});
         results.push_back({label("update_bytes"), result.updateBytes, "bytes", 4096.0, true,
-                           result.wholeBytes, "whole document"});
+                           result.fullDocumentBytes, "whole document"});
         results.push_back({label("entry_control_bytes_per_second"), result.controlBytes, "bytes/s",
                            15'000.0, true, size.halls * size.agentsPerHall * 2 * kExchangeBytes,
                            "every agent twice a second"});
