--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -113,8 +113,8 @@
         {"7", {3, 3, 5, 10}}, {"34", {3, 12, 26, 220}}, {"340", {9, 38, 84, 2200}}};
     for (const auto &[name, size] : sizes) {
         const PropagationResult result = simulatePropagation(size);
-        const auto label = [name = name](const char *what) {
-            return fmt::format("config.nodes{}.{}", name, what);
+        const auto label = [name = name](const char *metric) {
+            return fmt::format("config.nodes{}.{}", name, metric);
         };
         results.push_back({label("in_force_seconds"), result.seconds, "s", 3.0, true,
                            kLongPollSeconds, "asking every five seconds"});
