--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 // One agent before an engine with a few slots; accounts send through it in virtual time.
-class OneAgent
+class AgentSimulation
 {
 public:
-    explicit OneAgent(std::uint32_t slots)
+    explicit AgentSimulation(std::uint32_t slots)
         : core_(settingsOf(slots), TimePoint{})
     {}
 
@@ -143,7 +143,7 @@
 // Largest relative error of a backlogged account's part over five seconds.
 double shareError()
 {
-    OneAgent agent(16);
+    AgentSimulation agent(16);
     const std::map<std::string, double> shares = {{"large", 4.0}, {"middle", 2.0}, {"small", 1.0}};
     std::mt19937_64 random(5);
     std::exponential_distribution<double> length(1.0 / 60.0);
@@ -177,7 +177,7 @@
 // many light accounts.
 double lightWait(bool flood)
 {
-    OneAgent agent(16);
+    AgentSimulation agent(16);
     std::mt19937_64 random(9);
     agent.setShare("light", 1.0);
     std::exponential_distribution<double> gap(8.0);
