--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -15,7 +15,7 @@
 {
 public:
     explicit AgentSimulation(std::uint32_t slots)
-        : core_(settingsOf(slots), TimePoint{})
+        : core_(makeSettings(slots), TimePoint{})
     {}
 
     void setShare(const std::string &account, double share)
@@ -95,7 +95,7 @@
         TimePoint arrived;
     };
 
-    static AgentCore::Settings settingsOf(std::uint32_t slots)
+    static AgentCore::Settings makeSettings(std::uint32_t slots)
     {
         AgentCore::Settings settings;
         settings.self = InstanceId("bid-1");
