--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -38,7 +38,7 @@
     }
 
     // A request with a declared and a true length arrives.
-    void send(const std::string &account, Tokens declared, Tokens actual, double deadline = 1e6)
+    void submit(const std::string &account, Tokens declared, Tokens actual, double deadline = 1e6)
     {
         const RequestId id{Incarnation(1), ++counter_};
         works_[id] = {account, actual, now_};
@@ -156,7 +156,7 @@
         for (const auto &[account, share] : shares) {
             // The small account declares a quarter of what it takes.
             const auto actual = static_cast<Tokens>(1.0 + length(random));
-            agent.send(account, account == "small" ? actual / 4 + 1 : actual, actual);
+            agent.submit(account, account == "small" ? actual / 4 + 1 : actual, actual);
         }
     }
     agent.runUntil(10.0);
@@ -186,11 +186,11 @@
         const double now = step * 0.1;
         if (flood) {
             for (int burst = 0; burst < 40; ++burst) {
-                agent.send("flood", 40, 40);
+                agent.submit("flood", 40, 40);
             }
         }
         while (nextLight <= now) {
-            agent.send("light", 40, 40);
+            agent.submit("light", 40, 40);
             nextLight += gap(random);
         }
         agent.runUntil(now + 0.1);
