--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -129,7 +129,7 @@
         }
     }
 
-    using End = std::pair<TimePoint, RequestId>;
+    using Completion = std::pair<TimePoint, RequestId>;
 
     AgentCore core_;
     TimePoint now_{};
@@ -137,7 +137,7 @@
     std::map<std::string, double> shares_;
     std::vector<Run> runs_;
     std::map<RequestId, Work> works_;
-    std::priority_queue<End, std::vector<End>, std::greater<>> ends_;
+    std::priority_queue<Completion, std::vector<Completion>, std::greater<>> ends_;
 };
 
 // Largest relative error of a backlogged account's part over five seconds.
