--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -57,9 +57,9 @@
     void runUntil(double seconds)
     {
         const TimePoint end{fromSeconds(seconds)};
-        while (!ends_.empty() && ends_.top().first <= end) {
-            const auto [at, id] = ends_.top();
-            ends_.pop();
+        while (!completions_.empty() && completions_.top().first <= end) {
+            const auto [at, id] = completions_.top();
+            completions_.pop();
             now_ = at;
             const Work &work = works_.at(id);
             core_.onTokens(id, work.actual);
@@ -122,7 +122,7 @@
                 const double seconds = static_cast<double>(work.actual) * kSecondsPerToken;
                 const double startsAt = toSeconds(now_.time_since_epoch());
                 runs_.push_back({work.account, startsAt, startsAt + seconds});
-                ends_.emplace(now_ + fromSeconds(seconds), start->id);
+                completions_.emplace(now_ + fromSeconds(seconds), start->id);
             } else if (std::holds_alternative<ReportNotRun>(action)) {
                 ++refused;
             }
@@ -137,7 +137,7 @@
     std::map<std::string, double> shares_;
     std::vector<Run> runs_;
     std::map<RequestId, Work> works_;
-    std::priority_queue<Completion, std::vector<Completion>, std::greater<>> ends_;
+    std::priority_queue<Completion, std::vector<Completion>, std::greater<>> completions_;
 };
 
 // Largest relative error of a backlogged account's part over five seconds.
