--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -74,7 +74,7 @@
     }
 
     // Returns the tokens that were generated for each account between two moments.
-    std::map<std::string, double> served(double from, double to) const
+    std::map<std::string, double> servedTokens(double from, double to) const
     {
         std::map<std::string, double> tokens;
         for (const Run &run : runs_) {
@@ -160,7 +160,7 @@
         }
     }
     agent.runUntil(10.0);
-    const auto tokens = agent.served(5.0, 10.0);
+    const auto tokens = agent.servedTokens(5.0, 10.0);
     double served = 0.0;
     for (const auto &[account, count] : tokens) {
         served += count;
