--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -77,7 +77,7 @@
     std::map<std::string, double> servedTokens(double from, double to) const
     {
         std::map<std::string, double> tokens;
-        for (const Run &run : runs_) {
+        for (const ServiceInterval &run : runs_) {
             const double overlap = std::min(run.end, to) - std::max(run.start, from);
             tokens[run.account] += std::max(0.0, overlap) / kSecondsPerToken;
         }
@@ -104,7 +104,7 @@
         return settings;
     }
 
-    struct Run
+    struct ServiceInterval
     {
         std::string account;
         double start = 0.0;
@@ -135,7 +135,7 @@
     TimePoint now_{};
     std::uint64_t counter_ = 0;
     std::map<std::string, double> shares_;
-    std::vector<Run> runs_;
+    std::vector<ServiceInterval> runs_;
     std::map<RequestId, Work> works_;
     std::priority_queue<Completion, std::vector<Completion>, std::greater<>> completions_;
 };
