--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -77,9 +77,9 @@
     std::map<std::string, double> servedTokens(double from, double to) const
     {
         std::map<std::string, double> tokens;
-        for (const ServiceInterval &run : runs_) {
-            const double overlap = std::min(run.end, to) - std::max(run.start, from);
-            tokens[run.account] += std::max(0.0, overlap) / kSecondsPerToken;
+        for (const ServiceInterval &interval : runs_) {
+            const double overlap = std::min(interval.end, to) - std::max(interval.start, from);
+            tokens[interval.account] += std::max(0.0, overlap) / kSecondsPerToken;
         }
         return tokens;
     }
