--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -77,7 +77,7 @@
     std::map<std::string, double> servedTokens(double from, double to) const
     {
         std::map<std::string, double> tokens;
-        for (const ServiceInterval &interval : runs_) {
+        for (const ServiceInterval &interval : intervals_) {
             const double overlap = std::min(interval.end, to) - std::max(interval.start, from);
             tokens[interval.account] += std::max(0.0, overlap) / kSecondsPerToken;
         }
@@ -121,7 +121,7 @@
                 waits[work.account].push_back(toSeconds(now_ - work.arrived));
                 const double seconds = static_cast<double>(work.actual) * kSecondsPerToken;
                 const double startsAt = toSeconds(now_.time_since_epoch());
-                runs_.push_back({work.account, startsAt, startsAt + seconds});
+                intervals_.push_back({work.account, startsAt, startsAt + seconds});
                 completions_.emplace(now_ + fromSeconds(seconds), start->id);
             } else if (std::holds_alternative<ReportNotRun>(action)) {
                 ++refused;
@@ -135,7 +135,7 @@
     TimePoint now_{};
     std::uint64_t counter_ = 0;
     std::map<std::string, double> shares_;
-    std::vector<ServiceInterval> runs_;
+    std::vector<ServiceInterval> intervals_;
     std::map<RequestId, Work> works_;
     std::priority_queue<Completion, std::vector<Completion>, std::greater<>> completions_;
 };
