--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -41,7 +41,7 @@
     void submit(const std::string &account, Tokens declared, Tokens actual, double deadline = 1e6)
     {
         const RequestId id{Incarnation(1), ++counter_};
-        works_[id] = {account, actual, now_};
+        requests_[id] = {account, actual, now_};
         AgentCall call;
         call.id = id;
         call.account = AccountId(account);
@@ -61,7 +61,7 @@
             const auto [at, id] = completions_.top();
             completions_.pop();
             now_ = at;
-            const SimulatedRequest &work = works_.at(id);
+            const SimulatedRequest &work = requests_.at(id);
             core_.onTokens(id, work.actual);
             AgentActions actions;
             core_.onEnded(id, now_, actions);
@@ -117,7 +117,7 @@
     {
         for (const AgentAction &action : actions) {
             if (const auto *start = std::get_if<StartUpstream>(&action)) {
-                const SimulatedRequest &work = works_.at(start->id);
+                const SimulatedRequest &work = requests_.at(start->id);
                 waits[work.account].push_back(toSeconds(now_ - work.arrived));
                 const double seconds = static_cast<double>(work.actual) * kSecondsPerToken;
                 const double startsAt = toSeconds(now_.time_since_epoch());
@@ -136,7 +136,7 @@
     std::uint64_t counter_ = 0;
     std::map<std::string, double> shares_;
     std::vector<ServiceInterval> intervals_;
-    std::map<RequestId, SimulatedRequest> works_;
+    std::map<RequestId, SimulatedRequest> requests_;
     std::priority_queue<Completion, std::vector<Completion>, std::greater<>> completions_;
 };
 
