--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -61,8 +61,8 @@
             const auto [at, id] = completions_.top();
             completions_.pop();
             now_ = at;
-            const SimulatedRequest &work = requests_.at(id);
-            core_.onTokens(id, work.actual);
+            const SimulatedRequest &request = requests_.at(id);
+            core_.onTokens(id, request.actual);
             AgentActions actions;
             core_.onEnded(id, now_, actions);
             carryOut(actions);
@@ -117,11 +117,11 @@
     {
         for (const AgentAction &action : actions) {
             if (const auto *start = std::get_if<StartUpstream>(&action)) {
-                const SimulatedRequest &work = requests_.at(start->id);
-                waits[work.account].push_back(toSeconds(now_ - work.arrived));
-                const double seconds = static_cast<double>(work.actual) * kSecondsPerToken;
+                const SimulatedRequest &request = requests_.at(start->id);
+                waits[request.account].push_back(toSeconds(now_ - request.arrived));
+                const double seconds = static_cast<double>(request.actual) * kSecondsPerToken;
                 const double startsAt = toSeconds(now_.time_since_epoch());
-                intervals_.push_back({work.account, startsAt, startsAt + seconds});
+                intervals_.push_back({request.account, startsAt, startsAt + seconds});
                 completions_.emplace(now_ + fromSeconds(seconds), start->id);
             } else if (std::holds_alternative<ReportNotRun>(action)) {
                 ++refused;
