--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -51,7 +51,7 @@
         AgentActions actions;
         const AdmissionResult verdict = core_.onCall(call, now_, {}, actions);
         refused += verdict.accepted ? 0 : 1;
-        carryOut(actions);
+        execute(actions);
     }
 
     void runUntil(double seconds)
@@ -65,12 +65,12 @@
             core_.onTokens(id, request.actual);
             AgentActions actions;
             core_.onEnded(id, now_, actions);
-            carryOut(actions);
+            execute(actions);
         }
         now_ = end;
         AgentActions actions;
         core_.onTick(now_, actions);
-        carryOut(actions);
+        execute(actions);
     }
 
     // Returns the tokens that were generated for each account between two moments.
@@ -113,7 +113,7 @@
 
     static constexpr double kSecondsPerToken = 0.005;
 
-    void carryOut(const AgentActions &actions)
+    void execute(const AgentActions &actions)
     {
         for (const AgentAction &action : actions) {
             if (const auto *start = std::get_if<StartUpstream>(&action)) {
