--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -84,7 +84,7 @@
         return tokens;
     }
 
-    std::map<std::string, std::vector<double>> waits;
+    std::map<std::string, std::vector<double>> queueWaits;
     int refused = 0;
 
 private:
@@ -118,7 +118,7 @@
         for (const AgentAction &action : actions) {
             if (const auto *start = std::get_if<StartUpstream>(&action)) {
                 const SimulatedRequest &request = requests_.at(start->id);
-                waits[request.account].push_back(toSeconds(now_ - request.arrived));
+                queueWaits[request.account].push_back(toSeconds(now_ - request.arrived));
                 const double seconds = static_cast<double>(request.actual) * kSecondsPerToken;
                 const double startsAt = toSeconds(now_.time_since_epoch());
                 intervals_.push_back({request.account, startsAt, startsAt + seconds});
@@ -195,7 +195,7 @@
         }
         agent.runUntil(now + 0.1);
     }
-    return percentileOf(agent.waits.at("light"), 0.95);
+    return percentileOf(agent.queueWaits.at("light"), 0.95);
 }
 
 FleetResult overloaded(double load)
