--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -21,10 +21,10 @@
     void setShare(const std::string &account, double share)
     {
         ConfigDocument document;
-        for (const auto &[name, held] : shares_) {
+        for (const auto &[name, existingShare] : shares_) {
             AccountConfig config;
             config.id = AccountId(name);
-            config.share = held;
+            config.share = existingShare;
             config.maxQueued = 100'000;
             document.accounts.push_back(config);
         }
