--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -49,8 +49,8 @@
         call.deadline = fromSeconds(deadline);
         call.agentIncarnation = Incarnation(1);
         AgentActions actions;
-        const AdmissionResult verdict = core_.onCall(call, now_, {}, actions);
-        refused += verdict.accepted ? 0 : 1;
+        const AdmissionResult admission = core_.onCall(call, now_, {}, actions);
+        refused += admission.accepted ? 0 : 1;
         execute(actions);
     }
 
