--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -198,7 +198,7 @@
     return percentileOf(agent.queueWaits.at("light"), 0.95);
 }
 
-FleetResult overloaded(double load)
+FleetResult simulateAtLoad(double load)
 {
     FleetOptions options;
     options.load = load;
@@ -218,10 +218,10 @@
                        kOneService, true, lightAccountWait(false), "alone"});
     double peak = 0.0;
     for (const double load : {0.8, 0.9, 1.0, 1.2, 1.5}) {
-        peak = std::max(peak, overloaded(load).goodput());
+        peak = std::max(peak, simulateAtLoad(load).goodput());
     }
-    const FleetResult twice = overloaded(2.0);
-    const FleetResult half = overloaded(0.5);
+    const FleetResult twice = simulateAtLoad(2.0);
+    const FleetResult half = simulateAtLoad(0.5);
     results.push_back({"overload.refused_at_half_load",
                        static_cast<double>(half.refused) / static_cast<double>(half.offered),
                        "part", 0.01, true, 0.0, "none"});
