--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -213,9 +213,9 @@
 {
     results.push_back({"fairness.share_error_5s", shareError(), "part", 0.06, true, 0.0, "exact"});
     // One request of the flood may hold each slot when a light one arrives: 40 tokens of 5 ms.
-    constexpr double kOneService = 0.2;
+    constexpr double kServiceSeconds = 0.2;
     results.push_back({"fairness.light_wait_beside_flood_p95", lightAccountWait(true), "s",
-                       kOneService, true, lightAccountWait(false), "alone"});
+                       kServiceSeconds, true, lightAccountWait(false), "alone"});
     double peak = 0.0;
     for (const double load : {0.8, 0.9, 1.0, 1.2, 1.5}) {
         peak = std::max(peak, simulateAtLoad(load).goodput());
