--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -220,24 +220,26 @@
     for (const double load : {0.8, 0.9, 1.0, 1.2, 1.5}) {
         peak = std::max(peak, simulateAtLoad(load).goodput());
     }
-    const FleetResult twice = simulateAtLoad(2.0);
+    const FleetResult doubleLoad = simulateAtLoad(2.0);
     const FleetResult half = simulateAtLoad(0.5);
     results.push_back({"overload.refused_at_half_load",
                        static_cast<double>(half.refused) / static_cast<double>(half.offered),
                        "part", 0.01, true, 0.0, "none"});
-    results.push_back({"overload.goodput_of_capacity",
-                       twice.goodput() * 2.0 * twice.seconds / static_cast<double>(twice.offered),
-                       "of capacity", 0.8, false, 1.0, "all slots busy in time"});
-    results.push_back({"overload.goodput_at_twice_the_load", twice.goodput() / peak, "of peak",
+    results.push_back(
+        {"overload.goodput_of_capacity",
+         doubleLoad.goodput() * 2.0 * doubleLoad.seconds / static_cast<double>(doubleLoad.offered),
+         "of capacity", 0.8, false, 1.0, "all slots busy in time"});
+    results.push_back({"overload.goodput_at_twice_the_load", doubleLoad.goodput() / peak, "of peak",
                        0.95, false, 1.0, "peak"});
+    results.push_back({"overload.sends_per_request",
+                       static_cast<double>(doubleLoad.sends - doubleLoad.withdrawn)
+                           / static_cast<double>(doubleLoad.offered),
+                       "ratio", 1.1, true, 1.0, "no retries"});
     results.push_back(
-        {"overload.sends_per_request",
-         static_cast<double>(twice.sends - twice.withdrawn) / static_cast<double>(twice.offered),
-         "ratio", 1.1, true, 1.0, "no retries"});
-    results.push_back({"overload.late_or_lost",
-                       static_cast<double>(twice.offered - twice.completed - twice.refused)
-                           / static_cast<double>(twice.offered),
-                       "part", 0.05, true, 0.0, "none"});
+        {"overload.late_or_lost",
+         static_cast<double>(doubleLoad.offered - doubleLoad.completed - doubleLoad.refused)
+             / static_cast<double>(doubleLoad.offered),
+         "part", 0.05, true, 0.0, "none"});
 }
 
 } // namespace seamarch::bench
