--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -221,10 +221,11 @@
         peak = std::max(peak, simulateAtLoad(load).goodput());
     }
     const FleetResult doubleLoad = simulateAtLoad(2.0);
-    const FleetResult half = simulateAtLoad(0.5);
-    results.push_back({"overload.refused_at_half_load",
-                       static_cast<double>(half.refused) / static_cast<double>(half.offered),
-                       "part", 0.01, true, 0.0, "none"});
+    const FleetResult halfLoad = simulateAtLoad(0.5);
+    results.push_back(
+        {"overload.refused_at_half_load",
+         static_cast<double>(halfLoad.refused) / static_cast<double>(halfLoad.offered), "part",
+         0.01, true, 0.0, "none"});
     results.push_back(
         {"overload.goodput_of_capacity",
          doubleLoad.goodput() * 2.0 * doubleLoad.seconds / static_cast<double>(doubleLoad.offered),
