--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -165,12 +165,12 @@
     for (const auto &[account, count] : tokens) {
         served += count;
     }
-    double worst = 0.0;
+    double maxError = 0.0;
     for (const auto &[account, share] : shares) {
         const double part = tokens.at(account) / served;
-        worst = std::max(worst, std::abs(part - share / total) / (share / total));
+        maxError = std::max(maxError, std::abs(part - share / total) / (share / total));
     }
-    return worst;
+    return maxError;
 }
 
 // The 95th percentile of a light account's wait, beside a flood or alone among the same load of
