--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -1,6 +1,6 @@
+#include "benchmarkresult.h"
 #include "decision/placement/balancer.h"
 #include "decision/placement/popularityestimate.h"
-#include "benchmarkresult.h"
 
 #include <algorithm>
 #include <cmath>
@@ -22,12 +22,12 @@
 constexpr double kLostCounts = 0.1;
 
 // The true popularity of one layer's experts through time.
-class Trace
+class PopularityTrace
 {
 public:
     enum class Site { Procurement, Tuul };
 
-    Trace(Site site, std::uint64_t seed)
+    PopularityTrace(Site site, std::uint64_t seed)
         : site_(site)
         , random_(seed)
         , drift_(kExperts, 0.0)
@@ -105,7 +105,7 @@
 
 struct Scenario
 {
-    Trace::Site site = Trace::Site::Procurement;
+    PopularityTrace::Site site = PopularityTrace::Site::Procurement;
     ObjectiveConfig objective;
     double slowRankSpeed = 1.0; // Of rank 5, from the second day on.
 };
@@ -114,7 +114,7 @@
 {
     Outcome outcome;
     for (std::size_t layer = 0; layer < kLayers; ++layer) {
-        Trace trace(scenario.site, 100 + layer);
+        PopularityTrace trace(scenario.site, 100 + layer);
         std::mt19937_64 random(200 + layer);
         PopularityEstimate estimate(kExperts);
         Placement placement = staticPlacement(kRanks, kSlots, kExperts);
@@ -193,8 +193,8 @@
 
 void addPlacementResults(BenchmarkResults &results)
 {
-    const Scenario procurement{Trace::Site::Procurement, {4.0, 1.0}, 1.0};
-    const Scenario tuul{Trace::Site::Tuul, {1.0, 1.0}, 1.0};
+    const Scenario procurement{PopularityTrace::Site::Procurement, {4.0, 1.0}, 1.0};
+    const Scenario tuul{PopularityTrace::Site::Tuul, {1.0, 1.0}, 1.0};
     for (const auto &[name, scenario] :
          {std::pair("procurement", procurement), std::pair("tuul", tuul)}) {
         const Outcome fixed = play(scenario, staticPolicy());
@@ -206,7 +206,7 @@
         results.push_back({label("skew_p50"), ours.percentile(0.5), "max/mean", 1.10, true,
                            fixed.percentile(0.5), "static"});
         // The popularity itself swings within half an hour at Tuul; full re-placement lags as much.
-        const bool swings = scenario.site == Trace::Site::Tuul;
+        const bool swings = scenario.site == PopularityTrace::Site::Tuul;
         results.push_back({label("skew_p95"), ours.percentile(0.95), "max/mean",
                            swings ? 1.30 : 1.10, true, full.percentile(0.95), "full"});
         results.push_back({label("skew_p99"), ours.percentile(0.99), "max/mean",
