--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -34,12 +34,12 @@
     {
         for (std::uint32_t expert = 0; expert < kExperts; ++expert) {
             base_.push_back(-0.9 * std::log(expert + 1.0));
-            evening_.push_back(base_.back());
+            rosterBase_.push_back(base_.back());
         }
         std::shuffle(base_.begin(), base_.end(), random_);
-        evening_ = base_;
+        rosterBase_ = base_;
         // The roster runs make a third of the experts change places.
-        std::shuffle(evening_.begin(), evening_.begin() + kExperts / 3, random_);
+        std::shuffle(rosterBase_.begin(), rosterBase_.begin() + kExperts / 3, random_);
     }
 
     std::vector<double> next(std::size_t period)
@@ -50,7 +50,7 @@
         double sum = 0.0;
         for (std::uint32_t expert = 0; expert < kExperts; ++expert) {
             drift_[expert] = 0.995 * drift_[expert] + step(random_);
-            const double level = (1.0 - mix) * base_[expert] + mix * evening_[expert];
+            const double level = (1.0 - mix) * base_[expert] + mix * rosterBase_[expert];
             shares[expert] = std::exp(level + drift_[expert]);
             sum += shares[expert];
         }
@@ -76,7 +76,7 @@
     Site site_;
     std::mt19937_64 random_;
     std::vector<double> base_;
-    std::vector<double> evening_;
+    std::vector<double> rosterBase_;
     std::vector<double> drift_;
 };
 
