--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -65,12 +65,12 @@
     static double rosterMix(std::size_t period)
     {
         const double hour = std::fmod(static_cast<double>(period) * kPeriodSeconds / 3600.0, 24.0);
-        const auto swing = [hour](double start, double end) {
+        const auto ramp = [hour](double start, double end) {
             const double rise = std::clamp((hour - start) / 0.5, 0.0, 1.0);
             const double fall = std::clamp((end - hour) / 0.5, 0.0, 1.0);
             return std::min(rise, fall);
         };
-        return std::max(swing(6.0, 8.5), swing(18.0, 20.5));
+        return std::max(ramp(6.0, 8.5), ramp(18.0, 20.5));
     }
 
     Site site_;
