--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -110,7 +110,7 @@
     double slowRankSpeed = 1.0; // Of rank 5, from the second day on.
 };
 
-Outcome play(const Scenario &scenario, const Policy &policy)
+Outcome simulate(const Scenario &scenario, const Policy &policy)
 {
     Outcome outcome;
     for (std::size_t layer = 0; layer < kLayers; ++layer) {
@@ -197,9 +197,9 @@
     const Scenario tuul{PopularityTrace::Site::Tuul, {1.0, 1.0}, 1.0};
     for (const auto &[name, scenario] :
          {std::pair("procurement", procurement), std::pair("tuul", tuul)}) {
-        const Outcome fixed = play(scenario, staticPolicy());
-        const Outcome full = play(scenario, fullPolicy());
-        const Outcome ours = play(scenario, balancedPolicy(scenario.objective));
+        const Outcome fixed = simulate(scenario, staticPolicy());
+        const Outcome full = simulate(scenario, fullPolicy());
+        const Outcome ours = simulate(scenario, balancedPolicy(scenario.objective));
         const auto label = [name = name](const char *what) {
             return fmt::format("placement.{}.{}", name, what);
         };
@@ -220,8 +220,8 @@
     }
     Scenario slow = procurement;
     slow.slowRankSpeed = 0.5;
-    const Outcome fixed = play(slow, staticPolicy());
-    const Outcome ours = play(slow, balancedPolicy(slow.objective));
+    const Outcome fixed = simulate(slow, staticPolicy());
+    const Outcome ours = simulate(slow, balancedPolicy(slow.objective));
     results.push_back({"placement.half_speed_rank.skew_p95", ours.percentile(0.95), "max/mean",
                        1.15, true, fixed.percentile(0.95), "static"});
 }
