--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -80,7 +80,7 @@
     std::vector<double> drift_;
 };
 
-struct Outcome
+struct PlacementResult
 {
     std::vector<double> skews;
     double movedSlots = 0.0;
@@ -110,9 +110,9 @@
     double slowRankSpeed = 1.0; // Of rank 5, from the second day on.
 };
 
-Outcome simulate(const Scenario &scenario, const Policy &policy)
+PlacementResult simulate(const Scenario &scenario, const Policy &policy)
 {
-    Outcome outcome;
+    PlacementResult outcome;
     for (std::size_t layer = 0; layer < kLayers; ++layer) {
         PopularityTrace trace(scenario.site, 100 + layer);
         std::mt19937_64 random(200 + layer);
@@ -197,9 +197,9 @@
     const Scenario tuul{PopularityTrace::Site::Tuul, {1.0, 1.0}, 1.0};
     for (const auto &[name, scenario] :
          {std::pair("procurement", procurement), std::pair("tuul", tuul)}) {
-        const Outcome fixed = simulate(scenario, staticPolicy());
-        const Outcome full = simulate(scenario, fullPolicy());
-        const Outcome ours = simulate(scenario, balancedPolicy(scenario.objective));
+        const PlacementResult fixed = simulate(scenario, staticPolicy());
+        const PlacementResult full = simulate(scenario, fullPolicy());
+        const PlacementResult ours = simulate(scenario, balancedPolicy(scenario.objective));
         const auto label = [name = name](const char *what) {
             return fmt::format("placement.{}.{}", name, what);
         };
@@ -220,8 +220,8 @@
     }
     Scenario slow = procurement;
     slow.slowRankSpeed = 0.5;
-    const Outcome fixed = simulate(slow, staticPolicy());
-    const Outcome ours = simulate(slow, balancedPolicy(slow.objective));
+    const PlacementResult fixed = simulate(slow, staticPolicy());
+    const PlacementResult ours = simulate(slow, balancedPolicy(slow.objective));
     results.push_back({"placement.half_speed_rank.skew_p95", ours.percentile(0.95), "max/mean",
                        1.15, true, fixed.percentile(0.95), "static"});
 }
