--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -112,7 +112,7 @@
 
 PlacementResult simulate(const Scenario &scenario, const Policy &policy)
 {
-    PlacementResult outcome;
+    PlacementResult result;
     for (std::size_t layer = 0; layer < kLayers; ++layer) {
         PopularityTrace trace(scenario.site, 100 + layer);
         std::mt19937_64 random(200 + layer);
@@ -138,8 +138,8 @@
                 sum += each;
             }
             const double skew = *std::max_element(load.begin(), load.end()) * kRanks / sum;
-            outcome.skews.push_back(skew);
-            outcome.objective += scenario.objective.skewWeight * (skew - 1.0);
+            result.skews.push_back(skew);
+            result.objective += scenario.objective.skewWeight * (skew - 1.0);
             if (std::bernoulli_distribution(kLostCounts)(random)) {
                 continue;
             }
@@ -152,12 +152,12 @@
             estimate.addCounts(counts, TimePoint(fromSeconds(seconds)));
             const Placement next = policy(placement, estimate, speeds);
             const std::uint32_t moved = movedSlots(placement, next);
-            outcome.movedSlots += moved;
-            outcome.objective += scenario.objective.moveWeight * moved / (kRanks * kSlots);
+            result.movedSlots += moved;
+            result.objective += scenario.objective.moveWeight * moved / (kRanks * kSlots);
             placement = next;
         }
     }
-    return outcome;
+    return result;
 }
 
 Policy staticPolicy()
