--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -100,8 +100,8 @@
 };
 
 // Chooses the next placement from what has been estimated.
-using Policy = std::function<Placement(const Placement &, const PopularityEstimate &,
-                                       const std::vector<double> &speeds)>;
+using PlacementPolicy = std::function<Placement(const Placement &, const PopularityEstimate &,
+                                                const std::vector<double> &speeds)>;
 
 struct Scenario
 {
@@ -110,7 +110,7 @@
     double slowRankSpeed = 1.0; // Of rank 5, from the second day on.
 };
 
-PlacementResult simulate(const Scenario &scenario, const Policy &policy)
+PlacementResult simulate(const Scenario &scenario, const PlacementPolicy &policy)
 {
     PlacementResult result;
     for (std::size_t layer = 0; layer < kLayers; ++layer) {
@@ -160,14 +160,14 @@
     return result;
 }
 
-Policy staticPolicy()
+PlacementPolicy staticPolicy()
 {
     return [](const Placement &current, const PopularityEstimate &, const std::vector<double> &) {
         return current;
     };
 }
 
-Policy fullPolicy()
+PlacementPolicy fullPolicy()
 {
     return [](const Placement &, const PopularityEstimate &estimate,
               const std::vector<double> &speeds) {
@@ -175,7 +175,7 @@
     };
 }
 
-Policy balancedPolicy(const ObjectiveConfig &objective)
+PlacementPolicy balancedPolicy(const ObjectiveConfig &objective)
 {
     return [objective](const Placement &current, const PopularityEstimate &estimate,
                        const std::vector<double> &speeds) {
