--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -167,7 +167,7 @@
     };
 }
 
-PlacementPolicy fullPolicy()
+PlacementPolicy fullReplacementPolicy()
 {
     return [](const Placement &, const PopularityEstimate &estimate,
               const std::vector<double> &speeds) {
@@ -198,7 +198,7 @@
     for (const auto &[name, scenario] :
          {std::pair("procurement", procurement), std::pair("tuul", tuul)}) {
         const PlacementResult fixed = simulate(scenario, staticPolicy());
-        const PlacementResult full = simulate(scenario, fullPolicy());
+        const PlacementResult full = simulate(scenario, fullReplacementPolicy());
         const PlacementResult ours = simulate(scenario, balancedPolicy(scenario.objective));
         const auto label = [name = name](const char *what) {
             return fmt::format("placement.{}.{}", name, what);
