--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -206,11 +206,11 @@
         results.push_back({label("skew_p50"), balanced.percentile(0.5), "max/mean", 1.10, true,
                            unchanged.percentile(0.5), "static"});
         // The popularity itself swings within half an hour at Tuul; full re-placement lags as much.
-        const bool swings = scenario.site == PopularityTrace::Site::Tuul;
+        const bool popularityShifts = scenario.site == PopularityTrace::Site::Tuul;
         results.push_back({label("skew_p95"), balanced.percentile(0.95), "max/mean",
-                           swings ? 1.30 : 1.10, true, full.percentile(0.95), "full"});
+                           popularityShifts ? 1.30 : 1.10, true, full.percentile(0.95), "full"});
         results.push_back({label("skew_p99"), balanced.percentile(0.99), "max/mean",
-                           swings ? 1.70 : 1.20, true, full.percentile(0.99), "full"});
+                           popularityShifts ? 1.70 : 1.20, true, full.percentile(0.99), "full"});
         results.push_back({label("moved_to_full"), balanced.movedSlots / full.movedSlots, "ratio",
                            0.25, true, full.gigabytesPerHour(), "full, GB/h"});
         results.push_back({label("moved_per_hour"), balanced.gigabytesPerHour(), "GB/h a layer",
