--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint32_t kRanks = 32;
 constexpr std::uint32_t kExperts = 64;
-constexpr std::uint32_t kSlots = 3; // Two for the experts and one spare on each rank.
+constexpr std::uint32_t kSlotsPerRank = 3; // Two for the experts and one spare on each rank.
 constexpr std::size_t kLayers = 4;
 constexpr double kPeriodSeconds = 300.0;
 constexpr std::size_t kPeriods = 2 * 288; // Two days: the second can recall the first.
@@ -117,7 +117,7 @@
         PopularityTrace trace(scenario.site, 100 + layer);
         std::mt19937_64 random(200 + layer);
         PopularityEstimate estimate(kExperts);
-        Placement placement = staticPlacement(kRanks, kSlots, kExperts);
+        Placement placement = staticPlacement(kRanks, kSlotsPerRank, kExperts);
         std::vector<double> speeds(kRanks, 1.0);
         for (std::size_t period = 0; period < kPeriods; ++period) {
             const std::vector<double> shares = trace.next(period);
@@ -131,7 +131,7 @@
             for (std::uint32_t slot = 0; slot < placement.experts.size(); ++slot) {
                 const ExpertIndex expert = placement.experts[slot];
                 const double part = known[expert] > 0 ? split.slotShare[slot] / known[expert] : 0;
-                load[slot / kSlots] += part * shares[expert] / speeds[slot / kSlots];
+                load[slot / kSlotsPerRank] += part * shares[expert] / speeds[slot / kSlotsPerRank];
             }
             double sum = 0.0;
             for (const double each : load) {
@@ -153,7 +153,7 @@
             const Placement next = policy(placement, estimate, speeds);
             const std::uint32_t moved = movedSlots(placement, next);
             result.movedSlots += moved;
-            result.objective += scenario.objective.moveWeight * moved / (kRanks * kSlots);
+            result.objective += scenario.objective.moveWeight * moved / (kRanks * kSlotsPerRank);
             placement = next;
         }
     }
@@ -171,7 +171,7 @@
 {
     return [](const Placement &, const PopularityEstimate &estimate,
               const std::vector<double> &speeds) {
-        return greedyPlacement(kRanks, kSlots, estimate.shares(), speeds);
+        return greedyPlacement(kRanks, kSlotsPerRank, estimate.shares(), speeds);
     };
 }
 
