--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kPeriods = 2 * 288; // Two days: the second can recall the first.
 constexpr double kGigabytesPerExpert = 0.088;
 constexpr double kTokensPerPeriod = 200'000.0;
-constexpr double kLostCounts = 0.1;
+constexpr double kLostCountsFraction = 0.1;
 
 // The true popularity of one layer's experts through time.
 class PopularityTrace
@@ -140,7 +140,7 @@
             const double skew = *std::max_element(load.begin(), load.end()) * kRanks / sum;
             result.skews.push_back(skew);
             result.objective += scenario.objective.skewWeight * (skew - 1.0);
-            if (std::bernoulli_distribution(kLostCounts)(random)) {
+            if (std::bernoulli_distribution(kLostCountsFraction)(random)) {
                 continue;
             }
             std::vector<double> counts(kExperts);
