--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -134,8 +134,8 @@
                 load[slot / kSlotsPerRank] += part * shares[expert] / speeds[slot / kSlotsPerRank];
             }
             double sum = 0.0;
-            for (const double each : load) {
-                sum += each;
+            for (const double rankLoad : load) {
+                sum += rankLoad;
             }
             const double skew = *std::max_element(load.begin(), load.end()) * kRanks / sum;
             result.skews.push_back(skew);
