--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -86,11 +86,11 @@
     double movedSlots = 0.0;
     double objective = 0.0;
 
-    double percentile(double part) const
+    double percentile(double fraction) const
     {
         std::vector<double> sorted = skews;
         std::sort(sorted.begin(), sorted.end());
-        return sorted[static_cast<std::size_t>(part * static_cast<double>(sorted.size() - 1))];
+        return sorted[static_cast<std::size_t>(fraction * static_cast<double>(sorted.size() - 1))];
     }
     double gigabytesPerHour() const
     {
@@ -130,8 +130,10 @@
             std::vector<double> load(kRanks, 0.0);
             for (std::uint32_t slot = 0; slot < placement.experts.size(); ++slot) {
                 const ExpertIndex expert = placement.experts[slot];
-                const double part = known[expert] > 0 ? split.slotShare[slot] / known[expert] : 0;
-                load[slot / kSlotsPerRank] += part * shares[expert] / speeds[slot / kSlotsPerRank];
+                const double fraction =
+                    known[expert] > 0 ? split.slotShare[slot] / known[expert] : 0;
+                load[slot / kSlotsPerRank] +=
+                    fraction * shares[expert] / speeds[slot / kSlotsPerRank];
             }
             double sum = 0.0;
             for (const double rankLoad : load) {
