--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -202,8 +202,8 @@
         const PlacementResult unchanged = simulate(scenario, staticPolicy());
         const PlacementResult full = simulate(scenario, fullReplacementPolicy());
         const PlacementResult balanced = simulate(scenario, balancedPolicy(scenario.objective));
-        const auto label = [name = name](const char *what) {
-            return fmt::format("placement.{}.{}", name, what);
+        const auto label = [name = name](const char *metric) {
+            return fmt::format("placement.{}.{}", name, metric);
         };
         results.push_back({label("skew_p50"), balanced.percentile(0.5), "max/mean", 1.10, true,
                            unchanged.percentile(0.5), "static"});
