--- a/bench/proofbenchmark.cpp
+++ b/bench/proofbenchmark.cpp
@@ -1,5 +1,5 @@
-#include "decision/dispatch/dispatchsimulation.h"
 #include "benchmarkresult.h"
+#include "decision/dispatch/dispatchsimulation.h"
 
 #include <fmt/format.h>
 
@@ -38,7 +38,7 @@
     return result;
 }
 
-struct Row
+struct ProofCase
 {
     const char *way;
     OperationKind kind;
@@ -51,7 +51,7 @@
 
 void addProofResults(BenchmarkResults &results)
 {
-    const Row rows[] = {
+    const ProofCase rows[] = {
         {"plain", OperationKind::Plain, "no_fault", Scenario::NoFaults, 0.0},
         {"ticket", OperationKind::Ticketed, "no_fault", Scenario::NoFaults, 0.0},
         {"key", OperationKind::Keyed, "no_fault", Scenario::NoFaults, 0.0},
@@ -63,7 +63,7 @@
         {"key", OperationKind::Keyed, "cut", Scenario::Partition, 2.0},
     };
     int violations = 0;
-    for (const Row &row : rows) {
+    for (const ProofCase &row : rows) {
         const ProofResult result = measure(row.kind, row.scenario);
         violations += result.violations;
         results.push_back({fmt::format("proof.{}.{}.refused", row.way, row.name), result.refused,
