--- a/bench/proofbenchmark.cpp
+++ b/bench/proofbenchmark.cpp
@@ -51,7 +51,7 @@
 
 void addProofResults(BenchmarkResults &results)
 {
-    const ProofCase rows[] = {
+    const ProofCase cases[] = {
         {"plain", OperationKind::Plain, "no_fault", Scenario::NoFaults, 0.0},
         {"ticket", OperationKind::Ticketed, "no_fault", Scenario::NoFaults, 0.0},
         {"key", OperationKind::Keyed, "no_fault", Scenario::NoFaults, 0.0},
@@ -63,7 +63,7 @@
         {"key", OperationKind::Keyed, "cut", Scenario::Partition, 2.0},
     };
     int violations = 0;
-    for (const ProofCase &row : rows) {
+    for (const ProofCase &row : cases) {
         const ProofResult result = measure(row.kind, row.scenario);
         violations += result.violations;
         results.push_back({fmt::format("proof.{}.{}.refused", row.way, row.name), result.refused,
