--- a/bench/proofbenchmark.cpp
+++ b/bench/proofbenchmark.cpp
@@ -63,12 +63,12 @@
         {"key", OperationKind::Keyed, "cut", Scenario::Partition, 2.0},
     };
     int violations = 0;
-    for (const ProofCase &row : cases) {
-        const ProofResult result = measure(row.kind, row.scenario);
+    for (const ProofCase &proofCase : cases) {
+        const ProofResult result = measure(proofCase.kind, proofCase.scenario);
         violations += result.violations;
-        results.push_back({fmt::format("proof.{}.{}.refused", row.way, row.name), result.refused,
-                           "for each operation", row.bound, true, result.unknown,
-                           "of them unknown"});
+        results.push_back({fmt::format("proof.{}.{}.refused", proofCase.way, proofCase.name),
+                           result.refused, "for each operation", proofCase.bound, true,
+                           result.unknown, "of them unknown"});
     }
     results.push_back({"proof.duplicates_and_false_not_run", static_cast<double>(violations),
                        "count", 0.0, true, 0.0, "none"});
