--- a/bench/proofbenchmark.cpp
+++ b/bench/proofbenchmark.cpp
@@ -40,7 +40,7 @@
 
 struct ProofCase
 {
-    const char *way;
+    const char *callType;
     OperationKind kind;
     const char *name;
     Scenario scenario;
@@ -66,7 +66,7 @@
     for (const ProofCase &proofCase : cases) {
         const ProofResult result = measure(proofCase.kind, proofCase.scenario);
         violations += result.violations;
-        results.push_back({fmt::format("proof.{}.{}.refused", proofCase.way, proofCase.name),
+        results.push_back({fmt::format("proof.{}.{}.refused", proofCase.callType, proofCase.name),
                            result.refused, "for each operation", proofCase.bound, true,
                            result.unknown, "of them unknown"});
     }
