--- a/bench/proofbenchmark.cpp
+++ b/bench/proofbenchmark.cpp
@@ -28,10 +28,10 @@
         options.scenario = scenario;
         options.onlyKind = kind;
         options.operations = kOperations;
-        DispatchSimulation world(options);
-        result.violations += static_cast<int>(world.run().size());
-        result.refused += world.notRun() + world.unknown();
-        result.unknown += world.unknown();
+        DispatchSimulation simulation(options);
+        result.violations += static_cast<int>(simulation.run().size());
+        result.refused += simulation.notRun() + simulation.unknown();
+        result.unknown += simulation.unknown();
     }
     result.refused /= kOperations * kSeeds;
     result.unknown /= kOperations * kSeeds;
