--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -9,16 +9,16 @@
 // Eight seeds are pooled, so that one lucky schedule does not make the figure.
 FleetResult pooled(FleetOptions options)
 {
-    FleetResult all;
+    FleetResult pooledResult;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         options.seed = seed;
         const FleetResult one = simulateFleet(options);
-        all.firstTokens.insert(all.firstTokens.end(), one.firstTokens.begin(),
-                               one.firstTokens.end());
-        all.cachedTokens += one.cachedTokens;
-        all.cacheableTokens += one.cacheableTokens;
+        pooledResult.firstTokens.insert(pooledResult.firstTokens.end(), one.firstTokens.begin(),
+                                        one.firstTokens.end());
+        pooledResult.cachedTokens += one.cachedTokens;
+        pooledResult.cacheableTokens += one.cacheableTokens;
     }
-    return all;
+    return pooledResult;
 }
 
 template <typename Policy>
