--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Eight seeds are pooled, so that one lucky schedule does not make the figure.
-FleetResult pooled(FleetOptions options)
+FleetResult simulatePooled(FleetOptions options)
 {
     FleetResult pooledResult;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
@@ -28,13 +28,13 @@
     // The baselines leave a request where they have put it.
     const bool ours = std::is_same_v<Policy, ExpectedWaitRouter>;
     options.freeSlotNotices = ours ? options.freeSlotNotices : 0;
-    return pooled(options);
+    return simulatePooled(options);
 }
 
 FleetResult clairvoyant(FleetOptions options)
 {
     options.clairvoyant = true;
-    return pooled(options);
+    return simulatePooled(options);
 }
 
 void addResultsAtLoad(BenchmarkResults &results, double load)
