--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -22,7 +22,7 @@
 }
 
 template <typename Policy>
-FleetResult with(FleetOptions options)
+FleetResult simulateWithRouter(FleetOptions options)
 {
     options.router = [] { return std::make_unique<Policy>(); };
     // The baselines leave a request where they have put it.
@@ -41,8 +41,8 @@
 {
     FleetOptions options;
     options.load = load;
-    const FleetResult ours = with<ExpectedWaitRouter>(options);
-    const FleetResult two = with<TwoChoicesRouter>(options);
+    const FleetResult ours = simulateWithRouter<ExpectedWaitRouter>(options);
+    const FleetResult two = simulateWithRouter<TwoChoicesRouter>(options);
     const FleetResult best = clairvoyant(options);
     const auto name = [load](const char *what) {
         return fmt::format("routing.load{:.0f}.{}", load * 100, what);
@@ -68,30 +68,34 @@
         addResultsAtLoad(results, load);
     }
     FleetOptions options;
-    const FleetResult ours = with<ExpectedWaitRouter>(options);
-    results.push_back({"routing.load80.p95_to_round_robin",
-                       ours.percentile(0.95) / with<RoundRobinRouter>(options).percentile(0.95),
-                       "ratio", 0.8, true, 1.0, "round robin"});
-    results.push_back({"routing.load80.p95_to_least_in_flight",
-                       ours.percentile(0.95) / with<LeastInFlightRouter>(options).percentile(0.95),
-                       "ratio", 0.8, true, 1.0, "least in flight"});
+    const FleetResult ours = simulateWithRouter<ExpectedWaitRouter>(options);
+    results.push_back(
+        {"routing.load80.p95_to_round_robin",
+         ours.percentile(0.95) / simulateWithRouter<RoundRobinRouter>(options).percentile(0.95),
+         "ratio", 0.8, true, 1.0, "round robin"});
+    results.push_back(
+        {"routing.load80.p95_to_least_in_flight",
+         ours.percentile(0.95) / simulateWithRouter<LeastInFlightRouter>(options).percentile(0.95),
+         "ratio", 0.8, true, 1.0, "least in flight"});
     const FleetResult best = clairvoyant(options);
-    results.push_back({"routing.load80.cache_tokens_kept", ours.cachedTokens / best.cachedTokens,
-                       "ratio", 0.7, false,
-                       with<TwoChoicesRouter>(options).cachedTokens / best.cachedTokens,
-                       "two choices, to clairvoyant"});
+    results.push_back(
+        {"routing.load80.cache_tokens_kept", ours.cachedTokens / best.cachedTokens, "ratio", 0.7,
+         false, simulateWithRouter<TwoChoicesRouter>(options).cachedTokens / best.cachedTokens,
+         "two choices, to clairvoyant"});
     for (const double lag : {0.1, 2.0}) {
         FleetOptions lagged = options;
         lagged.reportLagSeconds = lag;
         results.push_back({fmt::format("routing.load80.lag{:.0f}ms.first_token_p95", lag * 1000),
-                           with<ExpectedWaitRouter>(lagged).percentile(0.95), "s", 1.6, true,
-                           with<TwoChoicesRouter>(lagged).percentile(0.95), "two choices"});
+                           simulateWithRouter<ExpectedWaitRouter>(lagged).percentile(0.95), "s",
+                           1.6, true, simulateWithRouter<TwoChoicesRouter>(lagged).percentile(0.95),
+                           "two choices"});
     }
     FleetOptions lossy = options;
     lossy.lostFraction = 0.3;
     results.push_back({"routing.load80.lost30.first_token_p95",
-                       with<ExpectedWaitRouter>(lossy).percentile(0.95), "s", 1.6, true,
-                       with<TwoChoicesRouter>(lossy).percentile(0.95), "two choices"});
+                       simulateWithRouter<ExpectedWaitRouter>(lossy).percentile(0.95), "s", 1.6,
+                       true, simulateWithRouter<TwoChoicesRouter>(lossy).percentile(0.95),
+                       "two choices"});
 }
 
 } // namespace seamarch::bench
