--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -31,7 +31,7 @@
     return simulatePooled(options);
 }
 
-FleetResult clairvoyant(FleetOptions options)
+FleetResult simulateClairvoyant(FleetOptions options)
 {
     options.clairvoyant = true;
     return simulatePooled(options);
@@ -43,7 +43,7 @@
     options.load = load;
     const FleetResult ours = simulateWithRouter<ExpectedWaitRouter>(options);
     const FleetResult two = simulateWithRouter<TwoChoicesRouter>(options);
-    const FleetResult best = clairvoyant(options);
+    const FleetResult best = simulateClairvoyant(options);
     const auto name = [load](const char *what) {
         return fmt::format("routing.load{:.0f}.{}", load * 100, what);
     };
@@ -77,7 +77,7 @@
         {"routing.load80.p95_to_least_in_flight",
          ours.percentile(0.95) / simulateWithRouter<LeastInFlightRouter>(options).percentile(0.95),
          "ratio", 0.8, true, 1.0, "least in flight"});
-    const FleetResult best = clairvoyant(options);
+    const FleetResult best = simulateClairvoyant(options);
     results.push_back(
         {"routing.load80.cache_tokens_kept", ours.cachedTokens / best.cachedTokens, "ratio", 0.7,
          false, simulateWithRouter<TwoChoicesRouter>(options).cachedTokens / best.cachedTokens,
