--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -26,8 +26,8 @@
 {
     options.router = [] { return std::make_unique<Policy>(); };
     // The baselines leave a request where they have put it.
-    const bool ours = std::is_same_v<Policy, ExpectedWaitRouter>;
-    options.freeSlotNotices = ours ? options.freeSlotNotices : 0;
+    const bool expectedWait = std::is_same_v<Policy, ExpectedWaitRouter>;
+    options.freeSlotNotices = expectedWait ? options.freeSlotNotices : 0;
     return simulatePooled(options);
 }
 
@@ -41,19 +41,19 @@
 {
     FleetOptions options;
     options.load = load;
-    const FleetResult ours = simulateWithRouter<ExpectedWaitRouter>(options);
+    const FleetResult expectedWait = simulateWithRouter<ExpectedWaitRouter>(options);
     const FleetResult two = simulateWithRouter<TwoChoicesRouter>(options);
     const FleetResult best = simulateClairvoyant(options);
     const auto name = [load](const char *what) {
         return fmt::format("routing.load{:.0f}.{}", load * 100, what);
     };
-    const double p95 = ours.percentile(0.95);
-    results.push_back({name("first_token_p50"), ours.percentile(0.5), "s", 1.3, true,
+    const double p95 = expectedWait.percentile(0.95);
+    results.push_back({name("first_token_p50"), expectedWait.percentile(0.5), "s", 1.3, true,
                        two.percentile(0.5), "two choices"});
     results.push_back({name("first_token_p95"), p95, "s", load > 0.9 ? 4.0 : 1.3, true,
                        two.percentile(0.95), "two choices"});
-    results.push_back({name("first_token_p99"), ours.percentile(0.99), "s", load > 0.9 ? 8.0 : 2.6,
-                       true, two.percentile(0.99), "two choices"});
+    results.push_back({name("first_token_p99"), expectedWait.percentile(0.99), "s",
+                       load > 0.9 ? 8.0 : 2.6, true, two.percentile(0.99), "two choices"});
     results.push_back({name("p95_to_two_choices"), p95 / two.percentile(0.95), "ratio", 0.8, true,
                        1.0, "two choices"});
     results.push_back({name("p95_to_clairvoyant"), p95 / best.percentile(0.95), "ratio", 2.2, true,
@@ -68,19 +68,19 @@
         addResultsAtLoad(results, load);
     }
     FleetOptions options;
-    const FleetResult ours = simulateWithRouter<ExpectedWaitRouter>(options);
-    results.push_back(
-        {"routing.load80.p95_to_round_robin",
-         ours.percentile(0.95) / simulateWithRouter<RoundRobinRouter>(options).percentile(0.95),
-         "ratio", 0.8, true, 1.0, "round robin"});
-    results.push_back(
-        {"routing.load80.p95_to_least_in_flight",
-         ours.percentile(0.95) / simulateWithRouter<LeastInFlightRouter>(options).percentile(0.95),
-         "ratio", 0.8, true, 1.0, "least in flight"});
+    const FleetResult expectedWait = simulateWithRouter<ExpectedWaitRouter>(options);
+    results.push_back({"routing.load80.p95_to_round_robin",
+                       expectedWait.percentile(0.95)
+                           / simulateWithRouter<RoundRobinRouter>(options).percentile(0.95),
+                       "ratio", 0.8, true, 1.0, "round robin"});
+    results.push_back({"routing.load80.p95_to_least_in_flight",
+                       expectedWait.percentile(0.95)
+                           / simulateWithRouter<LeastInFlightRouter>(options).percentile(0.95),
+                       "ratio", 0.8, true, 1.0, "least in flight"});
     const FleetResult best = simulateClairvoyant(options);
     results.push_back(
-        {"routing.load80.cache_tokens_kept", ours.cachedTokens / best.cachedTokens, "ratio", 0.7,
-         false, simulateWithRouter<TwoChoicesRouter>(options).cachedTokens / best.cachedTokens,
+        {"routing.load80.cache_tokens_kept", expectedWait.cachedTokens / best.cachedTokens, "ratio",
+         0.7, false, simulateWithRouter<TwoChoicesRouter>(options).cachedTokens / best.cachedTokens,
          "two choices, to clairvoyant"});
     for (const double lag : {0.1, 2.0}) {
         FleetOptions lagged = options;
