--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -42,22 +42,22 @@
     FleetOptions options;
     options.load = load;
     const FleetResult expectedWait = simulateWithRouter<ExpectedWaitRouter>(options);
-    const FleetResult two = simulateWithRouter<TwoChoicesRouter>(options);
+    const FleetResult twoChoices = simulateWithRouter<TwoChoicesRouter>(options);
     const FleetResult best = simulateClairvoyant(options);
     const auto name = [load](const char *what) {
         return fmt::format("routing.load{:.0f}.{}", load * 100, what);
     };
     const double p95 = expectedWait.percentile(0.95);
     results.push_back({name("first_token_p50"), expectedWait.percentile(0.5), "s", 1.3, true,
-                       two.percentile(0.5), "two choices"});
+                       twoChoices.percentile(0.5), "two choices"});
     results.push_back({name("first_token_p95"), p95, "s", load > 0.9 ? 4.0 : 1.3, true,
-                       two.percentile(0.95), "two choices"});
+                       twoChoices.percentile(0.95), "two choices"});
     results.push_back({name("first_token_p99"), expectedWait.percentile(0.99), "s",
-                       load > 0.9 ? 8.0 : 2.6, true, two.percentile(0.99), "two choices"});
-    results.push_back({name("p95_to_two_choices"), p95 / two.percentile(0.95), "ratio", 0.8, true,
-                       1.0, "two choices"});
+                       load > 0.9 ? 8.0 : 2.6, true, twoChoices.percentile(0.99), "two choices"});
+    results.push_back({name("p95_to_two_choices"), p95 / twoChoices.percentile(0.95), "ratio", 0.8,
+                       true, 1.0, "two choices"});
     results.push_back({name("p95_to_clairvoyant"), p95 / best.percentile(0.95), "ratio", 2.2, true,
-                       two.percentile(0.95) / best.percentile(0.95), "two choices"});
+                       twoChoices.percentile(0.95) / best.percentile(0.95), "two choices"});
 }
 
 } // namespace
