--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -12,11 +12,11 @@
     FleetResult pooledResult;
     for (std::uint64_t seed = 1; seed <= 8; ++seed) {
         options.seed = seed;
-        const FleetResult one = simulateFleet(options);
-        pooledResult.firstTokens.insert(pooledResult.firstTokens.end(), one.firstTokens.begin(),
-                                        one.firstTokens.end());
-        pooledResult.cachedTokens += one.cachedTokens;
-        pooledResult.cacheableTokens += one.cacheableTokens;
+        const FleetResult single = simulateFleet(options);
+        pooledResult.firstTokens.insert(pooledResult.firstTokens.end(), single.firstTokens.begin(),
+                                        single.firstTokens.end());
+        pooledResult.cachedTokens += single.cachedTokens;
+        pooledResult.cacheableTokens += single.cacheableTokens;
     }
     return pooledResult;
 }
