--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -44,8 +44,8 @@
     const FleetResult expectedWait = simulateWithRouter<ExpectedWaitRouter>(options);
     const FleetResult twoChoices = simulateWithRouter<TwoChoicesRouter>(options);
     const FleetResult best = simulateClairvoyant(options);
-    const auto name = [load](const char *what) {
-        return fmt::format("routing.load{:.0f}.{}", load * 100, what);
+    const auto name = [load](const char *metric) {
+        return fmt::format("routing.load{:.0f}.{}", load * 100, metric);
     };
     const double p95 = expectedWait.percentile(0.95);
     results.push_back({name("first_token_p50"), expectedWait.percentile(0.5), "s", 1.3, true,
