--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -198,7 +198,7 @@
         const json document = makeAccountsDocument(count);
         return std::pair(document, *readConfig(document));
     });
-    const double member = bytesPerEntity(760, [](int count) { return makeEntryCore(count); });
+    const double agentBytes = bytesPerEntity(760, [](int count) { return makeEntryCore(count); });
     const double record = bytesPerEntity(20'000, [](int count) {
         auto ledger = std::make_unique<RunLedger>(static_cast<std::size_t>(count));
         for (int index = 0; index < count; ++index) {
@@ -234,7 +234,7 @@
         return issuer;
     });
     return {{"bytes_per_account_in_config", account},
-            {"bytes_per_agent_at_an_entry", member},
+            {"bytes_per_agent_at_an_entry", agentBytes},
             {"bytes_per_closed_request", record},
             {"bytes_per_known_prefix", prefix},
             {"bytes_per_histogram", histogram},
