--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -194,7 +194,7 @@
 
 json memorySlopes()
 {
-    const double account = bytesPerEntity(2200, [](int count) {
+    const double accountBytes = bytesPerEntity(2200, [](int count) {
         const json document = makeAccountsDocument(count);
         return std::pair(document, *readConfig(document));
     });
