--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -125,13 +125,13 @@
                 speeds[5] = scenario.slowRankSpeed;
             }
             // The split follows the estimate; the step times follow the truth.
-            const auto known = estimate.forecast(fromSeconds(kPeriodSeconds));
-            const LoadSplit split = splitLoad(placement, known, speeds);
+            const auto forecastShares = estimate.forecast(fromSeconds(kPeriodSeconds));
+            const LoadSplit split = splitLoad(placement, forecastShares, speeds);
             std::vector<double> load(kRanks, 0.0);
             for (std::uint32_t slot = 0; slot < placement.experts.size(); ++slot) {
                 const ExpertIndex expert = placement.experts[slot];
                 const double fraction =
-                    known[expert] > 0 ? split.slotShare[slot] / known[expert] : 0;
+                    forecastShares[expert] > 0 ? split.slotShare[slot] / forecastShares[expert] : 0;
                 load[slot / kSlotsPerRank] +=
                     fraction * shares[expert] / speeds[slot / kSlotsPerRank];
             }
