--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -233,7 +233,7 @@
         }
         return issuer;
     });
-    return {{"bytes_per_account_in_config", account},
+    return {{"bytes_per_account_in_config", accountBytes},
             {"bytes_per_agent_at_an_entry", agentBytes},
             {"bytes_per_closed_request", record},
             {"bytes_per_known_prefix", prefix},
