--- a/bench/benchmarkresult.h
+++ b/bench/benchmarkresult.h
@@ -1,7 +1,7 @@
-// The deterministic figures of the project, each with its bound and baseline.
+// The deterministic benchmark results of the project, each with its bound and baseline.
 //
-// Everything here runs in virtual time with fixed seeds, so every run gives the same figures. CI
-// fails when a figure is beyond its bound.
+// All benchmarks run in virtual time with fixed seeds, so every run gives the same results. CI
+// fails when a result exceeds its bound.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,7 +10,8 @@
 
 namespace seamarch::bench {
 
-// One figure. A bound is either the most or the least that is allowed.
+// One measured value with its permitted bound and the value of a baseline for comparison. The bound
+// is either an upper or a lower limit; a value equal to the bound passes.
 struct BenchmarkResult
 {
     std::string name;
@@ -26,17 +27,21 @@
 
 using BenchmarkResults = std::vector<BenchmarkResult>;
 
-// Step-time skew and moved weights of the placement against its baselines.
+// Appends step-time skew and moved weights of the placement balancer, compared with its baselines.
 void addPlacementResults(BenchmarkResults &results);
-// Waits and first tokens of the routing against its baselines.
+// Appends times to the first token and prefix cache reuse of the routers, compared with baselines.
 void addRoutingResults(BenchmarkResults &results);
-// Shares, light accounts, overload and retries at one agent.
+// Appends share accuracy and light-account waits at one agent, and goodput, refusals and sends of
+// an overloaded fleet.
 void addFairnessResults(BenchmarkResults &results);
-// Refusals and unknowns of non-repeatable calls under faults.
+// Appends rates of refused calls and unknown outcomes under faults, by call type, and the number of
+// violations of the at-most-once rules.
 void addProofResults(BenchmarkResults &results);
-// Time, messages and bytes until a change of configuration is in force everywhere.
+// Appends the time, bytes and platform calls that a configuration change takes to reach every
+// process.
 void addConfigResults(BenchmarkResults &results);
 
+// Returns an object with one member for each result, keyed by its name.
 nlohmann::json toJson(const BenchmarkResults &results);
 
 } // namespace seamarch::bench
