--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,4 +1,4 @@
-// seamarch-bench: measurements of the project.
+// seamarch-bench: runs the deterministic benchmarks, the cost measurements and the load generator.
 #include "benchmarkresult.h"
 #include "loadgenerator.h"
 #include "slopes.h"
@@ -19,14 +19,14 @@
                  [--callers N] [--seconds S] [--tokens N] [--stream]
 
 Options:
-  --json            Print the deterministic figures; exit 1 when one is beyond its bound.
-  --only PART       Only the figures of one part: placement, routing, fairness, proof or config.
+  --json            Print the deterministic results; exit 1 when one exceeds its bound.
+  --only PART       Only the results of one part: placement, routing, fairness, proof or config.
   --addresses LIST  IP:PORT of entries, separated by commas.
   --keys LIST       Bearer keys, separated by commas.
   --model NAME      Model to send completions to.
   --service PATH    Service and path to call, for example portal/status.
-  --callers N       Callers in a closed loop [default: 16].
-  --seconds S       How long [default: 2].
+  --callers N       Concurrent callers, each in a closed loop [default: 16].
+  --seconds S       Duration of the load in seconds [default: 2].
   --tokens N        Tokens of each answer [default: 8].
   --stream          Ask for streamed answers.
 )";
