--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -18,9 +18,9 @@
 
 constexpr int kStatusOk = 200;
 constexpr int kServiceCallInterval =
-    4; // With both kinds of calls, each fourth is one to the service.
+    4; // If both call types are enabled, every fourth is a service call.
 
-// What all callers together have seen.
+// Counts and latencies over all callers.
 struct LoadStatistics
 {
     std::uint64_t requests = 0;
@@ -40,7 +40,8 @@
     return text;
 }
 
-// Joins the words of a streamed answer; returns nothing when it does not end as it should.
+// Returns the concatenated content of a streamed answer, or an empty string if the final `[DONE]`
+// event is missing.
 std::string streamedText(const std::string &body)
 {
     std::string text;
