--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -34,7 +34,7 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-// Returns the heap bytes that `make` leaves for each of `count` entities.
+// Returns the average heap bytes per entity of the `count` entities that `make` allocates.
 template <typename Make>
 double bytesPerEntity(int count, Make make)
 {
@@ -87,7 +87,7 @@
     return core;
 }
 
-// Microseconds that an entry takes to decide on, follow and close one request.
+// Returns the microseconds that an entry takes to route, track and complete one request.
 double entryMicrosPerRequest(int candidates)
 {
     constexpr int kRequests = 20'000;
@@ -113,7 +113,8 @@
     return seconds / kRequests * 1e6;
 }
 
-// Microseconds that an agent takes to queue, start, count and close one request.
+// Returns the microseconds that an agent takes to queue, start, account for and complete one
+// request.
 double agentMicrosPerRequest(int accounts)
 {
     constexpr int kRequests = 50'000;
