--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -14,10 +14,10 @@
 constexpr double kMeanPromptTokens = 2000.0;
 constexpr double kMeanAnswerTokens = 120.0;
 constexpr std::size_t kPrefixCount = 300;
-constexpr std::size_t kCachedPrefixesPerEngine = 40; // That one engine can hold.
-constexpr double kPrefixFraction = 0.8;              // Of a prompt.
+constexpr std::size_t kCachedPrefixesPerEngine = 40; // Capacity of an engine's prefix cache.
+constexpr double kPrefixFraction = 0.8; // Fraction of a prompt that is its cacheable prefix.
 constexpr double kSlowEngineSpeed = 0.6;
-constexpr double kWarmUpFraction = 0.2; // Part of the run that is not counted.
+constexpr double kWarmUpFraction = 0.2; // Fraction of the run that is excluded from the result.
 const TargetName kTarget("bid");
 const HallId kHall("north");
 const AccountId kAccount("officers");
@@ -86,8 +86,8 @@
     {
         std::unique_ptr<AgentCore> core;
         double speed = 1.0;
-        std::deque<std::uint64_t> cache; // Most recent first.
-        std::uint32_t running = 0;       // Of the clairvoyant queue.
+        std::deque<std::uint64_t> cache; // Prefixes, most recently used first.
+        std::uint32_t running = 0;       // Used slots; only with the central queue.
     };
 
     void scheduleAt(TimePoint time, std::function<void()> action)
@@ -139,7 +139,8 @@
                                                static_cast<Tokens>(kMeanAnswerTokens)));
     }
 
-    // Cost that a normal engine works off in a second when all slots are busy.
+    // Returns the request cost that an engine of normal speed processes per second with all slots
+    // in use.
     double capacityTokens() const
     {
         const double seconds = kMeanPromptTokens / kPrefillTokensPerSecond
@@ -158,7 +159,7 @@
         std::uniform_real_distribution<double> jitter(0.8, 1.2);
         scheduleAfter(options_.reportLagSeconds * jitter(random_), [this, entry] {
             for (std::size_t index = 0; index < engines_.size(); ++index) {
-                // The first reports arrive, so that every agent is known.
+                // No report is lost in the first 5 s, so that every entry discovers every agent.
                 const bool started = now_.time_since_epoch() > std::chrono::seconds(5);
                 if (started && drawWithProbability(options_.lostFraction)) {
                     continue;
@@ -215,7 +216,7 @@
         request.account = kAccount;
         request.target = kTarget;
         request.promptTokens = simulated.prompt;
-        request.answerTokens = static_cast<Tokens>(kMeanAnswerTokens); // What callers declare.
+        request.answerTokens = static_cast<Tokens>(kMeanAnswerTokens); // Callers declare the mean.
         request.prefixHash = drawWithProbability(options_.lostFraction) ? 0 : simulated.prefix;
         request.repeatable = true;
         request.deadline = fromSeconds(options_.deadlineSeconds);
@@ -228,7 +229,7 @@
 
     void sendFreeSlotNotices(std::size_t index)
     {
-        // A few entries drawn at random hear of it.
+        // Notifies a few randomly chosen entries.
         for (int notice = 0; notice < options_.freeSlotNotices; ++notice) {
             const std::size_t entry = pickEntry();
             scheduleAfter(0.0015, [this, entry, index] {
@@ -332,7 +333,7 @@
         }
     }
 
-    // Starts a request on an engine; returns how long it holds its slot.
+    // Starts a request on an engine and returns how long it occupies its slot, in seconds.
     double startOnEngine(std::size_t index, const SimulatedRequest &simulated)
     {
         Engine &engine = engines_[index];
@@ -376,7 +377,7 @@
         execute(index, actions);
     }
 
-    // The clairvoyant queue: the oldest request goes to the best free slot of the whole fleet.
+    // Assigns the oldest requests of the central queue to the best free slots of the whole fleet.
     void dispatchWaiting()
     {
         while (!waiting_.empty()) {
@@ -416,7 +417,8 @@
 
     FleetOptions options_;
     std::mt19937_64 random_;
-    // Arrivals have an engine of their own, so that every way is measured under the same ones.
+    // Arrivals use a separate random engine, so that all routers are measured under the same
+    // arrivals.
     std::mt19937_64 workloadRandom_;
     TimePoint now_{};
     std::uint64_t nextSequence_ = 0;
