--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -11,8 +11,7 @@
 
 using nlohmann::json;
 
-// A site in virtual time: which process hears of a change from which, and how many bytes that
-// takes.
+// The size of a modelled site.
 struct SiteSize
 {
     int halls = 3;
@@ -21,11 +20,11 @@
     int accounts = 10;
 };
 
-constexpr double kLongPollSeconds = 5.0;         // An exchange with a watcher waits for a change.
-constexpr double kOneWayLatencySeconds = 0.0015; // Inside a hall and to the platform.
+constexpr double kLongPollSeconds = 5.0;         // Longest wait of a peer exchange for a change.
+constexpr double kOneWayLatencySeconds = 0.0015; // Within a hall and to the platform.
 constexpr double kWatchersPerHall = 2;
-// Sizes of an exchange and its answer on the wire, both with the framing of the RPC system;
-// measured by scripts/capacity.
+// Bytes on the wire of an exchange and its answer together, including RPC framing; measured by
+// scripts/capacity.
 constexpr double kExchangeBytes = 576.0;
 
 json makeDocument(int accounts, std::uint64_t version)
@@ -42,13 +41,15 @@
 
 struct PropagationResult
 {
-    double seconds = 0.0;           // Until the last process has it in force.
-    double updateBytes = 0.0;       // That a process takes for one change.
-    double fullDocumentBytes = 0.0; // That a whole document would take.
-    double controlBytes = 0.0;      // That an entry spends in a second on exchanges and heartbeats.
+    double seconds = 0.0;           // Until the change is in force in the last process.
+    double updateBytes = 0.0;       // Size of a delta for one change.
+    double fullDocumentBytes = 0.0; // Size of the full document.
+    double controlBytes = 0.0; // Per second, for exchanges and heartbeats of one entry; maximum.
     double platformCallsPerDay = 0.0;
 };
 
+// Models how a change travels from the platform to the watchers of each hall, to the other entries
+// and to the agents, with random heartbeat phases from a fixed seed.
 PropagationResult simulatePropagation(const SiteSize &size)
 {
     std::mt19937_64 random(42);
@@ -67,8 +68,8 @@
     std::map<InstanceId, double> agentReceivedAt;
     for (int hall = 0; hall < size.halls; ++hall) {
         for (int entry = 0; entry < size.entriesPerHall; ++entry) {
-            // Watchers are answered by their waiting watch, and answer the exchanges that wait at
-            // them.
+            // Watchers receive the change through their pending watch of the platform and pass it
+            // on by answering the exchanges that other entries hold open with them.
             const bool watcher = entry < kWatchersPerHall;
             const double receivedAt = watcher ? kOneWayLatencySeconds : 2 * kOneWayLatencySeconds;
             result.seconds = std::max(result.seconds, receivedAt);
@@ -77,13 +78,14 @@
             const double period =
                 toSeconds(heartbeatPeriod(links.size(), std::chrono::milliseconds(500), {}));
             for (const InstanceId &agent : links) {
-                // The next heartbeat shows the version; the agent asks, the entry offers.
+                // The agent sees the version in the next heartbeat and requests the update, which
+                // the entry then sends.
                 const double offeredAt =
                     receivedAt + period * phase(random) + 4 * kOneWayLatencySeconds;
                 const auto [at, first] = agentReceivedAt.try_emplace(agent, offeredAt);
                 at->second = std::min(at->second, offeredAt);
             }
-            // A watcher answers the waiting exchanges of all other entries of its hall.
+            // A watcher also answers the pending exchanges of the entries of its hall.
             const double waiting = watcher ? size.entriesPerHall / kLongPollSeconds : 0.0;
             const double exchanges = static_cast<double>(links.size()) / period
                                      + kWatchersPerHall / kLongPollSeconds + waiting;
@@ -98,7 +100,7 @@
     versions.accept(makeDocument(size.accounts, 2));
     result.updateBytes = static_cast<double>(versions.updateFor(1)->payload.size());
     result.fullDocumentBytes = static_cast<double>(versions.updateFor(0)->payload.size());
-    // A waiting watch is answered every five seconds or at a change; two watches for each watcher.
+    // A pending watch returns every 5 s or on a change; each watcher holds two watches.
     constexpr double kWatchSeconds = 5.0;
     constexpr double kDay = 86400.0;
     result.platformCallsPerDay = size.halls * kWatchersPerHall * 2 * kDay / kWatchSeconds;
