--- a/bench/fairnessbenchmark.cpp
+++ b/bench/fairnessbenchmark.cpp
@@ -10,7 +10,8 @@
 namespace seamarch::bench {
 namespace {
 
-// One agent before an engine with a few slots; accounts send through it in virtual time.
+// Simulates one agent with an engine of a few slots in virtual time; accounts submit requests to
+// it.
 class AgentSimulation
 {
 public:
@@ -18,6 +19,7 @@
         : core_(makeSettings(slots), TimePoint{})
     {}
 
+    // Adds an account with the given share to the configuration.
     void setShare(const std::string &account, double share)
     {
         ConfigDocument document;
@@ -37,7 +39,8 @@
         core_.applyConfig(document);
     }
 
-    // A request with a declared and a true length arrives.
+    // Submits a request with its declared and its actual number of answer tokens. `deadline` is in
+    // seconds.
     void submit(const std::string &account, Tokens declared, Tokens actual, double deadline = 1e6)
     {
         const RequestId id{Incarnation(1), ++counter_};
@@ -54,6 +57,7 @@
         execute(actions);
     }
 
+    // Advances the virtual time to `seconds` and completes the requests that end by then.
     void runUntil(double seconds)
     {
         const TimePoint end{fromSeconds(seconds)};
@@ -73,7 +77,7 @@
         execute(actions);
     }
 
-    // Returns the tokens that were generated for each account between two moments.
+    // Returns the tokens generated for each account between two times in seconds.
     std::map<std::string, double> servedTokens(double from, double to) const
     {
         std::map<std::string, double> tokens;
@@ -140,7 +144,8 @@
     std::priority_queue<Completion, std::vector<Completion>, std::greater<>> completions_;
 };
 
-// Largest relative error of a backlogged account's part over five seconds.
+// Returns the largest relative error, over all backlogged accounts, of the tokens that an account
+// receives within 5 s compared with its share.
 double shareError()
 {
     AgentSimulation agent(16);
@@ -154,7 +159,7 @@
     }
     for (int index = 0; index < 3000; ++index) {
         for (const auto &[account, share] : shares) {
-            // The small account declares a quarter of what it takes.
+            // The small account declares a quarter of its actual tokens.
             const auto actual = static_cast<Tokens>(1.0 + length(random));
             agent.submit(account, account == "small" ? actual / 4 + 1 : actual, actual);
         }
@@ -173,8 +178,8 @@
     return maxError;
 }
 
-// The 95th percentile of a light account's wait, beside a flood or alone among the same load of
-// many light accounts.
+// Returns the 95th percentile of a light account's queue wait in seconds, with or without another
+// account that floods the agent.
 double lightAccountWait(bool flood)
 {
     AgentSimulation agent(16);
@@ -212,7 +217,8 @@
 void addFairnessResults(BenchmarkResults &results)
 {
     results.push_back({"fairness.share_error_5s", shareError(), "part", 0.06, true, 0.0, "exact"});
-    // One request of the flood may hold each slot when a light one arrives: 40 tokens of 5 ms.
+    // When a light request arrives, each slot may be occupied by a flood request, which takes 40
+    // tokens of 5 ms each.
     constexpr double kServiceSeconds = 0.2;
     results.push_back({"fairness.light_wait_beside_flood_p95", lightAccountWait(true), "s",
                        kServiceSeconds, true, lightAccountWait(false), "alone"});
