--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -13,15 +13,16 @@
 
 constexpr std::uint32_t kRanks = 32;
 constexpr std::uint32_t kExperts = 64;
-constexpr std::uint32_t kSlotsPerRank = 3; // Two for the experts and one spare on each rank.
+constexpr std::uint32_t kSlotsPerRank = 3; // Two for the experts and one spare.
 constexpr std::size_t kLayers = 4;
 constexpr double kPeriodSeconds = 300.0;
-constexpr std::size_t kPeriods = 2 * 288; // Two days: the second can recall the first.
+// Two days, so that patterns of the first day recur in the second.
+constexpr std::size_t kPeriods = 2 * 288;
 constexpr double kGigabytesPerExpert = 0.088;
 constexpr double kTokensPerPeriod = 200'000.0;
 constexpr double kLostCountsFraction = 0.1;
 
-// The true popularity of one layer's experts through time.
+// Generates the true popularity of one layer's experts over time.
 class PopularityTrace
 {
 public:
@@ -38,10 +39,11 @@
         }
         std::shuffle(base_.begin(), base_.end(), random_);
         rosterBase_ = base_;
-        // The roster runs make a third of the experts change places.
+        // During roster runs, a third of the experts exchange their popularity.
         std::shuffle(rosterBase_.begin(), rosterBase_.begin() + kExperts / 3, random_);
     }
 
+    // Returns each expert's share of the load in `period`; the shares add up to 1.
     std::vector<double> next(std::size_t period)
     {
         std::normal_distribution<double> step(0.0, site_ == Site::Procurement ? 0.02 : 0.01);
@@ -61,7 +63,8 @@
     }
 
 private:
-    // Rises and falls within half an hour, at six in the morning and six in the evening.
+    // Returns the weight of the roster popularity in [0, 1]. It rises and falls within half an
+    // hour, for runs from 6:00 to 8:30 and from 18:00 to 20:30.
     static double rosterMix(std::size_t period)
     {
         const double hour = std::fmod(static_cast<double>(period) * kPeriodSeconds / 3600.0, 24.0);
@@ -99,7 +102,7 @@
     }
 };
 
-// Chooses the next placement from what has been estimated.
+// Chooses the next placement from the current one and the estimated popularity.
 using PlacementPolicy = std::function<Placement(const Placement &, const PopularityEstimate &,
                                                 const std::vector<double> &speeds)>;
 
@@ -107,7 +110,7 @@
 {
     PopularityTrace::Site site = PopularityTrace::Site::Procurement;
     ObjectiveConfig objective;
-    double slowRankSpeed = 1.0; // Of rank 5, from the second day on.
+    double slowRankSpeed = 1.0; // Speed of rank 5 from the second day on.
 };
 
 PlacementResult simulate(const Scenario &scenario, const PlacementPolicy &policy)
@@ -124,7 +127,7 @@
             if (period >= kPeriods / 2) {
                 speeds[5] = scenario.slowRankSpeed;
             }
-            // The split follows the estimate; the step times follow the truth.
+            // The load is split by the estimated popularity; step times result from the true one.
             const auto forecastShares = estimate.forecast(fromSeconds(kPeriodSeconds));
             const LoadSplit split = splitLoad(placement, forecastShares, speeds);
             std::vector<double> load(kRanks, 0.0);
@@ -207,7 +210,8 @@
         };
         results.push_back({label("skew_p50"), balanced.percentile(0.5), "max/mean", 1.10, true,
                            unchanged.percentile(0.5), "static"});
-        // The popularity itself swings within half an hour at Tuul; full re-placement lags as much.
+        // Popularity at Tuul changes within half an hour, so the estimate lags; full re-placement
+        // lags as much. The bounds are therefore wider.
         const bool popularityShifts = scenario.site == PopularityTrace::Site::Tuul;
         results.push_back({label("skew_p95"), balanced.percentile(0.95), "max/mean",
                            popularityShifts ? 1.30 : 1.10, true, full.percentile(0.95), "full"});
