--- a/bench/proofbenchmark.cpp
+++ b/bench/proofbenchmark.cpp
@@ -10,11 +10,12 @@
 using test::OperationKind;
 using test::Scenario;
 
+// Rates per operation and violations of one call type under one fault scenario.
 struct ProofResult
 {
-    double refused = 0.0; // Requests that ended without an answer, for each operation.
-    double unknown = 0.0; // Of them, those whose outcome is unknown.
-    int violations = 0;   // Duplicates, false 'not run', foreign answers.
+    double refused = 0.0; // Requests that ended without an answer, per operation.
+    double unknown = 0.0; // Those of them whose outcome is unknown.
+    int violations = 0;   // Duplicate runs, false 'not run' outcomes, answers to other requests.
 };
 
 ProofResult measure(OperationKind kind, Scenario scenario)
@@ -44,7 +45,7 @@
     OperationKind kind;
     const char *name;
     Scenario scenario;
-    double bound; // Of refusals and unknowns, for each operation.
+    double bound; // Upper limit of `refused`.
 };
 
 } // namespace
