--- a/bench/routingbenchmark.cpp
+++ b/bench/routingbenchmark.cpp
@@ -6,7 +6,8 @@
 namespace seamarch::bench {
 namespace {
 
-// Eight seeds are pooled, so that one lucky schedule does not make the figure.
+// Returns the pooled result of eight seeds, so that a single favourable schedule does not dominate
+// it.
 FleetResult simulatePooled(FleetOptions options)
 {
     FleetResult pooledResult;
@@ -21,16 +22,18 @@
     return pooledResult;
 }
 
+// Simulates the fleet with the router `Policy`.
 template <typename Policy>
 FleetResult simulateWithRouter(FleetOptions options)
 {
     options.router = [] { return std::make_unique<Policy>(); };
-    // The baselines leave a request where they have put it.
+    // The baselines do not move a request after its assignment.
     const bool expectedWait = std::is_same_v<Policy, ExpectedWaitRouter>;
     options.freeSlotNotices = expectedWait ? options.freeSlotNotices : 0;
     return simulatePooled(options);
 }
 
+// Simulates the central queue, which serves as a best case for the routers.
 FleetResult simulateClairvoyant(FleetOptions options)
 {
     options.clairvoyant = true;
