--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -22,6 +22,7 @@
 const HallId kHall("north");
 const AccountId kAccount("officers");
 
+// A request with its true lengths, which the agents and entries do not know in advance.
 struct SimulatedRequest
 {
     TimePoint arrived{};
@@ -31,6 +32,7 @@
     bool measured = false;
 };
 
+// An event queue in virtual time that drives the entries, the agents and their modelled engines.
 class FleetSimulation
 {
 public:
@@ -417,8 +419,8 @@
 
     FleetOptions options_;
     std::mt19937_64 random_;
-    // Arrivals use a separate random engine, so that all routers are measured under the same
-    // arrivals.
+    // Arrivals use a separate random engine with the default seed, so that all routers are measured
+    // under the same arrivals.
     std::mt19937_64 workloadRandom_;
     TimePoint now_{};
     std::uint64_t nextSequence_ = 0;
--- a/bench/fleetsimulation.h
+++ b/bench/fleetsimulation.h
@@ -4,7 +4,8 @@
 // It measures the quality of decisions, not the speed of processes: it uses no sockets and no real
 // clock, and a seed determines the run. An engine has a fixed number of slots; a request occupies
 // one during its prefill and the generation of its answer tokens. Each engine caches a limited
-// number of prompt prefixes. Agent reports reach the entries with a configurable lag.
+// number of prompt prefixes. Calls, admission results, withdrawals and free-slot notices take 1.5
+// ms one way; periodic agent reports reach the entries with a configurable lag.
 #pragma once
 
 #include "decision/dispatch/agentcore.h"
@@ -22,16 +23,17 @@
 
 namespace seamarch::bench {
 
+// Size, load and faults of a simulated fleet.
 struct FleetOptions
 {
     std::uint64_t seed = 1;
     int entries = 6;
     int agents = 12;
     std::uint32_t slots = 4;
-    int slowAgents = 2; // Agents whose engines run at 0.6 of the normal speed.
-    double load = 0.8;  // Ratio of offered work to the fleet's capacity.
-    double reportLagSeconds = 0.5;
-    double lostFraction = 0.0; // Fraction of agent reports, and of prefix hashes, that is lost.
+    int slowAgents = 2;            // Agents whose engines run at 0.6 of the normal speed.
+    double load = 0.8;             // Ratio of offered work to the fleet's capacity.
+    double reportLagSeconds = 0.5; // Mean interval of agent reports, with a jitter of 20%.
+    double lostFraction = 0.0;     // Fraction of agent reports, and of prefix hashes, that is lost.
     double seconds = 300.0;
     double deadlineSeconds = 60.0;
     int freeSlotNotices = 4; // Number of entries that are notified of a free slot.
@@ -40,7 +42,8 @@
     std::function<std::unique_ptr<Router>()> router;
 };
 
-// Counts and latencies of the requests that arrive after the warm-up period.
+// Counts and latencies of the requests that arrive after the warm-up period; `withdrawn` also
+// counts those that arrive during it.
 struct FleetResult
 {
     std::vector<double> firstTokens; // Seconds from arrival to the first token.
