--- a/bench/loadgenerator.cpp
+++ b/bench/loadgenerator.cpp
@@ -17,8 +17,8 @@
 using nlohmann::json;
 
 constexpr int kStatusOk = 200;
-constexpr int kServiceCallInterval =
-    4; // If both call types are enabled, every fourth is a service call.
+// If both call types are enabled, every fourth call is a service call.
+constexpr int kServiceCallInterval = 4;
 
 // Counts and latencies over all callers.
 struct LoadStatistics
@@ -31,6 +31,7 @@
     std::vector<double> latenciesMs;
 };
 
+// Returns the answer text that a stand-in upstream generates for `prompt`.
 std::string expectedText(const std::string &prompt, int tokens)
 {
     std::string text;
@@ -63,6 +64,7 @@
     return done ? text : std::string();
 }
 
+// Runs the callers on one event loop until the configured duration has passed.
 class LoadGenerator
 {
 public:
@@ -109,6 +111,7 @@
     std::uint64_t requestCounter_ = 0;
 };
 
+// Collects one answer and passes it to the generator.
 class LoadGenerator::Receiver final : public HttpCallReceiver
 {
 public:
