--- a/bench/configbenchmark.cpp
+++ b/bench/configbenchmark.cpp
@@ -39,6 +39,7 @@
     return {{"version", version}, {"base", version - 1}, {"accounts", list}};
 }
 
+// Delay and cost of one configuration change.
 struct PropagationResult
 {
     double seconds = 0.0;           // Until the change is in force in the last process.
@@ -85,7 +86,7 @@
                 const auto [at, first] = agentReceivedAt.try_emplace(agent, offeredAt);
                 at->second = std::min(at->second, offeredAt);
             }
-            // A watcher also answers the pending exchanges of the entries of its hall.
+            // A watcher also answers the pending exchanges of all other entries of its hall.
             const double waiting = watcher ? size.entriesPerHall / kLongPollSeconds : 0.0;
             const double exchanges = static_cast<double>(links.size()) / period
                                      + kWatchersPerHall / kLongPollSeconds + waiting;
--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -83,6 +83,7 @@
     std::vector<double> drift_;
 };
 
+// Skews, moves and objective over all layers and periods of one simulation.
 struct PlacementResult
 {
     std::vector<double> skews;
@@ -113,6 +114,7 @@
     double slowRankSpeed = 1.0; // Speed of rank 5 from the second day on.
 };
 
+// Simulates all layers under `policy`, with one placement decision per period.
 PlacementResult simulate(const Scenario &scenario, const PlacementPolicy &policy)
 {
     PlacementResult result;
--- a/bench/proofbenchmark.cpp
+++ b/bench/proofbenchmark.cpp
@@ -18,6 +18,7 @@
     int violations = 0;   // Duplicate runs, false 'not run' outcomes, answers to other requests.
 };
 
+// Returns the result over 40 seeds of 60 operations each.
 ProofResult measure(OperationKind kind, Scenario scenario)
 {
     constexpr int kOperations = 60;
@@ -39,6 +40,7 @@
     return result;
 }
 
+// A call type, a fault scenario and the bound of the result.
 struct ProofCase
 {
     const char *callType;
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -139,6 +139,8 @@
     return seconds / kRequests * 1e6;
 }
 
+// Returns the milliseconds of one balancer step with at most one move, for Zipf-distributed
+// experts.
 double balanceMillisPerStep(std::uint32_t ranks, std::uint32_t experts)
 {
     std::vector<double> shares;
