--- a/bench/placementbenchmark.cpp
+++ b/bench/placementbenchmark.cpp
@@ -107,7 +107,7 @@
 using PlacementPolicy = std::function<Placement(const Placement &, const PopularityEstimate &,
                                                 const std::vector<double> &speeds)>;
 
-struct Scenario
+struct PlacementScenario
 {
     PopularityTrace::Site site = PopularityTrace::Site::Procurement;
     ObjectiveConfig objective;
@@ -115,7 +115,7 @@
 };
 
 // Simulates all layers under `policy`, with one placement decision per period.
-PlacementResult simulate(const Scenario &scenario, const PlacementPolicy &policy)
+PlacementResult simulate(const PlacementScenario &scenario, const PlacementPolicy &policy)
 {
     PlacementResult result;
     for (std::size_t layer = 0; layer < kLayers; ++layer) {
@@ -200,8 +200,8 @@
 
 void addPlacementResults(BenchmarkResults &results)
 {
-    const Scenario procurement{PopularityTrace::Site::Procurement, {4.0, 1.0}, 1.0};
-    const Scenario tuul{PopularityTrace::Site::Tuul, {1.0, 1.0}, 1.0};
+    const PlacementScenario procurement{PopularityTrace::Site::Procurement, {4.0, 1.0}, 1.0};
+    const PlacementScenario tuul{PopularityTrace::Site::Tuul, {1.0, 1.0}, 1.0};
     for (const auto &[name, scenario] :
          {std::pair("procurement", procurement), std::pair("tuul", tuul)}) {
         const PlacementResult unchanged = simulate(scenario, staticPolicy());
@@ -226,7 +226,7 @@
         results.push_back({label("objective_to_static"), balanced.objective / unchanged.objective,
                            "ratio", 1.0, true, full.objective / unchanged.objective, "full"});
     }
-    Scenario slow = procurement;
+    PlacementScenario slow = procurement;
     slow.slowRankSpeed = 0.5;
     const PlacementResult unchanged = simulate(slow, staticPolicy());
     const PlacementResult balanced = simulate(slow, balancedPolicy(slow.objective));
