--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -59,9 +59,9 @@
         {"proof", addProofResults},
     };
     BenchmarkResults results;
-    for (const auto &[name, add] : kSuites) {
+    for (const auto &[name, appendResults] : kSuites) {
         if (only.empty() || only == name) {
-            add(results);
+            appendResults(results);
         }
     }
     fmt::print("{}\n", toJson(results).dump(2));
