--- a/bench/benchmarkresult.cpp
+++ b/bench/benchmarkresult.cpp
@@ -5,12 +5,12 @@
 nlohmann::json toJson(const BenchmarkResults &results)
 {
     nlohmann::json result = nlohmann::json::object();
-    for (const BenchmarkResult &result : results) {
-        result[result.name] = {
-            {"value", result.value},          {"unit", result.unit},
-            {"bound", result.bound},          {"bound_is", result.isUpperBound ? "most" : "least"},
-            {"baseline", result.baseline},    {"baseline_is", result.baselineName},
-            {"holds", result.isWithinBound()}};
+    for (const BenchmarkResult &entry : results) {
+        result[entry.name] = {
+            {"value", entry.value},          {"unit", entry.unit},
+            {"bound", entry.bound},          {"bound_is", entry.isUpperBound ? "most" : "least"},
+            {"baseline", entry.baseline},    {"baseline_is", entry.baselineName},
+            {"holds", entry.isWithinBound()}};
     }
     return result;
 }
