--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -202,7 +202,7 @@
         return std::pair(document, *readConfig(document));
     });
     const double agentBytes = bytesPerEntity(760, [](int count) { return makeEntryCore(count); });
-    const double record = bytesPerEntity(20'000, [](int count) {
+    const double requestBytes = bytesPerEntity(20'000, [](int count) {
         auto ledger = std::make_unique<RunLedger>(static_cast<std::size_t>(count));
         for (int index = 0; index < count; ++index) {
             const RequestId id{Incarnation(1), static_cast<std::uint64_t>(index) + 1};
@@ -238,7 +238,7 @@
     });
     return {{"bytes_per_account_in_config", accountBytes},
             {"bytes_per_agent_at_an_entry", agentBytes},
-            {"bytes_per_closed_request", record},
+            {"bytes_per_closed_request", requestBytes},
             {"bytes_per_known_prefix", prefix},
             {"bytes_per_histogram", histogram},
             {"bytes_per_ticket", ticket},
