--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -212,7 +212,7 @@
         }
         return ledger;
     });
-    const double prefix = bytesPerEntity(20'000, [](int count) {
+    const double prefixBytes = bytesPerEntity(20'000, [](int count) {
         auto index = std::make_unique<PrefixIndex>();
         for (int number = 0; number < count; ++number) {
             index->recordHolder(static_cast<std::uint64_t>(number), InstanceId("bid-0001"),
@@ -239,7 +239,7 @@
     return {{"bytes_per_account_in_config", accountBytes},
             {"bytes_per_agent_at_an_entry", agentBytes},
             {"bytes_per_closed_request", requestBytes},
-            {"bytes_per_known_prefix", prefix},
+            {"bytes_per_known_prefix", prefixBytes},
             {"bytes_per_histogram", histogram},
             {"bytes_per_ticket", ticket},
             {"bytes_per_expert_of_popularity", 8.0 * (2 + 48)}};
