--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -220,7 +220,7 @@
         }
         return index;
     });
-    const double histogram = bytesPerEntity(1200, [](int count) {
+    const double histogramBytes = bytesPerEntity(1200, [](int count) {
         auto metrics = std::make_unique<Metrics>(static_cast<std::size_t>(count));
         for (int number = 0; number < count; ++number) {
             metrics->observe(Stage::Total, AccountId(fmt::format("account-{}", number)), "p0",
@@ -240,7 +240,7 @@
             {"bytes_per_agent_at_an_entry", agentBytes},
             {"bytes_per_closed_request", requestBytes},
             {"bytes_per_known_prefix", prefixBytes},
-            {"bytes_per_histogram", histogram},
+            {"bytes_per_histogram", histogramBytes},
             {"bytes_per_ticket", ticket},
             {"bytes_per_expert_of_popularity", 8.0 * (2 + 48)}};
 }
