--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -228,7 +228,7 @@
         }
         return metrics;
     });
-    const double ticket = bytesPerEntity(20'000, [](int count) {
+    const double ticketBytes = bytesPerEntity(20'000, [](int count) {
         auto issuer = std::make_unique<TicketIssuer>(InstanceId("a"), Incarnation(1), 1,
                                                      static_cast<std::size_t>(count));
         for (int number = 0; number < count; ++number) {
@@ -241,7 +241,7 @@
             {"bytes_per_closed_request", requestBytes},
             {"bytes_per_known_prefix", prefixBytes},
             {"bytes_per_histogram", histogramBytes},
-            {"bytes_per_ticket", ticket},
+            {"bytes_per_ticket", ticketBytes},
             {"bytes_per_expert_of_popularity", 8.0 * (2 + 48)}};
 }
 
