--- a/bench/fleetsimulation.cpp
+++ b/bench/fleetsimulation.cpp
@@ -196,20 +196,20 @@
     {
         std::exponential_distribution<double> gap(requestsPerSecond());
         scheduleAfter(gap(workloadRandom_), [this] { onArrival(); });
-        SimulatedRequest simulated;
-        simulated.arrived = now_;
-        simulated.prefix = prefixes_(workloadRandom_) + 1;
-        simulated.prompt = 200
-                           + static_cast<Tokens>(std::exponential_distribution<double>(
-                               1.0 / (kMeanPromptTokens - 200))(workloadRandom_));
-        simulated.answer = 1
-                           + static_cast<Tokens>(std::exponential_distribution<double>(
-                               1.0 / kMeanAnswerTokens)(workloadRandom_));
-        simulated.measured =
+        SimulatedRequest simulatedRequest;
+        simulatedRequest.arrived = now_;
+        simulatedRequest.prefix = prefixes_(workloadRandom_) + 1;
+        simulatedRequest.prompt = 200
+                                  + static_cast<Tokens>(std::exponential_distribution<double>(
+                                      1.0 / (kMeanPromptTokens - 200))(workloadRandom_));
+        simulatedRequest.answer = 1
+                                  + static_cast<Tokens>(std::exponential_distribution<double>(
+                                      1.0 / kMeanAnswerTokens)(workloadRandom_));
+        simulatedRequest.measured =
             toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUpFraction;
-        result_.offered += simulated.measured ? 1 : 0;
+        result_.offered += simulatedRequest.measured ? 1 : 0;
         if (options_.clairvoyant) {
-            waiting_.push_back(simulated);
+            waiting_.push_back(simulatedRequest);
             dispatchWaiting();
             return;
         }
@@ -217,14 +217,15 @@
         EntryRequest request;
         request.account = kAccount;
         request.target = kTarget;
-        request.promptTokens = simulated.prompt;
+        request.promptTokens = simulatedRequest.prompt;
         request.answerTokens = static_cast<Tokens>(kMeanAnswerTokens); // Callers declare the mean.
-        request.prefixHash = drawWithProbability(options_.lostFraction) ? 0 : simulated.prefix;
+        request.prefixHash =
+            drawWithProbability(options_.lostFraction) ? 0 : simulatedRequest.prefix;
         request.repeatable = true;
         request.deadline = fromSeconds(options_.deadlineSeconds);
         EntryActions actions;
         const RequestId id = entries_[entry]->begin(request, now_, actions);
-        requests_[id] = simulated;
+        requests_[id] = simulatedRequest;
         entryOf_[id] = entry;
         execute(entry, actions);
     }
@@ -290,11 +291,11 @@
     void deliver(std::size_t entry, const SendCall &call)
     {
         const std::size_t index = indexOf(call.agent);
-        const SimulatedRequest &simulated = requests_.at(call.id);
+        const SimulatedRequest &simulatedRequest = requests_.at(call.id);
         AgentCall message;
         message.id = call.id;
         message.account = kAccount;
-        message.promptTokens = simulated.prompt;
+        message.promptTokens = simulatedRequest.prompt;
         message.answerTokens = static_cast<Tokens>(kMeanAnswerTokens);
         message.deadline = call.deadline;
         message.agentIncarnation = call.agentIncarnation;
@@ -322,8 +323,8 @@
                 sendFreeSlotNotices(index);
             } else if (const auto *start = std::get_if<StartUpstream>(&action)) {
                 const RequestId id = start->id;
-                const SimulatedRequest &simulated = requests_.at(id);
-                const double seconds = startOnEngine(index, simulated);
+                const SimulatedRequest &simulatedRequest = requests_.at(id);
+                const double seconds = startOnEngine(index, simulatedRequest);
                 scheduleAfter(seconds, [this, index, id] { finish(index, id); });
             } else if (const auto *report = std::get_if<ReportNotRun>(&action)) {
                 EntryActions next;
@@ -336,39 +337,43 @@
     }
 
     // Starts a request on an engine and returns how long it occupies its slot, in seconds.
-    double startOnEngine(std::size_t index, const SimulatedRequest &simulated)
+    double startOnEngine(std::size_t index, const SimulatedRequest &simulatedRequest)
     {
         Engine &engine = engines_[index];
-        const auto cached = std::find(engine.cache.begin(), engine.cache.end(), simulated.prefix);
-        const double prefixTokens = kPrefixFraction * static_cast<double>(simulated.prompt);
+        const auto cached =
+            std::find(engine.cache.begin(), engine.cache.end(), simulatedRequest.prefix);
+        const double prefixTokens = kPrefixFraction * static_cast<double>(simulatedRequest.prompt);
         const bool hit = cached != engine.cache.end();
         if (hit) {
             engine.cache.erase(cached);
         }
-        engine.cache.push_front(simulated.prefix);
+        engine.cache.push_front(simulatedRequest.prefix);
         if (engine.cache.size() > kCachedPrefixesPerEngine) {
             engine.cache.pop_back();
         }
         const double uncachedTokens =
-            static_cast<double>(simulated.prompt) - (hit ? prefixTokens : 0.0);
+            static_cast<double>(simulatedRequest.prompt) - (hit ? prefixTokens : 0.0);
         const double prefill = uncachedTokens / kPrefillTokensPerSecond / engine.speed;
         const double firstTokenSeconds = prefill + kDecodeSecondsPerToken / engine.speed;
-        if (simulated.measured) {
+        if (simulatedRequest.measured) {
             result_.cacheableTokens += prefixTokens;
             result_.cachedTokens += hit ? prefixTokens : 0.0;
-            result_.firstTokens.push_back(toSeconds(now_ - simulated.arrived) + firstTokenSeconds);
+            result_.firstTokens.push_back(toSeconds(now_ - simulatedRequest.arrived)
+                                          + firstTokenSeconds);
         }
         return prefill
-               + static_cast<double>(simulated.answer) * kDecodeSecondsPerToken / engine.speed;
+               + static_cast<double>(simulatedRequest.answer) * kDecodeSecondsPerToken
+                     / engine.speed;
     }
 
     void finish(std::size_t index, RequestId id)
     {
-        const SimulatedRequest &simulated = requests_.at(id);
-        const bool withinDeadline = toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
-        result_.completed += simulated.measured && withinDeadline ? 1 : 0;
+        const SimulatedRequest &simulatedRequest = requests_.at(id);
+        const bool withinDeadline =
+            toSeconds(now_ - simulatedRequest.arrived) <= options_.deadlineSeconds;
+        result_.completed += simulatedRequest.measured && withinDeadline ? 1 : 0;
         AgentCore &core = *engines_[index].core;
-        core.onTokens(id, simulated.answer);
+        core.onTokens(id, simulatedRequest.answer);
         AgentActions actions;
         core.onEnded(id, now_, actions);
         EntryCore &entry = *entries_[entryOf_.at(id)];
@@ -383,7 +388,7 @@
     void dispatchWaiting()
     {
         while (!waiting_.empty()) {
-            const SimulatedRequest simulated = waiting_.front();
+            const SimulatedRequest simulatedRequest = waiting_.front();
             std::size_t best = engines_.size();
             double bestScore = 0.0;
             for (std::size_t index = 0; index < engines_.size(); ++index) {
@@ -392,7 +397,7 @@
                     continue;
                 }
                 const bool hit =
-                    std::find(engine.cache.begin(), engine.cache.end(), simulated.prefix)
+                    std::find(engine.cache.begin(), engine.cache.end(), simulatedRequest.prefix)
                     != engine.cache.end();
                 const double score =
                     (hit ? 1.0 - kPrefixFraction : 1.0) / engine.speed + 0.01 * engine.running;
@@ -406,12 +411,12 @@
             }
             waiting_.pop_front();
             ++engines_[best].running;
-            const double seconds = startOnEngine(best, simulated);
-            scheduleAfter(seconds, [this, best, simulated] {
+            const double seconds = startOnEngine(best, simulatedRequest);
+            scheduleAfter(seconds, [this, best, simulatedRequest] {
                 --engines_[best].running;
                 const bool withinDeadline =
-                    toSeconds(now_ - simulated.arrived) <= options_.deadlineSeconds;
-                result_.completed += simulated.measured && withinDeadline ? 1 : 0;
+                    toSeconds(now_ - simulatedRequest.arrived) <= options_.deadlineSeconds;
+                result_.completed += simulatedRequest.measured && withinDeadline ? 1 : 0;
                 dispatchWaiting();
             });
         }
