--- a/bench/loadgenerator.h
+++ b/bench/loadgenerator.h
@@ -20,8 +20,8 @@
     bool streamed = false;
 };
 
-// Runs the load and prints one JSON object. Returns the exit code: 0 on success, 1 if an answer was
-// wrong, 3 if the event loop or the HTTP client cannot be created.
+// Runs the load and prints one JSON object. Returns the exit code: 1 if an answer was wrong, 3 if
+// the event loop or the HTTP client cannot be created, otherwise 0, even if requests failed.
 int runLoad(const LoadOptions &options);
 
 } // namespace seamarch::bench
