--- a/bench/virtualfleet.cpp
+++ b/bench/fleetsimulation.cpp
@@ -1,4 +1,4 @@
-#include "virtualfleet.h"
+#include "fleetsimulation.h"
 
 #include "decision/fairness/requestcost.h"
 
@@ -10,31 +10,33 @@
 namespace {
 
 constexpr double kPrefillTokensPerSecond = 20'000.0;
-constexpr double kSecondsPerToken = 0.03;
-constexpr double kMeanPrompt = 2000.0;
-constexpr double kMeanAnswer = 120.0;
-constexpr std::size_t kPrefixes = 300;
-constexpr std::size_t kCachedPrefixes = 40; // That one engine can hold.
-constexpr double kPrefixPart = 0.8;         // Of a prompt.
-constexpr double kSlowSpeed = 0.6;
-constexpr double kWarmUp = 0.2; // Part of the run that is not counted.
+constexpr double kDecodeSecondsPerToken = 0.03;
+constexpr double kMeanPromptTokens = 2000.0;
+constexpr double kMeanAnswerTokens = 120.0;
+constexpr std::size_t kPrefixCount = 300;
+constexpr std::size_t kCachedPrefixesPerEngine = 40; // Capacity of an engine's prefix cache.
+constexpr double kPrefixFraction = 0.8; // Fraction of a prompt that is its cacheable prefix.
+constexpr double kSlowEngineSpeed = 0.6;
+constexpr double kWarmUpFraction = 0.2; // Fraction of the run that is excluded from the result.
 const TargetName kTarget("bid");
 const HallId kHall("north");
 const AccountId kAccount("officers");
 
-struct Work
+// A request with its true lengths, which the agents and entries do not know in advance.
+struct SimulatedRequest
 {
     TimePoint arrived{};
     std::uint64_t prefix = 0;
     Tokens prompt = 0;
     Tokens answer = 0;
-    bool counted = false;
+    bool measured = false;
 };
 
-class Fleet
+// An event queue in virtual time that drives the entries, the agents and their modelled engines.
+class FleetSimulation
 {
 public:
-    explicit Fleet(const FleetOptions &options)
+    explicit FleetSimulation(const FleetOptions &options)
         : options_(options)
         , random_(options.seed)
     {
@@ -45,7 +47,7 @@
             makeEntry();
         }
         std::vector<double> weights;
-        for (std::size_t prefix = 0; prefix < kPrefixes; ++prefix) {
+        for (std::size_t prefix = 0; prefix < kPrefixCount; ++prefix) {
             weights.push_back(1.0 / static_cast<double>(prefix + 1));
         }
         prefixes_ = std::discrete_distribution<std::uint64_t>(weights.begin(), weights.end());
@@ -53,12 +55,12 @@
 
     FleetResult run()
     {
-        result_.seconds = options_.seconds * (1.0 - kWarmUp);
+        result_.seconds = options_.seconds * (1.0 - kWarmUpFraction);
         for (std::size_t entry = 0; entry < entries_.size(); ++entry) {
             heartbeat(entry);
         }
-        tick();
-        at(TimePoint(std::chrono::seconds(6)), [this] { arrive(); });
+        tickAgents();
+        scheduleAt(TimePoint(std::chrono::seconds(6)), [this] { onArrival(); });
         const TimePoint end{fromSeconds(options_.seconds + 6.0)};
         while (!events_.empty() && events_.top().at < end) {
             const Event event = events_.top();
@@ -86,18 +88,18 @@
     {
         std::unique_ptr<AgentCore> core;
         double speed = 1.0;
-        std::deque<std::uint64_t> cache; // Most recent first.
-        std::uint32_t running = 0;       // Of the clairvoyant queue.
+        std::deque<std::uint64_t> cache; // Prefixes, most recently used first.
+        std::uint32_t running = 0;       // Used slots; only with the central queue.
     };
 
-    void at(TimePoint time, std::function<void()> action)
+    void scheduleAt(TimePoint time, std::function<void()> action)
     {
         events_.push({time, nextSequence_++, std::move(action)});
     }
 
-    void after(double seconds, std::function<void()> action)
+    void scheduleAfter(double seconds, std::function<void()> action)
     {
-        at(now_ + fromSeconds(seconds), std::move(action));
+        scheduleAt(now_ + fromSeconds(seconds), std::move(action));
     }
 
     void makeAgent(int index)
@@ -107,7 +109,7 @@
         settings.incarnation = Incarnation(static_cast<std::uint64_t>(index) + 1);
         settings.slots = options_.slots;
         Engine engine;
-        engine.speed = index < options_.slowAgents ? kSlowSpeed : 1.0;
+        engine.speed = index < options_.slowAgents ? kSlowEngineSpeed : 1.0;
         settings.initialTokensPerSecond = capacityTokens() * engine.speed;
         engine.core = std::make_unique<AgentCore>(settings, now_);
         InstanceRecord record;
@@ -135,103 +137,109 @@
 
     static double meanCost()
     {
-        return static_cast<double>(
-            requestCost(static_cast<Tokens>(kMeanPrompt), static_cast<Tokens>(kMeanAnswer)));
+        return static_cast<double>(requestCost(static_cast<Tokens>(kMeanPromptTokens),
+                                               static_cast<Tokens>(kMeanAnswerTokens)));
     }
 
-    // Cost that a normal engine works off in a second when all slots are busy.
+    // Returns the request cost that an engine of normal speed processes per second with all slots
+    // in use.
     double capacityTokens() const
     {
-        const double seconds =
-            kMeanPrompt / kPrefillTokensPerSecond + kMeanAnswer * kSecondsPerToken;
+        const double seconds = kMeanPromptTokens / kPrefillTokensPerSecond
+                               + kMeanAnswerTokens * kDecodeSecondsPerToken;
         return options_.slots * meanCost() / seconds;
     }
 
     double requestsPerSecond() const
     {
-        const double fast = options_.agents - options_.slowAgents * (1.0 - kSlowSpeed);
+        const double fast = options_.agents - options_.slowAgents * (1.0 - kSlowEngineSpeed);
         return options_.load * fast * capacityTokens() / meanCost();
     }
 
     void heartbeat(std::size_t entry)
     {
         std::uniform_real_distribution<double> jitter(0.8, 1.2);
-        after(options_.reportLagSeconds * jitter(random_), [this, entry] {
+        scheduleAfter(options_.reportLagSeconds * jitter(random_), [this, entry] {
             for (std::size_t index = 0; index < engines_.size(); ++index) {
-                // The first reports arrive, so that every agent is known.
+                // No report is lost in the first 5 s, so that every entry discovers every agent.
                 const bool started = now_.time_since_epoch() > std::chrono::seconds(5);
-                if (started && chance(options_.lostReports)) {
+                if (started && drawWithProbability(options_.lostFraction)) {
                     continue;
                 }
                 EntryActions actions;
                 entries_[entry]->onReport(list_.instances[index].id, engines_[index].core->report(),
                                           now_, now_, actions);
-                if (options_.freeNotices > 0) {
-                    carryOut(entry, actions);
+                if (options_.freeSlotNotices > 0) {
+                    execute(entry, actions);
                 }
             }
             heartbeat(entry);
         });
     }
 
-    bool chance(double probability) { return std::bernoulli_distribution(probability)(random_); }
+    bool drawWithProbability(double probability)
+    {
+        return std::bernoulli_distribution(probability)(random_);
+    }
 
-    void tick()
+    void tickAgents()
     {
         for (std::size_t index = 0; index < engines_.size(); ++index) {
             AgentActions actions;
             engines_[index].core->onTick(now_, actions);
-            carryOut(index, actions);
+            execute(index, actions);
         }
-        after(0.05, [this] { tick(); });
+        scheduleAfter(0.05, [this] { tickAgents(); });
     }
 
-    void arrive()
+    void onArrival()
     {
         std::exponential_distribution<double> gap(requestsPerSecond());
-        after(gap(workload_), [this] { arrive(); });
-        Work work;
-        work.arrived = now_;
-        work.prefix = prefixes_(workload_) + 1;
-        work.prompt = 200
-                      + static_cast<Tokens>(std::exponential_distribution<double>(
-                          1.0 / (kMeanPrompt - 200))(workload_));
-        work.answer = 1
-                      + static_cast<Tokens>(
-                          std::exponential_distribution<double>(1.0 / kMeanAnswer)(workload_));
-        work.counted = toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUp;
-        result_.offered += work.counted ? 1 : 0;
+        scheduleAfter(gap(workloadRandom_), [this] { onArrival(); });
+        SimulatedRequest simulatedRequest;
+        simulatedRequest.arrived = now_;
+        simulatedRequest.prefix = prefixes_(workloadRandom_) + 1;
+        simulatedRequest.prompt = 200
+                                  + static_cast<Tokens>(std::exponential_distribution<double>(
+                                      1.0 / (kMeanPromptTokens - 200))(workloadRandom_));
+        simulatedRequest.answer = 1
+                                  + static_cast<Tokens>(std::exponential_distribution<double>(
+                                      1.0 / kMeanAnswerTokens)(workloadRandom_));
+        simulatedRequest.measured =
+            toSeconds(now_.time_since_epoch()) > 6.0 + options_.seconds * kWarmUpFraction;
+        result_.offered += simulatedRequest.measured ? 1 : 0;
         if (options_.clairvoyant) {
-            waiting_.push_back(work);
-            serveWaiting();
+            waiting_.push_back(simulatedRequest);
+            dispatchWaiting();
             return;
         }
         const std::size_t entry = pickEntry();
         EntryRequest request;
         request.account = kAccount;
         request.target = kTarget;
-        request.promptTokens = work.prompt;
-        request.answerTokens = static_cast<Tokens>(kMeanAnswer); // What callers declare.
-        request.prefixHash = chance(options_.lostReports) ? 0 : work.prefix;
+        request.promptTokens = simulatedRequest.prompt;
+        request.answerTokens = static_cast<Tokens>(kMeanAnswerTokens); // Callers declare the mean.
+        request.prefixHash =
+            drawWithProbability(options_.lostFraction) ? 0 : simulatedRequest.prefix;
         request.repeatable = true;
         request.deadline = fromSeconds(options_.deadlineSeconds);
         EntryActions actions;
         const RequestId id = entries_[entry]->begin(request, now_, actions);
-        works_[id] = work;
+        requests_[id] = simulatedRequest;
         entryOf_[id] = entry;
-        carryOut(entry, actions);
+        execute(entry, actions);
     }
 
-    void announceFree(std::size_t index)
+    void sendFreeSlotNotices(std::size_t index)
     {
-        // A few entries drawn at random hear of it.
-        for (int notice = 0; notice < options_.freeNotices; ++notice) {
+        // Notifies a few randomly chosen entries.
+        for (int notice = 0; notice < options_.freeSlotNotices; ++notice) {
             const std::size_t entry = pickEntry();
-            after(0.0015, [this, entry, index] {
+            scheduleAfter(0.0015, [this, entry, index] {
                 EntryActions actions;
                 entries_[entry]->onFree(list_.instances[index].id, engines_[index].core->report(),
                                         now_, actions);
-                carryOut(entry, actions);
+                execute(entry, actions);
             });
         }
     }
@@ -243,15 +251,15 @@
 
     void withdraw(std::size_t entry, const SendWithdraw &request)
     {
-        after(0.0015, [this, entry, request] {
+        scheduleAfter(0.0015, [this, entry, request] {
             const std::size_t index = indexOf(request.agent);
             const bool notRun =
                 engines_[index].core->onWithdraw(request.id, request.agentIncarnation);
-            result_.moves += notRun ? 1 : 0;
-            after(0.0015, [this, entry, request, notRun] {
+            result_.withdrawn += notRun ? 1 : 0;
+            scheduleAfter(0.0015, [this, entry, request, notRun] {
                 EntryActions actions;
                 entries_[entry]->onWithdrawn(request.id, request.agent, notRun, now_, actions);
-                carryOut(entry, actions);
+                execute(entry, actions);
             });
         });
     }
@@ -264,18 +272,18 @@
         return static_cast<std::size_t>(found - list_.instances.begin());
     }
 
-    void carryOut(std::size_t entry, const EntryActions &actions)
+    void execute(std::size_t entry, const EntryActions &actions)
     {
         for (const EntryAction &action : actions) {
-            if (const auto *taken = std::get_if<SendWithdraw>(&action)) {
-                withdraw(entry, *taken);
+            if (const auto *withdrawal = std::get_if<SendWithdraw>(&action)) {
+                withdraw(entry, *withdrawal);
                 continue;
             }
             if (const auto *call = std::get_if<SendCall>(&action)) {
-                result_.sends += works_.at(call->id).counted ? 1 : 0;
-                after(0.0015, [this, entry, call = *call] { deliver(entry, call); });
+                result_.sends += requests_.at(call->id).measured ? 1 : 0;
+                scheduleAfter(0.0015, [this, entry, call = *call] { deliver(entry, call); });
             } else if (const auto *failure = std::get_if<FailRequest>(&action)) {
-                result_.refused += works_.at(failure->id).counted ? 1 : 0;
+                result_.refused += requests_.at(failure->id).measured ? 1 : 0;
             }
         }
     }
@@ -283,83 +291,89 @@
     void deliver(std::size_t entry, const SendCall &call)
     {
         const std::size_t index = indexOf(call.agent);
-        const Work &work = works_.at(call.id);
+        const SimulatedRequest &simulatedRequest = requests_.at(call.id);
         AgentCall message;
         message.id = call.id;
         message.account = kAccount;
-        message.promptTokens = work.prompt;
-        message.answerTokens = static_cast<Tokens>(kMeanAnswer);
+        message.promptTokens = simulatedRequest.prompt;
+        message.answerTokens = static_cast<Tokens>(kMeanAnswerTokens);
         message.deadline = call.deadline;
         message.agentIncarnation = call.agentIncarnation;
         AgentActions actions;
-        const AdmissionResult verdict = engines_[index].core->onCall(message, now_, {}, actions);
-        carryOut(index, actions);
-        if (verdict.accepted) {
-            after(0.0015, [this, entry, id = call.id, verdict] {
-                entries_[entry]->onAccepted(id, verdict.started);
+        const AdmissionResult admission = engines_[index].core->onCall(message, now_, {}, actions);
+        execute(index, actions);
+        if (admission.accepted) {
+            scheduleAfter(0.0015, [this, entry, id = call.id, admission] {
+                entries_[entry]->onAccepted(id, admission.started);
             });
         } else {
-            after(0.0015, [this, entry, id = call.id, verdict] {
+            scheduleAfter(0.0015, [this, entry, id = call.id, admission] {
                 EntryActions next;
-                entries_[entry]->onRefused(id, verdict.failure, verdict.outcome, verdict.retryAfter,
-                                           now_, next);
-                carryOut(entry, next);
+                entries_[entry]->onRefused(id, admission.failure, admission.outcome,
+                                           admission.retryAfter, now_, next);
+                execute(entry, next);
             });
         }
     }
 
-    void carryOut(std::size_t index, const AgentActions &actions)
+    void execute(std::size_t index, const AgentActions &actions)
     {
         for (const AgentAction &action : actions) {
             if (std::holds_alternative<AnnounceFreeSlot>(action)) {
-                announceFree(index);
+                sendFreeSlotNotices(index);
             } else if (const auto *start = std::get_if<StartUpstream>(&action)) {
                 const RequestId id = start->id;
-                const Work &work = works_.at(id);
-                const double seconds = serve(index, work);
-                after(seconds, [this, index, id] { finish(index, id); });
+                const SimulatedRequest &simulatedRequest = requests_.at(id);
+                const double seconds = startOnEngine(index, simulatedRequest);
+                scheduleAfter(seconds, [this, index, id] { finish(index, id); });
             } else if (const auto *report = std::get_if<ReportNotRun>(&action)) {
                 EntryActions next;
                 const std::size_t entry = entryOf_.at(report->id);
                 entries_[entry]->onRefused(report->id, report->failure, Outcome::NotRun,
                                            report->retryAfter, now_, next);
-                carryOut(entry, next);
+                execute(entry, next);
             }
         }
     }
 
-    // Starts a request on an engine; returns how long it holds its slot.
-    double serve(std::size_t index, const Work &work)
+    // Starts a request on an engine and returns how long it occupies its slot, in seconds.
+    double startOnEngine(std::size_t index, const SimulatedRequest &simulatedRequest)
     {
         Engine &engine = engines_[index];
-        const auto cached = std::find(engine.cache.begin(), engine.cache.end(), work.prefix);
-        const double prefixTokens = kPrefixPart * static_cast<double>(work.prompt);
+        const auto cached =
+            std::find(engine.cache.begin(), engine.cache.end(), simulatedRequest.prefix);
+        const double prefixTokens = kPrefixFraction * static_cast<double>(simulatedRequest.prompt);
         const bool hit = cached != engine.cache.end();
         if (hit) {
             engine.cache.erase(cached);
         }
-        engine.cache.push_front(work.prefix);
-        if (engine.cache.size() > kCachedPrefixes) {
+        engine.cache.push_front(simulatedRequest.prefix);
+        if (engine.cache.size() > kCachedPrefixesPerEngine) {
             engine.cache.pop_back();
         }
-        const double left = static_cast<double>(work.prompt) - (hit ? prefixTokens : 0.0);
-        const double prefill = left / kPrefillTokensPerSecond / engine.speed;
-        const double first = prefill + kSecondsPerToken / engine.speed;
-        if (work.counted) {
+        const double uncachedTokens =
+            static_cast<double>(simulatedRequest.prompt) - (hit ? prefixTokens : 0.0);
+        const double prefill = uncachedTokens / kPrefillTokensPerSecond / engine.speed;
+        const double firstTokenSeconds = prefill + kDecodeSecondsPerToken / engine.speed;
+        if (simulatedRequest.measured) {
             result_.cacheableTokens += prefixTokens;
             result_.cachedTokens += hit ? prefixTokens : 0.0;
-            result_.firstTokens.push_back(toSeconds(now_ - work.arrived) + first);
+            result_.firstTokens.push_back(toSeconds(now_ - simulatedRequest.arrived)
+                                          + firstTokenSeconds);
         }
-        return prefill + static_cast<double>(work.answer) * kSecondsPerToken / engine.speed;
+        return prefill
+               + static_cast<double>(simulatedRequest.answer) * kDecodeSecondsPerToken
+                     / engine.speed;
     }
 
     void finish(std::size_t index, RequestId id)
     {
-        const Work &work = works_.at(id);
-        const bool inTime = toSeconds(now_ - work.arrived) <= options_.deadlineSeconds;
-        result_.completed += work.counted && inTime ? 1 : 0;
+        const SimulatedRequest &simulatedRequest = requests_.at(id);
+        const bool withinDeadline =
+            toSeconds(now_ - simulatedRequest.arrived) <= options_.deadlineSeconds;
+        result_.completed += simulatedRequest.measured && withinDeadline ? 1 : 0;
         AgentCore &core = *engines_[index].core;
-        core.onTokens(id, work.answer);
+        core.onTokens(id, simulatedRequest.answer);
         AgentActions actions;
         core.onEnded(id, now_, actions);
         EntryCore &entry = *entries_[entryOf_.at(id)];
@@ -367,28 +381,29 @@
         if (entry.onAnswer(id, agent)) {
             entry.onComplete(id, agent, now_);
         }
-        carryOut(index, actions);
+        execute(index, actions);
     }
 
-    // The clairvoyant queue: the oldest request goes to the best free slot of the whole fleet.
-    void serveWaiting()
+    // Assigns the oldest requests of the central queue to the best free slots of the whole fleet.
+    void dispatchWaiting()
     {
         while (!waiting_.empty()) {
-            const Work work = waiting_.front();
+            const SimulatedRequest simulatedRequest = waiting_.front();
             std::size_t best = engines_.size();
-            double bestPrice = 0.0;
+            double bestScore = 0.0;
             for (std::size_t index = 0; index < engines_.size(); ++index) {
                 const Engine &engine = engines_[index];
                 if (engine.running >= options_.slots) {
                     continue;
                 }
-                const bool hit = std::find(engine.cache.begin(), engine.cache.end(), work.prefix)
-                                 != engine.cache.end();
-                const double price =
-                    (hit ? 1.0 - kPrefixPart : 1.0) / engine.speed + 0.01 * engine.running;
-                if (best == engines_.size() || price < bestPrice) {
+                const bool hit =
+                    std::find(engine.cache.begin(), engine.cache.end(), simulatedRequest.prefix)
+                    != engine.cache.end();
+                const double score =
+                    (hit ? 1.0 - kPrefixFraction : 1.0) / engine.speed + 0.01 * engine.running;
+                if (best == engines_.size() || score < bestScore) {
                     best = index;
-                    bestPrice = price;
+                    bestScore = score;
                 }
             }
             if (best == engines_.size()) {
@@ -396,20 +411,22 @@
             }
             waiting_.pop_front();
             ++engines_[best].running;
-            const double seconds = serve(best, work);
-            after(seconds, [this, best, work] {
+            const double seconds = startOnEngine(best, simulatedRequest);
+            scheduleAfter(seconds, [this, best, simulatedRequest] {
                 --engines_[best].running;
-                const bool inTime = toSeconds(now_ - work.arrived) <= options_.deadlineSeconds;
-                result_.completed += work.counted && inTime ? 1 : 0;
-                serveWaiting();
+                const bool withinDeadline =
+                    toSeconds(now_ - simulatedRequest.arrived) <= options_.deadlineSeconds;
+                result_.completed += simulatedRequest.measured && withinDeadline ? 1 : 0;
+                dispatchWaiting();
             });
         }
     }
 
     FleetOptions options_;
     std::mt19937_64 random_;
-    // Arrivals have an engine of their own, so that every way is measured under the same ones.
-    std::mt19937_64 workload_;
+    // Arrivals use a separate random engine with the default seed, so that all routers are measured
+    // under the same arrivals.
+    std::mt19937_64 workloadRandom_;
     TimePoint now_{};
     std::uint64_t nextSequence_ = 0;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
@@ -417,32 +434,33 @@
     std::vector<Engine> engines_;
     InstanceList list_;
     std::discrete_distribution<std::uint64_t> prefixes_;
-    std::map<RequestId, Work> works_;
+    std::map<RequestId, SimulatedRequest> requests_;
     std::map<RequestId, std::size_t> entryOf_;
-    std::deque<Work> waiting_;
+    std::deque<SimulatedRequest> waiting_;
     FleetResult result_;
 };
 
 } // namespace
 
-double percentileOf(std::vector<double> values, double part)
+double percentileOf(std::vector<double> values, double fraction)
 {
     if (values.empty()) {
         return 0.0;
     }
-    const auto index = static_cast<std::ptrdiff_t>(part * static_cast<double>(values.size() - 1));
+    const auto index =
+        static_cast<std::ptrdiff_t>(fraction * static_cast<double>(values.size() - 1));
     std::nth_element(values.begin(), values.begin() + index, values.end());
     return values[static_cast<std::size_t>(index)];
 }
 
-double FleetResult::percentile(double part) const
+double FleetResult::percentile(double fraction) const
 {
-    return percentileOf(firstTokens, part);
+    return percentileOf(firstTokens, fraction);
 }
 
-FleetResult runFleet(const FleetOptions &options)
+FleetResult simulateFleet(const FleetOptions &options)
 {
-    return Fleet(options).run();
+    return FleetSimulation(options).run();
 }
 
 } // namespace seamarch::bench
--- a/bench/loadtool.cpp
+++ b/bench/loadgenerator.cpp
@@ -1,4 +1,4 @@
-#include "loadtool.h"
+#include "loadgenerator.h"
 
 #include "base/settings.h"
 #include "net/eventloop.h"
@@ -17,19 +17,21 @@
 using nlohmann::json;
 
 constexpr int kStatusOk = 200;
-constexpr int kServiceEvery = 4; // With both kinds of calls, each fourth is one to the service.
+// If both call types are enabled, every fourth call is a service call.
+constexpr int kServiceCallInterval = 4;
 
-// What all callers together have seen.
-struct Tally
+// Counts and latencies over all callers.
+struct LoadStatistics
 {
     std::uint64_t requests = 0;
     std::uint64_t answered = 0;
     std::uint64_t wrongAnswers = 0;
     std::uint64_t refusedNotRun = 0;
     std::uint64_t outcomeUnknown = 0;
-    std::vector<double> totalMs;
+    std::vector<double> latenciesMs;
 };
 
+// Returns the answer text that a stand-in upstream generates for `prompt`.
 std::string expectedText(const std::string &prompt, int tokens)
 {
     std::string text;
@@ -39,16 +41,17 @@
     return text;
 }
 
-// Joins the words of a streamed answer; returns nothing when it does not end as it should.
+// Returns the concatenated content of a streamed answer, or an empty string if the final `[DONE]`
+// event is missing.
 std::string streamedText(const std::string &body)
 {
     std::string text;
     bool done = false;
-    std::size_t at = 0;
-    while ((at = body.find("data: ", at)) != std::string::npos) {
-        const std::size_t end = std::min(body.find("\n\n", at), body.size());
-        const std::string event = body.substr(at + 6, end - at - 6);
-        at = end;
+    std::size_t position = 0;
+    while ((position = body.find("data: ", position)) != std::string::npos) {
+        const std::size_t end = std::min(body.find("\n\n", position), body.size());
+        const std::string event = body.substr(position + 6, end - position - 6);
+        position = end;
         if (event == "[DONE]") {
             done = true;
             continue;
@@ -61,10 +64,11 @@
     return done ? text : std::string();
 }
 
-class Load
+// Runs the callers on one event loop until the configured duration has passed.
+class LoadGenerator
 {
 public:
-    Load(EventLoop &loop, HttpClient &client, const LoadOptions &options)
+    LoadGenerator(EventLoop &loop, HttpClient &client, const LoadOptions &options)
         : loop_(loop)
         , client_(client)
         , options_(options)
@@ -74,44 +78,45 @@
     {
         endsAt_ = loop_.now() + fromSeconds(options_.seconds);
         for (int caller = 0; caller < options_.callers; ++caller) {
-            ++active_;
-            next(caller);
+            ++activeCallers_;
+            sendNext(caller);
         }
         loop_.run();
     }
 
-    const Tally &tally() const { return tally_; }
+    const LoadStatistics &statistics() const { return statistics_; }
 
 private:
     class Receiver;
 
-    struct Sent
+    struct SentRequest
     {
         int caller = 0;
         bool service = false;
         std::string prompt;
-        TimePoint at{};
+        TimePoint sentAt{};
     };
 
-    void next(int caller);
-    void onAnswer(const Sent &sent, int status, const std::string &outcome, const std::string &body,
-                  HttpCallEnd end);
-    bool isRight(const Sent &sent, const std::string &body) const;
+    void sendNext(int caller);
+    void onAnswer(const SentRequest &sent, int status, const std::string &outcome,
+                  const std::string &body, HttpCallEnd end);
+    bool isCorrect(const SentRequest &sent, const std::string &body) const;
 
     EventLoop &loop_;
     HttpClient &client_;
     const LoadOptions &options_;
-    Tally tally_;
+    LoadStatistics statistics_;
     TimePoint endsAt_{};
-    int active_ = 0;
-    std::uint64_t counter_ = 0;
+    int activeCallers_ = 0;
+    std::uint64_t requestCounter_ = 0;
 };
 
-class Load::Receiver final : public HttpCallReceiver
+// Collects one answer and passes it to the generator.
+class LoadGenerator::Receiver final : public HttpCallReceiver
 {
 public:
-    Receiver(Load &load, Sent sent)
-        : load_(load)
+    Receiver(LoadGenerator &generator, SentRequest sent)
+        : generator_(generator)
         , sent_(std::move(sent))
     {}
 
@@ -124,33 +129,33 @@
         if (body.is_object() && body.contains("error") && body["error"].is_object()) {
             outcome = body["error"].value("outcome", "");
         }
-        load_.onAnswer(sent_, status_, outcome, body_, end);
+        generator_.onAnswer(sent_, status_, outcome, body_, end);
     }
 
 private:
-    Load &load_;
-    Sent sent_;
+    LoadGenerator &generator_;
+    SentRequest sent_;
     int status_ = 0;
     std::string body_;
 };
 
-void Load::next(int caller)
+void LoadGenerator::sendNext(int caller)
 {
     if (loop_.now() >= endsAt_) {
-        if (--active_ == 0) {
+        if (--activeCallers_ == 0) {
             loop_.stop();
         }
         return;
     }
-    const std::uint64_t number = ++counter_;
+    const std::uint64_t number = ++requestCounter_;
     const std::string &target = options_.addresses[number % options_.addresses.size()];
     const HostPort address = parseHostPort(target).value_or(HostPort{});
-    Sent sent;
+    SentRequest sent;
     sent.caller = caller;
     sent.service =
-        !options_.service.empty() && (options_.model.empty() || number % kServiceEvery == 0);
+        !options_.service.empty() && (options_.model.empty() || number % kServiceCallInterval == 0);
     sent.prompt = fmt::format("c{}-n{}", caller, number);
-    sent.at = loop_.now();
+    sent.sentAt = loop_.now();
     HttpCallRequest request;
     request.address = {address.host, address.port};
     request.method = "POST";
@@ -170,11 +175,11 @@
                            {"messages", {{{"role", "user"}, {"content", sent.prompt}}}}};
         request.body = body.dump();
     }
-    ++tally_.requests;
+    ++statistics_.requests;
     client_.call(std::move(request), std::make_unique<Receiver>(*this, sent));
 }
 
-bool Load::isRight(const Sent &sent, const std::string &body) const
+bool LoadGenerator::isCorrect(const SentRequest &sent, const std::string &body) const
 {
     if (!sent.service && options_.streamed) {
         return streamedText(body) == expectedText(sent.prompt, options_.answerTokens);
@@ -191,29 +196,29 @@
                   == expectedText(sent.prompt, options_.answerTokens);
 }
 
-void Load::onAnswer(const Sent &sent, int status, const std::string &outcome,
-                    const std::string &body, HttpCallEnd end)
+void LoadGenerator::onAnswer(const SentRequest &sent, int status, const std::string &outcome,
+                             const std::string &body, HttpCallEnd end)
 {
     if (status == kStatusOk && end == HttpCallEnd::Complete) {
-        ++tally_.answered;
-        tally_.wrongAnswers += isRight(sent, body) ? 0 : 1;
-        tally_.totalMs.push_back(toSeconds(loop_.now() - sent.at) * 1000.0);
+        ++statistics_.answered;
+        statistics_.wrongAnswers += isCorrect(sent, body) ? 0 : 1;
+        statistics_.latenciesMs.push_back(toSeconds(loop_.now() - sent.sentAt) * 1000.0);
     } else if (outcome == "not-run") {
-        ++tally_.refusedNotRun;
+        ++statistics_.refusedNotRun;
     } else {
-        ++tally_.outcomeUnknown;
+        ++statistics_.outcomeUnknown;
     }
-    const Duration pause = status == kStatusOk ? Duration(1) : std::chrono::milliseconds(50);
-    loop_.schedule(pause, [this, caller = sent.caller] { next(caller); });
+    const Duration delay = status == kStatusOk ? Duration(1) : std::chrono::milliseconds(50);
+    loop_.schedule(delay, [this, caller = sent.caller] { sendNext(caller); });
 }
 
-double percentile(std::vector<double> values, double part)
+double percentile(std::vector<double> values, double fraction)
 {
     if (values.empty()) {
         return 0.0;
     }
     std::sort(values.begin(), values.end());
-    const auto index = static_cast<std::size_t>(part * static_cast<double>(values.size() - 1));
+    const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1));
     return values[index];
 }
 
@@ -232,20 +237,21 @@
         fmt::print(stderr, "seamarch-bench: {}\n", client.error().message);
         return 3;
     }
-    Load load(**loop, **client, options);
-    load.run();
+    LoadGenerator generator(**loop, **client, options);
+    generator.run();
     (*loop)->shutDown();
-    const Tally &tally = load.tally();
-    const json result = {{"requests", tally.requests},
-                         {"answered", tally.answered},
-                         {"wrong_answers", tally.wrongAnswers},
-                         {"refused_not_run", tally.refusedNotRun},
-                         {"outcome_unknown", tally.outcomeUnknown},
-                         {"p50_ms", percentile(tally.totalMs, 0.5)},
-                         {"p95_ms", percentile(tally.totalMs, 0.95)},
-                         {"per_second", static_cast<double>(tally.answered) / options.seconds}};
+    const LoadStatistics &statistics = generator.statistics();
+    const json result = {
+        {"requests", statistics.requests},
+        {"answered", statistics.answered},
+        {"wrong_answers", statistics.wrongAnswers},
+        {"refused_not_run", statistics.refusedNotRun},
+        {"outcome_unknown", statistics.outcomeUnknown},
+        {"p50_ms", percentile(statistics.latenciesMs, 0.5)},
+        {"p95_ms", percentile(statistics.latenciesMs, 0.95)},
+        {"per_second", static_cast<double>(statistics.answered) / options.seconds}};
     fmt::print("{}\n", result.dump());
-    return tally.wrongAnswers == 0 ? 0 : 1;
+    return statistics.wrongAnswers == 0 ? 0 : 1;
 }
 
 } // namespace seamarch::bench
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -1,6 +1,6 @@
-// seamarch-bench: measurements of the project.
-#include "figures.h"
-#include "loadtool.h"
+// seamarch-bench: runs the deterministic benchmarks, the cost measurements and the load generator.
+#include "benchmarkresult.h"
+#include "loadgenerator.h"
 #include "slopes.h"
 
 #include <algorithm>
@@ -19,19 +19,19 @@
                  [--callers N] [--seconds S] [--tokens N] [--stream]
 
 Options:
-  --json            Print the deterministic figures; exit 1 when one is beyond its bound.
-  --only PART       Only the figures of one part: placement, routing, fairness, proof or config.
+  --json            Print the deterministic results; exit 1 when one exceeds its bound.
+  --only PART       Only the results of one part: placement, routing, fairness, proof or config.
   --addresses LIST  IP:PORT of entries, separated by commas.
   --keys LIST       Bearer keys, separated by commas.
   --model NAME      Model to send completions to.
   --service PATH    Service and path to call, for example portal/status.
-  --callers N       Callers in a closed loop [default: 16].
-  --seconds S       How long [default: 2].
+  --callers N       Concurrent callers, each in a closed loop [default: 16].
+  --seconds S       Duration of the load in seconds [default: 2].
   --tokens N        Tokens of each answer [default: 8].
   --stream          Ask for streamed answers.
 )";
 
-std::vector<std::string> split(const docopt::value &value)
+std::vector<std::string> splitAtCommas(const docopt::value &value)
 {
     std::vector<std::string> parts;
     if (!value.isString()) {
@@ -45,29 +45,30 @@
     return parts;
 }
 
-std::string textOr(const docopt::value &value)
+std::string stringOrEmpty(const docopt::value &value)
 {
     return value.isString() ? value.asString() : std::string();
 }
 
-int printFigures(const std::string &only)
+int printResults(const std::string &only)
 {
     using namespace seamarch::bench;
-    constexpr std::pair<const char *, void (*)(Figures &)> kParts[] = {
-        {"placement", addPlacementFigures}, {"routing", addRoutingFigures},
-        {"fairness", addFairnessFigures},   {"config", addConfigFigures},
-        {"proof", addProofFigures},
+    constexpr std::pair<const char *, void (*)(BenchmarkResults &)> kSuites[] = {
+        {"placement", addPlacementResults}, {"routing", addRoutingResults},
+        {"fairness", addFairnessResults},   {"config", addConfigResults},
+        {"proof", addProofResults},
     };
-    Figures figures;
-    for (const auto &[name, add] : kParts) {
+    BenchmarkResults results;
+    for (const auto &[name, appendResults] : kSuites) {
         if (only.empty() || only == name) {
-            add(figures);
+            appendResults(results);
         }
     }
-    fmt::print("{}\n", toJson(figures).dump(2));
-    const bool hold = std::all_of(figures.begin(), figures.end(),
-                                  [](const Figure &figure) { return figure.holds(); });
-    return hold && !figures.empty() ? 0 : 1;
+    fmt::print("{}\n", toJson(results).dump(2));
+    const bool allWithinBounds =
+        std::all_of(results.begin(), results.end(),
+                    [](const BenchmarkResult &result) { return result.isWithinBound(); });
+    return allWithinBounds && !results.empty() ? 0 : 1;
 }
 
 } // namespace
@@ -79,13 +80,13 @@
         return seamarch::bench::printSlopes();
     }
     if (arguments.at("--json").asBool()) {
-        return printFigures(textOr(arguments.at("--only")));
+        return printResults(stringOrEmpty(arguments.at("--only")));
     }
     seamarch::bench::LoadOptions options;
-    options.addresses = split(arguments.at("--addresses"));
-    options.keys = split(arguments.at("--keys"));
-    options.model = textOr(arguments.at("--model"));
-    options.service = textOr(arguments.at("--service"));
+    options.addresses = splitAtCommas(arguments.at("--addresses"));
+    options.keys = splitAtCommas(arguments.at("--keys"));
+    options.model = stringOrEmpty(arguments.at("--model"));
+    options.service = stringOrEmpty(arguments.at("--service"));
     options.callers = static_cast<int>(arguments.at("--callers").asLong());
     options.seconds = std::stod(arguments.at("--seconds").asString());
     options.answerTokens = static_cast<int>(arguments.at("--tokens").asLong());
--- a/bench/prooffigures.cpp
+++ b/bench/proofbenchmark.cpp
@@ -1,5 +1,5 @@
+#include "benchmarkresult.h"
 #include "decision/dispatch/dispatchsimulation.h"
-#include "figures.h"
 
 #include <fmt/format.h>
 
@@ -10,13 +10,15 @@
 using test::OperationKind;
 using test::Scenario;
 
+// Rates per operation and violations of one call type under one fault scenario.
 struct ProofResult
 {
-    double refused = 0.0; // Requests that ended without an answer, for each operation.
-    double unknown = 0.0; // Of them, those whose outcome is unknown.
-    int violations = 0;   // Duplicates, false 'not run', foreign answers.
+    double refused = 0.0; // Requests that ended without an answer, per operation.
+    double unknown = 0.0; // Those of them whose outcome is unknown.
+    int violations = 0;   // Duplicate runs, false 'not run' outcomes, answers to other requests.
 };
 
+// Returns the result over 40 seeds of 60 operations each.
 ProofResult measure(OperationKind kind, Scenario scenario)
 {
     constexpr int kOperations = 60;
@@ -28,30 +30,31 @@
         options.scenario = scenario;
         options.onlyKind = kind;
         options.operations = kOperations;
-        DispatchSimulation world(options);
-        result.violations += static_cast<int>(world.run().size());
-        result.refused += world.notRun() + world.unknown();
-        result.unknown += world.unknown();
+        DispatchSimulation simulation(options);
+        result.violations += static_cast<int>(simulation.run().size());
+        result.refused += simulation.notRun() + simulation.unknown();
+        result.unknown += simulation.unknown();
     }
     result.refused /= kOperations * kSeeds;
     result.unknown /= kOperations * kSeeds;
     return result;
 }
 
-struct Row
+// A call type, a fault scenario and the bound of the result.
+struct ProofCase
 {
-    const char *way;
+    const char *callType;
     OperationKind kind;
     const char *name;
     Scenario scenario;
-    double bound; // Of refusals and unknowns, for each operation.
+    double bound; // Upper limit of `refused`.
 };
 
 } // namespace
 
-void addProofFigures(Figures &figures)
+void addProofResults(BenchmarkResults &results)
 {
-    const Row rows[] = {
+    const ProofCase cases[] = {
         {"plain", OperationKind::Plain, "no_fault", Scenario::NoFaults, 0.0},
         {"ticket", OperationKind::Ticketed, "no_fault", Scenario::NoFaults, 0.0},
         {"key", OperationKind::Keyed, "no_fault", Scenario::NoFaults, 0.0},
@@ -63,14 +66,14 @@
         {"key", OperationKind::Keyed, "cut", Scenario::Partition, 2.0},
     };
     int violations = 0;
-    for (const Row &row : rows) {
-        const ProofResult result = measure(row.kind, row.scenario);
+    for (const ProofCase &proofCase : cases) {
+        const ProofResult result = measure(proofCase.kind, proofCase.scenario);
         violations += result.violations;
-        figures.push_back({fmt::format("proof.{}.{}.refused", row.way, row.name), result.refused,
-                           "for each operation", row.bound, true, result.unknown,
-                           "of them unknown"});
+        results.push_back({fmt::format("proof.{}.{}.refused", proofCase.callType, proofCase.name),
+                           result.refused, "for each operation", proofCase.bound, true,
+                           result.unknown, "of them unknown"});
     }
-    figures.push_back({"proof.duplicates_and_false_not_run", static_cast<double>(violations),
+    results.push_back({"proof.duplicates_and_false_not_run", static_cast<double>(violations),
                        "count", 0.0, true, 0.0, "none"});
 }
 
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -22,28 +22,28 @@
 
 using nlohmann::json;
 
-double secondsOf(const std::function<void()> &action)
+double measureSeconds(const std::function<void()> &action)
 {
     const auto start = std::chrono::steady_clock::now();
     action();
     return std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
 }
 
-double heapBytes()
+double allocatedHeapBytes()
 {
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-// Returns the heap bytes that `make` leaves for each of `count` entities.
+// Returns the average heap bytes per entity of the `count` entities that `make` allocates.
 template <typename Make>
-double bytesEach(int count, Make make)
+double bytesPerEntity(int count, Make make)
 {
-    const double before = heapBytes();
-    const auto kept = make(count);
-    return (heapBytes() - before) / count;
+    const double before = allocatedHeapBytes();
+    const auto entities = make(count);
+    return (allocatedHeapBytes() - before) / count;
 }
 
-json accountsDocument(int count)
+json makeAccountsDocument(int count)
 {
     json accounts = json::array();
     for (int index = 0; index < count; ++index) {
@@ -54,7 +54,7 @@
     return {{"version", 1U}, {"accounts", accounts}};
 }
 
-InstanceList agents(int count)
+InstanceList makeInstanceList(int count)
 {
     InstanceList list;
     list.version = ListVersion(1);
@@ -68,13 +68,13 @@
     return list;
 }
 
-std::unique_ptr<EntryCore> entryWith(int candidates)
+std::unique_ptr<EntryCore> makeEntryCore(int candidates)
 {
     EntryCore::Settings settings;
     settings.hall = HallId("north");
     settings.incarnation = Incarnation(1);
     auto core = std::make_unique<EntryCore>(settings, std::make_unique<ExpectedWaitRouter>());
-    const InstanceList list = agents(candidates);
+    const InstanceList list = makeInstanceList(candidates);
     core->applyList(list);
     EntryActions actions;
     for (const InstanceRecord &record : list.instances) {
@@ -87,11 +87,11 @@
     return core;
 }
 
-// Microseconds that an entry takes to decide on, follow and close one request.
-double entryMicros(int candidates)
+// Returns the microseconds that an entry takes to route, track and complete one request.
+double entryMicrosPerRequest(int candidates)
 {
     constexpr int kRequests = 20'000;
-    const auto core = entryWith(candidates);
+    const auto core = makeEntryCore(candidates);
     EntryRequest request;
     request.account = AccountId("bids");
     request.target = TargetName("bid");
@@ -99,7 +99,7 @@
     request.answerTokens = 100;
     request.deadline = std::chrono::seconds(60);
     const TimePoint now{};
-    const double seconds = secondsOf([&] {
+    const double seconds = measureSeconds([&] {
         for (int index = 0; index < kRequests; ++index) {
             request.prefixHash = static_cast<std::uint64_t>(index % 500) + 1;
             EntryActions actions;
@@ -113,15 +113,16 @@
     return seconds / kRequests * 1e6;
 }
 
-// Microseconds that an agent takes to queue, start, count and close one request.
-double agentMicros(int accounts)
+// Returns the microseconds that an agent takes to queue, start, account for and complete one
+// request.
+double agentMicrosPerRequest(int accounts)
 {
     constexpr int kRequests = 50'000;
     AgentCore::Settings settings;
     settings.self = InstanceId("bid-1");
     settings.incarnation = Incarnation(7);
     AgentCore core(settings, TimePoint{});
-    const double seconds = secondsOf([&] {
+    const double seconds = measureSeconds([&] {
         for (int index = 0; index < kRequests; ++index) {
             AgentCall call;
             call.id = {Incarnation(1), static_cast<std::uint64_t>(index) + 1};
@@ -138,7 +139,9 @@
     return seconds / kRequests * 1e6;
 }
 
-double balanceMillis(std::uint32_t ranks, std::uint32_t experts)
+// Returns the milliseconds of one balancer step with at most one move, for Zipf-distributed
+// experts.
+double balanceMillisPerStep(std::uint32_t ranks, std::uint32_t experts)
 {
     std::vector<double> shares;
     double sum = 0.0;
@@ -157,7 +160,7 @@
     const std::uint32_t slots = experts / ranks + 1;
     Placement placement = staticPlacement(ranks, slots, experts);
     constexpr int kPlans = 20;
-    const double seconds = secondsOf([&] {
+    const double seconds = measureSeconds([&] {
         for (int plan = 0; plan < kPlans; ++plan) {
             placement = balance(placement, input).placement;
         }
@@ -167,7 +170,7 @@
 
 json timeSlopes()
 {
-    const json document = accountsDocument(2200);
+    const json document = makeAccountsDocument(2200);
     VersionedDocument versioned;
     versioned.accept(document);
     json next = document;
@@ -175,31 +178,31 @@
     next["base"] = 1U;
     next["accounts"][7]["share"] = 3.0;
     VersionedDocument sender = versioned;
-    const double diffing = secondsOf([&] { sender.accept(next); });
+    const double diffSeconds = measureSeconds([&] { sender.accept(next); });
     const auto update = sender.updateFor(1);
-    const double applying = secondsOf([&] { versioned.apply(*update); });
-    const double validating = secondsOf([&] { static_cast<void>(readConfig(next)); });
-    return {{"entry_request_us_at_8_candidates", entryMicros(8)},
-            {"entry_request_us_at_40_candidates", entryMicros(40)},
-            {"agent_request_us_at_10_accounts", agentMicros(10)},
-            {"agent_request_us_at_2200_accounts", agentMicros(2200)},
-            {"config_diff_ms_at_2200_accounts", diffing * 1e3},
-            {"config_apply_ms_at_2200_accounts", applying * 1e3},
-            {"config_validate_ms_at_2200_accounts", validating * 1e3},
+    const double applySeconds = measureSeconds([&] { versioned.apply(*update); });
+    const double validateSeconds = measureSeconds([&] { static_cast<void>(readConfig(next)); });
+    return {{"entry_request_us_at_8_candidates", entryMicrosPerRequest(8)},
+            {"entry_request_us_at_40_candidates", entryMicrosPerRequest(40)},
+            {"agent_request_us_at_10_accounts", agentMicrosPerRequest(10)},
+            {"agent_request_us_at_2200_accounts", agentMicrosPerRequest(2200)},
+            {"config_diff_ms_at_2200_accounts", diffSeconds * 1e3},
+            {"config_apply_ms_at_2200_accounts", applySeconds * 1e3},
+            {"config_validate_ms_at_2200_accounts", validateSeconds * 1e3},
             {"config_update_bytes", update->payload.size()},
-            {"balance_step_ms_at_8x16", balanceMillis(8, 16)},
-            {"balance_step_ms_at_32x64", balanceMillis(32, 64)},
-            {"balance_step_ms_at_32x128", balanceMillis(32, 128)}};
+            {"balance_step_ms_at_8x16", balanceMillisPerStep(8, 16)},
+            {"balance_step_ms_at_32x64", balanceMillisPerStep(32, 64)},
+            {"balance_step_ms_at_32x128", balanceMillisPerStep(32, 128)}};
 }
 
 json memorySlopes()
 {
-    const double account = bytesEach(2200, [](int count) {
-        const json document = accountsDocument(count);
+    const double accountBytes = bytesPerEntity(2200, [](int count) {
+        const json document = makeAccountsDocument(count);
         return std::pair(document, *readConfig(document));
     });
-    const double member = bytesEach(760, [](int count) { return entryWith(count); });
-    const double record = bytesEach(20'000, [](int count) {
+    const double agentBytes = bytesPerEntity(760, [](int count) { return makeEntryCore(count); });
+    const double requestBytes = bytesPerEntity(20'000, [](int count) {
         auto ledger = std::make_unique<RunLedger>(static_cast<std::size_t>(count));
         for (int index = 0; index < count; ++index) {
             const RequestId id{Incarnation(1), static_cast<std::uint64_t>(index) + 1};
@@ -209,36 +212,36 @@
         }
         return ledger;
     });
-    const double prefix = bytesEach(20'000, [](int count) {
+    const double prefixBytes = bytesPerEntity(20'000, [](int count) {
         auto index = std::make_unique<PrefixIndex>();
-        for (int each = 0; each < count; ++each) {
-            index->recordHolder(static_cast<std::uint64_t>(each), InstanceId("bid-0001"),
+        for (int number = 0; number < count; ++number) {
+            index->recordHolder(static_cast<std::uint64_t>(number), InstanceId("bid-0001"),
                                 TimePoint{});
         }
         return index;
     });
-    const double histogram = bytesEach(1200, [](int count) {
+    const double histogramBytes = bytesPerEntity(1200, [](int count) {
         auto metrics = std::make_unique<Metrics>(static_cast<std::size_t>(count));
-        for (int each = 0; each < count; ++each) {
-            metrics->observe(RequestStage::Total, AccountId(fmt::format("account-{}", each)), "p0",
-                             std::chrono::milliseconds(5));
+        for (int number = 0; number < count; ++number) {
+            metrics->observe(RequestStage::Total, AccountId(fmt::format("account-{}", number)),
+                             "p0", std::chrono::milliseconds(5));
         }
         return metrics;
     });
-    const double ticket = bytesEach(20'000, [](int count) {
-        auto book = std::make_unique<TicketIssuer>(InstanceId("a"), Incarnation(1), 1,
-                                                   static_cast<std::size_t>(count));
-        for (int each = 0; each < count; ++each) {
-            book->issue();
+    const double ticketBytes = bytesPerEntity(20'000, [](int count) {
+        auto issuer = std::make_unique<TicketIssuer>(InstanceId("a"), Incarnation(1), 1,
+                                                     static_cast<std::size_t>(count));
+        for (int number = 0; number < count; ++number) {
+            issuer->issue();
         }
-        return book;
+        return issuer;
     });
-    return {{"bytes_per_account_in_config", account},
-            {"bytes_per_agent_at_an_entry", member},
-            {"bytes_per_closed_request", record},
-            {"bytes_per_known_prefix", prefix},
-            {"bytes_per_histogram", histogram},
-            {"bytes_per_ticket", ticket},
+    return {{"bytes_per_account_in_config", accountBytes},
+            {"bytes_per_agent_at_an_entry", agentBytes},
+            {"bytes_per_closed_request", requestBytes},
+            {"bytes_per_known_prefix", prefixBytes},
+            {"bytes_per_histogram", histogramBytes},
+            {"bytes_per_ticket", ticketBytes},
             {"bytes_per_expert_of_popularity", 8.0 * (2 + 48)}};
 }
 
