--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -5,7 +5,7 @@
 import subprocess
 import time
 
-from localsite import BIN, Site, key_of
+from localsite import BIN, Site, api_key_of
 
 TICKS = os.sysconf("SC_CLK_TCK")
 
@@ -71,7 +71,7 @@
         site.config["upstreams"][0]["slots"] = 64
         site.publish_config()
         site.control(upstream, {"stepMs": 0})
-        key = ("--keys", key_of("account-0"), "--model", "bid", "--tokens", "1", "--seconds", "3")
+        key = ("--keys", api_key_of("account-0"), "--model", "bid", "--tokens", "1", "--seconds", "3")
         time.sleep(1)
         direct = load([upstream], "--model", "bid", "--tokens", "1", "--seconds", "3",
                       "--callers", "1")
@@ -100,7 +100,7 @@
         idle_mb = resident_mb(site.processes["entry-1"])
         runner = subprocess.Popen(
             [os.path.join(BIN, "seamarch-bench"), "load", "--addresses", site.entries["entry-1"],
-             "--keys", key_of("account-0"), "--model", "bid", "--stream", "--callers", str(count),
+             "--keys", api_key_of("account-0"), "--model", "bid", "--stream", "--callers", str(count),
              "--seconds", "3", "--tokens", str(tokens)], stdout=subprocess.PIPE, text=True)
         time.sleep(2)
         entry_mb = resident_mb(site.processes["entry-1"])
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -7,7 +7,7 @@
 import subprocess
 import sys
 
-from localsite import BIN, Site, key_of
+from localsite import BIN, Site, api_key_of
 
 SITES = {
     "procurement": {"model": "bid", "service": "portal", "call": "portal/notices"},
@@ -32,7 +32,7 @@
         load = subprocess.run(
             [os.path.join(BIN, "seamarch-bench"), "load",
              "--addresses", ",".join(site.entries.values()),
-             "--keys", ",".join(key_of(account) for account in accounts),
+             "--keys", ",".join(api_key_of(account) for account in accounts),
              "--model", names["model"], "--service", names["call"], "--stream",
              "--callers", "32", "--seconds", str(seconds), "--tokens", "8"],
             capture_output=True, text=True, check=False)
--- a/scripts/localsite.py
+++ b/scripts/localsite.py
@@ -68,7 +68,7 @@
     raise RuntimeError(f"{address} takes no control")
 
 
-def key_of(account):
+def api_key_of(account):
     return f"key-of-{account}"
 
 
@@ -134,7 +134,7 @@
 
     def add_accounts(self, names, **fields):
         for name in names:
-            digest = hashlib.sha256(key_of(name).encode()).hexdigest()
+            digest = hashlib.sha256(api_key_of(name).encode()).hexdigest()
             self.config["accounts"].append({"id": name, "keySha256": [digest], **fields})
 
     def add_pool(self, target, count, kind):
--- a/test/process/process_test.py
+++ b/test/process/process_test.py
@@ -16,11 +16,11 @@
 import urllib.request
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), "..", "..", "scripts"))
-from localsite import Site, call, key_of  # noqa: E402
+from localsite import Site, call, api_key_of  # noqa: E402
 
 QUICK_ENTRY = ["--heartbeat-ms", "100", "--lease-ms", "1000", "--stop-delay-ms", "300"]
 QUICK_AGENT = ["--lease-ms", "1000"]
-AUTH = {"Authorization": f"Bearer {key_of('bids')}", "Content-Type": "application/json"}
+AUTH = {"Authorization": f"Bearer {api_key_of('bids')}", "Content-Type": "application/json"}
 
 
 def make_site(engines=2, services=0, entries=2):
@@ -307,7 +307,7 @@
             subprocess.run(["npm", "install", "--no-save", "--no-audit", "--no-fund",
                             "--loglevel=error", "--prefix", clients, "openai@4"], check=True)
         with make_site(engines=1, entries=1) as site:
-            done = subprocess.run(["node", script, site.entries["entry-1"], key_of("bids")],
+            done = subprocess.run(["node", script, site.entries["entry-1"], api_key_of("bids")],
                                   capture_output=True, text=True, timeout=60, check=False)
             self.assertEqual(done.returncode, 0, done.stderr)
 
