--- a/scripts/localsite.py
+++ b/scripts/localsite.py
@@ -23,7 +23,7 @@
 _ports = itertools.count(int(os.environ.get("SEAMARCH_TEST_PORT", 10000 + os.getpid() * 97 % 20000)))
 
 
-_held = []
+_reserved_sockets = []
 
 
 def free_address():
@@ -37,7 +37,7 @@
             except OSError:
                 hold.close()
                 continue
-        _held.append(hold)
+        _reserved_sockets.append(hold)
         return f"127.0.0.1:{port}"
     raise RuntimeError("no free port")
 
