--- a/scripts/localsite.py
+++ b/scripts/localsite.py
@@ -28,16 +28,16 @@
 
 def free_address():
     for port in _ports:
-        hold = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        reservation = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
-                hold.bind(("127.0.0.1", port))
+                reservation.bind(("127.0.0.1", port))
                 probe.bind(("127.0.0.1", port))
             except OSError:
-                hold.close()
+                reservation.close()
                 continue
-        _reserved_sockets.append(hold)
+        _reserved_sockets.append(reservation)
         return f"127.0.0.1:{port}"
     raise RuntimeError("no free port")
 
