--- a/scripts/localsite.py
+++ b/scripts/localsite.py
@@ -192,13 +192,13 @@
         status, _, text = call(self.operators[name], "/status", timeout=2)
         return json.loads(text) if status == 200 else {}
 
-    def wait_until(self, what, check, seconds=15):
+    def wait_until(self, condition, check, seconds=15):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if check():
                 return
             time.sleep(0.02)
-        raise RuntimeError(f"{self.name}: waited {seconds} s in vain for: {what}")
+        raise RuntimeError(f"{self.name}: waited {seconds} s in vain for: {condition}")
 
     def publish_and_wait(self):
         self.publish_list()
--- a/test/process/gateway_test.py
+++ b/test/process/gateway_test.py
@@ -84,13 +84,13 @@
     def status(self):
         return json.loads(call(self.operators, "/status")[2])
 
-    def wait_until(self, what, check, seconds=20):
+    def wait_until(self, condition, check, seconds=20):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if check():
                 return
             time.sleep(0.02)
-        raise RuntimeError(f"waited {seconds} s in vain for: {what}")
+        raise RuntimeError(f"waited {seconds} s in vain for: {condition}")
 
     def ask(self, path, body="x", key=KEY, timeout=10, method="POST"):
         headers = {"Host": "site.example", "Seamarch-Request-Id": f"r-{next(_numbers)}"}
