--- a/scripts/localsite.py
+++ b/scripts/localsite.py
@@ -148,7 +148,7 @@
             self.start(name, "seamarchd", "agent", "--instance", name, "--hall", hall,
                        "--listen", listen, "--operator-listen", operators,
                        "--upstream", upstream, *self.agent_options)
-            self._list(name, "agent", hall, listen, [target])
+            self._add_instance(name, "agent", hall, listen, [target])
             self.config["upstreams"].append({"agent": name, "checksFence": kind == "engine"})
 
     def add_entries(self, count):
@@ -161,9 +161,9 @@
             self.start(name, "seamarchd", "entry", "--instance", name, "--hall", hall,
                        "--listen", listen, "--peer-listen", peer, "--operator-listen", operators,
                        "--platform", self.platform, *self.entry_options)
-            self._list(name, "entry", hall, peer, [])
+            self._add_instance(name, "entry", hall, peer, [])
 
-    def _list(self, name, role, hall, address, serves):
+    def _add_instance(self, name, role, hall, address, serves):
         host, port = address.split(":")
         record = {"id": name, "role": role, "hall": hall, "address": host, "port": int(port)}
         if serves:
