--- a/soak/soak.py
+++ b/soak/soak.py
@@ -40,7 +40,7 @@
 REVOKED_AFTER = 5.0             # Seconds after which a revoked key is dead everywhere.
 LEFT_AFTER = 2.0                # Seconds after which an upstream that leaves gets nothing new.
 REST = 1.5                      # Seconds of rest that an upstream asks for.
-UNDER_WAY = 0.5                 # Seconds of it in which requests that were under way may arrive.
+IN_FLIGHT_S = 0.5                 # Seconds of it in which requests that were under way may arrive.
 STRAY = 2                       # Requests that may arrive in the remainder.
 LIMITS = (0.5, 1, 3)            # Requests a second that an upstream takes from all gateways together.
 LIMIT_SPAN = 4.0                # Seconds over which it counts.
@@ -495,7 +495,7 @@
         for (gateway, _), arrivals in by_life.items():
             for asked, rest in arrivals:
                 until = asked + float(rest or 0)
-                late = [at for at, _ in arrivals if asked + UNDER_WAY < at < until]
+                late = [at for at, _ in arrivals if asked + IN_FLIGHT_S < at < until]
                 excused = any(held in (name, gateway) and start < until and end > asked - 1
                               for held, start, end in self.excuses)
                 if len(late) > STRAY and not excused:
@@ -512,7 +512,7 @@
             if request is None or not since < at < until:
                 continue
             sender = (request.gateway, request.life)
-            told.setdefault(sender, at + 2 * UNDER_WAY)
+            told.setdefault(sender, at + 2 * IN_FLIGHT_S)
             excused = any(held in (name, request.gateway) and start < at and end > at - LIMIT_SPAN
                           for held, start, end in self.excuses)
             if at > told[sender] and not excused:
--- a/test/process/restingservice_test.py
+++ b/test/process/restingservice_test.py
@@ -16,7 +16,7 @@
 from localsite import Site, call, control  # noqa: E402
 
 REST = 2.0       # Seconds that the upstream asks for.
-UNDER_WAY = 0.5  # Seconds in which requests that were under way may still arrive.
+IN_FLIGHT_S = 0.5  # Seconds in which requests that were under way may still arrive.
 STRAY = 2        # Requests that may arrive after that in one rest.
 
 
@@ -62,10 +62,10 @@
         for caller in callers:
             caller.join()
         self.assertTrue(refused, "it turned nothing away; the test shows nothing")
-        found = max(sum(1 for ms in refused if first + 1000 * UNDER_WAY < ms < first + 1000 * REST)
+        found = max(sum(1 for ms in refused if first + 1000 * IN_FLIGHT_S < ms < first + 1000 * REST)
                     for first in refused)
         self.assertLessEqual(found, STRAY, f"it asked for {REST} s of rest and got {found} requests later than "
-                             f"{UNDER_WAY} s after that")
+                             f"{IN_FLIGHT_S} s after that")
         self.assertGreater(again, runs, "expected it to get requests again after its rest, found none")
         failed = [answer for answer in self.answers if answer[0] > served_from and answer[1] != 200]
         self.assertLessEqual(len(failed), len(self.answers) // 20, failed[:3])
--- a/test/process/restingupstream_test.py
+++ b/test/process/restingupstream_test.py
@@ -27,7 +27,7 @@
 from localsite import call, control, free_address  # noqa: E402
 
 REST = 3.0          # Seconds that upstreams ask for.
-UNDER_WAY = 0.5     # Seconds in which requests that were under way may still arrive.
+IN_FLIGHT_S = 0.5     # Seconds in which requests that were under way may still arrive.
 STRAY = 2           # Requests that may arrive after that in one rest.
 PATHS = ("/letters/1", "/status/1", "/stream/1")
 
@@ -36,7 +36,7 @@
     """Returns, for the refusal followed by the most, how many requests came between half a second after
     it and the end of the rest that it asked for."""
     refusals = [arrival["ms"] for arrival in arrivals if arrival["refused"]]
-    return max([sum(1 for arrival in arrivals if refused + 1000 * UNDER_WAY < arrival["ms"] < refused + 1000 * rest)
+    return max([sum(1 for arrival in arrivals if refused + 1000 * IN_FLIGHT_S < arrival["ms"] < refused + 1000 * rest)
                 for refused in refusals], default=0)
 
 
@@ -88,7 +88,7 @@
                             f"{name} turned nothing away; the test shows nothing")
             found = arrivals_in_rests(arrivals, rest)
             self.assertLessEqual(found, STRAY, f"{name} asked for {rest} s of rest and got {found} requests later "
-                                 f"than {UNDER_WAY} s after that; see `upstream.notice` in the gateway's log")
+                                 f"than {IN_FLIGHT_S} s after that; see `upstream.notice` in the gateway's log")
 
     def test_upstreams_that_ask_for_rest_get_it_and_the_others_serve(self):
         self.begin()
