--- a/soak/soak.py
+++ b/soak/soak.py
@@ -41,7 +41,7 @@
 LEFT_AFTER = 2.0                # Seconds after which an upstream that leaves gets nothing new.
 REST = 1.5                      # Seconds of rest that an upstream asks for.
 IN_FLIGHT_S = 0.5                 # Seconds of it in which requests that were under way may arrive.
-STRAY = 2                       # Requests that may arrive in the remainder.
+MAX_LATE_REQUESTS = 2                       # Requests that may arrive in the remainder.
 LIMITS = (0.5, 1, 3)            # Requests a second that an upstream takes from all gateways together.
 LIMIT_SPAN = 4.0                # Seconds over which it counts.
 LIMIT_SETTLED = 3.0             # Seconds after its first word from which on it counts.
@@ -498,7 +498,7 @@
                 late = [at for at, _ in arrivals if asked + IN_FLIGHT_S < at < until]
                 excused = any(held in (name, gateway) and start < until and end > asked - 1
                               for held, start, end in self.excuses)
-                if len(late) > STRAY and not excused:
+                if len(late) > MAX_LATE_REQUESTS and not excused:
                     self.fail(f"{name} asked {gateway} for {rest} s of rest and got {len(late)} requests")
 
     def check_limit(self, name, limit, since, until, known):
--- a/test/process/restingservice_test.py
+++ b/test/process/restingservice_test.py
@@ -17,7 +17,7 @@
 
 REST = 2.0       # Seconds that the upstream asks for.
 IN_FLIGHT_S = 0.5  # Seconds in which requests that were under way may still arrive.
-STRAY = 2        # Requests that may arrive after that in one rest.
+MAX_LATE_REQUESTS = 2        # Requests that may arrive after that in one rest.
 
 
 class RestingServiceTest(unittest.TestCase):
@@ -64,7 +64,7 @@
         self.assertTrue(refused, "it turned nothing away; the test shows nothing")
         found = max(sum(1 for ms in refused if first + 1000 * IN_FLIGHT_S < ms < first + 1000 * REST)
                     for first in refused)
-        self.assertLessEqual(found, STRAY, f"it asked for {REST} s of rest and got {found} requests later than "
+        self.assertLessEqual(found, MAX_LATE_REQUESTS, f"it asked for {REST} s of rest and got {found} requests later than "
                              f"{IN_FLIGHT_S} s after that")
         self.assertGreater(again, runs, "expected it to get requests again after its rest, found none")
         failed = [answer for answer in self.answers if answer[0] > served_from and answer[1] != 200]
--- a/test/process/restingupstream_test.py
+++ b/test/process/restingupstream_test.py
@@ -28,7 +28,7 @@
 
 REST = 3.0          # Seconds that upstreams ask for.
 IN_FLIGHT_S = 0.5     # Seconds in which requests that were under way may still arrive.
-STRAY = 2           # Requests that may arrive after that in one rest.
+MAX_LATE_REQUESTS = 2           # Requests that may arrive after that in one rest.
 PATHS = ("/letters/1", "/status/1", "/stream/1")
 
 
@@ -87,7 +87,7 @@
             self.assertTrue(any(arrival["refused"] for arrival in arrivals),
                             f"{name} turned nothing away; the test shows nothing")
             found = arrivals_in_rests(arrivals, rest)
-            self.assertLessEqual(found, STRAY, f"{name} asked for {rest} s of rest and got {found} requests later "
+            self.assertLessEqual(found, MAX_LATE_REQUESTS, f"{name} asked for {rest} s of rest and got {found} requests later "
                                  f"than {IN_FLIGHT_S} s after that; see `upstream.notice` in the gateway's log")
 
     def test_upstreams_that_ask_for_rest_get_it_and_the_others_serve(self):
