--- a/soak/soak.py
+++ b/soak/soak.py
@@ -39,7 +39,7 @@
 NOT_RUN = {408, 421, 429, 503}  # Statuses that promise that the request never runs.
 REVOKED_AFTER = 5.0             # Seconds after which a revoked key is dead everywhere.
 LEFT_AFTER = 2.0                # Seconds after which an upstream that leaves gets nothing new.
-REST = 1.5                      # Seconds of rest that an upstream asks for.
+RETRY_AFTER_S = 1.5                      # Seconds of rest that an upstream asks for.
 IN_FLIGHT_S = 0.5                 # Seconds of it in which requests that were under way may arrive.
 MAX_LATE_REQUESTS = 2                       # Requests that may arrive in the remainder.
 LIMITS = (0.5, 1, 3)            # Requests a second that an upstream takes from all gateways together.
@@ -52,7 +52,7 @@
 STREAM = [f"id: {n}\ndata: token {n}" for n in range(1, 11)]
 LINK_MODES = ("delay", "reset", "silent", "one_way")
 UPSTREAM_TROUBLES = ({"fail": True}, {"full": True}, {"dropAnswers": True}, {"foreignId": True},
-                     {"breakAfter": 4}, {"delayMs": 300}, {"full": True, "rest": str(REST)})
+                     {"breakAfter": 4}, {"delayMs": 300}, {"full": True, "rest": str(RETRY_AFTER_S)})
 HEALTHY = {"fail": False, "full": False, "dropAnswers": False, "foreignId": False,
            "breakAfter": 0, "delayMs": 5, "lies": False, "rest": ""}
 
@@ -387,8 +387,8 @@
         self.wait_ready()
         time.sleep(1.0)  # What faults had begun is over.
         address = self.site.upstreams[self.unlimited()]
-        control(address, {"full": True, "rest": str(REST)})
-        time.sleep(REST + 0.5)
+        control(address, {"full": True, "rest": str(RETRY_AFTER_S)})
+        time.sleep(RETRY_AFTER_S + 0.5)
         control(address, HEALTHY)
 
     def stop_calmly(self):
--- a/test/process/restingservice_test.py
+++ b/test/process/restingservice_test.py
@@ -15,7 +15,7 @@
 from process_test import AUTH, QUICK_AGENT, QUICK_ENTRY  # noqa: E402
 from localsite import Site, call, control  # noqa: E402
 
-REST = 2.0       # Seconds that the upstream asks for.
+RETRY_AFTER_S = 2.0       # Seconds that the upstream asks for.
 IN_FLIGHT_S = 0.5  # Seconds in which requests that were under way may still arrive.
 MAX_LATE_REQUESTS = 2        # Requests that may arrive after that in one rest.
 
@@ -50,21 +50,21 @@
             caller.start()
         time.sleep(0.5)
         resting = next(iter(self.site.upstreams.values()))
-        control(resting, {"rest": f"{REST:.0f}"})
+        control(resting, {"rest": f"{RETRY_AFTER_S:.0f}"})
         time.sleep(0.5)
         served_from = time.monotonic()
-        time.sleep(2 * REST)
+        time.sleep(2 * RETRY_AFTER_S)
         refused = control(resting, {"rest": "", "list": True})["refusedMs"]
         runs = control(resting, {})["runs"]
-        time.sleep(REST + 1)
+        time.sleep(RETRY_AFTER_S + 1)
         again = control(resting, {})["runs"]
         self.stopped = True
         for caller in callers:
             caller.join()
         self.assertTrue(refused, "it turned nothing away; the test shows nothing")
-        found = max(sum(1 for ms in refused if first + 1000 * IN_FLIGHT_S < ms < first + 1000 * REST)
+        found = max(sum(1 for ms in refused if first + 1000 * IN_FLIGHT_S < ms < first + 1000 * RETRY_AFTER_S)
                     for first in refused)
-        self.assertLessEqual(found, MAX_LATE_REQUESTS, f"it asked for {REST} s of rest and got {found} requests later than "
+        self.assertLessEqual(found, MAX_LATE_REQUESTS, f"it asked for {RETRY_AFTER_S} s of rest and got {found} requests later than "
                              f"{IN_FLIGHT_S} s after that")
         self.assertGreater(again, runs, "expected it to get requests again after its rest, found none")
         failed = [answer for answer in self.answers if answer[0] > served_from and answer[1] != 200]
--- a/test/process/restingupstream_test.py
+++ b/test/process/restingupstream_test.py
@@ -26,13 +26,13 @@
 from gatewaysharing_test import OtherGateway  # noqa: E402
 from localsite import call, control, free_address  # noqa: E402
 
-REST = 3.0          # Seconds that upstreams ask for.
+RETRY_AFTER_S = 3.0          # Seconds that upstreams ask for.
 IN_FLIGHT_S = 0.5     # Seconds in which requests that were under way may still arrive.
 MAX_LATE_REQUESTS = 2           # Requests that may arrive after that in one rest.
 PATHS = ("/letters/1", "/status/1", "/stream/1")
 
 
-def arrivals_in_rests(arrivals, rest=REST):
+def arrivals_in_rests(arrivals, rest=RETRY_AFTER_S):
     """Returns, for the refusal followed by the most, how many requests came between half a second after
     it and the end of the rest that it asked for."""
     refusals = [arrival["ms"] for arrival in arrivals if arrival["refused"]]
@@ -77,11 +77,11 @@
         self.callers = Callers(list(entries) or [self.site.entry])
         time.sleep(0.3)
 
-    def shed(self, names, rest=f"{REST:.0f}"):
+    def shed(self, names, rest=f"{RETRY_AFTER_S:.0f}"):
         for name in names:
             control(self.site.upstreams[name], {"full": True, "rest": rest})
 
-    def check_rested(self, names, rest=REST):
+    def check_rested(self, names, rest=RETRY_AFTER_S):
         for name in names:
             arrivals = control(self.site.upstreams[name], {})["arrivals"]
             self.assertTrue(any(arrival["refused"] for arrival in arrivals),
@@ -95,7 +95,7 @@
         self.shed(["i-1", "i-2"])
         time.sleep(0.5)
         served_from = time.monotonic()
-        time.sleep(2 * REST)
+        time.sleep(2 * RETRY_AFTER_S)
         self.callers.stop()
         self.check_rested(["i-1", "i-2"])
         refused = [answer for answer in self.callers.answers if answer[0] > served_from and answer[1] != 200]
@@ -108,7 +108,7 @@
         self.shed(self.site.upstreams)
         time.sleep(0.5)
         asked = time.monotonic()
-        time.sleep(2 * REST)
+        time.sleep(2 * RETRY_AFTER_S)
         self.callers.stop()
         self.check_rested(self.site.upstreams)
         told = [float(answer[2]["Retry-After"]) for answer in self.callers.answers
@@ -129,7 +129,7 @@
         control(self.site.store, {"busy": True})
         time.sleep(0.7)
         control(self.site.store, {"busy": False})
-        time.sleep(REST)
+        time.sleep(RETRY_AFTER_S)
         self.callers.stop()
         self.check_rested(["i-1", "i-2"])
 
@@ -159,7 +159,7 @@
         control(self.site.upstreams["i-1"], {"full": False})
         runs = len(control(self.site.upstreams["i-1"], {})["runs"])
         self.site.wait_until("it runs requests again",
-                             lambda: len(control(self.site.upstreams["i-1"], {})["runs"]) > runs, REST + 2)
+                             lambda: len(control(self.site.upstreams["i-1"], {})["runs"]) > runs, RETRY_AFTER_S + 2)
         self.callers.stop()
         self.check_rested(["i-1"])
 
