--- a/test/process/crashingcall_test.py
+++ b/test/process/crashingcall_test.py
@@ -17,7 +17,7 @@
 from localsite import Site, call, control  # noqa: E402
 
 ENDED_BY_REQUEST = 70  # The stand-in's exit code.
-SPREAD = 3.0           # Seconds within which entries that hear each other know.
+PROPAGATION_S = 3.0           # Seconds within which entries that hear each other know.
 
 
 class CrashingCallTest(unittest.TestCase):
@@ -61,12 +61,12 @@
         entries = list(self.site.entries.values())
         started = time.monotonic()
         asked = 0
-        while time.monotonic() - started < SPREAD + 5:
+        while time.monotonic() - started < PROPAGATION_S + 5:
             self.ask(path, "poison", entries[asked % len(entries)])
             asked += 1
             time.sleep(0.2)
-        late = [end for end in self.ends if end > started + SPREAD]
-        self.assertEqual(len(late), 0, f"expected no upstream to end under the call later than {SPREAD} s "
+        late = [end for end in self.ends if end > started + PROPAGATION_S]
+        self.assertEqual(len(late), 0, f"expected no upstream to end under the call later than {PROPAGATION_S} s "
                          f"after its first copy, found {len(late)} of {len(self.ends)}")
         for entry in entries:
             status, headers, text = self.ask(path, "poison", entry)
--- a/test/process/crashingrequest_test.py
+++ b/test/process/crashingrequest_test.py
@@ -27,7 +27,7 @@
 from localsite import call, control, free_address  # noqa: E402
 
 ENDED_BY_REQUEST = 70  # The stand-in's exit code.
-SPREAD = 3.0           # Seconds within which gateways in touch know what ended an upstream.
+PROPAGATION_S = 3.0           # Seconds within which gateways in touch know what ended an upstream.
 BACK_AFTER = 0.4       # Seconds until an upstream that ended starts again.
 
 
@@ -103,11 +103,11 @@
         while len(self.keeper.ends) < 3 and time.monotonic() - started < 8:
             self.ask(path, "poison")
             time.sleep(0.15)
-        spread_by = time.monotonic() + SPREAD
-        self.repeat(path, SPREAD + 4)
+        spread_by = time.monotonic() + PROPAGATION_S
+        self.repeat(path, PROPAGATION_S + 4)
         late = [end for end in self.keeper.ends if end > spread_by]
         self.assertLessEqual(len(self.keeper.ends), 3, "more upstreams ended than it takes to know")
-        self.assertEqual(len(late), 0, f"expected no upstream to end under the request from {SPREAD} s after "
+        self.assertEqual(len(late), 0, f"expected no upstream to end under the request from {PROPAGATION_S} s after "
                          f"the third on, found {len(late)} of {len(self.keeper.ends)} ends")
 
     def test_repeatable_request_is_stopped(self):
@@ -136,7 +136,7 @@
         self.addCleanup(gateway.end)
         self.site.wait_until("it is ready again",
                              lambda: call(self.site.operators, "/readyz", timeout=2)[0] == 200)
-        time.sleep(SPREAD)
+        time.sleep(PROPAGATION_S)
         for _ in range(5):
             self.assertEqual(self.ask("/status/1", "poison", entry)[0], 503)
         self.assertEqual(len(self.keeper.ends), before)
@@ -157,7 +157,7 @@
             took = time.monotonic() - heard
             self.assertLess(took, 0.8, f"started {late} s after its end it heard of another gateway and took "
                             f"{took:.1f} s more to hear what that one knows")
-            self.assertLess(heard + took - up, SPREAD, f"started {late} s after its end it knew of the request "
+            self.assertLess(heard + took - up, PROPAGATION_S, f"started {late} s after its end it knew of the request "
                             f"{heard + took - up:.1f} s after it was up")
 
     def test_gateway_that_stood_still_hears_of_it_when_it_goes_on(self):
@@ -167,7 +167,7 @@
         self.repeat("/status/1", 5)
         frozen.send(signal.SIGCONT)
         before = len(self.keeper.ends)
-        time.sleep(SPREAD)
+        time.sleep(PROPAGATION_S)
         for _ in range(5):
             self.assertEqual(self.ask("/status/1", "poison", entries[3])[0], 503)
         self.assertEqual(len(self.keeper.ends), before)
