--- a/test/process/crashingrequest_test.py
+++ b/test/process/crashingrequest_test.py
@@ -28,7 +28,7 @@
 
 ENDED_BY_REQUEST = 70  # The stand-in's exit code.
 PROPAGATION_S = 3.0           # Seconds within which gateways in touch know what ended an upstream.
-BACK_AFTER = 0.4       # Seconds until an upstream that ended starts again.
+RESTART_DELAY_S = 0.4       # Seconds until an upstream that ended starts again.
 
 
 class Keeper:
@@ -50,7 +50,7 @@
     def replace(self, name, code):
         if code == ENDED_BY_REQUEST:
             self.ends.append(time.monotonic())
-        time.sleep(BACK_AFTER)
+        time.sleep(RESTART_DELAY_S)
         self.number += 1
         new, address = f"i-{self.number}", self.site.upstreams.pop(name)
         self.running.pop(name)
