--- a/test/process/crashingrequest_test.py
+++ b/test/process/crashingrequest_test.py
@@ -31,7 +31,7 @@
 RESTART_DELAY_S = 0.4       # Seconds until an upstream that ended starts again.
 
 
-class Keeper:
+class UpstreamRestarter:
     """Starts upstreams again, at their address and under a new id, as the platform does."""
 
     def __init__(self, site, upstreams):
@@ -71,7 +71,7 @@
         self.site = GatewaySite(upstreams=4, **{"peer-listen": self.seed, "seeds": self.seed})
         self.addCleanup(self.site.__exit__)
         self.site.set_all(endsOn="poison", delayMs=5)
-        self.keeper = Keeper(self.site, 4)
+        self.keeper = UpstreamRestarter(self.site, 4)
         self.addCleanup(self.keeper.stop)
         self.others = [OtherGateway(self.site, f"gateway-{number}", self.site.store, self.seed, hall)
                        for number, hall in ((2, "north"), (3, "south"), (4, "south"))]
