--- a/test/process/crashingcall_test.py
+++ b/test/process/crashingcall_test.py
@@ -35,13 +35,13 @@
         self.ends, self.stopped = [], False
         for name, address in self.site.upstreams.items():
             control(address, {"endsOn": "poison"})
-        self.keeper = threading.Thread(target=self.keep)
-        self.keeper.start()
+        self.restarter = threading.Thread(target=self.keep)
+        self.restarter.start()
         self.addCleanup(self.stop)
 
     def stop(self):
         self.stopped = True
-        self.keeper.join()
+        self.restarter.join()
 
     def keep(self):
         """Starts upstreams again that have ended."""
--- a/test/process/crashingrequest_test.py
+++ b/test/process/crashingrequest_test.py
@@ -71,8 +71,8 @@
         self.site = GatewaySite(upstreams=4, **{"peer-listen": self.seed, "seeds": self.seed})
         self.addCleanup(self.site.__exit__)
         self.site.set_all(endsOn="poison", delayMs=5)
-        self.keeper = UpstreamRestarter(self.site, 4)
-        self.addCleanup(self.keeper.stop)
+        self.restarter = UpstreamRestarter(self.site, 4)
+        self.addCleanup(self.restarter.stop)
         self.others = [OtherGateway(self.site, f"gateway-{number}", self.site.store, self.seed, hall)
                        for number, hall in ((2, "north"), (3, "south"), (4, "south"))]
         for other in self.others:
@@ -100,15 +100,15 @@
 
     def check_stopped(self, path):
         started = time.monotonic()
-        while len(self.keeper.ends) < 3 and time.monotonic() - started < 8:
+        while len(self.restarter.ends) < 3 and time.monotonic() - started < 8:
             self.ask(path, "poison")
             time.sleep(0.15)
         spread_by = time.monotonic() + PROPAGATION_S
         self.repeat(path, PROPAGATION_S + 4)
-        late = [end for end in self.keeper.ends if end > spread_by]
-        self.assertLessEqual(len(self.keeper.ends), 3, "more upstreams ended than it takes to know")
+        late = [end for end in self.restarter.ends if end > spread_by]
+        self.assertLessEqual(len(self.restarter.ends), 3, "more upstreams ended than it takes to know")
         self.assertEqual(len(late), 0, f"expected no upstream to end under the request from {PROPAGATION_S} s after "
-                         f"the third on, found {len(late)} of {len(self.keeper.ends)} ends")
+                         f"the third on, found {len(late)} of {len(self.restarter.ends)} ends")
 
     def test_repeatable_request_is_stopped(self):
         self.check_stopped("/status/1")
@@ -129,7 +129,7 @@
 
     def test_gateway_that_starts_anew_hears_of_it_from_the_others(self):
         self.repeat("/status/1", 3)
-        before = len(self.keeper.ends)
+        before = len(self.restarter.ends)
         entry = self.site.entry
         self.site.gateway.end()
         gateway = self.site.start("seamarchd", "gateway", "--config", self.site.settings.name)
@@ -139,7 +139,7 @@
         time.sleep(PROPAGATION_S)
         for _ in range(5):
             self.assertEqual(self.ask("/status/1", "poison", entry)[0], 503)
-        self.assertEqual(len(self.keeper.ends), before)
+        self.assertEqual(len(self.restarter.ends), before)
 
     def test_gateway_that_starts_anew_asks_the_first_that_it_hears_of_at_once(self):
         """Seen beside load: a gateway that is itself the only seed knew nobody when it started anew, and
@@ -166,15 +166,15 @@
         entries, self.entries = self.entries, self.entries[:3]
         self.repeat("/status/1", 5)
         frozen.send(signal.SIGCONT)
-        before = len(self.keeper.ends)
+        before = len(self.restarter.ends)
         time.sleep(PROPAGATION_S)
         for _ in range(5):
             self.assertEqual(self.ask("/status/1", "poison", entries[3])[0], 503)
-        self.assertEqual(len(self.keeper.ends), before)
+        self.assertEqual(len(self.restarter.ends), before)
 
     def test_when_all_gateways_start_anew_it_takes_as_many_ends_as_at_first(self):
         self.repeat("/status/1", 3)
-        before = len(self.keeper.ends)
+        before = len(self.restarter.ends)
         for gateway in [self.site.gateway] + [other.process for other in self.others]:
             gateway.send(signal.SIGKILL)
         self.site.gateway = self.site.start("seamarchd", "gateway", "--config", self.site.settings.name)
@@ -182,7 +182,7 @@
                              lambda: call(self.site.operators, "/readyz", timeout=2)[0] == 200)
         self.entries = self.entries[:1]
         self.repeat("/status/1", 6)
-        self.assertLessEqual(len(self.keeper.ends) - before, 3)
+        self.assertLessEqual(len(self.restarter.ends) - before, 3)
 
     def test_other_requests_of_the_account_are_served(self):
         self.repeat("/status/1", 4)
@@ -194,7 +194,7 @@
         """Two upstreams end for reasons of their own under one request; served elsewhere, it is cleared."""
         for _ in range(2):
             self.site.set_all(delayMs=400)
-            victims = dict(self.keeper.running)
+            victims = dict(self.restarter.running)
             answers = []
             thread = threading.Thread(target=lambda: answers.append(self.ask("/letters/7", "patient")))
             thread.start()
@@ -205,8 +205,8 @@
             victims[busy()[0]].send(signal.SIGKILL)
             thread.join()
             self.assertEqual(answers[0][0], 502)
-            self.site.wait_until("all are back", lambda: len(self.keeper.running) == 4
-                                 and all(p.popen.poll() is None for p in self.keeper.running.values()))
+            self.site.wait_until("all are back", lambda: len(self.restarter.running) == 4
+                                 and all(p.popen.poll() is None for p in self.restarter.running.values()))
             self.site.set_all(delayMs=5)
             self.site.wait_until("served", lambda: self.ask("/letters/7", "patient")[0] == 200)
 
