--- a/test/process/crashingcall_test.py
+++ b/test/process/crashingcall_test.py
@@ -35,7 +35,7 @@
         self.ends, self.stopped = [], False
         for name, address in self.site.upstreams.items():
             control(address, {"endsOn": "poison"})
-        self.restarter = threading.Thread(target=self.keep)
+        self.restarter = threading.Thread(target=self.restart_ended_upstreams)
         self.restarter.start()
         self.addCleanup(self.stop)
 
@@ -43,7 +43,7 @@
         self.stopped = True
         self.restarter.join()
 
-    def keep(self):
+    def restart_ended_upstreams(self):
         """Starts upstreams again that have ended."""
         while not self.stopped:
             for name, address in self.site.upstreams.items():
