--- a/test/process/drainedhall_test.py
+++ b/test/process/drainedhall_test.py
@@ -18,7 +18,7 @@
 from localsite import control, free_address  # noqa: E402
 from restingupstream_test import Callers  # noqa: E402
 
-SETTLED = 2.0  # Seconds in which every gateway hears of it; five are allowed.
+SETTLE_TIME_S = 2.0  # Seconds in which every gateway hears of it; five are allowed.
 DRAIN = "op/evacuate/south"
 
 
@@ -61,7 +61,7 @@
     def test_it_gets_nothing_until_it_is_taken_back(self):
         self.check_gets_requests()
         self.put()
-        time.sleep(SETTLED)
+        time.sleep(SETTLE_TIME_S)
         self.check_gets_nothing()
         self.remove()
         self.check_gets_requests()
@@ -74,17 +74,17 @@
             self.put()
             self.remove()
         self.put()
-        time.sleep(SETTLED)
+        time.sleep(SETTLE_TIME_S)
         self.check_gets_nothing()
 
     def test_value_that_makes_no_sense_binds_all_the_same(self):
         self.put(value=["no", {"object": 1}])
-        time.sleep(SETTLED)
+        time.sleep(SETTLE_TIME_S)
         self.check_gets_nothing()
 
     def test_drain_holds_while_the_store_is_away_and_after_its_history_is_gone(self):
         self.put()
-        time.sleep(SETTLED)
+        time.sleep(SETTLE_TIME_S)
         control(self.site.store, {"busy": True})
         self.check_gets_nothing()
         control(self.site.store, {"busy": False, "forget": True})
@@ -92,7 +92,7 @@
 
     def test_gateway_that_starts_while_a_hall_is_drained_knows_it(self):
         self.put()
-        time.sleep(SETTLED)
+        time.sleep(SETTLE_TIME_S)
         new = OtherGateway(self.site, "gateway-4", self.site.store, self.other.peers, "south")
         self.site.wait_until("the new one is ready", new.ready)
         self.callers.entries[:] = [new.entry]
@@ -101,7 +101,7 @@
     def test_callers_are_refused_at_once_while_every_hall_is_drained(self):
         self.put()
         self.put("op/evacuate/north")
-        time.sleep(SETTLED)
+        time.sleep(SETTLE_TIME_S)
         begun = time.monotonic()
         status, headers, _ = self.site.ask("/letters/1")
         self.assertEqual((status, headers["Seamarch-Outcome"]), (503, "not-run"))
--- a/test/process/limitedupstream_test.py
+++ b/test/process/limitedupstream_test.py
@@ -26,15 +26,15 @@
 from restingupstream_test import Callers  # noqa: E402
 
 SPAN = 4.0       # Seconds over which an upstream counts.
-SETTLED = 3.0    # Seconds after its first word from which on its limit binds all.
+SETTLE_TIME_S = 3.0    # Seconds after its first word from which on its limit binds all.
 SLACK = 5        # Requests that may arrive in a span besides one and a half times the limit.
 
 
 def most_in_a_span(arrivals, since):
-    """Returns the most requests that came within a span that ends `SETTLED` after `since` or later."""
+    """Returns the most requests that came within a span that ends `SETTLE_TIME_S` after `since` or later."""
     times = [arrival["ms"] / 1000 for arrival in arrivals]
     return max([sum(1 for each in times if end - SPAN < each <= end and each > since + 0.5)
-                for end in times if end >= since + SETTLED], default=0)
+                for end in times if end >= since + SETTLE_TIME_S], default=0)
 
 
 def allowed(limit):
--- a/test/process/warmup_test.py
+++ b/test/process/warmup_test.py
@@ -20,7 +20,7 @@
 
 PER_SECOND = 4
 ALLOWED = 1.5 * PER_SECOND + 5  # In any second; the two other figures are the settings' defaults.
-SETTLED = 1.0                   # Seconds in which gateways hear of an entry.
+SETTLE_TIME_S = 1.0                   # Seconds in which gateways hear of an entry.
 LONG = 60_000
 
 
@@ -52,7 +52,7 @@
     def warm_up(self, names, millis=LONG, **more):
         for name in names:
             self.site.list_upstream(name, **{"warmup-left-ms": millis}, **more)
-        time.sleep(SETTLED)
+        time.sleep(SETTLE_TIME_S)
         return self.now(names[0])
 
     def now(self, name):
