--- a/soak/soak.py
+++ b/soak/soak.py
@@ -44,7 +44,7 @@
 MAX_LATE_REQUESTS = 2                       # Requests that may arrive in the remainder.
 LIMITS = (0.5, 1, 3)            # Requests a second that an upstream takes from all gateways together.
 LIMIT_SPAN = 4.0                # Seconds over which it counts.
-LIMIT_SETTLED = 3.0             # Seconds after its first word from which on it counts.
+LIMIT_SETTLE_TIME_S = 3.0             # Seconds after its first word from which on it counts.
 LIMIT_SLACK = 5                 # Requests besides one and a half times the limit.
 WARM_UP_RATE = 1.0              # Requests a second that an upstream bears while it warms up.
 WARM_UP_MS = 60_000             # Longer than a run.
@@ -520,7 +520,7 @@
         allowed = 1.5 * limit * LIMIT_SPAN + LIMIT_SLACK
         for end in counted:
             found = sum(end - LIMIT_SPAN < at <= end for at in counted)
-            if end > since + LIMIT_SETTLED and found > allowed:
+            if end > since + LIMIT_SETTLE_TIME_S and found > allowed:
                 self.fail(f"{name} named a limit of {limit} a second and got {found} requests in 4 s")
                 return
 
