--- a/test/process/limitedupstream_test.py
+++ b/test/process/limitedupstream_test.py
@@ -25,7 +25,7 @@
 from localsite import control, free_address  # noqa: E402
 from restingupstream_test import Callers  # noqa: E402
 
-SPAN = 4.0       # Seconds over which an upstream counts.
+WINDOW_S = 4.0       # Seconds over which an upstream counts.
 SETTLE_TIME_S = 3.0    # Seconds after its first word from which on its limit binds all.
 SLACK = 5        # Requests that may arrive in a span besides one and a half times the limit.
 
@@ -33,12 +33,12 @@
 def most_in_a_span(arrivals, since):
     """Returns the most requests that came within a span that ends `SETTLE_TIME_S` after `since` or later."""
     times = [arrival["ms"] / 1000 for arrival in arrivals]
-    return max([sum(1 for each in times if end - SPAN < each <= end and each > since + 0.5)
+    return max([sum(1 for each in times if end - WINDOW_S < each <= end and each > since + 0.5)
                 for end in times if end >= since + SETTLE_TIME_S], default=0)
 
 
 def allowed(limit):
-    return 1.5 * limit * SPAN + SLACK
+    return 1.5 * limit * WINDOW_S + SLACK
 
 
 class LimitedUpstreamTest(unittest.TestCase):
@@ -69,7 +69,7 @@
     def check_kept(self, name, limit, since):
         found = most_in_a_span(self.arrivals(name), since)
         self.assertLessEqual(found, allowed(limit), f"{name} named a limit of {limit} a second and got {found} "
-                             f"requests in {SPAN:.0f} s; see `upstream.notice` in the gateways' logs")
+                             f"requests in {WINDOW_S:.0f} s; see `upstream.notice` in the gateways' logs")
 
     def check_served(self, since, part=0.95):
         answers = [answer for answer in self.callers.answers if answer[0] > since]
