--- a/soak/soak.py
+++ b/soak/soak.py
@@ -43,7 +43,7 @@
 IN_FLIGHT_S = 0.5                 # Seconds of it in which requests that were under way may arrive.
 MAX_LATE_REQUESTS = 2                       # Requests that may arrive in the remainder.
 LIMITS = (0.5, 1, 3)            # Requests a second that an upstream takes from all gateways together.
-LIMIT_SPAN = 4.0                # Seconds over which it counts.
+LIMIT_WINDOW_S = 4.0                # Seconds over which it counts.
 LIMIT_SETTLE_TIME_S = 3.0             # Seconds after its first word from which on it counts.
 LIMIT_SLACK = 5                 # Requests besides one and a half times the limit.
 WARM_UP_RATE = 1.0              # Requests a second that an upstream bears while it warms up.
@@ -513,13 +513,13 @@
                 continue
             sender = (request.gateway, request.life)
             told.setdefault(sender, at + 2 * IN_FLIGHT_S)
-            excused = any(held in (name, request.gateway) and start < at and end > at - LIMIT_SPAN
+            excused = any(held in (name, request.gateway) and start < at and end > at - LIMIT_WINDOW_S
                           for held, start, end in self.excuses)
             if at > told[sender] and not excused:
                 counted.append(at)
-        allowed = 1.5 * limit * LIMIT_SPAN + LIMIT_SLACK
+        allowed = 1.5 * limit * LIMIT_WINDOW_S + LIMIT_SLACK
         for end in counted:
-            found = sum(end - LIMIT_SPAN < at <= end for at in counted)
+            found = sum(end - LIMIT_WINDOW_S < at <= end for at in counted)
             if end > since + LIMIT_SETTLE_TIME_S and found > allowed:
                 self.fail(f"{name} named a limit of {limit} a second and got {found} requests in 4 s")
                 return
