--- a/test/process/limitedupstream_test.py
+++ b/test/process/limitedupstream_test.py
@@ -30,7 +30,7 @@
 SLACK = 5        # Requests that may arrive in a span besides one and a half times the limit.
 
 
-def most_in_a_span(arrivals, since):
+def max_requests_in_window(arrivals, since):
     """Returns the most requests that came within a span that ends `SETTLE_TIME_S` after `since` or later."""
     times = [arrival["ms"] / 1000 for arrival in arrivals]
     return max([sum(1 for each in times if end - WINDOW_S < each <= end and each > since + 0.5)
@@ -67,7 +67,7 @@
         return control(self.site.upstreams[name], {})["arrivals"]
 
     def check_kept(self, name, limit, since):
-        found = most_in_a_span(self.arrivals(name), since)
+        found = max_requests_in_window(self.arrivals(name), since)
         self.assertLessEqual(found, allowed(limit), f"{name} named a limit of {limit} a second and got {found} "
                              f"requests in {WINDOW_S:.0f} s; see `upstream.notice` in the gateways' logs")
 
