--- a/test/process/warmup_test.py
+++ b/test/process/warmup_test.py
@@ -24,7 +24,7 @@
 LONG = 60_000
 
 
-def most_in_a_second(arrivals, since):
+def max_requests_in_second(arrivals, since):
     times = [arrival["ms"] / 1000 for arrival in arrivals if arrival["ms"] / 1000 > since]
     return max((sum(1 for each in times if end - 1.0 < each <= end) for end in times), default=0)
 
@@ -62,7 +62,7 @@
         return control(self.site.upstreams[name], {})["arrivals"]
 
     def check_borne(self, name, since):
-        found = most_in_a_second(self.arrivals(name), since)
+        found = max_requests_in_second(self.arrivals(name), since)
         self.assertLessEqual(found, ALLOWED, f"{name} warms up and got {found} requests in one second; see "
                              "`attempt.started` and `permits.answered` in the gateways' logs")
 
