--- a/test/process/leavingupstream_test.py
+++ b/test/process/leavingupstream_test.py
@@ -16,7 +16,7 @@
 from localsite import control, free_address  # noqa: E402
 from restingupstream_test import Callers  # noqa: E402
 
-DRAIN = 2.0  # Seconds in which what was under way may still arrive.
+DRAIN_TIME_S = 2.0  # Seconds in which what was under way may still arrive.
 
 
 class LeavingUpstreamTest(unittest.TestCase):
@@ -40,7 +40,7 @@
         before = self.arrivals(name)
         time.sleep(seconds)
         found = self.arrivals(name) - before
-        self.assertEqual(found, 0, f"{name} has said that it leaves and got {found} requests later than {DRAIN} s "
+        self.assertEqual(found, 0, f"{name} has said that it leaves and got {found} requests later than {DRAIN_TIME_S} s "
                          "after that; see `upstream.notice` in the gateway's log")
 
     def check_served(self):
@@ -51,14 +51,14 @@
     def test_it_gets_nothing_though_the_store_lists_it_as_ready(self):
         self.begin()
         self.leave("i-1")
-        time.sleep(DRAIN)
+        time.sleep(DRAIN_TIME_S)
         self.check_gets_nothing("i-1")
         self.check_served()
 
     def test_the_word_outlives_new_lists_and_the_stores_absence(self):
         self.begin()
         self.leave("i-1")
-        time.sleep(DRAIN)
+        time.sleep(DRAIN_TIME_S)
         self.site.list_upstream("i-1")
         control(self.site.store, {"remove": ["servers/i-1"]})
         time.sleep(0.3)
@@ -76,7 +76,7 @@
             self.begin()
             control(self.site.upstreams["i-2"], change)
             self.leave("i-2")
-            time.sleep(DRAIN)
+            time.sleep(DRAIN_TIME_S)
             self.check_gets_nothing("i-2")
             self.callers.stop()
             control(self.site.upstreams["i-2"], {"full": False, "fail": False, "leaving": False})
@@ -87,7 +87,7 @@
         time.sleep(0.5)
         self.begin()
         self.leave("i-1")
-        time.sleep(DRAIN)
+        time.sleep(DRAIN_TIME_S)
         self.check_gets_nothing("i-1", 0.5)
         control(self.site.upstreams["i-1"], {"leaving": False})
         self.site.list_upstream("i-1", born=2000)
@@ -103,7 +103,7 @@
             self.callers = Callers([site.entry, other.entry])
             time.sleep(0.3)
             control(site.upstreams["i-1"], {"leaving": True})
-            time.sleep(DRAIN)
+            time.sleep(DRAIN_TIME_S)
             for _ in range(3):
                 site.list_upstream("i-2", capacity=7)
                 time.sleep(0.2)
