--- a/test/process/drainedhall_test.py
+++ b/test/process/drainedhall_test.py
@@ -19,7 +19,7 @@
 from restingupstream_test import Callers  # noqa: E402
 
 SETTLE_TIME_S = 2.0  # Seconds in which every gateway hears of it; five are allowed.
-DRAIN = "op/evacuate/south"
+DRAIN_KEY = "op/evacuate/south"
 
 
 class DrainedHallTest(unittest.TestCase):
@@ -38,10 +38,10 @@
         self.addCleanup(lambda: self.callers.stop())
         time.sleep(0.5)
 
-    def put(self, key=DRAIN, value=None):
+    def put(self, key=DRAIN_KEY, value=None):
         control(self.site.store, {"put": {key: {} if value is None else value}})
 
-    def remove(self, key=DRAIN):
+    def remove(self, key=DRAIN_KEY):
         control(self.site.store, {"remove": [key]})
 
     def arrivals(self, *names):
