--- a/test/process/storewentback_test.py
+++ b/test/process/storewentback_test.py
@@ -15,7 +15,7 @@
 from gatewaysharing_test import OtherGateway  # noqa: E402
 from localsite import control, free_address  # noqa: E402
 
-IN_FORCE = 2.0  # Seconds in which a configuration comes into force everywhere.
+CONFIG_DEADLINE_S = 2.0  # Seconds in which a configuration comes into force everywhere.
 
 
 class StoreWentBackTest(unittest.TestCase):
@@ -53,7 +53,7 @@
         for capacity in range(7, 27):
             self.site.list_upstream("i-1", capacity=capacity)
         self.store(busy=False)
-        self.site.wait_until("the configuration is in force", lambda: self.version() == 2, IN_FORCE)
+        self.site.wait_until("the configuration is in force", lambda: self.version() == 2, CONFIG_DEADLINE_S)
         self.assertEqual(self.site.ask("/letters/1", key="new")[0], 200)
         self.assertEqual(self.site.ask("/letters/1")[0], 401)
 
@@ -69,7 +69,7 @@
         time.sleep(0.5)
         self.site.publish(2, ("new",))
         self.site.wait_until("it is in force at both", lambda: self.version() == 2
-                             and other.status()["configVersion"] == 2, IN_FORCE)
+                             and other.status()["configVersion"] == 2, CONFIG_DEADLINE_S)
         self.assertEqual(other.ask("new"), 200)
 
     def test_revoked_key_stays_dead(self):
