--- a/test/process/warmup_test.py
+++ b/test/process/warmup_test.py
@@ -21,7 +21,7 @@
 PER_SECOND = 4
 ALLOWED = 1.5 * PER_SECOND + 5  # In any second; the two other figures are the settings' defaults.
 SETTLE_TIME_S = 1.0                   # Seconds in which gateways hear of an entry.
-LONG = 60_000
+LONG_WARM_UP_MS = 60_000
 
 
 def max_requests_in_second(arrivals, since):
@@ -49,7 +49,7 @@
         self.addCleanup(lambda: self.callers.stop())
         time.sleep(0.5)
 
-    def warm_up(self, names, millis=LONG, **more):
+    def warm_up(self, names, millis=LONG_WARM_UP_MS, **more):
         for name in names:
             self.site.list_upstream(name, **{"warmup-left-ms": millis}, **more)
         time.sleep(SETTLE_TIME_S)
