--- a/test/process/warmup_test.py
+++ b/test/process/warmup_test.py
@@ -18,8 +18,8 @@
 from localsite import control, free_address  # noqa: E402
 from restingupstream_test import Callers  # noqa: E402
 
-PER_SECOND = 4
-ALLOWED = 1.5 * PER_SECOND + 5  # In any second; the two other figures are the settings' defaults.
+WARM_UP_RATE = 4
+ALLOWED = 1.5 * WARM_UP_RATE + 5  # In any second; the two other figures are the settings' defaults.
 SETTLE_TIME_S = 1.0                   # Seconds in which gateways hear of an entry.
 LONG_WARM_UP_MS = 60_000
 
@@ -41,7 +41,7 @@
         for gateway in self.gateways:
             self.site.wait_until("the other is ready", gateway.ready)
         document = routing(2)
-        document["services"][0].update({"warmup-s": 60.0, "warmup-per-s": float(PER_SECOND)})
+        document["services"][0].update({"warmup-s": 60.0, "warmup-per-s": float(WARM_UP_RATE)})
         control(self.site.store, {"put": {"op/config": document}})
         for gateway in self.gateways:
             self.site.wait_until("it is in force", lambda each=gateway: each.status()["configVersion"] == 2)
