--- a/test/process/warmup_test.py
+++ b/test/process/warmup_test.py
@@ -19,7 +19,7 @@
 from restingupstream_test import Callers  # noqa: E402
 
 WARM_UP_RATE = 4
-ALLOWED = 1.5 * WARM_UP_RATE + 5  # In any second; the two other figures are the settings' defaults.
+MAX_REQUESTS_PER_SECOND = 1.5 * WARM_UP_RATE + 5  # In any second; the two other figures are the settings' defaults.
 SETTLE_TIME_S = 1.0                   # Seconds in which gateways hear of an entry.
 LONG_WARM_UP_MS = 60_000
 
@@ -63,7 +63,7 @@
 
     def check_borne(self, name, since):
         found = max_requests_in_second(self.arrivals(name), since)
-        self.assertLessEqual(found, ALLOWED, f"{name} warms up and got {found} requests in one second; see "
+        self.assertLessEqual(found, MAX_REQUESTS_PER_SECOND, f"{name} warms up and got {found} requests in one second; see "
                              "`attempt.started` and `permits.answered` in the gateways' logs")
 
     def test_bound_holds_for_all_gateways_together_and_others_serve(self):
@@ -97,14 +97,14 @@
         before = len(self.arrivals("i-1"))
         time.sleep(2)
         found = len(self.arrivals("i-1")) - before
-        self.assertGreater(found, 2 * ALLOWED, f"expected its part of what is asked, found {found} requests in 2 s")
+        self.assertGreater(found, 2 * MAX_REQUESTS_PER_SECOND, f"expected its part of what is asked, found {found} requests in 2 s")
         since = self.warm_up(["i-1"])
         time.sleep(2)
         self.check_borne("i-1", since)
         self.warm_up(["i-1"], 0)
         before = len(self.arrivals("i-1"))
         time.sleep(2)
-        self.assertGreater(len(self.arrivals("i-1")) - before, 2 * ALLOWED)
+        self.assertGreater(len(self.arrivals("i-1")) - before, 2 * MAX_REQUESTS_PER_SECOND)
 
     def test_gateway_that_starts_meanwhile_keeps_the_bound(self):
         since = self.warm_up(["i-1"])
