--- a/soak/soak.py
+++ b/soak/soak.py
@@ -38,7 +38,7 @@
 
 NOT_RUN = {408, 421, 429, 503}  # Statuses that promise that the request never runs.
 REVOKED_AFTER = 5.0             # Seconds after which a revoked key is dead everywhere.
-LEFT_AFTER = 2.0                # Seconds after which an upstream that leaves gets nothing new.
+LEAVE_DEADLINE_S = 2.0                # Seconds after which an upstream that leaves gets nothing new.
 RETRY_AFTER_S = 1.5                      # Seconds of rest that an upstream asks for.
 IN_FLIGHT_S = 0.5                 # Seconds of it in which requests that were under way may arrive.
 MAX_LATE_REQUESTS = 2                       # Requests that may arrive in the remainder.
@@ -328,7 +328,7 @@
         self.wait_ready()
         name = self.unlimited()
         self.site.list_upstream(name, "draining")
-        time.sleep(LEFT_AFTER)
+        time.sleep(LEAVE_DEADLINE_S)
         before = {run["id"] for run in self.site.runs(name)}
         started = time.monotonic()
         time.sleep(0.7)
@@ -336,7 +336,7 @@
         sent = {request.id: request.sent_at for request in list(self.requests)}
         for number in late:
             if sent.get(number, 0) > started:
-                self.fail(f"{number} reached {name} over {LEFT_AFTER} s after it was leaving")
+                self.fail(f"{number} reached {name} over {LEAVE_DEADLINE_S} s after it was leaving")
         self.site.starts[name] += 1
         self.site.list_upstream(name)
 
@@ -369,7 +369,7 @@
         self.wait_ready()
         if self.args.plant != "undrained":
             control(self.site.store, {"put": {"op/evacuate/south": {}}})
-        time.sleep(LEFT_AFTER)
+        time.sleep(LEAVE_DEADLINE_S)
         started = time.monotonic()
         time.sleep(0.7)
         control(self.site.store, {"remove": ["op/evacuate/south"]})
@@ -378,7 +378,7 @@
             late = [run["id"] for run in self.site.runs(name)
                     if self.site.hall_of(name) == "south" and started < sent.get(run["id"], 0) < started + 0.7]
             if late:
-                self.fail(f"{late[0]} and {len(late) - 1} more reached {name} over {LEFT_AFTER} s after its hall was "
+                self.fail(f"{late[0]} and {len(late) - 1} more reached {name} over {LEAVE_DEADLINE_S} s after its hall was "
                           "drained")
 
     def shed(self):
@@ -531,9 +531,9 @@
         counted = []
         for arrival in state["arrivals"]:
             request, at = known.get(arrival["id"]), arrival["ms"] / 1000 + offset
-            if request is None or not since + LEFT_AFTER < at < until:
+            if request is None or not since + LEAVE_DEADLINE_S < at < until:
                 continue
-            excused = any(held in (name, request.gateway, "store") and start < at and end > at - LEFT_AFTER
+            excused = any(held in (name, request.gateway, "store") and start < at and end > at - LEAVE_DEADLINE_S
                           for held, start, end in self.excuses)
             if not excused:
                 counted.append(at)
