--- a/soak/soak.py
+++ b/soak/soak.py
@@ -37,7 +37,7 @@
 from proxy import Proxy, ProxyLoop  # noqa: E402
 
 NOT_RUN = {408, 421, 429, 503}  # Statuses that promise that the request never runs.
-REVOKED_AFTER = 5.0             # Seconds after which a revoked key is dead everywhere.
+REVOCATION_DEADLINE_S = 5.0             # Seconds after which a revoked key is dead everywhere.
 LEAVE_DEADLINE_S = 2.0                # Seconds after which an upstream that leaves gets nothing new.
 RETRY_AFTER_S = 1.5                      # Seconds of rest that an upstream asks for.
 IN_FLIGHT_S = 0.5                 # Seconds of it in which requests that were under way may arrive.
@@ -315,7 +315,7 @@
                 gone = None
             self.site.publish()
             if gone is not None:
-                self.revoked[gone] = time.monotonic() + REVOKED_AFTER
+                self.revoked[gone] = time.monotonic() + REVOCATION_DEADLINE_S
 
     def unlimited(self):
         names = list(self.site.upstreams)
@@ -552,7 +552,7 @@
             self.fail(f"{about} ran, and its caller was told that it had not")
         dead_at = self.revoked.get(request.key)
         if dead_at is not None and request.sent_at > dead_at and runs:
-            self.fail(f"{about} ran under a key that was revoked {REVOKED_AFTER} s before")
+            self.fail(f"{about} ran under a key that was revoked {REVOCATION_DEADLINE_S} s before")
         if any(run["key"] or run["account"] != "bids" for run in runs):
             self.fail(f"{about} ran under another account's name, or its key went on")
         lost = str(request.result).startswith(("broken", "cut")) and not request.leaves
