--- a/soak/soak.py
+++ b/soak/soak.py
@@ -131,11 +131,11 @@
                           "--operator-listen", self.operators, "--platform", store,
                           "--peer-listen", peer, "--seeds", seeds, "--stop-delay-ms", "600",
                           "--stop-deadline-ms", "5000", "--log-level", "info"]
-        self.process, self.life, self.stopping = None, 0, False
+        self.process, self.incarnation, self.stopping = None, 0, False
 
     def start(self):
         self.process = self.site.start("seamarchd", *self.arguments)
-        self.life, self.stopping = self.life + 1, False
+        self.incarnation, self.stopping = self.incarnation + 1, False
 
     def status(self):
         code, _, text = call(self.operators, "/status", timeout=1)
@@ -145,7 +145,7 @@
 class Request:
     def __init__(self, number, kind, key, gateway):
         self.id, self.kind, self.key = number, kind, key
-        self.gateway, self.life = gateway.name, gateway.life
+        self.gateway, self.incarnation = gateway.name, gateway.incarnation
         self.sent_at = time.monotonic()
         self.result, self.text, self.headers = None, "", {}
         self.ended_at, self.kept, self.leaves = None, False, False
@@ -397,11 +397,11 @@
         self.wait_ready()
         gateway = self.random.choice(list(self.site.gateways.values()))
         time.sleep(1.0)  # What faults had begun is over.
-        self.planned.append((gateway.name, gateway.life, time.monotonic()))
+        self.planned.append((gateway.name, gateway.incarnation, time.monotonic()))
         self.fault_stop(gateway.name)()
 
     def watch_gateways(self):
-        """Versions never go back within a life; no process ends by itself."""
+        """Versions never go back within a incarnation; no process ends by itself."""
         for gateway in self.site.gateways.values():
             if gateway.name in self.busy:
                 continue
@@ -409,13 +409,13 @@
                 self.fail(f"{gateway.name} ended by itself: {gateway.process.popen.returncode}")
                 gateway.start()
                 continue
-            life, status = gateway.life, gateway.status()
-            if status is None or life != gateway.life:
+            incarnation, status = gateway.incarnation, gateway.status()
+            if status is None or incarnation != gateway.incarnation:
                 continue
-            held = self.versions.get((gateway.name, life), 0)
+            held = self.versions.get((gateway.name, incarnation), 0)
             if status["configVersion"] < held:
                 self.fail(f"{gateway.name} went back from version {held}")
-            self.versions[gateway.name, life] = max(held, status["configVersion"])
+            self.versions[gateway.name, incarnation] = max(held, status["configVersion"])
 
     def wait_ready(self, seconds=12):
         end = time.monotonic() + seconds
@@ -491,7 +491,7 @@
             request = known.get(arrival["id"])
             if request is not None:
                 at = arrival["ms"] / 1000 + offset
-                by_life.setdefault((request.gateway, request.life), []).append((at, arrival["rest"]))
+                by_life.setdefault((request.gateway, request.incarnation), []).append((at, arrival["rest"]))
         for (gateway, _), arrivals in by_life.items():
             for asked, rest in arrivals:
                 until = asked + float(rest or 0)
@@ -511,7 +511,7 @@
             request, at = known.get(arrival["id"]), arrival["ms"] / 1000 + offset
             if request is None or not since < at < until:
                 continue
-            sender = (request.gateway, request.life)
+            sender = (request.gateway, request.incarnation)
             told.setdefault(sender, at + 2 * IN_FLIGHT_S)
             excused = any(held in (name, request.gateway) and start < at and end > at - LIMIT_WINDOW_S
                           for held, start, end in self.excuses)
@@ -566,8 +566,8 @@
                 self.fail(f"{about} has a gap before it was cut: {request.text!r}")
 
     def in_calm_stop(self, request):
-        return any((request.gateway, request.life) == (name, life) and request.sent_at > at
-                   for name, life, at in self.planned)
+        return any((request.gateway, request.incarnation) == (name, incarnation) and request.sent_at > at
+                   for name, incarnation, at in self.planned)
 
     def check_success(self, request, about):
         if not request.headers.get("Seamarch-Replica-Signature", "").startswith("proof-of-"):
