--- a/soak/soak.py
+++ b/soak/soak.py
@@ -486,13 +486,13 @@
         """What an upstream asked a gateway for, it got, unless something kept the gateway from it."""
         state = control(self.site.upstreams[name], {})
         offset = time.monotonic() - state["nowMs"] / 1000
-        by_life = {}
+        by_incarnation = {}
         for arrival in state["arrivals"]:
             request = known.get(arrival["id"])
             if request is not None:
                 at = arrival["ms"] / 1000 + offset
-                by_life.setdefault((request.gateway, request.incarnation), []).append((at, arrival["rest"]))
-        for (gateway, _), arrivals in by_life.items():
+                by_incarnation.setdefault((request.gateway, request.incarnation), []).append((at, arrival["rest"]))
+        for (gateway, _), arrivals in by_incarnation.items():
             for asked, rest in arrivals:
                 until = asked + float(rest or 0)
                 late = [at for at, _ in arrivals if asked + IN_FLIGHT_S < at < until]
