--- a/soak/soak.py
+++ b/soak/soak.py
@@ -209,7 +209,7 @@
         self.limit_random = random.Random(f"limits of {args.seed}")  # Apart, so that seeds keep their faults.
         self.warm_ups = []  # [name, since, until]
         self.busy = {}  # What a fault holds, by name.
-        self.excuses = []  # (name, from, to) of what kept a gateway from hearing or heeding.
+        self.disturbances = []  # (name, from, to) of what kept a gateway from hearing or heeding.
 
     def new_request(self, kind, gateway, drawn):
         with self.lock:
@@ -236,7 +236,7 @@
 
         def undo_and_note():
             undo()
-            self.excuses.append((name, started, time.monotonic()))
+            self.disturbances.append((name, started, time.monotonic()))
         return undo_and_note
 
     def fault_upstream(self, name):
@@ -497,7 +497,7 @@
                 until = asked + float(rest or 0)
                 late = [at for at, _ in arrivals if asked + IN_FLIGHT_S < at < until]
                 excused = any(held in (name, gateway) and start < until and end > asked - 1
-                              for held, start, end in self.excuses)
+                              for held, start, end in self.disturbances)
                 if len(late) > MAX_LATE_REQUESTS and not excused:
                     self.fail(f"{name} asked {gateway} for {rest} s of rest and got {len(late)} requests")
 
@@ -514,7 +514,7 @@
             sender = (request.gateway, request.incarnation)
             told.setdefault(sender, at + 2 * IN_FLIGHT_S)
             excused = any(held in (name, request.gateway) and start < at and end > at - LIMIT_WINDOW_S
-                          for held, start, end in self.excuses)
+                          for held, start, end in self.disturbances)
             if at > told[sender] and not excused:
                 counted.append(at)
         allowed = 1.5 * limit * LIMIT_WINDOW_S + LIMIT_SLACK
@@ -534,7 +534,7 @@
             if request is None or not since + LEAVE_DEADLINE_S < at < until:
                 continue
             excused = any(held in (name, request.gateway, "store") and start < at and end > at - LEAVE_DEADLINE_S
-                          for held, start, end in self.excuses)
+                          for held, start, end in self.disturbances)
             if not excused:
                 counted.append(at)
         allowed = 1.5 * WARM_UP_RATE + LIMIT_SLACK
