--- a/soak/soak.py
+++ b/soak/soak.py
@@ -228,9 +228,9 @@
     def fault_link(self, name):
         mode = self.random.choice(LINK_MODES)
         self.site.links[name].set(mode)
-        return self.excused(name, lambda: self.site.links[name].set("pass"))
+        return self.record_disturbance(name, lambda: self.site.links[name].set("pass"))
 
-    def excused(self, name, undo):
+    def record_disturbance(self, name, undo):
         """Returns `undo`, which also notes for how long the fault held `name`."""
         started = time.monotonic()
 
@@ -247,7 +247,7 @@
     def fault_pause(self, name):
         gateway = self.site.gateways[name]
         gateway.process.send(signal.SIGSTOP)
-        return self.excused(name, lambda: gateway.process.send(signal.SIGCONT))
+        return self.record_disturbance(name, lambda: gateway.process.send(signal.SIGCONT))
 
     def fault_kill(self, name):
         gateway = self.site.gateways[name]
