--- a/soak/soak.py
+++ b/soak/soak.py
@@ -299,7 +299,7 @@
         self.faults += 1
         self.busy[name] = (time.monotonic() + length, fault(name))
 
-    def lift(self, everything=False):
+    def end_faults(self, everything=False):
         for name, (until, undo) in list(self.busy.items()):
             if everything or time.monotonic() >= until:
                 undo()
@@ -324,7 +324,7 @@
 
     def leave(self):
         """One upstream leaves while nothing else goes wrong, and gets nothing new."""
-        self.lift(everything=True)
+        self.end_faults(everything=True)
         self.wait_ready()
         name = self.unlimited()
         self.site.list_upstream(name, "draining")
@@ -365,7 +365,7 @@
 
     def drain_hall(self):
         """A hall is drained while nothing else goes wrong, gets nothing new, and is taken back."""
-        self.lift(everything=True)
+        self.end_faults(everything=True)
         self.wait_ready()
         if self.args.plant != "undrained":
             control(self.site.store, {"put": {"op/evacuate/south": {}}})
@@ -383,7 +383,7 @@
 
     def shed(self):
         """One upstream turns everything away and asks for rest while nothing else goes wrong."""
-        self.lift(everything=True)
+        self.end_faults(everything=True)
         self.wait_ready()
         time.sleep(1.0)  # What faults had begun is over.
         address = self.site.upstreams[self.unlimited()]
@@ -393,7 +393,7 @@
 
     def stop_calmly(self):
         """A planned stop while nothing else goes wrong cuts off nothing that was passed on."""
-        self.lift(everything=True)
+        self.end_faults(everything=True)
         self.wait_ready()
         gateway = self.random.choice(list(self.site.gateways.values()))
         time.sleep(1.0)  # What faults had begun is over.
@@ -437,7 +437,7 @@
         self.warm_up()
         while time.monotonic() < end:
             self.draw_fault()
-            self.lift()
+            self.end_faults()
             if self.random.random() < 0.08:
                 self.change()
             self.watch_gateways()
@@ -450,7 +450,7 @@
                 self.name_limit()
                 self.warm_up()
             time.sleep(self.random.uniform(0.05, 0.25))
-        self.lift(everything=True)
+        self.end_faults(everything=True)
         self.wait_ready()
         self.over = True
         for caller in callers:
