--- a/soak/soak.py
+++ b/soak/soak.py
@@ -208,7 +208,7 @@
         self.limited, self.limits = None, []  # The upstream that names one; [name, limit, from, to].
         self.limit_random = random.Random(f"limits of {args.seed}")  # Apart, so that seeds keep their faults.
         self.warm_ups = []  # [name, since, until]
-        self.busy = {}  # What a fault holds, by name.
+        self.active_faults = {}  # What a fault holds, by name.
         self.disturbances = []  # (name, from, to) of what kept a gateway from hearing or heeding.
 
     def new_request(self, kind, gateway, drawn):
@@ -294,16 +294,16 @@
         fault, things = self.random.choice(kinds)
         name = self.random.choice(things)
         length = self.random.uniform(0.3, 4.0)
-        if name in self.busy or len(self.busy) >= self.args.overlap:
+        if name in self.active_faults or len(self.active_faults) >= self.args.overlap:
             return
         self.faults += 1
-        self.busy[name] = (time.monotonic() + length, fault(name))
+        self.active_faults[name] = (time.monotonic() + length, fault(name))
 
     def end_faults(self, everything=False):
-        for name, (until, undo) in list(self.busy.items()):
+        for name, (until, undo) in list(self.active_faults.items()):
             if everything or time.monotonic() >= until:
                 undo()
-                del self.busy[name]
+                del self.active_faults[name]
 
     def change(self):
         """The operator's turn: configurations in series, now and then a key less."""
@@ -403,7 +403,7 @@
     def watch_gateways(self):
         """Versions never go back within a incarnation; no process ends by itself."""
         for gateway in self.site.gateways.values():
-            if gateway.name in self.busy:
+            if gateway.name in self.active_faults:
                 continue
             if gateway.process.popen.poll() is not None:
                 self.fail(f"{gateway.name} ended by itself: {gateway.process.popen.returncode}")
