--- a/soak/soak.py
+++ b/soak/soak.py
@@ -391,7 +391,7 @@
         time.sleep(RETRY_AFTER_S + 0.5)
         control(address, HEALTHY)
 
-    def stop_calmly(self):
+    def stop_without_faults(self):
         """A planned stop while nothing else goes wrong cuts off nothing that was passed on."""
         self.end_faults(everything=True)
         self.wait_ready()
@@ -445,7 +445,7 @@
                 leave_at = end
                 self.leave()
                 self.shed()
-                self.stop_calmly()
+                self.stop_without_faults()
                 self.drain_hall()
                 self.name_limit()
                 self.warm_up()
