--- a/soak/soak.py
+++ b/soak/soak.py
@@ -556,7 +556,7 @@
         if any(run["key"] or run["account"] != "bids" for run in runs):
             self.fail(f"{about} ran under another account's name, or its key went on")
         lost = str(request.result).startswith(("broken", "cut")) and not request.leaves
-        if lost and runs and self.in_calm_stop(request):
+        if lost and runs and self.in_planned_stop(request):
             self.fail(f"{about} was passed on, and a planned stop cut it off")
         if request.result == 200:
             self.check_success(request, about)
@@ -565,7 +565,7 @@
             if events != STREAM[:len(events)]:
                 self.fail(f"{about} has a gap before it was cut: {request.text!r}")
 
-    def in_calm_stop(self, request):
+    def in_planned_stop(self, request):
         return any((request.gateway, request.incarnation) == (name, incarnation) and request.sent_at > at
                    for name, incarnation, at in self.planned)
 
