--- a/soak/soak.py
+++ b/soak/soak.py
@@ -176,7 +176,7 @@
         request.leaves = self.random.random() < 0.03
         headers = {"Host": "site.example", "Seamarch-Request-Id": request.id,
                    "Seamarch-Deadline-Ms": "4000", "Authorization": f"Token {request.key}"}
-        goes_on = False
+        reusable = False
         try:
             connection.request("POST", f"/{kind}/1", "body", headers)
             if request.leaves:
@@ -186,14 +186,14 @@
             request.headers = dict(answer.getheaders())
             request.text = answer.read().decode()
             request.result = answer.status
-            goes_on = not answer.will_close
+            reusable = not answer.will_close
         except http.client.IncompleteRead as error:
             request.result, request.text = "cut", error.partial.decode(errors="replace")
         except (OSError, http.client.HTTPException) as error:
             request.result = f"broken: {type(error).__name__}"
         finally:
             request.ended_at = time.monotonic()
-        return goes_on
+        return reusable
 
 
 class Soak:
