--- a/soak/soak.py
+++ b/soak/soak.py
@@ -148,7 +148,7 @@
         self.gateway, self.incarnation = gateway.name, gateway.incarnation
         self.sent_at = time.monotonic()
         self.result, self.text, self.headers = None, "", {}
-        self.ended_at, self.kept, self.leaves = None, False, False
+        self.ended_at, self.kept, self.disconnects = None, False, False
 
 
 class Caller(threading.Thread):
@@ -173,13 +173,13 @@
         kind = self.random.choice(("letters", "letters", "status", "stream"))
         request = self.soak.new_request(kind, gateway, self.random)
         request.kept = kept
-        request.leaves = self.random.random() < 0.03
+        request.disconnects = self.random.random() < 0.03
         headers = {"Host": "site.example", "Seamarch-Request-Id": request.id,
                    "Seamarch-Deadline-Ms": "4000", "Authorization": f"Token {request.key}"}
         reusable = False
         try:
             connection.request("POST", f"/{kind}/1", "body", headers)
-            if request.leaves:
+            if request.disconnects:
                 request.result = "left"
                 return False
             answer = connection.getresponse()
@@ -555,7 +555,7 @@
             self.fail(f"{about} ran under a key that was revoked {REVOCATION_DEADLINE_S} s before")
         if any(run["key"] or run["account"] != "bids" for run in runs):
             self.fail(f"{about} ran under another account's name, or its key went on")
-        lost = str(request.result).startswith(("broken", "cut")) and not request.leaves
+        lost = str(request.result).startswith(("broken", "cut")) and not request.disconnects
         if lost and runs and self.in_planned_stop(request):
             self.fail(f"{about} was passed on, and a planned stop cut it off")
         if request.result == 200:
