--- a/soak/soak.py
+++ b/soak/soak.py
@@ -502,20 +502,20 @@
                     self.fail(f"{name} asked {gateway} for {rest} s of rest and got {len(late)} requests")
 
     def check_limit(self, name, limit, since, until, known):
-        """What an upstream takes from all gateways together is not exceeded by those that it has told, unless
+        """What an upstream takes from all gateways together is not exceeded by those that it has binding_since, unless
         something kept one of them from it."""
         state = control(self.site.upstreams[name], {})
         offset = time.monotonic() - state["nowMs"] / 1000
-        told, counted = {}, []
+        binding_since, counted = {}, []
         for arrival in state["arrivals"]:
             request, at = known.get(arrival["id"]), arrival["ms"] / 1000 + offset
             if request is None or not since < at < until:
                 continue
             sender = (request.gateway, request.incarnation)
-            told.setdefault(sender, at + 2 * IN_FLIGHT_S)
+            binding_since.setdefault(sender, at + 2 * IN_FLIGHT_S)
             excused = any(held in (name, request.gateway) and start < at and end > at - LIMIT_WINDOW_S
                           for held, start, end in self.disturbances)
-            if at > told[sender] and not excused:
+            if at > binding_since[sender] and not excused:
                 counted.append(at)
         allowed = 1.5 * limit * LIMIT_WINDOW_S + LIMIT_SLACK
         for end in counted:
