--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -102,7 +102,7 @@
                 if not piece:
                     break
                 if self.plant == "twice" and onward:
-                    asyncio.ensure_future(self._again(piece))
+                    asyncio.ensure_future(self._send_duplicate(piece))
                 if self.plant == "skip" and not onward:
                     piece = self._without_event(piece)
                 if self.plant == "deaf" and not onward:
@@ -116,7 +116,7 @@
         finally:
             writer.close()
 
-    async def _again(self, piece):
+    async def _send_duplicate(self, piece):
         host, port = self.target.split(":")
         _, writer = await asyncio.open_connection(host, int(port))
         writer.write(piece)
