--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -94,36 +94,36 @@
     async def _pump(self, reader, writer, onward):
         try:
             while True:
-                piece = await reader.read(65536)
+                chunk = await reader.read(65536)
                 while self._held(onward):
                     await asyncio.sleep(0.02)
                 if self.mode == "delay":
                     await asyncio.sleep(0.15)
-                if not piece:
+                if not chunk:
                     break
                 if self.plant == "twice" and onward:
-                    asyncio.ensure_future(self._send_duplicate(piece))
+                    asyncio.ensure_future(self._send_duplicate(chunk))
                 if self.plant == "skip" and not onward:
-                    piece = self._without_event(piece)
+                    chunk = self._without_event(chunk)
                 if self.plant == "deaf" and not onward:
-                    piece = piece.replace(b"Retry-After", b"X-Not-Heard")
+                    chunk = chunk.replace(b"Retry-After", b"X-Not-Heard")
                 if self.plant == "unbound" and not onward:
-                    piece = piece.replace(b"Server-Limit", b"X-Not-Heard-")
-                writer.write(piece)
+                    chunk = chunk.replace(b"Server-Limit", b"X-Not-Heard-")
+                writer.write(chunk)
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError):
             self._reset(writer)
         finally:
             writer.close()
 
-    async def _send_duplicate(self, piece):
+    async def _send_duplicate(self, chunk):
         host, port = self.target.split(":")
         _, writer = await asyncio.open_connection(host, int(port))
-        writer.write(piece)
+        writer.write(chunk)
         await asyncio.sleep(0.5)
         writer.close()
 
     @staticmethod
-    def _without_event(piece):
+    def _without_event(chunk):
         # The chunk keeps its length: the event's text becomes a comment of the same size.
-        return _EVENT.sub(lambda found: b":" * (len(found.group()) - 2) + b"\n\n", piece)
+        return _EVENT.sub(lambda found: b":" * (len(found.group()) - 2) + b"\n\n", chunk)
