--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -88,26 +88,26 @@
         finally:
             self.writers -= {writer, far_writer}
 
-    def _held(self, onward):
-        return self.mode == "silent" or (self.mode == "one_way" and not onward)
+    def _held(self, to_target):
+        return self.mode == "silent" or (self.mode == "one_way" and not to_target)
 
-    async def _pump(self, reader, writer, onward):
+    async def _pump(self, reader, writer, to_target):
         try:
             while True:
                 chunk = await reader.read(65536)
-                while self._held(onward):
+                while self._held(to_target):
                     await asyncio.sleep(0.02)
                 if self.mode == "delay":
                     await asyncio.sleep(0.15)
                 if not chunk:
                     break
-                if self.plant == "twice" and onward:
+                if self.plant == "twice" and to_target:
                     asyncio.ensure_future(self._send_duplicate(chunk))
-                if self.plant == "skip" and not onward:
+                if self.plant == "skip" and not to_target:
                     chunk = self._without_event(chunk)
-                if self.plant == "deaf" and not onward:
+                if self.plant == "deaf" and not to_target:
                     chunk = chunk.replace(b"Retry-After", b"X-Not-Heard")
-                if self.plant == "unbound" and not onward:
+                if self.plant == "unbound" and not to_target:
                     chunk = chunk.replace(b"Server-Limit", b"X-Not-Heard-")
                 writer.write(chunk)
                 await writer.drain()
