--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -75,14 +75,14 @@
             return
         host, port = self.target.split(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, far_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             self._reset(writer)
             return
         self.writers |= {writer, far_writer}
         try:
             await asyncio.gather(self._pump(reader, far_writer, True),
-                                 self._pump(far_reader, writer, False))
+                                 self._pump(target_reader, writer, False))
         except asyncio.CancelledError:
             pass  # The run is over.
         finally:
