--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -75,18 +75,18 @@
             return
         host, port = self.target.split(":")
         try:
-            target_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             self._reset(writer)
             return
-        self.writers |= {writer, far_writer}
+        self.writers |= {writer, target_writer}
         try:
-            await asyncio.gather(self._pump(reader, far_writer, True),
+            await asyncio.gather(self._pump(reader, target_writer, True),
                                  self._pump(target_reader, writer, False))
         except asyncio.CancelledError:
             pass  # The run is over.
         finally:
-            self.writers -= {writer, far_writer}
+            self.writers -= {writer, target_writer}
 
     def _held(self, to_target):
         return self.mode == "silent" or (self.mode == "one_way" and not to_target)
