--- a/scripts/regression.py
+++ b/scripts/regression.py
@@ -54,7 +54,7 @@
     return site, {"snapshot": entry["id"], "days": days}
 
 
-def standard(days):
+def recurring_days(days):
     """The days that are the same in each run; one more is drawn anew each time."""
     return {name: day for name, day in days.items() if not name.startswith("fresh-")}
 
@@ -139,7 +139,7 @@
         known = figures["sites"].setdefault(site, {"path": "", "days": {}})
         failed += compare(site, known, now)
         if options.take:
-            known.update({"snapshot": now["snapshot"], "days": standard(now["days"])})
+            known.update({"snapshot": now["snapshot"], "days": recurring_days(now["days"])})
     if options.take:
         FIGURES.write_text(json.dumps(figures, indent=1) + "\n")
     return 1 if failed else 0
