--- a/scripts/regression.py
+++ b/scripts/regression.py
@@ -59,7 +59,7 @@
     return {name: day for name, day in days.items() if not name.startswith("fresh-")}
 
 
-def causes(before, now):
+def describe_losses(before, now):
     """Names the parts that earn less than before and the prices that cost more, the worst first."""
     losses = []
     for name, value in before["parts"].items():
@@ -81,7 +81,7 @@
         verdict = "FELL" if fell else "ok"
         if not day["gate"]:
             verdict = "GATE FAILED"
-        why = f": {causes(old, day)}" if fell else ""
+        why = f": {describe_losses(old, day)}" if fell else ""
         print(f"{site:28} {name:12} {day['worth']:7.3f}{was}  {verdict}{why}")
         failed += 1 if fell or not day["gate"] else 0
     return failed
