--- a/scripts/regression.py
+++ b/scripts/regression.py
@@ -27,7 +27,7 @@
 # The users' own bound on what earlier deployments may lose.
 MARGIN = 0.03
 # How many causes are named for a day that fell.
-CAUSES = 3
+MAX_CAUSES = 3
 
 
 class RegressionError(Exception):
@@ -67,7 +67,7 @@
     for name in set(before["prices"]) | set(now["prices"]):
         more = now["prices"].get(name, 0.0) - before["prices"].get(name, 0.0)
         losses.append((more, f"{name} costs more"))
-    worst = sorted(losses, reverse=True)[:CAUSES]
+    worst = sorted(losses, reverse=True)[:MAX_CAUSES]
     return ", ".join(f"{name} ({loss:.3f})" for loss, name in worst if loss > 0)
 
 
