--- a/scripts/regression.py
+++ b/scripts/regression.py
@@ -87,7 +87,7 @@
     return failed
 
 
-def play(options, path):
+def score_deployment(options, path):
     """Scores one deployment; returns the entry that the bench wrote."""
     earlier = set(JOURNAL.glob("*.json"))
     site = pathlib.Path(options.sites) / path
@@ -129,7 +129,7 @@
             entries = [pathlib.Path(path) for path in options.read]
         else:
             names = options.names or list(figures["sites"])
-            entries = [play(options, figures["sites"][name]["path"]) for name in names]
+            entries = [score_deployment(options, figures["sites"][name]["path"]) for name in names]
         results = [read_entry(path) for path in entries]
     except RegressionError as error:
         print(f"regression: {error}", file=sys.stderr)
