--- a/test/process/regression_test.py
+++ b/test/process/regression_test.py
@@ -34,13 +34,13 @@
         """Returns the exit status and what was printed."""
         self.addCleanup(setattr, sys, "argv", sys.argv)
         sys.argv = ["regression", *map(str, arguments)]
-        said = io.StringIO()
-        with contextlib.redirect_stdout(said), contextlib.redirect_stderr(said):
+        output = io.StringIO()
+        with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
             try:
                 status = regression.main()
             except SystemExit as ended:
                 status = ended.code
-        return status, said.getvalue()
+        return status, output.getvalue()
 
     def write(self, **figures):
         path = self.folder / "entry.json"
@@ -49,37 +49,37 @@
 
     def test_day_within_the_margin_holds(self):
         self.assertEqual(self.run_with("--read", self.write(worth=0.50), "--take")[0], 0)
-        status, said = self.run_with("--read", self.write(worth=0.471))
-        self.assertEqual(status, 0, said)
+        status, output = self.run_with("--read", self.write(worth=0.471))
+        self.assertEqual(status, 0, output)
 
     def test_day_that_fell_fails_and_names_the_cause(self):
         self.run_with("--read", self.write(worth=0.50), "--take")
-        status, said = self.run_with("--read", self.write(worth=0.40, refused_again=0.11))
+        status, output = self.run_with("--read", self.write(worth=0.40, refused_again=0.11))
         self.assertEqual(status, 1)
-        self.assertIn("worth refused again costs more (0.100)", said)
+        self.assertIn("worth refused again costs more (0.100)", output)
 
     def test_failed_gate_fails_whatever_the_worth(self):
-        status, said = self.run_with("--read", self.write(worth=0.9, gate=False))
+        status, output = self.run_with("--read", self.write(worth=0.9, gate=False))
         self.assertEqual(status, 1)
-        self.assertIn("GATE FAILED", said)
+        self.assertIn("GATE FAILED", output)
 
     def test_run_that_did_not_finish_is_no_result(self):
-        status, said = self.run_with("--read", self.write(worth=0.9, finished=False), "--take")
+        status, output = self.run_with("--read", self.write(worth=0.9, finished=False), "--take")
         self.assertEqual(status, 2)
-        self.assertIn("did not finish", said)
+        self.assertIn("did not finish", output)
         self.assertEqual(json.loads(self.figures.read_text()), {"sites": {}})
 
     def test_file_that_is_no_entry_is_said_so(self):
         path = self.folder / "other.json"
         path.write_text("not json")
-        status, said = self.run_with("--read", path)
+        status, output = self.run_with("--read", path)
         self.assertEqual(status, 2)
-        self.assertIn("no entry of the journal", said)
+        self.assertIn("no entry of the journal", output)
 
     def test_unknown_deployment_is_said_so(self):
-        status, said = self.run_with("--bench", "x", "--sites", "y", "nowhere")
+        status, output = self.run_with("--bench", "x", "--sites", "y", "nowhere")
         self.assertEqual(status, 2)
-        self.assertIn("no deployment named nowhere", said)
+        self.assertIn("no deployment named nowhere", output)
 
 
 if __name__ == "__main__":
