--- a/test/process/process_test.py
+++ b/test/process/process_test.py
@@ -77,7 +77,7 @@
     def whole(self):
         return self.error is None and self.text.rstrip().endswith("data: [DONE]")
 
-    def whole_after_join(self):
+    def join_and_check_complete(self):
         self.join(30)
         return self.whole()
 
@@ -329,7 +329,7 @@
                 site.wait_until("50 MB are produced",
                                 lambda: site.control(upstream, {})["tokens"] > 6400, 60)
                 grown = {name: resident_mb(site, name) - mb for name, mb in before.items()}
-                self.assertEqual(Stream(site.entries["entry-1"], 5).whole_after_join(), True)
+                self.assertEqual(Stream(site.entries["entry-1"], 5).join_and_check_complete(), True)
             for name, mb in grown.items():
                 self.assertLess(mb, 8, name)
 
