--- a/test/process/process_test.py
+++ b/test/process/process_test.py
@@ -74,12 +74,12 @@
             self.error = error
         self.started.set()
 
-    def whole(self):
+    def is_complete(self):
         return self.error is None and self.text.rstrip().endswith("data: [DONE]")
 
     def join_and_check_complete(self):
         self.join(30)
-        return self.whole()
+        return self.is_complete()
 
     def tokens(self):
         return self.text.count("chat.completion.chunk")
@@ -97,7 +97,7 @@
             site.processes["bid-1"].end()
             for stream in streams:
                 stream.join(30)
-            broken = [stream for stream in streams if not stream.whole()]
+            broken = [stream for stream in streams if not stream.is_complete()]
             self.assertTrue(0 < len(broken) < 8)
             for stream in broken:
                 self.assertNotIn("[DONE]", stream.text)
@@ -118,7 +118,7 @@
             site.processes["bid-1"].send(signal.SIGTERM)
             for stream in streams:
                 stream.join(30)
-            self.assertTrue(all(stream.whole() for stream in streams))
+            self.assertTrue(all(stream.is_complete() for stream in streams))
             self.assertEqual([stream.tokens() for stream in streams], [100] * 8)
             self.assertEqual(site.processes["bid-1"].wait(20), 0)
 
@@ -134,7 +134,7 @@
                 site.operators["entry-1"], "/readyz")[0] in (503, 0))
             for stream in streams:
                 stream.join(30)
-            self.assertTrue(all(stream.whole() for stream in streams))
+            self.assertTrue(all(stream.is_complete() for stream in streams))
             self.assertEqual(site.processes["entry-1"].wait(20), 0)
 
     def test_paused_agent_gets_no_new_work_and_wakes_harmlessly(self):
@@ -260,7 +260,7 @@
             site.wait_until("all engines are reloaded", reloaded, 60)
             for stream in streams:
                 stream.join(30)
-            self.assertTrue(all(stream.whole() for stream in streams))
+            self.assertTrue(all(stream.is_complete() for stream in streams))
             self.assertEqual(max(worst), 1)
             self.assertEqual(sum(site.control(upstream, {})["lowFences"]
                                  for upstream in site.upstreams.values()), 0)
