--- a/test/process/gateway_test.py
+++ b/test/process/gateway_test.py
@@ -173,10 +173,10 @@
     def test_failed_safe_request_is_served_by_another(self):
         with GatewaySite() as site:
             control(site.upstreams["i-1"], {"fail": True})
-            site.wait_until("the failing one was asked", lambda: self.served_then(
+            site.wait_until("the failing one was asked", lambda: self.ask_and_evaluate(
                 site, lambda: control(site.upstreams["i-1"], {})["runs"]))
 
-    def served_then(self, site, seen):
+    def ask_and_evaluate(self, site, seen):
         self.assertEqual(site.ask("/status/1")[0], 200)
         return seen()
 
