--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,4 +1,4 @@
-"""Measured slopes: idle control cost by number of agents, the data path, memory under streams."""
+"""Measures the cost of the control plane at idle, of the data path and of open streams."""
 
 import json
 import os
@@ -38,7 +38,7 @@
 
 
 def idle(engines, entries, accounts, seconds=6.0):
-    """Returns what an entry and an agent spend a second when nothing is asked of them."""
+    """Returns the CPU, network and memory use of an entry and an agent that serve no requests."""
     with site_with(engines, entries, accounts) as site:
         time.sleep(1)
         names = {"entry": "entry-2", "agent": "bid-1"}
@@ -65,7 +65,7 @@
 
 
 def data_path():
-    """Returns throughput a core for each role, and the latency that entry and agent add."""
+    """Returns the throughput per core of each role and the latency that entry and agent add."""
     with site_with(1, 1, services=0) as site:
         upstream = site.upstreams["bid-1"]
         site.config["upstreams"][0]["slots"] = 64
@@ -88,7 +88,7 @@
 
 
 def streams(count=2000, tokens=40):
-    """Returns memory and time for each streamed token with many streams open at once."""
+    """Returns memory per stream and CPU time per token with `count` concurrent streams."""
     with site_with(4, 1) as site:
         for upstream in site.upstreams.values():
             site.control(upstream, {"stepMs": 45})
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""The demo: both sites' configurations, loaded through all their entries for some seconds."""
+"""Runs the sites of both users one after the other under load and prints the totals as JSON."""
 
 import argparse
 import collections
