--- a/scripts/localsite.py
+++ b/scripts/localsite.py
@@ -1,7 +1,6 @@
 """Runs a site on loopback: stand-ins, agents and entries as separate processes.
 
-Used by scripts/demo and by the tests of whole processes. A Site starts what it is told to, waits
-until it is ready, and ends exactly the processes that it started.
+Used by scripts/demo and by the process tests. A Site kills only the processes that it started.
 """
 
 import hashlib
@@ -17,9 +16,9 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 BIN = os.environ.get("SEAMARCH_BIN", os.path.join(ROOT, "build", "bin"))
-# Runs side by side begin at different ports, below those that the kernel hands out itself. Their
-# ranges may meet all the same, so each run holds its ports as datagram ports until it ends: a port is
-# not another run's while its process is being started again.
+# Concurrent runs start at different ports, below the kernel's ephemeral range. Their ranges may still
+# overlap, so each run keeps a UDP socket bound to every port that it uses. Thus no other run takes a
+# port while the process that listens on it restarts.
 _ports = itertools.count(int(os.environ.get("SEAMARCH_TEST_PORT", 10000 + os.getpid() * 97 % 20000)))
 
 
@@ -43,7 +42,7 @@
 
 
 def call(address, path, body=None, headers=None, timeout=10, method=None):
-    """Returns (status, headers, text); the status is 0 when the connection broke."""
+    """Sends a request and returns (status, headers, text). The status is 0 if the connection failed."""
     data = body.encode() if isinstance(body, str) else body
     request = urllib.request.Request(f"http://{address}{path}", data=data,
                                      headers=headers or {}, method=method)
@@ -54,18 +53,18 @@
         return error.code, error.headers, error.read().decode()
     except (OSError, urllib.error.URLError, ValueError) as error:
         return 0, {}, str(error)
-    except Exception as error:  # http.client raises several kinds for a broken answer.
+    except Exception as error:  # http.client raises various exceptions for a malformed response.
         return 0, {}, str(error)
 
 
 def control(address, change):
-    """Changes a stand-in's behaviour and returns what it reports."""
+    """Changes the behaviour of a stand-in and returns its report. Retries for 10 s."""
     for _ in range(200):
         status, _, text = call(address, "/control", json.dumps(change))
         if status == 200:
             return json.loads(text)
         time.sleep(0.05)
-    raise RuntimeError(f"{address} takes no control")
+    raise RuntimeError(f"{address} did not answer /control with 200 in 200 attempts")
 
 
 def api_key_of(account):
@@ -73,7 +72,7 @@
 
 
 class Process:
-    """A process that this site started."""
+    """A child process whose output goes to `log`."""
 
     def __init__(self, arguments, log):
         self.popen = subprocess.Popen(arguments, stdin=subprocess.DEVNULL, stdout=log, stderr=log)
@@ -95,7 +94,7 @@
 
 
 class Site:
-    """One site: a platform, entries, and pools of upstreams with an agent before each."""
+    """A site on loopback: a platform, entries, and pools of upstreams with one agent per upstream."""
 
     def __init__(self, name, halls=("north",), log_path=None, entry_options=(), agent_options=()):
         self.name = name
@@ -198,7 +197,7 @@
             if check():
                 return
             time.sleep(0.02)
-        raise RuntimeError(f"{self.name}: waited {seconds} s in vain for: {condition}")
+        raise RuntimeError(f"{self.name}: timed out after {seconds} s waiting for: {condition}")
 
     def publish_and_wait(self):
         self.publish_list()
@@ -213,7 +212,7 @@
                         lambda: all(usable(name) for name in self.entries))
 
     def runs(self, target):
-        """Returns the bodies of all runs at the plain services of `target`."""
+        """Returns the bodies of all requests that the upstreams of service `target` ran."""
         bodies = []
         for name, address in self.upstreams.items():
             if name.startswith(target + "-"):
