--- a/scripts/regression.py
+++ b/scripts/regression.py
@@ -1,18 +1,18 @@
 #!/usr/bin/env python3
-"""Scores the users' deployments and compares each day with the figures that were committed last.
+"""Scores the users' deployments and compares each day with the committed baseline.
 
 Usage:
   scripts/regression --bench PROGRAM --sites FOLDER [--jobs N] [NAME...]
   scripts/regression --read ENTRY... [--take]
 
-The first form plays the deployments (all, or those named) with the users' bench, one after the
-other, and then compares. FOLDER is the users' folder that holds the site files; the paths below it
-stand in docs/measurements/regression.json. The second form compares entries of journal/ that are
-there already. --take writes their figures down as the ones to compare with from now on.
+The first form scores the deployments (all, or those named) with the users' benchmark program, one
+after the other, and compares the results. FOLDER is the users' folder that holds the site files;
+docs/measurements/regression.json lists their paths relative to it. The second form compares existing
+entries of journal/. --take stores their figures as the new baseline.
 
-A day whose worth fell by more than the margin fails, and so does a gate that failed. For each such
-day the parts and prices that fell most are named. Ends with 0 when nothing failed, 1 when something
-did, 2 when the call makes no sense or a run did not finish.
+A day fails if its worth is below the baseline by more than the margin or if its gate failed. For each
+day that fell, the parts and prices with the largest losses are printed. The exit status is 0 if no day
+failed, 1 if a day failed, and 2 if the arguments are invalid or a run did not finish.
 """
 
 import argparse
@@ -24,18 +24,18 @@
 REPOSITORY = pathlib.Path(__file__).resolve().parent.parent
 FIGURES = REPOSITORY / "docs" / "measurements" / "regression.json"
 JOURNAL = REPOSITORY / "journal"
-# The users' own bound on what earlier deployments may lose.
+# The largest loss of worth per day that the users accept for existing deployments.
 MARGIN = 0.03
-# How many causes are named for a day that fell.
+# The number of causes printed for a day that fell.
 MAX_CAUSES = 3
 
 
 class RegressionError(Exception):
-    """A run that did not finish, or an entry that is none."""
+    """A run did not finish, or a file is not a journal entry."""
 
 
 def read_entry(path):
-    """Returns the name of the deployment and its days by name; raises RegressionError."""
+    """Returns the deployment's name and its snapshot id and days. Raises RegressionError."""
     try:
         entry = json.loads(path.read_text())
     except (OSError, ValueError) as error:
@@ -55,12 +55,12 @@
 
 
 def recurring_days(days):
-    """The days that are the same in each run; one more is drawn anew each time."""
+    """Returns the days that are the same in every run, without the randomly drawn "fresh-" days."""
     return {name: day for name, day in days.items() if not name.startswith("fresh-")}
 
 
 def describe_losses(before, now):
-    """Names the parts that earn less than before and the prices that cost more, the worst first."""
+    """Returns the parts that earn less and the prices that cost more, largest loss first."""
     losses = []
     for name, value in before["parts"].items():
         losses.append((value - now["parts"].get(name, 0.0), f"{name} earns less"))
@@ -72,7 +72,7 @@
 
 
 def compare(site, before, now):
-    """Prints a line a day; returns how many failed."""
+    """Prints one line per day and returns the number of days that failed."""
     failed = 0
     for name, day in now["days"].items():
         old = before["days"].get(name)
@@ -88,31 +88,31 @@
 
 
 def score_deployment(options, path):
-    """Scores one deployment; returns the entry that the bench wrote."""
+    """Scores one deployment and returns the path of the journal entry that the bench wrote."""
     earlier = set(JOURNAL.glob("*.json"))
     site = pathlib.Path(options.sites) / path
     command = [options.bench, "score", str(site), "--jobs", str(options.jobs), "--why", "regression"]
     subprocess.run(command, cwd=REPOSITORY, check=False, stdout=subprocess.DEVNULL)
     fresh = sorted(set(JOURNAL.glob("*.json")) - earlier)
     if not fresh:
-        raise RegressionError(f"{site}: the bench wrote no entry; run it by hand to see why")
+        raise RegressionError(f"{site}: the bench wrote no journal entry; run it by hand to see its output")
     return fresh[-1]
 
 
 def parse_arguments():
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("names", nargs="*", metavar="NAME", help="deployments, as the figures name them")
-    parser.add_argument("--bench", help="the users' program")
+    parser.add_argument("names", nargs="*", metavar="NAME", help="deployments as named in regression.json (default: all)")
+    parser.add_argument("--bench", help="the users' benchmark program")
     parser.add_argument("--sites", help="the users' folder with the site files")
-    parser.add_argument("--jobs", type=int, default=2, help="days at a time (default 2)")
-    parser.add_argument("--read", nargs="+", metavar="ENTRY", help="compare these entries instead")
-    parser.add_argument("--take", action="store_true", help="write their figures down")
+    parser.add_argument("--jobs", type=int, default=2, help="days scored in parallel (default 2)")
+    parser.add_argument("--read", nargs="+", metavar="ENTRY", help="compare these journal entries instead of scoring")
+    parser.add_argument("--take", action="store_true", help="store the figures of the entries as the new baseline")
     options = parser.parse_args()
     if not options.read and not (options.bench and options.sites):
-        parser.error("--bench and --sites are needed, or --read")
+        parser.error("either --read or both --bench and --sites are required")
     if options.take and not options.read:
-        parser.error("--take goes with --read")
+        parser.error("--take requires --read")
     return options
 
 
