--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,11 +1,11 @@
-"""A loopback proxy that brings about what a bad network does to connections.
-
-One proxy stands before one listener. Its mode holds for all its connections, also those that are
-open: `pass`, `delay`, `silent` (accepts and says nothing), `one_way` (bytes toward the listener go
-on, answers are held), and `reset` (resets what is open and what comes). Bytes that are held go on
-when the mode changes back. `plant` holds a fault for testing the checks: `twice` sends each request
-again on a connection of its own, `skip` takes one event out of every stream, `deaf` takes out of
-answers that rest is asked for, `unbound` that a limit is named.
+"""A loopback TCP proxy that injects network faults.
+
+Each proxy forwards to one target. Its mode applies to all connections, including open ones: `pass`,
+`delay` (by 150 ms), `silent` (accepts connections and forwards nothing), `one_way` (forwards requests
+and holds answers) and `reset` (resets open and new connections). Held bytes are forwarded when the mode
+changes back. `plant` selects a planted fault that the soak's checks must detect: `twice` sends each
+request again on a separate connection, `skip` removes one event from every stream, `deaf` renames the
+Retry-After header of answers, and `unbound` renames their Server-Limit header.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class ProxyLoop:
-    """The thread that serves all proxies of a run."""
+    """An event loop on its own thread that serves all proxies of a run."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -66,7 +66,7 @@
         try:
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         except OSError:
-            pass  # It is closed already, so there is nothing to reset.
+            pass  # The socket is already closed.
         writer.transport.abort()
 
     async def _serve(self, reader, writer):
@@ -84,7 +84,7 @@
             await asyncio.gather(self._pump(reader, target_writer, True),
                                  self._pump(target_reader, writer, False))
         except asyncio.CancelledError:
-            pass  # The run is over.
+            pass  # ProxyLoop.end() cancels all tasks.
         finally:
             self.writers -= {writer, target_writer}
 
@@ -125,5 +125,5 @@
 
     @staticmethod
     def _without_event(chunk):
-        # The chunk keeps its length: the event's text becomes a comment of the same size.
+        # Replaces the event by a comment of the same size so that the HTTP chunk length stays valid.
         return _EVENT.sub(lambda found: b":" * (len(found.group()) - 2) + b"\n\n", chunk)
