--- a/scripts/localsite.py
+++ b/scripts/localsite.py
@@ -58,13 +58,13 @@
 
 
 def control(address, change):
-    """Changes the behaviour of a stand-in and returns its report. Retries for 10 s."""
+    """Changes the behaviour of a stand-in and returns its report. Makes up to 200 attempts."""
     for _ in range(200):
         status, _, text = call(address, "/control", json.dumps(change))
         if status == 200:
             return json.loads(text)
         time.sleep(0.05)
-    raise RuntimeError(f"{address} did not answer /control with 200 in 200 attempts")
+    raise RuntimeError(f"{address} did not accept a /control request")
 
 
 def api_key_of(account):
