--- a/soak/soak.py
+++ b/soak/soak.py
@@ -1,22 +1,22 @@
 #!/usr/bin/env python3
-"""A randomized soak: real gateways on loopback while faults strike from outside.
-
-Callers use kept connections until they break, send letters that may run once, questions that may be
-repeated, and streams. Faults come in series and overlap: links to the store and to upstreams are
-delayed, reset, silenced or cut one way; upstreams fail, refuse, ask for rest, lose answers and break
-streams; gateways are stopped, paused, killed and started again; configurations follow each other, keys
-are revoked, upstreams leave and start again under their ids; the store goes back to an older copy. One
-upstream names a limit for all gateways together, and another one later; one warms up. A hall is drained and
-taken back. The checks judge by what callers and upstreams saw. The same seed draws the
-same faults; what runs between them is up to the machine. The system keeps no storage and decides
-nothing by the time of day, so neither is tampered with.
+"""Randomized soak test: runs real gateways on loopback and injects faults from outside.
+
+Callers reuse connections until they break. They send requests that must run at most once ("letters"),
+repeatable requests ("status") and streams. Faults overlap: links to the store and to upstreams are
+delayed, reset, silenced or blocked in one direction; upstreams fail, refuse, send Retry-After, lose
+answers and break streams; gateways are stopped, paused, killed and restarted; configurations change,
+keys are revoked, upstreams leave and restart under the same id, and the store reverts to an older copy.
+One upstream at a time announces a rate limit for all gateways together, and one warms up. A hall is
+drained and then restored. The checks use only what callers and upstreams observed. A seed determines the
+faults; the timing between them depends on the machine. The system has no persistent storage and does
+not use the time of day, so the soak injects no disk or clock faults.
 
     soak/soak.py --seed 7 --seconds 20       one run
     soak/soak.py --seeds 100-149             a series
-    soak/soak.py --regression                the seeds that ever failed (soak/seeds.txt)
-    soak/soak.py --planted                   each planted fault must be caught
+    soak/soak.py --regression                all seeds that ever failed (soak/seeds.txt)
+    soak/soak.py --planted                   checks that each planted fault is detected
 
-It ends only the processes that it started.
+The soak kills only the processes that it started.
 """
 
 import argparse
@@ -36,19 +36,19 @@
 from localsite import BIN, Process, call, control, free_address  # noqa: E402
 from proxy import Proxy, ProxyLoop  # noqa: E402
 
-NOT_RUN = {408, 421, 429, 503}  # Statuses that promise that the request never runs.
-REVOCATION_DEADLINE_S = 5.0             # Seconds after which a revoked key is dead everywhere.
-LEAVE_DEADLINE_S = 2.0                # Seconds after which an upstream that leaves gets nothing new.
-RETRY_AFTER_S = 1.5                      # Seconds of rest that an upstream asks for.
-IN_FLIGHT_S = 0.5                 # Seconds of it in which requests that were under way may arrive.
-MAX_LATE_REQUESTS = 2                       # Requests that may arrive in the remainder.
-LIMITS = (0.5, 1, 3)            # Requests a second that an upstream takes from all gateways together.
-LIMIT_WINDOW_S = 4.0                # Seconds over which it counts.
-LIMIT_SETTLE_TIME_S = 3.0             # Seconds after its first word from which on it counts.
-LIMIT_SLACK = 5                 # Requests besides one and a half times the limit.
-WARM_UP_RATE = 1.0              # Requests a second that an upstream bears while it warms up.
+NOT_RUN = {408, 421, 429, 503}  # Statuses that guarantee that the request does not run.
+REVOCATION_DEADLINE_S = 5.0     # Time after which every gateway rejects a revoked key.
+LEAVE_DEADLINE_S = 2.0          # Time after which a leaving upstream gets no new requests.
+RETRY_AFTER_S = 1.5             # Value of the Retry-After header that upstreams send.
+IN_FLIGHT_S = 0.5               # Part of it in which requests already in flight may arrive.
+MAX_LATE_REQUESTS = 2           # Requests that may arrive in the remaining time.
+LIMITS = (0.5, 1, 3)            # Requests per second that an upstream accepts from all gateways together.
+LIMIT_WINDOW_S = 4.0            # Window in which the check counts requests.
+LIMIT_SETTLE_TIME_S = 3.0       # Time from the announcement of a limit until the check applies.
+LIMIT_SLACK = 5                 # Requests allowed beyond 1.5 times the limit.
+WARM_UP_RATE = 1.0              # Requests per second that an upstream accepts while it warms up.
 WARM_UP_MS = 60_000             # Longer than a run.
-PLANTED = {"lies": 1, "twice": 1, "skip": 1, "deaf": 1, "unbound": 1, "warm": 1, "undrained": 1}  # Each with a seed.
+PLANTED = {"lies": 1, "twice": 1, "skip": 1, "deaf": 1, "unbound": 1, "warm": 1, "undrained": 1}  # Seed by fault.
 STREAM = [f"id: {n}\ndata: token {n}" for n in range(1, 11)]
 LINK_MODES = ("delay", "reset", "silent", "one_way")
 UPSTREAM_TROUBLES = ({"fail": True}, {"full": True}, {"dropAnswers": True}, {"foreignId": True},
@@ -152,7 +152,7 @@
 
 
 class Caller(threading.Thread):
-    """Sends requests one after the other, on a kept connection while it lasts."""
+    """A client that sends requests one at a time and reuses its connection while it is open."""
 
     def __init__(self, soak, number):
         super().__init__(daemon=True)
@@ -202,14 +202,14 @@
         self.site = Site(args, log)
         self.over, self.faults, self.lock = False, 0, threading.Lock()
         self.requests, self.numbers = [], itertools.count(1)
-        self.revoked = {}  # Key to the time after which it must be dead.
+        self.revoked = {}  # Key to the time after which it must be rejected.
         self.failures, self.versions = [], {}
-        self.planned = []  # The lives of gateways that a planned stop alone has ended.
-        self.limited, self.limits = None, []  # The upstream that names one; [name, limit, from, to].
-        self.limit_random = random.Random(f"limits of {args.seed}")  # Apart, so that seeds keep their faults.
+        self.planned = []  # (gateway, incarnation, time) of each planned stop without other faults.
+        self.limited, self.limits = None, []  # The upstream with a rate limit; [name, limit, from, to].
+        self.limit_random = random.Random(f"limits of {args.seed}")  # Separate, so that seeds keep their faults.
         self.warm_ups = []  # [name, since, until]
-        self.active_faults = {}  # What a fault holds, by name.
-        self.disturbances = []  # (name, from, to) of what kept a gateway from hearing or heeding.
+        self.active_faults = {}  # (end time, undo function) by the name of the affected process.
+        self.disturbances = []  # (name, from, to) of faults that may delay a gateway's reaction.
 
     def new_request(self, kind, gateway, drawn):
         with self.lock:
@@ -223,7 +223,7 @@
     def fail(self, what):
         self.failures.append(what)
 
-    # Faults. Each holds one thing for a while; series of them overlap.
+    # Faults. Each affects one process or link for a limited time. Several may be active at once.
 
     def fault_link(self, name):
         mode = self.random.choice(LINK_MODES)
@@ -231,7 +231,7 @@
         return self.record_disturbance(name, lambda: self.site.links[name].set("pass"))
 
     def record_disturbance(self, name, undo):
-        """Returns `undo`, which also notes for how long the fault held `name`."""
+        """Returns a function that calls `undo` and records how long the fault affected `name`."""
         started = time.monotonic()
 
         def undo_and_note():
@@ -258,7 +258,7 @@
     def fault_stop(self, name):
         gateway = self.site.gateways[name]
         gateway.stopping = True
-        # A process that is not up yet has no say in how the signal ends it.
+        # Before a process has installed its handlers, SIGTERM kills it by default.
         expected = {0} if gateway.status() is not None else {0, -signal.SIGTERM}
         gateway.process.send(signal.SIGTERM)
 
@@ -279,7 +279,7 @@
         return lambda: control(self.site.store, {trouble: False})
 
     def go_back(self):
-        """The store goes back to the copy; the operator and the upstreams write again."""
+        """Reverts the store to its copy; the operator and the upstreams then write their entries again."""
         with self.lock:
             control(self.site.store, {"goBack": True})
             self.site.publish()
@@ -306,7 +306,7 @@
                 del self.active_faults[name]
 
     def change(self):
-        """The operator's turn: configurations in series, now and then a key less."""
+        """Publishes a new configuration and revokes a key in 30 % of the calls."""
         with self.lock:
             if self.random.random() < 0.3:
                 self.site.keys.append(f"key-{self.site.version}")
@@ -323,7 +323,7 @@
         return name if name != self.limited else names[names.index(name) - 1]
 
     def leave(self):
-        """One upstream leaves while nothing else goes wrong, and gets nothing new."""
+        """Checks that a leaving upstream gets no new requests while no other fault is active."""
         self.end_faults(everything=True)
         self.wait_ready()
         name = self.unlimited()
@@ -336,12 +336,12 @@
         sent = {request.id: request.sent_at for request in list(self.requests)}
         for number in late:
             if sent.get(number, 0) > started:
-                self.fail(f"{number} reached {name} over {LEAVE_DEADLINE_S} s after it was leaving")
+                self.fail(f"{number} reached {name} more than {LEAVE_DEADLINE_S} s after it began to leave")
         self.site.starts[name] += 1
         self.site.list_upstream(name)
 
     def name_limit(self):
-        """Another upstream than before names a limit, and that one none any more."""
+        """Moves the rate limit from the upstream that announces one to another upstream."""
         names = [name for name in self.site.upstreams if name != self.limited]
         if self.limited is not None:
             control(self.site.upstreams[self.limited], {"limit": ""})
@@ -352,7 +352,7 @@
         self.limits.append([self.limited, limit, time.monotonic(), float("inf")])
 
     def warm_up(self):
-        """An upstream warms up from now on, and one that did is warm."""
+        """Starts the warm-up of one upstream and ends that of the previous one."""
         with self.lock:
             for name in list(self.site.warming):
                 self.site.warming.discard(name)
@@ -364,7 +364,7 @@
             self.warm_ups.append([name, time.monotonic(), float("inf")])
 
     def drain_hall(self):
-        """A hall is drained while nothing else goes wrong, gets nothing new, and is taken back."""
+        """Checks that a drained hall gets no new requests while no other fault is active; then restores it."""
         self.end_faults(everything=True)
         self.wait_ready()
         if self.args.plant != "undrained":
@@ -378,11 +378,11 @@
             late = [run["id"] for run in self.site.runs(name)
                     if self.site.hall_of(name) == "south" and started < sent.get(run["id"], 0) < started + 0.7]
             if late:
-                self.fail(f"{late[0]} and {len(late) - 1} more reached {name} over {LEAVE_DEADLINE_S} s after its hall was "
-                          "drained")
+                self.fail(f"{late[0]} and {len(late) - 1} more reached {name} more than {LEAVE_DEADLINE_S} s after "
+                          "its hall was drained")
 
     def shed(self):
-        """One upstream turns everything away and asks for rest while nothing else goes wrong."""
+        """Has one upstream refuse all requests with Retry-After while no other fault is active."""
         self.end_faults(everything=True)
         self.wait_ready()
         time.sleep(1.0)  # What faults had begun is over.
@@ -392,7 +392,7 @@
         control(address, HEALTHY)
 
     def stop_without_faults(self):
-        """A planned stop while nothing else goes wrong cuts off nothing that was passed on."""
+        """Stops a gateway while no other fault is active; check_request() then finds dropped requests."""
         self.end_faults(everything=True)
         self.wait_ready()
         gateway = self.random.choice(list(self.site.gateways.values()))
@@ -401,12 +401,12 @@
         self.fault_stop(gateway.name)()
 
     def watch_gateways(self):
-        """Versions never go back within a incarnation; no process ends by itself."""
+        """Checks that no incarnation's configuration version decreases and no process exits by itself."""
         for gateway in self.site.gateways.values():
             if gateway.name in self.active_faults:
                 continue
             if gateway.process.popen.poll() is not None:
-                self.fail(f"{gateway.name} ended by itself: {gateway.process.popen.returncode}")
+                self.fail(f"{gateway.name} exited by itself with status {gateway.process.popen.returncode}")
                 gateway.start()
                 continue
             incarnation, status = gateway.incarnation, gateway.status()
@@ -414,7 +414,7 @@
                 continue
             held = self.versions.get((gateway.name, incarnation), 0)
             if status["configVersion"] < held:
-                self.fail(f"{gateway.name} went back from version {held}")
+                self.fail(f"{gateway.name} reverted from configuration version {held}")
             self.versions[gateway.name, incarnation] = max(held, status["configVersion"])
 
     def wait_ready(self, seconds=12):
@@ -455,10 +455,10 @@
         self.over = True
         for caller in callers:
             caller.join(10)
-        time.sleep(0.5)  # A request that ran late would still be seen.
+        time.sleep(0.5)  # Lets upstreams record requests that run late.
         self.check()
 
-    # Checks of what callers and upstreams saw.
+    # Checks of what callers and upstreams observed.
 
     def check(self):
         runs = {}
@@ -468,7 +468,7 @@
         known = {request.id: request for request in self.requests}
         for number in runs:
             if number not in known:
-                self.fail(f"an upstream ran {number}, which nobody sent")
+                self.fail(f"an upstream ran {number}, which no caller sent")
         for request in self.requests:
             self.check_request(request, runs.get(request.id, []))
         for name in self.site.upstreams:
@@ -483,7 +483,8 @@
         self.served = served
 
     def check_rests(self, name, known):
-        """What an upstream asked a gateway for, it got, unless something kept the gateway from it."""
+        """Checks that each gateway observed the Retry-After times of upstream `name`, except during
+        disturbances."""
         state = control(self.site.upstreams[name], {})
         offset = time.monotonic() - state["nowMs"] / 1000
         by_incarnation = {}
@@ -499,7 +500,7 @@
                 excused = any(held in (name, gateway) and start < until and end > asked - 1
                               for held, start, end in self.disturbances)
                 if len(late) > MAX_LATE_REQUESTS and not excused:
-                    self.fail(f"{name} asked {gateway} for {rest} s of rest and got {len(late)} requests")
+                    self.fail(f"{name} sent {gateway} a Retry-After of {rest} s and got {len(late)} requests")
 
     def check_limit(self, name, limit, since, until, known):
         """What an upstream takes from all gateways together is not exceeded by those that it has binding_since, unless
@@ -521,11 +522,12 @@
         for end in counted:
             found = sum(end - LIMIT_WINDOW_S < at <= end for at in counted)
             if end > since + LIMIT_SETTLE_TIME_S and found > allowed:
-                self.fail(f"{name} named a limit of {limit} a second and got {found} requests in 4 s")
+                self.fail(f"{name} announced a limit of {limit} requests/s and got {found} requests in 4 s")
                 return
 
     def check_warm_up(self, name, since, until, known):
-        """What an upstream bears while it warms up is not exceeded by gateways that could hear of it."""
+        """Checks that all gateways together stay within the warm-up rate of upstream `name`, except during
+        disturbances."""
         state = control(self.site.upstreams[name], {})
         offset = time.monotonic() - state["nowMs"] / 1000
         counted = []
@@ -541,7 +543,7 @@
         for end in counted:
             found = sum(end - 1.0 < at <= end for at in counted)
             if found > allowed:
-                self.fail(f"{name} warmed up and got {found} requests in one second, {allowed} are borne")
+                self.fail(f"{name} got {found} requests in one second during its warm-up; {allowed} are allowed")
                 return
 
     def check_request(self, request, runs):
@@ -549,21 +551,21 @@
         if request.kind == "letters" and len(runs) > 1:
             self.fail(f"{about} ran {len(runs)} times")
         if request.kind == "letters" and request.result in NOT_RUN and runs:
-            self.fail(f"{about} ran, and its caller was told that it had not")
+            self.fail(f"{about} ran, but its answer says that it did not")
         dead_at = self.revoked.get(request.key)
         if dead_at is not None and request.sent_at > dead_at and runs:
-            self.fail(f"{about} ran under a key that was revoked {REVOCATION_DEADLINE_S} s before")
+            self.fail(f"{about} ran with a key revoked at least {REVOCATION_DEADLINE_S} s earlier")
         if any(run["key"] or run["account"] != "bids" for run in runs):
-            self.fail(f"{about} ran under another account's name, or its key went on")
+            self.fail(f"{about} ran under another account, or its key reached the upstream")
         lost = str(request.result).startswith(("broken", "cut")) and not request.disconnects
         if lost and runs and self.in_planned_stop(request):
-            self.fail(f"{about} was passed on, and a planned stop cut it off")
+            self.fail(f"{about} was forwarded and then dropped by a planned stop")
         if request.result == 200:
             self.check_success(request, about)
         elif request.result == "cut" and request.kind == "stream":
             events = request.text.split("\n\n")[:-1]
             if events != STREAM[:len(events)]:
-                self.fail(f"{about} has a gap before it was cut: {request.text!r}")
+                self.fail(f"{about} has a gap before it broke off: {request.text!r}")
 
     def in_planned_stop(self, request):
         return any((request.gateway, request.incarnation) == (name, incarnation) and request.sent_at > at
@@ -571,11 +573,11 @@
 
     def check_success(self, request, about):
         if not request.headers.get("Seamarch-Replica-Signature", "").startswith("proof-of-"):
-            self.fail(f"{about} lacks the upstream's proof")
+            self.fail(f"{about} lacks the upstream's signature")
         if request.headers.get("Seamarch-Request-Id") != request.id:
-            self.fail(f"{about} has the answer to {request.headers.get('Seamarch-Request-Id')}")
+            self.fail(f"{about} has the answer to request {request.headers.get('Seamarch-Request-Id')}")
         if request.kind == "stream" and request.text.split("\n\n")[:-1] != STREAM:
-            self.fail(f"{about} is no whole stream: {request.text!r}")
+            self.fail(f"{about} is an incomplete stream: {request.text!r}")
 
 
 def run_seed(args, seed, seconds=None, plant=""):
@@ -604,7 +606,7 @@
 
 
 def main():
-    # Told to stop, a run still ends what it has started.
+    # On SIGTERM, exits through the finally blocks so that the run kills the processes it started.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     parser = argparse.ArgumentParser(description=__doc__.split("\n", maxsplit=1)[0])
     parser.add_argument("--seed", type=int)
