--- a/soak/soak.py
+++ b/soak/soak.py
@@ -503,8 +503,8 @@
                     self.fail(f"{name} sent {gateway} a Retry-After of {rest} s and got {len(late)} requests")
 
     def check_limit(self, name, limit, since, until, known):
-        """What an upstream takes from all gateways together is not exceeded by those that it has binding_since, unless
-        something kept one of them from it."""
+        """Checks that the gateways which received the rate limit of upstream `name` together stay within it,
+        except during disturbances."""
         state = control(self.site.upstreams[name], {})
         offset = time.monotonic() - state["nowMs"] / 1000
         binding_since, counted = {}, []
