--- a/test/process/crashingcall_test.py
+++ b/test/process/crashingcall_test.py
@@ -1,9 +1,9 @@
-"""A call that ends every upstream that runs it is not handed to one agent after the other.
+"""Checks that a call which crashes every upstream that runs it is not retried on one agent after another.
 
-The same fault as in crashingrequest_test.py, looked for where entries and agents carry the requests. An
-entry took an agent's word that its upstream had broken off for a failure of that agent, sent the call to
-up to two others, and forgot it; the caller's next try began from nothing, at this entry or another. The
-proof is the test: with three entries in two halls, upstreams went on ending for as long as the call came.
+The failure: an entry treats an upstream's broken connection as a failure of the agent, retries the call
+at up to two other agents and keeps no record of it. Each retry by the caller, at this or another entry,
+starts from nothing, so upstreams keep crashing as long as the call is repeated. The test uses three
+entries in two halls. crashingrequest_test.py covers the same failure at gateways.
 """
 
 import os
@@ -16,8 +16,8 @@
 from process_test import AUTH, QUICK_AGENT, QUICK_ENTRY  # noqa: E402
 from localsite import Site, call, control  # noqa: E402
 
-ENDED_BY_REQUEST = 70  # The stand-in's exit code.
-PROPAGATION_S = 3.0           # Seconds within which entries that hear each other know.
+ENDED_BY_REQUEST = 70  # The stand-in's exit code when a request makes it exit.
+PROPAGATION_S = 3.0           # Time in which connected entries learn of the request.
 
 
 class CrashingCallTest(unittest.TestCase):
@@ -44,7 +44,7 @@
         self.restarter.join()
 
     def restart_ended_upstreams(self):
-        """Starts upstreams again that have ended."""
+        """Restarts upstreams that the request has ended."""
         while not self.stopped:
             for name, address in self.site.upstreams.items():
                 if self.site.processes[f"{name}.upstream"].popen.poll() == ENDED_BY_REQUEST:
@@ -66,7 +66,7 @@
             asked += 1
             time.sleep(0.2)
         late = [end for end in self.ends if end > started + PROPAGATION_S]
-        self.assertEqual(len(late), 0, f"expected no upstream to end under the call later than {PROPAGATION_S} s "
+        self.assertEqual(len(late), 0, f"expected the call to end no upstream later than {PROPAGATION_S} s "
                          f"after its first copy, found {len(late)} of {len(self.ends)}")
         for entry in entries:
             status, headers, text = self.ask(path, "poison", entry)
--- a/test/process/crashingrequest_test.py
+++ b/test/process/crashingrequest_test.py
@@ -1,17 +1,12 @@
-"""A request that ends every upstream that runs it is not sent on for ever.
+"""Checks that a request which crashes every upstream that runs it is stopped.
 
-Seen: one request of a caller was sent to engines four times more after three of them had ended under
-it. Seven ended in all, one after the other as fast as their group could form, and for twenty seconds
-next to nothing of the service was answered.
+The failure: a caller repeats the request, each time with a new id and at another gateway. An engine
+crashes while it runs the request, its group stops and forms again, and the next copy is sent to it. A
+gateway that counts the broken connection against the upstream alone keeps no record of the request and
+tells no other gateway, so each copy is a new request to each gateway. One such request crashed seven
+engines, four of them after the first three, and for 20 s the service answered next to no requests.
 
-How it came about: the caller repeated the request, each time under a new id and at another gateway. An
-engine ended while it ran it, its group stood still and formed again, and the next copy was sent to it.
-
-Cause: what a gateway learns from a broken connection it holds against the upstream alone. It forgets
-the request, and no other gateway ever hears of it, so each copy is a new request to each gateway.
-
-Proved by: the test below fails without a memory of the request, and the log line `upstream.probed`
-shows one digest at every end, sent by all gateways in turn as a first attempt.
+The log line `upstream.probed` contains the digest of the request at each crash.
 """
 
 import os
@@ -26,13 +21,13 @@
 from gatewaysharing_test import OtherGateway  # noqa: E402
 from localsite import call, control, free_address  # noqa: E402
 
-ENDED_BY_REQUEST = 70  # The stand-in's exit code.
-PROPAGATION_S = 3.0           # Seconds within which gateways in touch know what ended an upstream.
-RESTART_DELAY_S = 0.4       # Seconds until an upstream that ended starts again.
+ENDED_BY_REQUEST = 70  # The stand-in's exit code when a request makes it exit.
+PROPAGATION_S = 3.0           # Time in which connected gateways learn of the request.
+RESTART_DELAY_S = 0.4       # Time until an upstream that ended is restarted.
 
 
 class UpstreamRestarter:
-    """Starts upstreams again, at their address and under a new id, as the platform does."""
+    """Restarts upstreams at the same address under a new id, as the platform does."""
 
     def __init__(self, site, upstreams):
         self.site, self.ends, self.number, self.stopped = site, [], upstreams, False
@@ -76,21 +71,21 @@
         self.others = [OtherGateway(self.site, f"gateway-{number}", self.site.store, self.seed, hall)
                        for number, hall in ((2, "north"), (3, "south"), (4, "south"))]
         for other in self.others:
-            self.site.wait_until("the others are ready", other.ready)
-        self.site.wait_until("all know of all", lambda: [g.status()["gateways"] for g in [self.site] + self.others]
-                             == [4] * 4)
+            self.site.wait_until("the other gateways are ready", other.ready)
+        self.site.wait_until("every gateway lists all four", lambda: [
+            g.status()["gateways"] for g in [self.site] + self.others] == [4] * 4)
         self.entries = [self.site.entry] + [other.entry for other in self.others]
         self.asked = 0
 
     def ask(self, path, body, entry=None, key=KEY):
-        """Asks under an id of its own, at the gateways in turn."""
+        """Sends a request with a new id, by default to the gateways in turn."""
         self.asked += 1
         headers = {"Host": "site.example", "Seamarch-Request-Id": f"c-{self.asked}",
                    "Seamarch-Deadline-Ms": "4000", "Authorization": f"Token {key}"}
         return call(entry or self.entries[self.asked % len(self.entries)], path, body, headers, 6, "POST")
 
     def repeat(self, path, seconds, body="poison"):
-        """Repeats a request at all gateways in turn; returns the last answer."""
+        """Repeats a request at all gateways in turn for `seconds` and returns the last answer."""
         until = time.monotonic() + seconds
         answer = None
         while time.monotonic() < until:
@@ -106,9 +101,10 @@
         spread_by = time.monotonic() + PROPAGATION_S
         self.repeat(path, PROPAGATION_S + 4)
         late = [end for end in self.restarter.ends if end > spread_by]
-        self.assertLessEqual(len(self.restarter.ends), 3, "more upstreams ended than it takes to know")
-        self.assertEqual(len(late), 0, f"expected no upstream to end under the request from {PROPAGATION_S} s after "
-                         f"the third on, found {len(late)} of {len(self.restarter.ends)} ends")
+        self.assertLessEqual(len(self.restarter.ends), 3,
+                             "more upstreams ended than the three that identify the request")
+        self.assertEqual(len(late), 0, f"expected the request to end no upstream from {PROPAGATION_S} s after "
+                         f"the third end on, found {len(late)} of {len(self.restarter.ends)} ends")
 
     def test_repeatable_request_is_stopped(self):
         self.check_stopped("/status/1")
@@ -134,7 +130,7 @@
         self.site.gateway.end()
         gateway = self.site.start("seamarchd", "gateway", "--config", self.site.settings.name)
         self.addCleanup(gateway.end)
-        self.site.wait_until("it is ready again",
+        self.site.wait_until("the gateway is ready again",
                              lambda: call(self.site.operators, "/readyz", timeout=2)[0] == 200)
         time.sleep(PROPAGATION_S)
         for _ in range(5):
@@ -142,23 +138,26 @@
         self.assertEqual(len(self.restarter.ends), before)
 
     def test_gateway_that_starts_anew_asks_the_first_that_it_hears_of_at_once(self):
-        """Seen beside load: a gateway that is itself the only seed knew nobody when it started anew, and
-        asked the one that then came to it up to two seconds later, by when it had been sent the request."""
+        """A gateway that is itself the only seed knows no peer after a restart. It must ask the first peer
+        that connects at once: with a delay of up to 2 s, the request reached it before it had asked."""
         self.repeat("/status/1", 2)
         for late in (0.0, 0.5, 1.0, 1.5):
             self.site.gateway.end()
-            time.sleep(late)  # The others look again two seconds after they have missed it.
+            time.sleep(late)  # The others probe again 2 s after they lose it.
             self.site.gateway = self.site.start("seamarchd", "gateway", "--config", self.site.settings.name)
-            self.site.wait_until("it is up", lambda: call(self.site.operators, "/status", timeout=2)[0] == 200)
+            self.site.wait_until("the gateway answers /status",
+                                 lambda: call(self.site.operators, "/status", timeout=2)[0] == 200)
             up = time.monotonic()
-            self.site.wait_until("it hears of another", lambda: self.site.status()["gateways"] > 1)
+            self.site.wait_until("the gateway lists a peer", lambda: self.site.status()["gateways"] > 1)
             heard = time.monotonic()
-            self.site.wait_until("it knows of the request", lambda: self.site.status()["requestsThatEndUpstreams"])
+            self.site.wait_until("the gateway lists the request",
+                                 lambda: self.site.status()["requestsThatEndUpstreams"])
             took = time.monotonic() - heard
-            self.assertLess(took, 0.8, f"started {late} s after its end it heard of another gateway and took "
-                            f"{took:.1f} s more to hear what that one knows")
-            self.assertLess(heard + took - up, PROPAGATION_S, f"started {late} s after its end it knew of the request "
-                            f"{heard + took - up:.1f} s after it was up")
+            self.assertLess(took, 0.8, f"restarted {late} s after its end, the gateway found a peer and took "
+                            f"{took:.1f} s more to learn of the request")
+            self.assertLess(heard + took - up, PROPAGATION_S,
+                            f"restarted {late} s after its end, the gateway learned of the "
+                            f"request {heard + took - up:.1f} s after it answered /status")
 
     def test_gateway_that_stood_still_hears_of_it_when_it_goes_on(self):
         frozen = self.others[2].process
@@ -178,7 +177,7 @@
         for gateway in [self.site.gateway] + [other.process for other in self.others]:
             gateway.send(signal.SIGKILL)
         self.site.gateway = self.site.start("seamarchd", "gateway", "--config", self.site.settings.name)
-        self.site.wait_until("one is ready again",
+        self.site.wait_until("one gateway is ready again",
                              lambda: call(self.site.operators, "/readyz", timeout=2)[0] == 200)
         self.entries = self.entries[:1]
         self.repeat("/status/1", 6)
@@ -191,7 +190,7 @@
             self.assertEqual(self.ask("/status/2", "also harmless", entry)[0], 200)
 
     def test_request_under_which_upstreams_were_killed_is_served_later(self):
-        """Two upstreams end for reasons of their own under one request; served elsewhere, it is cleared."""
+        """Two upstreams are killed while they run a request; once another serves it, it is cleared."""
         for _ in range(2):
             self.site.set_all(delayMs=400)
             victims = dict(self.restarter.running)
@@ -201,14 +200,14 @@
 
             def busy():
                 return [name for name in victims if control(self.site.upstreams[name], {})["open"]]
-            self.site.wait_until("it runs", busy)
+            self.site.wait_until("an upstream runs the request", busy)
             victims[busy()[0]].send(signal.SIGKILL)
             thread.join()
             self.assertEqual(answers[0][0], 502)
-            self.site.wait_until("all are back", lambda: len(self.restarter.running) == 4
+            self.site.wait_until("all upstreams have restarted", lambda: len(self.restarter.running) == 4
                                  and all(p.popen.poll() is None for p in self.restarter.running.values()))
             self.site.set_all(delayMs=5)
-            self.site.wait_until("served", lambda: self.ask("/letters/7", "patient")[0] == 200)
+            self.site.wait_until("the request is served", lambda: self.ask("/letters/7", "patient")[0] == 200)
 
 
 if __name__ == "__main__":
