--- a/test/process/drainedhall_test.py
+++ b/test/process/drainedhall_test.py
@@ -1,10 +1,7 @@
-"""A hall that the operators drain gets no new requests, from any gateway, until they take it back.
+"""Checks that a hall drained by the operators gets no new requests from any gateway until it is restored.
 
-Seen: requests went to the upstreams of a hall all the time that it was drained (3,769 in one day).
-
-Cause: no gateway read the operators' entry.
-
-Proved by: the gateways' logs name upstreams of that hall in `attempt.started` before, while and after.
+The failure: gateways do not read the operators' drain entry in the store and keep sending requests to the
+hall's upstreams (3,769 in one day). The log line `attempt.started` names the upstream of each attempt.
 """
 
 import os
@@ -18,7 +15,7 @@
 from localsite import control, free_address  # noqa: E402
 from restingupstream_test import Callers  # noqa: E402
 
-SETTLE_TIME_S = 2.0  # Seconds in which every gateway hears of it; five are allowed.
+SETTLE_TIME_S = 2.0  # Time in which every gateway learns of the drain; 5 s are allowed.
 DRAIN_KEY = "op/evacuate/south"
 
 
@@ -30,10 +27,10 @@
         for name in ("i-3", "i-4"):
             self.site.list_upstream(name, zone="south")
         self.other = OtherGateway(self.site, "gateway-2", self.site.store, seed, "south")
-        # It hears of the drain from the others alone.
+        # This gateway cannot reach the store and learns of the drain from the others.
         self.without_store = OtherGateway(self.site, "gateway-3", free_address(), seed, "south")
         for gateway in (self.other, self.without_store):
-            self.site.wait_until("the other is ready", gateway.ready)
+            self.site.wait_until("the other gateways are ready", gateway.ready)
         self.callers = Callers([self.site.entry, self.other.entry, self.without_store.entry])
         self.addCleanup(lambda: self.callers.stop())
         time.sleep(0.5)
@@ -51,7 +48,7 @@
         before = self.arrivals("i-3", "i-4")
         time.sleep(seconds)
         found = self.arrivals("i-3", "i-4") - before
-        self.assertEqual(found, 0, f"expected nothing at the upstreams of a drained hall, found {found} requests; see "
+        self.assertEqual(found, 0, f"expected no requests at the upstreams of a drained hall, found {found}; see "
                          "`attempt.started` and `hall.drained` in the gateways' logs")
 
     def check_gets_requests(self):
@@ -94,7 +91,7 @@
         self.put()
         time.sleep(SETTLE_TIME_S)
         new = OtherGateway(self.site, "gateway-4", self.site.store, self.other.peers, "south")
-        self.site.wait_until("the new one is ready", new.ready)
+        self.site.wait_until("the new gateway is ready", new.ready)
         self.callers.entries[:] = [new.entry]
         self.check_gets_nothing()
 
--- a/test/process/residency_test.py
+++ b/test/process/residency_test.py
@@ -1,9 +1,7 @@
-"""A request of a route or a client account that names regions goes to no upstream of another region.
+"""Checks that requests of a route or client account with allowed regions go only to upstreams in them.
 
-Seen: read in the code: nothing read the regions that routes and client accounts name, so their requests went to
-whichever upstream was best.
-
-Proved by: `attempt.started` names the hall of the upstream of each attempt.
+The failure: gateways do not read the allowed regions of routes and client accounts and send requests to
+the best upstream of any region. The log line `attempt.started` names the hall of each attempt.
 """
 
 import os
@@ -20,11 +18,11 @@
 
 class ResidencyTest(unittest.TestCase):
     def setUp(self):
-        # The nearer upstreams, of the gateway's own hall, are in the region that is not allowed.
+        # The upstream in the gateway's own hall is nearest but lies outside the allowed region.
         self.site = GatewaySite(upstreams=3, **{"hall-regions": "north:centre,south:coast,west:coast"})
         self.addCleanup(self.site.__exit__)
         self.site.list_upstream("i-2", zone="south")
-        self.site.list_upstream("i-3", zone="elsewhere")  # Of a hall whose region is not known.
+        self.site.list_upstream("i-3", zone="elsewhere")  # The region of this hall is unknown.
         self.version = 1
 
     def publish(self, route_regions=None, account_regions=None):
@@ -35,7 +33,8 @@
         for account in document["tenants"]:
             account.update({"allowed-regions": account_regions} if account_regions is not None else {})
         control(self.site.store, {"put": {"op/config": document}})
-        self.site.wait_until("it is in force", lambda: self.site.status()["configVersion"] == self.version)
+        self.site.wait_until("the configuration is in force",
+                             lambda: self.site.status()["configVersion"] == self.version)
 
     def runs_by_upstream(self):
         return {name: self.site.runs_at(name) for name in self.site.upstreams}
