--- a/test/process/gateway_test.py
+++ b/test/process/gateway_test.py
@@ -1,7 +1,7 @@
-"""The gateway as a process between stand-ins of the platform's store and upstreams.
+"""Tests of the gateway as a process, with stand-ins for the platform's store and the upstreams.
 
-Each test brings a failure about from outside and judges by what callers and upstreams see. Waits are
-bounded but generous, and no verdict depends on how long a thing took.
+Each test injects a failure from outside and checks what callers and upstreams observe. Waits have
+generous bounds, and no check depends on durations.
 """
 
 import itertools
@@ -32,10 +32,10 @@
 
 
 class GatewaySite:
-    """A store, upstreams and one gateway on loopback."""
+    """Runs a store, upstreams and one gateway on loopback."""
 
     def __init__(self, upstreams=2, **more):
-        """`more` holds settings of the gateway, by name."""
+        """`more` holds further gateway settings by name."""
         self.log = tempfile.NamedTemporaryFile("w+", suffix=".log")
         self.processes = []
         self.store = free_address()
@@ -76,7 +76,7 @@
         control(self.store, {"put": {"op/config": routing(version, keys)}})
 
     def list_upstream(self, name, phase="ready", **more):
-        """`more` holds further fields of the entry, by name."""
+        """`more` holds further fields of the entry by name."""
         entry = {"service": "portal", "address": self.upstreams[name], "zone": "north",
                  "capacity": 6, "phase": phase, **more}
         control(self.store, {"put": {f"servers/{name}": entry}})
@@ -90,7 +90,7 @@
             if check():
                 return
             time.sleep(0.02)
-        raise RuntimeError(f"waited {seconds} s in vain for: {condition}")
+        raise RuntimeError(f"timed out after {seconds} s waiting for: {condition}")
 
     def ask(self, path, body="x", key=KEY, timeout=10, method="POST"):
         headers = {"Host": "site.example", "Seamarch-Request-Id": f"r-{next(_numbers)}"}
@@ -137,7 +137,7 @@
             self.assertEqual(headers["Seamarch-Outcome"], "unknown")
             self.assertEqual(len(site.runs()), 1)
 
-    # An upstream refuses with the same status when it is another instance than the one that is meant.
+    # An upstream refuses with the same status if it is not the expected instance.
     def test_request_that_expects_other_weights_does_not_put_its_upstream_aside(self):
         with GatewaySite() as site:
             first = "i-1" if site.ask("/letters/1") and site.runs_at("i-1") else "i-2"
@@ -147,12 +147,13 @@
             headers = {"Host": "site.example", "Seamarch-Request-Id": "v-1", "Seamarch-Expect-Version": "2",
                        "Authorization": f"Token {KEY}"}
             self.assertEqual(call(site.entry, "/letters/1", "x", headers, 10, "POST")[0], 200)
-            self.assertEqual(site.runs_at(other), 1, "the other one did not run it; the test shows nothing")
+            self.assertEqual(site.runs_at(other), 1,
+                             "the other upstream did not run the request; the test is inconclusive")
             before = site.runs_at(first)
             for _ in range(3):
                 self.assertEqual(site.ask("/letters/1")[0], 200)
             self.assertGreater(site.runs_at(first), before, f"{first} refused a request that expects other weights "
-                               "and is passed over by all others")
+                               "and gets no other requests either")
 
     def test_full_upstreams_are_not_run_and_say_when_to_come_back(self):
         with GatewaySite() as site:
@@ -173,7 +174,7 @@
     def test_failed_safe_request_is_served_by_another(self):
         with GatewaySite() as site:
             control(site.upstreams["i-1"], {"fail": True})
-            site.wait_until("the failing one was asked", lambda: self.ask_and_evaluate(
+            site.wait_until("the failing upstream got a request", lambda: self.ask_and_evaluate(
                 site, lambda: control(site.upstreams["i-1"], {})["runs"]))
 
     def ask_and_evaluate(self, site, seen):
@@ -189,12 +190,12 @@
             def taken_up():
                 self.assertEqual(site.ask("/stream/1")[2], whole)
                 return "4" in {run["resumeAfter"] for run in site.runs()}
-            site.wait_until("a stream was taken up", taken_up)
+            site.wait_until("a stream was resumed", taken_up)
 
     def test_leaving_upstream_gets_nothing_new(self):
         with GatewaySite() as site:
             site.list_upstream("i-1", "draining")
-            site.wait_until("the change is known", lambda: "upstream.listed" in site.events())
+            site.wait_until("the gateway has read the change", lambda: "upstream.listed" in site.events())
             for _ in range(10):
                 self.assertEqual(site.ask("/letters/1")[0], 200)
             self.assertEqual(control(site.upstreams["i-1"], {})["runs"], [])
@@ -240,7 +241,7 @@
         with GatewaySite(upstreams=1) as site:
             site.set_all(delayMs=3000)
             self.assertEqual(site.ask("/letters/1", timeout=0.5)[0], 0)
-            site.wait_until("the upstream saw it",
+            site.wait_until("the upstream saw the disconnect",
                             lambda: control(site.upstreams["i-1"], {})["left"] == 1)
 
     def test_planned_stop_cuts_nothing_off(self):
@@ -253,7 +254,7 @@
                 thread.start()
             site.wait_until("streams run", lambda: site.status()["inFlight"] == 4)
             site.gateway.send(signal.SIGTERM)
-            site.wait_until("not ready", lambda: call(site.operators, "/readyz")[0] == 503)
+            site.wait_until("the gateway is not ready", lambda: call(site.operators, "/readyz")[0] == 503)
             for thread in threads:
                 thread.join()
             self.assertEqual([text.count("data:") for text in results], [10] * 4)
--- a/test/process/gatewaysharing_test.py
+++ b/test/process/gatewaysharing_test.py
@@ -1,6 +1,6 @@
-"""Several gateways as processes: what one hears from the store reaches the others.
+"""Tests of several gateway processes: information that one gateway gets from the store reaches the others.
 
-Each test brings a failure about from outside and judges by what callers see and gateways report.
+Each test injects a failure from outside and checks what callers observe and what gateways report.
 """
 
 import itertools
@@ -19,7 +19,7 @@
 
 
 class OtherGateway:
-    """A gateway more at a site. `store` is where it looks for the store."""
+    """An additional gateway of a site that uses the store at address `store`."""
 
     def __init__(self, site, name, store, seeds, hall="north"):
         self.entry, self.operators, self.peers = (free_address() for _ in range(3))
@@ -74,7 +74,7 @@
             for _ in range(6):
                 self.assertEqual(cut_off.ask(), 200)
             return self.runs_at("i-1") == before
-        self.site.wait_until("the leaving upstream gets nothing", spared)
+        self.site.wait_until("the leaving upstream gets no requests", spared)
 
     def runs_at(self, name):
         return len(control(self.site.upstreams[name], {})["runs"])
@@ -87,7 +87,7 @@
             return [state["instance"] for state in states if state["followsStore"]]
         self.site.wait_until("one follows the store", lambda: len(followers()) == 1)
 
-    # When a site starts, each gateway knows of nobody else and would take itself for the first.
+    # At the start of a site, each gateway knows no peers and would elect itself to follow the store.
     def test_new_gateway_does_not_follow_the_store_before_it_knows_the_others(self):
         new = self.other("gateway-2")
         for _ in range(10):
@@ -118,8 +118,8 @@
         self.site.wait_until("one follows the store", lambda: sum(
             state["followsStore"] for state in
             [self.site.status()] + [other.status() for other in followers]) == 1)
-        # A new gateway follows a seed for three seconds, and then perhaps the store. Each has the
-        # list of the one that it follows by then.
+        # A new gateway follows a seed for 3 s and may then follow the store. After that, each has the list
+        # of the peer that it follows.
         time.sleep(4.5)
         before = self.site.events().count("upstreams.adopted")
         time.sleep(3)
@@ -129,7 +129,7 @@
         cut_off = self.other("gateway-2", store=free_address())
         control(self.site.store, {"silent": True})
         self.site.wait_until("keys are refused", lambda: cut_off.ask() == 503)
-        self.site.wait_until("it is not ready", lambda: not cut_off.ready())
+        self.site.wait_until("the gateway is not ready", lambda: not cut_off.ready())
 
 
 if __name__ == "__main__":
--- a/test/process/process_test.py
+++ b/test/process/process_test.py
@@ -1,6 +1,6 @@
-"""Whole processes under kill, pause, planned stop, stale configuration and platform loss.
+"""Tests of whole processes under kill, pause, planned stop, stale configuration and platform loss.
 
-Waits are bounded but generous, and no verdict depends on how long a thing took.
+Waits have generous bounds, and no check depends on durations.
 """
 
 import json
@@ -53,7 +53,7 @@
 
 
 class Stream(threading.Thread):
-    """Reads a streamed answer to its end in the background."""
+    """Reads a streamed answer to its end on its own thread."""
 
     def __init__(self, entry, tokens, prompt="tender 7"):
         super().__init__()
@@ -70,7 +70,7 @@
                 for line in answer:
                     self.text += line.decode()
                     self.started.set()
-        except Exception as error:  # Any break of the connection.
+        except Exception as error:  # The connection broke.
             self.error = error
         self.started.set()
 
@@ -293,7 +293,7 @@
             for path, body, headers, status, code in cases:
                 answer = call(entry, path, body, headers)
                 if answer[0] == 0 and status == 413:
-                    continue  # The server closed while the client was still sending.
+                    continue  # The server closed the connection while the client was sending.
                 self.assertEqual((answer[0], code_of(answer[2])), (status, code), body[:60])
                 self.assertEqual(answer[1]["Seamarch-Outcome"], "not-run")
 
@@ -319,7 +319,7 @@
             upstream = site.upstreams["bid-1"]
             site.control(upstream, {"stepMs": 1})
             before = {name: resident_mb(site, name) for name in ("entry-1", "bid-1")}
-            # Each token comes as an event of 8 KB; the caller reads none of the 50 MB.
+            # Each token is an 8 KB event; the caller reads none of the 50 MB.
             body = chat(10000, True, "x" * 8192)
             with socket.create_connection(tuple(site.entries["entry-1"].split(":"))) as caller:
                 head = (f"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: "
