--- a/test/process/leavingupstream_test.py
+++ b/test/process/leavingupstream_test.py
@@ -1,8 +1,8 @@
-"""An upstream that says in its answers that it leaves gets nothing new.
+"""Checks that an upstream which announces in its answers that it is leaving gets no new requests.
 
-Looked for beside upstreams that ask for rest (restingupstream_test.py): another word of an upstream about
-itself in the head of its answers. The gateways knew that an upstream leaves from the store alone, and with
-the store away, behind, or back with an older list they sent on to one that had told them so itself.
+The failure: gateways learn only from the store that an upstream is leaving. If the store is unreachable,
+behind, or restored with an older list, they keep sending to an upstream that has announced in its own
+answers that it leaves.
 """
 
 import os
@@ -16,7 +16,7 @@
 from localsite import control, free_address  # noqa: E402
 from restingupstream_test import Callers  # noqa: E402
 
-DRAIN_TIME_S = 2.0  # Seconds in which what was under way may still arrive.
+DRAIN_TIME_S = 2.0  # Time in which requests already in flight may arrive.
 
 
 class LeavingUpstreamTest(unittest.TestCase):
@@ -40,8 +40,8 @@
         before = self.arrivals(name)
         time.sleep(seconds)
         found = self.arrivals(name) - before
-        self.assertEqual(found, 0, f"{name} has said that it leaves and got {found} requests later than {DRAIN_TIME_S} s "
-                         "after that; see `upstream.notice` in the gateway's log")
+        self.assertEqual(found, 0, f"{name} announced that it leaves and got {found} requests later than "
+                         f"{DRAIN_TIME_S} s after that; see `upstream.notice` in the gateway's log")
 
     def check_served(self):
         self.callers.stop()
@@ -92,14 +92,14 @@
         control(self.site.upstreams["i-1"], {"leaving": False})
         self.site.list_upstream("i-1", born=2000)
         before = self.arrivals("i-1")
-        self.site.wait_until("the new start gets requests", lambda: self.arrivals("i-1") > before, 3)
+        self.site.wait_until("the restarted upstream gets requests", lambda: self.arrivals("i-1") > before, 3)
         self.check_served()
 
     def test_word_holds_at_a_gateway_that_adopts_lists_of_another(self):
         seed = free_address()
         with GatewaySite(upstreams=3, **{"peer-listen": seed, "seeds": seed}) as site:
             other = OtherGateway(site, "gateway-2", site.store, seed)
-            site.wait_until("the other is ready", other.ready)
+            site.wait_until("the other gateway is ready", other.ready)
             self.callers = Callers([site.entry, other.entry])
             time.sleep(0.3)
             control(site.upstreams["i-1"], {"leaving": True})
@@ -113,7 +113,7 @@
             time.sleep(1.0)
             found = len(control(site.upstreams["i-1"], {})["arrivals"]) - before
             self.callers.stop()
-            self.assertEqual(found, 0, f"expected nothing new at an upstream that both know to leave, found {found}")
+            self.assertEqual(found, 0, f"expected no new requests at a leaving upstream that both know, found {found}")
 
 
 if __name__ == "__main__":
--- a/test/process/limitedupstream_test.py
+++ b/test/process/limitedupstream_test.py
@@ -1,17 +1,11 @@
-"""An upstream that names a limit gets no more than that from all gateways together.
+"""Checks that all gateways together stay within the rate limit that an upstream announces.
 
-Seen: engines said in their answers that they take one request a second from all gateways together, and got
-13 to 16 in 4 s from gateways that had passed on such an answer. All of these requests were served.
+The failure: gateways do not read the limit in an upstream's answers, and each accounts for its own
+requests only. An overloaded engine that announces a limit of one request per second for all gateways
+together gets 13 to 16 requests in 4 s from the gateways of its hall and sometimes one of another: no
+gateway alone sends more than 1.7 per second, but together they send three times the limit.
 
-How it came about: an engine in need names its limit. Three gateways of its hall, and now and then one of
-another, went on to send to it at the pace of before: none of them alone more than 1.7 a second, all together
-three times what the engine had named.
-
-Cause: no gateway read the word. What an upstream says of itself to everybody was nobody's to keep: each
-gateway went by its own requests alone.
-
-Proved by: the gateways' logs show the word in the answers (`upstream.notice`) and the next requests to the same
-upstream as soon after it as before, of every kind, at each gateway.
+The log line `upstream.notice` records the announcement, and `attempt.started` the later requests.
 """
 
 import os
@@ -31,7 +25,7 @@
 
 
 def max_requests_in_window(arrivals, since):
-    """Returns the most requests that came within a span that ends `SETTLE_TIME_S` after `since` or later."""
+    """Returns the maximum number of requests in any window that ends `SETTLE_TIME_S` after `since` or later."""
     times = [arrival["ms"] / 1000 for arrival in arrivals]
     return max([sum(1 for each in times if end - WINDOW_S < each <= end and each > since + 0.5)
                 for end in times if end >= since + SETTLE_TIME_S], default=0)
@@ -49,7 +43,7 @@
         self.gateways = [OtherGateway(self.site, f"gateway-{number}", self.site.store, seed,
                                       "north" if number % 2 else "south") for number in (2, 3, 4)]
         for gateway in self.gateways:
-            self.site.wait_until("the other is ready", gateway.ready)
+            self.site.wait_until("the other gateways are ready", gateway.ready)
         self.callers = None
         self.addCleanup(lambda: self.callers and self.callers.stop())
 
@@ -58,7 +52,7 @@
         time.sleep(1)
 
     def limit(self, names, limit):
-        """Has upstreams name `limit` from now on; returns when, by their clock."""
+        """Makes upstreams announce `limit` and returns the time in seconds by their clock."""
         for name in names:
             control(self.site.upstreams[name], {"limit": str(limit)})
         return control(self.site.upstreams[names[0]], {})["nowMs"] / 1000
@@ -68,7 +62,7 @@
 
     def check_kept(self, name, limit, since):
         found = max_requests_in_window(self.arrivals(name), since)
-        self.assertLessEqual(found, allowed(limit), f"{name} named a limit of {limit} a second and got {found} "
+        self.assertLessEqual(found, allowed(limit), f"{name} announced a limit of {limit} requests/s and got {found} "
                              f"requests in {WINDOW_S:.0f} s; see `upstream.notice` in the gateways' logs")
 
     def check_served(self, since, part=0.95):
@@ -87,7 +81,7 @@
         self.check_served(begun)
 
     def test_limited_upstream_is_not_given_up(self):
-        """What it still takes is worth having: at least half of it is used."""
+        """Gateways use at least half of the rate that a limited upstream announces."""
         self.begin()
         since = self.limit(["i-1", "i-2"], 3)
         time.sleep(10)
@@ -95,7 +89,7 @@
         for name in ("i-1", "i-2"):
             self.check_kept(name, 3, since)
             used = [each for each in self.arrivals(name) if each["ms"] / 1000 > since + 2]
-            self.assertGreaterEqual(len(used), 0.5 * 3 * 8, f"expected {name} to get at least half of what it takes "
+            self.assertGreaterEqual(len(used), 0.5 * 3 * 8, f"expected {name} to get at least half of its limit "
                                     f"in 8 s, found {len(used)} requests")
 
     def test_limit_that_falls_binds_as_the_lower_one(self):
@@ -115,7 +109,7 @@
         time.sleep(4)
         self.callers.stop()
         late = [each for each in self.arrivals("i-1") if each["ms"] / 1000 > since + 2]
-        self.assertGreater(len(late), 20, f"expected its part of some 100 requests a second, found {len(late)} in 2 s")
+        self.assertGreater(len(late), 20, f"expected its share of about 100 requests/s, found {len(late)} in 2 s")
 
     def test_callers_are_served_up_to_the_limits_when_all_upstreams_name_one(self):
         self.begin()
@@ -130,16 +124,16 @@
         refused = [answer for answer in self.callers.answers if answer[0] > begun and answer[1] == 503]
         served = [answer for answer in self.callers.answers if answer[0] > begun and answer[1] == 200]
         self.assertGreaterEqual(len(served), 0.5 * 3 * len(names) * 8)
-        self.assertTrue(refused, "nobody was refused; the test shows nothing")
+        self.assertTrue(refused, "no request was refused; the test is inconclusive")
         self.assertTrue(all(answer[2].get("Seamarch-Outcome") == "not-run" and "Retry-After" in answer[2]
-                            for answer in refused), "expected each refusal to say not-run and when to come back")
+                            for answer in refused), "expected each refusal to say not-run and to have Retry-After")
 
     def test_limit_holds_when_a_gateway_starts_anew(self):
         self.begin()
         since = self.limit(["i-1"], 1)
         time.sleep(4)
         again = OtherGateway(self.site, "gateway-5", self.site.store, self.gateways[0].peers)
-        self.site.wait_until("the new one is ready", again.ready)
+        self.site.wait_until("the new gateway is ready", again.ready)
         self.callers.entries[:] = [again.entry if entry == self.gateways[1].entry else entry
                                    for entry in self.callers.entries]
         time.sleep(0.5)
--- a/test/process/warmup_test.py
+++ b/test/process/warmup_test.py
@@ -1,10 +1,8 @@
-"""An upstream that is warming up gets no more than it bears, from all gateways together.
+"""Checks that all gateways together stay within the warm-up rate of an upstream that is warming up.
 
-Seen: read in the code: nothing read how long an upstream still warms up, nor how many requests a second its
-service bears meanwhile.
-
-Proved by: `attempt.started` goes on at the pace of before at each gateway once an entry says that its upstream warms
-up; the upstream counts what arrives in each second.
+The failure: gateways read neither the remaining warm-up time of an upstream nor the warm-up rate of its
+service and keep sending at the previous rate (log line `attempt.started`). The upstream counts the
+requests that arrive in each second.
 """
 
 import os
@@ -19,8 +17,8 @@
 from restingupstream_test import Callers  # noqa: E402
 
 WARM_UP_RATE = 4
-MAX_REQUESTS_PER_SECOND = 1.5 * WARM_UP_RATE + 5  # In any second; the two other figures are the settings' defaults.
-SETTLE_TIME_S = 1.0                   # Seconds in which gateways hear of an entry.
+MAX_REQUESTS_PER_SECOND = 1.5 * WARM_UP_RATE + 5  # Uses the default warm-up factor and slack.
+SETTLE_TIME_S = 1.0                   # Time in which gateways learn of an entry.
 LONG_WARM_UP_MS = 60_000
 
 
@@ -36,15 +34,16 @@
         self.addCleanup(self.site.__exit__)
         self.gateways = [OtherGateway(self.site, f"gateway-{number}", self.site.store, seed,
                                       "north" if number % 2 else "south") for number in (2, 3, 4)]
-        # It hears of entries from the others alone.
+        # This gateway cannot reach the store and gets entries only from the others.
         self.gateways.append(OtherGateway(self.site, "gateway-5", free_address(), seed))
         for gateway in self.gateways:
-            self.site.wait_until("the other is ready", gateway.ready)
+            self.site.wait_until("the other gateways are ready", gateway.ready)
         document = routing(2)
         document["services"][0].update({"warmup-s": 60.0, "warmup-per-s": float(WARM_UP_RATE)})
         control(self.site.store, {"put": {"op/config": document}})
         for gateway in self.gateways:
-            self.site.wait_until("it is in force", lambda each=gateway: each.status()["configVersion"] == 2)
+            self.site.wait_until("the configuration is in force",
+                                 lambda each=gateway: each.status()["configVersion"] == 2)
         self.callers = Callers([self.site.entry] + [gateway.entry for gateway in self.gateways], count=8, pause=0.01)
         self.addCleanup(lambda: self.callers.stop())
         time.sleep(0.5)
@@ -63,7 +62,8 @@
 
     def check_borne(self, name, since):
         found = max_requests_in_second(self.arrivals(name), since)
-        self.assertLessEqual(found, MAX_REQUESTS_PER_SECOND, f"{name} warms up and got {found} requests in one second; see "
+        self.assertLessEqual(found, MAX_REQUESTS_PER_SECOND,
+                             f"{name} got {found} requests in one second of its warm-up; see "
                              "`attempt.started` and `permits.answered` in the gateways' logs")
 
     def test_bound_holds_for_all_gateways_together_and_others_serve(self):
@@ -86,10 +86,10 @@
             self.check_borne(name, since)
         answers = [answer for answer in self.callers.answers if answer[0] > begun]
         served = sum(1 for answer in answers if answer[1] == 200)
-        self.assertGreaterEqual(served, 4, "expected what upstreams bear to be used")
+        self.assertGreaterEqual(served, 4, "expected gateways to use the warm-up rate")
         refused = [answer for answer in answers if answer[1] == 503]
         self.assertTrue(all(answer[2].get("Seamarch-Outcome") == "not-run" and "Retry-After" in answer[2]
-                            for answer in refused), "expected each refusal to say not-run and when to come back")
+                            for answer in refused), "expected each refusal to say not-run and to have Retry-After")
 
     def test_upstream_that_warms_up_again_is_bound_again_and_one_that_is_warm_gets_its_part(self):
         self.warm_up(["i-1"], 300)
@@ -97,7 +97,8 @@
         before = len(self.arrivals("i-1"))
         time.sleep(2)
         found = len(self.arrivals("i-1")) - before
-        self.assertGreater(found, 2 * MAX_REQUESTS_PER_SECOND, f"expected its part of what is asked, found {found} requests in 2 s")
+        self.assertGreater(found, 2 * MAX_REQUESTS_PER_SECOND,
+                           f"expected its share of the load, found {found} requests in 2 s")
         since = self.warm_up(["i-1"])
         time.sleep(2)
         self.check_borne("i-1", since)
@@ -109,7 +110,7 @@
     def test_gateway_that_starts_meanwhile_keeps_the_bound(self):
         since = self.warm_up(["i-1"])
         new = OtherGateway(self.site, "gateway-6", self.site.store, self.gateways[0].peers)
-        self.site.wait_until("the new one is ready", new.ready)
+        self.site.wait_until("the new gateway is ready", new.ready)
         self.callers.entries[:] = [new.entry] + self.callers.entries
         time.sleep(3)
         self.check_borne("i-1", since)
