--- a/test/process/restingservice_test.py
+++ b/test/process/restingservice_test.py
@@ -1,8 +1,8 @@
-"""An upstream that asks its agent for rest gets rest from it.
+"""Checks that an agent observes the Retry-After time of its upstream.
 
-The same fault as in restingupstream_test.py, looked for where agents stand before upstreams: an agent
-handed a refusal to the caller as any other answer, kept nothing of the time that the upstream had asked
-for, and started the next request there at once, whoever had sent it.
+The failure: an agent passes a refusal on to the caller without recording the Retry-After time and starts
+the next request at the upstream at once, whoever sent it. restingupstream_test.py covers the same failure
+at gateways.
 """
 
 import os
@@ -15,9 +15,9 @@
 from process_test import AUTH, QUICK_AGENT, QUICK_ENTRY  # noqa: E402
 from localsite import Site, call, control  # noqa: E402
 
-RETRY_AFTER_S = 2.0       # Seconds that the upstream asks for.
-IN_FLIGHT_S = 0.5  # Seconds in which requests that were under way may still arrive.
-MAX_LATE_REQUESTS = 2        # Requests that may arrive after that in one rest.
+RETRY_AFTER_S = 2.0       # Value of the upstream's Retry-After header.
+IN_FLIGHT_S = 0.5  # Time in which requests already in flight may arrive.
+MAX_LATE_REQUESTS = 2        # Requests that may arrive in the rest of the Retry-After time.
 
 
 class RestingServiceTest(unittest.TestCase):
@@ -61,12 +61,13 @@
         self.stopped = True
         for caller in callers:
             caller.join()
-        self.assertTrue(refused, "it turned nothing away; the test shows nothing")
+        self.assertTrue(refused, "the upstream refused no request; the test is inconclusive")
         found = max(sum(1 for ms in refused if first + 1000 * IN_FLIGHT_S < ms < first + 1000 * RETRY_AFTER_S)
                     for first in refused)
-        self.assertLessEqual(found, MAX_LATE_REQUESTS, f"it asked for {RETRY_AFTER_S} s of rest and got {found} requests later than "
+        self.assertLessEqual(found, MAX_LATE_REQUESTS,
+                             f"the upstream asked for {RETRY_AFTER_S} s and got {found} requests later than "
                              f"{IN_FLIGHT_S} s after that")
-        self.assertGreater(again, runs, "expected it to get requests again after its rest, found none")
+        self.assertGreater(again, runs, "expected requests after the Retry-After time, found none")
         failed = [answer for answer in self.answers if answer[0] > served_from and answer[1] != 200]
         self.assertLessEqual(len(failed), len(self.answers) // 20, failed[:3])
 
--- a/test/process/restingupstream_test.py
+++ b/test/process/restingupstream_test.py
@@ -1,18 +1,13 @@
-"""An upstream that asks a gateway for rest gets rest from it.
+"""Checks that a gateway observes the Retry-After time of an upstream.
 
-Seen: engines turned requests away with 503 and asked for three seconds of rest, and the gateways that
-they had asked sent them four to ten requests more in that time. A fifth to a third of the model's
-requests were refused meanwhile, though two thirds of the engines were well.
+The failure: a gateway learns from a 503 only that the request did not run, ignores Retry-After and skips
+every upstream that refuses for the same 150 ms. An overloaded engine has the fewest requests in flight,
+so it is again the first choice for first and second attempts. Four of twelve engines that shed load for
+8 s and asked for 3 s each got four to ten more requests in that time. A fifth to a third of the model's
+requests were refused, although two thirds of the engines were healthy.
 
-How it came about: four of twelve engines shed load for eight seconds. Each time one turned a request
-away, its gateway passed it over for a moment and then sent it the next one, at first tries and second
-ones alike; the engine had the fewest requests in flight, so it was the first choice each time.
-
-Cause: a gateway read from such an answer that the request had not run, and not what the upstream asked
-for itself. It passed over every upstream that refused for the same 150 ms, whatever that had said.
-
-Proved by: the log line `upstream.notice` shows the wish for 3 s, and the next `attempt.started` to the
-same upstream follows 0.15 to 0.19 s later, first and second ones alike, each time.
+The log line `upstream.notice` records the 3 s; without the fix, the next `attempt.started` to the same
+upstream follows 0.15 to 0.19 s later.
 """
 
 import os
@@ -26,22 +21,22 @@
 from gatewaysharing_test import OtherGateway  # noqa: E402
 from localsite import call, control, free_address  # noqa: E402
 
-RETRY_AFTER_S = 3.0          # Seconds that upstreams ask for.
-IN_FLIGHT_S = 0.5     # Seconds in which requests that were under way may still arrive.
-MAX_LATE_REQUESTS = 2           # Requests that may arrive after that in one rest.
+RETRY_AFTER_S = 3.0          # Value of the upstreams' Retry-After header.
+IN_FLIGHT_S = 0.5     # Time in which requests already in flight may arrive.
+MAX_LATE_REQUESTS = 2           # Requests that may arrive in the rest of the Retry-After time.
 PATHS = ("/letters/1", "/status/1", "/stream/1")
 
 
 def arrivals_in_rests(arrivals, rest=RETRY_AFTER_S):
-    """Returns, for the refusal followed by the most, how many requests came between half a second after
-    it and the end of the rest that it asked for."""
+    """Returns the maximum over all refusals of the number of requests that arrived later than
+    `IN_FLIGHT_S` after the refusal but within its Retry-After time."""
     refusals = [arrival["ms"] for arrival in arrivals if arrival["refused"]]
     return max([sum(1 for arrival in arrivals if refused + 1000 * IN_FLIGHT_S < arrival["ms"] < refused + 1000 * rest)
                 for refused in refusals], default=0)
 
 
 class Callers:
-    """Callers that ask all the time, each request under an id of its own."""
+    """Threads that send requests continuously, each request with a new id."""
 
     def __init__(self, entries, count=6, pause=0.04):
         self.entries, self.pause, self.stopped, self.answers = entries, pause, False, []
@@ -85,9 +80,10 @@
         for name in names:
             arrivals = control(self.site.upstreams[name], {})["arrivals"]
             self.assertTrue(any(arrival["refused"] for arrival in arrivals),
-                            f"{name} turned nothing away; the test shows nothing")
+                            f"{name} refused no request; the test is inconclusive")
             found = arrivals_in_rests(arrivals, rest)
-            self.assertLessEqual(found, MAX_LATE_REQUESTS, f"{name} asked for {rest} s of rest and got {found} requests later "
+            self.assertLessEqual(found, MAX_LATE_REQUESTS,
+                                 f"{name} sent a Retry-After of {rest} s and got {found} requests later "
                                  f"than {IN_FLIGHT_S} s after that; see `upstream.notice` in the gateway's log")
 
     def test_upstreams_that_ask_for_rest_get_it_and_the_others_serve(self):
@@ -113,9 +109,9 @@
         self.check_rested(self.site.upstreams)
         told = [float(answer[2]["Retry-After"]) for answer in self.callers.answers
                 if answer[1] == 503 and asked < answer[0] < asked + 1]
-        self.assertTrue(told, "nobody was refused with a time to come back; the test shows nothing")
-        self.assertGreater(min(told), 1.0, "expected each caller in this second to hear of the 1.5 to 3 s that are "
-                           f"left, found {told}")
+        self.assertTrue(told, "no refusal had a Retry-After time; the test is inconclusive")
+        self.assertGreater(min(told), 1.0, "expected each refusal in this second to name the remaining 1.5 to 3 s, "
+                           f"found {told}")
 
     def test_rest_outlives_a_new_list_a_new_configuration_and_the_stores_absence(self):
         self.begin()
@@ -141,13 +137,13 @@
         self.check_rested(["i-1"], 1.9)
 
     def test_wish_that_is_no_time_is_no_rest(self):
-        """Nothing is lost by it: the upstream is passed over for a moment, as one without room."""
+        """The gateway skips the upstream for a moment, as it does for any upstream that is full."""
         self.begin()
         self.shed(["i-1"], "soon")
         time.sleep(1)
         control(self.site.upstreams["i-1"], {"full": False})
         before = len(self.site.runs())
-        self.site.wait_until("it gets requests again", lambda: len(
+        self.site.wait_until("the upstream gets requests again", lambda: len(
             control(self.site.upstreams["i-1"], {})["runs"]) > 0 and len(self.site.runs()) > before, 3)
         self.callers.stop()
         self.assertIn("upstream.notice", self.site.events())
@@ -158,15 +154,15 @@
         time.sleep(0.5)
         control(self.site.upstreams["i-1"], {"full": False})
         runs = len(control(self.site.upstreams["i-1"], {})["runs"])
-        self.site.wait_until("it runs requests again",
+        self.site.wait_until("the upstream runs requests again",
                              lambda: len(control(self.site.upstreams["i-1"], {})["runs"]) > runs, RETRY_AFTER_S + 2)
         self.callers.stop()
         self.check_rested(["i-1"])
 
     def test_another_gateway_that_was_not_asked_may_send(self):
-        """Each gateway is asked by itself; one that was not has no reason to hold back."""
+        """A Retry-After time binds only the gateway that received it."""
         other = OtherGateway(self.site, "gateway-2", self.site.store, free_address())
-        self.site.wait_until("the other is ready", other.ready)
+        self.site.wait_until("the other gateway is ready", other.ready)
         self.begin()
         self.shed(["i-1", "i-2", "i-3", "i-4"])
         time.sleep(0.5)
