--- a/test/process/storewentback_test.py
+++ b/test/process/storewentback_test.py
@@ -1,8 +1,9 @@
-"""The store comes back from a copy that is some seconds old.
+"""Checks that gateways handle a store that is restored from a copy that is some seconds old.
 
-What was written since is gone, revisions are given out again, and the operators and upstreams write again. A
-gateway must neither miss what is written below the revision that it had, nor take back what it has acknowledged:
-a revoked key stays dead, an upstream that was leaving or gone gets nothing, though the copy says otherwise.
+The restored store lacks later writes and assigns their revisions again, while operators and upstreams
+write their entries again. A gateway must not miss writes below the revision that it had, and must not
+revert what it has acknowledged: a revoked key stays revoked, and an upstream that was leaving or gone gets
+no requests, even if the copy says otherwise.
 """
 
 import os
@@ -15,7 +16,7 @@
 from gatewaysharing_test import OtherGateway  # noqa: E402
 from localsite import control, free_address  # noqa: E402
 
-CONFIG_DEADLINE_S = 2.0  # Seconds in which a configuration comes into force everywhere.
+CONFIG_DEADLINE_S = 2.0  # Time in which a configuration comes into force everywhere.
 
 
 class StoreWentBackTest(unittest.TestCase):
@@ -32,7 +33,7 @@
         return self.site.status()["configVersion"]
 
     def go_back(self):
-        """Away for a moment, then back with the copy."""
+        """Makes the store refuse requests for 0.2 s and then reverts it to its copy."""
         self.store(busy=True)
         time.sleep(0.2)
         self.store(goBack=True)
@@ -59,7 +60,7 @@
 
     def test_gateway_that_follows_another_hears_of_it_too(self):
         other = OtherGateway(self.site, "gateway-2", self.site.store, self.seed)
-        self.site.wait_until("the other is ready", other.ready)
+        self.site.wait_until("the other gateway is ready", other.ready)
         self.store(copy=True)
         for capacity in range(7, 27):
             self.site.list_upstream("i-1", capacity=capacity)
@@ -68,7 +69,7 @@
         self.store(busy=False)
         time.sleep(0.5)
         self.site.publish(2, ("new",))
-        self.site.wait_until("it is in force at both", lambda: self.version() == 2
+        self.site.wait_until("the configuration is in force at both gateways", lambda: self.version() == 2
                              and other.status()["configVersion"] == 2, CONFIG_DEADLINE_S)
         self.assertEqual(other.ask("new"), 200)
 
@@ -91,7 +92,7 @@
         self.go_back()
         self.store(busy=False)
         other = OtherGateway(self.site, "gateway-2", self.site.store, self.seed, hall="south")
-        self.site.wait_until("it is ready", other.ready)
+        self.site.wait_until("the new gateway is ready", other.ready)
         self.assertEqual(other.ask(KEY), 401)
         self.assertEqual(other.ask("new"), 200)
 
@@ -99,7 +100,8 @@
         before = self.arrivals(name)
         self.assertEqual(set(self.ask_many()), {200})
         found = self.arrivals(name) - before
-        self.assertEqual(found, 0, f"{name} was acknowledged as leaving or gone and got {found} requests")
+        self.assertEqual(found, 0,
+                         f"the gateway had acknowledged that {name} was leaving or gone, and {name} got {found} requests")
 
     def test_upstream_that_was_leaving_gets_nothing_though_the_copy_says_ready(self):
         self.store(copy=True)
@@ -120,9 +122,10 @@
         self.check_gets_nothing("i-1")
         self.store(remove=["servers/i-1"])
         time.sleep(0.5)
-        self.site.list_upstream("i-1")  # It lives after all, and writes its entry anew.
+        self.site.list_upstream("i-1")  # The upstream is alive and writes its entry again.
         before = self.arrivals("i-1")
-        self.site.wait_until("it gets requests", lambda: self.ask_many(6) and self.arrivals("i-1") > before, 5)
+        self.site.wait_until("the upstream gets requests",
+                             lambda: self.ask_many(6) and self.arrivals("i-1") > before, 5)
 
     def test_living_upstream_that_the_copy_lacks_is_kept_until_it_has_written_again(self):
         self.store(remove=["servers/i-1", "servers/i-2", "servers/i-3"])
@@ -130,7 +133,7 @@
         self.store(copy=True)
         for name in self.site.upstreams:
             self.site.list_upstream(name)
-        self.site.wait_until("all are listed", lambda: self.ask_many(1) == [200])
+        self.site.wait_until("the upstreams are listed", lambda: self.ask_many(1) == [200])
         self.go_back()
         self.store(busy=False)
         until = time.monotonic() + 1.0
