--- a/test/clients/openai_test.mjs
+++ b/test/clients/openai_test.mjs
@@ -1,4 +1,4 @@
-// The npm package `openai`, unchanged, pointed at an entry. Usage: openai_test.mjs ADDRESS KEY
+// Tests that the unmodified npm package `openai` works with an entry. Usage: openai_test.mjs ADDRESS KEY
 import assert from "node:assert";
 import OpenAI from "openai";
 
--- a/test/process/knownred_test.py
+++ b/test/process/knownred_test.py
@@ -1,4 +1,4 @@
-"""scripts/run-tests passes over the tests that are known to be red, and over nothing else."""
+"""Checks that scripts/run-tests tolerates failures of the tests in KNOWN-RED.txt and no others."""
 
 import os
 import subprocess
@@ -10,7 +10,7 @@
 
 class KnownRedTest(unittest.TestCase):
     def run_tests(self, lines, **tests):
-        """Runs a build that has `tests`, by name, each the command of a test."""
+        """Runs the script on a build with `tests` (name to command) and returns its status and output."""
         with tempfile.TemporaryDirectory() as folder:
             with open(os.path.join(folder, "CTestTestfile.cmake"), "w", encoding="utf-8") as file:
                 file.writelines(f'add_test({name} "{command}")\n' for name, command in tests.items())
--- a/test/process/options_test.sh
+++ b/test/process/options_test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Every option that the daemon's help lists is one that the daemon takes, in every role.
+# Checks that the daemon accepts every option that its help lists, in every role.
 set -euo pipefail
 daemon=$1
 options=$("$daemon" --help | grep -oE '^  --[a-z-]+ [A-Z]+' | tr -s ' ' | cut -d' ' -f2)
@@ -9,7 +9,7 @@
         got=$("$daemon" "$role" "$option" 5 --check-settings 2>&1 || true)
         case "$got" in
             *"not a unique prefix"* | *"Unexpected argument"*)
-                echo "expected $role to take $option as --help says, found: ${got%%$'\n'*}"
+                echo "expected $role to accept $option as --help says, found: ${got%%$'\n'*}"
                 exit 1 ;;
         esac
     done
--- a/test/process/regression_test.py
+++ b/test/process/regression_test.py
@@ -1,4 +1,4 @@
-"""The regression script, against entries that this test writes: no bench is needed."""
+"""Tests of scripts/regression.py with generated journal entries; the benchmark program is not needed."""
 
 import contextlib
 import io
@@ -31,7 +31,7 @@
         regression.FIGURES = self.figures
 
     def run_with(self, *arguments):
-        """Returns the exit status and what was printed."""
+        """Returns the exit status and the printed output."""
         self.addCleanup(setattr, sys, "argv", sys.argv)
         sys.argv = ["regression", *map(str, arguments)]
         output = io.StringIO()
--- a/test/process/tool_test.sh
+++ b/test/process/tool_test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The operators' tool from validation to the document to publish, with its exit statuses.
+# Tests the operators' tool from validating a document to producing the one to publish, and its exit
+# statuses.
 set -euo pipefail
 tool=$1
 work=$(mktemp -d)
