--- a/soak/soak.py
+++ b/soak/soak.py
@@ -472,7 +472,7 @@
         for request in self.requests:
             self.check_request(request, runs.get(request.id, []))
         for name in self.site.upstreams:
-            self.check_rests(name, known)
+            self.check_retry_after(name, known)
         for named in self.limits:
             self.check_limit(*named, known)
         for warm_up in self.warm_ups:
@@ -482,7 +482,7 @@
             self.fail(f"only {served} of {len(self.requests)} requests were served")
         self.served = served
 
-    def check_rests(self, name, known):
+    def check_retry_after(self, name, known):
         """Checks that each gateway observed the Retry-After times of upstream `name`, except during
         disturbances."""
         state = control(self.site.upstreams[name], {})
