--- a/test/process/restingupstream_test.py
+++ b/test/process/restingupstream_test.py
@@ -27,7 +27,7 @@
 PATHS = ("/letters/1", "/status/1", "/stream/1")
 
 
-def arrivals_in_rests(arrivals, rest=RETRY_AFTER_S):
+def max_arrivals_in_retry_after(arrivals, rest=RETRY_AFTER_S):
     """Returns the maximum over all refusals of the number of requests that arrived later than
     `IN_FLIGHT_S` after the refusal but within its Retry-After time."""
     refusals = [arrival["ms"] for arrival in arrivals if arrival["refused"]]
@@ -81,7 +81,7 @@
             arrivals = control(self.site.upstreams[name], {})["arrivals"]
             self.assertTrue(any(arrival["refused"] for arrival in arrivals),
                             f"{name} refused no request; the test is inconclusive")
-            found = arrivals_in_rests(arrivals, rest)
+            found = max_arrivals_in_retry_after(arrivals, rest)
             self.assertLessEqual(found, MAX_LATE_REQUESTS,
                                  f"{name} sent a Retry-After of {rest} s and got {found} requests later "
                                  f"than {IN_FLIGHT_S} s after that; see `upstream.notice` in the gateway's log")
