--- a/test/process/restingupstream_test.py
+++ b/test/process/restingupstream_test.py
@@ -76,7 +76,7 @@
         for name in names:
             control(self.site.upstreams[name], {"full": True, "rest": rest})
 
-    def check_rested(self, names, rest=RETRY_AFTER_S):
+    def check_retry_after_observed(self, names, rest=RETRY_AFTER_S):
         for name in names:
             arrivals = control(self.site.upstreams[name], {})["arrivals"]
             self.assertTrue(any(arrival["refused"] for arrival in arrivals),
@@ -93,7 +93,7 @@
         served_from = time.monotonic()
         time.sleep(2 * RETRY_AFTER_S)
         self.callers.stop()
-        self.check_rested(["i-1", "i-2"])
+        self.check_retry_after_observed(["i-1", "i-2"])
         refused = [answer for answer in self.callers.answers if answer[0] > served_from and answer[1] != 200]
         self.assertLessEqual(len(refused), len(self.callers.answers) // 20,
                              f"expected the two others to serve nearly all, found {len(refused)} of "
@@ -106,7 +106,7 @@
         asked = time.monotonic()
         time.sleep(2 * RETRY_AFTER_S)
         self.callers.stop()
-        self.check_rested(self.site.upstreams)
+        self.check_retry_after_observed(self.site.upstreams)
         told = [float(answer[2]["Retry-After"]) for answer in self.callers.answers
                 if answer[1] == 503 and asked < answer[0] < asked + 1]
         self.assertTrue(told, "no refusal had a Retry-After time; the test is inconclusive")
@@ -127,14 +127,14 @@
         control(self.site.store, {"busy": False})
         time.sleep(RETRY_AFTER_S)
         self.callers.stop()
-        self.check_rested(["i-1", "i-2"])
+        self.check_retry_after_observed(["i-1", "i-2"])
 
     def test_rest_in_fractions_is_kept_to(self):
         self.begin()
         self.shed(["i-1"], "1.9")
         time.sleep(4)
         self.callers.stop()
-        self.check_rested(["i-1"], 1.9)
+        self.check_retry_after_observed(["i-1"], 1.9)
 
     def test_wish_that_is_no_time_is_no_rest(self):
         """The gateway skips the upstream for a moment, as it does for any upstream that is full."""
@@ -157,7 +157,7 @@
         self.site.wait_until("the upstream runs requests again",
                              lambda: len(control(self.site.upstreams["i-1"], {})["runs"]) > runs, RETRY_AFTER_S + 2)
         self.callers.stop()
-        self.check_rested(["i-1"])
+        self.check_retry_after_observed(["i-1"])
 
     def test_another_gateway_that_was_not_asked_may_send(self):
         """A Retry-After time binds only the gateway that received it."""
