--- a/test/process/warmup_test.py
+++ b/test/process/warmup_test.py
@@ -60,7 +60,7 @@
     def arrivals(self, name):
         return control(self.site.upstreams[name], {})["arrivals"]
 
-    def check_borne(self, name, since):
+    def check_warm_up_rate(self, name, since):
         found = max_requests_in_second(self.arrivals(name), since)
         self.assertLessEqual(found, MAX_REQUESTS_PER_SECOND,
                              f"{name} got {found} requests in one second of its warm-up; see "
@@ -71,7 +71,7 @@
         begun = time.monotonic()
         time.sleep(4)
         self.callers.stop()
-        self.check_borne("i-1", since)
+        self.check_warm_up_rate("i-1", since)
         answers = [answer for answer in self.callers.answers if answer[0] > begun]
         served = sum(1 for answer in answers if answer[1] == 200)
         self.assertGreaterEqual(served, 0.95 * len(answers), "expected the other upstreams to serve nearly all")
@@ -83,7 +83,7 @@
         time.sleep(4)
         self.callers.stop()
         for name in names:
-            self.check_borne(name, since)
+            self.check_warm_up_rate(name, since)
         answers = [answer for answer in self.callers.answers if answer[0] > begun]
         served = sum(1 for answer in answers if answer[1] == 200)
         self.assertGreaterEqual(served, 4, "expected gateways to use the warm-up rate")
@@ -101,7 +101,7 @@
                            f"expected its share of the load, found {found} requests in 2 s")
         since = self.warm_up(["i-1"])
         time.sleep(2)
-        self.check_borne("i-1", since)
+        self.check_warm_up_rate("i-1", since)
         self.warm_up(["i-1"], 0)
         before = len(self.arrivals("i-1"))
         time.sleep(2)
@@ -113,7 +113,7 @@
         self.site.wait_until("the new gateway is ready", new.ready)
         self.callers.entries[:] = [new.entry] + self.callers.entries
         time.sleep(3)
-        self.check_borne("i-1", since)
+        self.check_warm_up_rate("i-1", since)
 
 
 if __name__ == "__main__":
