--- a/test/process/limitedupstream_test.py
+++ b/test/process/limitedupstream_test.py
@@ -60,7 +60,7 @@
     def arrivals(self, name):
         return control(self.site.upstreams[name], {})["arrivals"]
 
-    def check_kept(self, name, limit, since):
+    def check_limit_observed(self, name, limit, since):
         found = max_requests_in_window(self.arrivals(name), since)
         self.assertLessEqual(found, allowed(limit), f"{name} announced a limit of {limit} requests/s and got {found} "
                              f"requests in {WINDOW_S:.0f} s; see `upstream.notice` in the gateways' logs")
@@ -77,7 +77,7 @@
         begun = time.monotonic()
         time.sleep(10)
         self.callers.stop()
-        self.check_kept("i-1", 1, since)
+        self.check_limit_observed("i-1", 1, since)
         self.check_served(begun)
 
     def test_limited_upstream_is_not_given_up(self):
@@ -87,7 +87,7 @@
         time.sleep(10)
         self.callers.stop()
         for name in ("i-1", "i-2"):
-            self.check_kept(name, 3, since)
+            self.check_limit_observed(name, 3, since)
             used = [each for each in self.arrivals(name) if each["ms"] / 1000 > since + 2]
             self.assertGreaterEqual(len(used), 0.5 * 3 * 8, f"expected {name} to get at least half of its limit "
                                     f"in 8 s, found {len(used)} requests")
@@ -99,7 +99,7 @@
         since = self.limit(["i-1"], 0.5)
         time.sleep(8)
         self.callers.stop()
-        self.check_kept("i-1", 0.5, since + 1)
+        self.check_limit_observed("i-1", 0.5, since + 1)
 
     def test_upstream_that_names_no_limit_any_more_gets_its_part_again(self):
         self.begin()
@@ -120,7 +120,7 @@
         time.sleep(8)
         self.callers.stop()
         for name in names:
-            self.check_kept(name, 3, since)
+            self.check_limit_observed(name, 3, since)
         refused = [answer for answer in self.callers.answers if answer[0] > begun and answer[1] == 503]
         served = [answer for answer in self.callers.answers if answer[0] > begun and answer[1] == 200]
         self.assertGreaterEqual(len(served), 0.5 * 3 * len(names) * 8)
@@ -140,7 +140,7 @@
         self.gateways[1].process.end()
         time.sleep(7)
         self.callers.stop()
-        self.check_kept("i-1", 1, since)
+        self.check_limit_observed("i-1", 1, since)
 
 
 if __name__ == "__main__":
