--- a/test/process/gatewaysharing_test.py
+++ b/test/process/gatewaysharing_test.py
@@ -69,12 +69,12 @@
         cut_off = self.other("gateway-2", store=free_address())
         self.site.list_upstream("i-1", "draining")
 
-        def spared():
+        def gets_no_requests():
             before = self.runs_at("i-1")
             for _ in range(6):
                 self.assertEqual(cut_off.ask(), 200)
             return self.runs_at("i-1") == before
-        self.site.wait_until("the leaving upstream gets no requests", spared)
+        self.site.wait_until("the leaving upstream gets no requests", gets_no_requests)
 
     def runs_at(self, name):
         return len(control(self.site.upstreams[name], {})["runs"])
