--- a/test/process/gateway_test.py
+++ b/test/process/gateway_test.py
@@ -187,10 +187,10 @@
             control(site.upstreams["i-2"], {"breakAfter": 0})
             whole = "".join(f"id: {n}\ndata: token {n}\n\n" for n in range(1, 11))
 
-            def taken_up():
+            def resumed():
                 self.assertEqual(site.ask("/stream/1")[2], whole)
                 return "4" in {run["resumeAfter"] for run in site.runs()}
-            site.wait_until("a stream was resumed", taken_up)
+            site.wait_until("a stream was resumed", resumed)
 
     def test_leaving_upstream_gets_nothing_new(self):
         with GatewaySite() as site:
