--- a/soak/soak.py
+++ b/soak/soak.py
@@ -340,7 +340,7 @@
         self.site.starts[name] += 1
         self.site.list_upstream(name)
 
-    def name_limit(self):
+    def move_limit(self):
         """Moves the rate limit from the upstream that announces one to another upstream."""
         names = [name for name in self.site.upstreams if name != self.limited]
         if self.limited is not None:
@@ -433,7 +433,7 @@
             caller.start()
         end = time.monotonic() + self.args.seconds
         leave_at = time.monotonic() + self.args.seconds / 2
-        self.name_limit()
+        self.move_limit()
         self.warm_up()
         while time.monotonic() < end:
             self.draw_fault()
@@ -447,7 +447,7 @@
                 self.shed()
                 self.stop_without_faults()
                 self.drain_hall()
-                self.name_limit()
+                self.move_limit()
                 self.warm_up()
             time.sleep(self.random.uniform(0.05, 0.25))
         self.end_faults(everything=True)
