--- a/soak/soak.py
+++ b/soak/soak.py
@@ -286,7 +286,7 @@
             for name in self.site.upstreams:
                 self.site.list_upstream(name)
 
-    def draw_fault(self):
+    def inject_fault(self):
         gateways, upstreams = list(self.site.gateways), list(self.site.upstreams)
         kinds = [(self.fault_link, gateways + upstreams), (self.fault_upstream, upstreams),
                  (self.fault_pause, gateways), (self.fault_kill, gateways),
@@ -436,7 +436,7 @@
         self.move_limit()
         self.warm_up()
         while time.monotonic() < end:
-            self.draw_fault()
+            self.inject_fault()
             self.end_faults()
             if self.random.random() < 0.08:
                 self.change()
