--- a/soak/soak.py
+++ b/soak/soak.py
@@ -5,7 +5,7 @@
 repeatable requests ("status") and streams. Faults overlap: links to the store and to upstreams are
 delayed, reset, silenced or blocked in one direction; upstreams fail, refuse, send Retry-After, lose
 answers and break streams; gateways are stopped, paused, killed and restarted; configurations change,
-keys are revoked, upstreams check_leaving and restart under the same id, and the store reverts to an older copy.
+keys are revoked, upstreams leave and restart under the same id, and the store reverts to an older copy.
 One upstream at a time announces a rate limit for all gateways together, and one warms up. A hall is
 drained and then restored. The checks use only what callers and upstreams observed. A seed determines the
 faults; the timing between them depends on the machine. The system has no persistent storage and does
@@ -336,7 +336,7 @@
         sent = {request.id: request.sent_at for request in list(self.requests)}
         for number in late:
             if sent.get(number, 0) > started:
-                self.fail(f"{number} reached {name} more than {LEAVE_DEADLINE_S} s after it began to check_leaving")
+                self.fail(f"{number} reached {name} more than {LEAVE_DEADLINE_S} s after it began to leave")
         self.site.starts[name] += 1
         self.site.list_upstream(name)
 
--- a/test/process/storewentback_test.py
+++ b/test/process/storewentback_test.py
@@ -101,7 +101,7 @@
         self.assertEqual(set(self.ask_many()), {200})
         found = self.arrivals(name) - before
         self.assertEqual(found, 0,
-                         f"the gateway had acknowledged that {name} was leaving or gone, and {name} got {found} requests")
+                         f"{name} got {found} requests after the gateway had acknowledged it as leaving or gone")
 
     def test_upstream_that_was_leaving_gets_nothing_though_the_copy_says_ready(self):
         self.store(copy=True)
