--- a/scripts/localsite.py
+++ b/scripts/localsite.py
@@ -26,6 +26,7 @@
 
 
 def free_address():
+    """Returns a loopback address whose port this run reserves until it exits."""
     for port in _ports:
         reservation = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         with socket.socket() as probe:
--- a/soak/soak.py
+++ b/soak/soak.py
@@ -581,6 +581,7 @@
 
 
 def run_seed(args, seed, seconds=None, plant=""):
+    """Runs the soak with one seed, prints a summary and returns the number of failed checks."""
     args = argparse.Namespace(**{**vars(args), "seed": seed, "plant": plant,
                                  "seconds": seconds or args.seconds})
     with tempfile.NamedTemporaryFile("w+", suffix=f".soak-{seed}.log", delete=False) as log:
--- a/test/process/crashingcall_test.py
+++ b/test/process/crashingcall_test.py
@@ -17,7 +17,7 @@
 from localsite import Site, call, control  # noqa: E402
 
 ENDED_BY_REQUEST = 70  # The stand-in's exit code when a request makes it exit.
-PROPAGATION_S = 3.0           # Time in which connected entries learn of the request.
+PROPAGATION_S = 3.0    # Time in which connected entries learn of the request.
 
 
 class CrashingCallTest(unittest.TestCase):
--- a/test/process/crashingrequest_test.py
+++ b/test/process/crashingrequest_test.py
@@ -22,8 +22,8 @@
 from localsite import call, control, free_address  # noqa: E402
 
 ENDED_BY_REQUEST = 70  # The stand-in's exit code when a request makes it exit.
-PROPAGATION_S = 3.0           # Time in which connected gateways learn of the request.
-RESTART_DELAY_S = 0.4       # Time until an upstream that ended is restarted.
+PROPAGATION_S = 3.0    # Time in which connected gateways learn of the request.
+RESTART_DELAY_S = 0.4  # Time until an upstream that ended is restarted.
 
 
 class UpstreamRestarter:
--- a/test/process/limitedupstream_test.py
+++ b/test/process/limitedupstream_test.py
@@ -19,9 +19,9 @@
 from localsite import control, free_address  # noqa: E402
 from restingupstream_test import Callers  # noqa: E402
 
-WINDOW_S = 4.0       # Seconds over which an upstream counts.
-SETTLE_TIME_S = 3.0    # Seconds after its first word from which on its limit binds all.
-SLACK = 5        # Requests that may arrive in a span besides one and a half times the limit.
+WINDOW_S = 4.0       # Window in which the test counts requests.
+SETTLE_TIME_S = 3.0  # Time from the announcement of a limit until it binds all gateways.
+SLACK = 5            # Requests allowed per window beyond 1.5 times the limit.
 
 
 def max_requests_in_window(arrivals, since):
--- a/test/process/restingservice_test.py
+++ b/test/process/restingservice_test.py
@@ -15,9 +15,9 @@
 from process_test import AUTH, QUICK_AGENT, QUICK_ENTRY  # noqa: E402
 from localsite import Site, call, control  # noqa: E402
 
-RETRY_AFTER_S = 2.0       # Value of the upstream's Retry-After header.
-IN_FLIGHT_S = 0.5  # Time in which requests already in flight may arrive.
-MAX_LATE_REQUESTS = 2        # Requests that may arrive in the rest of the Retry-After time.
+RETRY_AFTER_S = 2.0    # Value of the upstream's Retry-After header.
+IN_FLIGHT_S = 0.5      # Time in which requests already in flight may arrive.
+MAX_LATE_REQUESTS = 2  # Requests that may arrive in the rest of the Retry-After time.
 
 
 class RestingServiceTest(unittest.TestCase):
--- a/test/process/restingupstream_test.py
+++ b/test/process/restingupstream_test.py
@@ -21,9 +21,9 @@
 from gatewaysharing_test import OtherGateway  # noqa: E402
 from localsite import call, control, free_address  # noqa: E402
 
-RETRY_AFTER_S = 3.0          # Value of the upstreams' Retry-After header.
-IN_FLIGHT_S = 0.5     # Time in which requests already in flight may arrive.
-MAX_LATE_REQUESTS = 2           # Requests that may arrive in the rest of the Retry-After time.
+RETRY_AFTER_S = 3.0    # Value of the upstreams' Retry-After header.
+IN_FLIGHT_S = 0.5      # Time in which requests already in flight may arrive.
+MAX_LATE_REQUESTS = 2  # Requests that may arrive in the rest of the Retry-After time.
 PATHS = ("/letters/1", "/status/1", "/stream/1")
 
 
--- a/test/process/warmup_test.py
+++ b/test/process/warmup_test.py
@@ -18,7 +18,7 @@
 
 WARM_UP_RATE = 4
 MAX_REQUESTS_PER_SECOND = 1.5 * WARM_UP_RATE + 5  # Uses the default warm-up factor and slack.
-SETTLE_TIME_S = 1.0                   # Time in which gateways learn of an entry.
+SETTLE_TIME_S = 1.0                               # Time in which gateways learn of an entry.
 LONG_WARM_UP_MS = 60_000
 
 
