--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,11 +1,11 @@
-"""A loopback proxy that brings about what a bad network does to connections.
-
-One proxy stands before one listener. Its mode holds for all its connections, also those that are
-open: `pass`, `delay`, `silent` (accepts and says nothing), `one_way` (bytes toward the listener go
-on, answers are held), and `reset` (resets what is open and what comes). Bytes that are held go on
-when the mode changes back. `plant` holds a fault for testing the checks: `twice` sends each request
-again on a connection of its own, `skip` takes one event out of every stream, `deaf` takes out of
-answers that rest is asked for, `unbound` that a limit is named.
+"""A loopback TCP proxy that injects network faults.
+
+Each proxy forwards to one target. Its mode applies to all connections, including open ones: `pass`,
+`delay` (by 150 ms), `silent` (accepts connections and forwards nothing), `one_way` (forwards requests
+and holds answers) and `reset` (resets open and new connections). Held bytes are forwarded when the mode
+changes back. `plant` selects a planted fault that the soak's checks must detect: `twice` sends each
+request again on a separate connection, `skip` removes one event from every stream, `deaf` renames the
+Retry-After header of answers, and `unbound` renames their Server-Limit header.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class ProxyLoop:
-    """The thread that serves all proxies of a run."""
+    """An event loop on its own thread that serves all proxies of a run."""
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
@@ -66,7 +66,7 @@
         try:
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         except OSError:
-            pass  # It is closed already, so there is nothing to reset.
+            pass  # The socket is already closed.
         writer.transport.abort()
 
     async def _serve(self, reader, writer):
@@ -75,55 +75,55 @@
             return
         host, port = self.target.split(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
             self._reset(writer)
             return
-        self.writers |= {writer, far_writer}
+        self.writers |= {writer, target_writer}
         try:
-            await asyncio.gather(self._pump(reader, far_writer, True),
-                                 self._pump(far_reader, writer, False))
+            await asyncio.gather(self._pump(reader, target_writer, True),
+                                 self._pump(target_reader, writer, False))
         except asyncio.CancelledError:
-            pass  # The run is over.
+            pass  # ProxyLoop.end() cancels all tasks.
         finally:
-            self.writers -= {writer, far_writer}
+            self.writers -= {writer, target_writer}
 
-    def _held(self, onward):
-        return self.mode == "silent" or (self.mode == "one_way" and not onward)
+    def _held(self, to_target):
+        return self.mode == "silent" or (self.mode == "one_way" and not to_target)
 
-    async def _pump(self, reader, writer, onward):
+    async def _pump(self, reader, writer, to_target):
         try:
             while True:
-                piece = await reader.read(65536)
-                while self._held(onward):
+                chunk = await reader.read(65536)
+                while self._held(to_target):
                     await asyncio.sleep(0.02)
                 if self.mode == "delay":
                     await asyncio.sleep(0.15)
-                if not piece:
+                if not chunk:
                     break
-                if self.plant == "twice" and onward:
-                    asyncio.ensure_future(self._again(piece))
-                if self.plant == "skip" and not onward:
-                    piece = self._without_event(piece)
-                if self.plant == "deaf" and not onward:
-                    piece = piece.replace(b"Retry-After", b"X-Not-Heard")
-                if self.plant == "unbound" and not onward:
-                    piece = piece.replace(b"Server-Limit", b"X-Not-Heard-")
-                writer.write(piece)
+                if self.plant == "twice" and to_target:
+                    asyncio.ensure_future(self._send_duplicate(chunk))
+                if self.plant == "skip" and not to_target:
+                    chunk = self._without_event(chunk)
+                if self.plant == "deaf" and not to_target:
+                    chunk = chunk.replace(b"Retry-After", b"X-Not-Heard")
+                if self.plant == "unbound" and not to_target:
+                    chunk = chunk.replace(b"Server-Limit", b"X-Not-Heard-")
+                writer.write(chunk)
                 await writer.drain()
         except (OSError, asyncio.IncompleteReadError):
             self._reset(writer)
         finally:
             writer.close()
 
-    async def _again(self, piece):
+    async def _send_duplicate(self, chunk):
         host, port = self.target.split(":")
         _, writer = await asyncio.open_connection(host, int(port))
-        writer.write(piece)
+        writer.write(chunk)
         await asyncio.sleep(0.5)
         writer.close()
 
     @staticmethod
-    def _without_event(piece):
-        # The chunk keeps its length: the event's text becomes a comment of the same size.
-        return _EVENT.sub(lambda found: b":" * (len(found.group()) - 2) + b"\n\n", piece)
+    def _without_event(chunk):
+        # Replaces the event by a comment of the same size so that the HTTP chunk length stays valid.
+        return _EVENT.sub(lambda found: b":" * (len(found.group()) - 2) + b"\n\n", chunk)
--- a/test/process/process_test.py
+++ b/test/process/process_test.py
@@ -1,6 +1,6 @@
-"""Whole processes under kill, pause, planned stop, stale configuration and platform loss.
+"""Tests of whole processes under kill, pause, planned stop, stale configuration and platform loss.
 
-Waits are bounded but generous, and no verdict depends on how long a thing took.
+Waits have generous bounds, and no check depends on durations.
 """
 
 import json
@@ -16,11 +16,11 @@
 import urllib.request
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), "..", "..", "scripts"))
-from localsite import Site, call, key_of  # noqa: E402
+from localsite import Site, call, api_key_of  # noqa: E402
 
 QUICK_ENTRY = ["--heartbeat-ms", "100", "--lease-ms", "1000", "--stop-delay-ms", "300"]
 QUICK_AGENT = ["--lease-ms", "1000"]
-AUTH = {"Authorization": f"Bearer {key_of('bids')}", "Content-Type": "application/json"}
+AUTH = {"Authorization": f"Bearer {api_key_of('bids')}", "Content-Type": "application/json"}
 
 
 def make_site(engines=2, services=0, entries=2):
@@ -53,7 +53,7 @@
 
 
 class Stream(threading.Thread):
-    """Reads a streamed answer to its end in the background."""
+    """Reads a streamed answer to its end on its own thread."""
 
     def __init__(self, entry, tokens, prompt="tender 7"):
         super().__init__()
@@ -70,16 +70,16 @@
                 for line in answer:
                     self.text += line.decode()
                     self.started.set()
-        except Exception as error:  # Any break of the connection.
+        except Exception as error:  # The connection broke.
             self.error = error
         self.started.set()
 
-    def whole(self):
+    def is_complete(self):
         return self.error is None and self.text.rstrip().endswith("data: [DONE]")
 
-    def whole_after_join(self):
+    def join_and_check_complete(self):
         self.join(30)
-        return self.whole()
+        return self.is_complete()
 
     def tokens(self):
         return self.text.count("chat.completion.chunk")
@@ -97,7 +97,7 @@
             site.processes["bid-1"].end()
             for stream in streams:
                 stream.join(30)
-            broken = [stream for stream in streams if not stream.whole()]
+            broken = [stream for stream in streams if not stream.is_complete()]
             self.assertTrue(0 < len(broken) < 8)
             for stream in broken:
                 self.assertNotIn("[DONE]", stream.text)
@@ -118,7 +118,7 @@
             site.processes["bid-1"].send(signal.SIGTERM)
             for stream in streams:
                 stream.join(30)
-            self.assertTrue(all(stream.whole() for stream in streams))
+            self.assertTrue(all(stream.is_complete() for stream in streams))
             self.assertEqual([stream.tokens() for stream in streams], [100] * 8)
             self.assertEqual(site.processes["bid-1"].wait(20), 0)
 
@@ -134,7 +134,7 @@
                 site.operators["entry-1"], "/readyz")[0] in (503, 0))
             for stream in streams:
                 stream.join(30)
-            self.assertTrue(all(stream.whole() for stream in streams))
+            self.assertTrue(all(stream.is_complete() for stream in streams))
             self.assertEqual(site.processes["entry-1"].wait(20), 0)
 
     def test_paused_agent_gets_no_new_work_and_wakes_harmlessly(self):
@@ -260,7 +260,7 @@
             site.wait_until("all engines are reloaded", reloaded, 60)
             for stream in streams:
                 stream.join(30)
-            self.assertTrue(all(stream.whole() for stream in streams))
+            self.assertTrue(all(stream.is_complete() for stream in streams))
             self.assertEqual(max(worst), 1)
             self.assertEqual(sum(site.control(upstream, {})["lowFences"]
                                  for upstream in site.upstreams.values()), 0)
@@ -293,7 +293,7 @@
             for path, body, headers, status, code in cases:
                 answer = call(entry, path, body, headers)
                 if answer[0] == 0 and status == 413:
-                    continue  # The server closed while the client was still sending.
+                    continue  # The server closed the connection while the client was sending.
                 self.assertEqual((answer[0], code_of(answer[2])), (status, code), body[:60])
                 self.assertEqual(answer[1]["Seamarch-Outcome"], "not-run")
 
@@ -307,7 +307,7 @@
             subprocess.run(["npm", "install", "--no-save", "--no-audit", "--no-fund",
                             "--loglevel=error", "--prefix", clients, "openai@4"], check=True)
         with make_site(engines=1, entries=1) as site:
-            done = subprocess.run(["node", script, site.entries["entry-1"], key_of("bids")],
+            done = subprocess.run(["node", script, site.entries["entry-1"], api_key_of("bids")],
                                   capture_output=True, text=True, timeout=60, check=False)
             self.assertEqual(done.returncode, 0, done.stderr)
 
@@ -319,7 +319,7 @@
             upstream = site.upstreams["bid-1"]
             site.control(upstream, {"stepMs": 1})
             before = {name: resident_mb(site, name) for name in ("entry-1", "bid-1")}
-            # Each token comes as an event of 8 KB; the caller reads none of the 50 MB.
+            # Each token is an 8 KB event; the caller reads none of the 50 MB.
             body = chat(10000, True, "x" * 8192)
             with socket.create_connection(tuple(site.entries["entry-1"].split(":"))) as caller:
                 head = (f"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: "
@@ -329,7 +329,7 @@
                 site.wait_until("50 MB are produced",
                                 lambda: site.control(upstream, {})["tokens"] > 6400, 60)
                 grown = {name: resident_mb(site, name) - mb for name, mb in before.items()}
-                self.assertEqual(Stream(site.entries["entry-1"], 5).whole_after_join(), True)
+                self.assertEqual(Stream(site.entries["entry-1"], 5).join_and_check_complete(), True)
             for name, mb in grown.items():
                 self.assertLess(mb, 8, name)
 
